--- a/brain/bench_test.go
+++ b/brain/bench_test.go
@@ -17,7 +17,7 @@
 
 // sizes runs a benchmark at fleets of growing size.
 func sizes(b *testing.B, run func(b *testing.B, proxies, nodes int)) {
-	for _, size := range [][2]int{{300, 60}, {1200, 200}, {2400, 200}, {2400, 800}} {
+	for _, size := range [][2]int{{110, 3200}, {300, 60}, {1200, 200}, {2400, 200}, {2400, 800}} {
 		b.Run(fmt.Sprintf("proxies=%d/nodes=%d", size[0], size[1]), func(b *testing.B) { run(b, size[0], size[1]) })
 	}
 }
--- /dev/null
+++ b/follow/golden_test.go
@@ -0,0 +1,83 @@
+package follow
+
+import (
+	"fmt"
+	"strings"
+	"testing"
+	"time"
+
+	"google.golang.org/protobuf/proto"
+
+	"harehook.dev/harehook/internal/goldentest"
+	"harehook.dev/harehook/records"
+)
+
+// TestGoldenMessages compares the bytes of each kind of message between members and followers with those that commit
+// 3968cf4 sent.
+func TestGoldenMessages(t *testing.T) {
+	route, err := records.New(records.Key{Kind: records.KindRoute, Name: "quote"}, records.RouteSpec{Service: "pay", Prefix: "/quote", TimeLimitMS: 900})
+	if err != nil {
+		t.Fatal(err)
+	}
+	route.Revision = 5
+	removed := records.Key{Kind: records.KindOverride, Name: "n-1"}
+	offers := []struct {
+		name  string
+		offer Offer
+	}{
+		{"full scope", Offer{Revision: 7, Routing: 5, Nonce: "1", Whole: true, Records: []*records.Record{route}}},
+		{"changes", Offer{Revision: 8, Routing: 5, Nonce: "2", Records: []*records.Record{route}, Removed: []records.Key{removed}}},
+		{"revision alone", Offer{Revision: 9, Routing: 5, Nonce: "3"}},
+		{"heartbeat", Offer{Revision: 9}},
+	}
+	var out strings.Builder
+	write := func(name string, message proto.Message) {
+		data, err := proto.MarshalOptions{Deterministic: true}.Marshal(message)
+		if err != nil {
+			t.Fatal(err)
+		}
+		fmt.Fprintf(&out, "%s: %x\n", name, data)
+	}
+	start := time.Unix(1700000000, 0)
+	refuse := false
+	follower := NewFollower("site-17", records.Scope{Services: []string{"pay"}, Zones: []string{"north"}}, 3*time.Second,
+		func(uint64, map[records.Key]*records.Record) error {
+			if refuse {
+				return fmt.Errorf("no node for %s", "quote")
+			}
+			return nil
+		})
+	write("first request", follower.Begin(start))
+	for _, one := range offers {
+		response, err := one.offer.response()
+		if err != nil {
+			t.Fatal(err)
+		}
+		write(one.name, response)
+		reply, accepted, err := follower.Receive(start, response)
+		if err != nil {
+			t.Fatal(err)
+		}
+		fmt.Fprintf(&out, "accepted: %t\n", accepted)
+		if reply != nil {
+			write("reply", reply)
+		}
+	}
+	write("renewal", follower.Renew(start.Add(time.Second)))
+	refuse = true
+	response, err := Offer{Revision: 10, Routing: 5, Nonce: "4", Records: []*records.Record{route}}.response()
+	if err != nil {
+		t.Fatal(err)
+	}
+	refusal, _, err := follower.Receive(start, response)
+	if err != nil {
+		t.Fatal(err)
+	}
+	write("refusal", refusal)
+	goldentest.Compare(t, "messages.txt", out.String())
+}
+
+// TestGoldenStatus compares the JSON of what members and harehookctl tell of followers with that of an earlier release.
+func TestGoldenStatus(t *testing.T) {
+	goldentest.CompareJSON(t, "status.json", &ForceStatus{}, &Force{}, &Counts{})
+}
