--- a/cluster/member.go
+++ b/cluster/member.go
@@ -218,7 +218,9 @@
 
 // Change is a change of who is in the group.
 type Change struct {
-	Add, Learn, Remove []uint64
+	Add    []uint64 `json:"Add"`
+	Learn  []uint64 `json:"Learn"`
+	Remove []uint64 `json:"Remove"`
 }
 
 // ChangeMembers proposes a change; of several members by joint consensus.
--- a/cluster/standing.go
+++ b/cluster/standing.go
@@ -8,13 +8,18 @@
 
 // Standing is what a member knows of the group.
 type Standing struct {
-	ID, Leader, Term, Applied, Commit uint64
-	Leads                             bool
-	Voters, Learners                  []uint64
-	Joint                             bool
-	Version                           uint64
-	Entries                           uint64
-	Behind                            map[uint64]uint64 // at the leader: entries that a member lacks
+	ID       uint64            `json:"ID"`
+	Leader   uint64            `json:"Leader"`
+	Term     uint64            `json:"Term"`
+	Applied  uint64            `json:"Applied"`
+	Commit   uint64            `json:"Commit"`
+	Leads    bool              `json:"Leads"`
+	Voters   []uint64          `json:"Voters"`
+	Learners []uint64          `json:"Learners"`
+	Joint    bool              `json:"Joint"`
+	Version  uint64            `json:"Version"`
+	Entries  uint64            `json:"Entries"`
+	Behind   map[uint64]uint64 `json:"Behind"` // at the leader: entries that a member lacks
 }
 
 // Standing tells it.
--- a/follow/server.go
+++ b/follow/server.go
@@ -59,9 +59,14 @@
 
 // Counts are what a server has sent since it started.
 type Counts struct {
-	Whole, Changes, Progress, Heartbeats uint64 // messages: whole scopes, changes, revisions that touch nothing of the scope
-	WholeBytes, ChangeBytes              uint64
-	Accepted, Refused                    uint64
+	Whole       uint64 `json:"Whole"`      // messages with a whole scope
+	Changes     uint64 `json:"Changes"`    // messages with changes
+	Progress    uint64 `json:"Progress"`   // messages of revisions that touch nothing of the scope
+	Heartbeats  uint64 `json:"Heartbeats"` // messages
+	WholeBytes  uint64 `json:"WholeBytes"`
+	ChangeBytes uint64 `json:"ChangeBytes"`
+	Accepted    uint64 `json:"Accepted"`
+	Refused     uint64 `json:"Refused"`
 }
 
 // sent books a response.
