--- a/cluster/golden_test.go
+++ b/cluster/golden_test.go
@@ -12,7 +12,7 @@
 	"google.golang.org/protobuf/encoding/protojson"
 	"google.golang.org/protobuf/proto"
 
-	"harehook.dev/harehook/install"
+	"harehook.dev/harehook/config"
 	"harehook.dev/harehook/internal/goldentest"
 	"harehook.dev/harehook/raftlog"
 	"harehook.dev/harehook/records"
@@ -57,7 +57,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	state := NewState(install.TextFormat{})
+	state := NewState(config.TextFormat{})
 	var batch raftlog.Batch
 	for at, command := range goldenCommands() {
 		index := uint64(at + 1)
@@ -127,7 +127,7 @@
 	fmt.Fprintf(&out, "identity of %d characters\nterm %d, vote %d, commit %d\n", len(saved.Identity), saved.Hard.GetTerm(), saved.Hard.GetVote(), saved.Hard.GetCommit())
 	meta := saved.Snapshot.GetMetadata()
 	fmt.Fprintf(&out, "snapshot of %d, term %d, voters %v, learners %v\n", meta.GetIndex(), meta.GetTerm(), meta.GetConfState().GetVoters(), meta.GetConfState().GetLearners())
-	state := NewState(install.TextFormat{})
+	state := NewState(config.TextFormat{})
 	if err := state.Restore(saved.Snapshot.GetData()); err != nil {
 		t.Fatal(err)
 	}
--- a/cluster/upgrade_test.go
+++ b/cluster/upgrade_test.go
@@ -12,7 +12,7 @@
 	"go.etcd.io/raft/v3/raftpb"
 	"google.golang.org/protobuf/proto"
 
-	"harehook.dev/harehook/install"
+	"harehook.dev/harehook/config"
 	"harehook.dev/harehook/raftlog"
 	"harehook.dev/harehook/records"
 )
@@ -45,7 +45,7 @@
 
 func restoredState(t *testing.T, snapshot []byte) *State {
 	t.Helper()
-	s := NewState(install.TextFormat{})
+	s := NewState(config.TextFormat{})
 	if err := s.Restore(snapshot); err != nil {
 		t.Fatal(err)
 	}
@@ -70,11 +70,11 @@
 	}
 	for k, was := range old.Versions {
 		text, kept := s.TextOf(was.Number)
-		parsed, err := install.TextFormat{}.Parse(was.Text)
+		parsed, err := config.TextFormat{}.Parse(was.Text)
 		if err != nil {
 			t.Fatal(err)
 		}
-		if want := (install.TextFormat{}).Format(parsed); !kept || text != want {
+		if want := (config.TextFormat{}).Format(parsed); !kept || text != want {
 			t.Errorf("version %d, kept %v:\n%s\nwant\n%s", was.Number, kept, text, want)
 		}
 		was.Text = ""
@@ -178,7 +178,7 @@
 		Identity: "disk-1", Snapshot: &raftpb.Snapshot{Data: saved.Late, Metadata: meta},
 		Hard: &raftpb.HardState{Term: proto.Uint64(2), Vote: proto.Uint64(1), Commit: proto.Uint64(110)},
 	}
-	n := startedFrom(t, disk, NewState(install.TextFormat{}), func(*Node) {})
+	n := startedFrom(t, disk, NewState(config.TextFormat{}), func(*Node) {})
 	write := transaction("a", recordWrite(records.KindService, "pay", 0, records.ServiceSpec{}))
 	for until := time.Now().Add(20 * time.Second); ; time.Sleep(tickEvery) {
 		r, err := n.propose(t.Context(), write)
--- a/cmd/harehook-sidecar/main.go
+++ b/cmd/harehook-sidecar/main.go
@@ -13,8 +13,8 @@
 	"go.uber.org/zap"
 	"google.golang.org/grpc/credentials"
 
-	"harehook.dev/harehook/install"
-	"harehook.dev/harehook/internal/keys"
+	"harehook.dev/harehook/config"
+	"harehook.dev/harehook/internal/certs"
 	"harehook.dev/harehook/internal/logging"
 	"harehook.dev/harehook/sidecar"
 )
@@ -25,11 +25,11 @@
 )
 
 func main() {
-	install.Main("harehook-sidecar", "Carries HTTP/1.1 calls by accepted versions", "sidecar.kdl", run)
+	config.Main("harehook-sidecar", "Carries HTTP/1.1 calls by accepted versions", "sidecar.kdl", run)
 }
 
 func run(ctx context.Context, path string) error {
-	told, err := install.ReadSidecar(path)
+	told, err := config.ReadSidecar(path)
 	if err != nil {
 		return err
 	}
@@ -48,7 +48,7 @@
 	if told.Keep != "" {
 		link.Store = &sidecar.Store{Path: told.Keep}
 	}
-	held, err := keys.Load(told.Keys)
+	held, err := certs.Load(told.Keys)
 	if err != nil {
 		return err
 	}
@@ -70,7 +70,7 @@
 }
 
 // look logs counters and takes changed keys over until ctx ends.
-func look(ctx context.Context, link *sidecar.Link, report *sidecar.Report, held *keys.Keys, log *zap.Logger) {
+func look(ctx context.Context, link *sidecar.Link, report *sidecar.Report, held *certs.Keys, log *zap.Logger) {
 	tick := time.NewTicker(lookEvery)
 	defer tick.Stop()
 	last := time.Now()
--- a/cmd/harehook/crossings_test.go
+++ b/cmd/harehook/crossings_test.go
@@ -12,7 +12,7 @@
 	"testing"
 	"time"
 
-	"harehook.dev/harehook/internal/standin"
+	"harehook.dev/harehook/internal/fakeplatform"
 )
 
 // again lets the program die and starts it anew, with no list of its own and a discovery that is as told by then.
@@ -35,9 +35,9 @@
 func TestReadyWithin(t *testing.T) {
 	const readyWithin = 10 * time.Second // by the operators' page
 	each(t, map[string]func(r *rig){
-		"silent":       func(r *rig) { r.discovery.Answer(standin.Silent) },
-		"changes only": func(r *rig) { r.discovery.Answer(standin.Changes) },
-		"failing":      func(r *rig) { r.discovery.Answer(standin.Failing) },
+		"silent":       func(r *rig) { r.discovery.Answer(fakeplatform.Silent) },
+		"changes only": func(r *rig) { r.discovery.Answer(fakeplatform.Changes) },
+		"failing":      func(r *rig) { r.discovery.Answer(fakeplatform.Failing) },
 		"without nodes": func(r *rig) {
 			for _, n := range r.discovery.Whole().Endpoints {
 				n.Status = "terminated"
@@ -47,7 +47,7 @@
 	}, func(r *rig, discovery func(r *rig)) {
 		r.again(func() { discovery(r) })
 		began := time.Now()
-		c, err := standin.Collect(r.address, "north")
+		c, err := fakeplatform.Collect(r.address, "north")
 		if err != nil {
 			r.t.Fatal(err)
 		}
@@ -64,7 +64,7 @@
 			r.t.Errorf("bound without a node: %s", calls)
 		}
 		r.relay.Unlock()
-		r.discovery.Answer(standin.Plain)
+		r.discovery.Answer(fakeplatform.Plain)
 		r.discovery.Set(node("s-7", "north", "in_service"), node("s-8", "south", "in_service"))
 		r.relayed("bound", bound(0, 1))
 	})
@@ -72,8 +72,8 @@
 
 // A service that answers wrongly at once is not asked without a pause.
 func TestPauses(t *testing.T) {
-	each(t, map[string]standin.Manner{"changes only": standin.Changes, "backward": standin.Backward, "eager": standin.Eager},
-		func(r *rig, manner standin.Manner) {
+	each(t, map[string]fakeplatform.Manner{"changes only": fakeplatform.Changes, "backward": fakeplatform.Backward, "eager": fakeplatform.Eager},
+		func(r *rig, manner fakeplatform.Manner) {
 			asked := func() int {
 				r.discovery.Lock()
 				defer r.discovery.Unlock()
@@ -85,7 +85,7 @@
 			if n := asked() - before; n > 60 {
 				r.t.Errorf("asked %d times in 2 s", n)
 			}
-			r.discovery.Answer(standin.Plain)
+			r.discovery.Answer(fakeplatform.Plain)
 			r.discovery.Set(node("s-1", "north", "terminating"))
 			r.relayed("drained", without("s-1"))
 		})
@@ -99,17 +99,17 @@
 			r.discovery.Lock()
 			asked := r.discovery.Asked
 			r.discovery.Unlock()
-			r.discovery.Answer(standin.Endless)
+			r.discovery.Answer(fakeplatform.Endless)
 			if err := r.discovery.Await(r.ctx, func() bool { return r.discovery.Asked > asked }); err != nil {
 				r.t.Fatal(err)
 			}
 		},
-		"an answer": func(r *rig) { r.relay.Fail(standin.EndlessDone) },
+		"an answer": func(r *rig) { r.relay.Fail(fakeplatform.EndlessDone) },
 	}, func(r *rig, begin func(r *rig)) {
 		begin(r)
 		began := time.Now()
 		r.discovery.Set(node("s-1", "north", "terminating"))
-		r.discovery.Answer(standin.Plain)
+		r.discovery.Answer(fakeplatform.Plain)
 		r.relayed("drained", without("s-1"))
 		if took := time.Since(began); took > 6*time.Second { // by the page, what is to be told counts as told by then
 			r.t.Errorf("held up for %v", took)
@@ -122,7 +122,7 @@
 func TestSlowList(t *testing.T) {
 	t.Parallel()
 	r := newRig(t, nil)
-	r.again(func() { r.discovery.Answer(standin.Slow) })
+	r.again(func() { r.discovery.Answer(fakeplatform.Slow) })
 	r.join(0, 1)
 	r.discovery.Set(node("s-1", "north", "terminating"))
 	r.relayed("drained", without("s-1"))
@@ -132,8 +132,8 @@
 func configured(t *testing.T, listen string) []byte {
 	t.Helper()
 	text, err := json.Marshal(map[string]any{"name": "n0", "listen": listen, "discovery": "127.0.0.1:1", "seed": "1",
-		"store": map[string]any{"address": "127.0.0.1:1"}, "settings": json.RawMessage(settings),
-		"known": standin.List{Index: 1, Snapshot: true, Endpoints: []standin.Node{node("s-1", "north", "in_service")}}})
+		"store": map[string]any{"address": "127.0.0.1:1"}, "settings": json.RawMessage(settingsJSON),
+		"known": fakeplatform.List{Index: 1, Snapshot: true, Endpoints: []fakeplatform.Node{node("s-1", "north", "in_service")}}})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -193,7 +193,7 @@
 func answers(t *testing.T, address string) {
 	t.Helper()
 	for within := time.Now().Add(10 * time.Second); ; time.Sleep(time.Millisecond) {
-		c, err := standin.Collect(address, "north")
+		c, err := fakeplatform.Collect(address, "north")
 		if err == nil {
 			err = c.Ping()
 			c.Close()
@@ -289,10 +289,10 @@
 	const limit = 32 // MB, as the platform grants at the least
 	r := newRig(t, func(config map[string]any) { config["limits"].(map[string]any)["memory_mb"] = limit })
 	r.join(0, 1)
-	r.discovery.Answer(standin.Flood)
+	r.discovery.Answer(fakeplatform.Flood)
 	r.askedAnew(func() {})
 	r.askedAnew(func() {})
-	r.discovery.Answer(standin.Plain)
+	r.discovery.Answer(fakeplatform.Plain)
 	r.discovery.Set(node("s-1", "north", "terminating"))
 	r.relayed("drained", without("s-1"))
 	r.program.Process.Signal(syscall.SIGTERM)
@@ -310,9 +310,9 @@
 func TestHupBeforeList(t *testing.T) {
 	t.Parallel()
 	r := newRig(t, nil)
-	r.again(func() { r.discovery.Answer(standin.Silent) })
+	r.again(func() { r.discovery.Answer(fakeplatform.Silent) })
 	r.askedAnew(func() {})
-	other, err := standin.NewDiscovery("127.0.0.1:0", node("s-7", "north", "in_service"), node("s-8", "south", "in_service"))
+	other, err := fakeplatform.NewDiscovery("127.0.0.1:0", node("s-7", "north", "in_service"), node("s-8", "south", "in_service"))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -323,7 +323,7 @@
 	r.program.Process.Signal(syscall.SIGHUP)
 	r.ping()
 	r.join(0, 1)
-	r.relayed("by the new list", func(relay *standin.Relay) bool { return relay.Tables[relay.Bound[0]]["s-7"] > 0 })
+	r.relayed("by the new list", func(relay *fakeplatform.Relay) bool { return relay.Tables[relay.Bound[0]]["s-7"] > 0 })
 }
 
 // SIGHUP and SIGTERM together, in either order, and over a configuration that is only half written: the end is good.
@@ -358,7 +358,7 @@
 	}
 	r.discovery.Set(nodes...)
 	r.discovery.Break() // it is asked for the whole list then
-	empty := func(relay *standin.Relay) bool {
+	empty := func(relay *fakeplatform.Relay) bool {
 		for _, table := range relay.Tables {
 			if len(table) > 0 {
 				return false
--- a/cmd/harehook/main.go
+++ b/cmd/harehook/main.go
@@ -21,12 +21,12 @@
 
 	"go.uber.org/zap"
 
-	"harehook.dev/harehook/conductor"
-	"harehook.dev/harehook/front"
+	"harehook.dev/harehook/controller"
 	"harehook.dev/harehook/internal/invariant"
 	"harehook.dev/harehook/internal/logging"
-	"harehook.dev/harehook/protocol"
-	"harehook.dev/harehook/site"
+	"harehook.dev/harehook/platform/transport"
+	"harehook.dev/harehook/platform/wire"
+	"harehook.dev/harehook/settings"
 )
 
 const (
@@ -59,7 +59,7 @@
 	Known    json.RawMessage `json:"known"`
 	Settings json.RawMessage `json:"settings"`
 
-	deployment site.Deployment // what the settings tell
+	deployment settings.Deployment // what the settings tell
 }
 
 func main() {
@@ -96,15 +96,15 @@
 	defer log.Sync()
 	invariant.Watch(func(what string) { log.Error("invariant broken", zap.String("what", what)) })
 
-	var known protocol.List // it may be old, and a start can do without
+	var known wire.List // it may be old, and a start can do without
 	if err := json.Unmarshal(told.Known, &known); err != nil && len(told.Known) > 0 {
 		log.Warn("the list as last known is left out", zap.Error(err))
 	}
-	orders := front.NewOrders()
-	core := conductor.New(deployment, known.Entries, orders, log)
-	serving := front.Front{Core: core, Orders: orders, Listener: listener, Sockets: told.Limits.Sockets,
+	orders := transport.NewOrders()
+	core := controller.New(deployment, known.Entries, orders, log)
+	serving := transport.Front{Core: core, Orders: orders, Listener: listener, Sockets: told.Limits.Sockets,
 		Memory: int64(told.Limits.MemoryMB * bytesPerMB), Log: log,
-		Relay: front.NewEndpoint(told.Store.Address), Discovery: front.NewEndpoint(told.Discovery)}
+		Relay: transport.NewEndpoint(told.Store.Address), Discovery: transport.NewEndpoint(told.Discovery)}
 	log.Info("started", zap.String("listen", listener.Addr().String()), zap.Int("known", len(known.Entries)))
 
 	var parts sync.WaitGroup
@@ -139,7 +139,7 @@
 
 // reload reads the configuration again at each signal until ctx ends. What was decided, learned and ordered so far
 // lives on; a configuration that can't be used leaves the old one in place.
-func reload(ctx context.Context, again <-chan os.Signal, held *start, serving *front.Front) {
+func reload(ctx context.Context, again <-chan os.Signal, held *start, serving *transport.Front) {
 	for {
 		select {
 		case <-ctx.Done():
@@ -232,7 +232,7 @@
 			return nil, fmt.Errorf("%s: %w", path, err)
 		}
 	}
-	if s.deployment, err = site.Decode(s.Settings); err != nil {
+	if s.deployment, err = settings.Decode(s.Settings); err != nil {
 		return nil, err
 	}
 	if s.Limits.MemoryMB <= 0 {
--- a/cmd/harehook/main_test.go
+++ b/cmd/harehook/main_test.go
@@ -22,8 +22,8 @@
 	"testing"
 	"time"
 
-	"harehook.dev/harehook/internal/standin"
-	"harehook.dev/harehook/protocol"
+	"harehook.dev/harehook/internal/fakeplatform"
+	"harehook.dev/harehook/platform/wire"
 )
 
 // The tests start the program, built with what must hold asserted, and speak to it over loopback.
@@ -54,7 +54,7 @@
 	return ok && slices.Contains(info.Settings, debug.BuildSetting{Key: "-race", Value: "true"})
 }
 
-const settings = `{"zones":["north","south"],"machine-types":["small"],"tick-ns":4000000,"peers-total":1,
+const settingsJSON = `{"zones":["north","south"],"machine-types":["small"],"tick-ns":4000000,"peers-total":1,
 "discovery":"automatic","weights":"off","report":{"names":[],"source":"off"},
 "categories":[{"name":"quote","effect":"safe","promise-ns":750000000,"deadline-ns":2000000000,"gain":2},
 {"name":"issue","effect":"unsafe","promise-ns":750000000,"deadline-ns":2000000000,"gain":3}],
@@ -66,8 +66,8 @@
 type rig struct {
 	t         *testing.T
 	ctx       context.Context
-	discovery *standin.Discovery
-	relay     *standin.Relay
+	discovery *fakeplatform.Discovery
+	relay     *fakeplatform.Relay
 	program   *exec.Cmd
 	address   string
 	config    map[string]any
@@ -78,12 +78,12 @@
 	log  bytes.Buffer
 }
 
-func node(name, zone, status string) standin.Node {
-	return standin.Node{Name: name, Zone: zone, Type: "small", Status: status, Weight: 1}
+func node(name, zone, status string) fakeplatform.Node {
+	return fakeplatform.Node{Name: name, Zone: zone, Type: "small", Status: status, Weight: 1}
 }
 
-func proxy(id int) standin.Proxy {
-	return standin.Proxy{ID: id, Zone: []string{"north", "south"}[id%2], Rate: 10, New: true}
+func proxy(id int) fakeplatform.Proxy {
+	return fakeplatform.Proxy{ID: id, Zone: []string{"north", "south"}[id%2], Rate: 10, New: true}
 }
 
 // newRig starts the stand-ins and the program; change may change its configuration.
@@ -92,13 +92,13 @@
 	r := &rig{t: t, ctx: ctx}
 	t.Cleanup(cancel)
 	var err error
-	if r.discovery, err = standin.NewDiscovery("127.0.0.1:0", node("s-1", "north", "in_service"),
+	if r.discovery, err = fakeplatform.NewDiscovery("127.0.0.1:0", node("s-1", "north", "in_service"),
 		node("s-2", "north", "in_service"), node("s-3", "south", "in_service"),
 		node("s-4", "south", "in_service")); err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(r.discovery.Close)
-	if r.relay, err = standin.NewRelay("127.0.0.1:0", r.discovery.Listed, nil); err != nil {
+	if r.relay, err = fakeplatform.NewRelay("127.0.0.1:0", r.discovery.Listed, nil); err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(r.relay.Close)
@@ -106,7 +106,7 @@
 		"seed": "8c1f30d27a5be964", "store": map[string]any{"address": r.relay.Address()},
 		"limits":   map[string]any{"cores": 1.0, "memory_mb": 192, "sockets": 1024},
 		"known":    r.discovery.Whole(),
-		"settings": json.RawMessage(settings)}
+		"settings": json.RawMessage(settingsJSON)}
 	if change != nil {
 		change(r.config)
 	}
@@ -192,7 +192,7 @@
 }
 
 // relayed waits until the relay has got what ok wants.
-func (r *rig) relayed(what string, ok func(relay *standin.Relay) bool) {
+func (r *rig) relayed(what string, ok func(relay *fakeplatform.Relay) bool) {
 	r.t.Helper()
 	if err := r.relay.Await(r.ctx, func() bool { return ok(r.relay) }); err != nil {
 		r.relay.Lock()
@@ -204,7 +204,7 @@
 // join lets proxies join and waits until they are bound.
 func (r *rig) join(ids ...int) {
 	r.t.Helper()
-	var proxies []standin.Proxy
+	var proxies []fakeplatform.Proxy
 	for _, id := range ids {
 		proxies = append(proxies, proxy(id))
 	}
@@ -212,8 +212,8 @@
 	r.relayed("bound", bound(ids...))
 }
 
-func bound(ids ...int) func(*standin.Relay) bool {
-	return func(relay *standin.Relay) bool {
+func bound(ids ...int) func(*fakeplatform.Relay) bool {
+	return func(relay *fakeplatform.Relay) bool {
 		for _, id := range ids {
 			table, yes := relay.Bound[id]
 			if !yes || len(relay.Tables[table]) == 0 {
@@ -225,8 +225,8 @@
 }
 
 // without tells that tables have lines, and none has the node.
-func without(name string) func(*standin.Relay) bool {
-	return func(relay *standin.Relay) bool {
+func without(name string) func(*fakeplatform.Relay) bool {
+	return func(relay *fakeplatform.Relay) bool {
 		for _, table := range relay.Tables {
 			if _, has := table[name]; has {
 				return false
@@ -250,7 +250,7 @@
 
 func (r *rig) ping() {
 	r.t.Helper()
-	c, err := standin.Collect(r.address, "north")
+	c, err := fakeplatform.Collect(r.address, "north")
 	if err == nil {
 		defer c.Close()
 		err = c.Ping()
@@ -275,11 +275,11 @@
 // A conductor that knows no node answers no ping until discovery has told it one.
 func TestReady(t *testing.T) {
 	r := newRig(t, func(config map[string]any) { delete(config, "known") })
-	r.discovery.Answer(standin.Silent)
+	r.discovery.Answer(fakeplatform.Silent)
 	r.program.Process.Kill()
 	<-r.exited
 	r.start()
-	c, err := standin.Collect(r.address, "north")
+	c, err := fakeplatform.Collect(r.address, "north")
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -291,7 +291,7 @@
 		t.Fatalf("answered without a list: %v", err)
 	default:
 	}
-	r.discovery.Answer(standin.Plain)
+	r.discovery.Answer(fakeplatform.Plain)
 	if err := <-answered; err != nil {
 		t.Fatal(err)
 	}
@@ -303,8 +303,8 @@
 	r := newRig(t, nil)
 	r.ping()
 	r.join(0, 1, 2)
-	r.relayed("levels", func(relay *standin.Relay) bool { return relay.Levels["0 quote"] != "" })
-	c, err := standin.Collect(r.address, "north")
+	r.relayed("levels", func(relay *fakeplatform.Relay) bool { return relay.Levels["0 quote"] != "" })
+	c, err := fakeplatform.Collect(r.address, "north")
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -322,7 +322,7 @@
 	}
 	r.discovery.Set(node("s-1", "north", "terminating"), node("s-5", "north", "in_service"))
 	r.relayed("drained", without("s-1"))
-	r.relayed("new", func(relay *standin.Relay) bool { return relay.Tables[relay.Bound[0]]["s-5"] > 0 })
+	r.relayed("new", func(relay *fakeplatform.Relay) bool { return relay.Tables[relay.Bound[0]]["s-5"] > 0 })
 	r.relay.Leave(2)
 	r.relay.Join(proxy(2))
 	r.relayed("bound again", bound(2))
@@ -330,25 +330,25 @@
 
 // Whatever becomes of a call, the orders behind it hold in the end.
 func TestCalls(t *testing.T) {
-	each(t, map[string]standin.Fault{
-		"silent, done": standin.SilentDone, "silent, undone": standin.SilentUndone,
-		"broken, done": standin.BrokenDone, "broken, undone": standin.BrokenUndone,
-		"garbled": standin.GarbledDone, "half an answer": standin.HalfDone, "late": standin.LateDone,
-		"throttled": standin.ThrottledFirst, "invalid": standin.InvalidFirst, "internal": standin.InternalFirst,
-	}, func(r *rig, fault standin.Fault) {
+	each(t, map[string]fakeplatform.Fault{
+		"silent, done": fakeplatform.SilentDone, "silent, undone": fakeplatform.SilentUndone,
+		"broken, done": fakeplatform.BrokenDone, "broken, undone": fakeplatform.BrokenUndone,
+		"garbled": fakeplatform.GarbledDone, "half an answer": fakeplatform.HalfDone, "late": fakeplatform.LateDone,
+		"throttled": fakeplatform.ThrottledFirst, "invalid": fakeplatform.InvalidFirst, "internal": fakeplatform.InternalFirst,
+	}, func(r *rig, fault fakeplatform.Fault) {
 		r.relay.Fail(fault, fault)
 		r.discovery.Set(node("s-1", "north", "terminating"))
 		r.relayed("drained", without("s-1"))
 		r.discovery.Set(node("s-1", "north", "in_service"))
-		r.relayed("back", func(relay *standin.Relay) bool { return relay.Tables[relay.Bound[0]]["s-1"] > 0 })
+		r.relayed("back", func(relay *fakeplatform.Relay) bool { return relay.Tables[relay.Bound[0]]["s-1"] > 0 })
 	})
 }
 
 // A call without an answer is not repeated once its mark is confirmed: a repeat costs messages and lines.
 func TestNeedlessRepeat(t *testing.T) {
-	each(t, map[string]standin.Fault{
-		"silent": standin.SilentDone, "broken": standin.BrokenDone, "garbled": standin.GarbledDone,
-	}, func(r *rig, fault standin.Fault) {
+	each(t, map[string]fakeplatform.Fault{
+		"silent": fakeplatform.SilentDone, "broken": fakeplatform.BrokenDone, "garbled": fakeplatform.GarbledDone,
+	}, func(r *rig, fault fakeplatform.Fault) {
 		r.relay.Fail(fault)
 		r.discovery.Set(node("s-1", "north", "terminating"))
 		r.relayed("drained", without("s-1"))
@@ -365,7 +365,7 @@
 // An order that the relay refuses is dropped; the others of its call hold.
 func TestRefusedOrder(t *testing.T) {
 	r := newRig(t, func(config map[string]any) {
-		list := config["known"].(standin.List)
+		list := config["known"].(fakeplatform.List)
 		list.Endpoints = append(list.Endpoints, node("s-0", "north", "in_service")) // discovery never listed it
 		config["known"] = list
 	})
@@ -401,24 +401,24 @@
 	r.join(0)
 	r.relay.Silence(true)
 	r.relay.Join(proxy(1)) // no one is told
-	r.relayed("asked anew", func(relay *standin.Relay) bool { return relay.Follows > 1 })
+	r.relayed("asked anew", func(relay *fakeplatform.Relay) bool { return relay.Follows > 1 })
 	r.relay.Silence(false)
 	r.relayed("bound", bound(0, 1))
 }
 
 // However discovery answers, changes come through once it does.
 func TestDiscovery(t *testing.T) {
-	each(t, map[string]standin.Manner{
-		"chunked": standin.Chunked, "pieces": standin.Pieces, "closing": standin.Closing,
-		"failing": standin.Failing, "cut": standin.Cut, "silent": standin.Silent,
-	}, func(r *rig, manner standin.Manner) {
+	each(t, map[string]fakeplatform.Manner{
+		"chunked": fakeplatform.Chunked, "pieces": fakeplatform.Pieces, "closing": fakeplatform.Closing,
+		"failing": fakeplatform.Failing, "cut": fakeplatform.Cut, "silent": fakeplatform.Silent,
+	}, func(r *rig, manner fakeplatform.Manner) {
 		r.discovery.Answer(manner)
 		r.askedAnew(func() { r.discovery.Set(node("s-2", "north", "terminated")) })
-		r.discovery.Answer(standin.Plain)
+		r.discovery.Answer(fakeplatform.Plain)
 		r.relayed("gone", without("s-2"))
 		r.discovery.Renumber()
 		r.discovery.Set(node("s-2", "north", "in_service"))
-		r.relayed("back", func(relay *standin.Relay) bool { return relay.Tables[relay.Bound[0]]["s-2"] > 0 })
+		r.relayed("back", func(relay *fakeplatform.Relay) bool { return relay.Tables[relay.Bound[0]]["s-2"] > 0 })
 	})
 }
 
@@ -436,9 +436,9 @@
 				name := fmt.Sprintf("s-%d", n)
 				switch chance.IntN(7) {
 				case 0, 1:
-					r.relay.Fail(standin.Fault(chance.IntN(int(standin.InternalFirst) + 1)))
+					r.relay.Fail(fakeplatform.Fault(chance.IntN(int(fakeplatform.InternalFirst) + 1)))
 				case 2:
-					r.discovery.Answer(standin.Manner(chance.IntN(int(standin.Silent) + 1)))
+					r.discovery.Answer(fakeplatform.Manner(chance.IntN(int(fakeplatform.Silent) + 1)))
 				case 3:
 					r.relay.CutNews(func() {
 						if stands[id] {
@@ -464,10 +464,10 @@
 				}
 				time.Sleep(time.Duration(chance.IntN(20)) * time.Millisecond) // not waited for: only a pace
 			}
-			r.discovery.Answer(standin.Plain)
+			r.discovery.Answer(fakeplatform.Plain)
 			r.discovery.Set(node("s-5", "north", "in_service"), node("s-6", "south", "in_service"))
 			served["s-5"], served["s-6"] = true, true
-			r.relayed("all in order", func(relay *standin.Relay) bool {
+			r.relayed("all in order", func(relay *fakeplatform.Relay) bool {
 				for id, yes := range stands {
 					table, bound := relay.Bound[id]
 					if yes != bound || yes && len(relay.Tables[table]) == 0 {
@@ -488,7 +488,7 @@
 
 // text is a message as it goes over the wire.
 func text(body string) string {
-	return string(protocol.FrameHead(len(body))) + body
+	return string(wire.FrameHead(len(body))) + body
 }
 
 const (
@@ -499,7 +499,7 @@
 // Each kind of bad client is closed within the time that the page gives, hundreds at once, and no collector with them.
 func TestStrangers(t *testing.T) {
 	r := newRig(t, func(config map[string]any) { config["limits"].(map[string]any)["sockets"] = 256 })
-	collector, err := standin.Collect(r.address, "north")
+	collector, err := fakeplatform.Collect(r.address, "north")
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -563,7 +563,7 @@
 // A report of which a figure is wrong costs itself and not its neighbours nor the connection.
 func TestSpoiltReports(t *testing.T) {
 	r := newRig(t, nil)
-	collector, err := standin.Collect(r.address, "north")
+	collector, err := fakeplatform.Collect(r.address, "north")
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -582,7 +582,7 @@
 // However much strangers send, memory stays within the limit and a collector gets through.
 func TestMemory(t *testing.T) {
 	r := newRig(t, nil)
-	collector, err := standin.Collect(r.address, "north")
+	collector, err := fakeplatform.Collect(r.address, "north")
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -594,7 +594,7 @@
 			t.Fatal(err)
 		}
 		defer conn.Close()
-		c := &standin.Collector{Conn: conn} // by what it says
+		c := &fakeplatform.Collector{Conn: conn} // by what it says
 		c.Say(json.RawMessage(hello))
 		c.SetWriteDeadline(time.Now().Add(10 * time.Second))
 		c.Write(long)
@@ -670,7 +670,7 @@
 		for range 1 + round {
 			r.program.Process.Signal(syscall.SIGHUP)
 		}
-		r.relayed("followed", func(relay *standin.Relay) bool { return relay.Follows > follows })
+		r.relayed("followed", func(relay *fakeplatform.Relay) bool { return relay.Follows > follows })
 		r.relay.Join(proxy(3 + round))
 		r.relayed("bound", bound(3+round))
 		name := fmt.Sprintf("s-%d", 1+round)
@@ -683,7 +683,7 @@
 	r.relay.Break()
 	r.discovery.Break()
 	r.discovery.Set(node("s-5", "north", "in_service"))
-	r.relayed("new", func(relay *standin.Relay) bool { return relay.Tables[relay.Bound[0]]["s-5"] > 0 })
+	r.relayed("new", func(relay *fakeplatform.Relay) bool { return relay.Tables[relay.Bound[0]]["s-5"] > 0 })
 	r.program.Process.Signal(syscall.SIGHUP)
 	r.program.Process.Signal(syscall.SIGTERM)
 	if err := <-r.exited; err != nil {
@@ -706,7 +706,7 @@
 		"no settings":             `{"listen":"a","discovery":"b:1","store":{"address":"c:1"}}`,
 		"no address to listen on": `{}`,
 		"no address of the relay": `{"listen":"a","discovery":"b"}`,
-		"address already in use":  fmt.Sprintf(whole, settings),
+		"address already in use":  fmt.Sprintf(whole, settingsJSON),
 		"cannot unmarshal":        fmt.Sprintf(whole, `[1]`),
 		"zones: none is named":    fmt.Sprintf(whole, `{}`),
 	} {
--- a/cmd/harehookctl/followers.go
+++ b/cmd/harehookctl/followers.go
@@ -15,8 +15,8 @@
 	"github.com/spf13/cobra"
 
 	"harehook.dev/harehook/cluster"
-	machine "harehook.dev/harehook/follow"
-	"harehook.dev/harehook/front/follow"
+	machine "harehook.dev/harehook/configsync"
+	"harehook.dev/harehook/configsync/transport"
 )
 
 // maxBehind is within what a change is to be in force everywhere.
@@ -82,7 +82,7 @@
 		return told, err
 	}
 	defer conn.Close()
-	return follow.AskStatus(ctx, conn)
+	return transport.AskStatus(ctx, conn)
 }
 
 // judge says what of it is not in order.
--- a/cmd/harehookctl/following.go
+++ b/cmd/harehookctl/following.go
@@ -9,7 +9,7 @@
 	"google.golang.org/grpc/codes"
 	"google.golang.org/grpc/status"
 
-	"harehook.dev/harehook/front/follow"
+	"harehook.dev/harehook/configsync/transport"
 )
 
 // following shows how a conductor that follows a group is doing.
@@ -26,7 +26,7 @@
 			defer conn.Close()
 			ctx, cancel := context.WithTimeout(c.Context(), askWithin)
 			defer cancel()
-			report, err := follow.AskFollower(ctx, conn)
+			report, err := transport.AskFollower(ctx, conn)
 			if status.Code(err) == codes.Unimplemented {
 				return fault(fmt.Errorf("conductor %s does not follow a group", o.conductor))
 			}
@@ -46,7 +46,7 @@
 	}
 }
 
-func showFollowing(c *cobra.Command, report follow.FollowerReport) {
+func showFollowing(c *cobra.Command, report transport.FollowerReport) {
 	out := c.OutOrStdout()
 	member := report.Member
 	if member == "" {
--- a/cmd/harehookctl/group.go
+++ b/cmd/harehookctl/group.go
@@ -19,7 +19,7 @@
 	"google.golang.org/grpc/status"
 
 	"harehook.dev/harehook/cluster"
-	"harehook.dev/harehook/install"
+	"harehook.dev/harehook/config"
 )
 
 const proposeWithin = 15 * time.Second
@@ -155,7 +155,7 @@
 		if err != nil {
 			return fault(err)
 		}
-		if err := install.CheckAgreed(string(text)); err != nil {
+		if err := config.CheckAgreed(string(text)); err != nil {
 			return fault(fmt.Errorf("%s: %w", files[0], err))
 		}
 		if base < 0 {
--- a/cmd/harehookctl/main.go
+++ b/cmd/harehookctl/main.go
@@ -16,7 +16,7 @@
 	"google.golang.org/grpc/credentials"
 	"google.golang.org/grpc/credentials/insecure"
 
-	"harehook.dev/harehook/internal/keys"
+	"harehook.dev/harehook/internal/certs"
 )
 
 // Exit codes, as docs/operators.md lists them.
@@ -41,7 +41,7 @@
 type options struct {
 	conductor string
 	output    string
-	files     keys.Files
+	files     certs.Files
 }
 
 func main() {
@@ -95,7 +95,7 @@
 		return nil, err
 	}
 	secure := insecure.NewCredentials()
-	held, err := keys.Load(o.files)
+	held, err := certs.Load(o.files)
 	if err != nil {
 		return nil, fault(err)
 	}
--- a/cmd/harehookctl/records.go
+++ b/cmd/harehookctl/records.go
@@ -12,7 +12,7 @@
 	"github.com/spf13/cobra"
 
 	"harehook.dev/harehook/cluster"
-	"harehook.dev/harehook/install"
+	"harehook.dev/harehook/config"
 	"harehook.dev/harehook/records"
 )
 
@@ -78,7 +78,7 @@
 	if err != nil {
 		return "", fault(err)
 	}
-	return install.FormatRecord(record), nil
+	return config.FormatRecord(record), nil
 }
 
 func (o *options) recordsGet() *cobra.Command {
@@ -134,7 +134,7 @@
 	if err != nil {
 		return transaction, fault(err)
 	}
-	writes, err := install.ParseRecordWrites(string(text))
+	writes, err := config.ParseRecordWrites(string(text))
 	if err != nil {
 		return transaction, fault(fmt.Errorf("%s: %w", file, err))
 	}
@@ -160,7 +160,7 @@
 }
 
 // revisions reads those of the records whose writes state none.
-func (o *options) revisions(ctx context.Context, writes []install.RecordWrite) (map[records.Key]uint64, error) {
+func (o *options) revisions(ctx context.Context, writes []config.RecordWrite) (map[records.Key]uint64, error) {
 	var in cluster.RecordsAsked
 	for _, one := range writes {
 		if !one.Stated {
--- a/cmd/harehookctl/show.go
+++ b/cmd/harehookctl/show.go
@@ -17,9 +17,9 @@
 	"github.com/spf13/cobra"
 	"google.golang.org/protobuf/proto"
 
-	front "harehook.dev/harehook/front/xds"
-	"harehook.dev/harehook/install"
+	"harehook.dev/harehook/config"
 	"harehook.dev/harehook/xds"
+	front "harehook.dev/harehook/xds/transport"
 )
 
 func (o *options) check() *cobra.Command {
@@ -66,12 +66,12 @@
 
 // checkFile reads a file as what it says it is.
 func checkFile(file string) (kind string, err error) {
-	if kind, err = install.Kind(file); err != nil {
+	if kind, err = config.Kind(file); err != nil {
 		return "", err
 	}
 	switch kind {
 	case "sidecar":
-		_, err := install.ReadSidecar(file)
+		_, err := config.ReadSidecar(file)
 		return kind, err
 	case "node":
 		return "list of nodes, checked with its conductor", nil
@@ -79,7 +79,7 @@
 	default:
 		return "", fmt.Errorf("%s: neither a conductor nor a sidecar", file)
 	}
-	told, err := install.ReadConductor(file)
+	told, err := config.ReadConductor(file)
 	if err != nil {
 		return "", err
 	}
@@ -91,7 +91,7 @@
 		return "", err
 	}
 	for _, zone := range told.Deployment.Zones {
-		if !slices.ContainsFunc(nodes, func(n install.Node) bool { return n.Zone == zone }) {
+		if !slices.ContainsFunc(nodes, func(n config.Node) bool { return n.Zone == zone }) {
 			return "", fmt.Errorf("%s: zone %q has no node in %s: its home-only routes would be left empty", file, zone, told.Nodes)
 		}
 	}
--- a/cmd/simhost/main.go
+++ b/cmd/simhost/main.go
@@ -6,11 +6,11 @@
 	"fmt"
 	"os"
 
-	"harehook.dev/harehook/sim"
+	"harehook.dev/harehook/platform/simhost"
 )
 
 func main() {
-	if err := sim.Run(os.Stdin, os.Stdout, os.Stderr); err != nil {
+	if err := simhost.Run(os.Stdin, os.Stdout, os.Stderr); err != nil {
 		fmt.Fprintln(os.Stderr, "simhost:", err)
 		os.Exit(1)
 	}
--- a/install/agreed.go
+++ b/config/agreed.go
@@ -1,11 +1,11 @@
-package install
+package config
 
 import (
 	"fmt"
 	"slices"
 
-	"harehook.dev/harehook/brain"
 	"harehook.dev/harehook/internal/kdl"
+	"harehook.dev/harehook/planner"
 	"harehook.dev/harehook/records"
 	"harehook.dev/harehook/xds"
 )
@@ -13,7 +13,7 @@
 // Agreed is what conductors agree on: the routes as they are to be, and what operators say of nodes over the list.
 type Agreed struct {
 	Routes    []xds.Route
-	Overrides map[string]brain.Condition
+	Overrides map[string]planner.Condition
 	Records   []*records.Record // all that it is made of, ordered by key
 }
 
@@ -75,7 +75,7 @@
 func (a *Agreed) Over(nodes []Node) (out []Node) {
 	for _, n := range nodes {
 		if condition, over := a.Overrides[n.Node]; over {
-			if condition == brain.Gone {
+			if condition == planner.Gone {
 				continue
 			}
 			n.Condition = condition
--- a/install/agreed_text.go
+++ b/config/agreed_text.go
@@ -1,4 +1,4 @@
-package install
+package config
 
 import (
 	"fmt"
@@ -8,8 +8,8 @@
 	"strings"
 	"time"
 
-	"harehook.dev/harehook/brain"
 	"harehook.dev/harehook/internal/kdl"
+	"harehook.dev/harehook/planner"
 	"harehook.dev/harehook/records"
 	"harehook.dev/harehook/xds"
 )
@@ -300,7 +300,7 @@
 
 // AgreedFrom makes the routes and overrides of records that were agreed on. Routes with a longer prefix come first.
 func AgreedFrom(list []*records.Record) (*Agreed, error) {
-	a := &Agreed{Records: list, Overrides: map[string]brain.Condition{}}
+	a := &Agreed{Records: list, Overrides: map[string]planner.Condition{}}
 	for _, record := range sortedForText(list) {
 		switch record.Kind {
 		case records.KindRoute:
@@ -322,4 +322,4 @@
 }
 
 // overrideConditions are the conditions that the states of overrides stand for.
-var overrideConditions = map[string]brain.Condition{records.StateDraining: brain.Draining, records.StateGone: brain.Gone}
+var overrideConditions = map[string]planner.Condition{records.StateDraining: planner.Draining, records.StateGone: planner.Gone}
--- a/install/agreed_text_test.go
+++ b/config/agreed_text_test.go
@@ -1,4 +1,4 @@
-package install
+package config
 
 import (
 	"fmt"
@@ -7,7 +7,7 @@
 	"strings"
 	"testing"
 
-	"harehook.dev/harehook/brain"
+	"harehook.dev/harehook/planner"
 	"harehook.dev/harehook/records"
 	"harehook.dev/harehook/xds"
 )
@@ -36,7 +36,7 @@
 	if len(a.Routes) != 2 || a.Routes[0].Name != "quote-vip" || !a.Routes[0].Mutating || a.Routes[0].Most != 0.5 || a.Routes[1].TimeLimit.Microseconds() != 1500 {
 		t.Errorf("%+v", a.Routes)
 	}
-	if len(a.Overrides) != 2 || a.Overrides["n-1"] != brain.Draining || a.Overrides["n-2"] != brain.Gone {
+	if len(a.Overrides) != 2 || a.Overrides["n-1"] != planner.Draining || a.Overrides["n-2"] != planner.Gone {
 		t.Errorf("%+v", a.Overrides)
 	}
 	if (TextFormat{}).Format(nil) != "" {
--- a/install/conductor.go
+++ b/config/conductor.go
@@ -1,12 +1,12 @@
-package install
+package config
 
 import (
 	"time"
 
-	"harehook.dev/harehook/brain"
+	"harehook.dev/harehook/internal/certs"
 	"harehook.dev/harehook/internal/kdl"
-	"harehook.dev/harehook/internal/keys"
-	"harehook.dev/harehook/site"
+	"harehook.dev/harehook/planner"
+	"harehook.dev/harehook/settings"
 	"harehook.dev/harehook/xds"
 )
 
@@ -50,8 +50,8 @@
 	Nodes        string // the file that lists the nodes, or none:
 	Service      string // the address of the service that does, by xDS,
 	Cluster      string // as the endpoints of this cluster
-	Keys         keys.Files
-	Deployment   site.Deployment
+	Keys         certs.Files
+	Deployment   settings.Deployment
 	Zones        map[string]bool
 	Kinds        map[string]bool
 	Group        *Group  // its part in a group that agrees, and
@@ -80,13 +80,13 @@
 		Report:   defaultReportPeriod,
 		Zones:    map[string]bool{},
 		Kinds:    map[string]bool{},
-		Deployment: site.Deployment{
+		Deployment: settings.Deployment{
 			Tick: defaultTick.Seconds(),
-			Site: brain.Site{
+			Site: planner.Site{
 				Conductors:  1,
 				Utilization: notSet,
 				Backlog:     notSet,
-				Levels:      brain.LevelFraction,
+				Levels:      planner.LevelFraction,
 				Pace:        defaultLinesPerSecond,
 				Queue:       defaultQueueLines,
 				Head:        defaultHeadLines,
@@ -114,7 +114,7 @@
 
 // widenChannel makes the channel as large as the levels of many routes need. All sidecars may be of one pool, and levels
 // that never fit would never be sent. The pace grows with the queue, so that it takes as long to become empty.
-func widenChannel(s *brain.Site) {
+func widenChannel(s *planner.Site) {
 	levels := float64(s.Proxies) * (s.Head + 1 + float64(len(s.Routes)))
 	if times := levelsInQueue * levels / s.Queue; times > 1 {
 		s.Queue *= times
--- a/install/follow.go
+++ b/config/follow.go
@@ -1,4 +1,4 @@
-package install
+package config
 
 import (
 	"errors"
@@ -7,9 +7,9 @@
 	"strings"
 	"time"
 
-	"harehook.dev/harehook/brain"
-	"harehook.dev/harehook/follow"
+	"harehook.dev/harehook/configsync"
 	"harehook.dev/harehook/internal/kdl"
+	"harehook.dev/harehook/planner"
 	"harehook.dev/harehook/records"
 	"harehook.dev/harehook/xds"
 )
@@ -29,12 +29,12 @@
 // readFollow reads a conductor's part as a follower.
 func (r *reader) readFollow(n *kdl.Node) *Follow {
 	r.checkShape(n, 0)
-	f := &Follow{Lease: follow.DefaultLimits.Lease}
+	f := &Follow{Lease: configsync.DefaultLimits.Lease}
 	members, services, zones := map[string]bool{}, map[string]bool{}, map[string]bool{}
 	r.readChildren(n, nodeReaders{
 		"everything": func(n *kdl.Node) { f.Scope.All = r.flag(n) },
 		"lease-ms": func(n *kdl.Node) {
-			f.Lease = r.onlyMilliseconds(n, milliseconds(minFollowLease), milliseconds(follow.DefaultLimits.Lease))
+			f.Lease = r.onlyMilliseconds(n, milliseconds(minFollowLease), milliseconds(configsync.DefaultLimits.Lease))
 		},
 	}, nodeReaders{
 		"member":  func(n *kdl.Node) { r.readFollowMember(n, f, members) },
@@ -145,7 +145,7 @@
 func (a *Agreed) leavesNode(nodes []Node) bool {
 	return slices.ContainsFunc(nodes, func(n Node) bool {
 		_, over := a.Overrides[n.Node]
-		return !over && n.Condition == brain.Ready
+		return !over && n.Condition == planner.Ready
 	})
 }
 
--- a/install/follow_test.go
+++ b/config/follow_test.go
@@ -1,4 +1,4 @@
-package install
+package config
 
 import (
 	"os"
@@ -9,8 +9,8 @@
 	"testing"
 	"time"
 
-	"harehook.dev/harehook/brain"
-	"harehook.dev/harehook/conductor"
+	"harehook.dev/harehook/controller"
+	"harehook.dev/harehook/planner"
 	"harehook.dev/harehook/records"
 	"harehook.dev/harehook/xds"
 )
@@ -101,7 +101,7 @@
 	if !slices.Equal(agreed.Routes, want) {
 		t.Errorf("routes %+v", agreed.Routes)
 	}
-	if len(agreed.Overrides) != 2 || agreed.Overrides["n-1"] != brain.Draining || agreed.Overrides["n-2"] != brain.Gone {
+	if len(agreed.Overrides) != 2 || agreed.Overrides["n-1"] != planner.Draining || agreed.Overrides["n-2"] != planner.Gone {
 		t.Errorf("overrides %v", agreed.Overrides)
 	}
 	_, err = AgreedOf(held(t, map[records.Key]any{
@@ -118,7 +118,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	nodes := []Node{{Entry: conductor.Entry{Node: "n-1", Condition: brain.Ready}}, {Entry: conductor.Entry{Node: "n-2", Condition: brain.Draining}}}
+	nodes := []Node{{Entry: controller.Entry{Node: "n-1", Condition: planner.Ready}}, {Entry: controller.Entry{Node: "n-2", Condition: planner.Draining}}}
 	a, b := records.RouteSpec{Prefix: "/a", TimeLimitMS: 100}, records.RouteSpec{Prefix: "/b", TimeLimitMS: 100, Mutating: true}
 	unprotected := records.RouteSpec{Prefix: "/b", TimeLimitMS: 100}
 	gone := records.OverrideSpec{State: records.StateGone}
--- a/install/install.go
+++ b/config/install.go
@@ -1,6 +1,6 @@
 // Package install decodes the KDL configurations of installations other than the platform. Each fault names its line;
 // a configuration with a fault is not used.
-package install
+package config
 
 import "harehook.dev/harehook/internal/kdl"
 
--- a/install/main.go
+++ b/config/main.go
@@ -1,4 +1,4 @@
-package install
+package config
 
 import (
 	"context"
--- a/install/nodes.go
+++ b/config/nodes.go
@@ -1,18 +1,18 @@
-package install
+package config
 
 import (
 	"net"
 	"strconv"
 
-	"harehook.dev/harehook/brain"
-	"harehook.dev/harehook/conductor"
+	"harehook.dev/harehook/controller"
 	"harehook.dev/harehook/internal/kdl"
+	"harehook.dev/harehook/planner"
 	"harehook.dev/harehook/xds"
 )
 
 // Node is a node of the list.
 type Node struct {
-	conductor.Entry
+	controller.Entry
 	Address xds.Address
 }
 
@@ -48,11 +48,11 @@
 		return
 	}
 	l.checkShape(n, 1, "zone", "kind", "address", "weight", "state", "started-ms")
-	node := Node{Entry: conductor.Entry{
+	node := Node{Entry: controller.Entry{
 		Node:      l.stringArgument(n, 0),
 		Kind:      l.conductor.Deployment.Kinds[0],
 		Weight:    1,
-		Condition: brain.Ready,
+		Condition: planner.Ready,
 	}}
 	if line := l.nameLine[node.Node]; line > 0 {
 		l.faults.Add(n.Line, "node %q is there twice, first in line %d", node.Node, line)
@@ -123,7 +123,7 @@
 	switch l.stringValue(n, v) {
 	case "ready":
 	case "draining":
-		node.Condition = brain.Draining
+		node.Condition = planner.Draining
 	default:
 		l.faults.Add(v.Line, "the state of node %q is \"ready\" or \"draining\"", node.Node)
 	}
--- a/install/reader.go
+++ b/config/reader.go
@@ -1,4 +1,4 @@
-package install
+package config
 
 import (
 	"fmt"
@@ -9,8 +9,8 @@
 	"strings"
 	"time"
 
+	"harehook.dev/harehook/internal/certs"
 	"harehook.dev/harehook/internal/kdl"
-	"harehook.dev/harehook/internal/keys"
 )
 
 const maxNameBytes = 200 // bytes of a name
@@ -202,7 +202,7 @@
 }
 
 // readKeyFiles reads the files of certificate, key and roots.
-func (r *reader) readKeyFiles(n *kdl.Node, into *keys.Files) {
+func (r *reader) readKeyFiles(n *kdl.Node, into *certs.Files) {
 	r.checkShape(n, 0, "certificate", "key", "roots")
 	for _, property := range []struct {
 		name string
--- a/install/route.go
+++ b/config/route.go
@@ -1,10 +1,10 @@
-package install
+package config
 
 import (
 	"strings"
 
-	"harehook.dev/harehook/brain"
 	"harehook.dev/harehook/internal/kdl"
+	"harehook.dev/harehook/planner"
 	"harehook.dev/harehook/xds"
 )
 
@@ -15,7 +15,7 @@
 
 // readConductorRoute reads a route of a conductor's configuration.
 func (r *reader) readConductorRoute(n *kdl.Node, c *Conductor) {
-	settings := brain.Route{SLOTime: 1, Importance: 1}
+	settings := planner.Route{SLOTime: 1, Importance: 1}
 	route := r.readRoute(n, c.Routes, routeReaders{
 		"slo-ms": func(n *kdl.Node, _ *xds.Route) {
 			settings.SLOTime = r.onlyMilliseconds(n, 1, maxRouteMilliseconds).Seconds()
--- a/install/sidecar.go
+++ b/config/sidecar.go
@@ -1,10 +1,10 @@
-package install
+package config
 
 import (
 	"time"
 
+	"harehook.dev/harehook/internal/certs"
 	"harehook.dev/harehook/internal/kdl"
-	"harehook.dev/harehook/internal/keys"
 )
 
 const (
@@ -21,7 +21,7 @@
 	Mutating           map[string]bool
 	Calls              int // connections at once
 	Connect            time.Duration
-	Keys               keys.Files
+	Keys               certs.Files
 }
 
 // ReadSidecar reads a sidecar's configuration.
--- a/follow/backoff.go
+++ b/configsync/backoff.go
@@ -1,4 +1,4 @@
-package follow
+package configsync
 
 import (
 	"math/rand/v2"
--- a/follow/lease.go
+++ b/configsync/lease.go
@@ -1,4 +1,4 @@
-package follow
+package configsync
 
 import (
 	"maps"
--- a/front/follow/client.go
+++ b/configsync/transport/client.go
@@ -1,4 +1,4 @@
-package follow
+package transport
 
 import (
 	"context"
@@ -13,7 +13,7 @@
 	"google.golang.org/grpc"
 	"google.golang.org/grpc/credentials"
 
-	machine "harehook.dev/harehook/follow"
+	machine "harehook.dev/harehook/configsync"
 	"harehook.dev/harehook/records"
 )
 
--- a/front/follow/dial.go
+++ b/configsync/transport/dial.go
@@ -1,4 +1,4 @@
-package follow
+package transport
 
 import (
 	"context"
@@ -10,7 +10,7 @@
 	"google.golang.org/grpc/credentials"
 	"google.golang.org/grpc/credentials/insecure"
 
-	machine "harehook.dev/harehook/follow"
+	machine "harehook.dev/harehook/configsync"
 )
 
 const (
--- a/front/follow/fixture_test.go
+++ b/configsync/transport/fixture_test.go
@@ -1,4 +1,4 @@
-package follow
+package transport
 
 import (
 	"cmp"
@@ -15,7 +15,7 @@
 	"google.golang.org/grpc"
 
 	"harehook.dev/harehook/cluster"
-	machine "harehook.dev/harehook/follow"
+	machine "harehook.dev/harehook/configsync"
 	"harehook.dev/harehook/records"
 )
 
--- a/front/follow/follow_test.go
+++ b/configsync/transport/follow_test.go
@@ -1,4 +1,4 @@
-package follow
+package transport
 
 import (
 	"errors"
@@ -6,7 +6,7 @@
 	"slices"
 	"testing"
 
-	machine "harehook.dev/harehook/follow"
+	machine "harehook.dev/harehook/configsync"
 	"harehook.dev/harehook/records"
 )
 
--- a/front/follow/service.go
+++ b/configsync/transport/service.go
@@ -1,7 +1,7 @@
 // Package follow connects the machines of package follow to the network. A Service is the part of a group's member: it
 // serves followers on the group's gRPC server. A Client is the part of a conductor that is not a member: it follows one
 // member at a time and moves to another one where that fails.
-package follow
+package transport
 
 import (
 	"context"
@@ -14,7 +14,7 @@
 	"google.golang.org/grpc/codes"
 	"google.golang.org/grpc/status"
 
-	machine "harehook.dev/harehook/follow"
+	machine "harehook.dev/harehook/configsync"
 	"harehook.dev/harehook/records"
 )
 
--- a/front/follow/service_test.go
+++ b/configsync/transport/service_test.go
@@ -1,4 +1,4 @@
-package follow
+package transport
 
 import (
 	"context"
@@ -15,7 +15,7 @@
 	"google.golang.org/grpc/credentials/insecure"
 	"google.golang.org/grpc/status"
 
-	machine "harehook.dev/harehook/follow"
+	machine "harehook.dev/harehook/configsync"
 	"harehook.dev/harehook/records"
 )
 
--- a/front/follow/status.go
+++ b/configsync/transport/status.go
@@ -1,4 +1,4 @@
-package follow
+package transport
 
 import (
 	"context"
@@ -7,7 +7,7 @@
 	"google.golang.org/grpc"
 	"google.golang.org/protobuf/types/known/wrapperspb"
 
-	machine "harehook.dev/harehook/follow"
+	machine "harehook.dev/harehook/configsync"
 )
 
 // The operators' calls on the wire. Their bodies are bytes: an empty request, and JSON.
--- a/front/follow/stream.go
+++ b/configsync/transport/stream.go
@@ -1,4 +1,4 @@
-package follow
+package transport
 
 import (
 	"context"
@@ -9,7 +9,7 @@
 	"google.golang.org/grpc/codes"
 	"google.golang.org/grpc/status"
 
-	machine "harehook.dev/harehook/follow"
+	machine "harehook.dev/harehook/configsync"
 )
 
 // Why a member ends a stream, beside the machine's reasons.
--- a/follow/wire.go
+++ b/configsync/wire.go
@@ -2,7 +2,7 @@
 // member: it knows its followers' scopes, leases and the revisions that they accepted, and gives the next message for
 // each. A Follower is the part of a conductor that follows. Both are machines without I/O and are handed the time; the
 // messages are those of delta xDS.
-package follow
+package configsync
 
 import (
 	"errors"
--- a/conductor/conductor.go
+++ b/controller/conductor.go
@@ -2,7 +2,7 @@
 // timer, the set of joined proxies and the maps between names and the module's small numbers. A front tells a
 // Core what happens, by one method for each thing that can happen and from any goroutine; what the module
 // orders meanwhile leaves as one ordered batch a turn. The package knows no socket and no protocol.
-package conductor
+package controller
 
 import (
 	"cmp"
@@ -16,9 +16,9 @@
 
 	"go.uber.org/zap"
 
-	"harehook.dev/harehook/brain"
 	"harehook.dev/harehook/internal/invariant"
-	"harehook.dev/harehook/site"
+	"harehook.dev/harehook/planner"
+	"harehook.dev/harehook/settings"
 )
 
 const (
@@ -50,8 +50,8 @@
 	tick    time.Duration
 
 	// All below belongs to Run's goroutine.
-	module      *brain.Conductor
-	sums        brain.Sums // handed to the module, used again
+	module      *planner.Conductor
+	sums        planner.Sums // handed to the module, used again
 	began       time.Time
 	unix        float64 // s; the Unix time of began, taken once
 	wall        func() time.Time
@@ -84,7 +84,7 @@
 }
 
 // New makes a core whose module knows the list as it was last known. Its first orders leave with Run.
-func New(d site.Deployment, known []Entry, carrier Carrier, log *zap.Logger) *Core {
+func New(d settings.Deployment, known []Entry, carrier Carrier, log *zap.Logger) *Core {
 	began := time.Now()
 	c := &Core{
 		inbox:       make(chan func(), inboxSize),
@@ -104,12 +104,12 @@
 		every:       d.Routes,
 		id:          map[string]uint32{},
 		gone:        map[uint32]float64{},
-		proxies:     cmp.Or(d.Site.Proxies, site.NumberMost),
+		proxies:     cmp.Or(d.Site.Proxies, settings.NumberMost),
 		joined:      map[int]bool{},
 		unconfirmed: map[int]bool{},
 	}
 	c.now = c.clock()
-	c.module = brain.New(host{c}, d.Site, c.now)
+	c.module = planner.New(host{c}, d.Site, c.now)
 	if len(known) > 0 {
 		c.list(known, c.module.ListWhole)
 	}
@@ -233,7 +233,7 @@
 // Entry is a node as the list has it.
 type Entry struct {
 	Node, Zone, Kind string
-	Condition        brain.Condition
+	Condition        planner.Condition
 	Weight           float64
 	Started          float64 // Unix time in s, 0: long past
 }
@@ -263,11 +263,11 @@
 // ListFailed says that the list's service could not be asked.
 func (c *Core) ListFailed() { c.enqueue(func() { c.module.ListFailed(c.now) }) }
 
-func (c *Core) list(entries []Entry, apply func(float64, []brain.Row)) {
+func (c *Core) list(entries []Entry, apply func(float64, []planner.Row)) {
 	// Machines' clocks may have been set since our start: a node's age counts from what they show when its start is
 	// first told. Its start must not move with them later, or it would pass for another one.
 	step := unix(c.wall()) - c.clock()
-	rows := make([]brain.Row, 0, len(entries))
+	rows := make([]planner.Row, 0, len(entries))
 	var fresh []string // the module's log lines name nodes by number
 	for _, e := range entries {
 		zone, known := c.zones[e.Zone]
@@ -283,7 +283,7 @@
 			id = c.number(e.Node)
 			fresh = append(fresh, fmt.Sprintf("%d=%s", id, e.Node))
 		}
-		if e.Condition != brain.Gone {
+		if e.Condition != planner.Gone {
 			delete(c.gone, id)
 		} else if _, already := c.gone[id]; !already {
 			c.gone[id] = c.now
@@ -291,7 +291,7 @@
 		if e.Started != c.listedStart[id] {
 			c.listedStart[id], c.started[id] = e.Started, max(0, e.Started-step)
 		}
-		rows = append(rows, brain.Row{Node: id, Kind: kind, Zone: zone, Weight: e.Weight,
+		rows = append(rows, planner.Row{Node: id, Kind: kind, Zone: zone, Weight: e.Weight,
 			Condition: e.Condition, Started: c.started[id]})
 	}
 	if len(fresh) > 0 {
@@ -430,7 +430,7 @@
 			c.Refused.Nodes.Add(1)
 			return
 		}
-		c.sums = brain.Sums{Node: id, Ended: s.Ended, Lost: s.Lost, Mean: s.Mean, Span: s.Span,
+		c.sums = planner.Sums{Node: id, Ended: s.Ended, Lost: s.Lost, Mean: s.Mean, Span: s.Span,
 			Report: c.sums.Report[:0]}
 		for _, name := range c.reports {
 			if figure, told := s.Report[name]; told {
@@ -452,6 +452,6 @@
 			c.Refused.Routes.Add(1)
 			return
 		}
-		c.module.RouteUsage(c.now, brain.Usage{Proxy: proxy, Route: brain.RouteID(r), Calls: calls, Span: span})
+		c.module.RouteUsage(c.now, planner.Usage{Proxy: proxy, Route: planner.RouteID(r), Calls: calls, Span: span})
 	})
 }
--- a/conductor/conductor_test.go
+++ b/controller/conductor_test.go
@@ -1,4 +1,4 @@
-package conductor
+package controller
 
 import (
 	"context"
@@ -10,8 +10,8 @@
 	"github.com/google/go-cmp/cmp"
 	"go.uber.org/zap"
 
-	"harehook.dev/harehook/brain"
-	"harehook.dev/harehook/site"
+	"harehook.dev/harehook/planner"
+	"harehook.dev/harehook/settings"
 )
 
 // printer is a carrier that prints what it gets.
@@ -40,7 +40,7 @@
 }
 
 func start(t *testing.T) (*Core, *printer) {
-	d, err := site.Decode([]byte(`{"zones":["north","south"],"machine-types":["small"],
+	d, err := settings.Decode([]byte(`{"zones":["north","south"],"machine-types":["small"],
 "report":{"names":["outstanding","utilization"],"source":"inline"},
 "categories":[{"name":"quote","promise-ns":1000000000,"gain":1}],
 "extra":{"proxy-count":4,"backlog":2000,"interval-ns":500000000},"rules":{"ramp-time-ns":1000000000}}`))
@@ -48,8 +48,8 @@
 		t.Fatal(err)
 	}
 	out := &printer{}
-	return New(d, []Entry{{Node: "s-1", Zone: "north", Kind: "small", Condition: brain.Ready},
-		{Node: "s-2", Zone: "south", Kind: "small", Condition: brain.Ready}}, out, zap.NewNop()), out
+	return New(d, []Entry{{Node: "s-1", Zone: "north", Kind: "small", Condition: planner.Ready},
+		{Node: "s-2", Zone: "south", Kind: "small", Condition: planner.Ready}}, out, zap.NewNop()), out
 }
 
 // joined starts a core with three proxies joined; nothing of that is printed.
@@ -79,7 +79,7 @@
 	c.NodeSums(Sums{Node: "s-1", Ended: 1, Report: map[string]float64{"utilization": 0.5}})
 	c.ListChanged([]Entry{{Node: "s-3", Zone: "nowhere", Kind: "small"}, {Node: "s-3", Zone: "north", Kind: "huge"}})
 	c.turn(nil)
-	c.ListChanged([]Entry{{Node: "s-1", Zone: "north", Kind: "small", Condition: brain.Draining}})
+	c.ListChanged([]Entry{{Node: "s-1", Zone: "north", Kind: "small", Condition: planner.Draining}})
 	c.turn(nil)
 	want := "level of quote; level of quote; s-1 0.50 in 0; s-2 0.50 in 1; \n" +
 		"forget 0; bind 0 to 0; mark 1; forget 1; bind 1 to 1; \n" +
@@ -135,15 +135,15 @@
 	const nodes, every = 12, 20.0
 	for _, whole := range []bool{false, true} {
 		c, out := joined(t)
-		entry := func(n int, condition brain.Condition) Entry {
+		entry := func(n int, condition planner.Condition) Entry {
 			return Entry{Node: fmt.Sprint("s-", n), Zone: "north", Kind: "small", Condition: condition}
 		}
 		most := 0
 		for round := range 400 {
 			var list, changes []Entry
 			for k := range nodes {
-				list = append(list, entry(100+round*nodes+k, brain.Ready))
-				changes = append(changes, entry(100+(round-1)*nodes+k, brain.Gone))
+				list = append(list, entry(100+round*nodes+k, planner.Ready))
+				changes = append(changes, entry(100+(round-1)*nodes+k, planner.Gone))
 			}
 			if whole {
 				c.ListWhole(list)
@@ -166,7 +166,7 @@
 			t.Errorf("whole lists %t: a node that is long gone is still known", whole)
 		}
 		c.NodeSums(Sums{Node: "s-100", Ended: 9, Lost: 9, Span: 1})
-		c.ListChanged([]Entry{entry(100, brain.Ready)})
+		c.ListChanged([]Entry{entry(100, planner.Ready)})
 		c.turn(nil)
 		if c.Refused.Nodes.Load() != 1 || c.name[c.id["s-100"]] != "s-100" {
 			t.Errorf("whole lists %t: the node that comes back has no number of its own", whole)
@@ -180,7 +180,7 @@
 	for _, step := range []time.Duration{0, time.Hour, -time.Hour} {
 		c, _ := joined(t)
 		at := func(node string, wall time.Time) Entry {
-			return Entry{Node: node, Zone: "north", Kind: "small", Condition: brain.Ready, Started: unix(wall)}
+			return Entry{Node: node, Zone: "north", Kind: "small", Condition: planner.Ready, Started: unix(wall)}
 		}
 		old := time.Now().Add(-time.Minute)
 		c.ListChanged([]Entry{at("s-1", old)})
--- a/conductor/export_test.go
+++ b/controller/export_test.go
@@ -1,4 +1,4 @@
-package conductor
+package controller
 
 // TurnAt handles what has come in as of a time in seconds after the core's start.
 func (c *Core) TurnAt(after float64) {
--- a/conductor/order.go
+++ b/controller/order.go
@@ -1,9 +1,9 @@
-package conductor
+package controller
 
 import (
 	"go.uber.org/zap"
 
-	"harehook.dev/harehook/brain"
+	"harehook.dev/harehook/planner"
 )
 
 // OrderKind says what an order does.
@@ -24,7 +24,7 @@
 	Proxy, Table, Nonce int
 	Node, Route         string
 	Figure              float64
-	Tries               brain.Tries
+	Tries               planner.Tries
 }
 
 // host implements brain.Host. The module calls it during a turn only.
@@ -38,7 +38,7 @@
 	h.batch = append(h.batch, Order{Kind: SetLine, Table: table, Node: h.name[node], Figure: weight})
 }
 
-func (h host) SetLevel(table int, route brain.RouteID, level float64, tries brain.Tries) {
+func (h host) SetLevel(table int, route planner.RouteID, level float64, tries planner.Tries) {
 	h.batch = append(h.batch, Order{Kind: SetLevel, Table: table, Route: h.every[route], Figure: level, Tries: tries})
 }
 
--- a/conductor/routes_test.go
+++ b/controller/routes_test.go
@@ -1,4 +1,4 @@
-package conductor_test
+package controller_test
 
 import (
 	"fmt"
@@ -10,9 +10,9 @@
 	discoveryv3 "github.com/envoyproxy/go-control-plane/envoy/service/discovery/v3"
 	"go.uber.org/zap"
 
-	"harehook.dev/harehook/brain"
-	"harehook.dev/harehook/conductor"
-	"harehook.dev/harehook/install"
+	"harehook.dev/harehook/config"
+	"harehook.dev/harehook/controller"
+	"harehook.dev/harehook/planner"
 	"harehook.dev/harehook/sidecar"
 	"harehook.dev/harehook/xds"
 )
@@ -20,7 +20,7 @@
 // fleet is a conductor started from a configuration file, with sidecars in its two zones. Two of these take all calls.
 type fleet struct {
 	t        *testing.T
-	core     *conductor.Core
+	core     *controller.Core
 	compiler *xds.Compiler
 	routes   []string
 	sidecars int
@@ -35,10 +35,10 @@
 )
 
 // Carry implements conductor.Carrier.
-func (f *fleet) Carry(batch []conductor.Order) {
+func (f *fleet) Carry(batch []controller.Order) {
 	f.compiler.Take(batch)
 	for _, order := range batch {
-		if order.Kind == conductor.RequestAck {
+		if order.Kind == controller.RequestAck {
 			f.mark = order.Nonce
 		}
 	}
@@ -62,19 +62,19 @@
 
 func startFleet(t *testing.T, routes, sidecars int) *fleet {
 	t.Helper()
-	configuration, err := install.ReadConductor(writeConfiguration(t, routes))
+	configuration, err := config.ReadConductor(writeConfiguration(t, routes))
 	if err != nil {
 		t.Fatal(err)
 	}
 	f := &fleet{t: t, compiler: xds.NewCompiler(configuration.Routes, configuration.Connect),
 		routes: configuration.Deployment.Routes, sidecars: sidecars}
-	var list []conductor.Entry
+	var list []controller.Entry
 	for n := range fleetNodes {
 		node, zone := fmt.Sprint("node-", n), configuration.Deployment.Zones[n%2]
 		f.compiler.Place(node, zone, xds.Address{Host: "127.0.0.1", Port: uint32(9000 + n)})
-		list = append(list, conductor.Entry{Node: node, Zone: zone, Kind: "node", Condition: brain.Ready})
+		list = append(list, controller.Entry{Node: node, Zone: zone, Kind: "node", Condition: planner.Ready})
 	}
-	f.core = conductor.New(configuration.Deployment, list, f, zap.NewNop())
+	f.core = controller.New(configuration.Deployment, list, f, zap.NewNop())
 	for proxy := range sidecars {
 		f.turnSometimes(proxy, f.now)
 		f.core.ProxyJoined(proxy, configuration.Deployment.Zones[proxy%2], 100)
@@ -87,7 +87,7 @@
 	const period = 0.5
 	for end := f.now + seconds; f.now < end; f.now += period {
 		for n := range fleetNodes {
-			f.core.NodeSums(conductor.Sums{Node: fmt.Sprint("node-", n), Ended: good + lost, Lost: lost, Mean: mean, Span: period})
+			f.core.NodeSums(controller.Sums{Node: fmt.Sprint("node-", n), Ended: good + lost, Lost: lost, Mean: mean, Span: period})
 		}
 		for proxy := range 2 {
 			for r, route := range f.routes {
--- a/example/toy/platform.go
+++ b/example/toy/platform.go
@@ -9,7 +9,7 @@
 	"os"
 	"time"
 
-	"harehook.dev/harehook/internal/standin"
+	"harehook.dev/harehook/internal/fakeplatform"
 )
 
 const (
@@ -51,19 +51,19 @@
 // platform is the conductor's surroundings.
 type platform struct {
 	config     *config
-	nodes      []standin.Node
-	discovery  *standin.Discovery
-	relay      *standin.Relay
-	collectors map[string]*standin.Collector // that are connected, by zone
-	changes    int                           // of the list of nodes so far
+	nodes      []fakeplatform.Node
+	discovery  *fakeplatform.Discovery
+	relay      *fakeplatform.Relay
+	collectors map[string]*fakeplatform.Collector // that are connected, by zone
+	changes    int                                // of the list of nodes so far
 }
 
 // startPlatform starts discovery and the relay, and has proxies join. Collectors connect once the conductor listens.
 func startPlatform(c *config) (*platform, error) {
-	p := &platform{config: c, collectors: map[string]*standin.Collector{}}
+	p := &platform{config: c, collectors: map[string]*fakeplatform.Collector{}}
 	zones := c.Settings.Zones
 	for k := range nodeCount {
-		p.nodes = append(p.nodes, standin.Node{
+		p.nodes = append(p.nodes, fakeplatform.Node{
 			Name:    fmt.Sprintf("s-%d", k),
 			Address: fmt.Sprintf("127.0.0.1:%d", firstPort+k),
 			Zone:    zones[k%len(zones)],
@@ -73,16 +73,16 @@
 		})
 	}
 	var err error
-	if p.discovery, err = standin.NewDiscovery(c.Discovery, p.nodes...); err != nil {
+	if p.discovery, err = fakeplatform.NewDiscovery(c.Discovery, p.nodes...); err != nil {
 		return nil, err
 	}
 	logCall := func(call, answer string) { log.Printf("%s -> %s", call, answer) }
-	if p.relay, err = standin.NewRelay(c.Store.Address, p.discovery.Listed, logCall); err != nil {
+	if p.relay, err = fakeplatform.NewRelay(c.Store.Address, p.discovery.Listed, logCall); err != nil {
 		p.discovery.Close()
 		return nil, err
 	}
 	for id := range nodeCount {
-		p.relay.Join(standin.Proxy{ID: id, Zone: zones[id%len(zones)], Rate: callsPerSecond, New: true})
+		p.relay.Join(fakeplatform.Proxy{ID: id, Zone: zones[id%len(zones)], Rate: callsPerSecond, New: true})
 	}
 	log.Printf("discovery at %s, relay at %s; node %s is slow", c.Discovery, c.Store.Address, p.nodes[0].Name)
 	return p, nil
@@ -126,11 +126,11 @@
 }
 
 // connect returns the collector of a zone, which it connects unless it is, or nil if no connection comes up.
-func (p *platform) connect(zone string) *standin.Collector {
+func (p *platform) connect(zone string) *fakeplatform.Collector {
 	if collector := p.collectors[zone]; collector != nil {
 		return collector
 	}
-	collector, err := standin.Collect(p.config.Listen, zone)
+	collector, err := fakeplatform.Collect(p.config.Listen, zone)
 	if err != nil {
 		return nil
 	}
@@ -140,7 +140,7 @@
 }
 
 // reportNode reports what was met at a node and what came to the proxy of the same number.
-func (p *platform) reportNode(collector *standin.Collector, k int) error {
+func (p *platform) reportNode(collector *fakeplatform.Collector, k int) error {
 	period := float64(reportPeriod.Milliseconds())
 	mean := meanMilliseconds * (0.9 + 0.2*rand.Float64())
 	if k == 0 {
--- a/internal/keys/keys.go
+++ b/internal/certs/keys.go
@@ -1,7 +1,7 @@
 // Package keys keeps a certificate, its key and the roots that others are checked by, and takes new ones over in
 // service: streams that stand go on, new ones use the new keys. A pair that does not fit, is half written or has
 // expired leaves the old one in place.
-package keys
+package certs
 
 import (
 	"crypto/tls"
--- a/internal/keys/keys_test.go
+++ b/internal/certs/keys_test.go
@@ -1,4 +1,4 @@
-package keys
+package certs
 
 import (
 	"crypto/tls"
@@ -9,7 +9,7 @@
 	"testing"
 	"time"
 
-	"harehook.dev/harehook/internal/standin"
+	"harehook.dev/harehook/internal/fakeplatform"
 )
 
 // put writes files of keys and sets their time apart, as a file's time may be coarse.
@@ -68,7 +68,7 @@
 }
 
 func TestRotation(t *testing.T) {
-	old, next := standin.NewAuthority(t), standin.NewAuthority(t)
+	old, next := fakeplatform.NewAuthority(t), fakeplatform.NewAuthority(t)
 	both := append(old.Roots(), next.Roots()...)
 	now := time.Now()
 	folder, other := t.TempDir(), t.TempDir()
--- a/internal/kept/kept.go
+++ b/internal/connprobe/kept.go
@@ -1,5 +1,5 @@
 // Package kept looks at connections that are kept for a next call.
-package kept
+package connprobe
 
 import (
 	"net"
--- a/cmd/harehookd/follower.go
+++ b/internal/daemon/follower.go
@@ -1,4 +1,4 @@
-package main
+package daemon
 
 import (
 	"context"
@@ -8,26 +8,26 @@
 	"go.uber.org/zap"
 	"google.golang.org/grpc/credentials"
 
-	"harehook.dev/harehook/front/follow"
-	"harehook.dev/harehook/install"
-	"harehook.dev/harehook/internal/keys"
+	"harehook.dev/harehook/config"
+	"harehook.dev/harehook/configsync/transport"
+	"harehook.dev/harehook/internal/certs"
 	"harehook.dev/harehook/records"
 )
 
 // follower is this conductor's part where it follows a group without being a member.
 type follower struct {
-	client  *follow.Client
+	client  *transport.Client
 	watcher *watcher
 	log     *zap.Logger
 
-	checked  *install.Agreed // what the records that were checked last come to, for accepted
-	revision atomic.Uint64   // of what is in use
+	checked  *config.Agreed // what the records that were checked last come to, for accepted
+	revision atomic.Uint64  // of what is in use
 }
 
 // newFollower prepares the follower; run drives it.
-func newFollower(told *install.Conductor, w *watcher, held *keys.Keys, log *zap.Logger) (*follower, error) {
+func newFollower(told *config.Conductor, w *watcher, held *certs.Keys, log *zap.Logger) (*follower, error) {
 	f := &follower{watcher: w, log: log.Named("follow")}
-	config := follow.Config{
+	config := transport.Config{
 		Name: told.Name, Scope: told.Follow.Scope, Members: told.Follow.Members, Lease: told.Follow.Lease, Seed: followSeed(told),
 		Check: f.check, Accepted: f.accepted, Stale: f.stale, Log: f.log,
 	}
@@ -35,13 +35,13 @@
 		config.Secure = credentials.NewTLS(held.Client("conductor"))
 	}
 	var err error
-	f.client, err = follow.NewClient(config)
+	f.client, err = transport.NewClient(config)
 	return f, err
 }
 
 // followSeed differs between conductors also where their files state the same seed, so that they don't ask the same
 // member at the same time.
-func followSeed(told *install.Conductor) uint64 {
+func followSeed(told *config.Conductor) uint64 {
 	hash := fnv.New64a()
 	hash.Write([]byte(told.Name + " " + told.Listen))
 	return hash.Sum64() ^ told.Seed
@@ -54,7 +54,7 @@
 
 // check says why records can't be used here. It runs on the client's goroutine, as accepted does.
 func (f *follower) check(revision uint64, held map[records.Key]*records.Record) error {
-	agreed, err := install.AgreedOf(held)
+	agreed, err := config.AgreedOf(held)
 	if err == nil {
 		err = f.watcher.usable(agreed)
 	}
@@ -88,7 +88,7 @@
 }
 
 // usable says why agreed records can't be used with what this conductor knows.
-func (w *watcher) usable(agreed *install.Agreed) error {
+func (w *watcher) usable(agreed *config.Agreed) error {
 	w.lock.Lock()
 	defer w.lock.Unlock()
 	return w.told.Usable(agreed, w.agreed, w.listed)
--- a/cmd/harehookd/follower_test.go
+++ b/internal/daemon/follower_test.go
@@ -1,4 +1,4 @@
-package main
+package daemon
 
 import (
 	"crypto/tls"
@@ -19,10 +19,10 @@
 	"google.golang.org/grpc"
 
 	"harehook.dev/harehook/cluster"
-	machine "harehook.dev/harehook/follow"
-	"harehook.dev/harehook/front/follow"
-	"harehook.dev/harehook/internal/keys"
-	"harehook.dev/harehook/internal/standin"
+	machine "harehook.dev/harehook/configsync"
+	"harehook.dev/harehook/configsync/transport"
+	"harehook.dev/harehook/internal/certs"
+	"harehook.dev/harehook/internal/fakeplatform"
 	"harehook.dev/harehook/records"
 	"harehook.dev/harehook/sidecar"
 )
@@ -31,7 +31,7 @@
 type testMember struct {
 	t       *testing.T
 	address string
-	service *follow.Service
+	service *transport.Service
 	server  *grpc.Server
 	secure  *tls.Config // nil: plain
 
@@ -61,7 +61,7 @@
 
 func newTestMember(t *testing.T, secure *tls.Config) *testMember {
 	m := &testMember{t: t, address: free(t), secure: secure, held: map[records.Key]*records.Record{}}
-	m.service = follow.NewService("1", m, machine.DefaultLimits, zap.NewNop())
+	m.service = transport.NewService("1", m, machine.DefaultLimits, zap.NewNop())
 	m.start()
 	return m
 }
@@ -178,7 +178,7 @@
 		t.Error("what was in use before does not count any more")
 	}
 
-	report := func() (report follow.FollowerReport, code int) {
+	report := func() (report transport.FollowerReport, code int) {
 		out, code := in.ctl("--conductor", in.listen, "-o", "json", "following")
 		if err := json.NewDecoder(strings.NewReader(out)).Decode(&report); err != nil { // a reason may follow
 			t.Fatalf("exit %d: %s", code, out)
@@ -265,11 +265,11 @@
 // Followers and members show each other certificates of the installation's roots; one without is not served.
 func TestFollowerKeys(t *testing.T) {
 	in := setUp(t, "n-1", "n-2")
-	authority := standin.NewAuthority(t)
+	authority := fakeplatform.NewAuthority(t)
 	certificate, private := authority.Issue("conductor", time.Now().Add(-time.Hour), time.Now().Add(time.Hour))
-	files := keys.Files{Certificate: in.write("c.crt", string(certificate)), Key: in.write("c.key", string(private)),
+	files := certs.Files{Certificate: in.write("c.crt", string(certificate)), Key: in.write("c.key", string(private)),
 		Roots: in.write("roots.pem", string(authority.Roots()))}
-	held, err := keys.Load(files)
+	held, err := certs.Load(files)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/cmd/harehookd/followers.go
+++ b/internal/daemon/followers.go
@@ -1,4 +1,4 @@
-package main
+package daemon
 
 import (
 	"context"
@@ -8,8 +8,8 @@
 	"go.uber.org/zap"
 
 	"harehook.dev/harehook/cluster"
-	machine "harehook.dev/harehook/follow"
-	"harehook.dev/harehook/front/follow"
+	machine "harehook.dev/harehook/configsync"
+	"harehook.dev/harehook/configsync/transport"
 	"harehook.dev/harehook/records"
 )
 
@@ -29,7 +29,7 @@
 
 // followers is the part of a member that serves conductors that follow the group.
 type followers struct {
-	service *follow.Service
+	service *transport.Service
 	group   agreeingGroup
 	lease   time.Duration
 	log     *zap.Logger
@@ -38,7 +38,7 @@
 // newFollowers makes it; the member's server registers the service, and its node tells the service of commits.
 func newFollowers(group agreeingGroup, address string, limits machine.Limits, log *zap.Logger) *followers {
 	return &followers{
-		service: follow.NewService(address, group.Records(), limits, log),
+		service: transport.NewService(address, group.Records(), limits, log),
 		group:   group, lease: limits.Lease, log: log,
 	}
 }
--- a/cmd/harehookd/followers_command_test.go
+++ b/internal/daemon/followers_command_test.go
@@ -1,4 +1,4 @@
-package main
+package daemon
 
 import (
 	"encoding/json"
@@ -7,11 +7,11 @@
 	"strings"
 	"testing"
 
-	"harehook.dev/harehook/follow"
+	"harehook.dev/harehook/configsync"
 )
 
 // force is what harehookctl followers tells, asked at a member.
-func (g *group) force(member int) (force follow.Force, code int) {
+func (g *group) force(member int) (force configsync.Force, code int) {
 	g.t.Helper()
 	out, code := g.at(member, "-o", "json", "followers")
 	if err := json.NewDecoder(strings.NewReader(out)).Decode(&force); err != nil {
@@ -39,7 +39,7 @@
 	f.cutOff(1, true)
 	g.until("one is stale", func() bool {
 		force, _ := g.force(lead)
-		return slices.ContainsFunc(force.Stale, func(one follow.FollowerForce) bool { return one.Name == "follower-5" }) && force.Live == 1
+		return slices.ContainsFunc(force.Stale, func(one configsync.FollowerForce) bool { return one.Name == "follower-5" }) && force.Live == 1
 	})
 	f.cutOff(1, false)
 
--- a/cmd/harehookd/followers_test.go
+++ b/internal/daemon/followers_test.go
@@ -1,4 +1,4 @@
-package main
+package daemon
 
 import (
 	"context"
@@ -10,8 +10,8 @@
 	"go.uber.org/zap"
 
 	"harehook.dev/harehook/cluster"
-	machine "harehook.dev/harehook/follow"
-	"harehook.dev/harehook/front/follow"
+	machine "harehook.dev/harehook/configsync"
+	"harehook.dev/harehook/configsync/transport"
 	"harehook.dev/harehook/records"
 )
 
@@ -45,7 +45,7 @@
 	served := newFollowers(group, listener.Addr().String(), limits, zap.NewNop())
 	server := cluster.Serve(nil)
 	served.service.Register(server)
-	client, err := follow.NewClient(follow.Config{Name: "c", Members: []string{listener.Addr().String()}, Lease: limits.Lease})
+	client, err := transport.NewClient(transport.Config{Name: "c", Members: []string{listener.Addr().String()}, Lease: limits.Lease})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/cmd/harehookd/group_followers_test.go
+++ b/internal/daemon/group_followers_test.go
@@ -1,4 +1,4 @@
-package main
+package daemon
 
 import (
 	"encoding/json"
@@ -8,15 +8,15 @@
 	"strings"
 	"testing"
 
-	"harehook.dev/harehook/front/follow"
-	"harehook.dev/harehook/internal/standin"
+	"harehook.dev/harehook/configsync/transport"
+	"harehook.dev/harehook/internal/fakeplatform"
 )
 
 // followingConductors are conductors that follow a group, each way to a member through a gate.
 type followingConductors struct {
 	*group
 	files []string
-	gates [][]*standin.Gate // by follower and member
+	gates [][]*fakeplatform.Gate // by follower and member
 	stop  []func()
 	tills []string // address of each one's sidecar
 }
@@ -26,10 +26,10 @@
 	for range count {
 		k := len(g.serve)
 		g.serve = append(g.serve, free(g.t))
-		var gates []*standin.Gate
+		var gates []*fakeplatform.Gate
 		var members strings.Builder
 		for member := range g.n {
-			gate, err := standin.NewGate(g.listen[member])
+			gate, err := fakeplatform.NewGate(g.listen[member])
 			if err != nil {
 				g.t.Fatal(err)
 			}
@@ -58,7 +58,7 @@
 }
 
 // report asks a follower how it is doing.
-func (f *followingConductors) report(k int) (report follow.FollowerReport) {
+func (f *followingConductors) report(k int) (report transport.FollowerReport) {
 	f.t.Helper()
 	out, _ := f.ctl("--conductor", f.serve[f.n+k], "-o", "json", "following")
 	if err := json.NewDecoder(strings.NewReader(out)).Decode(&report); err != nil {
--- a/cmd/harehookd/main_test.go
+++ b/internal/daemon/main_test.go
@@ -1,4 +1,4 @@
-package main
+package daemon
 
 import (
 	"bufio"
@@ -20,7 +20,7 @@
 	"testing"
 	"time"
 
-	"harehook.dev/harehook/internal/standin"
+	"harehook.dev/harehook/internal/fakeplatform"
 )
 
 // The tests start the programs and speak to them over loopback.
@@ -36,7 +36,7 @@
 	if info, ok := debug.ReadBuildInfo(); ok && slices.Contains(info.Settings, debug.BuildSetting{Key: "-race", Value: "true"}) {
 		build = append(build, "-race")
 	}
-	if out, err := exec.Command("go", append(build, ".", "../harehook-sidecar", "../harehookctl")...).CombinedOutput(); err != nil {
+	if out, err := exec.Command("go", append(build, "../../cmd/harehook-xds", "../../cmd/harehookd", "../../cmd/harehook-sidecar", "../../cmd/harehookctl")...).CombinedOutput(); err != nil {
 		fmt.Fprintf(os.Stderr, "build: %v\n%s", err, out)
 		os.Exit(1)
 	}
@@ -51,7 +51,7 @@
 	folder string
 	listen string
 	keys   string
-	nodes  map[string]*standin.NodeServer
+	nodes  map[string]*fakeplatform.NodeServer
 	state  map[string]string // of nodes, as listed
 	logs   map[string]*safeBuffer
 }
@@ -60,10 +60,10 @@
 
 func setUp(t *testing.T, nodes ...string) *installation {
 	t.Parallel()
-	in := &installation{t: t, folder: t.TempDir(), listen: free(t), nodes: map[string]*standin.NodeServer{}, state: map[string]string{},
+	in := &installation{t: t, folder: t.TempDir(), listen: free(t), nodes: map[string]*fakeplatform.NodeServer{}, state: map[string]string{},
 		logs: map[string]*safeBuffer{}}
 	for _, name := range nodes {
-		n, err := standin.NewNodeServer(name, "127.0.0.1:0")
+		n, err := fakeplatform.NewNodeServer(name, "127.0.0.1:0")
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -344,7 +344,7 @@
 // Who has no certificate of the roots gets nothing, and new keys are taken over while streams stand.
 func TestKeys(t *testing.T) {
 	in := setUp(t, "n-1", "s-1")
-	authority := standin.NewAuthority(t)
+	authority := fakeplatform.NewAuthority(t)
 	put := func(who string) string {
 		cert, key := authority.Issue(who, time.Now().Add(-time.Hour), time.Now().Add(time.Hour))
 		in.write(who+".key", string(key))
--- a/cmd/harehookd/member.go
+++ b/internal/daemon/member.go
@@ -1,4 +1,4 @@
-package main
+package daemon
 
 import (
 	"context"
@@ -11,9 +11,9 @@
 	"google.golang.org/grpc"
 
 	"harehook.dev/harehook/cluster"
-	machine "harehook.dev/harehook/follow"
-	"harehook.dev/harehook/install"
-	"harehook.dev/harehook/internal/keys"
+	"harehook.dev/harehook/config"
+	machine "harehook.dev/harehook/configsync"
+	"harehook.dev/harehook/internal/certs"
 	"harehook.dev/harehook/raftlog"
 	"harehook.dev/harehook/records"
 )
@@ -29,12 +29,12 @@
 }
 
 // join opens the log and prepares the member. A log that can't be gone on with ends the start.
-func join(group *install.Group, w *watcher, held *keys.Keys, log *zap.Logger) (*member, error) {
+func join(group *config.Group, w *watcher, held *certs.Keys, log *zap.Logger) (*member, error) {
 	disk, saved, err := raftlog.Open(group.Data)
 	if err != nil {
 		return nil, err
 	}
-	state := cluster.NewState(install.TextFormat{})
+	state := cluster.NewState(config.TextFormat{})
 	node, err := cluster.NewNode(group.ID, disk, saved, group.Voters, group.Addresses, state, log.Named("group"))
 	if err != nil {
 		disk.Close()
--- a/cmd/harehookd/member_test.go
+++ b/internal/daemon/member_test.go
@@ -1,4 +1,4 @@
-package main
+package daemon
 
 import (
 	"path/filepath"
@@ -6,14 +6,14 @@
 
 	"go.uber.org/zap"
 
-	"harehook.dev/harehook/install"
+	"harehook.dev/harehook/config"
 )
 
 // A member's node tells the followers' service of commits: without that they would hear of them only as they are heard
 // themselves.
 func TestMemberTellsOfCommits(t *testing.T) {
 	address := free(t)
-	group := &install.Group{ID: 1, Listen: address, Data: filepath.Join(t.TempDir(), "data"), Addresses: map[uint64]string{1: address}, Voters: []uint64{1}}
+	group := &config.Group{ID: 1, Listen: address, Data: filepath.Join(t.TempDir(), "data"), Addresses: map[uint64]string{1: address}, Voters: []uint64{1}}
 	m, err := join(group, &watcher{}, nil, zap.NewNop())
 	if err != nil {
 		t.Fatal(err)
--- a/cmd/harehookd/routes_test.go
+++ b/internal/daemon/routes_test.go
@@ -1,4 +1,4 @@
-package main
+package daemon
 
 import (
 	"fmt"
--- a/cmd/harehookd/watcher_test.go
+++ b/internal/daemon/watcher_test.go
@@ -1,4 +1,4 @@
-package main
+package daemon
 
 import (
 	"testing"
@@ -6,21 +6,21 @@
 
 	"go.uber.org/zap"
 
-	"harehook.dev/harehook/brain"
-	"harehook.dev/harehook/conductor"
-	"harehook.dev/harehook/front/xds"
-	"harehook.dev/harehook/install"
-	"harehook.dev/harehook/site"
+	"harehook.dev/harehook/config"
+	"harehook.dev/harehook/controller"
+	"harehook.dev/harehook/planner"
+	"harehook.dev/harehook/settings"
+	"harehook.dev/harehook/xds/transport"
 )
 
 // A list of a service comes while an older one is just being told: the newer one is told last.
 func TestListsInOrder(t *testing.T) {
 	holds, release := make(chan struct{}), make(chan struct{})
-	var told [][]install.Node
+	var told [][]config.Node
 	first := true
-	w := &watcher{told: &install.Conductor{Deployment: site.Deployment{Kinds: []string{"any"}}}, log: zap.NewNop(),
-		listed: []install.Node{{Entry: conductor.Entry{Node: "old"}}}}
-	w.out = func(nodes []install.Node) {
+	w := &watcher{told: &config.Conductor{Deployment: settings.Deployment{Kinds: []string{"any"}}}, log: zap.NewNop(),
+		listed: []config.Node{{Entry: controller.Entry{Node: "old"}}}}
+	w.out = func(nodes []config.Node) {
 		if first {
 			first = false
 			close(holds)
@@ -33,7 +33,7 @@
 	<-holds
 	go func() {
 		defer close(newer)
-		w.listedBy("2", []xds.Listed{{Node: xds.Node{Name: "new"}, Condition: brain.Ready}})
+		w.listedBy("2", []transport.Listed{{Node: transport.Node{Name: "new"}, Condition: planner.Ready}})
 	}()
 	select {
 	case <-newer: // told in the midst of the older one
--- a/internal/standin/node.go
+++ b/internal/fakeplatform/node.go
@@ -1,4 +1,4 @@
-package standin
+package fakeplatform
 
 import (
 	"bufio"
--- a/internal/standin/standin.go
+++ b/internal/fakeplatform/standin.go
@@ -1,7 +1,7 @@
 // Package standin plays the parties that a conductor talks to, by the platform's page: the relay with its
 // proxies, discovery, and a zone's collector. The tests and the example use it; what it gets it keeps, and
 // it fails as it is told to.
-package standin
+package fakeplatform
 
 import (
 	"context"
--- a/cmd/harehook-lab/fleet.go
+++ b/internal/testbed/fleet.go
@@ -1,4 +1,4 @@
-package main
+package testbed
 
 import (
 	"context"
@@ -13,7 +13,7 @@
 	"github.com/spf13/cobra"
 	"github.com/spf13/pflag"
 
-	"harehook.dev/harehook/lab/fleet"
+	"harehook.dev/harehook/loadtest"
 )
 
 // workerCommand is the hidden command whose processes are the members and conductors of a fleet.
@@ -28,11 +28,11 @@
 		Args:  cobra.MaximumNArgs(1),
 		RunE:  options.run,
 	}
-	plan := fleet.OperatorsPlan()
-	for _, setting := range fleet.Settings {
+	plan := loadtest.OperatorsPlan()
+	for _, setting := range loadtest.Settings {
 		command.Flags().Float64(setting.Name, setting.Get(&plan), setting.Usage)
 	}
-	command.Flags().StringVar(&options.faults, "faults", "", fmt.Sprintf("faults to play, separated by commas: %v", fleet.AllFaults))
+	command.Flags().StringVar(&options.faults, "faults", "", fmt.Sprintf("faults to play, separated by commas: %v", loadtest.AllFaults))
 	command.Flags().StringVar(&options.conductor, "conductor", "", "the program harehookd, for the conductor with a process of its own; by default the one in this program's folder, and a client alone where there is none")
 	command.Flags().BoolVar(&options.json, "json", false, "print one object with what was asked and measured")
 	command.Flags().StringVar(&options.folder, "out", "found/lab", "folder for the results of a sweep")
@@ -69,11 +69,11 @@
 	if err != nil {
 		return err
 	}
-	options := fleet.Options{Program: program, Arguments: []string{workerCommand}, Conductor: o.conductorProgram(program), Progress: command.ErrOrStderr()}
+	options := loadtest.Options{Program: program, Arguments: []string{workerCommand}, Conductor: o.conductorProgram(program), Progress: command.ErrOrStderr()}
 	if len(experiment.Values) > 0 {
 		return o.sweep(ctx, command.OutOrStdout(), experiment, options)
 	}
-	report, err := fleet.Play(ctx, experiment.Plan, options)
+	report, err := loadtest.Play(ctx, experiment.Plan, options)
 	if err != nil {
 		return err
 	}
@@ -84,18 +84,18 @@
 }
 
 // experiment reads the file, if one is named, and then the flags that are given.
-func (o *fleetOptions) experiment(flags *pflag.FlagSet, arguments []string) (*fleet.Experiment, error) {
-	experiment := &fleet.Experiment{Name: "fleet", Plan: fleet.OperatorsPlan()}
+func (o *fleetOptions) experiment(flags *pflag.FlagSet, arguments []string) (*loadtest.Experiment, error) {
+	experiment := &loadtest.Experiment{Name: "fleet", Plan: loadtest.OperatorsPlan()}
 	if len(arguments) > 0 {
 		text, err := os.ReadFile(arguments[0])
 		if err != nil {
 			return nil, err
 		}
-		if experiment, err = fleet.ReadExperiment(string(text)); err != nil {
+		if experiment, err = loadtest.ReadExperiment(string(text)); err != nil {
 			return nil, fmt.Errorf("%s: %w", arguments[0], err)
 		}
 	}
-	for _, setting := range fleet.Settings {
+	for _, setting := range loadtest.Settings {
 		if !flags.Changed(setting.Name) {
 			continue
 		}
@@ -106,7 +106,7 @@
 		setting.Set(&experiment.Plan, value)
 	}
 	if flags.Changed("faults") {
-		faults, err := fleet.ParseFaults(o.faults)
+		faults, err := loadtest.ParseFaults(o.faults)
 		if err != nil {
 			return nil, err
 		}
@@ -115,14 +115,14 @@
 	return experiment, experiment.Plan.Validate()
 }
 
-func (o *fleetOptions) write(out io.Writer, report *fleet.Report) error {
+func (o *fleetOptions) write(out io.Writer, report *loadtest.Report) error {
 	if o.json {
 		return report.WriteJSON(out)
 	}
 	return report.WriteTable(out)
 }
 
-func (o *fleetOptions) sweep(ctx context.Context, out io.Writer, experiment *fleet.Experiment, options fleet.Options) error {
+func (o *fleetOptions) sweep(ctx context.Context, out io.Writer, experiment *loadtest.Experiment, options loadtest.Options) error {
 	result, err := experiment.Sweep(ctx, options)
 	if err != nil {
 		return err
@@ -155,6 +155,6 @@
 		RunE: func(command *cobra.Command, arguments []string) error {
 			// An interrupt from the terminal reaches the process that started this one, which then ends the orders.
 			signal.Ignore(os.Interrupt)
-			return fleet.Work(command.Context(), arguments[0], os.Stdin, os.Stdout)
+			return loadtest.Work(command.Context(), arguments[0], os.Stdin, os.Stdout)
 		}}
 }
--- a/cmd/harehook-lab/fleet_test.go
+++ b/internal/testbed/fleet_test.go
@@ -1,4 +1,4 @@
-package main
+package testbed
 
 import (
 	"bytes"
@@ -14,7 +14,7 @@
 	"testing"
 	"time"
 
-	"harehook.dev/harehook/lab/fleet"
+	"harehook.dev/harehook/loadtest"
 )
 
 // asProgram has the test's own program be harehook-lab, also for the processes that it starts.
@@ -22,7 +22,7 @@
 
 func TestMain(m *testing.M) {
 	if os.Getenv(asProgram) != "" {
-		main()
+		Main("harehook-testbed")
 		os.Exit(0)
 	}
 	os.Exit(m.Run())
@@ -59,7 +59,7 @@
 	if err := command.Run(); err != nil {
 		t.Fatalf("%v: %s", err, progress.String())
 	}
-	var report fleet.Report
+	var report loadtest.Report
 	decoder := json.NewDecoder(&out)
 	if err := decoder.Decode(&report); err != nil {
 		t.Fatal(err)
@@ -91,11 +91,11 @@
 	if err := command.Run(); err != nil {
 		t.Fatalf("%v: %s%s", err, progress.String(), out.String())
 	}
-	var report fleet.Report
+	var report loadtest.Report
 	if err := json.NewDecoder(&out).Decode(&report); err != nil {
 		t.Fatal(err)
 	}
-	if m := report.Measured; m.Changes != 60 || m.Concerned[fleet.FaultMemberKilled] == 0 || len(report.Broken) != 0 {
+	if m := report.Measured; m.Changes != 60 || m.Concerned[loadtest.FaultMemberKilled] == 0 || len(report.Broken) != 0 {
 		t.Errorf("%d changes, concerned %v, broken %q", m.Changes, m.Concerned, report.Broken)
 	}
 	wantNothingLeft(t, folder)
--- a/cmd/harehook-lab/follow.go
+++ b/internal/testbed/follow.go
@@ -1,4 +1,4 @@
-package main
+package testbed
 
 import (
 	"errors"
@@ -9,7 +9,7 @@
 
 	"github.com/spf13/cobra"
 
-	follow "harehook.dev/harehook/lab/follow"
+	followers "harehook.dev/harehook/simulation/followers"
 )
 
 // errBroken says that a run has broken a property. Which one has been printed.
@@ -17,7 +17,7 @@
 
 // followCommand plays followers of a group over many seeds, or one seed again.
 func followCommand() *cobra.Command {
-	setup := follow.DefaultSetup(0)
+	setup := followers.DefaultSetup(0)
 	from, seeds := uint64(0), uint64(200)
 	command := &cobra.Command{Use: "follow", Short: "Play followers of a group: crashes, cuts, lags, refusals, crowds", Args: cobra.NoArgs}
 	flags := command.Flags()
@@ -36,7 +36,7 @@
 		}
 		began := time.Now()
 		outcomes := playSeeds(setup, from, seeds)
-		var sum follow.Outcome
+		var sum followers.Outcome
 		broken := 0
 		for n, outcome := range outcomes {
 			if len(outcome.Violations) > 0 {
@@ -55,8 +55,8 @@
 }
 
 // playSeeds plays as many runs at once as there are cores; their order in the result does not depend on that.
-func playSeeds(setup follow.Setup, from, seeds uint64) []follow.Outcome {
-	outcomes := make([]follow.Outcome, seeds)
+func playSeeds(setup followers.Setup, from, seeds uint64) []followers.Outcome {
+	outcomes := make([]followers.Outcome, seeds)
 	next := make(chan uint64)
 	var players sync.WaitGroup
 	for range runtime.GOMAXPROCS(0) {
@@ -64,7 +64,7 @@
 			for n := range next {
 				one := setup
 				one.Seed = from + n
-				outcomes[n] = follow.Play(one)
+				outcomes[n] = followers.Play(one)
 			}
 		})
 	}
@@ -76,7 +76,7 @@
 	return outcomes
 }
 
-func printOutcome(command *cobra.Command, sum follow.Outcome, broken int) error {
+func printOutcome(command *cobra.Command, sum followers.Outcome, broken int) error {
 	out := command.OutOrStdout()
 	fmt.Fprintf(out, "commits %d, faults %d, accepted %d, refused %d\n", sum.Commits, sum.Faults, sum.Accepted, sum.Refused)
 	fmt.Fprintf(out, "messages: %d whole scopes, %d changes, %d of progress only\n", sum.Whole, sum.Changes, sum.Progress)
--- a/cmd/harehook-lab/slopes.go
+++ b/internal/testbed/slopes.go
@@ -1,4 +1,4 @@
-package main
+package testbed
 
 import (
 	"fmt"
@@ -8,7 +8,7 @@
 
 	"github.com/spf13/cobra"
 
-	"harehook.dev/harehook/capacity"
+	"harehook.dev/harehook/scaling"
 )
 
 // slopes measures how the cost of a part grows with its size, as docs/CAPACITY.md states it.
@@ -20,12 +20,12 @@
 			if len(args) == 0 {
 				return listSlopes(c.OutOrStdout())
 			}
-			found, err := capacity.Find(args[0])
+			found, err := scaling.Find(args[0])
 			if err != nil {
 				return err
 			}
 			for _, slope := range found {
-				samples, err := slope.Take(capacity.Full, sizes...)
+				samples, err := slope.Take(scaling.Full, sizes...)
 				if err != nil {
 					return err
 				}
@@ -41,18 +41,18 @@
 
 func listSlopes(out io.Writer) error {
 	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
-	for _, s := range capacity.All() {
+	for _, s := range scaling.All() {
 		fmt.Fprintf(w, "%s\t%s\tby %s\t%v\n", s.Name, s.Operation, s.Size, s.Sizes)
 	}
-	fmt.Fprintf(w, "agreed text\tholds %d routes of 95 bytes at most\n", capacity.AgreedMost())
+	fmt.Fprintf(w, "agreed text\tholds %d routes of 95 bytes at most\n", scaling.AgreedMost())
 	return w.Flush()
 }
 
 // printSlope writes the samples of a slope and its fits.
-func printSlope(out io.Writer, slope capacity.Slope, samples []capacity.Sample) error {
+func printSlope(out io.Writer, slope scaling.Slope, samples []scaling.Sample) error {
 	fmt.Fprintf(out, "%s: %s (%s)\n", slope.Name, slope.Operation, slope.Method)
 	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', tabwriter.AlignRight)
-	fits := capacity.Fits(samples)
+	fits := scaling.Fits(samples)
 	fmt.Fprintf(w, "%s\t", slope.Size)
 	for _, f := range fits {
 		fmt.Fprintf(w, "%s\t", f.Quantity)
@@ -65,18 +65,18 @@
 		}
 		fmt.Fprintln(w, s.Note)
 	}
-	row := func(name string, of func(capacity.Fit) float64) {
+	row := func(name string, of func(scaling.Fit) float64) {
 		fmt.Fprintf(w, "%s\t", name)
 		for _, f := range fits {
 			fmt.Fprintf(w, "%s\t", figure(of(f)))
 		}
 		fmt.Fprintln(w)
 	}
-	row("exponent", func(f capacity.Fit) float64 { return f.Exponent })
-	row("exponent, upper half", func(f capacity.Fit) float64 { return f.Tail })
-	row("line: base", func(f capacity.Fit) float64 { return f.Base })
-	row("line: for each", func(f capacity.Fit) float64 { return f.PerUnit })
-	row("line: R2", func(f capacity.Fit) float64 { return f.R2 })
+	row("exponent", func(f scaling.Fit) float64 { return f.Exponent })
+	row("exponent, upper half", func(f scaling.Fit) float64 { return f.Tail })
+	row("line: base", func(f scaling.Fit) float64 { return f.Base })
+	row("line: for each", func(f scaling.Fit) float64 { return f.PerUnit })
+	row("line: R2", func(f scaling.Fit) float64 { return f.R2 })
 	if err := w.Flush(); err != nil {
 		return err
 	}
--- a/lab/fleet/conductorprocess.go
+++ b/loadtest/conductorprocess.go
@@ -1,4 +1,4 @@
-package fleet
+package loadtest
 
 import (
 	"context"
@@ -8,7 +8,7 @@
 	"sync"
 	"time"
 
-	"harehook.dev/harehook/follow"
+	"harehook.dev/harehook/configsync"
 )
 
 // conductorProcess is a worker that plays conductors.
@@ -95,7 +95,7 @@
 	p := &conductorProcess{worker: started, indexes: indexes, ready: make(chan struct{}), finished: make(chan struct{})}
 	r.workers = append(r.workers, p)
 	r.crew.add(started, func(told *news) { r.take(p, told) })
-	setup := &conductorsSetup{Members: r.addresses(), Lease: follow.DefaultLimits.Lease, Seed: r.plan.Seed}
+	setup := &conductorsSetup{Members: r.addresses(), Lease: configsync.DefaultLimits.Lease, Seed: r.plan.Seed}
 	for _, at := range indexes {
 		setup.Conductors = append(setup.Conductors, numbered{at, r.conductors[at]})
 	}
--- a/lab/fleet/conductors.go
+++ b/loadtest/conductors.go
@@ -1,4 +1,4 @@
-package fleet
+package loadtest
 
 import (
 	"context"
@@ -7,7 +7,7 @@
 	"sync"
 	"time"
 
-	front "harehook.dev/harehook/front/follow"
+	front "harehook.dev/harehook/configsync/transport"
 	"harehook.dev/harehook/records"
 )
 
--- a/lab/fleet/experiment_test.go
+++ b/loadtest/experiment_test.go
@@ -1,4 +1,4 @@
-package fleet
+package loadtest
 
 import (
 	"os"
@@ -12,7 +12,7 @@
 
 func TestExampleExperiments(t *testing.T) {
 	t.Parallel()
-	paths, err := filepath.Glob("../../example/lab/fleet*.kdl")
+	paths, err := filepath.Glob("../example/experiments/fleet*.kdl")
 	if err != nil || len(paths) < 4 {
 		t.Fatalf("%d examples: %v", len(paths), err)
 	}
--- a/lab/fleet/faults.go
+++ b/loadtest/faults.go
@@ -1,4 +1,4 @@
-package fleet
+package loadtest
 
 import (
 	"context"
@@ -6,7 +6,7 @@
 	"slices"
 	"time"
 
-	"harehook.dev/harehook/follow"
+	"harehook.dev/harehook/configsync"
 )
 
 // weight is the part of the time that a fault is played for, beside the other faults.
@@ -142,7 +142,7 @@
 func (r *run) refuse(ctx context.Context, over time.Duration, random *rand.Rand) error {
 	indexes, has := r.choose(oneIn(random, refuseOneIn))
 	now := time.Now()
-	r.recorder.open(FaultRefusing, indexes, now, now.Add(over+follow.DefaultLimits.RefusedWait))
+	r.recorder.open(FaultRefusing, indexes, now, now.Add(over+configsync.DefaultLimits.RefusedWait))
 	if err := r.order(actionRefuse, 0, has); err != nil {
 		return err
 	}
--- a/lab/fleet/group.go
+++ b/loadtest/group.go
@@ -1,4 +1,4 @@
-package fleet
+package loadtest
 
 import (
 	"context"
@@ -12,7 +12,7 @@
 	"google.golang.org/grpc/status"
 
 	"harehook.dev/harehook/cluster"
-	front "harehook.dev/harehook/front/follow"
+	front "harehook.dev/harehook/configsync/transport"
 	"harehook.dev/harehook/records"
 )
 
--- a/lab/fleet/member.go
+++ b/loadtest/member.go
@@ -1,4 +1,4 @@
-package fleet
+package loadtest
 
 import (
 	"context"
@@ -10,8 +10,8 @@
 	"go.uber.org/zap"
 
 	"harehook.dev/harehook/cluster"
-	"harehook.dev/harehook/follow"
-	front "harehook.dev/harehook/front/follow"
+	"harehook.dev/harehook/configsync"
+	front "harehook.dev/harehook/configsync/transport"
 	"harehook.dev/harehook/raftlog"
 	"harehook.dev/harehook/records"
 )
@@ -51,7 +51,7 @@
 		source = planted.source(source)
 	}
 	address := setup.Addresses[setup.ID]
-	m := &member{node, front.NewService(address, source, follow.DefaultLimits, zap.NewNop()), out}
+	m := &member{node, front.NewService(address, source, configsync.DefaultLimits, zap.NewNop()), out}
 	node.Committed = m.service.Committed
 	listener, err := net.Listen("tcp", address)
 	if err != nil {
@@ -99,7 +99,7 @@
 		if report, err := m.node.Status(ctx); err == nil && report.Standing.Leader != 0 {
 			led = time.Now()
 		}
-		if time.Since(led) >= follow.DefaultLimits.Lease {
+		if time.Since(led) >= configsync.DefaultLimits.Lease {
 			m.service.Pause(errNoLeader)
 		} else {
 			m.service.Pause(nil)
--- a/lab/fleet/members.go
+++ b/loadtest/members.go
@@ -1,4 +1,4 @@
-package fleet
+package loadtest
 
 import (
 	"context"
@@ -9,7 +9,7 @@
 	"sync"
 	"time"
 
-	"harehook.dev/harehook/follow"
+	"harehook.dev/harehook/configsync"
 )
 
 // memberProcess is a member of the group, which may be killed and started again.
@@ -21,7 +21,7 @@
 	crew      *crew
 	worker    *worker // nil while it is down
 	ready     chan struct{}
-	sent      follow.Counts
+	sent      configsync.Counts
 	samples   []sample      // processor time, of all its processes
 	cpu       time.Duration // of the present process
 	cpuBefore time.Duration // of those before
--- a/lab/fleet/message.go
+++ b/loadtest/message.go
@@ -1,4 +1,4 @@
-package fleet
+package loadtest
 
 import (
 	"encoding/json"
@@ -6,7 +6,7 @@
 	"sync"
 	"time"
 
-	"harehook.dev/harehook/follow"
+	"harehook.dev/harehook/configsync"
 )
 
 // The roles of a worker, which is a process of its own or, in tests, a goroutine.
@@ -68,14 +68,14 @@
 
 // news is what a worker tells, one JSON object a line on its standard output.
 type news struct {
-	Ready    bool           `json:"ready,omitempty"`    // the member serves, or the conductors are set up
-	PID      int            `json:"pid,omitempty"`      // of the program that the worker runs
-	Failed   string         `json:"failed,omitempty"`   // the worker ends
-	Events   []event        `json:"events,omitempty"`   // of conductors, in order for each
-	Wire     *wireReading   `json:"wire,omitempty"`     // every second
-	Messages *messageReport `json:"messages,omitempty"` // answers actionReport and actionFinish
-	Counts   *follow.Counts `json:"counts,omitempty"`   // of a member, every second
-	Finished bool           `json:"finished,omitempty"`
+	Ready    bool               `json:"ready,omitempty"`    // the member serves, or the conductors are set up
+	PID      int                `json:"pid,omitempty"`      // of the program that the worker runs
+	Failed   string             `json:"failed,omitempty"`   // the worker ends
+	Events   []event            `json:"events,omitempty"`   // of conductors, in order for each
+	Wire     *wireReading       `json:"wire,omitempty"`     // every second
+	Messages *messageReport     `json:"messages,omitempty"` // answers actionReport and actionFinish
+	Counts   *configsync.Counts `json:"counts,omitempty"`   // of a member, every second
+	Finished bool               `json:"finished,omitempty"`
 }
 
 // eventKind is something that happened to a conductor.
--- a/lab/fleet/messages.go
+++ b/loadtest/messages.go
@@ -1,4 +1,4 @@
-package fleet
+package loadtest
 
 import (
 	"sync"
@@ -6,7 +6,7 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 	discoveryv3 "github.com/envoyproxy/go-control-plane/envoy/service/discovery/v3"
 
-	"harehook.dev/harehook/follow"
+	"harehook.dev/harehook/configsync"
 )
 
 // messageMeter counts the messages that the conductors of a worker get, by what they are for.
@@ -40,7 +40,7 @@
 func (m *messageMeter) note(response *discoveryv3.DeltaDiscoveryResponse, wireBytes int, first, holds bool) {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
-	content := follow.ContentOf(response)
+	content := configsync.ContentOf(response)
 	bytes := min(int64(wireBytes), maxMessageBytes)
 	switch {
 	case content.Whole:
--- a/lab/fleet/meter.go
+++ b/loadtest/meter.go
@@ -1,4 +1,4 @@
-package fleet
+package loadtest
 
 import (
 	"context"
@@ -13,7 +13,7 @@
 	"google.golang.org/grpc/stats"
 	"google.golang.org/protobuf/types/known/wrapperspb"
 
-	"harehook.dev/harehook/follow"
+	"harehook.dev/harehook/configsync"
 )
 
 // dialTimeout is how long a connection may take to be made.
@@ -201,7 +201,7 @@
 		s.meter.joined(member)
 	}
 	if response.GetNonce() != "" {
-		if content := follow.ContentOf(response); content.Whole || content.Records > 0 {
+		if content := configsync.ContentOf(response); content.Whole || content.Records > 0 {
 			s.meter.changed.Store(true)
 		}
 		s.meter.messages.note(response, payload.WireLength, !stream.offered, s.meter.holds.Load())
--- a/lab/fleet/plan.go
+++ b/loadtest/plan.go
@@ -5,7 +5,7 @@
 // process of its own unless a test asks for all in one. Most conductors are hollow: the real client and follower, many
 // in a process, with no data plane. One conductor has a process of its own, whose processor time, memory and bytes are
 // measured. All is on loopback.
-package fleet
+package loadtest
 
 import (
 	"fmt"
--- a/lab/fleet/planted_test.go
+++ b/loadtest/planted_test.go
@@ -1,4 +1,4 @@
-package fleet
+package loadtest
 
 import (
 	"slices"
--- a/lab/fleet/report.go
+++ b/loadtest/report.go
@@ -1,4 +1,4 @@
-package fleet
+package loadtest
 
 import (
 	"cmp"
@@ -8,7 +8,7 @@
 	"slices"
 	"time"
 
-	"harehook.dev/harehook/follow"
+	"harehook.dev/harehook/configsync"
 )
 
 // Report is what a run was asked to do and what it measured.
@@ -63,7 +63,7 @@
 type MemberUse struct {
 	ID uint64 `json:"id"`
 	ProcessUse
-	Sent follow.Counts `json:"sent"` // since it was started last
+	Sent configsync.Counts `json:"sent"` // since it was started last
 }
 
 // ConductorUse is what the conductor with a process of its own used. No fault concerned it but those of members.
@@ -85,7 +85,7 @@
 
 // report works out what was measured. All workers have ended.
 func (r *run) report() (*Report, error) {
-	lease := follow.DefaultLimits.Lease
+	lease := configsync.DefaultLimits.Lease
 	rec := r.recorder
 	line := timeline(rec.changes, rec.histories, lease)
 	m := Measured{
--- a/lab/fleet/startprogram.go
+++ b/loadtest/startprogram.go
@@ -1,4 +1,4 @@
-package fleet
+package loadtest
 
 import (
 	"context"
@@ -7,8 +7,8 @@
 	"slices"
 	"time"
 
-	"harehook.dev/harehook/follow"
-	front "harehook.dev/harehook/front/follow"
+	"harehook.dev/harehook/configsync"
+	front "harehook.dev/harehook/configsync/transport"
 	"harehook.dev/harehook/records"
 )
 
@@ -83,7 +83,7 @@
 }
 
 // lease is what the members know of a follower: the lease with the latest revision.
-func (r *run) lease(ctx context.Context, name string) (latest follow.LeaseStatus, found bool) {
+func (r *run) lease(ctx context.Context, name string) (latest configsync.LeaseStatus, found bool) {
 	for _, conn := range r.group.conns {
 		call, stop := context.WithTimeout(ctx, proposeTimeout)
 		status, err := front.AskStatus(call, conn)
--- a/brain/host.go
+++ b/planner/host.go
@@ -18,7 +18,7 @@
 //
 // The other files decide nothing: host.go has the Host and the types that a Conductor is handed, state.go what it
 // remembers, channel.go the account of what waits on its way to the proxies, helper.go sums and chance.
-package brain
+package planner
 
 // Host carries out what a Conductor orders. The orders given while one batch of happenings is handled
 // leave as one message for each proxy concerned.
--- a/brain/policy_test.go
+++ b/planner/policy_test.go
@@ -1,4 +1,4 @@
-package brain
+package planner
 
 import (
 	"os"
@@ -24,7 +24,7 @@
 	}
 	var named []string
 	for _, path := range regexp.MustCompile(`"([^"]+)"`).FindAllSubmatch(list[1], -1) {
-		named = append(named, strings.TrimPrefix(string(path[1]), "brain/"))
+		named = append(named, strings.TrimPrefix(string(path[1]), "planner/"))
 	}
 	lines := 0
 	for _, name := range named {
--- a/brain/queue.go
+++ b/planner/queue.go
@@ -1,4 +1,4 @@
-package brain
+package planner
 
 import "slices"
 
--- a/brain/state.go
+++ b/planner/state.go
@@ -1,4 +1,4 @@
-package brain
+package planner
 
 type health uint8
 
--- a/capacity/agreed.go
+++ b/scaling/agreed.go
@@ -1,4 +1,4 @@
-package capacity
+package scaling
 
 import (
 	"encoding/json"
@@ -6,7 +6,7 @@
 	"strings"
 
 	"harehook.dev/harehook/cluster"
-	"harehook.dev/harehook/install"
+	"harehook.dev/harehook/config"
 )
 
 // operatorClient makes the proposals.
@@ -61,7 +61,7 @@
 
 // agreedState is a state with so many versions of a text.
 func agreedState(routes int) (*cluster.State, error) {
-	state, texts := cluster.NewState(install.TextFormat{}), agreedTexts(routes)
+	state, texts := cluster.NewState(config.TextFormat{}), agreedTexts(routes)
 	for index := range uint64(versionsApplied) {
 		if _, err := agreedChange(state, texts, index+1); err != nil {
 			return nil, err
@@ -72,7 +72,7 @@
 
 // agreedRefused says why a text of so many routes is refused, nil if it is not.
 func agreedRefused(routes int) error {
-	return cluster.NewState(install.TextFormat{}).Valid(cluster.Command{Kind: cluster.Put, Client: operatorClient, Text: agreedText(routes, 0)})
+	return cluster.NewState(config.TextFormat{}).Valid(cluster.Command{Kind: cluster.Put, Client: operatorClient, Text: agreedText(routes, 0)})
 }
 
 // agreedSample meters one changed route at a member: log entry, apply with its check, snapshot.
--- a/capacity/capacity.go
+++ b/scaling/capacity.go
@@ -5,7 +5,7 @@
 //
 // Processor time is that of the process (getrusage) and not wall time, so that other load on the machine shows in it
 // as little as possible. Tests bound only what is the same on every run: counts, bytes and their growth.
-package capacity
+package scaling
 
 import (
 	"fmt"
--- a/capacity/capacity_test.go
+++ b/scaling/capacity_test.go
@@ -1,4 +1,4 @@
-package capacity
+package scaling
 
 import (
 	"errors"
@@ -9,10 +9,10 @@
 
 	discoveryv3 "github.com/envoyproxy/go-control-plane/envoy/service/discovery/v3"
 
-	"harehook.dev/harehook/brain"
 	"harehook.dev/harehook/cluster"
-	"harehook.dev/harehook/conductor"
-	"harehook.dev/harehook/protocol"
+	"harehook.dev/harehook/controller"
+	"harehook.dev/harehook/planner"
+	"harehook.dev/harehook/platform/wire"
 )
 
 // bound is what a quantity may come to at each size, and how it may grow over the sizes. Never of times.
@@ -182,7 +182,7 @@
 		return s, err
 	}
 	var cost pushCost
-	var orders []conductor.Order
+	var orders []controller.Order
 	for k, holder := range p.holders {
 		holder.Forget()
 		p.server.Close(0, uint64(k+1))
@@ -192,7 +192,7 @@
 		if err := begin(p, k, holder.BeginDelta()); err != nil {
 			return s, err
 		}
-		orders = append(orders, conductor.Order{Kind: conductor.Bind, Proxy: k})
+		orders = append(orders, controller.Order{Kind: controller.Bind, Proxy: k})
 	}
 	if err := p.server.Carry(0, orders); err != nil {
 		return s, err
@@ -234,7 +234,7 @@
 	s.Values[Wire], s.Values[Heap] = float64(len(body)), float64(nodes)
 	return s, repeat(&s, Brief, func() error {
 		for end := part; ; end += part {
-			responses := protocol.Responses{Most: listBytes}
+			responses := wire.Responses{Most: listBytes}
 			responses.Feed(body[:min(end, len(body))])
 			if _, _, ok, err := responses.Next(false); ok || err != nil {
 				return err
@@ -255,7 +255,7 @@
 	s.Values[Wire] = float64(len(report))
 	return s, repeat(&s, Brief, func() error {
 		for range 2 {
-			if _, err := protocol.Decode(report[len(protocol.FrameHead(0)):]); err != nil {
+			if _, err := wire.Decode(report[len(wire.FrameHead(0)):]); err != nil {
 				return err
 			}
 		}
@@ -285,9 +285,9 @@
 	s := newSample(nodes)
 	f := newModuleFleet(nodes, usualProxies, 2, 2)
 	return s, repeat(&s, Brief, func() error {
-		rows := make([]brain.Row, nodes)
+		rows := make([]planner.Row, nodes)
 		for i := range rows {
-			rows[i] = brain.Row{Node: uint32(i + 1), Zone: i % 2, Condition: brain.Ready}
+			rows[i] = planner.Row{Node: uint32(i + 1), Zone: i % 2, Condition: planner.Ready}
 		}
 		f.module.ListWhole(f.now, rows)
 		f.step(nil)
--- a/capacity/follow.go
+++ b/scaling/follow.go
@@ -1,4 +1,4 @@
-package capacity
+package scaling
 
 import (
 	"fmt"
@@ -7,7 +7,7 @@
 	discoveryv3 "github.com/envoyproxy/go-control-plane/envoy/service/discovery/v3"
 	"google.golang.org/protobuf/proto"
 
-	"harehook.dev/harehook/follow"
+	"harehook.dev/harehook/configsync"
 	"harehook.dev/harehook/records"
 )
 
@@ -48,10 +48,10 @@
 // followMember is a member with followers, without sockets, on a clock of its own that stands still.
 type followMember struct {
 	*followed
-	server    *follow.Server
+	server    *configsync.Server
 	now       time.Time
-	followers []*follow.Follower
-	streams   []*follow.Stream
+	followers []*configsync.Follower
+	streams   []*configsync.Stream
 	scope     records.Scope
 }
 
@@ -67,12 +67,12 @@
 	if err != nil {
 		return nil, err
 	}
-	limits := follow.DefaultLimits
+	limits := configsync.DefaultLimits
 	limits.MaxStreams, limits.WholeRate, limits.WholeBurst = followers, followWhole, followWhole
 	f := &followMember{followed: source, now: time.Unix(1e9, 0), scope: scope}
-	f.server = follow.NewServer("member", source.store, limits, f.now)
+	f.server = configsync.NewServer("member", source.store, limits, f.now)
 	for n := range followers {
-		f.followers = append(f.followers, follow.NewFollower(fmt.Sprint("conductor-", n), scope, limits.Lease, nil))
+		f.followers = append(f.followers, configsync.NewFollower(fmt.Sprint("conductor-", n), scope, limits.Lease, nil))
 		stream, err := f.server.Open(f.now)
 		if err != nil {
 			return nil, err
--- a/capacity/list.go
+++ b/scaling/list.go
@@ -1,4 +1,4 @@
-package capacity
+package scaling
 
 import (
 	"context"
@@ -20,12 +20,12 @@
 	"google.golang.org/protobuf/types/known/anypb"
 	"google.golang.org/protobuf/types/known/wrapperspb"
 
-	"harehook.dev/harehook/brain"
-	frontxds "harehook.dev/harehook/front/xds"
-	"harehook.dev/harehook/install"
-	"harehook.dev/harehook/protocol"
-	"harehook.dev/harehook/site"
+	"harehook.dev/harehook/config"
+	"harehook.dev/harehook/planner"
+	"harehook.dev/harehook/platform/wire"
+	"harehook.dev/harehook/settings"
 	"harehook.dev/harehook/xds"
+	frontxds "harehook.dev/harehook/xds/transport"
 )
 
 const (
@@ -71,8 +71,8 @@
 		return s, err
 	}
 	s.Values[Wire] = float64(len(body))
-	take := func() (protocol.List, error) {
-		responses := protocol.Responses{Most: listBytes}
+	take := func() (wire.List, error) {
+		responses := wire.Responses{Most: listBytes}
 		for rest := body; len(rest) > 0; rest = rest[min(len(rest), listPart):] {
 			responses.Feed(rest[:min(len(rest), listPart)])
 			list, _, ok, err := responses.Next(false)
@@ -80,7 +80,7 @@
 				return list, err
 			}
 		}
-		return protocol.List{}, errors.New("the response was not whole")
+		return wire.List{}, errors.New("the response was not whole")
 	}
 	heap, list, err := heapOf(take)
 	if err != nil {
@@ -106,7 +106,7 @@
 		address := nodeAddress(n)
 		fmt.Fprintf(&b, "node %q zone=\"zone-%d\" kind=\"large\" address=\"%s:%d\"\n", nodeName(n), n%listZones, address.Host, address.Port)
 	}
-	c := &install.Conductor{Nodes: filepath.Join(folder, "nodes.kdl"), Deployment: site.Deployment{Kinds: []string{"large"}},
+	c := &config.Conductor{Nodes: filepath.Join(folder, "nodes.kdl"), Deployment: settings.Deployment{Kinds: []string{"large"}},
 		Kinds: map[string]bool{"large": true}, Zones: map[string]bool{}}
 	for z := range listZones {
 		c.Zones[fmt.Sprint("zone-", z)] = true
@@ -221,12 +221,12 @@
 	n := 0
 	for ; !effort.enough(&m, n, fullFew); n++ {
 		draining = !draining
-		row := brain.Row{Node: 1, Condition: brain.Ready}
+		row := planner.Row{Node: 1, Condition: planner.Ready}
 		if draining {
-			row.Condition = brain.Draining
+			row.Condition = planner.Draining
 		}
 		m.start()
-		f.module.ListChanged(f.now, []brain.Row{row})
+		f.module.ListChanged(f.now, []planner.Row{row})
 		m.stop()
 		f.confirm()
 		for range stepsReport {
--- a/capacity/meter.go
+++ b/scaling/meter.go
@@ -1,4 +1,4 @@
-package capacity
+package scaling
 
 import (
 	"runtime"
--- a/capacity/norace_test.go
+++ b/scaling/norace_test.go
@@ -1,5 +1,5 @@
 //go:build !race
 
-package capacity
+package scaling
 
 const raced = false
--- a/capacity/push.go
+++ b/scaling/push.go
@@ -1,4 +1,4 @@
-package capacity
+package scaling
 
 import (
 	"fmt"
@@ -7,7 +7,7 @@
 	discoveryv3 "github.com/envoyproxy/go-control-plane/envoy/service/discovery/v3"
 	"google.golang.org/protobuf/proto"
 
-	"harehook.dev/harehook/conductor"
+	"harehook.dev/harehook/controller"
 	"harehook.dev/harehook/sidecar"
 	"harehook.dev/harehook/xds"
 )
@@ -66,10 +66,10 @@
 	p := &pushServer{nodes: nodes}
 	compiler := xds.NewCompiler(pushRoutes(routes), time.Second)
 	p.server = xds.NewServer(compiler, p, sidecars)
-	var batch []conductor.Order
+	var batch []controller.Order
 	for n := range nodes {
 		compiler.Place(nodeName(n), fmt.Sprint("zone-", n%OperatorsZones), nodeAddress(n))
-		batch = append(batch, conductor.Order{Kind: conductor.SetLine, Node: nodeName(n), Figure: 1})
+		batch = append(batch, controller.Order{Kind: controller.SetLine, Node: nodeName(n), Figure: 1})
 	}
 	for k := range sidecars {
 		holder := &sidecar.Holder{ID: fmt.Sprint("sidecar-", k), Zone: "zone-0", Delta: true}
@@ -82,9 +82,9 @@
 				return nil, err
 			}
 		}
-		batch = append(batch, conductor.Order{Kind: conductor.Bind, Proxy: k})
+		batch = append(batch, controller.Order{Kind: controller.Bind, Proxy: k})
 	}
-	if err := p.server.Carry(0, append(batch, conductor.Order{Kind: conductor.RequestAck, Nonce: 1})); err != nil {
+	if err := p.server.Carry(0, append(batch, controller.Order{Kind: controller.RequestAck, Nonce: 1})); err != nil {
 		return nil, err
 	}
 	return p, p.settle(&pushCost{})
@@ -151,8 +151,8 @@
 // change sets one node's weight and has all sidecars accept it.
 func (p *pushServer) change(cost *pushCost) error {
 	p.changes++
-	order := []conductor.Order{{Kind: conductor.SetLine, Table: 0, Node: nodeName(p.nodes / 2), Figure: 1 + float64(p.changes%2)},
-		{Kind: conductor.RequestAck, Nonce: 1 + p.changes%nonceModulo}}
+	order := []controller.Order{{Kind: controller.SetLine, Table: 0, Node: nodeName(p.nodes / 2), Figure: 1 + float64(p.changes%2)},
+		{Kind: controller.RequestAck, Nonce: 1 + p.changes%nonceModulo}}
 	cost.server.start()
 	err := p.server.Carry(0, order)
 	cost.server.stop()
--- a/capacity/record.go
+++ b/scaling/record.go
@@ -1,4 +1,4 @@
-package capacity
+package scaling
 
 import (
 	"encoding/json"
@@ -6,7 +6,7 @@
 	"math"
 
 	"harehook.dev/harehook/cluster"
-	"harehook.dev/harehook/install"
+	"harehook.dev/harehook/config"
 	"harehook.dev/harehook/records"
 )
 
@@ -34,7 +34,7 @@
 // newRecordState loads so many tenants with the routes and services that go with them, by transactions.
 func newRecordState(tenants int) (*recordState, error) {
 	part := float64(tenants) / OperatorsTenants
-	r := &recordState{state: cluster.NewState(install.TextFormat{}), tenants: tenants,
+	r := &recordState{state: cluster.NewState(config.TextFormat{}), tenants: tenants,
 		services: max(fewestServices, int(math.Round(part*OperatorsServices))), routes: max(1, int(math.Round(part*OperatorsRoutes)))}
 	var writes []records.Write
 	for n := range r.services {
--- a/capacity/records_test.go
+++ b/scaling/records_test.go
@@ -1,10 +1,10 @@
-package capacity
+package scaling
 
 import (
 	"fmt"
 	"testing"
 
-	"harehook.dev/harehook/follow"
+	"harehook.dev/harehook/configsync"
 	"harehook.dev/harehook/records"
 )
 
@@ -82,7 +82,7 @@
 	}
 	return s, followChanges(&s, f, Brief, func(cost *followCost) error {
 		for n := range f.followers {
-			f.followers[n] = follow.NewFollower(fmt.Sprint("conductor-", n), f.scope, follow.DefaultLimits.Lease, nil)
+			f.followers[n] = configsync.NewFollower(fmt.Sprint("conductor-", n), f.scope, configsync.DefaultLimits.Lease, nil)
 			f.server.Close(f.streams[n])
 			if f.streams[n], err = f.server.Open(f.now); err != nil {
 				return err
--- a/capacity/report.go
+++ b/scaling/report.go
@@ -1,4 +1,4 @@
-package capacity
+package scaling
 
 import (
 	"context"
@@ -19,20 +19,20 @@
 	"google.golang.org/protobuf/proto"
 	"google.golang.org/protobuf/types/known/durationpb"
 
-	"harehook.dev/harehook/brain"
-	"harehook.dev/harehook/conductor"
-	frontxds "harehook.dev/harehook/front/xds"
-	"harehook.dev/harehook/protocol"
+	"harehook.dev/harehook/controller"
+	"harehook.dev/harehook/planner"
+	"harehook.dev/harehook/platform/wire"
+	"harehook.dev/harehook/settings"
 	"harehook.dev/harehook/sidecar"
-	"harehook.dev/harehook/site"
 	"harehook.dev/harehook/xds"
+	frontxds "harehook.dev/harehook/xds/transport"
 )
 
 // loadReport is a collector's message on one node, with its head.
 func loadReport(node int) ([]byte, error) {
 	body, err := json.Marshal(map[string]any{"@type": "LOAD", "site": fmt.Sprint("zone-", node%listZones), "target": nodeName(node),
 		"count": 12, "fail": 1, "mean": 183.5, "over": 500, "util": map[string]float64{"inflight": 3, "util": 0.61}})
-	return append(protocol.FrameHead(len(body)), body...), err
+	return append(wire.FrameHead(len(body)), body...), err
 }
 
 // reportSample meters half a second of reports, one on each node, from a collector's bytes to the module. Values are for
@@ -52,7 +52,7 @@
 	for n := range nodes {
 		numbers[nodeName(n)] = uint32(n + 1)
 	}
-	frames := protocol.Frames{Most: protocol.FrameMost}
+	frames := wire.Frames{Most: wire.FrameMost}
 	err := repeat(&s, effort, func() error {
 		f.now += 0.5
 		taken := 0
@@ -76,13 +76,13 @@
 }
 
 // takeReports hands all whole messages to the module, as the front and the core do.
-func takeReports(frames *protocol.Frames, f *moduleFleet, numbers map[string]uint32) (taken int, err error) {
+func takeReports(frames *wire.Frames, f *moduleFleet, numbers map[string]uint32) (taken int, err error) {
 	for {
 		body, err := frames.Next()
 		if err != nil || body == nil {
 			return taken, err
 		}
-		message, err := protocol.Decode(body)
+		message, err := wire.Decode(body)
 		if err != nil {
 			return taken, err
 		}
@@ -90,8 +90,8 @@
 		if !known {
 			return taken, errors.New("a report on an unknown node")
 		}
-		f.module.NodeSums(f.now, brain.Sums{Node: number, Ended: int(*message.Count), Lost: int(*message.Fail),
-			Mean: *message.Mean / protocol.MSPerSecond, Span: *message.Over / protocol.MSPerSecond})
+		f.module.NodeSums(f.now, planner.Sums{Node: number, Ended: int(*message.Count), Lost: int(*message.Fail),
+			Mean: *message.Mean / wire.MSPerSecond, Span: *message.Over / wire.MSPerSecond})
 		taken++
 	}
 }
@@ -112,14 +112,14 @@
 // newReportService starts the front, has it know the nodes, and opens the sidecar's two streams.
 func newReportService(nodes int) (*reportService, error) {
 	front := frontxds.New(xds.NewCompiler(pushRoutes(1), time.Second), 1, zap.NewNop())
-	var known []conductor.Entry
+	var known []controller.Entry
 	var places []frontxds.Node
 	for n := range nodes {
-		known = append(known, conductor.Entry{Node: nodeName(n), Zone: "zone-0", Kind: "large", Weight: 1, Condition: brain.Ready})
+		known = append(known, controller.Entry{Node: nodeName(n), Zone: "zone-0", Kind: "large", Weight: 1, Condition: planner.Ready})
 		places = append(places, frontxds.Node{Name: nodeName(n), Zone: "zone-0", Address: nodeAddress(n)})
 	}
 	// Sliced: the module takes reports in and orders nothing by itself.
-	front.Core = conductor.New(site.Deployment{Site: brain.Site{Zones: 1, Kinds: 1, Proxies: 1, Sliced: true, Routes: []brain.Route{{}}},
+	front.Core = controller.New(settings.Deployment{Site: planner.Site{Zones: 1, Kinds: 1, Proxies: 1, Sliced: true, Routes: []planner.Route{{}}},
 		Zones: []string{"zone-0"}, Kinds: []string{"large"}, Routes: []string{"r0000"}, Tick: 0.004}, known, front, zap.NewNop())
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
--- a/capacity/socket.go
+++ b/scaling/socket.go
@@ -1,4 +1,4 @@
-package capacity
+package scaling
 
 import (
 	"context"
@@ -11,8 +11,8 @@
 	"go.uber.org/zap"
 
 	"harehook.dev/harehook/cluster"
-	"harehook.dev/harehook/follow"
-	frontfollow "harehook.dev/harehook/front/follow"
+	"harehook.dev/harehook/configsync"
+	frontfollow "harehook.dev/harehook/configsync/transport"
 	"harehook.dev/harehook/records"
 )
 
@@ -44,7 +44,7 @@
 	if err != nil {
 		return nil, err
 	}
-	limits := follow.DefaultLimits
+	limits := configsync.DefaultLimits
 	limits.Lease, limits.MaxStreams, limits.WholeRate, limits.WholeBurst = lease, followers, followWhole, followWhole
 	m := &socketMember{followed: source, service: frontfollow.NewService("member", source.store, limits, zap.NewNop())}
 	server := cluster.Serve(nil)
@@ -114,17 +114,17 @@
 func (m *socketMember) tell(change records.Change) error {
 	from := m.service.Counts().Accepted
 	m.service.Committed(change)
-	return m.await(lookForAnswers, func(now follow.Counts) bool { return now.Accepted-from >= uint64(len(m.clients)) })
+	return m.await(lookForAnswers, func(now configsync.Counts) bool { return now.Accepted-from >= uint64(len(m.clients)) })
 }
 
 // renewals waits until the followers have renewed their leases once more, all together.
 func (m *socketMember) renewals() error {
 	from := m.service.Counts().Heartbeats
-	return m.await(lookForRenewed, func(now follow.Counts) bool { return now.Heartbeats-from >= uint64(len(m.clients)) })
+	return m.await(lookForRenewed, func(now configsync.Counts) bool { return now.Heartbeats-from >= uint64(len(m.clients)) })
 }
 
 // await looks at the member's counts until they are as they should be.
-func (m *socketMember) await(every time.Duration, reached func(follow.Counts) bool) error {
+func (m *socketMember) await(every time.Duration, reached func(configsync.Counts) bool) error {
 	for begun := time.Now(); time.Since(begun) < socketInStep; time.Sleep(every) {
 		if reached(m.service.Counts()) {
 			return nil
@@ -134,7 +134,7 @@
 }
 
 // answered is how many changes and renewals were told so far.
-func answered(counts follow.Counts) uint64 { return counts.Accepted + counts.Heartbeats }
+func answered(counts configsync.Counts) uint64 { return counts.Accepted + counts.Heartbeats }
 
 // socketSample meters what is done, and the bytes of it, both ends. Values are for each change or renewal of a follower.
 func socketSample(s *Sample, m *socketMember, times int, operation func() error) error {
@@ -174,7 +174,7 @@
 // socketRenewSample meters the renewals of leases, of the time that members in service have.
 func socketRenewSample(followers int, effort Effort) (Sample, error) {
 	s := newSample(followers)
-	m, err := newSocketMember(followers, follow.DefaultLimits.Lease)
+	m, err := newSocketMember(followers, configsync.DefaultLimits.Lease)
 	if err != nil {
 		return s, err
 	}
--- a/capacity/step.go
+++ b/scaling/step.go
@@ -1,9 +1,9 @@
-package capacity
+package scaling
 
 import (
 	"errors"
 
-	"harehook.dev/harehook/brain"
+	"harehook.dev/harehook/planner"
 )
 
 const (
@@ -23,20 +23,20 @@
 	orders    int
 }
 
-func (h *moduleHost) Bind(int, int)                                     { h.orders++ }
-func (h *moduleHost) SetLine(int, uint32, float64)                      { h.orders++ }
-func (h *moduleHost) SetLevel(int, brain.RouteID, float64, brain.Tries) { h.orders++ }
-func (h *moduleHost) RequestAck(nonce int)                              { h.nonce, h.requested = nonce, true }
-func (h *moduleHost) Wake(float64)                                      {}
-func (h *moduleHost) Subscribe()                                        {}
-func (h *moduleHost) Log(string)                                        {}
+func (h *moduleHost) Bind(int, int)                                         { h.orders++ }
+func (h *moduleHost) SetLine(int, uint32, float64)                          { h.orders++ }
+func (h *moduleHost) SetLevel(int, planner.RouteID, float64, planner.Tries) { h.orders++ }
+func (h *moduleHost) RequestAck(nonce int)                                  { h.nonce, h.requested = nonce, true }
+func (h *moduleHost) Wake(float64)                                          {}
+func (h *moduleHost) Subscribe()                                            {}
+func (h *moduleHost) Log(string)                                            {}
 
 // moduleSite is a deployment without limits of a channel that would hold the module back.
-func moduleSite(proxies, routes, zones int) brain.Site {
-	site := brain.Site{Seed: 1, Zones: zones, Kinds: 1, Conductors: 1, Proxies: proxies, AskWithin: 10, Utilization: -1, Backlog: -1,
-		Levels: brain.LevelFraction, Pace: 1e6, Queue: 1e7, Head: 5, MessageSpan: 10, Period: 0.5, Ramp: 16, FallTimes: 3}
+func moduleSite(proxies, routes, zones int) planner.Site {
+	site := planner.Site{Seed: 1, Zones: zones, Kinds: 1, Conductors: 1, Proxies: proxies, AskWithin: 10, Utilization: -1, Backlog: -1,
+		Levels: planner.LevelFraction, Pace: 1e6, Queue: 1e7, Head: 5, MessageSpan: 10, Period: 0.5, Ramp: 16, FallTimes: 3}
 	for r := range routes {
-		site.Routes = append(site.Routes, brain.Route{SLOTime: 1, Importance: float64(1 + r)})
+		site.Routes = append(site.Routes, planner.Route{SLOTime: 1, Importance: float64(1 + r)})
 	}
 	return site
 }
@@ -44,7 +44,7 @@
 // moduleFleet is a conductor's module with its proxies joined, and time that goes on under it.
 type moduleFleet struct {
 	host           *moduleHost
-	module         *brain.Conductor
+	module         *planner.Conductor
 	now            float64
 	nodes, proxies int
 	steps          int
@@ -52,10 +52,10 @@
 
 func newModuleFleet(nodes, proxies, routes, zones int) *moduleFleet {
 	f := &moduleFleet{host: &moduleHost{}, now: 100, nodes: nodes, proxies: proxies}
-	f.module = brain.New(f.host, moduleSite(proxies, routes, zones), f.now)
-	rows := make([]brain.Row, nodes)
+	f.module = planner.New(f.host, moduleSite(proxies, routes, zones), f.now)
+	rows := make([]planner.Row, nodes)
 	for i := range rows {
-		rows[i] = brain.Row{Node: uint32(i + 1), Zone: i % zones, Condition: brain.Ready}
+		rows[i] = planner.Row{Node: uint32(i + 1), Zone: i % zones, Condition: planner.Ready}
 	}
 	f.module.ListWhole(f.now, rows)
 	for p := range proxies {
@@ -67,10 +67,10 @@
 // reports tells what the proxies met at each node, and what each proxy was asked.
 func (f *moduleFleet) reports() {
 	for i := range f.nodes {
-		f.module.NodeSums(f.now, brain.Sums{Node: uint32(i + 1), Ended: 10, Mean: 0.2 + 0.1*float64(i%7), Span: 0.5})
+		f.module.NodeSums(f.now, planner.Sums{Node: uint32(i + 1), Ended: 10, Mean: 0.2 + 0.1*float64(i%7), Span: 0.5})
 	}
 	for p := range f.proxies {
-		f.module.RouteUsage(f.now, brain.Usage{Proxy: p, Calls: 3, Span: 1})
+		f.module.RouteUsage(f.now, planner.Usage{Proxy: p, Calls: 3, Span: 1})
 	}
 }
 
--- a/site/site.go
+++ b/settings/site.go
@@ -1,5 +1,5 @@
 // Package site decodes the settings that a conductor is handed at its start.
-package site
+package settings
 
 import (
 	"encoding/json"
@@ -8,7 +8,7 @@
 	"math"
 	"strings"
 
-	"harehook.dev/harehook/brain"
+	"harehook.dev/harehook/planner"
 )
 
 // NSPerSecond turns the module's seconds into the settings' nanoseconds.
@@ -17,7 +17,7 @@
 // Deployment is what the settings tell: the figures that the module reads, and the names behind its small
 // numbers, each at its place.
 type Deployment struct {
-	Site    brain.Site
+	Site    planner.Site
 	Zones   []string
 	Kinds   []string // machine types
 	Routes  []string
@@ -41,7 +41,7 @@
 		Kinds:   w.MachineTypes,
 		Reports: w.Report.Names,
 		Tick:    Seconds(w.Tick),
-		Site: brain.Site{
+		Site: planner.Site{
 			Zones:       len(w.Zones),
 			Kinds:       len(w.MachineTypes),
 			Conductors:  max(1, int(w.Peers)),
@@ -64,9 +64,9 @@
 	}
 	switch w.Extra.LevelKind {
 	case "fraction":
-		d.Site.Levels = brain.LevelFraction
+		d.Site.Levels = planner.LevelFraction
 	case "per_second":
-		d.Site.Levels = brain.LevelRate
+		d.Site.Levels = planner.LevelRate
 	}
 	if w.Report.Source == "inline" {
 		for k, name := range w.Report.Names {
@@ -80,7 +80,7 @@
 	}
 	for k, cat := range w.Categories {
 		d.Routes = append(d.Routes, cat.Name)
-		d.Site.Routes = append(d.Site.Routes, brain.Route{
+		d.Site.Routes = append(d.Site.Routes, planner.Route{
 			SLOTime:    Seconds(cat.Promise),
 			Importance: cat.Gain,
 			HomeOnly:   k < len(w.Extra.HomeOnly) && w.Extra.HomeOnly[k],
--- a/site/site_test.go
+++ b/settings/site_test.go
@@ -1,4 +1,4 @@
-package site
+package settings
 
 import (
 	"encoding/json"
@@ -9,7 +9,7 @@
 	"strings"
 	"testing"
 
-	"harehook.dev/harehook/brain"
+	"harehook.dev/harehook/planner"
 )
 
 const usual = `{"zones":["north","south"],"machine-types":["small"],"tick-ns":4000000,"peers-total":2,"discovery":"automatic",
@@ -85,7 +85,7 @@
 		h.wrong = fmt.Sprint("weight ", weight)
 	}
 }
-func (h *host) SetLevel(_ int, _ brain.RouteID, level float64, _ brain.Tries) {
+func (h *host) SetLevel(_ int, _ planner.RouteID, level float64, _ planner.Tries) {
 	if !(level >= 0 && level <= math.MaxFloat32) {
 		h.wrong = fmt.Sprint("level ", level)
 	}
@@ -99,8 +99,8 @@
 // half-way, two proxies, and sums of a fleet that is full for a while.
 func serves(d Deployment) string {
 	h := &host{lines: map[int]map[uint32]float64{}}
-	c := brain.New(h, d.Site, 100)
-	rows := []brain.Row{{Node: 1, Condition: brain.Ready}, {Node: 2, Zone: len(d.Zones) - 1, Condition: brain.Ready, Started: 99}}
+	c := planner.New(h, d.Site, 100)
+	rows := []planner.Row{{Node: 1, Condition: planner.Ready}, {Node: 2, Zone: len(d.Zones) - 1, Condition: planner.Ready, Started: 99}}
 	c.ListWhole(100, rows)
 	for p := range 2 {
 		c.ProxyJoined(100, p, p%len(d.Zones), 20)
@@ -111,11 +111,11 @@
 			mean = 5
 		}
 		for node := range 2 {
-			c.NodeSums(now, brain.Sums{Node: uint32(node + 1), Ended: 20, Span: 0.5, Mean: mean, Report: make([]float64, len(d.Reports))})
-			c.RouteUsage(now, brain.Usage{Proxy: node, Route: brain.RouteID(len(d.Routes) - 1), Calls: 20, Span: 0.5})
+			c.NodeSums(now, planner.Sums{Node: uint32(node + 1), Ended: 20, Span: 0.5, Mean: mean, Report: make([]float64, len(d.Reports))})
+			c.RouteUsage(now, planner.Usage{Proxy: node, Route: planner.RouteID(len(d.Routes) - 1), Calls: 20, Span: 0.5})
 		}
 		if now > 130 {
-			c.ListChanged(now, []brain.Row{{Node: 2, Zone: len(d.Zones) - 1, Condition: brain.Draining}})
+			c.ListChanged(now, []planner.Row{{Node: 2, Zone: len(d.Zones) - 1, Condition: planner.Draining}})
 		}
 		c.Tick(now)
 		if c.OrdersTaken(now, h.mark); h.mark > 0 {
--- a/sidecar/plane.go
+++ b/sidecar/plane.go
@@ -15,7 +15,7 @@
 
 	"go.uber.org/zap"
 
-	"harehook.dev/harehook/internal/kept"
+	"harehook.dev/harehook/internal/connprobe"
 	"harehook.dev/harehook/xds"
 )
 
@@ -308,7 +308,7 @@
 	for len(conns) > 0 {
 		up := conns[len(conns)-1]
 		conns = conns[:len(conns)-1]
-		if time.Since(up.used) < idleNode && up.r.Buffered() == 0 && kept.Quiet(up.Conn) {
+		if time.Since(up.used) < idleNode && up.r.Buffered() == 0 && connprobe.Quiet(up.Conn) {
 			p.idle[address] = conns
 			p.lock.Unlock()
 			return up, nil
--- a/sidecar/plane_test.go
+++ b/sidecar/plane_test.go
@@ -15,12 +15,12 @@
 
 	"go.uber.org/zap"
 
-	"harehook.dev/harehook/internal/standin"
+	"harehook.dev/harehook/internal/fakeplatform"
 	"harehook.dev/harehook/xds"
 )
 
 // plane starts one whose only route goes to some nodes.
-func plane(t *testing.T, tries int, nodes ...*standin.NodeServer) (address string, p *Plane) {
+func plane(t *testing.T, tries int, nodes ...*fakeplatform.NodeServer) (address string, p *Plane) {
 	table := &Table{Routes: []Entry{{Name: "q", Prefix: "/q", Part: 1, Cluster: "c", TimeLimit: 2 * time.Second, Tries: tries, Mutating: true},
 		{Name: "shut", Prefix: "/shut", Part: 1, Status: 503}}, Clusters: map[string][]Line{}}
 	for _, n := range nodes {
@@ -40,8 +40,8 @@
 	return l.Addr().String(), p
 }
 
-func node(t *testing.T, name string) *standin.NodeServer {
-	n, err := standin.NewNodeServer(name, "127.0.0.1:0")
+func node(t *testing.T, name string) *fakeplatform.NodeServer {
+	n, err := fakeplatform.NewNodeServer(name, "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/sidecar/sidecar_test.go
+++ b/sidecar/sidecar_test.go
@@ -18,8 +18,8 @@
 	"google.golang.org/protobuf/types/known/anypb"
 	"google.golang.org/protobuf/types/known/wrapperspb"
 
-	"harehook.dev/harehook/brain"
-	"harehook.dev/harehook/conductor"
+	"harehook.dev/harehook/controller"
+	"harehook.dev/harehook/planner"
 	"harehook.dev/harehook/xds"
 )
 
@@ -29,9 +29,9 @@
 		{Name: "issue", Prefix: "/issue", Mutating: true, TimeLimit: time.Second}}, time.Second)
 	c.Place("a", "north", xds.Address{Host: "127.0.0.1", Port: 1})
 	c.Place("b", "south", xds.Address{Host: "127.0.0.1", Port: 2})
-	c.Take([]conductor.Order{{Kind: conductor.SetLine, Node: "a", Figure: 1}, {Kind: conductor.SetLine, Node: "b", Figure: weight},
-		{Kind: conductor.SetLevel, Table: brain.AllTables, Route: "quote", Figure: 0.25, Tries: brain.RetryUnsent},
-		{Kind: conductor.SetLevel, Table: brain.AllTables, Route: "issue", Figure: 0.25, Tries: brain.RetryUnsent}})
+	c.Take([]controller.Order{{Kind: controller.SetLine, Node: "a", Figure: 1}, {Kind: controller.SetLine, Node: "b", Figure: weight},
+		{Kind: controller.SetLevel, Table: planner.AllTables, Route: "quote", Figure: 0.25, Tries: planner.RetryUnsent},
+		{Kind: controller.SetLevel, Table: planner.AllTables, Route: "issue", Figure: 0.25, Tries: planner.RetryUnsent}})
 	s, err := c.Snapshot(0)
 	if err != nil {
 		t.Fatal(err)
@@ -107,13 +107,13 @@
 	fillRoutes := func(count int, throttled bool) string {
 		compiler := xds.NewCompiler([]xds.Route{{Name: "first", Prefix: "/first", TimeLimit: time.Second}}, time.Second)
 		compiler.Place("a", "north", xds.Address{Host: "127.0.0.1", Port: 1})
-		compiler.Take([]conductor.Order{{Kind: conductor.SetLine, Node: "a", Figure: 1}})
+		compiler.Take([]controller.Order{{Kind: controller.SetLine, Node: "a", Figure: 1}})
 		var routes []xds.Route
 		for r := range count {
 			name := fmt.Sprintf("route-%04d", r)
 			routes = append(routes, xds.Route{Name: name, Prefix: "/" + name, TimeLimit: time.Second})
 			if throttled {
-				compiler.Take([]conductor.Order{{Kind: conductor.SetLevel, Table: brain.AllTables, Route: name, Figure: 0.25}})
+				compiler.Take([]controller.Order{{Kind: controller.SetLevel, Table: planner.AllTables, Route: name, Figure: 0.25}})
 			}
 		}
 		compiler.Agree(0, routes)
--- a/lab/follow/check.go
+++ b/simulation/followers/check.go
@@ -1,4 +1,4 @@
-package follow
+package followers
 
 import (
 	"encoding/binary"
@@ -12,7 +12,7 @@
 	discoveryv3 "github.com/envoyproxy/go-control-plane/envoy/service/discovery/v3"
 	"google.golang.org/protobuf/proto"
 
-	"harehook.dev/harehook/follow"
+	"harehook.dev/harehook/configsync"
 	"harehook.dev/harehook/records"
 )
 
@@ -89,7 +89,7 @@
 // sent looks at what a message costs, by what the log says of the scope between the two revisions.
 func (c *checker) sent(one *session, response *discoveryv3.DeltaDiscoveryResponse) {
 	size := proto.Size(response)
-	content := follow.ContentOf(response)
+	content := configsync.ContentOf(response)
 	named := content.Records
 	if named == 0 && !content.Whole {
 		c.world.out.Progress++
@@ -133,13 +133,13 @@
 // force asks all members at one moment, as an operator does, and compares what they claim with what followers hold.
 func (c *checker) force() {
 	now := c.world.clock.now()
-	var statuses []follow.ForceStatus
+	var statuses []configsync.ForceStatus
 	for _, one := range c.world.members {
 		if one.server != nil {
 			statuses = append(statuses, c.planted(one.server.Status(now)))
 		}
 	}
-	force := follow.Merge(statuses, c.world.memberNames())
+	force := configsync.Merge(statuses, c.world.memberNames())
 	if !force.Known {
 		return
 	}
@@ -160,7 +160,7 @@
 }
 
 // planted spoils a status.
-func (c *checker) planted(status follow.ForceStatus) follow.ForceStatus {
+func (c *checker) planted(status configsync.ForceStatus) configsync.ForceStatus {
 	switch c.world.setup.Planted {
 	case PlantedLeases:
 		status.Leases = nil
@@ -214,11 +214,11 @@
 		return
 	}
 	now := c.world.clock.now()
-	var statuses []follow.ForceStatus
+	var statuses []configsync.ForceStatus
 	for _, one := range c.world.members {
 		statuses = append(statuses, one.server.Status(now))
 	}
-	force := follow.Merge(statuses, c.world.memberNames())
+	force := configsync.Merge(statuses, c.world.memberNames())
 	if !force.Known || force.InForce != c.world.log.last || force.Live != len(c.world.nodes) {
 		c.violate(BrokenCalm, "in force %d of %d, known %v, live %d of %d", force.InForce, c.world.log.last, force.Known, force.Live, len(c.world.nodes))
 	}
--- a/lab/follow/clock.go
+++ b/simulation/followers/clock.go
@@ -1,4 +1,4 @@
-package follow
+package followers
 
 import (
 	"container/heap"
--- a/lab/follow/member.go
+++ b/simulation/followers/member.go
@@ -1,11 +1,11 @@
-package follow
+package followers
 
 import (
 	"fmt"
 	"slices"
 	"time"
 
-	"harehook.dev/harehook/follow"
+	"harehook.dev/harehook/configsync"
 	"harehook.dev/harehook/records"
 )
 
@@ -16,7 +16,7 @@
 	store    *records.Store
 	applied  int // entries of the log
 	floor    uint64
-	server   *follow.Server // nil while it is down
+	server   *configsync.Server // nil while it is down
 	sessions []*session
 	cut      bool          // no message passes between it and any follower
 	lagging  bool          // it gets no entries
@@ -25,7 +25,7 @@
 
 // start begins to serve, as after a crash.
 func (m *member) start() {
-	m.server = follow.NewServer(m.name, m.source(), limits(m.world.setup.Planted), m.world.clock.now())
+	m.server = configsync.NewServer(m.name, m.source(), limits(m.world.setup.Planted), m.world.clock.now())
 	m.catchUp(len(m.world.log.entries))
 }
 
--- a/lab/follow/node.go
+++ b/simulation/followers/node.go
@@ -1,4 +1,4 @@
-package follow
+package followers
 
 import (
 	"errors"
@@ -8,7 +8,7 @@
 
 	discoveryv3 "github.com/envoyproxy/go-control-plane/envoy/service/discovery/v3"
 
-	"harehook.dev/harehook/follow"
+	"harehook.dev/harehook/configsync"
 	"harehook.dev/harehook/records"
 )
 
@@ -18,8 +18,8 @@
 	name     string
 	scope    records.Scope
 	process  int // counts its restarts
-	machine  *follow.Follower
-	backoff  *follow.Backoff
+	machine  *configsync.Follower
+	backoff  *configsync.Backoff
 	session  *session // nil while it has none
 	heardAt  time.Duration
 	away     bool
@@ -36,7 +36,7 @@
 	n.process++
 	n.highest = 0
 	n.begin()
-	n.backoff = follow.NewBackoff(n.world.memberNames(), n.world.random.Uint64())
+	n.backoff = configsync.NewBackoff(n.world.memberNames(), n.world.random.Uint64())
 	n.away = false
 	n.tick(n.process)
 	n.connectAfter(n.world.drawUpTo(500 * time.Millisecond))
@@ -45,7 +45,7 @@
 // begin makes the machine, which holds nothing.
 func (n *node) begin() {
 	refuse := rand.New(rand.NewPCG(n.world.random.Uint64(), 0))
-	n.machine = follow.NewFollower(n.name, n.scope, n.lease(), func(uint64, map[records.Key]*records.Record) error {
+	n.machine = configsync.NewFollower(n.name, n.scope, n.lease(), func(uint64, map[records.Key]*records.Record) error {
 		if n.refuses && refuse.IntN(2) == 0 {
 			return errDrawn
 		}
--- a/lab/follow/session.go
+++ b/simulation/followers/session.go
@@ -1,4 +1,4 @@
-package follow
+package followers
 
 import (
 	"slices"
@@ -6,7 +6,7 @@
 
 	discoveryv3 "github.com/envoyproxy/go-control-plane/envoy/service/discovery/v3"
 
-	"harehook.dev/harehook/follow"
+	"harehook.dev/harehook/configsync"
 )
 
 // direction carries the messages of a connection one way: late, in order, and after a loss none any more.
@@ -36,8 +36,8 @@
 type session struct {
 	follower   *node
 	member     *member
-	server     *follow.Server // of the member's process that it is a connection to
-	stream     *follow.Stream
+	server     *configsync.Server // of the member's process that it is a connection to
+	stream     *configsync.Stream
 	atMember   bool // the member takes it for open
 	toMember   direction
 	toFollower direction
@@ -125,7 +125,7 @@
 
 // spoil adds a record to what tells of a revision only, as the planted fault has it.
 func spoil(planted Planted, response *discoveryv3.DeltaDiscoveryResponse) {
-	content := follow.ContentOf(response)
+	content := configsync.ContentOf(response)
 	progress := response.GetNonce() != "" && !content.Whole && content.Records == 0
 	if planted == PlantedTalksToAll && progress {
 		response.RemovedResources = append(response.RemovedResources, "route/of-others")
--- a/lab/follow/setup.go
+++ b/simulation/followers/setup.go
@@ -1,13 +1,13 @@
 // Package follow simulates followers of a group on a clock of its own: the machines of package follow and the records
 // of package records are the real ones; the network, the group's log and the faults are drawn from a seed. One seed is
 // one run, byte for byte. Checkers beside it say what must never be.
-package follow
+package followers
 
 import (
 	"fmt"
 	"time"
 
-	"harehook.dev/harehook/follow"
+	"harehook.dev/harehook/configsync"
 )
 
 // Setup is what a run is played with.
@@ -102,8 +102,8 @@
 }
 
 // limits are those of the members: a small allowance, so that crowds do wait for it.
-func limits(planted Planted) follow.Limits {
-	chosen := follow.Limits{Lease: 3 * time.Second, MaxStreams: 200, WholeRate: 5 << 10, WholeBurst: 5 << 10, RefusedWait: 4 * time.Second}
+func limits(planted Planted) configsync.Limits {
+	chosen := configsync.Limits{Lease: 3 * time.Second, MaxStreams: 200, WholeRate: 5 << 10, WholeBurst: 5 << 10, RefusedWait: 4 * time.Second}
 	if planted == PlantedNeverAgain {
 		chosen.RefusedWait = time.Hour
 	}
--- a/lab/lab_test.go
+++ b/simulation/lab_test.go
@@ -1,4 +1,4 @@
-package lab
+package simulation
 
 import (
 	"fmt"
--- a/lab/network.go
+++ b/simulation/network.go
@@ -1,4 +1,4 @@
-package lab
+package simulation
 
 import (
 	"go.etcd.io/raft/v3/raftpb"
--- a/lab/sidecars.go
+++ b/simulation/sidecars.go
@@ -1,4 +1,4 @@
-package lab
+package simulation
 
 const (
 	lookEvery = 7  // ticks between two looks of a sidecar at a member
--- a/lab/world.go
+++ b/simulation/world.go
@@ -1,7 +1,7 @@
 // Package lab plays the project's own machines on a clock of its own: members of a group, their disks, a network that
 // delays, loses, doubles, reorders and cuts, operators and sidecars. One seed is one run, byte for byte. Checkers
 // beside it say what must never be.
-package lab
+package simulation
 
 import (
 	"math/rand/v2"
--- a/xds/compile.go
+++ b/xds/compile.go
@@ -21,8 +21,8 @@
 	"google.golang.org/protobuf/types/known/structpb"
 	"google.golang.org/protobuf/types/known/wrapperspb"
 
-	"harehook.dev/harehook/brain"
-	"harehook.dev/harehook/conductor"
+	"harehook.dev/harehook/controller"
+	"harehook.dev/harehook/planner"
 )
 
 // Names that conductors and sidecars share.
@@ -82,7 +82,7 @@
 
 type level struct {
 	part  float64
-	tries brain.Tries
+	tries planner.Tries
 }
 
 // NewCompiler makes one for some routes.
@@ -110,19 +110,19 @@
 }
 
 // Take takes orders in; it gives the tables that may have changed.
-func (c *Compiler) Take(batch []conductor.Order) (touched map[int]bool) {
+func (c *Compiler) Take(batch []controller.Order) (touched map[int]bool) {
 	touched = map[int]bool{}
 	for _, o := range batch {
 		switch o.Kind {
-		case conductor.SetLine:
+		case controller.SetLine:
 			t := c.table(o.Table)
 			if t.lines[o.Node] = o.Figure; o.Figure <= 0 {
 				delete(t.lines, o.Node)
 			}
 			touched[o.Table] = true
-		case conductor.SetLevel:
+		case controller.SetLevel:
 			into := c.levels
-			if o.Table != brain.AllTables {
+			if o.Table != planner.AllTables {
 				into = c.table(o.Table).levels
 				touched[o.Table] = true
 			} else {
@@ -131,7 +131,7 @@
 				}
 			}
 			into[o.Route] = level{o.Figure, o.Tries}
-		case conductor.Bind:
+		case controller.Bind:
 			c.table(o.Table)
 		}
 	}
@@ -267,13 +267,13 @@
 	case set:
 		return own
 	}
-	return level{part: 1, tries: brain.NoRetry}
+	return level{part: 1, tries: planner.NoRetry}
 }
 
 // retries are the further tries. Only those after proof that the first never ran exist: they are safe on every
 // route, and a mutating one can get no other by construction.
-func retries(tries brain.Tries) *routev3.RetryPolicy {
-	if tries != brain.RetryUnsent {
+func retries(tries planner.Tries) *routev3.RetryPolicy {
+	if tries != planner.RetryUnsent {
 		return nil
 	}
 	return &routev3.RetryPolicy{RetryOn: RetryUnsent, NumRetries: wrapperspb.UInt32(1),
--- a/xds/same_test.go
+++ b/xds/same_test.go
@@ -11,9 +11,9 @@
 
 	discoveryv3 "github.com/envoyproxy/go-control-plane/envoy/service/discovery/v3"
 
-	"harehook.dev/harehook/brain"
-	"harehook.dev/harehook/conductor"
-	"harehook.dev/harehook/protocol"
+	"harehook.dev/harehook/controller"
+	"harehook.dev/harehook/planner"
+	"harehook.dev/harehook/platform/wire"
 	"harehook.dev/harehook/sidecar"
 	"harehook.dev/harehook/xds"
 )
@@ -21,12 +21,12 @@
 // twin is one module whose orders go both ways: as calls to a relay that carries them out, and as versions to sidecars.
 type twin struct {
 	t      *testing.T
-	module *brain.Conductor
+	module *planner.Conductor
 	now    float64
 	wakeAt float64
-	batch  []conductor.Order
+	batch  []controller.Order
 
-	calls  protocol.Calls // the platform's way
+	calls  wire.Calls // the platform's way
 	tables map[int]map[string]float64
 	bound  map[int]int
 	levels map[string]string
@@ -39,17 +39,17 @@
 }
 
 func (w *twin) Bind(proxy, table int) {
-	w.batch = append(w.batch, conductor.Order{Kind: conductor.Bind, Proxy: proxy, Table: table})
+	w.batch = append(w.batch, controller.Order{Kind: controller.Bind, Proxy: proxy, Table: table})
 }
 func (w *twin) SetLine(table int, node uint32, weight float64) {
-	w.batch = append(w.batch, conductor.Order{Kind: conductor.SetLine, Table: table, Node: fmt.Sprint("s-", node), Figure: weight})
+	w.batch = append(w.batch, controller.Order{Kind: controller.SetLine, Table: table, Node: fmt.Sprint("s-", node), Figure: weight})
 }
-func (w *twin) SetLevel(table int, route brain.RouteID, level float64, tries brain.Tries) {
-	w.batch = append(w.batch, conductor.Order{Kind: conductor.SetLevel, Table: table, Route: []string{"quote", "issue"}[route],
+func (w *twin) SetLevel(table int, route planner.RouteID, level float64, tries planner.Tries) {
+	w.batch = append(w.batch, controller.Order{Kind: controller.SetLevel, Table: table, Route: []string{"quote", "issue"}[route],
 		Figure: level, Tries: tries})
 }
 func (w *twin) RequestAck(nonce int) {
-	w.batch = append(w.batch, conductor.Order{Kind: conductor.RequestAck, Nonce: nonce})
+	w.batch = append(w.batch, controller.Order{Kind: controller.RequestAck, Nonce: nonce})
 }
 func (w *twin) Wake(at float64) { w.wakeAt = at }
 func (w *twin) Subscribe()      {}
@@ -189,15 +189,15 @@
 		compiler := xds.NewCompiler([]xds.Route{{Name: "quote", Prefix: "/quote", TimeLimit: time.Second},
 			{Name: "issue", Prefix: "/issue", Mutating: true, TimeLimit: time.Second}}, time.Second)
 		w.server = xds.NewServer(compiler, w, proxies)
-		var rows []brain.Row
+		var rows []planner.Row
 		for n := range uint32(nodes) {
 			zone := []string{"north", "south"}[n%2]
 			compiler.Place(fmt.Sprint("s-", n), zone, xds.Address{Host: "127.0.0.1", Port: 1000 + n})
-			rows = append(rows, brain.Row{Node: n, Zone: int(n % 2), Condition: brain.Ready})
+			rows = append(rows, planner.Row{Node: n, Zone: int(n % 2), Condition: planner.Ready})
 		}
-		w.module = brain.New(w, brain.Site{Seed: seed, Zones: 2, Kinds: 1, Conductors: 1, Proxies: proxies, AskWithin: 10, Utilization: -1,
-			Backlog: -1, Levels: brain.LevelFraction, Pace: 1e5, Queue: 1e6, Head: 1, MessageSpan: 10, Period: 0.5, Ramp: 8, FallTimes: 4,
-			Routes: []brain.Route{{SLOTime: 1, Importance: 1}, {SLOTime: 1, Importance: 3}}}, 0)
+		w.module = planner.New(w, planner.Site{Seed: seed, Zones: 2, Kinds: 1, Conductors: 1, Proxies: proxies, AskWithin: 10, Utilization: -1,
+			Backlog: -1, Levels: planner.LevelFraction, Pace: 1e5, Queue: 1e6, Head: 1, MessageSpan: 10, Period: 0.5, Ramp: 8, FallTimes: 4,
+			Routes: []planner.Route{{SLOTime: 1, Importance: 1}, {SLOTime: 1, Importance: 3}}}, 0)
 		w.module.ListWhole(0, rows)
 		w.carry()
 		for p := range proxies {
@@ -223,8 +223,8 @@
 			w.now = float64(step) * 0.1
 			if chance.IntN(25) == 0 {
 				k := chance.IntN(nodes)
-				rows[k].Condition = brain.Condition(chance.IntN(3))
-				if rows[k].Condition == brain.Ready {
+				rows[k].Condition = planner.Condition(chance.IntN(3))
+				if rows[k].Condition == planner.Ready {
 					rows[k].Started = w.now
 				}
 				w.module.ListChanged(w.now, rows[k:k+1])
@@ -232,14 +232,14 @@
 			if step%5 == 0 {
 				jam := step/150%2 == 1
 				for n := range uint32(nodes) {
-					s := brain.Sums{Node: n, Ended: 10, Mean: 0.2, Span: 0.5}
+					s := planner.Sums{Node: n, Ended: 10, Mean: 0.2, Span: 0.5}
 					if jam {
 						s.Lost, s.Mean = 6, 1.2
 					}
 					w.module.NodeSums(w.now, s)
 				}
 				for p := range proxies {
-					w.module.RouteUsage(w.now, brain.Usage{Proxy: p, Route: brain.RouteID(chance.IntN(2)), Calls: 10 + chance.IntN(40), Span: 0.5})
+					w.module.RouteUsage(w.now, planner.Usage{Proxy: p, Route: planner.RouteID(chance.IntN(2)), Calls: 10 + chance.IntN(40), Span: 0.5})
 				}
 			}
 			if w.now >= w.wakeAt {
--- a/xds/server.go
+++ b/xds/server.go
@@ -7,7 +7,7 @@
 
 	discoveryv3 "github.com/envoyproxy/go-control-plane/envoy/service/discovery/v3"
 
-	"harehook.dev/harehook/conductor"
+	"harehook.dev/harehook/controller"
 )
 
 const marksMost = 64 // that wait for one sidecar: a later one stands for those before it
@@ -180,14 +180,14 @@
 }
 
 // Carry takes a turn's orders: tables change, sidecars are bound, and all that this concerns get what is due.
-func (s *Server) Carry(now float64, batch []conductor.Order) error {
+func (s *Server) Carry(now float64, batch []controller.Order) error {
 	number := -1
 	concerned, moved := map[int]bool{}, map[int]bool{}
 	for _, o := range batch {
 		switch o.Kind {
-		case conductor.RequestAck:
+		case controller.RequestAck:
 			number = o.Nonce
-		case conductor.Bind:
+		case controller.Bind:
 			if c := s.at(o.Proxy); c != nil {
 				moved[o.Proxy] = !c.bound || c.table != o.Table
 				c.table, c.bound = o.Table, true
--- a/xds/stream_test.go
+++ b/xds/stream_test.go
@@ -14,8 +14,8 @@
 	"google.golang.org/protobuf/proto"
 	"google.golang.org/protobuf/types/known/durationpb"
 
-	"harehook.dev/harehook/brain"
-	"harehook.dev/harehook/conductor"
+	"harehook.dev/harehook/controller"
+	"harehook.dev/harehook/planner"
 )
 
 // thing is a cluster of some content.
@@ -300,8 +300,8 @@
 // A mutating route is never compiled with a further try that could run a call twice, whatever is ordered.
 func TestCompiledTries(t *testing.T) {
 	c := NewCompiler([]Route{{Name: "issue", Prefix: "/issue", Mutating: true, TimeLimit: time.Second}}, time.Second)
-	for tries := range brain.Tries(5) {
-		c.Take([]conductor.Order{{Kind: conductor.SetLevel, Table: 0, Route: "issue", Figure: 0.5, Tries: tries}})
+	for tries := range planner.Tries(5) {
+		c.Take([]controller.Order{{Kind: controller.SetLevel, Table: 0, Route: "issue", Figure: 0.5, Tries: tries}})
 		s, err := c.Snapshot(0)
 		if err != nil {
 			t.Fatal(err)
@@ -312,7 +312,7 @@
 				t.Errorf("tries %d: %s", tries, text)
 			}
 		}
-		if with := strings.Contains(text, RetryUnsent); with != (tries == brain.RetryUnsent) {
+		if with := strings.Contains(text, RetryUnsent); with != (tries == planner.RetryUnsent) {
 			t.Errorf("tries %d: further tries %t", tries, with)
 		}
 	}
@@ -377,8 +377,8 @@
 				continue
 			}
 			if move > 200 {
-				s.Carry(float64(k), []conductor.Order{{Kind: conductor.SetLine, Table: int(move % 2), Node: "n", Figure: float64(move)},
-					{Kind: conductor.Bind, Proxy: int(move % 4), Table: int(move % 2)}, {Kind: conductor.RequestAck, Nonce: k}})
+				s.Carry(float64(k), []controller.Order{{Kind: controller.SetLine, Table: int(move % 2), Node: "n", Figure: float64(move)},
+					{Kind: controller.Bind, Proxy: int(move % 4), Table: int(move % 2)}, {Kind: controller.RequestAck, Nonce: k}})
 			}
 			if move%7 == 0 {
 				nonce = out.last
--- a/front/xds/bench_test.go
+++ b/xds/transport/bench_test.go
@@ -1,4 +1,4 @@
-package xds
+package transport
 
 import (
 	"context"
@@ -16,10 +16,10 @@
 	"google.golang.org/grpc/credentials/insecure"
 	"google.golang.org/protobuf/proto"
 
-	"harehook.dev/harehook/brain"
-	"harehook.dev/harehook/conductor"
+	"harehook.dev/harehook/controller"
+	"harehook.dev/harehook/planner"
+	"harehook.dev/harehook/settings"
 	"harehook.dev/harehook/sidecar"
-	"harehook.dev/harehook/site"
 	machine "harehook.dev/harehook/xds"
 )
 
@@ -27,7 +27,7 @@
 func serve(tb testing.TB, most int) (f *Front, address string) {
 	compiler := machine.NewCompiler([]machine.Route{{Name: "quote", Prefix: "/quote", TimeLimit: time.Second}}, time.Second)
 	f = New(compiler, most, zap.NewNop())
-	f.Core = conductor.New(site.Deployment{Site: brain.Site{Zones: 1, Kinds: 1, Proxies: most, Sliced: true, Routes: []brain.Route{{}}},
+	f.Core = controller.New(settings.Deployment{Site: planner.Site{Zones: 1, Kinds: 1, Proxies: most, Sliced: true, Routes: []planner.Route{{}}},
 		Zones: []string{"north"}, Kinds: []string{"node"}, Routes: []string{"quote"}, Tick: 0.004}, nil, f, zap.NewNop())
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -98,11 +98,11 @@
 					on := conn
 					go c.join(ctx, on, &sidecar.Holder{ID: fmt.Sprint("till-", k), Zone: "north", Delta: delta})
 				}
-				batch := []conductor.Order{{Kind: conductor.SetLevel, Table: brain.AllTables, Route: "quote", Figure: 1}}
+				batch := []controller.Order{{Kind: controller.SetLevel, Table: planner.AllTables, Route: "quote", Figure: 1}}
 				for n := range nodes {
 					name := fmt.Sprint("node-", n)
 					f.Place([]Node{{Name: name, Zone: "north", Address: machine.Address{Host: "10.0.0.1", Port: uint32(1000 + n)}}})
-					batch = append(batch, conductor.Order{Kind: conductor.SetLine, Node: name, Figure: 1})
+					batch = append(batch, controller.Order{Kind: controller.SetLine, Node: name, Figure: 1})
 				}
 				held := func() (n int) {
 					f.ask(func() {
@@ -118,9 +118,9 @@
 					time.Sleep(10 * time.Millisecond)
 				}
 				for proxy := range sidecars {
-					batch = append(batch, conductor.Order{Kind: conductor.Bind, Proxy: proxy})
+					batch = append(batch, controller.Order{Kind: controller.Bind, Proxy: proxy})
 				}
-				f.Carry(append(batch, conductor.Order{Kind: conductor.RequestAck, Nonce: 1}))
+				f.Carry(append(batch, controller.Order{Kind: controller.RequestAck, Nonce: 1}))
 				for held() < sidecars {
 					time.Sleep(10 * time.Millisecond)
 				}
@@ -132,8 +132,8 @@
 				for b.Loop() {
 					pushes++
 					want := c.answers.Load() + int64(sidecars)
-					f.Carry([]conductor.Order{{Kind: conductor.SetLine, Node: "node-7", Figure: 1 + float64(pushes%2)},
-						{Kind: conductor.RequestAck, Nonce: 1 + pushes%60000}})
+					f.Carry([]controller.Order{{Kind: controller.SetLine, Node: "node-7", Figure: 1 + float64(pushes%2)},
+						{Kind: controller.RequestAck, Nonce: 1 + pushes%60000}})
 					for c.answers.Load() < want {
 						time.Sleep(100 * time.Microsecond)
 					}
--- a/front/xds/front.go
+++ b/xds/transport/front.go
@@ -1,6 +1,6 @@
 // Package xds drives the machines of xDS over gRPC for installations other than the platform: sidecars connect to it,
 // it tells the core of them and of what they met, and has the core's orders reach them as versions.
-package xds
+package transport
 
 import (
 	"context"
@@ -22,7 +22,7 @@
 	"google.golang.org/grpc/keepalive"
 	"google.golang.org/grpc/status"
 
-	"harehook.dev/harehook/conductor"
+	"harehook.dev/harehook/controller"
 	machine "harehook.dev/harehook/xds"
 )
 
@@ -39,7 +39,7 @@
 
 // Front serves sidecars. It is the core's carrier.
 type Front struct {
-	Core   *conductor.Core
+	Core   *controller.Core
 	Server *machine.Server
 	Secure credentials.TransportCredentials // nil: none
 	Report time.Duration                    // between two load reports of a sidecar
@@ -53,7 +53,7 @@
 	streams map[uint64]*stream // the hub's
 	ids     atomic.Uint64
 	lock    sync.Mutex
-	queue   [][]conductor.Order // batches that the hub has not taken yet
+	queue   [][]controller.Order // batches that the hub has not taken yet
 	more    chan struct{}
 
 	Unreadable, Unknown atomic.Uint64 // requests that were no such thing, reports of what is not known
@@ -80,7 +80,7 @@
 
 // Carry implements conductor.Carrier. All that is ordered is kept until sidecars hold it, so a mark's call counts as
 // taken at once.
-func (f *Front) Carry(batch []conductor.Order) {
+func (f *Front) Carry(batch []controller.Order) {
 	f.lock.Lock()
 	f.queue = append(f.queue, batch)
 	f.lock.Unlock()
@@ -137,7 +137,7 @@
 					f.Log.Error("orders that make no resources", zap.Error(err))
 				}
 				for _, o := range batch {
-					if o.Kind == conductor.RequestAck {
+					if o.Kind == controller.RequestAck {
 						f.Core.OrdersTaken(o.Nonce)
 					}
 				}
@@ -365,7 +365,7 @@
 // take tells the core what a sidecar met. A figure that can't be loses its own line only.
 func (f *Front) take(id string, r *loadv3.LoadStatsRequest) {
 	lines := 0
-	var sums []conductor.Sums
+	var sums []controller.Sums
 	type usage struct {
 		route string
 		calls int
@@ -385,7 +385,7 @@
 					f.Unreadable.Add(1)
 					return
 				}
-				s := conductor.Sums{Ended: count(e.GetTotalIssuedRequests()), Lost: count(e.GetTotalErrorRequests()), Span: span}
+				s := controller.Sums{Ended: count(e.GetTotalIssuedRequests()), Lost: count(e.GetTotalErrorRequests()), Span: span}
 				for _, m := range e.GetLoadMetricStats() {
 					if n := m.GetNumRequestsFinishedWithMetric(); m.GetMetricName() == machine.CallSeconds && n > 0 {
 						s.Mean = m.GetTotalMetricValue() / float64(n)
--- a/front/xds/front_test.go
+++ b/xds/transport/front_test.go
@@ -1,4 +1,4 @@
-package xds
+package transport
 
 import (
 	"context"
@@ -19,8 +19,8 @@
 	"google.golang.org/grpc/status"
 	"google.golang.org/protobuf/types/known/durationpb"
 
-	"harehook.dev/harehook/brain"
-	"harehook.dev/harehook/conductor"
+	"harehook.dev/harehook/controller"
+	"harehook.dev/harehook/planner"
 	"harehook.dev/harehook/sidecar"
 	machine "harehook.dev/harehook/xds"
 )
@@ -80,11 +80,11 @@
 
 // table gives all sidecars a table of some nodes.
 func table(f *Front, sidecars, nodes int) {
-	batch := []conductor.Order{{Kind: conductor.SetLevel, Table: brain.AllTables, Route: "quote", Figure: 1}}
+	batch := []controller.Order{{Kind: controller.SetLevel, Table: planner.AllTables, Route: "quote", Figure: 1}}
 	for n := range nodes {
 		name := fmt.Sprint("node-", n)
 		f.Place([]Node{{Name: name, Zone: "north", Address: machine.Address{Host: "127.0.0.1", Port: uint32(1000 + n)}}})
-		batch = append(batch, conductor.Order{Kind: conductor.SetLine, Node: name, Figure: 1})
+		batch = append(batch, controller.Order{Kind: controller.SetLine, Node: name, Figure: 1})
 	}
 	f.Carry(batch)
 	bindAll(f, sidecars, 1)
@@ -92,11 +92,11 @@
 
 // bindAll binds those that joined, as the module does when they do.
 func bindAll(f *Front, sidecars, mark int) {
-	var batch []conductor.Order
+	var batch []controller.Order
 	for proxy := range sidecars {
-		batch = append(batch, conductor.Order{Kind: conductor.Bind, Proxy: proxy})
+		batch = append(batch, controller.Order{Kind: controller.Bind, Proxy: proxy})
 	}
-	f.Carry(append(batch, conductor.Order{Kind: conductor.RequestAck, Nonce: mark}))
+	f.Carry(append(batch, controller.Order{Kind: controller.RequestAck, Nonce: mark}))
 }
 
 // Hundreds of sidecars of both variants lose their streams at once, again and again, while tables change: all are back
@@ -125,7 +125,7 @@
 			table(f, sidecars, 20)
 		} else {
 			if round%2 == 0 {
-				f.Carry([]conductor.Order{{Kind: conductor.SetLine, Node: "node-1", Figure: float64(round)}})
+				f.Carry([]controller.Order{{Kind: controller.SetLine, Node: "node-1", Figure: float64(round)}})
 			}
 			bindAll(f, sidecars, round+1)
 		}
--- a/front/xds/members.go
+++ b/xds/transport/members.go
@@ -1,4 +1,4 @@
-package xds
+package transport
 
 import (
 	"context"
@@ -18,7 +18,7 @@
 	"google.golang.org/grpc/keepalive"
 	"google.golang.org/protobuf/proto"
 
-	"harehook.dev/harehook/brain"
+	"harehook.dev/harehook/planner"
 	machine "harehook.dev/harehook/xds"
 )
 
@@ -32,7 +32,7 @@
 // Listed is a node of a list that another service keeps.
 type Listed struct {
 	Node
-	Condition brain.Condition
+	Condition planner.Condition
 	Weight    float64
 }
 
@@ -123,7 +123,7 @@
 			return nil, fmt.Errorf("zone %q is not known", zone)
 		}
 		for _, e := range local.GetLbEndpoints() {
-			one := Listed{Weight: 1, Condition: brain.Ready, Node: Node{Name: e.GetEndpoint().GetHostname(), Zone: zone,
+			one := Listed{Weight: 1, Condition: planner.Ready, Node: Node{Name: e.GetEndpoint().GetHostname(), Zone: zone,
 				Address: machine.AddressOf(e.GetEndpoint().GetAddress())}}
 			if one.Name == "" {
 				one.Name = fmt.Sprintf("%s:%d", one.Address.Host, one.Address.Port)
@@ -142,7 +142,7 @@
 			}
 			switch e.GetHealthStatus() {
 			case corev3.HealthStatus_DRAINING:
-				one.Condition = brain.Draining
+				one.Condition = planner.Draining
 			case corev3.HealthStatus_UNHEALTHY, corev3.HealthStatus_TIMEOUT:
 				continue // as though it were not listed: the service knows that it is down
 			default:
--- a/front/xds/members_test.go
+++ b/xds/transport/members_test.go
@@ -1,4 +1,4 @@
-package xds
+package transport
 
 import (
 	"context"
@@ -15,7 +15,7 @@
 	"google.golang.org/grpc"
 	"google.golang.org/protobuf/types/known/anypb"
 
-	"harehook.dev/harehook/brain"
+	"harehook.dev/harehook/planner"
 	machine "harehook.dev/harehook/xds"
 )
 
@@ -113,7 +113,7 @@
 		return len(l.said) >= 9
 	})
 	l.lock.Lock()
-	if diff := cmp.Diff([]string{fmt.Sprintf("v1 a%d b%d", brain.Ready, brain.Draining), fmt.Sprintf("v7 127.0.0.1:9%d", brain.Ready)}, taken); diff != "" {
+	if diff := cmp.Diff([]string{fmt.Sprintf("v1 a%d b%d", planner.Ready, planner.Draining), fmt.Sprintf("v7 127.0.0.1:9%d", planner.Ready)}, taken); diff != "" {
 		t.Errorf("taken:\n%s", diff)
 	}
 	if diff := cmp.Diff([]string{`[tickets] has "": `, `[tickets] has "v1": `, `[tickets] has "v1": zone "moon" is not known`,
--- a/front/xds/refuse_test.go
+++ b/xds/transport/refuse_test.go
@@ -1,4 +1,4 @@
-package xds
+package transport
 
 import (
 	"context"
@@ -14,7 +14,7 @@
 	"google.golang.org/grpc"
 	"google.golang.org/protobuf/types/known/anypb"
 
-	"harehook.dev/harehook/conductor"
+	"harehook.dev/harehook/controller"
 	"harehook.dev/harehook/sidecar"
 	machine "harehook.dev/harehook/xds"
 )
@@ -98,8 +98,8 @@
 	until(t, "all joined", func() bool { return known(f) == sidecars })
 	table(f, sidecars, 20)
 	for n := range pushes {
-		f.Carry([]conductor.Order{{Kind: conductor.SetLine, Node: fmt.Sprint("node-", chance.IntN(20)), Figure: chance.Float64()},
-			{Kind: conductor.RequestAck, Nonce: n + 2}})
+		f.Carry([]controller.Order{{Kind: controller.SetLine, Node: fmt.Sprint("node-", chance.IntN(20)), Figure: chance.Float64()},
+			{Kind: controller.RequestAck, Nonce: n + 2}})
 		f.ask(func() {})
 		time.Sleep(4 * time.Millisecond) // only a pace: streams bring the newest state
 		if k := chance.IntN(sidecars); n%3 == 0 {
@@ -114,16 +114,16 @@
 	bindAll(f, sidecars, pushes+10)
 	until(t, "all settle but for what they refuse", func() bool {
 		n := 0
-		var joins []conductor.Order // a stream that was cut may count for a while: its successor then joins after that
+		var joins []controller.Order // a stream that was cut may count for a while: its successor then joins after that
 		defer func() {
 			if len(joins) > 0 {
-				f.Carry(append(joins, conductor.Order{Kind: conductor.RequestAck, Nonce: pushes + 10})) // as the module binds who joins
+				f.Carry(append(joins, controller.Order{Kind: controller.RequestAck, Nonce: pushes + 10})) // as the module binds who joins
 			}
 		}()
 		f.ask(func() {
 			for _, s := range f.Server.Sidecars(f.now()) {
 				if s.Joined && !s.Bound {
-					joins = append(joins, conductor.Order{Kind: conductor.Bind, Proxy: s.Number})
+					joins = append(joins, controller.Order{Kind: controller.Bind, Proxy: s.Number})
 				}
 				held, refuses := s.Bound && len(s.Standings) > 0, false
 				for _, st := range s.Standings {
--- a/front/xds/status.go
+++ b/xds/transport/status.go
@@ -1,4 +1,4 @@
-package xds
+package transport
 
 import (
 	"context"
--- a/xds/xds_test.go
+++ b/xds/xds_test.go
@@ -12,8 +12,8 @@
 	"google.golang.org/protobuf/proto"
 	"google.golang.org/protobuf/types/known/anypb"
 
-	"harehook.dev/harehook/brain"
-	"harehook.dev/harehook/conductor"
+	"harehook.dev/harehook/controller"
+	"harehook.dev/harehook/planner"
 	"harehook.dev/harehook/sidecar"
 	"harehook.dev/harehook/xds"
 )
@@ -92,21 +92,21 @@
 		compiler.Place(fmt.Sprint("s-", n), "north", xds.Address{Host: "127.0.0.1", Port: uint32(9000 + n)})
 	}
 	w.server = xds.NewServer(compiler, w, 100)
-	var batch []conductor.Order
+	var batch []controller.Order
 	for _, route := range []string{"quote", "issue"} {
-		batch = append(batch, conductor.Order{Kind: conductor.SetLevel, Table: brain.AllTables, Route: route, Figure: 1,
-			Tries: brain.RetryUnsent})
+		batch = append(batch, controller.Order{Kind: controller.SetLevel, Table: planner.AllTables, Route: route, Figure: 1,
+			Tries: planner.RetryUnsent})
 	}
 	for table := range 2 {
-		batch = append(batch, conductor.Order{Kind: conductor.SetLine, Table: table, Node: fmt.Sprint("s-", table), Figure: 1})
+		batch = append(batch, controller.Order{Kind: controller.SetLine, Table: table, Node: fmt.Sprint("s-", table), Figure: 1})
 	}
 	w.marks++
 	w.carry(batch)
 }
 
-func (w *world) carry(batch []conductor.Order) {
+func (w *world) carry(batch []controller.Order) {
 	w.pushes++
-	if err := w.server.Carry(w.now, append(batch, conductor.Order{Kind: conductor.RequestAck, Nonce: w.marks})); err != nil {
+	if err := w.server.Carry(w.now, append(batch, controller.Order{Kind: controller.RequestAck, Nonce: w.marks})); err != nil {
 		w.t.Fatal(err)
 	}
 }
@@ -271,12 +271,12 @@
 
 // bind puts those that joined on a table, as the module does.
 func (w *world) bind() {
-	var batch []conductor.Order
+	var batch []controller.Order
 	for proxy := range len(w.holders) {
 		if w.joined[proxy] {
 			delete(w.joined, proxy)
 			w.on[proxy] = true
-			batch = append(batch, conductor.Order{Kind: conductor.Bind, Proxy: proxy, Table: proxy % 2})
+			batch = append(batch, controller.Order{Kind: controller.Bind, Proxy: proxy, Table: proxy % 2})
 		}
 	}
 	if len(batch) > 0 {
@@ -294,19 +294,19 @@
 	case 0: // the first two stay, one a table: no one is left without a node
 		if node > 1 {
 			w.drained[cluster+" "+name] = w.marks
-			w.carry([]conductor.Order{{Kind: conductor.SetLine, Table: table, Node: name}})
+			w.carry([]controller.Order{{Kind: controller.SetLine, Table: table, Node: name}})
 			return
 		}
 		fallthrough
 	case 1, 2:
 		delete(w.drained, cluster+" "+name)
-		w.carry([]conductor.Order{{Kind: conductor.SetLine, Table: table, Node: name, Figure: 0.1 + w.chance.Float64()}})
+		w.carry([]controller.Order{{Kind: controller.SetLine, Table: table, Node: name, Figure: 0.1 + w.chance.Float64()}})
 	case 3, 4:
-		w.carry([]conductor.Order{{Kind: conductor.SetLevel, Table: brain.AllTables, Route: "issue",
-			Figure: w.chance.Float64(), Tries: brain.Tries(w.chance.IntN(2))}})
+		w.carry([]controller.Order{{Kind: controller.SetLevel, Table: planner.AllTables, Route: "issue",
+			Figure: w.chance.Float64(), Tries: planner.Tries(w.chance.IntN(2))}})
 	case 5: // a sidecar moves to the other table
 		if proxy := w.chance.IntN(len(w.holders)); w.bound(proxy) {
-			w.carry([]conductor.Order{{Kind: conductor.Bind, Proxy: proxy, Table: table}})
+			w.carry([]controller.Order{{Kind: controller.Bind, Proxy: proxy, Table: table}})
 		}
 	}
 }
