--- a/controller/conductor.go
+++ b/controller/conductor.go
@@ -33,31 +33,31 @@
 	readyWithin = 5 * time.Second
 )
 
-// Carrier takes the orders of a turn. It must not block and keeps the order of batches.
-type Carrier interface {
-	Carry(batch []Order)
+// CommandSink takes the orders of a turn. It must not block and keeps the order of batches.
+type CommandSink interface {
+	Enqueue(batch []Command)
 }
 
-// Core is a conductor that is told names and real times.
-type Core struct {
-	Refused Refused
+// Controller is a conductor that is told names and real times.
+type Controller struct {
+	Unknown UnknownNames
 
 	inbox   chan func()
 	done    chan struct{}
 	ready   chan struct{} // closed once the module knows the list, or has waited for it for long enough
-	carrier Carrier
+	carrier CommandSink
 	log     *zap.Logger
 	tick    time.Duration
 
 	// All below belongs to Run's goroutine.
-	module      *planner.Conductor
-	sums        planner.Sums // handed to the module, used again
+	module      *planner.Planner
+	sums        planner.LoadReport // handed to the module, used again
 	began       time.Time
 	unix        float64 // s; the Unix time of began, taken once
 	wall        func() time.Time
 	now         float64 // of the turn under way
 	wakeAt      float64
-	batch       []Order
+	batch       []Command
 	zones       map[string]int
 	kinds       map[string]int
 	routes      map[string]int
@@ -78,40 +78,40 @@
 	turning     atomic.Bool  // the module is being told something
 }
 
-// Refused counts what was told that neither the settings nor the list know.
-type Refused struct {
+// UnknownNames counts what was told that neither the settings nor the list know.
+type UnknownNames struct {
 	Proxies, Zones, Routes, Nodes atomic.Uint64
 }
 
 // New makes a core whose module knows the list as it was last known. Its first orders leave with Run.
-func New(d settings.Deployment, known []Entry, carrier Carrier, log *zap.Logger) *Core {
+func New(d settings.Deployment, known []Endpoint, carrier CommandSink, log *zap.Logger) *Controller {
 	began := time.Now()
-	c := &Core{
+	c := &Controller{
 		inbox:       make(chan func(), inboxSize),
 		done:        make(chan struct{}),
 		ready:       make(chan struct{}),
 		carrier:     carrier,
 		log:         log,
-		tick:        time.Duration(d.Tick * float64(time.Second)),
+		tick:        time.Duration(d.EventInterval * float64(time.Second)),
 		began:       began,
 		unix:        unix(began),
 		wall:        time.Now,
 		wakeAt:      math.Inf(1),
 		zones:       byName(d.Zones),
-		kinds:       byName(d.Kinds),
+		kinds:       byName(d.MachineTypes),
 		routes:      byName(d.Routes),
-		reports:     d.Reports,
+		reports:     d.ReportValues,
 		every:       d.Routes,
 		id:          map[string]uint32{},
 		gone:        map[uint32]float64{},
-		proxies:     cmp.Or(d.Site.Proxies, settings.NumberMost),
+		proxies:     cmp.Or(d.Planner.Proxies, settings.MaxProxies),
 		joined:      map[int]bool{},
 		unconfirmed: map[int]bool{},
 	}
 	c.now = c.clock()
-	c.module = planner.New(host{c}, d.Site, c.now)
+	c.module = planner.New(host{c}, d.Planner, c.now)
 	if len(known) > 0 {
-		c.list(known, c.module.ListWhole)
+		c.list(known, c.module.ReplaceEndpoints)
 	}
 	return c
 }
@@ -127,11 +127,11 @@
 func unix(t time.Time) float64 { return float64(t.UnixNano()) / float64(time.Second) }
 
 // clock is Unix time that only moves forward: taken once, then by the monotonic clock.
-func (c *Core) clock() float64 { return c.unix + time.Since(c.began).Seconds() }
+func (c *Controller) clock() float64 { return c.unix + time.Since(c.began).Seconds() }
 
 // Run owns the module until ctx ends. Turns are at least a tick apart: what comes in meanwhile is one turn,
 // and its orders one message for each proxy.
-func (c *Core) Run(ctx context.Context) {
+func (c *Controller) Run(ctx context.Context) {
 	defer close(c.done)
 	timer := time.NewTimer(0)
 	defer timer.Stop()
@@ -169,7 +169,7 @@
 }
 
 // turn tells the module all that has come in and hands its orders on.
-func (c *Core) turn(first func()) {
+func (c *Controller) turn(first func()) {
 	invariant.Holds(c.turning.CompareAndSwap(false, true), "one goroutine owns the module")
 	defer c.turning.Store(false)
 	if first != nil {
@@ -186,60 +186,60 @@
 	}
 	if c.now >= c.wakeAt {
 		c.wakeAt = math.Inf(1)
-		c.module.Tick(c.now)
+		c.module.Step(c.now)
 	}
 	c.flush()
 }
 
-func (c *Core) until(at float64) time.Duration {
+func (c *Controller) until(at float64) time.Duration {
 	if math.IsInf(at, 1) {
 		return time.Hour
 	}
 	return time.Duration(max(0, at-c.clock()) * float64(time.Second))
 }
 
-func (c *Core) flush() {
+func (c *Controller) flush() {
 	if len(c.batch) > 0 {
-		c.carrier.Carry(c.batch)
+		c.carrier.Enqueue(c.batch)
 		c.batch = nil // the carrier's now
 	}
 }
 
 // enqueue puts a happening into the inbox. It waits while that is full and gives up when Run has ended.
-func (c *Core) enqueue(f func()) {
+func (c *Controller) enqueue(f func()) {
 	select {
 	case c.inbox <- f:
 	case <-c.done:
 	}
 }
 
-// Zone tells whether the settings know a zone, from any goroutine.
-func (c *Core) Zone(name string) bool {
+// KnowsZone tells whether the settings know a zone, from any goroutine.
+func (c *Controller) KnowsZone(name string) bool {
 	_, known := c.zones[name] // never written after New
 	return known
 }
 
 // Ready is closed once the conductor may be used: it knows a node, or that there are none, or no list has come in a
 // while.
-func (c *Core) Ready() <-chan struct{} { return c.ready }
+func (c *Controller) Ready() <-chan struct{} { return c.ready }
 
-func (c *Core) setReady() {
+func (c *Controller) setReady() {
 	if !c.usable {
 		c.usable = true
 		close(c.ready)
 	}
 }
 
-// Entry is a node as the list has it.
-type Entry struct {
-	Node, Zone, Kind string
-	Condition        planner.Condition
-	Weight           float64
-	Started          float64 // Unix time in s, 0: long past
+// Endpoint is a node as the list has it.
+type Endpoint struct {
+	Node, Zone, MachineType string
+	State                   planner.EndpointState
+	Weight                  float64
+	StartTime               float64 // Unix time in s, 0: long past
 }
 
-// ListWhole brings the complete list.
-func (c *Core) ListWhole(entries []Entry) {
+// ReplaceEndpoints brings the complete list.
+func (c *Controller) ReplaceEndpoints(entries []Endpoint) {
 	c.enqueue(func() {
 		listed := make(map[string]bool, len(entries))
 		for _, e := range entries {
@@ -250,32 +250,32 @@
 				c.gone[id] = c.now
 			}
 		}
-		c.list(entries, c.module.ListWhole)
+		c.list(entries, c.module.ReplaceEndpoints)
 		c.setReady()
 	})
 }
 
-// ListChanged brings the entries that are new or other than before.
-func (c *Core) ListChanged(entries []Entry) {
-	c.enqueue(func() { c.list(entries, c.module.ListChanged) })
+// UpdateEndpoints brings the entries that are new or other than before.
+func (c *Controller) UpdateEndpoints(entries []Endpoint) {
+	c.enqueue(func() { c.list(entries, c.module.UpdateEndpoints) })
 }
 
-// ListFailed says that the list's service could not be asked.
-func (c *Core) ListFailed() { c.enqueue(func() { c.module.ListFailed(c.now) }) }
+// EndpointWatchFailed says that the list's service could not be asked.
+func (c *Controller) EndpointWatchFailed() { c.enqueue(func() { c.module.EndpointWatchFailed(c.now) }) }
 
-func (c *Core) list(entries []Entry, apply func(float64, []planner.Row)) {
+func (c *Controller) list(entries []Endpoint, apply func(float64, []planner.Endpoint)) {
 	// Machines' clocks may have been set since our start: a node's age counts from what they show when its start is
 	// first told. Its start must not move with them later, or it would pass for another one.
 	step := unix(c.wall()) - c.clock()
-	rows := make([]planner.Row, 0, len(entries))
+	rows := make([]planner.Endpoint, 0, len(entries))
 	var fresh []string // the module's log lines name nodes by number
 	for _, e := range entries {
 		zone, known := c.zones[e.Zone]
-		kind, listed := c.kinds[e.Kind]
+		kind, listed := c.kinds[e.MachineType]
 		if !known || !listed {
-			c.Refused.Zones.Add(1)
+			c.Unknown.Zones.Add(1)
 			c.log.Warn("node of an unknown zone or type", zap.String("node", e.Node),
-				zap.String("zone", e.Zone), zap.String("type", e.Kind))
+				zap.String("zone", e.Zone), zap.String("type", e.MachineType))
 			continue
 		}
 		id, known := c.id[e.Node]
@@ -283,16 +283,16 @@
 			id = c.number(e.Node)
 			fresh = append(fresh, fmt.Sprintf("%d=%s", id, e.Node))
 		}
-		if e.Condition != planner.Gone {
+		if e.State != planner.Removed {
 			delete(c.gone, id)
 		} else if _, already := c.gone[id]; !already {
 			c.gone[id] = c.now
 		}
-		if e.Started != c.listedStart[id] {
-			c.listedStart[id], c.started[id] = e.Started, max(0, e.Started-step)
+		if e.StartTime != c.listedStart[id] {
+			c.listedStart[id], c.started[id] = e.StartTime, max(0, e.StartTime-step)
 		}
-		rows = append(rows, planner.Row{Node: id, Kind: kind, Zone: zone, Weight: e.Weight,
-			Condition: e.Condition, Started: c.started[id]})
+		rows = append(rows, planner.Endpoint{Node: id, MachineType: kind, Zone: zone, Weight: e.Weight,
+			State: e.State, StartTime: c.started[id]})
 	}
 	if len(fresh) > 0 {
 		c.log.Info("nodes listed", zap.Strings("numbers", fresh))
@@ -305,7 +305,7 @@
 }
 
 // number gives a node a number.
-func (c *Core) number(node string) (id uint32) {
+func (c *Controller) number(node string) (id uint32) {
 	if n := len(c.spare); n > 0 {
 		id, c.spare = c.spare[n-1], c.spare[:n-1]
 	} else {
@@ -317,9 +317,9 @@
 }
 
 // forget gives back the numbers of nodes that have been gone for long and that the module has no lines for.
-func (c *Core) forget() {
+func (c *Controller) forget() {
 	for _, id := range slices.Sorted(maps.Keys(c.gone)) {
-		if c.now > c.gone[id]+forgetAfter && c.module.Forget(id) {
+		if c.now > c.gone[id]+forgetAfter && c.module.ReleaseEndpoint(id) {
 			delete(c.id, c.name[id])
 			delete(c.gone, id)
 			c.spare = append(c.spare, id)
@@ -328,11 +328,11 @@
 }
 
 // ProxyJoined says that a proxy's stream stands.
-func (c *Core) ProxyJoined(proxy int, zone string, rate float64) {
+func (c *Controller) ProxyJoined(proxy int, zone string, rate float64) {
 	c.enqueue(func() {
 		z, known := c.zones[zone]
 		if !known || proxy < 0 || proxy >= c.proxies {
-			c.Refused.Proxies.Add(1)
+			c.Unknown.Proxies.Add(1)
 			c.log.Warn("unknown proxy or zone", zap.Int("proxy", proxy), zap.String("zone", zone))
 			return
 		}
@@ -341,7 +341,7 @@
 			return
 		}
 		// What was ordered for an earlier stream of it must not reach this one as though it were new.
-		c.batch = append(c.batch, Order{Kind: Forget, Proxy: proxy})
+		c.batch = append(c.batch, Command{Kind: CancelBind, Proxy: proxy})
 		delete(c.unconfirmed, proxy)
 		c.joined[proxy] = true
 		c.module.ProxyJoined(c.now, proxy, z, rate)
@@ -349,22 +349,22 @@
 }
 
 // ProxyLeft says that a proxy's stream broke.
-func (c *Core) ProxyLeft(proxy int) { c.enqueue(func() { c.left(proxy) }) }
+func (c *Controller) ProxyLeft(proxy int) { c.enqueue(func() { c.left(proxy) }) }
 
-func (c *Core) left(proxy int) {
+func (c *Controller) left(proxy int) {
 	if !c.joined[proxy] {
 		return
 	}
-	c.batch = append(c.batch, Order{Kind: Forget, Proxy: proxy})
+	c.batch = append(c.batch, Command{Kind: CancelBind, Proxy: proxy})
 	delete(c.joined, proxy)
 	delete(c.unconfirmed, proxy)
 	c.module.ProxyLeft(c.now, proxy)
 }
 
-// NewsResumed says that news comes anew. Those that stand are told next, by ProxyJoined. After a gap proxies may
+// ProxyWatchResumed says that news comes anew. Those that stand are told next, by ProxyJoined. After a gap proxies may
 // have left, or left and come back without the table that they were bound to; seamless says that there was none:
 // binding all of them again would fill the channel for seconds.
-func (c *Core) NewsResumed(seamless bool) {
+func (c *Controller) ProxyWatchResumed(seamless bool) {
 	c.enqueue(func() {
 		c.seamless, c.early = seamless, seamless
 		for proxy := range c.joined {
@@ -373,10 +373,10 @@
 	})
 }
 
-// NewsWhole says that all proxies that stood when the news began have been told, and how many stand; it is said
+// ProxyWatchSynced says that all proxies that stood when the news began have been told, and how many stand; it is said
 // again at each sign of life. After a gap the others left in it. Where there was none, the news before may have told
 // of proxies that joined since this one began: it tells of them as well, before its next sign of life.
-func (c *Core) NewsWhole(standing int) {
+func (c *Controller) ProxyWatchSynced(standing int) {
 	c.enqueue(func() {
 		if c.early {
 			c.early = false
@@ -393,65 +393,65 @@
 }
 
 // Acknowledged says that a proxy applied all up to a nonce.
-func (c *Core) Acknowledged(proxy, nonce int) {
+func (c *Controller) Acknowledged(proxy, nonce int) {
 	c.enqueue(func() {
 		if !c.joined[proxy] {
-			c.Refused.Proxies.Add(1)
+			c.Unknown.Proxies.Add(1)
 			return
 		}
 		c.module.Acknowledged(c.now, proxy, nonce)
 	})
 }
 
-// OrdersTaken says that a call with a nonce was answered.
-func (c *Core) OrdersTaken(nonce int) {
-	c.enqueue(func() { c.module.OrdersTaken(c.now, nonce) })
+// CommandsAccepted says that a call with a nonce was answered.
+func (c *Controller) CommandsAccepted(nonce int) {
+	c.enqueue(func() { c.module.CommandsAccepted(c.now, nonce) })
 }
 
-// OrdersRepeated says that a call with a nonce goes out again though it, or its first part, may have been carried
+// CommandsRetried says that a call with a nonce goes out again though it, or its first part, may have been carried
 // out.
-func (c *Core) OrdersRepeated(nonce int, whole bool) {
-	c.enqueue(func() { c.module.OrdersRepeated(c.now, nonce, whole) })
+func (c *Controller) CommandsRetried(nonce int, whole bool) {
+	c.enqueue(func() { c.module.CommandsRetried(c.now, nonce, whole) })
 }
 
-// Sums is what the proxies of a zone met at a node.
-type Sums struct {
-	Node        string
-	Ended, Lost int
-	Mean, Span  float64            // s
-	Report      map[string]float64 // by the settings' names
+// LoadReport is what the proxies of a zone met at a node.
+type LoadReport struct {
+	Node                  string
+	Completed, Failed     int
+	MeanLatency, Interval float64            // s
+	Values                map[string]float64 // by the settings' names
 }
 
-// NodeSums brings such sums.
-func (c *Core) NodeSums(s Sums) {
+// AddLoadReport brings such sums.
+func (c *Controller) AddLoadReport(s LoadReport) {
 	c.enqueue(func() {
 		id, known := c.id[s.Node]
 		if !known {
-			c.Refused.Nodes.Add(1)
+			c.Unknown.Nodes.Add(1)
 			return
 		}
-		c.sums = planner.Sums{Node: id, Ended: s.Ended, Lost: s.Lost, Mean: s.Mean, Span: s.Span,
-			Report: c.sums.Report[:0]}
+		c.sums = planner.LoadReport{Node: id, Completed: s.Completed, Failed: s.Failed, MeanLatency: s.MeanLatency, Interval: s.Interval,
+			Values: c.sums.Values[:0]}
 		for _, name := range c.reports {
-			if figure, told := s.Report[name]; told {
-				c.sums.Report = append(c.sums.Report, figure)
+			if figure, told := s.Values[name]; told {
+				c.sums.Values = append(c.sums.Values, figure)
 			}
 		}
-		if len(c.sums.Report) < len(c.reports) {
-			c.sums.Report = c.sums.Report[:0] // a part of a report has no places
+		if len(c.sums.Values) < len(c.reports) {
+			c.sums.Values = c.sums.Values[:0] // a part of a report has no places
 		}
-		c.module.NodeSums(c.now, c.sums)
+		c.module.AddLoadReport(c.now, c.sums)
 	})
 }
 
-// RouteUsage brings how many calls of a route came to a proxy over a span.
-func (c *Core) RouteUsage(proxy int, route string, calls int, span float64) {
+// AddDemandReport brings how many calls of a route came to a proxy over a span.
+func (c *Controller) AddDemandReport(proxy int, route string, calls int, span float64) {
 	c.enqueue(func() {
 		r, known := c.routes[route]
 		if !known || proxy < 0 || proxy >= c.proxies {
-			c.Refused.Routes.Add(1)
+			c.Unknown.Routes.Add(1)
 			return
 		}
-		c.module.RouteUsage(c.now, planner.Usage{Proxy: proxy, Route: planner.RouteID(r), Calls: calls, Span: span})
+		c.module.AddDemandReport(c.now, planner.DemandReport{Proxy: proxy, Route: planner.RouteID(r), Requests: calls, Interval: span})
 	})
 }
--- a/controller/conductor_test.go
+++ b/controller/conductor_test.go
@@ -20,26 +20,26 @@
 	mark int // the last
 }
 
-func (p *printer) Carry(batch []Order) {
+func (p *printer) Enqueue(batch []Command) {
 	for _, o := range batch {
 		switch o.Kind {
-		case Bind:
+		case BindProxy:
 			fmt.Fprintf(p, "bind %d to %d; ", o.Proxy, o.Table)
-		case SetLine:
-			fmt.Fprintf(p, "%s %.2f in %d; ", o.Node, o.Figure, o.Table)
-		case SetLevel:
+		case SetWeight:
+			fmt.Fprintf(p, "%s %.2f in %d; ", o.Node, o.Value, o.Table)
+		case SetAdmission:
 			fmt.Fprintf(p, "level of %s; ", o.Route)
 		case RequestAck:
 			p.mark = o.Nonce
 			fmt.Fprintf(p, "mark %d; ", o.Nonce)
-		case Forget:
+		case CancelBind:
 			fmt.Fprintf(p, "forget %d; ", o.Proxy)
 		}
 	}
 	fmt.Fprintln(p)
 }
 
-func start(t *testing.T) (*Core, *printer) {
+func start(t *testing.T) (*Controller, *printer) {
 	d, err := settings.Decode([]byte(`{"zones":["north","south"],"machine-types":["small"],
 "report":{"names":["outstanding","utilization"],"source":"inline"},
 "categories":[{"name":"quote","promise-ns":1000000000,"gain":1}],
@@ -48,12 +48,12 @@
 		t.Fatal(err)
 	}
 	out := &printer{}
-	return New(d, []Entry{{Node: "s-1", Zone: "north", Kind: "small", Condition: planner.Ready},
-		{Node: "s-2", Zone: "south", Kind: "small", Condition: planner.Ready}}, out, zap.NewNop()), out
+	return New(d, []Endpoint{{Node: "s-1", Zone: "north", MachineType: "small", State: planner.Ready},
+		{Node: "s-2", Zone: "south", MachineType: "small", State: planner.Ready}}, out, zap.NewNop()), out
 }
 
 // joined starts a core with three proxies joined; nothing of that is printed.
-func joined(t *testing.T) (*Core, *printer) {
+func joined(t *testing.T) (*Controller, *printer) {
 	c, out := start(t)
 	for proxy := range 3 {
 		c.ProxyJoined(proxy, "north", 10)
@@ -73,13 +73,13 @@
 	c.ProxyJoined(4, "north", 10)
 	c.ProxyLeft(3)
 	c.Acknowledged(3, 1)
-	c.RouteUsage(0, "unheard-of", 1, 1)
-	c.RouteUsage(9, "quote", 1, 1)
-	c.NodeSums(Sums{Node: "s-9", Ended: 1})
-	c.NodeSums(Sums{Node: "s-1", Ended: 1, Report: map[string]float64{"utilization": 0.5}})
-	c.ListChanged([]Entry{{Node: "s-3", Zone: "nowhere", Kind: "small"}, {Node: "s-3", Zone: "north", Kind: "huge"}})
+	c.AddDemandReport(0, "unheard-of", 1, 1)
+	c.AddDemandReport(9, "quote", 1, 1)
+	c.AddLoadReport(LoadReport{Node: "s-9", Completed: 1})
+	c.AddLoadReport(LoadReport{Node: "s-1", Completed: 1, Values: map[string]float64{"utilization": 0.5}})
+	c.UpdateEndpoints([]Endpoint{{Node: "s-3", Zone: "nowhere", MachineType: "small"}, {Node: "s-3", Zone: "north", MachineType: "huge"}})
 	c.turn(nil)
-	c.ListChanged([]Entry{{Node: "s-1", Zone: "north", Kind: "small", Condition: planner.Draining}})
+	c.UpdateEndpoints([]Endpoint{{Node: "s-1", Zone: "north", MachineType: "small", State: planner.Draining}})
 	c.turn(nil)
 	want := "level of quote; level of quote; s-1 0.50 in 0; s-2 0.50 in 1; \n" +
 		"forget 0; bind 0 to 0; mark 1; forget 1; bind 1 to 1; \n" +
@@ -87,12 +87,12 @@
 	if diff := cmp.Diff(want, out.String()); diff != "" {
 		t.Errorf("orders (-want +got):\n%s", diff)
 	}
-	r := &c.Refused
+	r := &c.Unknown
 	if got := fmt.Sprint(r.Proxies.Load(), r.Zones.Load(), r.Routes.Load(), r.Nodes.Load()); got != "3 2 2 1" {
 		t.Errorf("refused %s", got)
 	}
-	if len(c.sums.Report) != 0 {
-		t.Errorf("a part of a report was handed on: %v", c.sums.Report)
+	if len(c.sums.Values) != 0 {
+		t.Errorf("a part of a report was handed on: %v", c.sums.Values)
 	}
 }
 
@@ -100,10 +100,10 @@
 func TestGap(t *testing.T) {
 	c, out := joined(t)
 	c.now++
-	c.NewsResumed(false)
+	c.ProxyWatchResumed(false)
 	c.ProxyJoined(0, "north", 10)
 	c.ProxyLeft(2)
-	c.NewsWhole(1)
+	c.ProxyWatchSynced(1)
 	c.turn(nil)
 	if diff := cmp.Diff("forget 0; bind 0 to 0; mark 2; forget 2; forget 1; s-2 0.50 in 0; \n", out.String()); diff != "" {
 		t.Errorf("orders (-want +got):\n%s", diff)
@@ -117,12 +117,12 @@
 // told of twice and bound once; one that the next never tells of has left.
 func TestSeamless(t *testing.T) {
 	c, out := joined(t)
-	c.NewsResumed(true)
+	c.ProxyWatchResumed(true)
 	c.ProxyJoined(0, "north", 10)
-	c.NewsWhole(1)
+	c.ProxyWatchSynced(1)
 	c.ProxyJoined(1, "north", 10)
 	c.turn(nil)
-	c.NewsWhole(2)
+	c.ProxyWatchSynced(2)
 	c.turn(nil)
 	if diff := cmp.Diff("forget 2; \n", out.String()); diff != "" {
 		t.Errorf("orders (-want +got):\n%s", diff)
@@ -135,25 +135,25 @@
 	const nodes, every = 12, 20.0
 	for _, whole := range []bool{false, true} {
 		c, out := joined(t)
-		entry := func(n int, condition planner.Condition) Entry {
-			return Entry{Node: fmt.Sprint("s-", n), Zone: "north", Kind: "small", Condition: condition}
+		entry := func(n int, condition planner.EndpointState) Endpoint {
+			return Endpoint{Node: fmt.Sprint("s-", n), Zone: "north", MachineType: "small", State: condition}
 		}
 		most := 0
 		for round := range 400 {
-			var list, changes []Entry
+			var list, changes []Endpoint
 			for k := range nodes {
 				list = append(list, entry(100+round*nodes+k, planner.Ready))
-				changes = append(changes, entry(100+(round-1)*nodes+k, planner.Gone))
+				changes = append(changes, entry(100+(round-1)*nodes+k, planner.Removed))
 			}
 			if whole {
-				c.ListWhole(list)
+				c.ReplaceEndpoints(list)
 			} else {
-				c.ListChanged(append(changes, list...))
+				c.UpdateEndpoints(append(changes, list...))
 			}
 			for until := c.now + every; c.now < until; c.now += 0.5 {
 				c.turn(nil)
 				for proxy := range 3 {
-					c.OrdersTaken(out.mark)
+					c.CommandsAccepted(out.mark)
 					c.Acknowledged(proxy, out.mark)
 				}
 			}
@@ -165,10 +165,10 @@
 		if _, known := c.id["s-100"]; known {
 			t.Errorf("whole lists %t: a node that is long gone is still known", whole)
 		}
-		c.NodeSums(Sums{Node: "s-100", Ended: 9, Lost: 9, Span: 1})
-		c.ListChanged([]Entry{entry(100, planner.Ready)})
+		c.AddLoadReport(LoadReport{Node: "s-100", Completed: 9, Failed: 9, Interval: 1})
+		c.UpdateEndpoints([]Endpoint{entry(100, planner.Ready)})
 		c.turn(nil)
-		if c.Refused.Nodes.Load() != 1 || c.name[c.id["s-100"]] != "s-100" {
+		if c.Unknown.Nodes.Load() != 1 || c.name[c.id["s-100"]] != "s-100" {
 			t.Errorf("whole lists %t: the node that comes back has no number of its own", whole)
 		}
 	}
@@ -179,15 +179,15 @@
 func TestClockSteps(t *testing.T) {
 	for _, step := range []time.Duration{0, time.Hour, -time.Hour} {
 		c, _ := joined(t)
-		at := func(node string, wall time.Time) Entry {
-			return Entry{Node: node, Zone: "north", Kind: "small", Condition: planner.Ready, Started: unix(wall)}
+		at := func(node string, wall time.Time) Endpoint {
+			return Endpoint{Node: node, Zone: "north", MachineType: "small", State: planner.Ready, StartTime: unix(wall)}
 		}
 		old := time.Now().Add(-time.Minute)
-		c.ListChanged([]Entry{at("s-1", old)})
+		c.UpdateEndpoints([]Endpoint{at("s-1", old)})
 		c.turn(nil)
 		before := c.started[c.id["s-1"]]
 		c.wall = func() time.Time { return time.Now().Add(step) }
-		c.ListChanged([]Entry{at("s-1", old), at("s-3", c.wall().Add(-time.Second))})
+		c.UpdateEndpoints([]Endpoint{at("s-1", old), at("s-3", c.wall().Add(-time.Second))})
 		c.turn(nil)
 		if after := c.started[c.id["s-1"]]; after != before {
 			t.Errorf("clocks set by %v: a known node starts anew, %g s later", step, after-before)
--- a/controller/order.go
+++ b/controller/order.go
@@ -6,44 +6,44 @@
 	"harehook.dev/harehook/planner"
 )
 
-// OrderKind says what an order does.
-type OrderKind uint8
+// CommandKind says what an order does.
+type CommandKind uint8
 
 // The kinds of order.
 const (
-	Bind       OrderKind = iota // put Proxy on Table for all routes
-	SetLine                     // Node gets Figure as its weight in Table, 0: none
-	SetLevel                    // Route of Table gets Figure as its level, and Tries
-	RequestAck                  // whom the batch reaches acknowledges Nonce
-	Forget                      // Proxy left or joined anew: older orders to bind it are void
+	BindProxy    CommandKind = iota // put Proxy on Table for all routes
+	SetWeight                       // Node gets Figure as its weight in Table, 0: none
+	SetAdmission                    // Route of Table gets Figure as its level, and Tries
+	RequestAck                      // whom the batch reaches acknowledges Nonce
+	CancelBind                      // Proxy left or joined anew: older orders to bind it are void
 )
 
-// Order is one thing that the module ordered, in names.
-type Order struct {
-	Kind                OrderKind
+// Command is one thing that the module ordered, in names.
+type Command struct {
+	Kind                CommandKind
 	Proxy, Table, Nonce int
 	Node, Route         string
-	Figure              float64
-	Tries               planner.Tries
+	Value               float64
+	Retry               planner.RetryPolicy
 }
 
 // host implements brain.Host. The module calls it during a turn only.
-type host struct{ *Core }
+type host struct{ *Controller }
 
-func (h host) Bind(proxy, table int) {
-	h.batch = append(h.batch, Order{Kind: Bind, Proxy: proxy, Table: table})
+func (h host) BindProxy(proxy, table int) {
+	h.batch = append(h.batch, Command{Kind: BindProxy, Proxy: proxy, Table: table})
 }
 
-func (h host) SetLine(table int, node uint32, weight float64) {
-	h.batch = append(h.batch, Order{Kind: SetLine, Table: table, Node: h.name[node], Figure: weight})
+func (h host) SetWeight(table int, node uint32, weight float64) {
+	h.batch = append(h.batch, Command{Kind: SetWeight, Table: table, Node: h.name[node], Value: weight})
 }
 
-func (h host) SetLevel(table int, route planner.RouteID, level float64, tries planner.Tries) {
-	h.batch = append(h.batch, Order{Kind: SetLevel, Table: table, Route: h.every[route], Figure: level, Tries: tries})
+func (h host) SetAdmission(table int, route planner.RouteID, level float64, tries planner.RetryPolicy) {
+	h.batch = append(h.batch, Command{Kind: SetAdmission, Table: table, Route: h.every[route], Value: level, Retry: tries})
 }
 
 func (h host) RequestAck(nonce int) {
-	h.batch = append(h.batch, Order{Kind: RequestAck, Nonce: nonce})
+	h.batch = append(h.batch, Command{Kind: RequestAck, Nonce: nonce})
 }
 
 func (h host) Wake(at float64) { h.wakeAt = min(h.wakeAt, at) }
--- a/controller/routes_test.go
+++ b/controller/routes_test.go
@@ -20,7 +20,7 @@
 // fleet is a conductor started from a configuration file, with sidecars in its two zones. Two of these take all calls.
 type fleet struct {
 	t        *testing.T
-	core     *controller.Core
+	core     *controller.Controller
 	compiler *xds.Compiler
 	routes   []string
 	sidecars int
@@ -34,9 +34,9 @@
 	inboxBatch = 256 // happenings between two turns: a core's inbox has room for these
 )
 
-// Carry implements conductor.Carrier.
-func (f *fleet) Carry(batch []controller.Order) {
-	f.compiler.Take(batch)
+// Enqueue implements conductor.Carrier.
+func (f *fleet) Enqueue(batch []controller.Command) {
+	f.compiler.ApplyCommands(batch)
 	for _, order := range batch {
 		if order.Kind == controller.RequestAck {
 			f.mark = order.Nonce
@@ -62,17 +62,17 @@
 
 func startFleet(t *testing.T, routes, sidecars int) *fleet {
 	t.Helper()
-	configuration, err := config.ReadConductor(writeConfiguration(t, routes))
+	configuration, err := config.ReadController(writeConfiguration(t, routes))
 	if err != nil {
 		t.Fatal(err)
 	}
-	f := &fleet{t: t, compiler: xds.NewCompiler(configuration.Routes, configuration.Connect),
+	f := &fleet{t: t, compiler: xds.NewCompiler(configuration.Routes, configuration.ConnectTimeout),
 		routes: configuration.Deployment.Routes, sidecars: sidecars}
-	var list []controller.Entry
+	var list []controller.Endpoint
 	for n := range fleetNodes {
 		node, zone := fmt.Sprint("node-", n), configuration.Deployment.Zones[n%2]
-		f.compiler.Place(node, zone, xds.Address{Host: "127.0.0.1", Port: uint32(9000 + n)})
-		list = append(list, controller.Entry{Node: node, Zone: zone, Kind: "node", Condition: planner.Ready})
+		f.compiler.SetAddress(node, zone, xds.Address{Host: "127.0.0.1", Port: uint32(9000 + n)})
+		list = append(list, controller.Endpoint{Node: node, Zone: zone, MachineType: "node", State: planner.Ready})
 	}
 	f.core = controller.New(configuration.Deployment, list, f, zap.NewNop())
 	for proxy := range sidecars {
@@ -87,12 +87,12 @@
 	const period = 0.5
 	for end := f.now + seconds; f.now < end; f.now += period {
 		for n := range fleetNodes {
-			f.core.NodeSums(controller.Sums{Node: fmt.Sprint("node-", n), Ended: good + lost, Lost: lost, Mean: mean, Span: period})
+			f.core.AddLoadReport(controller.LoadReport{Node: fmt.Sprint("node-", n), Completed: good + lost, Failed: lost, MeanLatency: mean, Interval: period})
 		}
 		for proxy := range 2 {
 			for r, route := range f.routes {
 				f.turnSometimes(r, f.now)
-				f.core.RouteUsage(proxy, route, 10, period)
+				f.core.AddDemandReport(proxy, route, 10, period)
 			}
 		}
 		for step := 0.0; step < period; step += 0.1 {
@@ -108,7 +108,7 @@
 		return
 	}
 	f.told = f.mark
-	f.core.OrdersTaken(f.told)
+	f.core.CommandsAccepted(f.told)
 	for proxy := range f.sidecars {
 		f.turnSometimes(proxy, at)
 		f.core.Acknowledged(proxy, f.told)
@@ -123,20 +123,20 @@
 }
 
 // table is what a sidecar on a table accepts of it.
-func (f *fleet) table(number int) *sidecar.Table {
+func (f *fleet) table(number int) *sidecar.RoutingTable {
 	f.t.Helper()
 	snapshot, err := f.compiler.Snapshot(number)
 	if err != nil {
 		f.t.Fatal(err)
 	}
-	holder := &sidecar.Holder{ID: "s", Zone: "north", Delta: true}
+	holder := &sidecar.ResourceCache{ID: "s", Zone: "north", Delta: true}
 	for kind := range xds.Kinds {
 		response := &discoveryv3.DeltaDiscoveryResponse{TypeUrl: kind.URL(), Nonce: "n"}
 		for _, one := range snapshot.Sets[kind] {
 			response.Resources = append(response.Resources,
 				&discoveryv3.Resource{Name: one.Name, Version: one.Version, Resource: one.Body})
 		}
-		requests, err := holder.Deltas(response)
+		requests, err := holder.HandleDelta(response)
 		if err != nil {
 			f.t.Fatal(err)
 		}
@@ -154,7 +154,7 @@
 		throttled, retried := map[string]bool{}, map[string]bool{}
 		for _, entry := range f.table(number).Routes {
 			throttled[entry.Name] = throttled[entry.Name] || entry.Status != 0
-			retried[entry.Name] = retried[entry.Name] || entry.Tries > 0
+			retried[entry.Name] = retried[entry.Name] || entry.MaxRetries > 0
 		}
 		var wrong []string
 		for _, name := range f.routes {
--- a/internal/certs/keys.go
+++ b/internal/certs/keys.go
@@ -18,8 +18,8 @@
 // Files name the files that keys come from: all, or none.
 type Files struct{ Certificate, Key, Roots string }
 
-// Keys are what is in use.
-type Keys struct {
+// Store are what is in use.
+type Store struct {
 	files Files
 	now   func() time.Time
 	used  atomic.Pointer[pair]
@@ -33,11 +33,11 @@
 }
 
 // Load reads keys; at a start they have to fit. Without files there are none: nil.
-func Load(files Files) (*Keys, error) {
+func Load(files Files) (*Store, error) {
 	if files == (Files{}) {
 		return nil, nil
 	}
-	k := &Keys{files: files, now: time.Now}
+	k := &Store{files: files, now: time.Now}
 	if _, err := k.Reload(); err != nil {
 		return nil, err
 	}
@@ -46,7 +46,7 @@
 
 // Reload reads the files again if one of them changed. It tells whether new keys are in use; an error says why the old
 // ones stay.
-func (k *Keys) Reload() (changed bool, err error) {
+func (k *Store) Reload() (changed bool, err error) {
 	var seen [3]time.Time
 	for at, path := range []string{k.files.Certificate, k.files.Key, k.files.Roots} {
 		about, err := os.Stat(path)
@@ -67,7 +67,7 @@
 	return true, nil
 }
 
-func (k *Keys) read() (*pair, error) {
+func (k *Store) read() (*pair, error) {
 	certificate, err := tls.LoadX509KeyPair(k.files.Certificate, k.files.Key)
 	if err != nil {
 		return nil, fmt.Errorf("%s and %s: %w", k.files.Certificate, k.files.Key, err)
@@ -90,23 +90,23 @@
 	return &pair{certificate, roots, leaf.NotAfter}, nil
 }
 
-// Look takes changed files over and logs what came of it; nil keys have none.
-func (k *Keys) Look(log *zap.Logger) {
+// ReloadIfChanged takes changed files over and logs what came of it; nil keys have none.
+func (k *Store) ReloadIfChanged(log *zap.Logger) {
 	if k == nil {
 		return
 	}
 	if changed, err := k.Reload(); err != nil {
 		log.Error("keys kept, the new ones can't be used", zap.Error(err))
 	} else if changed {
-		log.Info("new keys", zap.Time("until", k.Until()))
+		log.Info("new keys", zap.Time("until", k.Expires()))
 	}
 }
 
-// Until is when the certificate in use expires.
-func (k *Keys) Until() time.Time { return k.used.Load().until }
+// Expires is when the certificate in use expires.
+func (k *Store) Expires() time.Time { return k.used.Load().until }
 
 // Server gives what a server checks clients by and shows them: both sides need a certificate of the roots.
-func (k *Keys) Server() *tls.Config {
+func (k *Store) Server() *tls.Config {
 	return &tls.Config{MinVersion: tls.VersionTLS13, ClientAuth: tls.RequireAnyClientCert, NextProtos: []string{"h2"},
 		GetCertificate: func(*tls.ClientHelloInfo) (*tls.Certificate, error) { return &k.used.Load().certificate, nil },
 		VerifyConnection: func(s tls.ConnectionState) error {
@@ -116,7 +116,7 @@
 }
 
 // Client gives what a client checks a server by and shows it. The name is what the server's certificate has to be for.
-func (k *Keys) Client(name string) *tls.Config {
+func (k *Store) Client(name string) *tls.Config {
 	return &tls.Config{MinVersion: tls.VersionTLS13, NextProtos: []string{"h2"}, ServerName: name,
 		// The roots are looked up at each connection, so that new ones count at once: VerifyConnection does the check.
 		InsecureSkipVerify: true,
@@ -129,7 +129,7 @@
 	}
 }
 
-func (k *Keys) verify(s tls.ConnectionState, usage x509.ExtKeyUsage, name string) error {
+func (k *Store) verify(s tls.ConnectionState, usage x509.ExtKeyUsage, name string) error {
 	if len(s.PeerCertificates) == 0 {
 		return errors.New("no certificate was shown")
 	}
--- a/internal/certs/keys_test.go
+++ b/internal/certs/keys_test.go
@@ -29,7 +29,7 @@
 }
 
 // meet has a client and a server shake hands over loopback and exchange a byte.
-func meet(t *testing.T, server, client *Keys) error {
+func meet(t *testing.T, server, client *Store) error {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
--- a/internal/connprobe/kept.go
+++ b/internal/connprobe/kept.go
@@ -7,9 +7,9 @@
 	"time"
 )
 
-// Quiet tells whether a connection that should have nothing to read stands and has none: a call on one that the other
+// IsIdle tells whether a connection that should have nothing to read stands and has none: a call on one that the other
 // side has ended would be in doubt, or read a late answer.
-func Quiet(conn net.Conn) bool {
+func IsIdle(conn net.Conn) bool {
 	tcp, ok := conn.(syscall.Conn)
 	if !ok {
 		return true
--- a/internal/daemon/follower.go
+++ b/internal/daemon/follower.go
@@ -25,14 +25,14 @@
 }
 
 // newFollower prepares the follower; run drives it.
-func newFollower(told *config.Conductor, w *watcher, held *certs.Keys, log *zap.Logger) (*follower, error) {
+func newFollower(told *config.Controller, w *watcher, held *certs.Store, log *zap.Logger) (*follower, error) {
 	f := &follower{watcher: w, log: log.Named("follow")}
 	config := transport.Config{
 		Name: told.Name, Scope: told.Follow.Scope, Members: told.Follow.Members, Lease: told.Follow.Lease, Seed: followSeed(told),
 		Check: f.check, Accepted: f.accepted, Stale: f.stale, Log: f.log,
 	}
 	if held != nil {
-		config.Secure = credentials.NewTLS(held.Client("conductor"))
+		config.Credentials = credentials.NewTLS(held.Client("conductor"))
 	}
 	var err error
 	f.client, err = transport.NewClient(config)
@@ -41,7 +41,7 @@
 
 // followSeed differs between conductors also where their files state the same seed, so that they don't ask the same
 // member at the same time.
-func followSeed(told *config.Conductor) uint64 {
+func followSeed(told *config.Controller) uint64 {
 	hash := fnv.New64a()
 	hash.Write([]byte(told.Name + " " + told.Listen))
 	return hash.Sum64() ^ told.Seed
@@ -91,5 +91,5 @@
 func (w *watcher) usable(agreed *config.Agreed) error {
 	w.lock.Lock()
 	defer w.lock.Unlock()
-	return w.told.Usable(agreed, w.agreed, w.listed)
+	return w.told.CheckChange(agreed, w.agreed, w.listed)
 }
--- a/internal/daemon/follower_test.go
+++ b/internal/daemon/follower_test.go
@@ -69,7 +69,7 @@
 func (m *testMember) start() {
 	m.t.Helper()
 	listener := listenAt(m.t, m.address)
-	server, ended := cluster.Serve(m.secure), make(chan struct{})
+	server, ended := cluster.NewServer(m.secure), make(chan struct{})
 	m.server = server
 	m.service.Register(server)
 	go func() { defer close(ended); server.Serve(listener) }()
@@ -87,9 +87,9 @@
 func (m *testMember) InScope(scope records.Scope) records.View {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
-	view := records.View{Revision: m.revision, Routing: m.routing}
+	view := records.View{Revision: m.revision, RoutingRevision: m.routing}
 	for _, record := range m.held {
-		if scope.Holds(record) {
+		if scope.Contains(record) {
 			view.Records = append(view.Records, record)
 		}
 	}
@@ -170,7 +170,7 @@
 	refused := m.set(map[records.Key]any{{Kind: records.KindRoute, Name: "third"}: records.RouteSpec{Prefix: "/third", TimeLimitMS: 9}})
 	in.until("the refusal is known", func() bool {
 		leases := m.service.Status().Leases
-		return len(leases) == 1 && leases[0].Refused == refused && leases[0].Accepted == refused-1 &&
+		return len(leases) == 1 && leases[0].RejectedRevision == refused && leases[0].Accepted == refused-1 &&
 			strings.Contains(leases[0].Reason, `route "third" is not configured at conductor "c"`)
 	})
 	in.until("its log says so", func() bool { return strings.Contains(log.String(), "revision refused") })
@@ -185,7 +185,7 @@
 		}
 		return report, code
 	}
-	if told, code := report(); code != 0 || told.Stale || told.Revision != refused-1 || told.Refused == 0 || told.Member != m.address {
+	if told, code := report(); code != 0 || told.Stale || told.Revision != refused-1 || told.Rejected == 0 || told.Member != m.address {
 		t.Errorf("exit %d: %+v", code, told)
 	}
 	m.server.Stop()
@@ -202,7 +202,7 @@
 
 // heldNumber is the number of the routes that a sidecar holds, 0 if none.
 func (in *installation) heldNumber(name string) uint64 {
-	holder := &sidecar.Holder{ID: name}
+	holder := &sidecar.ResourceCache{ID: name}
 	if (&sidecar.Store{Path: filepath.Join(in.folder, name+".held")}).Load(holder) != nil {
 		return 0
 	}
@@ -289,6 +289,6 @@
 	in.start("harehookd", "conductor.kdl")
 	in.until("one with keys follows", func() bool {
 		status := m.service.Status()
-		return status.Live == 1 && status.InForce == 1
+		return status.Live == 1 && status.ConvergedRevision == 1
 	})
 }
--- a/internal/daemon/followers.go
+++ b/internal/daemon/followers.go
@@ -24,7 +24,7 @@
 // agreeingGroup is what followers' service needs of this conductor's member of the group.
 type agreeingGroup interface {
 	Records() records.Source
-	Status(ctx context.Context) (cluster.Report, error)
+	Status(ctx context.Context) (cluster.StatusReport, error)
 }
 
 // followers is the part of a member that serves conductors that follow the group.
@@ -76,5 +76,5 @@
 	ctx, cancel := context.WithTimeout(ctx, leaderTimeout)
 	defer cancel()
 	report, err := f.group.Status(ctx)
-	return err == nil && report.Standing.Leader != 0
+	return err == nil && report.Status.Leader != 0
 }
--- a/internal/daemon/followers_command_test.go
+++ b/internal/daemon/followers_command_test.go
@@ -11,7 +11,7 @@
 )
 
 // force is what harehookctl followers tells, asked at a member.
-func (g *group) force(member int) (force configsync.Force, code int) {
+func (g *group) force(member int) (force configsync.Convergence, code int) {
 	g.t.Helper()
 	out, code := g.at(member, "-o", "json", "followers")
 	if err := json.NewDecoder(strings.NewReader(out)).Decode(&force); err != nil {
@@ -30,7 +30,7 @@
 	f.allHold("what was agreed on", prefix)
 	g.until("it is in force at both", func() bool {
 		force, code := g.force(lead)
-		return code == 0 && force.Known && force.Live == 2 && force.InForce == force.Revision && len(force.Members) == 3
+		return code == 0 && force.Known && force.Live == 2 && force.ConvergedRevision == force.Revision && len(force.Members) == 3
 	})
 	if out, code := g.at(lead, "followers"); code != 0 || !strings.Contains(out, "in force everywhere: ") || !strings.Contains(out, "followers: 2 live, 0 behind, 0 stale") {
 		t.Errorf("exit %d: %s", code, out)
@@ -39,7 +39,7 @@
 	f.cutOff(1, true)
 	g.until("one is stale", func() bool {
 		force, _ := g.force(lead)
-		return slices.ContainsFunc(force.Stale, func(one configsync.FollowerForce) bool { return one.Name == "follower-5" }) && force.Live == 1
+		return slices.ContainsFunc(force.Stale, func(one configsync.FollowerStatus) bool { return one.Name == "follower-5" }) && force.Live == 1
 	})
 	f.cutOff(1, false)
 
--- a/internal/daemon/followers_test.go
+++ b/internal/daemon/followers_test.go
@@ -20,8 +20,8 @@
 
 func (g *fakeGroup) Records() records.Source { return noRecords{} }
 
-func (g *fakeGroup) Status(context.Context) (report cluster.Report, err error) {
-	report.Standing.Leader = g.leader.Load()
+func (g *fakeGroup) Status(context.Context) (report cluster.StatusReport, err error) {
+	report.Status.Leader = g.leader.Load()
 	return report, nil
 }
 
@@ -30,7 +30,7 @@
 
 func (noRecords) Revision() uint64                          { return 0 }
 func (noRecords) InScope(records.Scope) records.View        { return records.View{} }
-func (noRecords) Since(uint64, records.Scope) records.Delta { return records.Delta{Kept: true} }
+func (noRecords) Since(uint64, records.Scope) records.Delta { return records.Delta{Available: true} }
 
 // A member that has known no leader for a lease's time extends no lease, and does again once there is one.
 func TestFollowersSentAwayWithoutLeader(t *testing.T) {
@@ -43,7 +43,7 @@
 		t.Fatal(err)
 	}
 	served := newFollowers(group, listener.Addr().String(), limits, zap.NewNop())
-	server := cluster.Serve(nil)
+	server := cluster.NewServer(nil)
 	served.service.Register(server)
 	client, err := transport.NewClient(transport.Config{Name: "c", Members: []string{listener.Addr().String()}, Lease: limits.Lease})
 	if err != nil {
--- a/internal/daemon/group_test.go
+++ b/internal/daemon/group_test.go
@@ -136,7 +136,7 @@
 func (g *group) look() {
 	g.t.Helper()
 	for _, name := range g.tills {
-		h := &sidecar.Holder{ID: name}
+		h := &sidecar.ResourceCache{ID: name}
 		if (&sidecar.Store{Path: filepath.Join(g.folder, name+".held")}).Load(h) != nil {
 			continue
 		}
--- a/internal/daemon/main.go
+++ b/internal/daemon/main.go
@@ -37,7 +37,7 @@
 func run(ctx context.Context, path string) error {
 	again := make(chan os.Signal, 1)
 	signal.Notify(again, syscall.SIGHUP)
-	told, err := config.ReadConductor(path)
+	told, err := config.ReadController(path)
 	if err != nil {
 		return err
 	}
@@ -48,7 +48,7 @@
 	log := logging.New(told.Name, os.Stderr)
 	defer log.Sync()
 	invariant.Watch(func(what string) { log.Error("invariant broken", zap.String("what", what)) })
-	held, err := certs.Load(told.Keys)
+	held, err := certs.Load(told.Certificates)
 	if err != nil {
 		return err
 	}
@@ -57,7 +57,7 @@
 	if err != nil {
 		return err
 	}
-	serving.Core = controller.New(told.Deployment, entries(nodes), serving, log)
+	serving.Controller = controller.New(told.Deployment, entries(nodes), serving, log)
 	log.Info("started", zap.Stringer("listen", listener.Addr()), zap.Int("nodes", len(nodes)), zap.Bool("secure", held != nil))
 
 	w := &watcher{told: told, listed: nodes, serving: serving, secure: held, log: log, poke: make(chan struct{}, 1)}
@@ -72,9 +72,9 @@
 	if follows != nil {
 		parts.Go(func() { follows.run(ctx) })
 	}
-	parts.Go(func() { serving.Core.Run(ctx) })
+	parts.Go(func() { serving.Controller.Run(ctx) })
 	parts.Go(func() { w.run(ctx, again) })
-	if told.Service != "" {
+	if told.NodeService != "" {
 		service := nodeService(told, w, held, log)
 		parts.Go(func() { service.Run(ctx) })
 	}
@@ -93,7 +93,7 @@
 }
 
 // groupRoles prepares this conductor's part in a group: a member, a follower, or neither, which are nil then.
-func groupRoles(told *config.Conductor, w *watcher, held *certs.Keys, log *zap.Logger) (*member, *follower, error) {
+func groupRoles(told *config.Controller, w *watcher, held *certs.Store, log *zap.Logger) (*member, *follower, error) {
 	if told.Group != nil {
 		joined, err := join(told.Group, w, held, log)
 		return joined, nil, err
@@ -110,35 +110,35 @@
 }
 
 // newFront makes the front that serves sidecars, which knows where the nodes are. Its core is set by the caller.
-func newFront(told *config.Conductor, nodes []config.Node, held *certs.Keys, log *zap.Logger) *front.Front {
-	serving := front.New(xds.NewCompiler(told.Routes, told.Connect), told.Sidecars, log)
-	serving.Report = told.Report
+func newFront(told *config.Controller, nodes []config.Node, held *certs.Store, log *zap.Logger) *front.Server {
+	serving := front.New(xds.NewCompiler(told.Routes, told.ConnectTimeout), told.Sidecars, log)
+	serving.ReportInterval = told.ReportInterval
 	if held != nil {
-		serving.Secure = credentials.NewTLS(held.Server())
+		serving.Credentials = credentials.NewTLS(held.Server())
 	}
 	for _, n := range nodes {
-		serving.Server.Compiler.Place(n.Node, n.Zone, n.Address)
+		serving.Streams.Compiler.SetAddress(n.Node, n.Zone, n.Address)
 	}
 	return serving
 }
 
 // nodeService follows the service that lists the nodes.
-func nodeService(told *config.Conductor, w *watcher, held *certs.Keys, log *zap.Logger) *front.Members {
-	return &front.Members{Address: told.Service, Cluster: told.Cluster, Name: told.Name, Zone: w.serving.Core.Zone, Take: w.listedBy, Log: log,
-		Secure: serviceKeys(held)}
+func nodeService(told *config.Controller, w *watcher, held *certs.Store, log *zap.Logger) *front.EndpointWatcher {
+	return &front.EndpointWatcher{Address: told.NodeService, Cluster: told.Cluster, Name: told.Name, KnowsZone: w.serving.Controller.KnowsZone, Accepted: w.listedBy, Log: log,
+		Credentials: serviceKeys(held)}
 }
 
 // serviceKeys are what the service that lists nodes is met with.
-func serviceKeys(held *certs.Keys) credentials.TransportCredentials {
+func serviceKeys(held *certs.Store) credentials.TransportCredentials {
 	if held == nil {
 		return nil
 	}
 	return credentials.NewTLS(held.Client("conductor"))
 }
 
-func entries(nodes []config.Node) (out []controller.Entry) {
+func entries(nodes []config.Node) (out []controller.Endpoint) {
 	for _, n := range nodes {
-		out = append(out, n.Entry)
+		out = append(out, n.Endpoint)
 	}
 	return out
 }
@@ -146,9 +146,9 @@
 // watcher takes a changed list of nodes, changed keys and agreed versions over. A list with a fault leaves the old one
 // in place.
 type watcher struct {
-	told    *config.Conductor
-	serving *front.Front
-	secure  *certs.Keys
+	told    *config.Controller
+	serving *front.Server
+	secure  *certs.Store
 	log     *zap.Logger
 	poke    chan struct{}       // an agreed version came
 	out     func([]config.Node) // has the core hear of nodes
@@ -175,8 +175,8 @@
 			w.tell()
 			continue
 		}
-		w.secure.Look(w.log)
-		if w.told.Service != "" {
+		w.secure.ReloadIfChanged(w.log)
+		if w.told.NodeService != "" {
 			continue // the service tells
 		}
 		nodes, err := w.told.ReadNodes()
@@ -203,11 +203,11 @@
 }
 
 // listedBy takes a list that a service keeps.
-func (w *watcher) listedBy(version string, nodes []front.Listed) {
+func (w *watcher) listedBy(version string, nodes []front.Endpoint) {
 	var list []config.Node
 	for _, n := range nodes {
-		list = append(list, config.Node{Address: n.Address, Entry: controller.Entry{Node: n.Name, Zone: n.Zone, Kind: w.told.Deployment.Kinds[0],
-			Condition: n.Condition, Weight: n.Weight}})
+		list = append(list, config.Node{Address: n.Address, Endpoint: controller.Endpoint{Node: n.Name, Zone: n.Zone, MachineType: w.told.Deployment.MachineTypes[0],
+			State: n.State, Weight: n.Weight}})
 	}
 	w.lock.Lock()
 	w.listed = list
@@ -223,7 +223,7 @@
 	w.lock.Lock()
 	nodes := w.listed
 	if w.agreed != nil {
-		nodes = w.agreed.Over(nodes)
+		nodes = w.agreed.ApplyOverrides(nodes)
 	}
 	w.lock.Unlock()
 	w.out(nodes)
@@ -234,8 +234,8 @@
 	for _, n := range nodes {
 		places = append(places, front.Node{Name: n.Node, Zone: n.Zone, Address: n.Address})
 	}
-	w.serving.Place(places)
-	w.serving.Core.ListWhole(entries(nodes))
+	w.serving.SetAddresses(places)
+	w.serving.Controller.ReplaceEndpoints(entries(nodes))
 }
 
 // fits says why records that are proposed can't be used here.
@@ -246,7 +246,7 @@
 	}
 	w.lock.Lock()
 	defer w.lock.Unlock()
-	return w.told.Fits(a, w.listed)
+	return w.told.CheckAgreed(a, w.listed)
 }
 
 // take has an agreed version count. What was agreed is in force also where this conductor's own list has changed since
@@ -258,11 +258,11 @@
 		return
 	}
 	w.lock.Lock()
-	if err := w.told.Fits(a, w.listed); err != nil {
+	if err := w.told.CheckAgreed(a, w.listed); err != nil {
 		w.log.Error("agreed version does not fit this conductor", zap.Uint64("number", agreed.Revision), zap.Error(err))
 	}
 	w.lock.Unlock()
-	w.publish(agreed.Routing, a)
+	w.publish(agreed.RoutingRevision, a)
 }
 
 // publish has routes and overrides of records count if they differ from those that do, and tells whether they did. Most
@@ -280,7 +280,7 @@
 	routes := len(agreed.Routes) > 0 && (number != numberWas || !slices.Equal(agreed.Routes, was.Routes))
 	overrides := !maps.Equal(agreed.Overrides, was.Overrides)
 	if routes {
-		w.serving.Agree(number, agreed.Routes)
+		w.serving.SetAgreedRoutes(number, agreed.Routes)
 	}
 	if overrides {
 		select {
--- a/internal/daemon/member.go
+++ b/internal/daemon/member.go
@@ -23,14 +23,14 @@
 	node     *cluster.Node
 	agreed   *records.Store
 	follow   *followers
-	disk     *raftlog.Bolt
+	disk     *raftlog.Log
 	server   *grpc.Server
 	listener net.Listener
 }
 
 // join opens the log and prepares the member. A log that can't be gone on with ends the start.
-func join(group *config.Group, w *watcher, held *certs.Keys, log *zap.Logger) (*member, error) {
-	disk, saved, err := raftlog.Open(group.Data)
+func join(group *config.Group, w *watcher, held *certs.Store, log *zap.Logger) (*member, error) {
+	disk, saved, err := raftlog.Open(group.DataFolder)
 	if err != nil {
 		return nil, err
 	}
@@ -40,22 +40,22 @@
 		disk.Close()
 		return nil, err
 	}
-	node.Before = w.fits
+	node.CheckProposal = w.fits
 	var secure *tls.Config
 	if held != nil {
 		secure = held.Server()
-		node.Secure = func() *tls.Config { return held.Client("conductor") }
+		node.TLSConfig = func() *tls.Config { return held.Client("conductor") }
 	}
 	listener, err := net.Listen("tcp", group.Listen)
 	if err != nil {
 		disk.Close()
 		return nil, err
 	}
-	m := &member{node: node, agreed: state.Store(), disk: disk, server: cluster.Serve(secure), listener: listener}
+	m := &member{node: node, agreed: state.Store(), disk: disk, server: cluster.NewServer(secure), listener: listener}
 	node.Register(m.server)
 	m.follow = newFollowers(node, strconv.FormatUint(group.ID, 10), machine.DefaultLimits, log.Named("followers"))
 	m.follow.service.Register(m.server)
-	node.Committed = m.follow.service.Committed
+	node.OnCommit = m.follow.service.Committed
 	log.Info("member of a group", zap.Uint64("id", group.ID), zap.Stringer("listen", listener.Addr()), zap.String("disk", saved.Identity))
 	return m, nil
 }
--- a/internal/daemon/member_test.go
+++ b/internal/daemon/member_test.go
@@ -13,7 +13,7 @@
 // themselves.
 func TestMemberTellsOfCommits(t *testing.T) {
 	address := free(t)
-	group := &config.Group{ID: 1, Listen: address, Data: filepath.Join(t.TempDir(), "data"), Addresses: map[uint64]string{1: address}, Voters: []uint64{1}}
+	group := &config.Group{ID: 1, Listen: address, DataFolder: filepath.Join(t.TempDir(), "data"), Addresses: map[uint64]string{1: address}, Voters: []uint64{1}}
 	m, err := join(group, &watcher{}, nil, zap.NewNop())
 	if err != nil {
 		t.Fatal(err)
@@ -22,7 +22,7 @@
 		m.listener.Close()
 		m.disk.Close()
 	})
-	if m.node.Committed == nil {
+	if m.node.OnCommit == nil {
 		t.Error("the node tells nobody of commits")
 	}
 	for _, service := range []string{"envoy.service.discovery.v3.AggregatedDiscoveryService", "harehook.follow.v1.Followers"} {
--- a/internal/daemon/watcher_test.go
+++ b/internal/daemon/watcher_test.go
@@ -18,8 +18,8 @@
 	holds, release := make(chan struct{}), make(chan struct{})
 	var told [][]config.Node
 	first := true
-	w := &watcher{told: &config.Conductor{Deployment: settings.Deployment{Kinds: []string{"any"}}}, log: zap.NewNop(),
-		listed: []config.Node{{Entry: controller.Entry{Node: "old"}}}}
+	w := &watcher{told: &config.Controller{Deployment: settings.Deployment{MachineTypes: []string{"any"}}}, log: zap.NewNop(),
+		listed: []config.Node{{Endpoint: controller.Endpoint{Node: "old"}}}}
 	w.out = func(nodes []config.Node) {
 		if first {
 			first = false
@@ -33,7 +33,7 @@
 	<-holds
 	go func() {
 		defer close(newer)
-		w.listedBy("2", []transport.Listed{{Node: transport.Node{Name: "new"}, Condition: planner.Ready}})
+		w.listedBy("2", []transport.Endpoint{{Node: transport.Node{Name: "new"}, State: planner.Ready}})
 	}()
 	select {
 	case <-newer: // told in the midst of the older one
--- a/internal/kdl/kdl.go
+++ b/internal/kdl/kdl.go
@@ -31,12 +31,12 @@
 
 // Fault is something wrong at a line of a document.
 type Fault struct {
-	Line int
-	What string
+	Line   int
+	Reason string
 }
 
 // Error implements error.
-func (f Fault) Error() string { return fmt.Sprintf("line %d: %s", f.Line, f.What) }
+func (f Fault) Error() string { return fmt.Sprintf("line %d: %s", f.Line, f.Reason) }
 
 // Faults are all that is wrong with a document.
 type Faults []Fault
@@ -60,7 +60,7 @@
 	if len(f) == 0 {
 		return nil
 	}
-	slices.SortStableFunc(f, func(a, b Fault) int { return cmp.Or(cmp.Compare(a.Line, b.Line), cmp.Compare(a.What, b.What)) })
+	slices.SortStableFunc(f, func(a, b Fault) int { return cmp.Or(cmp.Compare(a.Line, b.Line), cmp.Compare(a.Reason, b.Reason)) })
 	return f
 }
 
--- a/internal/testbed/main.go
+++ b/internal/testbed/main.go
@@ -63,13 +63,13 @@
 
 // setup takes the figures of a run from flags.
 func setup(c *cobra.Command) *simulation.Setup {
-	s := &simulation.Setup{Timing: cluster.Timing{Heartbeat: 4}}
+	s := &simulation.Setup{Timing: cluster.Timing{HeartbeatTicks: 4}}
 	f := c.Flags()
 	f.IntVar(&s.Members, "members", 5, "members of the group")
 	f.IntVar(&s.Ticks, "ticks", 3000, "length of a run")
 	f.IntVar(&s.Calm, "calm", 600, "ticks at the end without faults")
-	f.IntVar(&s.Timing.Election, "election", 20, "ticks without a leader until one is elected")
-	f.Uint64Var(&s.Timing.Compact, "compact", 30, "entries after which a log is cut")
+	f.IntVar(&s.Timing.ElectionTicks, "election", 20, "ticks without a leader until one is elected")
+	f.Uint64Var(&s.Timing.CompactAfterEntries, "compact", 30, "entries after which a log is cut")
 	f.IntVar(&s.MaxDelay, "delay", 6, "most ticks that a message takes")
 	f.Float64Var(&s.Loss, "loss", 0.03, "part of messages lost")
 	f.Float64Var(&s.Double, "double", 0.03, "part of messages that come twice")
--- a/loadtest/conductors.go
+++ b/loadtest/conductors.go
@@ -293,7 +293,7 @@
 // outside counts records that are held but not of a scope.
 func outside(scope records.Scope, held map[records.Key]*records.Record) (count int) {
 	for _, record := range held {
-		if !scope.Holds(record) {
+		if !scope.Contains(record) {
 			count++
 		}
 	}
--- a/loadtest/configuration.go
+++ b/loadtest/configuration.go
@@ -99,7 +99,7 @@
 	return records.RouteSpec{
 		Service: c.service[key], Prefix: c.prefix(key),
 		TimeLimitMS: float64(50 + c.random.IntN(5000)), Mutating: c.random.IntN(3) == 0,
-		Admit: float64(1+c.random.IntN(1000)) / 1000,
+		MaxAdmitted: float64(1+c.random.IntN(1000)) / 1000,
 	}
 }
 
@@ -229,7 +229,7 @@
 		if string(body) == string(c.bodies[key]) {
 			continue
 		}
-		return records.Transaction{Writes: []records.Write{{Key: key, Body: body, Expect: c.revision[key]}}}, nil
+		return records.Transaction{Writes: []records.Write{{Key: key, Body: body, ExpectedRevision: c.revision[key]}}}, nil
 	}
 }
 
@@ -270,7 +270,7 @@
 		for _, service := range random.Perm(len(c.services))[:min(scopeServices, len(c.services))] {
 			scope.Services = append(scope.Services, c.services[service])
 		}
-		conductors = append(conductors, Conductor{Name: fmt.Sprintf("conductor-%04d", at), Region: zone % c.plan.Regions, Scope: scope.Normal()})
+		conductors = append(conductors, Conductor{Name: fmt.Sprintf("conductor-%04d", at), Region: zone % c.plan.Regions, Scope: scope.Normalized()})
 	}
 	return conductors
 }
--- a/loadtest/faults.go
+++ b/loadtest/faults.go
@@ -142,7 +142,7 @@
 func (r *run) refuse(ctx context.Context, over time.Duration, random *rand.Rand) error {
 	indexes, has := r.choose(oneIn(random, refuseOneIn))
 	now := time.Now()
-	r.recorder.open(FaultRefusing, indexes, now, now.Add(over+configsync.DefaultLimits.RefusedWait))
+	r.recorder.open(FaultRefusing, indexes, now, now.Add(over+configsync.DefaultLimits.RejectedBackoff))
 	if err := r.order(actionRefuse, 0, has); err != nil {
 		return err
 	}
--- a/loadtest/group.go
+++ b/loadtest/group.go
@@ -62,10 +62,10 @@
 		result, err = proposeOnce(call, g.conns[g.next], g.count, transaction)
 		stop()
 		switch {
-		case err == nil && result.Refused != "":
-			return 0, errors.New("refused: " + result.Refused)
+		case err == nil && result.Rejected != "":
+			return 0, errors.New("refused: " + result.Rejected)
 		case err == nil:
-			return result.Number, nil
+			return result.Version, nil
 		case status.Code(err) == codes.InvalidArgument:
 			return 0, err
 		}
@@ -99,14 +99,14 @@
 	var lines []string
 	for at, conn := range g.conns {
 		call, stop := context.WithTimeout(ctx, proposeTimeout)
-		report, err := cluster.Ask[cluster.Report](call, conn, "Status", struct{}{})
+		report, err := cluster.Call[cluster.StatusReport](call, conn, "Status", struct{}{})
 		stop()
 		if err != nil {
 			lines = append(lines, fmt.Sprintf("member %d: %v", at+1, err))
 			continue
 		}
-		followers, err := front.AskStatus(ctx, conn)
-		lines = append(lines, fmt.Sprintf("member %d: %+v, followers %+v %v", at+1, report.Standing, followers, err))
+		followers, err := front.FetchMemberStatus(ctx, conn)
+		lines = append(lines, fmt.Sprintf("member %d: %+v, followers %+v %v", at+1, report.Status, followers, err))
 	}
 	return strings.Join(lines, "; ")
 }
@@ -116,12 +116,12 @@
 
 // proposeOnce makes a proposal at one member.
 func proposeOnce(ctx context.Context, conn *grpc.ClientConn, number uint64, transaction records.Transaction) (cluster.Result, error) {
-	command := cluster.Command{Kind: cluster.Records, Client: client, Seq: number, Writes: transaction.Writes, By: client, Why: "a change of the experiment"}
-	return cluster.Ask[cluster.Result](ctx, conn, "Propose", command)
+	command := cluster.Command{Kind: cluster.CommandRecords, Client: client, Seq: number, Writes: transaction.Writes, By: client, Why: "a change of the experiment"}
+	return cluster.Call[cluster.Result](ctx, conn, "Propose", command)
 }
 
 // leaderOnce asks one member who leads, 0 if it does not know.
 func leaderOnce(ctx context.Context, conn *grpc.ClientConn) (uint64, error) {
-	report, err := cluster.Ask[cluster.Report](ctx, conn, "Status", struct{}{})
-	return report.Standing.Leader, err
+	report, err := cluster.Call[cluster.StatusReport](ctx, conn, "Status", struct{}{})
+	return report.Status.Leader, err
 }
--- a/loadtest/member.go
+++ b/loadtest/member.go
@@ -52,7 +52,7 @@
 	}
 	address := setup.Addresses[setup.ID]
 	m := &member{node, front.NewService(address, source, configsync.DefaultLimits, zap.NewNop()), out}
-	node.Committed = m.service.Committed
+	node.OnCommit = m.service.Committed
 	listener, err := net.Listen("tcp", address)
 	if err != nil {
 		return err
@@ -71,7 +71,7 @@
 // run serves until ctx ends or the node does.
 func (m *member) run(ctx context.Context, listener net.Listener) error {
 	ctx, stop := context.WithCancel(ctx)
-	server := cluster.Serve(nil)
+	server := cluster.NewServer(nil)
 	m.node.Register(server)
 	m.service.Register(server)
 	var parts sync.WaitGroup
@@ -96,7 +96,7 @@
 		if m.out.write(news{Counts: &counts}) != nil {
 			return
 		}
-		if report, err := m.node.Status(ctx); err == nil && report.Standing.Leader != 0 {
+		if report, err := m.node.Status(ctx); err == nil && report.Status.Leader != 0 {
 			led = time.Now()
 		}
 		if time.Since(led) >= configsync.DefaultLimits.Lease {
--- a/loadtest/messages.go
+++ b/loadtest/messages.go
@@ -43,7 +43,7 @@
 	content := configsync.ContentOf(response)
 	bytes := min(int64(wireBytes), maxMessageBytes)
 	switch {
-	case content.Whole:
+	case content.FullScope:
 		m.whole.RecordValue(bytes)
 		if holds {
 			m.wholeAgain++
--- a/loadtest/meter.go
+++ b/loadtest/meter.go
@@ -201,7 +201,7 @@
 		s.meter.joined(member)
 	}
 	if response.GetNonce() != "" {
-		if content := configsync.ContentOf(response); content.Whole || content.Records > 0 {
+		if content := configsync.ContentOf(response); content.FullScope || content.Records > 0 {
 			s.meter.changed.Store(true)
 		}
 		s.meter.messages.note(response, payload.WireLength, !stream.offered, s.meter.holds.Load())
--- a/loadtest/model.go
+++ b/loadtest/model.go
@@ -88,11 +88,11 @@
 	for at, conductor := range m.conductors {
 		difference, touched := Digest(0), false
 		for _, update := range updates {
-			if conductor.Scope.Holds(update.Before) {
+			if conductor.Scope.Contains(update.Before) {
 				difference -= digestOf(update.Before)
 				touched = true
 			}
-			if conductor.Scope.Holds(update.After) {
+			if conductor.Scope.Contains(update.After) {
 				difference += digestOf(update.After)
 				touched = true
 			}
--- a/loadtest/startprogram.go
+++ b/loadtest/startprogram.go
@@ -74,7 +74,7 @@
 		}
 		if time.Now().After(deadline) {
 			return fmt.Errorf("harehookd held revision %d after %s, %d was agreed; it refused %d: %s",
-				lease.Accepted, timeout, want, lease.Refused, lease.Reason)
+				lease.Accepted, timeout, want, lease.RejectedRevision, lease.Reason)
 		}
 		if err := pause(ctx, askEvery); err != nil {
 			return err
@@ -86,7 +86,7 @@
 func (r *run) lease(ctx context.Context, name string) (latest configsync.LeaseStatus, found bool) {
 	for _, conn := range r.group.conns {
 		call, stop := context.WithTimeout(ctx, proposeTimeout)
-		status, err := front.AskStatus(call, conn)
+		status, err := front.FetchMemberStatus(call, conn)
 		stop()
 		if err != nil {
 			continue
--- a/planner/bench_test.go
+++ b/planner/bench_test.go
@@ -7,13 +7,13 @@
 
 type silent struct{}
 
-func (silent) Bind(int, int)                         {}
-func (silent) SetLine(int, uint32, float64)          {}
-func (silent) SetLevel(int, RouteID, float64, Tries) {}
-func (silent) RequestAck(int)                        {}
-func (silent) Wake(float64)                          {}
-func (silent) Subscribe()                            {}
-func (silent) Log(string)                            {}
+func (silent) BindProxy(int, int)                              {}
+func (silent) SetWeight(int, uint32, float64)                  {}
+func (silent) SetAdmission(int, RouteID, float64, RetryPolicy) {}
+func (silent) RequestAck(int)                                  {}
+func (silent) Wake(float64)                                    {}
+func (silent) Subscribe()                                      {}
+func (silent) Log(string)                                      {}
 
 // sizes runs a benchmark at fleets of growing size.
 func sizes(b *testing.B, run func(b *testing.B, proxies, nodes int)) {
@@ -23,28 +23,28 @@
 }
 
 // fleet is a conductor that all proxies have joined and confirmed.
-func fleet(proxies, nodes int) (c *Conductor, now float64) {
+func fleet(proxies, nodes int) (c *Planner, now float64) {
 	site := testSite()
-	site.Proxies, site.Queue = proxies, float64(proxies)*108
+	site.Proxies, site.MaxInFlightEntries = proxies, float64(proxies)*108
 	c = New(silent{}, site, 100)
-	c.ListWhole(100, rows(nodes))
+	c.ReplaceEndpoints(100, rows(nodes))
 	joinAll(c, 100, proxies)
 	for now = 100; len(c.unbound) > 0 || now < 102; now += 0.1 {
 		answerAll(c, now, proxies)
-		c.Tick(now)
+		c.Step(now)
 	}
 	return c, now
 }
 
-func joinAll(c *Conductor, now float64, proxies int) {
+func joinAll(c *Planner, now float64, proxies int) {
 	for p := range proxies {
 		c.ProxyJoined(now, p, p%2, 1)
 	}
 }
 
-func answerAll(c *Conductor, now float64, proxies int) {
+func answerAll(c *Planner, now float64, proxies int) {
 	mark := c.channel.nonces % nonceModulo
-	c.OrdersTaken(now, mark)
+	c.CommandsAccepted(now, mark)
 	for p := range proxies {
 		c.Acknowledged(now, p, mark)
 	}
@@ -56,9 +56,9 @@
 		for b.Loop() {
 			now += wakeEvery
 			for i := range uint32(nodes) {
-				c.NodeSums(now, Sums{Node: i + 1, Ended: 10, Mean: 0.2, Span: 0.5})
+				c.AddLoadReport(now, LoadReport{Node: i + 1, Completed: 10, MeanLatency: 0.2, Interval: 0.5})
 			}
-			c.Tick(now)
+			c.Step(now)
 			answerAll(c, now, proxies)
 		}
 	})
@@ -76,7 +76,7 @@
 			for len(c.unbound) > 0 {
 				now += wakeEvery
 				answerAll(c, now, proxies)
-				c.Tick(now)
+				c.Step(now)
 			}
 		}
 		b.ReportMetric(float64(b.Elapsed().Microseconds())/float64(b.N*proxies), "us/proxy")
@@ -89,7 +89,7 @@
 		c, now := fleet(proxies, nodes)
 		for k := 0; b.Loop(); k++ {
 			now += 0.001
-			c.RouteUsage(now, Usage{Proxy: k % proxies, Calls: 3, Span: 1})
+			c.AddDemandReport(now, DemandReport{Proxy: k % proxies, Requests: 3, Interval: 1})
 		}
 	})
 }
--- a/planner/brain_test.go
+++ b/planner/brain_test.go
@@ -16,10 +16,10 @@
 // keep what they hold.
 func TestFirstList(t *testing.T) {
 	for _, empty := range []bool{false, true} {
-		tr := &trace{t: t, now: 100, meets: map[uint32]Sums{}}
+		tr := &trace{t: t, now: 100, meets: map[uint32]LoadReport{}}
 		tr.c = New(tr, testSite(), tr.now)
 		if empty {
-			tr.c.ListWhole(tr.now, nil)
+			tr.c.ReplaceEndpoints(tr.now, nil)
 		}
 		for p := range 12 {
 			tr.c.ProxyJoined(tr.now, p, p%2, 10)
@@ -28,7 +28,7 @@
 		if strings.Contains(tr.String(), "bind") {
 			t.Errorf("ordered without a node:\n%s", tr)
 		}
-		tr.c.ListWhole(tr.now, rows(40))
+		tr.c.ReplaceEndpoints(tr.now, rows(40))
 		tr.run(2)
 		for pool, members := range tr.c.members {
 			if len(members) != 3 {
@@ -56,7 +56,7 @@
 		{"one zone only", []float64{7}, []float64{3}},
 	} {
 		n := len(fill.rooms)
-		c := &Conductor{site: Site{Zones: n}}
+		c := &Planner{site: Config{Zones: n}}
 		given := c.fill(fill.shares, fill.rooms)
 		tr.say("%s: shares %v rooms %v", fill.name, fill.shares, fill.rooms)
 		for from := range n {
@@ -80,7 +80,7 @@
 	tr := scene(t, testSite(), 3)
 	tr.run(1)
 	tr.say("-- node 2, alone in its zone, drains")
-	tr.c.ListChanged(tr.now, []Row{{Node: 2, Zone: 1, Condition: Draining}})
+	tr.c.UpdateEndpoints(tr.now, []Endpoint{{Node: 2, Zone: 1, State: Draining}})
 	tr.check()
 }
 
@@ -89,7 +89,7 @@
 	tr := scene(t, testSite(), 4)
 	tr.run(1)
 	tr.say("-- node 1 restarts")
-	tr.c.ListChanged(tr.now, []Row{{Node: 1, Condition: Ready, Started: tr.now}})
+	tr.c.UpdateEndpoints(tr.now, []Endpoint{{Node: 1, State: Ready, StartTime: tr.now}})
 	tr.run(20)
 	tr.check()
 }
@@ -99,8 +99,8 @@
 	tr := scene(t, testSite(), 6)
 	tr.run(3)
 	tr.say("-- node 1 restarts; late sums say that it answers none")
-	tr.c.ListChanged(tr.now, []Row{{Node: 1, Condition: Ready, Started: tr.now - 1}})
-	tr.meets[1] = Sums{Ended: 8, Lost: 8, Span: 4}
+	tr.c.UpdateEndpoints(tr.now, []Endpoint{{Node: 1, State: Ready, StartTime: tr.now - 1}})
+	tr.meets[1] = LoadReport{Completed: 8, Failed: 8, Interval: 4}
 	tr.run(4)
 	tr.say("-- so do those that began since")
 	tr.run(2)
@@ -110,10 +110,10 @@
 // In a jam a cold node gets less than its ramp, as most tries are lost and come again.
 func TestColdInJam(t *testing.T) {
 	tr := scene(t, testSite(), 4)
-	tr.meet(Sums{Ended: 20, Lost: 15, Mean: 1})
+	tr.meet(LoadReport{Completed: 20, Failed: 15, MeanLatency: 1})
 	tr.run(2)
 	tr.say("-- node 1 restarts")
-	tr.c.ListChanged(tr.now, []Row{{Node: 1, Condition: Ready, Started: tr.now}})
+	tr.c.UpdateEndpoints(tr.now, []Endpoint{{Node: 1, State: Ready, StartTime: tr.now}})
 	tr.check()
 }
 
@@ -122,10 +122,10 @@
 	tr := scene(t, testSite(), 6)
 	tr.run(3)
 	tr.say("-- node 1 answers none")
-	tr.meets[1] = Sums{Ended: 4, Lost: 4}
+	tr.meets[1] = LoadReport{Completed: 4, Failed: 4}
 	tr.run(8)
 	tr.say("-- node 1 answers again")
-	tr.meets[1] = Sums{Ended: 1, Mean: 0.2}
+	tr.meets[1] = LoadReport{Completed: 1, MeanLatency: 0.2}
 	tr.run(4)
 	tr.check()
 }
@@ -145,8 +145,8 @@
 	tr := scene(t, testSite(), 6)
 	tr.run(3)
 	tr.say("-- node 1 fails fast, node 2 is full")
-	tr.meets[1] = Sums{Ended: 10, Lost: 6, Mean: 0.2}
-	tr.meets[2] = Sums{Ended: 20, Lost: 12, Mean: 1.5}
+	tr.meets[1] = LoadReport{Completed: 10, Failed: 6, MeanLatency: 0.2}
+	tr.meets[2] = LoadReport{Completed: 20, Failed: 12, MeanLatency: 1.5}
 	tr.run(3)
 	tr.check()
 }
@@ -157,7 +157,7 @@
 	tr := scene(t, testSite(), 6)
 	tr.run(4)
 	tr.say("-- node 1 answers half of its tries, late")
-	tr.meets[1] = Sums{Ended: 10, Lost: 5, Mean: 1.8}
+	tr.meets[1] = LoadReport{Completed: 10, Failed: 5, MeanLatency: 1.8}
 	tr.run(2)
 	tr.say("-- so do all")
 	tr.meet(tr.meets[1])
@@ -170,10 +170,10 @@
 	tr := scene(t, testSite(), 4)
 	tr.run(2)
 	tr.say("-- all nodes are full")
-	tr.meet(Sums{Ended: 10, Lost: 5, Mean: 1})
+	tr.meet(LoadReport{Completed: 10, Failed: 5, MeanLatency: 1})
 	tr.run(6)
 	tr.say("-- and empty again")
-	tr.meet(Sums{Ended: 10, Mean: 0.2})
+	tr.meet(LoadReport{Completed: 10, MeanLatency: 0.2})
 	tr.run(12)
 	tr.check()
 }
@@ -181,24 +181,24 @@
 // While marks stay away, ordinary changes wait and urgent ones go out.
 func TestSlowChannel(t *testing.T) {
 	site := testSite()
-	site.Queue, site.Pace = 100, 50
+	site.MaxInFlightEntries, site.EntriesPerSecond = 100, 50
 	tr := scene(t, site, 8)
 	tr.mute = true
 	tr.say("-- zone 0 is asked for more")
 	tr.calls[0] = []int{30, 30}
 	tr.run(4)
 	tr.say("-- node 2 drains")
-	tr.c.ListChanged(tr.now, []Row{{Node: 2, Zone: 1, Condition: Draining}})
+	tr.c.UpdateEndpoints(tr.now, []Endpoint{{Node: 2, Zone: 1, State: Draining}})
 	tr.check()
 }
 
 // Where the list must be asked, a failed call is repeated with growing waits.
 func TestAsk(t *testing.T) {
 	site := testSite()
-	site.MustAsk = true
+	site.MustSubscribe = true
 	tr := scene(t, site, 2)
 	for range 4 {
-		tr.c.ListFailed(tr.now)
+		tr.c.EndpointWatchFailed(tr.now)
 		tr.run(3)
 	}
 	tr.check()
@@ -209,11 +209,11 @@
 	tr := scene(t, testSite(), 4)
 	tr.run(2)
 	tr.say("-- all nodes are full")
-	tr.meet(Sums{Ended: 10, Lost: 3, Mean: 0.8})
+	tr.meet(LoadReport{Completed: 10, Failed: 3, MeanLatency: 0.8})
 	tr.run(3)
 	tr.say("-- what was turned away is asked three times, and nothing waits")
 	tr.calls = [][]int{{24, 10}, {24, 10}}
-	tr.meet(Sums{Ended: 8, Mean: 0.2})
+	tr.meet(LoadReport{Completed: 8, MeanLatency: 0.2})
 	tr.run(6)
 	tr.say("-- first tries fall by half")
 	tr.calls = [][]int{{12, 5}, {12, 5}}
@@ -227,7 +227,7 @@
 	tr.run(2)
 	tr.say("-- a burst, and all nodes are full")
 	tr.calls = [][]int{{40, 40}, {40, 40}}
-	tr.meet(Sums{Ended: 14, Lost: 8, Mean: 0.9})
+	tr.meet(LoadReport{Completed: 14, Failed: 8, MeanLatency: 0.9})
 	tr.run(4)
 	tr.say("-- it is over; each call that is turned away comes again twice")
 	for range 20 {
@@ -237,7 +237,7 @@
 			tr.calls[0][r] = int(10 + 20*(1-level))
 		}
 		tr.calls[1] = tr.calls[0]
-		tr.meet(Sums{Ended: int(let), Mean: 0.2})
+		tr.meet(LoadReport{Completed: int(let), MeanLatency: 0.2})
 		tr.run(0.5)
 	}
 	tr.check()
@@ -246,14 +246,14 @@
 // What is let in falls and rises with the nodes that are there.
 func TestLostNodes(t *testing.T) {
 	tr := scene(t, testSite(), 8)
-	tr.meet(Sums{Ended: 5, Lost: 1, Mean: 0.9})
+	tr.meet(LoadReport{Completed: 5, Failed: 1, MeanLatency: 0.9})
 	tr.run(3)
 	tr.say("-- half of the nodes are gone")
 	list := rows(8)
-	tr.c.ListWhole(tr.now, list[:4])
+	tr.c.ReplaceEndpoints(tr.now, list[:4])
 	tr.run(2)
 	tr.say("-- and back, long warm")
-	tr.c.ListWhole(tr.now, list)
+	tr.c.ReplaceEndpoints(tr.now, list)
 	tr.run(2)
 	tr.check()
 }
@@ -261,11 +261,11 @@
 // Routes that gain about alike share a level; levels that are rates give each proxy its max-min share.
 func TestSharedLevel(t *testing.T) {
 	site := testSite()
-	site.Levels = LevelRate
-	site.Routes = append(site.Routes, Route{SLOTime: 1, Importance: 2.8})
+	site.Admission = AdmissionRate
+	site.Routes = append(site.Routes, Route{LatencyObjective: 1, PriorityWeight: 2.8})
 	tr := scene(t, site, 4)
 	tr.calls = [][]int{{10, 2, 2}, {10, 8, 8}}
-	tr.meet(Sums{Ended: 10, Lost: 8, Mean: 1})
+	tr.meet(LoadReport{Completed: 10, Failed: 8, MeanLatency: 1})
 	tr.run(3)
 	tr.check()
 }
@@ -276,13 +276,13 @@
 	tr.run(2)
 	tr.say("-- zone 1 is lost with its proxy")
 	tr.c.ProxyLeft(tr.now, 1)
-	tr.c.ListWhole(tr.now, []Row{rows(4)[0], rows(4)[2]})
+	tr.c.ReplaceEndpoints(tr.now, []Endpoint{rows(4)[0], rows(4)[2]})
 	tr.calls[1] = []int{0, 0}
 	tr.run(10)
 	tr.say("-- and starts again")
 	cold := rows(4)
-	cold[1].Started, cold[3].Started = tr.now, tr.now
-	tr.c.ListWhole(tr.now, cold)
+	cold[1].StartTime, cold[3].StartTime = tr.now, tr.now
+	tr.c.ReplaceEndpoints(tr.now, cold)
 	tr.c.ProxyJoined(tr.now, 1, 1, 40)
 	tr.run(2)
 	tr.check()
@@ -294,7 +294,7 @@
 	tr.run(1)
 	tr.mute = true
 	tr.say("-- nodes 1 and 2 slow down; marks stay away")
-	tr.meets[1], tr.meets[2] = Sums{Ended: 6, Mean: 0.8}, Sums{Ended: 4, Mean: 1.2}
+	tr.meets[1], tr.meets[2] = LoadReport{Completed: 6, MeanLatency: 0.8}, LoadReport{Completed: 4, MeanLatency: 1.2}
 	tr.run(4)
 	tr.check()
 }
@@ -302,14 +302,14 @@
 // A fleet that joins at once is bound as the queue takes it, and what must go still goes out.
 func TestCrowd(t *testing.T) {
 	site := testSite()
-	site.Proxies, site.Queue = 12, 100
+	site.Proxies, site.MaxInFlightEntries = 12, 100
 	tr := scene(t, site, 4)
 	tr.mute = true
 	for p := 2; p < 12; p++ {
 		tr.c.ProxyJoined(tr.now, p, p%2, 1)
 	}
 	tr.say("-- node 1 drains while proxies wait")
-	tr.c.ListChanged(tr.now, []Row{{Node: 1, Condition: Draining}})
+	tr.c.UpdateEndpoints(tr.now, []Endpoint{{Node: 1, State: Draining}})
 	tr.say("-- the channel confirms")
 	tr.mute = false
 	tr.run(1)
@@ -338,21 +338,21 @@
 // A table that lost much is set anew at once, and a cold node does not take what the lost ones had.
 func TestLoss(t *testing.T) {
 	tr := scene(t, testSite(), 12)
-	tr.c.ListChanged(tr.now, []Row{{Node: 1, Condition: Ready, Started: tr.now}})
+	tr.c.UpdateEndpoints(tr.now, []Endpoint{{Node: 1, State: Ready, StartTime: tr.now}})
 	tr.run(8)
 	tr.say("-- three of zone 0's six nodes are gone")
-	tr.c.ListChanged(tr.now, []Row{{Node: 3}, {Node: 5}, {Node: 7}})
+	tr.c.UpdateEndpoints(tr.now, []Endpoint{{Node: 3}, {Node: 5}, {Node: 7}})
 	tr.check()
 }
 
 // A channel that is slow for a minute never holds more than its queue takes; a broken stream frees its part.
 func TestLongSlow(t *testing.T) {
 	site := testSite()
-	site.Queue, site.Pace = 60, 30
+	site.MaxInFlightEntries, site.EntriesPerSecond = 60, 30
 	tr := scene(t, site, 8)
 	tr.mute = true
 	for k := range 30 {
-		tr.c.ListChanged(tr.now, []Row{{Node: 1, Started: tr.now, Condition: Condition(1 + k%2)}})
+		tr.c.UpdateEndpoints(tr.now, []Endpoint{{Node: 1, StartTime: tr.now, State: EndpointState(1 + k%2)}})
 		tr.run(2)
 	}
 	tr.say("free %.0f", tr.c.free(1))
@@ -364,7 +364,7 @@
 // What drains leaves all tables before proxies are bound; these come before a table is set anew.
 func TestOrder(t *testing.T) {
 	site := testSite()
-	site.Proxies, site.Queue = 20, 80
+	site.Proxies, site.MaxInFlightEntries = 20, 80
 	tr := scene(t, site, 12)
 	tr.run(2)
 	tr.say("-- nodes restart and drain as proxies join")
@@ -372,8 +372,8 @@
 	for p := 2; p < 8; p++ {
 		tr.c.ProxyJoined(tr.now, p, p%2, 1)
 	}
-	tr.c.ListChanged(tr.now, []Row{{Node: 1, Condition: Ready, Started: tr.now}, {Node: 4, Zone: 1},
-		{Node: 6, Zone: 1, Condition: Draining}, {Node: 5, Condition: Draining}})
+	tr.c.UpdateEndpoints(tr.now, []Endpoint{{Node: 1, State: Ready, StartTime: tr.now}, {Node: 4, Zone: 1},
+		{Node: 6, Zone: 1, State: Draining}, {Node: 5, State: Draining}})
 	tr.mute = false
 	tr.run(1)
 	tr.check()
@@ -383,7 +383,7 @@
 // taken to be where the room is; once its zone is asked for far more than usual, it lends.
 func TestOwnZone(t *testing.T) {
 	site := testSite()
-	site.OwnZone, site.Proxies, site.Conductors = true, 60, 2
+	site.LocalZoneProxies, site.Proxies, site.Controllers = true, 60, 2
 	tr := scene(t, site, 12)
 	tr.c.ProxyLeft(tr.now, 1)
 	for p := 2; p < 30; p++ {
@@ -395,7 +395,7 @@
 	tr.run(2)
 	tr.say("-- and its nodes are slow")
 	for node := uint32(1); node < 12; node += 2 {
-		tr.meets[node] = Sums{Ended: 20, Mean: 0.6}
+		tr.meets[node] = LoadReport{Completed: 20, MeanLatency: 0.6}
 	}
 	tr.run(2)
 	tr.check()
@@ -408,14 +408,14 @@
 		tr.c.ProxyJoined(tr.now, p, p%2, 40)
 		tr.calls = append(tr.calls, []int{10, 10})
 	}
-	tr.meet(Sums{Ended: 20, Lost: 8, Mean: 0.9})
+	tr.meet(LoadReport{Completed: 20, Failed: 8, MeanLatency: 0.9})
 	tr.run(4)
 	tr.say("-- six of eight proxies leave")
 	for p := 2; p < 8; p++ {
 		tr.c.ProxyLeft(tr.now, p)
 		tr.calls[p] = []int{0, 0}
 	}
-	tr.meet(Sums{Ended: 5, Mean: 0.2})
+	tr.meet(LoadReport{Completed: 5, MeanLatency: 0.2})
 	tr.run(3)
 	tr.check()
 }
@@ -427,7 +427,7 @@
 	tr.say("-- half of the nodes refuse half of the tries")
 	for node := range tr.meets {
 		if node%4 < 2 {
-			tr.meets[node] = Sums{Ended: 12, Lost: 6, Mean: 0.2}
+			tr.meets[node] = LoadReport{Completed: 12, Failed: 6, MeanLatency: 0.2}
 		}
 	}
 	tr.run(4)
@@ -437,10 +437,10 @@
 // A conductor that starts in a jam does not take the first few answers told for all that the fleet can do.
 func TestStartInJam(t *testing.T) {
 	tr := scene(t, testSite(), 4)
-	tr.meet(Sums{Ended: 10, Lost: 4, Mean: 1.1})
+	tr.meet(LoadReport{Completed: 10, Failed: 4, MeanLatency: 1.1})
 	tr.run(4)
 	tr.say("-- all is answered quickly")
-	tr.meet(Sums{Ended: 6, Mean: 0.2})
+	tr.meet(LoadReport{Completed: 6, MeanLatency: 0.2})
 	tr.run(8)
 	tr.check()
 }
@@ -449,39 +449,39 @@
 // take.
 func TestOdd(t *testing.T) {
 	site := testSite()
-	site.Proxies, site.Queue = 300, 3000
-	tr := &trace{t: t, now: 100, meets: map[uint32]Sums{}}
+	site.Proxies, site.MaxInFlightEntries = 300, 3000
+	tr := &trace{t: t, now: 100, meets: map[uint32]LoadReport{}}
 	tr.c = New(tr, site, tr.now)
 	steps := []struct {
 		name string
 		do   func()
 	}{
-		{"an empty list", func() { tr.c.ListWhole(tr.now, nil) }},
+		{"an empty list", func() { tr.c.ReplaceEndpoints(tr.now, nil) }},
 		{"300 proxies in one batch", func() {
 			for p := range 300 {
 				tr.c.ProxyJoined(tr.now, p, p%2, 1)
 			}
 		}},
-		{"no node in zone 1", func() { tr.c.ListWhole(tr.now, rows(60)[:1]) }},
+		{"no node in zone 1", func() { tr.c.ReplaceEndpoints(tr.now, rows(60)[:1]) }},
 		{"the list swings", func() {
 			for k := range 20 {
-				tr.c.ListWhole(tr.now, rows(60)[k%2*30:k%2*30+30])
+				tr.c.ReplaceEndpoints(tr.now, rows(60)[k%2*30:k%2*30+30])
 			}
 		}},
 		{"all start again cold", func() {
 			cold := rows(60)
 			for k := range cold {
-				cold[k].Started = tr.now
+				cold[k].StartTime = tr.now
 			}
-			tr.c.ListWhole(tr.now, cold)
+			tr.c.ReplaceEndpoints(tr.now, cold)
 		}},
 		{"sums and marks of what is not known", func() {
-			tr.c.NodeSums(tr.now, Sums{Node: 999, Ended: 5, Lost: 9, Mean: -1})
-			tr.c.RouteUsage(tr.now, Usage{Proxy: 999, Route: 9, Calls: 1, Span: 1})
+			tr.c.AddLoadReport(tr.now, LoadReport{Node: 999, Completed: 5, Failed: 9, MeanLatency: -1})
+			tr.c.AddDemandReport(tr.now, DemandReport{Proxy: 999, Route: 9, Requests: 1, Interval: 1})
 			tr.c.Acknowledged(tr.now, 999, 59999)
 			tr.c.ProxyLeft(tr.now, 999)
 		}},
-		{"all nodes gone", func() { tr.c.ListWhole(tr.now, nil) }},
+		{"all nodes gone", func() { tr.c.ReplaceEndpoints(tr.now, nil) }},
 		{"all proxies gone", func() {
 			for p := range 300 {
 				tr.c.ProxyLeft(tr.now, p)
@@ -518,12 +518,12 @@
 // A node at which calls wait turns some away because it is full: it stays in.
 func TestFullQueue(t *testing.T) {
 	site := testSite()
-	site.Backlog = 0
+	site.QueueLengthIndex = 0
 	tr := scene(t, site, 6)
 	tr.run(2)
 	tr.say("-- node 1 is full and answers quickly what it takes, node 2 fails")
-	tr.meets[1] = Sums{Ended: 20, Lost: 12, Mean: 0.4, Report: []float64{6}}
-	tr.meets[2] = Sums{Ended: 20, Lost: 12, Mean: 0.4, Report: []float64{0}}
+	tr.meets[1] = LoadReport{Completed: 20, Failed: 12, MeanLatency: 0.4, Values: []float64{6}}
+	tr.meets[2] = LoadReport{Completed: 20, Failed: 12, MeanLatency: 0.4, Values: []float64{0}}
 	tr.run(3)
 	tr.check()
 }
@@ -531,10 +531,10 @@
 // Tries that other nodes refuse come again at a cold one that takes them: it gets little of the table.
 func TestColdAmongRefused(t *testing.T) {
 	tr := scene(t, testSite(), 6)
-	tr.meet(Sums{Ended: 12, Lost: 6, Mean: 0.2})
+	tr.meet(LoadReport{Completed: 12, Failed: 6, MeanLatency: 0.2})
 	tr.run(2)
 	tr.say("-- node 1 restarts")
-	tr.c.ListChanged(tr.now, []Row{{Node: 1, Condition: Ready, Started: tr.now}})
+	tr.c.UpdateEndpoints(tr.now, []Endpoint{{Node: 1, State: Ready, StartTime: tr.now}})
 	tr.run(1)
 	tr.check()
 }
@@ -543,7 +543,7 @@
 func TestToldAgain(t *testing.T) {
 	tr := scene(t, testSite(), 4)
 	tr.run(10)
-	tr.meet(Sums{Ended: 10, Lost: 4, Mean: 0.9})
+	tr.meet(LoadReport{Completed: 10, Failed: 4, MeanLatency: 0.9})
 	tr.calls = [][]int{{40, 10}, {40, 10}}
 	tr.run(20)
 	tr.say("-- both proxies are told again")
@@ -572,12 +572,12 @@
 	}
 	for proxy := range 3 {
 		for route := range 2 {
-			tr.c.RouteUsage(tr.now, Usage{Proxy: proxy, Route: RouteID(route), Calls: 120, Span: 6})
+			tr.c.AddDemandReport(tr.now, DemandReport{Proxy: proxy, Route: RouteID(route), Requests: 120, Interval: 6})
 		}
 	}
 	show("all that was held up")
 	for node := range tr.meets {
-		tr.c.NodeSums(tr.now, Sums{Node: node, Ended: 120, Mean: 0.2, Span: 6})
+		tr.c.AddLoadReport(tr.now, LoadReport{Node: node, Completed: 120, MeanLatency: 0.2, Interval: 6})
 	}
 	tr.say("answered: %.0f a second", sum(tr.c.ended)/viewWindow)
 	tr.check()
@@ -606,8 +606,8 @@
 	tr.run(10)
 	tr.say("-- proxy 1 is back after 10 s")
 	tr.c.ProxyJoined(tr.now, 1, 1, 40)
-	tr.c.RouteUsage(tr.now, Usage{Proxy: 1, Route: 0, Calls: 1, Span: 0.5})
-	tr.c.Tick(tr.wake)
+	tr.c.AddDemandReport(tr.now, DemandReport{Proxy: 1, Route: 0, Requests: 1, Interval: 0.5})
+	tr.c.Step(tr.wake)
 	tr.say("calls a second by pool %.0f", tr.c.poolCalls)
 	tr.check()
 }
@@ -617,7 +617,7 @@
 func TestTakenOver(t *testing.T) {
 	tr := scene(t, testSite(), 4)
 	tr.run(2)
-	tr.meet(Sums{Ended: 10, Lost: 5, Mean: 0.8})
+	tr.meet(LoadReport{Completed: 10, Failed: 5, MeanLatency: 0.8})
 	tr.run(4)
 	tr.say("-- two more proxies")
 	tr.calls = [][]int{{10, 10}, {10, 10}, {10, 10}, {10, 10}}
@@ -638,10 +638,10 @@
 // their table's lines, and they are bound again only as the channel has room.
 func TestToldInFullChannel(t *testing.T) {
 	site := testSite()
-	site.Proxies, site.Queue = 40, 600
+	site.Proxies, site.MaxInFlightEntries = 40, 600
 	tr := &trace{t: t, now: 100, mute: true}
 	tr.c = New(tr, site, tr.now)
-	tr.c.ListWhole(tr.now, rows(6))
+	tr.c.ReplaceEndpoints(tr.now, rows(6))
 	join := func() {
 		for p := range site.Proxies {
 			tr.c.ProxyJoined(tr.now, p, p%2, 1)
@@ -649,7 +649,7 @@
 	}
 	waits := func(when string) {
 		bound := len(tr.c.members[0]) + len(tr.c.members[1])
-		tr.say("%s: %.0f of %.0f lines wait, %d bound", when, tr.c.channel.lines, site.Queue, bound)
+		tr.say("%s: %.0f of %.0f lines wait, %d bound", when, tr.c.channel.lines, site.MaxInFlightEntries, bound)
 	}
 	join()
 	waits("joined")
@@ -675,23 +675,23 @@
 	tr.run(1)
 	waits("calm")
 	tr.mute = true
-	tr.c.ListChanged(tr.now, []Row{{Node: 2, Zone: 1, Condition: Draining}})
+	tr.c.UpdateEndpoints(tr.now, []Endpoint{{Node: 2, Zone: 1, State: Draining}})
 	waits("node 2 drains")
 	first := tr.order
-	tr.c.OrdersRepeated(tr.now, first, true)
+	tr.c.CommandsRetried(tr.now, first, true)
 	waits("repeated")
-	tr.c.OrdersTaken(tr.now, first)
+	tr.c.CommandsAccepted(tr.now, first)
 	for p := range 2 {
 		tr.c.Acknowledged(tr.now, p, first)
 	}
 	waits("confirmed, for all one knows the first time")
 	tr.now += 0.1
-	tr.c.ListChanged(tr.now, []Row{{Node: 1, Condition: Draining}})
+	tr.c.UpdateEndpoints(tr.now, []Endpoint{{Node: 1, State: Draining}})
 	waits("node 1 drains")
 	for p := range 2 {
 		tr.c.Acknowledged(tr.now, p, tr.order)
 	}
-	tr.c.OrdersTaken(tr.now, tr.order)
+	tr.c.CommandsAccepted(tr.now, tr.order)
 	waits("confirmed")
 	tr.check()
 }
@@ -700,18 +700,18 @@
 // out, and a drain finds little before it.
 func TestLongQueue(t *testing.T) {
 	site := testSite()
-	site.Proxies, site.Pace, site.Queue = 200, 100, 100000
-	tr := &trace{t: t, now: 100, meets: map[uint32]Sums{}, mute: true}
+	site.Proxies, site.EntriesPerSecond, site.MaxInFlightEntries = 200, 100, 100000
+	tr := &trace{t: t, now: 100, meets: map[uint32]LoadReport{}, mute: true}
 	tr.c = New(tr, site, tr.now)
-	tr.c.ListWhole(tr.now, rows(6))
-	tr.c.OrdersTaken(tr.now, tr.order)
+	tr.c.ReplaceEndpoints(tr.now, rows(6))
+	tr.c.CommandsAccepted(tr.now, tr.order)
 	for p := range site.Proxies {
 		tr.c.ProxyJoined(tr.now, p, p%2, 1)
 	}
 	var kept []string
 	say := func(when string) {
 		bound := len(tr.c.members[0]) + len(tr.c.members[1])
-		kept = append(kept, fmt.Sprintf("%s: %.1f s of the channel wait, %d bound", when, tr.c.channel.lines/site.Pace, bound))
+		kept = append(kept, fmt.Sprintf("%s: %.1f s of the channel wait, %d bound", when, tr.c.channel.lines/site.EntriesPerSecond, bound))
 	}
 	say("joined")
 	for range 4 {
@@ -720,8 +720,8 @@
 	}
 	say("4 s later")
 	before := tr.c.channel.lines
-	tr.c.ListChanged(tr.now, []Row{{Node: 2, Zone: 1, Condition: Draining}})
-	kept = append(kept, fmt.Sprintf("the drain is behind %.1f s", before/site.Pace))
+	tr.c.UpdateEndpoints(tr.now, []Endpoint{{Node: 2, Zone: 1, State: Draining}})
+	kept = append(kept, fmt.Sprintf("the drain is behind %.1f s", before/site.EntriesPerSecond))
 	tr.Reset()
 	for _, line := range kept {
 		tr.say("%s", line)
--- a/planner/channel.go
+++ b/planner/channel.go
@@ -213,5 +213,5 @@
 	return 0, 0
 }
 
-// Waiting is how many lines may wait in the channel, never fewer than do.
-func (c *Conductor) Waiting() float64 { return c.channel.lines }
+// InFlight is how many lines may wait in the channel, never fewer than do.
+func (c *Planner) InFlight() float64 { return c.channel.lines }
--- a/planner/health.go
+++ b/planner/health.go
@@ -17,7 +17,7 @@
 )
 
 // setHealth notes and logs a node's health.
-func (c *Conductor) setHealth(i int, h health) {
+func (c *Planner) setHealth(i int, h health) {
 	if c.health[i] != h {
 		c.host.Log(fmt.Sprintf("node %d %s", c.node[i], [...]string{"well", "out", "on trial"}[h]))
 	}
@@ -25,7 +25,7 @@
 }
 
 // updateHealth ejects nodes that lose far more than their peers, and tries them again with a small part.
-func (c *Conductor) updateHealth() {
+func (c *Planner) updateHealth() {
 	losses, all, away := []float64(nil), 0.0, 0.0
 	for i, condition := range c.condition {
 		if condition != Ready {
--- a/planner/helper.go
+++ b/planner/helper.go
@@ -13,7 +13,7 @@
 }
 
 // chance draws from 0 to 1.
-func (c *Conductor) chance() float64 {
+func (c *Planner) chance() float64 {
 	c.draws++
 	h := fnv.New64a()
 	fmt.Fprint(h, c.site.Seed, c.draws)
--- a/planner/host.go
+++ b/planner/host.go
@@ -23,12 +23,12 @@
 // Host carries out what a Conductor orders. The orders given while one batch of happenings is handled
 // leave as one message for each proxy concerned.
 type Host interface {
-	// Bind puts a joined proxy on a table for all routes.
-	Bind(proxy, table int)
-	// SetLine sets a node's weight in a table; weight 0 removes the line.
-	SetLine(table int, node uint32, weight float64)
-	// SetLevel sets how much of a route the proxies of a table let in, and when they try again.
-	SetLevel(table int, route RouteID, level float64, tries Tries)
+	// BindProxy puts a joined proxy on a table for all routes.
+	BindProxy(proxy, table int)
+	// SetWeight sets a node's weight in a table; weight 0 removes the line.
+	SetWeight(table int, node uint32, weight float64)
+	// SetAdmission sets how much of a route the proxies of a table let in, and when they try again.
+	SetAdmission(table int, route RouteID, level float64, tries RetryPolicy)
 	// RequestAck asks every proxy that this batch's messages reach to acknowledge the nonce.
 	RequestAck(nonce int)
 	// Wake asks for Conductor.Tick at a time.
@@ -42,31 +42,31 @@
 // AllTables stands for every joined proxy in Host.SetLevel.
 const AllTables = 65535
 
-// Tries says when a proxy tries another node by itself.
-type Tries uint8
+// RetryPolicy says when a proxy tries another node by itself.
+type RetryPolicy uint8
 
 // The further tries a proxy can be told to make.
 const (
-	NoRetry     Tries = iota
-	RetryUnsent       // one, after proof that the first never ran
+	NoRetry        RetryPolicy = iota
+	RetryIfNotSent             // one, after proof that the first never ran
 )
 
-// LevelKind says what a level counts.
-type LevelKind uint8
+// AdmissionKind says what a level counts.
+type AdmissionKind uint8
 
 // The kinds of level.
 const (
-	LevelsOff     LevelKind = iota
-	LevelFraction           // the part of a route that is let in
-	LevelRate               // calls a second at each proxy
+	AdmissionOff      AdmissionKind = iota
+	AdmissionFraction               // the part of a route that is let in
+	AdmissionRate                   // calls a second at each proxy
 )
 
-// Condition is what the list says of a node.
-type Condition uint8
+// EndpointState is what the list says of a node.
+type EndpointState uint8
 
 // The conditions of a listed node.
 const (
-	Gone Condition = iota
+	Removed EndpointState = iota
 	Ready
 	Draining
 )
@@ -76,60 +76,60 @@
 
 // Route is a kind of call.
 type Route struct {
-	SLOTime    float64
-	Importance float64
-	HomeOnly   bool // goes to nodes of the proxy's zone only
+	LatencyObjective float64
+	PriorityWeight   float64
+	LocalZoneOnly    bool // goes to nodes of the proxy's zone only
 }
 
-// Site is what a conductor is told of its deployment when it starts. Times are in seconds.
-type Site struct {
-	Seed        uint64
-	Zones       int
-	Kinds       int // machine types
-	Conductors  int
-	Proxies     int  // of all conductors
-	OwnZone     bool // a proxy joins a conductor of its own zone if there is one
-	Routes      []Route
-	Sliced      bool // tables belong to slices that a store hands out
-	MustAsk     bool // the list's changes come only after Subscribe
-	AskWithin   float64
-	Utilization int // its place in a load report, -1 if absent
-	Backlog     int // the same
-	Levels      LevelKind
-	Pace        float64 // lines a second that the channel sends
-	Queue       float64 // lines that may wait in the channel
-	Head        float64 // lines that a message costs beside its own
-	Messages    int     // most messages to one proxy within MessageSpan, 0 for no limit
-	MessageSpan float64
-	Period      float64 // between sums
-	Ramp        float64 // a node is warm after this
-	FallTimes   float64 // multiple of its present capacity that pushes a cold node over
+// Config is what a conductor is told of its deployment when it starts. Times are in seconds.
+type Config struct {
+	Seed               uint64
+	Zones              int
+	MachineTypes       int // machine types
+	Controllers        int
+	Proxies            int  // of all conductors
+	LocalZoneProxies   bool // a proxy joins a conductor of its own zone if there is one
+	Routes             []Route
+	Sharded            bool // tables belong to slices that a store hands out
+	MustSubscribe      bool // the list's changes come only after Subscribe
+	SubscribeTimeout   float64
+	UtilizationIndex   int // its place in a load report, -1 if absent
+	QueueLengthIndex   int // the same
+	Admission          AdmissionKind
+	EntriesPerSecond   float64 // lines a second that the channel sends
+	MaxInFlightEntries float64 // lines that may wait in the channel
+	MessageOverhead    float64 // lines that a message costs beside its own
+	MaxMessages        int     // most messages to one proxy within MessageSpan, 0 for no limit
+	MessageWindow      float64
+	ReportInterval     float64 // between sums
+	SlowStartWindow    float64 // a node is warm after this
+	OverloadMultiple   float64 // multiple of its present capacity that pushes a cold node over
 }
 
-// Row is an entry of the list.
-type Row struct {
-	Node      uint32
-	Kind      int
-	Zone      int
-	Weight    float64
-	Condition Condition
-	Started   float64 // 0: long past
+// Endpoint is an entry of the list.
+type Endpoint struct {
+	Node        uint32
+	MachineType int
+	Zone        int
+	Weight      float64
+	State       EndpointState
+	StartTime   float64 // 0: long past
 }
 
-// Sums is what the joined proxies of one zone met at a node.
-type Sums struct {
-	Node   uint32
-	Ended  int       // tries that ended
-	Lost   int       // of these, without a good answer
-	Span   float64   // over which they ended
-	Mean   float64   // time of the good ones, 0 if none
-	Report []float64 // the node's load report, empty if none; valid during the call only
+// LoadReport is what the joined proxies of one zone met at a node.
+type LoadReport struct {
+	Node        uint32
+	Completed   int       // tries that ended
+	Failed      int       // of these, without a good answer
+	Interval    float64   // over which they ended
+	MeanLatency float64   // time of the good ones, 0 if none
+	Values      []float64 // the node's load report, empty if none; valid during the call only
 }
 
-// Usage is what clients asked of a proxy on one route.
-type Usage struct {
-	Proxy int
-	Route RouteID
-	Calls int
-	Span  float64
+// DemandReport is what clients asked of a proxy on one route.
+type DemandReport struct {
+	Proxy    int
+	Route    RouteID
+	Requests int
+	Interval float64
 }
--- a/planner/levels.go
+++ b/planner/levels.go
@@ -23,7 +23,7 @@
 
 // updateLevels guards against full queues: it lets in what the fleet has shown that it can answer, and of that the
 // routes with most importance for each unit of work first, a route's SLO time standing for its work.
-func (c *Conductor) updateLevels() {
+func (c *Planner) updateLevels() {
 	if c.slo == 0 || c.answering == 0 {
 		return
 	}
@@ -49,11 +49,11 @@
 		pull := slackPull + slackBack*max(0, 1-c.budget/max(c.peak, 1e-9))
 		c.budget *= 1 + pull*learnEvery*min(1, (slackTime-c.load)/(slackTime-easyTime))
 	}
-	if able *= ablePart * c.slo; c.site.Utilization >= 0 && asked > able {
+	if able *= ablePart * c.slo; c.site.UtilizationIndex >= 0 && asked > able {
 		// Where nodes tell how busy they are, a burst shows in what is asked before any queue tells.
 		c.budget = min(c.budget, able)
 	}
-	if c.site.Levels == LevelsOff || c.load < slackTime && c.budget > levelOff*asked {
+	if c.site.Admission == AdmissionOff || c.load < slackTime && c.budget > levelOff*asked {
 		c.budget = math.Inf(1)
 	}
 	if throttling := !math.IsInf(c.budget, 1); throttling != c.throttling {
@@ -67,7 +67,7 @@
 			work := 0.0
 			for _, q := range c.order[k:] {
 				if c.gain[q] >= tierPart*c.gain[r] {
-					work += c.firstTries[q] * c.site.Routes[q].SLOTime
+					work += c.firstTries[q] * c.site.Routes[q].LatencyObjective
 				}
 			}
 			tier, level = c.gain[r], max(levelLow, min(1, left/max(work, 1e-9)))
@@ -83,14 +83,14 @@
 // at once they found no room beside tables, and a jam went on with all let in. Further tries are one, after
 // proof that the first never ran, which is safe on every route; none while the fleet is full, where each only
 // fills another node.
-func (c *Conductor) sendLevels() (all bool) {
-	tries, routes := RetryUnsent, float64(len(c.order))
+func (c *Planner) sendLevels() (all bool) {
+	tries, routes := RetryIfNotSent, float64(len(c.order))
 	if all = true; c.full {
 		tries = NoRetry
 	}
 	for z, sent := range c.sentLevels {
-		lines := float64(len(c.members[z])*len(c.sentLevels)) * (c.site.Head + 1 + routes) // as though all were as many
-		late := c.now >= c.levelsSentAt[z]+max(paceEvery, lines/(levelsPart*max(c.site.Pace, 1)))
+		lines := float64(len(c.members[z])*len(c.sentLevels)) * (c.site.MessageOverhead + 1 + routes) // as though all were as many
+		late := c.now >= c.levelsSentAt[z]+max(paceEvery, lines/(levelsPart*max(c.site.EntriesPerSecond, 1)))
 		if !late || c.sentNoRetry[z] == c.full && slices.Equal(sent, c.level) {
 			continue
 		}
@@ -100,10 +100,10 @@
 		}
 		for r, level := range c.level {
 			if sent[r] != level || c.sentNoRetry[z] != c.full {
-				if sent[r] = level; c.site.Levels == LevelRate {
+				if sent[r] = level; c.site.Admission == AdmissionRate {
 					level = c.rateFor(r)
 				}
-				c.host.SetLevel(z, RouteID(r), level, tries)
+				c.host.SetAdmission(z, RouteID(r), level, tries)
 				c.write(z)
 			}
 		}
@@ -113,7 +113,7 @@
 }
 
 // rateFor is each proxy's max-min rate that lets in a part of a route's first tries; repeats use none of it.
-func (c *Conductor) rateFor(r int) float64 {
+func (c *Planner) rateFor(r int) float64 {
 	var rates []float64
 	for p, here := range c.joined {
 		if here {
--- a/planner/list.go
+++ b/planner/list.go
@@ -7,16 +7,16 @@
 
 const askFirst = 0.2 // s before the list's service is asked again after a failure
 
-// ListWhole is the complete list, at the start the one last known: what it lacks is gone.
-func (c *Conductor) ListWhole(now float64, rows []Row) {
+// ReplaceEndpoints is the complete list, at the start the one last known: what it lacks is gone.
+func (c *Planner) ReplaceEndpoints(now float64, rows []Endpoint) {
 	for i := range c.condition {
-		c.condition[i] = Gone
+		c.condition[i] = Removed
 	}
-	c.ListChanged(now, rows)
+	c.UpdateEndpoints(now, rows)
 }
 
-// ListChanged brings the entries that are new or other than before.
-func (c *Conductor) ListChanged(now float64, rows []Row) {
+// UpdateEndpoints brings the entries that are new or other than before.
+func (c *Planner) UpdateEndpoints(now float64, rows []Endpoint) {
 	c.now, c.askTries = now, 0
 	if len(c.node) == 0 {
 		c.makePools(len(rows))
@@ -27,32 +27,32 @@
 		}
 	}
 	for _, row := range rows {
-		if row.Zone >= c.site.Zones || row.Kind >= c.site.Kinds {
+		if row.Zone >= c.site.Zones || row.MachineType >= c.site.MachineTypes {
 			continue
 		}
 		i, known := c.index[row.Node]
 		if !known {
 			i = c.addNode(row)
 		}
-		if row.Started > c.started[i] {
+		if row.StartTime > c.started[i] {
 			// A restart under the same id is a new, cold process: what was seen of the old one is void.
-			c.started[i] = row.Started
+			c.started[i] = row.StartTime
 			c.setHealth(i, healthy)
 			c.forget(i)
 		}
-		c.condition[i], c.listed[i] = row.Condition, cmp.Or(max(row.Weight, 0), 1)
+		c.condition[i], c.listed[i] = row.State, cmp.Or(max(row.Weight, 0), 1)
 	}
-	c.changed = !c.site.Sliced
+	c.changed = !c.site.Sharded
 	c.sendUrgent()
 }
 
-func (c *Conductor) addNode(row Row) int {
+func (c *Planner) addNode(row Endpoint) int {
 	i := len(c.node)
 	if n := len(c.spare); n > 0 {
 		i, c.spare = c.spare[n-1], c.spare[:n-1]
 	} else {
 		c.node, c.kind, c.pool = append(c.node, 0), append(c.kind, 0), append(c.pool, 0)
-		c.condition, c.health = append(c.condition, Gone), append(c.health, healthy)
+		c.condition, c.health = append(c.condition, Removed), append(c.health, healthy)
 		for _, figure := range []*[]float64{&c.listed, &c.started, &c.since, &c.done, &c.busy,
 			&c.quick, &c.queue, &c.use, &c.ended, &c.lost, &c.spent} {
 			*figure = append(*figure, 0)
@@ -62,22 +62,22 @@
 		}
 	}
 	c.index[row.Node] = i
-	c.node[i], c.kind[i], c.condition[i], c.health[i] = row.Node, row.Kind, Ready, healthy
+	c.node[i], c.kind[i], c.condition[i], c.health[i] = row.Node, row.MachineType, Ready, healthy
 	c.pool[i] = (row.Zone + c.site.Zones*c.nodesDealt[row.Zone]) % len(c.want)
 	c.nodesDealt[row.Zone]++
 	c.started[i], c.since[i] = -1, 0
 	return i
 }
 
-// Forget guards against memory and work that grow with each release: a node that is gone for good gives its
+// ReleaseEndpoint guards against memory and work that grow with each release: a node that is gone for good gives its
 // place back. It tells whether it could: not while a table has its line.
-func (c *Conductor) Forget(node uint32) bool {
+func (c *Planner) ReleaseEndpoint(node uint32) bool {
 	i, known := c.index[node]
 	if !known {
 		return true
 	}
 	for t := range c.sent {
-		if c.condition[i] != Gone || c.sent[t][i] > 0 {
+		if c.condition[i] != Removed || c.sent[t][i] > 0 {
 			return false
 		}
 		c.want[t][i] = 0
@@ -88,12 +88,12 @@
 	return true
 }
 
-// ListFailed says that asking for the list failed or that the subscription broke.
-func (c *Conductor) ListFailed(now float64) {
+// EndpointWatchFailed says that asking for the list failed or that the subscription broke.
+func (c *Planner) EndpointWatchFailed(now float64) {
 	c.now = now
-	if c.site.MustAsk && !c.site.Sliced && math.IsInf(c.askAt, 1) {
+	if c.site.MustSubscribe && !c.site.Sharded && math.IsInf(c.askAt, 1) {
 		// Waits grow and are spread by chance: the service is one for all and turns crowds away.
-		c.askAt = now + min(askFirst*math.Exp2(c.askTries), c.site.AskWithin/4)*(0.5+c.chance())
+		c.askAt = now + min(askFirst*math.Exp2(c.askTries), c.site.SubscribeTimeout/4)*(0.5+c.chance())
 		c.askTries++
 	}
 }
--- a/planner/load.go
+++ b/planner/load.go
@@ -15,29 +15,29 @@
 	maxRepeats   = 3.0  // repeats of a call that are believed
 )
 
-// NodeSums brings what the proxies of a zone met at a node.
-func (c *Conductor) NodeSums(now float64, s Sums) {
+// AddLoadReport brings what the proxies of a zone met at a node.
+func (c *Planner) AddLoadReport(now float64, s LoadReport) {
 	c.now = now
 	i, known := c.index[s.Node]
-	if !known || now-s.Span-maxSumsDelay < c.started[i] {
+	if !known || now-s.Interval-maxSumsDelay < c.started[i] {
 		return // it tells of the process before: a zone's new nodes were put out for what the lost ones had lost
 	}
 	// What was held up and comes all at once must not pass for a rate of answers that was never reached.
-	part := min(1, viewWindow/max(s.Span, 1e-9))
-	ended, lost := float64(s.Ended)*part, float64(s.Lost)*part
-	c.ended[i], c.lost[i], c.spent[i] = c.ended[i]+ended, c.lost[i]+lost, c.spent[i]+(ended-lost)*s.Mean
-	if k := c.site.Backlog; k >= 0 && k < len(s.Report) {
-		c.queue[i] = s.Report[k]
+	part := min(1, viewWindow/max(s.Interval, 1e-9))
+	ended, lost := float64(s.Completed)*part, float64(s.Failed)*part
+	c.ended[i], c.lost[i], c.spent[i] = c.ended[i]+ended, c.lost[i]+lost, c.spent[i]+(ended-lost)*s.MeanLatency
+	if k := c.site.QueueLengthIndex; k >= 0 && k < len(s.Values) {
+		c.queue[i] = s.Values[k]
 	}
-	if k := c.site.Utilization; k >= 0 && k < len(s.Report) {
-		c.use[i] += (s.Report[k] - c.use[i]) * (1 - math.Exp(-c.site.Period/viewWindow))
+	if k := c.site.UtilizationIndex; k >= 0 && k < len(s.Values) {
+		c.use[i] += (s.Values[k] - c.use[i]) * (1 - math.Exp(-c.site.ReportInterval/viewWindow))
 	}
 }
 
-// RouteUsage brings how many calls of a route came to a proxy.
-func (c *Conductor) RouteUsage(now float64, u Usage) {
+// AddDemandReport brings how many calls of a route came to a proxy.
+func (c *Planner) AddDemandReport(now float64, u DemandReport) {
 	c.now = now
-	if u.Proxy >= len(c.joined) || c.usage[u.Proxy] == nil || int(u.Route) >= len(c.site.Routes) || u.Span <= 0 {
+	if u.Proxy >= len(c.joined) || c.usage[u.Proxy] == nil || int(u.Route) >= len(c.site.Routes) || u.Interval <= 0 {
 		return
 	}
 	// A proxy without calls says nothing: what was counted fades as others of its pool report, and stays while
@@ -51,11 +51,11 @@
 		}
 	}
 	c.heardAt[pool] = now
-	c.usage[u.Proxy][u.Route] += float64(u.Calls) / max(u.Span, usageWindow)
+	c.usage[u.Proxy][u.Route] += float64(u.Requests) / max(u.Interval, usageWindow)
 }
 
 // updateDemand lets what was met age, but on trial, where few calls must tell, and sums up what is asked.
-func (c *Conductor) updateDemand() {
+func (c *Planner) updateDemand() {
 	keep := math.Exp((c.fadedAt - c.now) / viewWindow)
 	c.fadedAt = c.now
 	for i := range c.node {
@@ -81,18 +81,18 @@
 	}
 	c.slo = 0
 	for r, rate := range c.asked {
-		c.slo += c.site.Routes[r].SLOTime * rate / max(sum(c.asked), 1e-9)
+		c.slo += c.site.Routes[r].LatencyObjective * rate / max(sum(c.asked), 1e-9)
 	}
 }
 
-func (c *Conductor) forget(i int) {
+func (c *Planner) forget(i int) {
 	c.ended[i], c.lost[i], c.spent[i], c.done[i], c.busy[i] = 0, 0, 0, 0, 0
 	c.use[i], c.queue[i], c.quick[i] = 0, 0, math.Inf(1)
 }
 
 // measureLoad sees how full the fleet is; it gives what was answered, the nodes' weight, and what they could
 // answer. A few full nodes are for the weights to relieve: each counts for its answers, and bounded.
-func (c *Conductor) measureLoad() (good, fleet, able float64) {
+func (c *Planner) measureLoad() (good, fleet, able float64) {
 	c.load = 0
 	for i, tries := range c.ended {
 		if c.condition[i] != Ready || c.health[i] == ejected {
@@ -104,9 +104,9 @@
 		// Tries lost where the others are quick are no load: connections refused, or a node that fails.
 		slow := min(1, max(0, (c.spent[i]/max(answers, 1)/c.slo-easyTime)/(tightTime-easyTime)))
 		part := (c.spent[i]/c.slo + slow*c.lost[i]) / max(tries, minTries)
-		if c.site.Backlog >= 0 {
+		if c.site.QueueLengthIndex >= 0 {
 			// Calls that wait tell of a queue before those that waited do.
-			part = easyTime + c.queue[i]*viewWindow/max(answers, 1)/float64(c.site.Conductors)/c.slo
+			part = easyTime + c.queue[i]*viewWindow/max(answers, 1)/float64(c.site.Controllers)/c.slo
 		}
 		c.load += answers * min(part, 1)
 	}
@@ -116,7 +116,7 @@
 
 // countFirstTries tells first tries from what is asked, in SLO times a second. Clients repeat what is turned away,
 // and that is turned away again; how often shows early in throttling, beside what as many asked before.
-func (c *Conductor) countFirstTries() (asked float64) {
+func (c *Planner) countFirstTries() (asked float64) {
 	all, was, hidden, turned := sum(c.asked), 0.0, 0.0, 0.0
 	calls := max(sum(c.poolCalls), 1e-9)
 	for r, rate := range c.asked {
@@ -131,7 +131,7 @@
 		was, hidden = was+c.askedBefore[r]*c.calling, hidden+c.askedBefore[r]*c.calling*c.turnedAway[r]
 		turned += rate * c.turnedAway[r]
 		c.firstTries[r] = rate / (1 + c.repeats*c.turnedAway[r])
-		asked += c.firstTries[r] * c.site.Routes[r].SLOTime
+		asked += c.firstTries[r] * c.site.Routes[r].LatencyObjective
 	}
 	if c.throttling && c.now < c.throttledAt+repeatWindow && hidden > minRepeats*was {
 		seen := min(max((all-was)/hidden, 0), maxRepeats)
--- a/planner/pools.go
+++ b/planner/pools.go
@@ -13,7 +13,7 @@
 
 // makePools makes the pools, each some nodes and proxies of a zone with one table for these. A zone is one pool
 // unless its table would take the channel too long and give its proxies too many connections.
-func (c *Conductor) makePools(nodes int) {
+func (c *Planner) makePools(nodes int) {
 	n := c.site.Zones * max(1, int(math.Ceil(float64(nodes)/float64(c.site.Zones)/maxPoolNodes)))
 	c.poolCalls, c.members, c.writes = make([]float64, n), make([][]int, n), make([][]float64, n)
 	c.want, c.sent = make([][]float64, n), make([][]float64, n)
@@ -26,7 +26,7 @@
 }
 
 // assignPool gives a proxy the pool of its zone whose proxies get the fewest calls.
-func (c *Conductor) assignPool(proxy, zone int) {
+func (c *Planner) assignPool(proxy, zone int) {
 	best := zone
 	for pool := best; pool < len(c.want); pool += c.site.Zones {
 		if c.callers[pool] < c.callers[best] {
@@ -39,8 +39,8 @@
 
 // shares are the calls by pool for the fill. A conductor that its own zone's proxies join would lend their
 // calls to all zones alike: those that it does not see are taken to be as many, and where the room is.
-func (c *Conductor) shares(poolRoom []float64) []float64 {
-	if !c.site.OwnZone {
+func (c *Planner) shares(poolRoom []float64) []float64 {
+	if !c.site.LocalZoneProxies {
 		return c.poolCalls
 	}
 	shares, missing := slices.Clone(c.poolCalls), make([]float64, len(poolRoom))
@@ -60,7 +60,7 @@
 
 // fill is the paper's Algorithm 1 over pools: direct room first, then evenly over those that still have room,
 // of its own zone first, a pool weighing its share of the traffic. It gives what of each goes to which.
-func (c *Conductor) fill(shares, poolRoom []float64) []float64 {
+func (c *Planner) fill(shares, poolRoom []float64) []float64 {
 	n := len(poolRoom)
 	left := slices.Clone(poolRoom)
 	given := make([]float64, n*n)
--- a/planner/proxies.go
+++ b/planner/proxies.go
@@ -6,7 +6,7 @@
 )
 
 // ProxyJoined says that a proxy's stream stands. It is to be bound: what it holds may be anyone's.
-func (c *Conductor) ProxyJoined(now float64, proxy, zone int, rate float64) {
+func (c *Planner) ProxyJoined(now float64, proxy, zone int, rate float64) {
 	for len(c.joined) <= proxy {
 		c.joined, c.home = append(c.joined, false), append(c.home, 0)
 		c.typical, c.usage = append(c.typical, 0), append(c.usage, nil)
@@ -32,14 +32,14 @@
 		// One that is back counts for its usual calls at once: what it is asked is told seconds later.
 		c.usage[proxy] = slices.Repeat([]float64{rate / float64(len(c.site.Routes))}, len(c.site.Routes))
 	}
-	if !c.site.Sliced {
+	if !c.site.Sharded {
 		c.unbound = append(c.unbound, proxy)
 		c.bindWaiting()
 	}
 }
 
 // ProxyLeft says that a proxy's stream broke. Its usage fades: a short break swings no zone's share.
-func (c *Conductor) ProxyLeft(now float64, proxy int) {
+func (c *Planner) ProxyLeft(now float64, proxy int) {
 	c.now = now
 	if proxy < len(c.joined) && c.joined[proxy] {
 		home, gone := c.home[proxy], func(p int) bool { return p == proxy }
@@ -52,10 +52,10 @@
 
 // bindWaiting puts proxies that joined on their tables, as the queue takes them: a fleet would overrun it.
 // Before any node is known a table would only take from them the nodes that they hold.
-func (c *Conductor) bindWaiting() {
+func (c *Planner) bindWaiting() {
 	for len(c.unbound) > 0 && len(c.node) > 0 {
 		p := c.unbound[0]
-		if !c.fits(c.bindCost(p)+c.site.Head+1, bindPart) {
+		if !c.fits(c.bindCost(p)+c.site.MessageOverhead+1, bindPart) {
 			return
 		}
 		c.unbound = c.unbound[1:]
@@ -64,7 +64,7 @@
 }
 
 // bindCost is how many lines of its own it takes to bind a proxy to its table.
-func (c *Conductor) bindCost(proxy int) float64 {
+func (c *Planner) bindCost(proxy int) float64 {
 	lines := 1 + float64(len(c.site.Routes))
 	for _, weight := range c.sent[c.home[proxy]] {
 		lines += min(1, math.Ceil(weight))
@@ -72,8 +72,8 @@
 	return lines
 }
 
-func (c *Conductor) bind(proxy int) {
-	c.host.Bind(proxy, c.home[proxy])
+func (c *Planner) bind(proxy int) {
+	c.host.BindProxy(proxy, c.home[proxy])
 	if members := &c.members[c.home[proxy]]; !slices.Contains(*members, proxy) {
 		*members = append(*members, proxy)
 	}
--- a/planner/queue.go
+++ b/planner/queue.go
@@ -14,7 +14,7 @@
 )
 
 // write books a line to the proxies of a pool.
-func (c *Conductor) write(pool int) {
+func (c *Planner) write(pool int) {
 	if w := c.writes[pool]; len(c.members[pool]) > 0 && (len(w) == 0 || w[len(w)-1] != c.now) {
 		c.writes[pool] = append(w, c.now)
 	}
@@ -23,7 +23,7 @@
 }
 
 // book counts lines for each of some proxies into the channel.
-func (c *Conductor) book(proxies []int, each float64) {
+func (c *Planner) book(proxies []int, each float64) {
 	if c.channel.book(c.now, proxies, each) {
 		c.host.RequestAck(c.channel.nonces % nonceModulo)
 	}
@@ -32,33 +32,33 @@
 // free is how many lines may still be written until a part of the queue is full. What waits is known by
 // acknowledgements alone: the channel can be far slower than stated, and for long. A queue that holds far more than the
 // channel sends in a while is not filled by what may wait: orders took 20 s to get through it.
-func (c *Conductor) free(queue float64) float64 {
-	size := c.site.Queue
-	if queue < queueFull && c.site.Pace > 0 {
-		size = min(size, maxWait*c.site.Pace)
+func (c *Planner) free(queue float64) float64 {
+	size := c.site.MaxInFlightEntries
+	if queue < queueFull && c.site.EntriesPerSecond > 0 {
+		size = min(size, maxWait*c.site.EntriesPerSecond)
 	}
 	return queue*size - c.channel.lines
 }
 
 // fits tells whether lines may be written into a part of the queue, and into the call that is next. If they
 // are more than may ever wait, they go when the channel is nearly empty.
-func (c *Conductor) fits(lines, queue float64) bool {
+func (c *Planner) fits(lines, queue float64) bool {
 	call, alone := c.channel.call, c.free(idlePart) > 0 && lines <= c.free(queueFull)
-	return (lines <= c.free(queue) || alone) && (call == 0 || call+lines <= callPart*c.site.Queue)
+	return (lines <= c.free(queue) || alone) && (call == 0 || call+lines <= callPart*c.site.MaxInFlightEntries)
 }
 
 // mayWrite tells whether lines to all proxies of a pool and messages for them fit into a part of the limits.
-func (c *Conductor) mayWrite(pool int, each, queue float64) bool {
-	w := slices.DeleteFunc(c.writes[pool], func(at float64) bool { return c.now-at > c.site.MessageSpan })
+func (c *Planner) mayWrite(pool int, each, queue float64) bool {
+	w := slices.DeleteFunc(c.writes[pool], func(at float64) bool { return c.now-at > c.site.MessageWindow })
 	c.writes[pool] = w
-	lines, limit := c.channel.cost(c.now, c.members[pool], each), queue*float64(c.site.Messages)-1
+	lines, limit := c.channel.cost(c.now, c.members[pool], each), queue*float64(c.site.MaxMessages)-1
 	more := len(w) == 0 || w[len(w)-1] != c.now
-	return c.fits(lines, queue) && (!more || c.site.Messages == 0 || len(w) == 0 || float64(len(w)) < limit)
+	return c.fits(lines, queue) && (!more || c.site.MaxMessages == 0 || len(w) == 0 || float64(len(w)) < limit)
 }
 
 // probeOne guards against a channel that counts as full for good: those that were to confirm the last nonce may
 // have been renewed, and nothing else goes out. Who is bound once more confirms that all before has left.
-func (c *Conductor) probeOne() {
+func (c *Planner) probeOne() {
 	if s := c.channel.sendings; len(s) == 0 || c.now < s[len(s)-1].at+probeAfter*(1+min(c.channel.probes, 3)) {
 		return
 	}
@@ -76,21 +76,21 @@
 	}
 }
 
-// OrdersTaken says that the call with a nonce was answered.
-func (c *Conductor) OrdersTaken(now float64, nonce int) {
+// CommandsAccepted says that the call with a nonce was answered.
+func (c *Planner) CommandsAccepted(now float64, nonce int) {
 	c.now = now
 	c.channel.taken(nonce)
 }
 
-// OrdersRepeated says that the call with a nonce goes out again though it may have been carried out, all of it
+// CommandsRetried says that the call with a nonce goes out again though it may have been carried out, all of it
 // or its first part.
-func (c *Conductor) OrdersRepeated(now float64, nonce int, whole bool) {
+func (c *Planner) CommandsRetried(now float64, nonce int, whole bool) {
 	c.now = now
 	c.channel.repeated(nonce, whole)
 }
 
 // Acknowledged says that a proxy applied what was sent up to a nonce; all that was ordered before has left.
-func (c *Conductor) Acknowledged(now float64, proxy, nonce int) {
+func (c *Planner) Acknowledged(now float64, proxy, nonce int) {
 	c.now = now
 	c.channel.confirmed(proxy, nonce)
 }
--- a/planner/speed.go
+++ b/planner/speed.go
@@ -17,7 +17,7 @@
 
 // learn keeps what each node answered beside how busy it was; the quotient is its speed. A node that tells
 // nothing counts as busy by how long its tries wait beside the best time seen there.
-func (c *Conductor) learn() {
+func (c *Planner) learn() {
 	keep := math.Exp(-learnEvery / speedWindow)
 	for i, ended := range c.ended {
 		lost, spent := c.lost[i], c.spent[i]
@@ -25,7 +25,7 @@
 			continue
 		}
 		use := c.use[i]
-		if c.site.Utilization < 0 {
+		if c.site.UtilizationIndex < 0 {
 			if good := ended - lost; good >= minTries {
 				c.quick[i] = min(c.quick[i]*(1+quickFade*learnEvery), spent/good)
 			}
@@ -45,31 +45,31 @@
 }
 
 // speed is a node's listed weight times what is learned of it; where little is, its kind's.
-func (c *Conductor) speed(i int) float64 {
+func (c *Planner) speed(i int) float64 {
 	prior := learnPrior * c.listed[i]
 	return c.listed[i] * (c.done[i] + prior*c.kindSpeed[c.kind[i]]) / (c.busy[i] + prior)
 }
 
 // warmth is the part of its weight that a node has by its ramp.
-func (c *Conductor) warmth(i int) float64 {
+func (c *Planner) warmth(i int) float64 {
 	if c.started[i] <= 0 {
 		return 1
 	}
-	return min(1, rampFrom+(1-rampFrom)*max(0, c.now-c.started[i])/max(c.site.Ramp, wakeEvery))
+	return min(1, rampFrom+(1-rampFrom)*max(0, c.now-c.started[i])/max(c.site.SlowStartWindow, wakeEvery))
 }
 
 // ease guards against a cold node being pushed over by tries that others turn away: it gets less
 // by the square of what the fleet answers, and by the fleet's load. Until sums tell, little is answered.
-func (c *Conductor) ease(i int) float64 {
+func (c *Planner) ease(i int) float64 {
 	part := rampFrom
 	if c.answering > 0 {
 		part = c.answering * c.answering * min(1, slackTime/c.load)
 	}
-	return max(minPart, min(part, maxEase*c.site.FallTimes))
+	return max(minPart, min(part, maxEase*c.site.OverloadMultiple))
 }
 
 // room is a node's part of its pool's capacity.
-func (c *Conductor) room(i int) float64 {
+func (c *Planner) room(i int) float64 {
 	if c.condition[i] != Ready || c.health[i] == ejected {
 		return 0
 	}
--- a/planner/state.go
+++ b/planner/state.go
@@ -8,10 +8,10 @@
 	onTrial        // gets few, to be judged by
 )
 
-// Conductor decides for the proxies joined to it.
-type Conductor struct {
+// Planner decides for the proxies joined to it.
+type Planner struct {
 	host  Host
-	site  Site
+	site  Config
 	now   float64
 	draws uint64
 
@@ -20,7 +20,7 @@
 	node       []uint32
 	pool, kind []int
 	listed     []float64
-	condition  []Condition
+	condition  []EndpointState
 	started    []float64 // its last start; its ramp begins there
 	done, busy []float64 // calls that it answered and s of its listed weight that it was busy meanwhile, fading
 	health     []health
--- a/planner/tables.go
+++ b/planner/tables.go
@@ -15,7 +15,7 @@
 )
 
 // plan water-fills the pools' traffic over the pools' room and lays the wanted tables out.
-func (c *Conductor) plan() {
+func (c *Planner) plan() {
 	n := len(c.want)
 	room, poolRoom, total := make([]float64, len(c.node)), make([]float64, n), 0.0
 	for i := range c.node {
@@ -66,7 +66,7 @@
 // sendUrgent sends at once what cannot wait for step and pace: lines to nodes that drain or are gone, then tables
 // for proxies that joined, then levels, then what moved of tables with a line to a sick node, or to a cold
 // one that gets twice its part since others went, and of those that are a quarter off or have no line.
-func (c *Conductor) sendUrgent() {
+func (c *Planner) sendUrgent() {
 	if !c.changed {
 		c.bindWaiting()
 		c.sendLevels()
@@ -91,7 +91,7 @@
 }
 
 // misplaced tells how many of a table's calls go elsewhere than wanted, and the lines that cannot wait.
-func (c *Conductor) misplaced(t int) (calls float64, urgent []int) {
+func (c *Planner) misplaced(t int) (calls float64, urgent []int) {
 	rest, part := 0.0, 0.0
 	for i, weight := range c.sent[t] {
 		if c.want[t][i] > 0 {
@@ -117,7 +117,7 @@
 // pushAll sends lines by table, the one with most calls off for each line first: else a small pool's, all of
 // it wrong, would wait behind large ones that are a little off. If they do not fit, all wait: what is small
 // would always find room before them, and a pool's calls went to the one node that it had left.
-func (c *Conductor) pushAll(lines [][]int, queue float64) bool {
+func (c *Planner) pushAll(lines [][]int, queue float64) bool {
 	var tables []int
 	off := make([]float64, len(lines))
 	for t := range lines {
@@ -137,7 +137,7 @@
 }
 
 // sendOrdinary sends the tables that moved: pools that receive first, then pools that send to others.
-func (c *Conductor) sendOrdinary() {
+func (c *Planner) sendOrdinary() {
 	if len(c.nextTables) > 0 {
 		if open, messages := c.channel.unsettled(c.stepNonce); 2*open <= messages || c.now >= c.stepUntil {
 			c.pushAll(c.movedByTable(c.nextTables), queuePart)
@@ -173,7 +173,7 @@
 
 // scale turns wanted weights into those of a table as sent, by their median ratio: weights only count beside
 // each other, so that a line that goes or turns cold moves no other.
-func (c *Conductor) scale(t int) float64 {
+func (c *Planner) scale(t int) float64 {
 	want, sent, half := c.want[t], c.sent[t], 0.0
 	var kept []int
 	for i, weight := range want {
@@ -192,7 +192,7 @@
 }
 
 // movedLines lists a table's lines that are off by more than a part, the one that moves most calls first.
-func (c *Conductor) movedLines(t int, part float64) (lines []int) {
+func (c *Planner) movedLines(t int, part float64) (lines []int) {
 	scale := c.scale(t)
 	by := func(i int) float64 { return math.Abs(c.want[t][i]*scale - c.sent[t][i]) }
 	for i, want := range c.want[t] {
@@ -205,7 +205,7 @@
 }
 
 // movedByTable lists, by table, what moved of some tables by a tenth.
-func (c *Conductor) movedByTable(tables []int) [][]int {
+func (c *Planner) movedByTable(tables []int) [][]int {
 	lines := make([][]int, len(c.want))
 	for _, t := range tables {
 		lines[t] = c.movedLines(t, minMove)
@@ -216,7 +216,7 @@
 // push sends lines of a table and tells whether all went out. Those that may wait go together, or as many as
 // fit into an empty channel: a message costs lines of its own, and sent one by one, half of a fleet's new
 // nodes were on no table for 10 s.
-func (c *Conductor) push(t int, lines []int, queue float64) bool {
+func (c *Planner) push(t int, lines []int, queue float64) bool {
 	scale, n := c.scale(t), len(lines)
 	for n > 0 && !c.mayWrite(t, float64(n), queue) {
 		if n--; queue < queueFull && c.free(idlePart) <= 0 {
@@ -225,7 +225,7 @@
 	}
 	for _, i := range lines[:n] {
 		c.sent[t][i] = c.want[t][i] * scale
-		c.host.SetLine(t, c.node[i], c.sent[t][i])
+		c.host.SetWeight(t, c.node[i], c.sent[t][i])
 		c.write(t)
 	}
 	return n == len(lines)
--- a/raftlog/raftlog.go
+++ b/raftlog/raftlog.go
@@ -26,30 +26,30 @@
 	slotSize   = 16 // bytes of a witness's slot: a count, a checksum, and nothing
 )
 
-// Saved is all that a member has kept.
-type Saved struct {
-	Identity string // of this disk: another one under the same name is another member
-	Hard     *raftpb.HardState
-	Entries  []*raftpb.Entry
-	Snapshot *raftpb.Snapshot
+// SavedState is all that a member has kept.
+type SavedState struct {
+	Identity  string // of this disk: another one under the same name is another member
+	HardState *raftpb.HardState
+	Entries   []*raftpb.Entry
+	Snapshot  *raftpb.Snapshot
 }
 
 // Batch is what is to be kept next: entries replace those at and after their first index; a snapshot replaces all
 // before it.
 type Batch struct {
-	Hard     *raftpb.HardState
-	Entries  []*raftpb.Entry
-	Snapshot *raftpb.Snapshot
+	HardState *raftpb.HardState
+	Entries   []*raftpb.Entry
+	Snapshot  *raftpb.Snapshot
 }
 
 // Empty tells whether there is nothing to keep.
-func (b Batch) Empty() bool { return b.Hard == nil && len(b.Entries) == 0 && b.Snapshot == nil }
+func (b Batch) Empty() bool { return b.HardState == nil && len(b.Entries) == 0 && b.Snapshot == nil }
 
-// Refused says why a disk can't be gone on with.
-type Refused struct{ Why string }
+// UnusableError says why a disk can't be gone on with.
+type UnusableError struct{ Reason string }
 
 // Error implements error.
-func (r Refused) Error() string { return "the log can't be gone on with: " + r.Why }
+func (r UnusableError) Error() string { return "the log can't be gone on with: " + r.Reason }
 
 var (
 	bucketMeta    = []byte("meta")
@@ -62,9 +62,9 @@
 	castagnoli    = crc32.MakeTable(crc32.Castagnoli)
 )
 
-// Bolt keeps it in a bbolt file. Beside it stands a witness with the count of the last batch: bbolt goes back to the
+// Log keeps it in a bbolt file. Beside it stands a witness with the count of the last batch: bbolt goes back to the
 // state before where its newest page of roots is damaged, which would forget a vote without a word.
-type Bolt struct {
+type Log struct {
 	db      *bbolt.DB
 	witness *os.File
 	count   uint64
@@ -72,7 +72,7 @@
 }
 
 // Open opens a folder's files, or makes them.
-func Open(folder string) (b *Bolt, saved *Saved, err error) {
+func Open(folder string) (b *Log, saved *SavedState, err error) {
 	if err := os.MkdirAll(folder, 0o700); err != nil {
 		return nil, nil, err
 	}
@@ -82,7 +82,7 @@
 	defer func() {
 		// bbolt panics, or reads where nothing is, at pages that can't be.
 		if p := recover(); p != nil {
-			err = Refused{fmt.Sprint(path, ": ", p)}
+			err = UnusableError{fmt.Sprint(path, ": ", p)}
 		}
 		if err != nil && b != nil {
 			b.Close()
@@ -96,9 +96,9 @@
 	}
 	db, err := bbolt.Open(path, 0o600, &bbolt.Options{Timeout: openWithin})
 	if err != nil {
-		return nil, nil, Refused{fmt.Sprint(path, ": ", err)}
+		return nil, nil, UnusableError{fmt.Sprint(path, ": ", err)}
 	}
-	b = &Bolt{db: db}
+	b = &Log{db: db}
 	witness := filepath.Join(folder, "witness")
 	_, lost := os.Stat(witness)
 	if b.witness, err = os.OpenFile(witness, os.O_RDWR|os.O_CREATE, 0o600); err != nil {
@@ -106,13 +106,13 @@
 	}
 	if errors.Is(missing, os.ErrNotExist) {
 		if lost == nil {
-			return b, nil, Refused{path + " is gone, its witness is there"}
+			return b, nil, UnusableError{path + " is gone, its witness is there"}
 		}
 		if err := b.create(folder); err != nil {
 			return b, nil, err
 		}
 	} else if lost != nil {
-		return b, nil, Refused{witness + " is gone, the log is there"}
+		return b, nil, UnusableError{witness + " is gone, the log is there"}
 	}
 	saved, err = b.load()
 	return b, saved, err
@@ -130,7 +130,7 @@
 	size := uint64(os.Getpagesize())
 	for _, at := range []uint64{0, size} {
 		if uint64(len(text)) < at+header+56 {
-			return Refused{path + " is cut short"}
+			return UnusableError{path + " is cut short"}
 		}
 		meta := text[at+header:]
 		if binary.LittleEndian.Uint32(meta) != magic {
@@ -138,14 +138,14 @@
 		}
 		size := uint64(binary.LittleEndian.Uint32(meta[8:]))
 		if pages := binary.LittleEndian.Uint64(meta[40:]); size == 0 || pages > uint64(len(text))/size {
-			return Refused{path + " is cut short"}
+			return UnusableError{path + " is cut short"}
 		}
 	}
 	return nil
 }
 
 // create makes the buckets of a new log.
-func (b *Bolt) create(folder string) error {
+func (b *Log) create(folder string) error {
 	identity := make([]byte, 12)
 	if _, err := rand.Read(identity); err != nil {
 		return err
@@ -186,13 +186,13 @@
 
 func unsealed(what string, text []byte) ([]byte, error) {
 	if len(text) < 4 || binary.BigEndian.Uint32(text) != crc32.Checksum(text[4:], castagnoli) {
-		return nil, Refused{what + " is damaged"}
+		return nil, UnusableError{what + " is damaged"}
 	}
 	return text[4:], nil
 }
 
 // witnessed notes that a batch is kept: in the slot that the one before did not use.
-func (b *Bolt) witnessed(count uint64) error {
+func (b *Log) witnessed(count uint64) error {
 	slot := make([]byte, slotSize)
 	binary.BigEndian.PutUint64(slot, count)
 	binary.BigEndian.PutUint32(slot[8:], crc32.Checksum(slot[:8], castagnoli))
@@ -203,7 +203,7 @@
 }
 
 // seen is the largest count that the witness knows.
-func (b *Bolt) seen() (count uint64, err error) {
+func (b *Log) seen() (count uint64, err error) {
 	known := false
 	for at := range int64(2) {
 		slot := make([]byte, slotSize)
@@ -215,17 +215,17 @@
 		}
 	}
 	if !known {
-		return 0, Refused{"the witness is damaged"}
+		return 0, UnusableError{"the witness is damaged"}
 	}
 	return count, nil
 }
 
-func (b *Bolt) load() (*Saved, error) {
-	s := &Saved{Hard: &raftpb.HardState{}, Snapshot: &raftpb.Snapshot{}}
+func (b *Log) load() (*SavedState, error) {
+	s := &SavedState{HardState: &raftpb.HardState{}, Snapshot: &raftpb.Snapshot{}}
 	err := b.db.View(func(tx *bbolt.Tx) error {
 		meta, entries := tx.Bucket(bucketMeta), tx.Bucket(bucketEntries)
 		if meta == nil || entries == nil {
-			return Refused{"it has no buckets: its making was cut short, and nothing was promised yet; take the folder away"}
+			return UnusableError{"it has no buckets: its making was cut short, and nothing was promised yet; take the folder away"}
 		}
 		value := func(key []byte) ([]byte, error) {
 			text := meta.Get(key)
@@ -239,20 +239,20 @@
 			return err
 		}
 		if len(kind) != 1 || kind[0] != format {
-			return Refused{fmt.Sprintf("its format is %v, this program knows %d", kind, format)}
+			return UnusableError{fmt.Sprintf("its format is %v, this program knows %d", kind, format)}
 		}
 		identity, err := value(keyIdentity)
 		if err != nil {
 			return err
 		}
 		s.Identity = string(identity)
-		for key, into := range map[string]proto.Message{string(keyHard): s.Hard, string(keySnapshot): s.Snapshot} {
+		for key, into := range map[string]proto.Message{string(keyHard): s.HardState, string(keySnapshot): s.Snapshot} {
 			text, err := value([]byte(key))
 			if err != nil {
 				return err
 			}
 			if err := proto.Unmarshal(text, into); err != nil {
-				return Refused{key + " can't be read"}
+				return UnusableError{key + " can't be read"}
 			}
 		}
 		count, err := value(keyCount)
@@ -260,7 +260,7 @@
 			return err
 		}
 		if len(count) != 8 {
-			return Refused{"the count can't be read"}
+			return UnusableError{"the count can't be read"}
 		}
 		b.count = binary.BigEndian.Uint64(count)
 		return entries.ForEach(func(key, text []byte) error {
@@ -270,10 +270,10 @@
 			}
 			e := &raftpb.Entry{}
 			if err := proto.Unmarshal(text, e); err != nil {
-				return Refused{"an entry can't be read"}
+				return UnusableError{"an entry can't be read"}
 			}
 			if len(key) != 8 || e.GetIndex() != binary.BigEndian.Uint64(key) {
-				return Refused{"an entry stands at another's place"}
+				return UnusableError{"an entry stands at another's place"}
 			}
 			s.Entries = append(s.Entries, e)
 			return nil
@@ -287,35 +287,35 @@
 		return nil, err
 	}
 	if b.count < seen {
-		return nil, Refused{fmt.Sprintf("it ends at batch %d, and batch %d was promised", b.count, seen)}
+		return nil, UnusableError{fmt.Sprintf("it ends at batch %d, and batch %d was promised", b.count, seen)}
 	}
 	return s, s.check()
 }
 
 // check states what holds of every log: no gap, terms that never fall, and nothing committed that is not there.
-func (s *Saved) check() error {
+func (s *SavedState) check() error {
 	last := s.Snapshot.GetMetadata().GetIndex()
 	term := s.Snapshot.GetMetadata().GetTerm()
 	for _, e := range s.Entries {
 		switch {
 		case e.GetIndex() != last+1:
-			return Refused{fmt.Sprintf("entry %d follows %d", e.GetIndex(), last)}
+			return UnusableError{fmt.Sprintf("entry %d follows %d", e.GetIndex(), last)}
 		case e.GetTerm() < term:
-			return Refused{fmt.Sprintf("entry %d is of term %d, the one before of %d", e.GetIndex(), e.GetTerm(), term)}
+			return UnusableError{fmt.Sprintf("entry %d is of term %d, the one before of %d", e.GetIndex(), e.GetTerm(), term)}
 		}
 		last, term = e.GetIndex(), e.GetTerm()
 	}
-	if s.Hard.GetCommit() > last {
-		return Refused{fmt.Sprintf("%d was committed, it ends at %d", s.Hard.GetCommit(), last)}
+	if s.HardState.GetCommit() > last {
+		return UnusableError{fmt.Sprintf("%d was committed, it ends at %d", s.HardState.GetCommit(), last)}
 	}
-	if s.Hard.GetTerm() < term {
-		return Refused{fmt.Sprintf("its term is %d, its last entry's %d", s.Hard.GetTerm(), term)}
+	if s.HardState.GetTerm() < term {
+		return UnusableError{fmt.Sprintf("its term is %d, its last entry's %d", s.HardState.GetTerm(), term)}
 	}
 	return nil
 }
 
 // Save keeps a batch. Once it has failed nothing is kept any more: after a failed sync no one knows what the disk has.
-func (b *Bolt) Save(batch Batch) error {
+func (b *Log) Save(batch Batch) error {
 	if b.broken != nil || batch.Empty() {
 		return b.broken
 	}
@@ -329,8 +329,8 @@
 			}
 			return meta.Put(key, sealed(text))
 		}
-		if batch.Hard != nil {
-			if err := put(keyHard, batch.Hard); err != nil {
+		if batch.HardState != nil {
+			if err := put(keyHard, batch.HardState); err != nil {
 				return err
 			}
 		}
@@ -382,7 +382,7 @@
 }
 
 // Close ends it.
-func (b *Bolt) Close() error {
+func (b *Log) Close() error {
 	var errs []error
 	if b.db != nil {
 		errs = append(errs, b.db.Close())
--- a/raftlog/raftlog_test.go
+++ b/raftlog/raftlog_test.go
@@ -26,8 +26,8 @@
 		ConfState: &raftpb.ConfState{Voters: []uint64{1, 2, 3}}}}
 }
 
-func text(s *Saved) string {
-	out := fmt.Sprint(s.Hard.GetTerm(), " ", s.Hard.GetVote(), " ", s.Hard.GetCommit(), " after ", s.Snapshot.GetMetadata().GetIndex())
+func text(s *SavedState) string {
+	out := fmt.Sprint(s.HardState.GetTerm(), " ", s.HardState.GetVote(), " ", s.HardState.GetCommit(), " after ", s.Snapshot.GetMetadata().GetIndex())
 	for _, e := range s.Entries {
 		out += fmt.Sprintf(" %d.%d:%s", e.GetTerm(), e.GetIndex(), e.GetData())
 	}
@@ -37,7 +37,7 @@
 // story is a run of batches, and what is kept after each.
 func story(seed uint64, steps int) (batches []Batch, after []string) {
 	chance := rand.New(rand.NewPCG(seed, 5))
-	kept := &Saved{Hard: hard(1, 0, 0), Snapshot: &raftpb.Snapshot{}}
+	kept := &SavedState{HardState: hard(1, 0, 0), Snapshot: &raftpb.Snapshot{}}
 	last := func() uint64 { return kept.Snapshot.GetMetadata().GetIndex() + uint64(len(kept.Entries)) }
 	term, commit := uint64(1), uint64(0)
 	for range steps {
@@ -59,14 +59,14 @@
 				b.Snapshot = snapshot(commit, at)
 			}
 		}
-		b.Hard = hard(term, term%3, commit)
+		b.HardState = hard(term, term%3, commit)
 		if len(b.Entries) > 0 {
 			kept.Entries = append(kept.Entries[:b.Entries[0].GetIndex()-first-1:b.Entries[0].GetIndex()-first-1], b.Entries...)
 		}
 		if b.Snapshot != nil {
 			kept.Entries, kept.Snapshot = kept.Entries[b.Snapshot.GetMetadata().GetIndex()-first:], b.Snapshot
 		}
-		kept.Hard = b.Hard
+		kept.HardState = b.HardState
 		batches, after = append(batches, b), append(after, text(kept))
 	}
 	return batches, after
@@ -138,7 +138,7 @@
 		}
 		b, saved, err := Open(folder)
 		if err != nil {
-			var refused Refused
+			var refused UnusableError
 			if !errors.As(err, &refused) {
 				t.Logf("%s: %v", what, err)
 			}
@@ -201,11 +201,11 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if err := b.Save(Batch{Hard: hard(2, 1, 0)}); err != nil {
+	if err := b.Save(Batch{HardState: hard(2, 1, 0)}); err != nil {
 		t.Fatal(err)
 	}
 	b.witness.Close() // as a disk that fails to sync
-	if b.Save(Batch{Hard: hard(3, 2, 0)}) == nil || b.Save(Batch{Hard: hard(4, 2, 0)}) == nil {
+	if b.Save(Batch{HardState: hard(3, 2, 0)}) == nil || b.Save(Batch{HardState: hard(4, 2, 0)}) == nil {
 		t.Error("a failed write was promised")
 	}
 	b.db.Close()
@@ -214,7 +214,7 @@
 		t.Fatal(err)
 	}
 	defer b.Close()
-	if term := saved.Hard.GetTerm(); term != 2 && term != 3 {
+	if term := saved.HardState.GetTerm(); term != 2 && term != 3 {
 		t.Errorf("term %d", term)
 	}
 	if !proto.Equal(saved.Snapshot, &raftpb.Snapshot{}) {
@@ -232,7 +232,7 @@
 			defer l.Close()
 			data := string(make([]byte, size))
 			for n := uint64(1); b.Loop(); n++ {
-				if err := l.Save(Batch{Hard: hard(1, 1, n-1), Entries: []*raftpb.Entry{entry(n, 1, data)}}); err != nil {
+				if err := l.Save(Batch{HardState: hard(1, 1, n-1), Entries: []*raftpb.Entry{entry(n, 1, data)}}); err != nil {
 					b.Fatal(err)
 				}
 			}
--- a/records/history.go
+++ b/records/history.go
@@ -60,12 +60,12 @@
 // changes after the revision.
 func (s *Store) Since(revision uint64, scope Scope) Delta {
 	if !scope.All {
-		scope = scope.Normal()
+		scope = scope.Normalized()
 	}
 	s.lock.RLock()
 	defer s.lock.RUnlock()
-	delta := Delta{Revision: s.revision, Routing: s.routing.of(scope), Kept: revision >= s.history.floor}
-	if revision >= s.revision || !delta.Kept {
+	delta := Delta{Revision: s.revision, RoutingRevision: s.routing.of(scope), Available: revision >= s.history.floor}
+	if revision >= s.revision || !delta.Available {
 		return delta
 	}
 	for _, update := range merge(s.history.after(revision)) {
@@ -149,7 +149,7 @@
 		return Transaction{}, false
 	}
 	for _, update := range merge(s.history.after(revision)) {
-		write := Write{Key: update.Key(), Any: true}
+		write := Write{Key: update.Key(), AnyRevision: true}
 		if update.Before != nil {
 			write.Body = update.Before.Body
 		}
--- a/records/model_test.go
+++ b/records/model_test.go
@@ -48,7 +48,7 @@
 		if record := m.last()[write.Key]; record != nil {
 			held = record.Revision
 		}
-		if !write.Any && held != write.Expect {
+		if !write.AnyRevision && held != write.ExpectedRevision {
 			return "conflict"
 		}
 		if write.Body == nil {
@@ -78,7 +78,7 @@
 // routing is the naive routing revision: it looks for the last update of a route that touched a scope.
 func (m *model) routing(scope Scope) uint64 {
 	for _, change := range slices.Backward(m.routes) {
-		if slices.ContainsFunc(change.Updates, scope.Normal().Touches) {
+		if slices.ContainsFunc(change.Updates, scope.Normalized().Touches) {
 			return change.Revision
 		}
 	}
@@ -124,7 +124,7 @@
 // inScope is the naive InScope of a state.
 func inScope(state map[Key]*Record, scope Scope) (held []*Record) {
 	for _, record := range state {
-		if scope.Normal().Holds(record) {
+		if scope.Normalized().Contains(record) {
 			held = append(held, record)
 		}
 	}
@@ -144,7 +144,7 @@
 	for key := range keys {
 		update := Update{Before: from[key], After: to[key]}
 		same := update.Before != nil && update.After != nil && update.Before.Revision == update.After.Revision
-		if !same && scope.Normal().Touches(update) {
+		if !same && scope.Normalized().Touches(update) {
 			updates = append(updates, update)
 		}
 	}
@@ -182,12 +182,12 @@
 func randomWrite(random *rand.Rand, state map[Key]*Record) Write {
 	kind := allKinds[random.IntN(len(allKinds))]
 	key := Key{Kind: kind, Name: fmt.Sprintf("%c%d", "rsto"[kind-1], random.IntN(4))}
-	write := Write{Key: key, Any: random.IntN(4) == 0}
+	write := Write{Key: key, AnyRevision: random.IntN(4) == 0}
 	if held := state[key]; held != nil {
-		write.Expect = held.Revision
+		write.ExpectedRevision = held.Revision
 	}
 	if random.IntN(20) == 0 {
-		write.Expect += uint64(random.IntN(3))
+		write.ExpectedRevision += uint64(random.IntN(3))
 	}
 	if random.IntN(4) == 0 {
 		return write
@@ -307,13 +307,13 @@
 	}
 	from := uint64(random.IntN(int(newest) + 3))
 	delta := store.Since(from, scope)
-	if want := from >= store.history.floor; delta.Kept != want || delta.Revision != newest {
-		t.Errorf("since %d: kept %v as of %d, floor %d, newest %d", from, delta.Kept, delta.Revision, store.history.floor, newest)
+	if want := from >= store.history.floor; delta.Available != want || delta.Revision != newest {
+		t.Errorf("since %d: kept %v as of %d, floor %d, newest %d", from, delta.Available, delta.Revision, store.history.floor, newest)
 	}
-	if want := plain.routing(scope); view.Routing != want || delta.Routing != want {
-		t.Errorf("routes of %+v changed at revision %d, since %d at %d, want %d", scope, view.Routing, from, delta.Routing, want)
+	if want := plain.routing(scope); view.RoutingRevision != want || delta.RoutingRevision != want {
+		t.Errorf("routes of %+v changed at revision %d, since %d at %d, want %d", scope, view.RoutingRevision, from, delta.RoutingRevision, want)
 	}
-	if a, b := describeUpdates(delta.Updates), describeUpdates(since(plain.at(from), plain.last(), scope)); delta.Kept && !slices.Equal(a, b) {
+	if a, b := describeUpdates(delta.Updates), describeUpdates(since(plain.at(from), plain.last(), scope)); delta.Available && !slices.Equal(a, b) {
 		t.Errorf("since %d in %+v: %q, want %q", from, scope, a, b)
 	}
 	old, kept := store.At(from)
@@ -338,8 +338,8 @@
 		t.Error("a restored store gives another snapshot")
 	}
 	a, b := store.InScope(Scope{All: true}), again.InScope(Scope{All: true})
-	if a.Routing != b.Routing {
-		t.Errorf("after a snapshot routes changed at revision %d, want %d", b.Routing, a.Routing)
+	if a.RoutingRevision != b.RoutingRevision {
+		t.Errorf("after a snapshot routes changed at revision %d, want %d", b.RoutingRevision, a.RoutingRevision)
 	}
 	if one, other := describeAll(a.Records), describeAll(b.Records); !slices.Equal(one, other) {
 		t.Errorf("after a snapshot: %q, want %q", other, one)
@@ -407,8 +407,8 @@
 					t.Fatalf("seed %d: a restored store gives another snapshot", seed)
 				}
 				for from := range revision + 2 {
-					kept := store.Since(from, Scope{All: true}).Kept
-					if again := other.Since(from, Scope{All: true}).Kept; kept != again {
+					kept := store.Since(from, Scope{All: true}).Available
+					if again := other.Since(from, Scope{All: true}).Available; kept != again {
 						t.Fatalf("seed %d: changes since %d are kept: %v, restored: %v", seed, from, kept, again)
 					}
 				}
--- a/records/record.go
+++ b/records/record.go
@@ -87,7 +87,7 @@
 	Prefix      string  `json:"prefix"`
 	TimeLimitMS float64 `json:"time_limit_ms"`
 	Mutating    bool    `json:"mutating,omitempty"`
-	Admit       float64 `json:"admit,omitempty"` // part of its calls that is let in at most; 0: no limit
+	MaxAdmitted float64 `json:"admit,omitempty"` // part of its calls that is let in at most; 0: no limit
 }
 
 // ServiceSpec is the content of a service.
@@ -179,7 +179,7 @@
 		return fmt.Errorf("its prefix has to begin with a slash and be at most %d bytes long", maxName)
 	case !(spec.TimeLimitMS >= 1 && spec.TimeLimitMS <= 600000):
 		return errors.New("its time limit has to be between 1 and 600000 ms")
-	case !(spec.Admit >= 0 && spec.Admit <= 1):
+	case !(spec.MaxAdmitted >= 0 && spec.MaxAdmitted <= 1):
 		return errors.New("the part that it admits has to be between 0 and 1")
 	}
 	if err := checkOptionalName("service", spec.Service); err != nil {
--- a/records/routing_test.go
+++ b/records/routing_test.go
@@ -22,8 +22,8 @@
 		if names == "all" {
 			scope = Scope{All: true}
 		}
-		if view, delta := s.InScope(scope), s.Since(s.Revision(), scope); view.Routing != want || delta.Routing != want {
-			t.Errorf("routes of %q changed at revision %d and %d, want %d", names, view.Routing, delta.Routing, want)
+		if view, delta := s.InScope(scope), s.Since(s.Revision(), scope); view.RoutingRevision != want || delta.RoutingRevision != want {
+			t.Errorf("routes of %q changed at revision %d and %d, want %d", names, view.RoutingRevision, delta.RoutingRevision, want)
 		}
 	}
 }
@@ -159,14 +159,14 @@
 			t.Fatalf("%d services are kept", kept)
 		}
 		for known, before := range last {
-			now := s.InScope(scopeOf(known)).Routing
+			now := s.InScope(scopeOf(known)).RoutingRevision
 			if now < before || now > s.Revision() {
 				t.Fatalf("routes of %s changed at %d, earlier at %d", known, now, before)
 			}
 			last[known] = now
 		}
 	}
-	if s.InScope(scopeOf("s99")).Routing != s.Revision() || s.InScope(Scope{All: true}).Routing != s.Revision() {
+	if s.InScope(scopeOf("s99")).RoutingRevision != s.Revision() || s.InScope(Scope{All: true}).RoutingRevision != s.Revision() {
 		t.Error("the newest revision is not exact")
 	}
 	again := NewStore()
--- a/records/scope.go
+++ b/records/scope.go
@@ -29,8 +29,8 @@
 	Zones    []string // overrides of other zones are left out
 }
 
-// Normal gives the scope with its names sorted and without repeats.
-func (s Scope) Normal() Scope {
+// Normalized gives the scope with its names sorted and without repeats.
+func (s Scope) Normalized() Scope {
 	s.Services, s.Zones = slices.Clone(s.Services), slices.Clone(s.Zones)
 	slices.Sort(s.Services)
 	slices.Sort(s.Zones)
@@ -38,8 +38,8 @@
 	return s
 }
 
-// Holds tells whether a record belongs to the scope. The scope has to be normal.
-func (s Scope) Holds(r *Record) bool {
+// Contains tells whether a record belongs to the scope. The scope has to be normal.
+func (s Scope) Contains(r *Record) bool {
 	if r == nil {
 		return false
 	}
@@ -50,7 +50,7 @@
 }
 
 // Touches tells whether an update changes what the scope holds.
-func (s Scope) Touches(u Update) bool { return s.Holds(u.Before) || s.Holds(u.After) }
+func (s Scope) Touches(u Update) bool { return s.Contains(u.Before) || s.Contains(u.After) }
 
 // holdsName tells whether a sorted list names something; what has no name concerns all.
 func holdsName(sorted []string, name string) bool {
@@ -65,17 +65,17 @@
 type View struct {
 	Records  []*Record // ordered by key
 	Revision uint64    // as of which the records are complete
-	// Routing is the revision at which a route of the scope was last created, changed, removed or moved in or out. It
+	// RoutingRevision is the revision at which a route of the scope was last created, changed, removed or moved in or out. It
 	// never goes down, and is the same at all who read the same scope as of the same revision.
-	Routing uint64
+	RoutingRevision uint64
 }
 
 // Delta is what changed up to a revision.
 type Delta struct {
-	Updates  []Update // one a record, ordered by key
-	Revision uint64   // as of which the updates are complete
-	Routing  uint64   // as in a View; it may have risen without an update, where a route came and went
-	Kept     bool     // false if changes that far back are no longer known; then there are no updates
+	Updates         []Update // one a record, ordered by key
+	Revision        uint64   // as of which the updates are complete
+	RoutingRevision uint64   // as in a View; it may have risen without an update, where a route came and went
+	Available       bool     // false if changes that far back are no longer known; then there are no updates
 }
 
 // Source is where the records are read that followers are told of. Its methods may be called from any goroutine.
--- a/records/snapshot.go
+++ b/records/snapshot.go
@@ -85,12 +85,12 @@
 	if err := next.decode(data); err != nil {
 		return fmt.Errorf("snapshot of records: %w", err)
 	}
-	s.TakeOver(next)
+	s.Replace(next)
 	return nil
 }
 
-// TakeOver replaces the content by that of another store, which must not be used any more.
-func (s *Store) TakeOver(next *Store) {
+// Replace replaces the content by that of another store, which must not be used any more.
+func (s *Store) Replace(next *Store) {
 	s.lock.Lock()
 	defer s.lock.Unlock()
 	s.revision, s.bytes = next.revision, next.bytes
--- a/records/store.go
+++ b/records/store.go
@@ -112,7 +112,7 @@
 // OfKinds gives all records of some kinds. Its routing revision is that of all routes.
 func (s *Store) OfKinds(kinds ...Kind) View {
 	s.lock.RLock()
-	view := View{Records: s.ofKinds(kinds), Revision: s.revision, Routing: s.routing.last}
+	view := View{Records: s.ofKinds(kinds), Revision: s.revision, RoutingRevision: s.routing.last}
 	s.lock.RUnlock()
 	sortByKey(view.Records)
 	return view
@@ -138,9 +138,9 @@
 	if scope.All {
 		return s.OfKinds(allKinds...)
 	}
-	scope = scope.Normal()
+	scope = scope.Normalized()
 	s.lock.RLock()
-	view := View{Revision: s.revision, Routing: s.routing.of(scope)}
+	view := View{Revision: s.revision, RoutingRevision: s.routing.of(scope)}
 	for _, service := range withUnnamed(scope.Services) {
 		for _, zone := range withUnnamed(scope.Zones) {
 			for record := range s.byPlace[place{service, zone}] {
@@ -214,8 +214,8 @@
 		if record := s.get(write.Key); record != nil {
 			held = record.Revision
 		}
-		if !write.Any && write.Expect != held {
-			conflicts = append(conflicts, Conflict{Key: write.Key, Expected: write.Expect, Held: held})
+		if !write.AnyRevision && write.ExpectedRevision != held {
+			conflicts = append(conflicts, Conflict{Key: write.Key, Expected: write.ExpectedRevision, Actual: held})
 		}
 	}
 	if len(conflicts) > 0 {
--- a/records/store_test.go
+++ b/records/store_test.go
@@ -19,10 +19,10 @@
 }
 
 func write(kind Kind, name string, spec any) Write {
-	return Write{Key: Key{kind, name}, Body: mustJSON(spec), Any: true}
+	return Write{Key: Key{kind, name}, Body: mustJSON(spec), AnyRevision: true}
 }
 
-func removal(kind Kind, name string) Write { return Write{Key: Key{kind, name}, Any: true} }
+func removal(kind Kind, name string) Write { return Write{Key: Key{kind, name}, AnyRevision: true} }
 
 // apply applies writes at the next revision and fails the test if they are refused.
 func apply(t testing.TB, s *Store, writes ...Write) Change {
@@ -78,7 +78,7 @@
 	apply(t, s, write(KindService, "pay", ServiceSpec{}), write(KindRoute, "a", RouteSpec{Prefix: "/a", TimeLimitMS: 1}))
 	apply(t, s, write(KindRoute, "a", RouteSpec{Prefix: "/a", TimeLimitMS: 2}))
 	_, err := s.Apply(9, Transaction{Writes: []Write{
-		{Key: Key{KindRoute, "a"}, Expect: 1}, {Key: Key{KindService, "pay"}}, {Key: Key{KindTenant, "x"}, Expect: 7}, {Key: Key{KindService, "new"}, Body: []byte("{}")},
+		{Key: Key{KindRoute, "a"}, ExpectedRevision: 1}, {Key: Key{KindService, "pay"}}, {Key: Key{KindTenant, "x"}, ExpectedRevision: 7}, {Key: Key{KindService, "new"}, Body: []byte("{}")},
 	}})
 	var conflict *ConflictError
 	if !errors.As(err, &conflict) {
@@ -135,14 +135,14 @@
 	pay, ship, other := Scope{Services: []string{"pay"}}, Scope{Services: []string{"ship"}}, Scope{Services: []string{"z"}}
 	left := s.Since(held, pay).Updates
 	entered := s.Since(held, ship).Updates
-	if len(left) != 1 || !pay.Holds(left[0].Before) || pay.Holds(left[0].After) {
+	if len(left) != 1 || !pay.Contains(left[0].Before) || pay.Contains(left[0].After) {
 		t.Errorf("left: %q", describeUpdates(left))
 	}
-	if len(entered) != 1 || ship.Holds(entered[0].Before) || !ship.Holds(entered[0].After) {
+	if len(entered) != 1 || ship.Contains(entered[0].Before) || !ship.Contains(entered[0].After) {
 		t.Errorf("entered: %q", describeUpdates(entered))
 	}
-	if none := s.Since(held, other); len(none.Updates) > 0 || none.Revision != 2 || !none.Kept {
-		t.Errorf("others: %q, %d, %v", describeUpdates(none.Updates), none.Revision, none.Kept)
+	if none := s.Since(held, other); len(none.Updates) > 0 || none.Revision != 2 || !none.Available {
+		t.Errorf("others: %q, %d, %v", describeUpdates(none.Updates), none.Revision, none.Available)
 	}
 }
 
@@ -228,8 +228,8 @@
 				}
 				view := s.InScope(Scope{})
 				held, at := view.Records, view.Revision
-				if view.Routing != at {
-					t.Errorf("routes changed at revision %d, read as of %d", view.Routing, at)
+				if view.RoutingRevision != at {
+					t.Errorf("routes changed at revision %d, read as of %d", view.RoutingRevision, at)
 					return
 				}
 				if len(held) != 2 || held[0].Revision != at || held[1].Revision != at {
@@ -237,7 +237,7 @@
 					return
 				}
 				delta := s.Since(at-1, Scope{})
-				if updates := delta.Updates; !delta.Kept || len(updates) != 2 || updates[0].After.Revision != updates[1].After.Revision || updates[0].After.Revision != delta.Routing {
+				if updates := delta.Updates; !delta.Available || len(updates) != 2 || updates[0].After.Revision != updates[1].After.Revision || updates[0].After.Revision != delta.RoutingRevision {
 					t.Errorf("%q", describeUpdates(updates))
 					return
 				}
@@ -255,7 +255,7 @@
 }
 
 func TestSpecsAreRead(t *testing.T) {
-	route, err := New(Key{KindRoute, "a"}, RouteSpec{Service: "s", Prefix: "/a", TimeLimitMS: 5, Mutating: true, Admit: 0.5})
+	route, err := New(Key{KindRoute, "a"}, RouteSpec{Service: "s", Prefix: "/a", TimeLimitMS: 5, Mutating: true, MaxAdmitted: 0.5})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/records/transaction.go
+++ b/records/transaction.go
@@ -15,10 +15,10 @@
 
 // Write sets one record or removes it, provided that the record has the revision that the writer knows.
 type Write struct {
-	Key    Key             `json:"key"`
-	Body   json.RawMessage `json:"body,omitempty"`   // the spec as JSON; none removes the record
-	Expect uint64          `json:"expect,omitempty"` // the revision that the record has to have; 0: it must not exist
-	Any    bool            `json:"any,omitempty"`    // whatever revision it has, also none
+	Key              Key             `json:"key"`
+	Body             json.RawMessage `json:"body,omitempty"`   // the spec as JSON; none removes the record
+	ExpectedRevision uint64          `json:"expect,omitempty"` // the revision that the record has to have; 0: it must not exist
+	AnyRevision      bool            `json:"any,omitempty"`    // whatever revision it has, also none
 }
 
 // Transaction is a set of writes that are applied together or not at all.
@@ -81,18 +81,18 @@
 type Conflict struct {
 	Key      Key    `json:"key"`
 	Expected uint64 `json:"expected"` // 0: it was to be new
-	Held     uint64 `json:"held"`     // 0: it does not exist
+	Actual   uint64 `json:"held"`     // 0: it does not exist
 }
 
 // String tells of the conflict.
 func (c Conflict) String() string {
 	switch {
 	case c.Expected == 0:
-		return fmt.Sprintf("%s exists with revision %d", c.Key, c.Held)
-	case c.Held == 0:
+		return fmt.Sprintf("%s exists with revision %d", c.Key, c.Actual)
+	case c.Actual == 0:
 		return fmt.Sprintf("%s does not exist, revision %d was expected", c.Key, c.Expected)
 	default:
-		return fmt.Sprintf("%s has revision %d, %d was expected", c.Key, c.Held, c.Expected)
+		return fmt.Sprintf("%s has revision %d, %d was expected", c.Key, c.Actual, c.Expected)
 	}
 }
 
--- a/scaling/agreed.go
+++ b/scaling/agreed.go
@@ -33,7 +33,7 @@
 
 // agreedCommand proposes a text over the version in force.
 func agreedCommand(state *cluster.State, seq uint64, text string) ([]byte, error) {
-	return json.Marshal(cluster.Command{Kind: cluster.Put, Client: operatorClient, Seq: seq, Base: state.Latest().Number, Text: text,
+	return json.Marshal(cluster.Command{Kind: cluster.CommandPut, Client: operatorClient, Seq: seq, Base: state.Latest().Number, Text: text,
 		By: operatorClient, Why: "one route's limit changes"})
 }
 
@@ -53,8 +53,8 @@
 
 // applied applies an entry that has to be taken.
 func applied(state *cluster.State, index uint64, data []byte) error {
-	if _, r := state.Apply(index, 1, data); r.Refused != "" {
-		return fmt.Errorf("refused: %s", r.Refused)
+	if _, r := state.Apply(index, 1, data); r.Rejected != "" {
+		return fmt.Errorf("refused: %s", r.Rejected)
 	}
 	return nil
 }
@@ -72,7 +72,7 @@
 
 // agreedRefused says why a text of so many routes is refused, nil if it is not.
 func agreedRefused(routes int) error {
-	return cluster.NewState(config.TextFormat{}).Valid(cluster.Command{Kind: cluster.Put, Client: operatorClient, Text: agreedText(routes, 0)})
+	return cluster.NewState(config.TextFormat{}).Validate(cluster.Command{Kind: cluster.CommandPut, Client: operatorClient, Text: agreedText(routes, 0)})
 }
 
 // agreedSample meters one changed route at a member: log entry, apply with its check, snapshot.
--- a/scaling/capacity_test.go
+++ b/scaling/capacity_test.go
@@ -182,9 +182,9 @@
 		return s, err
 	}
 	var cost pushCost
-	var orders []controller.Order
+	var orders []controller.Command
 	for k, holder := range p.holders {
-		holder.Forget()
+		holder.Clear()
 		p.server.Close(0, uint64(k+1))
 		if err := p.server.Open(0, uint64(k+1), true, holder.ID, holder.Zone); err != nil {
 			return s, err
@@ -192,9 +192,9 @@
 		if err := begin(p, k, holder.BeginDelta()); err != nil {
 			return s, err
 		}
-		orders = append(orders, controller.Order{Kind: controller.Bind, Proxy: k})
+		orders = append(orders, controller.Command{Kind: controller.BindProxy, Proxy: k})
 	}
-	if err := p.server.Carry(0, orders); err != nil {
+	if err := p.server.ApplyCommands(0, orders); err != nil {
 		return s, err
 	}
 	if err := p.change(&cost); err != nil {
@@ -207,7 +207,7 @@
 
 func begin(p *pushServer, sidecar int, requests []*discoveryv3.DeltaDiscoveryRequest) error {
 	for _, request := range requests {
-		if err := p.server.Deltas(0, uint64(sidecar+1), request); err != nil {
+		if err := p.server.HandleDelta(0, uint64(sidecar+1), request); err != nil {
 			return err
 		}
 	}
@@ -234,7 +234,7 @@
 	s.Values[Wire], s.Values[Heap] = float64(len(body)), float64(nodes)
 	return s, repeat(&s, Brief, func() error {
 		for end := part; ; end += part {
-			responses := wire.Responses{Most: listBytes}
+			responses := wire.PollResponseReader{MaxBytes: listBytes}
 			responses.Feed(body[:min(end, len(body))])
 			if _, _, ok, err := responses.Next(false); ok || err != nil {
 				return err
@@ -255,7 +255,7 @@
 	s.Values[Wire] = float64(len(report))
 	return s, repeat(&s, Brief, func() error {
 		for range 2 {
-			if _, err := wire.Decode(report[len(wire.FrameHead(0)):]); err != nil {
+			if _, err := wire.Decode(report[len(wire.FrameHeader(0)):]); err != nil {
 				return err
 			}
 		}
@@ -265,8 +265,8 @@
 
 func heartbeatEachTick(size int) (Sample, error) {
 	s := newSample(size)
-	timing := cluster.Usual
-	timing.Heartbeat = 1
+	timing := cluster.DefaultTiming
+	timing.HeartbeatTicks = 1
 	g, err := newTimedGroup(size, timing)
 	if err != nil {
 		return s, err
@@ -285,11 +285,11 @@
 	s := newSample(nodes)
 	f := newModuleFleet(nodes, usualProxies, 2, 2)
 	return s, repeat(&s, Brief, func() error {
-		rows := make([]planner.Row, nodes)
+		rows := make([]planner.Endpoint, nodes)
 		for i := range rows {
-			rows[i] = planner.Row{Node: uint32(i + 1), Zone: i % 2, Condition: planner.Ready}
+			rows[i] = planner.Endpoint{Node: uint32(i + 1), Zone: i % 2, State: planner.Ready}
 		}
-		f.module.ListWhole(f.now, rows)
+		f.module.ReplaceEndpoints(f.now, rows)
 		f.step(nil)
 		return nil
 	})
--- a/scaling/follow.go
+++ b/scaling/follow.go
@@ -68,7 +68,7 @@
 		return nil, err
 	}
 	limits := configsync.DefaultLimits
-	limits.MaxStreams, limits.WholeRate, limits.WholeBurst = followers, followWhole, followWhole
+	limits.MaxStreams, limits.FullScopeBytesPerSecond, limits.FullScopeBurstBytes = followers, followWhole, followWhole
 	f := &followMember{followed: source, now: time.Unix(1e9, 0), scope: scope}
 	f.server = configsync.NewServer("member", source.store, limits, f.now)
 	for n := range followers {
--- a/scaling/group.go
+++ b/scaling/group.go
@@ -25,17 +25,17 @@
 }
 
 // newGroup is a group of so many voters with a leader, by the timing of nodes in service.
-func newGroup(size int) (*group, error) { return newTimedGroup(size, cluster.Usual) }
+func newGroup(size int) (*group, error) { return newTimedGroup(size, cluster.DefaultTiming) }
 
 func newTimedGroup(size int, timing cluster.Timing) (*group, error) {
-	timing.Compact = neverCompact
+	timing.CompactAfterEntries = neverCompact
 	g := &group{}
 	var voters []uint64
 	for id := range uint64(size) {
 		voters = append(voters, id+1)
 	}
 	for _, id := range voters {
-		saved := &raftlog.Saved{Identity: fmt.Sprint("disk-", id), Hard: &raftpb.HardState{}, Snapshot: &raftpb.Snapshot{}}
+		saved := &raftlog.SavedState{Identity: fmt.Sprint("disk-", id), HardState: &raftpb.HardState{}, Snapshot: &raftpb.Snapshot{}}
 		m, _, err := cluster.Start(id, saved, voters, cluster.NewState(nil), timing, id)
 		if err != nil {
 			return nil, err
@@ -55,7 +55,7 @@
 
 func (g *group) leader() *cluster.Member {
 	for _, m := range g.members {
-		if m.Leads() {
+		if m.IsLeader() {
 			return m
 		}
 	}
@@ -74,7 +74,7 @@
 	for {
 		var under []*raftpb.Message
 		for _, m := range g.members {
-			out, _, _, err := m.Turn(func(raftlog.Batch) error { return nil })
+			out, _, _, err := m.Advance(func(raftlog.Batch) error { return nil })
 			if err != nil {
 				return err
 			}
@@ -94,14 +94,14 @@
 // propose has the leader's command committed and applied by all.
 func (g *group) propose(c cluster.Command) error {
 	leader := g.leader()
-	before := leader.Standing().Applied
+	before := leader.Status().Applied
 	if err := leader.Propose(c); err != nil {
 		return err
 	}
 	if err := g.deliver(); err != nil {
 		return err
 	}
-	if leader.Standing().Applied <= before {
+	if leader.Status().Applied <= before {
 		return errors.New("the proposal was not applied")
 	}
 	return nil
@@ -122,7 +122,7 @@
 // proposalSample counts what one proposal of 100 bytes has the group send.
 func proposalSample(size int, effort Effort) (Sample, error) {
 	return groupSample(size, effort, func(g *group, n uint64) error {
-		return g.propose(cluster.Command{Kind: cluster.Place, Client: "operator", Seq: n, Member: 1, Text: "127.0.0.1:18011"})
+		return g.propose(cluster.Command{Kind: cluster.CommandSetAddress, Client: "operator", Seq: n, Member: 1, Text: "127.0.0.1:18011"})
 	})
 }
 
--- a/scaling/list.go
+++ b/scaling/list.go
@@ -71,8 +71,8 @@
 		return s, err
 	}
 	s.Values[Wire] = float64(len(body))
-	take := func() (wire.List, error) {
-		responses := wire.Responses{Most: listBytes}
+	take := func() (wire.EndpointList, error) {
+		responses := wire.PollResponseReader{MaxBytes: listBytes}
 		for rest := body; len(rest) > 0; rest = rest[min(len(rest), listPart):] {
 			responses.Feed(rest[:min(len(rest), listPart)])
 			list, _, ok, err := responses.Next(false)
@@ -80,14 +80,14 @@
 				return list, err
 			}
 		}
-		return wire.List{}, errors.New("the response was not whole")
+		return wire.EndpointList{}, errors.New("the response was not whole")
 	}
 	heap, list, err := heapOf(take)
 	if err != nil {
 		return s, err
 	}
-	if len(list.Entries) != nodes {
-		return s, fmt.Errorf("%d of %d nodes were read", len(list.Entries), nodes)
+	if len(list.Endpoints) != nodes {
+		return s, fmt.Errorf("%d of %d nodes were read", len(list.Endpoints), nodes)
 	}
 	s.Values[Heap] = heap
 	return s, repeat(&s, effort, func() error { _, err := take(); return err })
@@ -106,12 +106,12 @@
 		address := nodeAddress(n)
 		fmt.Fprintf(&b, "node %q zone=\"zone-%d\" kind=\"large\" address=\"%s:%d\"\n", nodeName(n), n%listZones, address.Host, address.Port)
 	}
-	c := &config.Conductor{Nodes: filepath.Join(folder, "nodes.kdl"), Deployment: settings.Deployment{Kinds: []string{"large"}},
-		Kinds: map[string]bool{"large": true}, Zones: map[string]bool{}}
+	c := &config.Controller{NodesFile: filepath.Join(folder, "nodes.kdl"), Deployment: settings.Deployment{MachineTypes: []string{"large"}},
+		MachineTypes: map[string]bool{"large": true}, Zones: map[string]bool{}}
 	for z := range listZones {
 		c.Zones[fmt.Sprint("zone-", z)] = true
 	}
-	if err := os.WriteFile(c.Nodes, []byte(b.String()), 0o600); err != nil {
+	if err := os.WriteFile(c.NodesFile, []byte(b.String()), 0o600); err != nil {
 		return s, err
 	}
 	s.Values[Stored] = float64(b.Len())
@@ -180,8 +180,8 @@
 	served := make(chan error, 1)
 	go func() { served <- server.Serve(listener) }()
 	taken := make(chan int, 1)
-	members := &frontxds.Members{Address: listener.Addr().String(), Cluster: cluster0, Name: "conductor", Log: zap.NewNop(),
-		Zone: func(string) bool { return true }, Take: func(_ string, list []frontxds.Listed) { taken <- len(list) }}
+	members := &frontxds.EndpointWatcher{Address: listener.Addr().String(), Cluster: cluster0, Name: "conductor", Log: zap.NewNop(),
+		KnowsZone: func(string) bool { return true }, Accepted: func(_ string, list []frontxds.Endpoint) { taken <- len(list) }}
 	ctx, stop := context.WithCancel(context.Background())
 	followed := make(chan struct{})
 	go func() { members.Run(ctx); close(followed) }()
@@ -221,12 +221,12 @@
 	n := 0
 	for ; !effort.enough(&m, n, fullFew); n++ {
 		draining = !draining
-		row := planner.Row{Node: 1, Condition: planner.Ready}
+		row := planner.Endpoint{Node: 1, State: planner.Ready}
 		if draining {
-			row.Condition = planner.Draining
+			row.State = planner.Draining
 		}
 		m.start()
-		f.module.ListChanged(f.now, []planner.Row{row})
+		f.module.UpdateEndpoints(f.now, []planner.Endpoint{row})
 		m.stop()
 		f.confirm()
 		for range stepsReport {
--- a/scaling/log.go
+++ b/scaling/log.go
@@ -36,7 +36,7 @@
 	save := func() error {
 		index++
 		term, vote, commit := uint64(1), uint64(1), index-1
-		return log.Save(raftlog.Batch{Hard: &raftpb.HardState{Term: &term, Vote: &vote, Commit: &commit},
+		return log.Save(raftlog.Batch{HardState: &raftpb.HardState{Term: &term, Vote: &vote, Commit: &commit},
 			Entries: []*raftpb.Entry{logEntry(index, data)}})
 	}
 	for range entriesKept {
@@ -63,7 +63,7 @@
 		member := g.members[0]
 		// A roll-back to a version that there is not is refused on apply: the state stays as it is, and the log grows.
 		for n := range entriesKept {
-			command := cluster.Command{Kind: cluster.RollBack, Client: operatorClient, Seq: uint64(n + 1), To: 1, Text: strings.Repeat("x", size)}
+			command := cluster.Command{Kind: cluster.CommandRollBack, Client: operatorClient, Seq: uint64(n + 1), To: 1, Text: strings.Repeat("x", size)}
 			if err := g.propose(command); err != nil {
 				return nil, err
 			}
@@ -74,7 +74,7 @@
 	if err != nil {
 		return s, err
 	}
-	s.Values[Heap] = heap / float64(member.Standing().Entries)
+	s.Values[Heap] = heap / float64(member.Status().Entries)
 	return s, nil
 }
 
--- a/scaling/loopback.go
+++ b/scaling/loopback.go
@@ -60,7 +60,7 @@
 // loopbackGroup is a group of real nodes with real logs and connections, all in this process.
 type loopbackGroup struct {
 	nodes   []*cluster.Node
-	disks   []*raftlog.Bolt
+	disks   []*raftlog.Log
 	servers []*grpc.Server
 	bytes   atomic.Int64
 	parts   sync.WaitGroup
@@ -108,7 +108,7 @@
 	if err != nil {
 		return err
 	}
-	server := cluster.Serve(nil)
+	server := cluster.NewServer(nil)
 	node.Register(server)
 	g.nodes, g.servers = append(g.nodes, node), append(g.servers, server)
 	g.parts.Go(func() { server.Serve(countingListener{listener, &g.bytes}) })
@@ -125,7 +125,7 @@
 			if err != nil {
 				return err
 			}
-			if report.Standing.Leader != 0 && len(report.Identities) == len(g.nodes) {
+			if report.Status.Leader != 0 && len(report.Identities) == len(g.nodes) {
 				known++
 			}
 		}
--- a/scaling/push.go
+++ b/scaling/push.go
@@ -27,7 +27,7 @@
 // pushServer is an xDS server with delta sidecars that hold everything; streams are numbered from 1 as sidecars are from 0.
 type pushServer struct {
 	server  *xds.Server
-	holders []*sidecar.Holder
+	holders []*sidecar.ResourceCache
 	pending []sent
 	nodes   int
 	changes int
@@ -38,13 +38,13 @@
 func (p *pushServer) SendDelta(stream uint64, r *discoveryv3.DeltaDiscoveryResponse) {
 	p.pending = append(p.pending, sent{stream, r})
 }
-func (p *pushServer) End(stream uint64, why string) {
+func (p *pushServer) CloseStream(stream uint64, why string) {
 	p.refused = fmt.Errorf("stream %d ended: %s", stream, why)
 }
-func (p *pushServer) Joined(int, string) {}
-func (p *pushServer) Left(int)           {}
-func (p *pushServer) Confirmed(int, int) {}
-func (p *pushServer) Refused(id string, kind xds.Kind, why string) {
+func (p *pushServer) Joined(int, string)    {}
+func (p *pushServer) Left(int)              {}
+func (p *pushServer) Acknowledged(int, int) {}
+func (p *pushServer) Rejected(id string, kind xds.Kind, why string) {
 	p.refused = fmt.Errorf("%s refused %s: %s", id, kind, why)
 }
 
@@ -66,25 +66,25 @@
 	p := &pushServer{nodes: nodes}
 	compiler := xds.NewCompiler(pushRoutes(routes), time.Second)
 	p.server = xds.NewServer(compiler, p, sidecars)
-	var batch []controller.Order
+	var batch []controller.Command
 	for n := range nodes {
-		compiler.Place(nodeName(n), fmt.Sprint("zone-", n%OperatorsZones), nodeAddress(n))
-		batch = append(batch, controller.Order{Kind: controller.SetLine, Node: nodeName(n), Figure: 1})
+		compiler.SetAddress(nodeName(n), fmt.Sprint("zone-", n%OperatorsZones), nodeAddress(n))
+		batch = append(batch, controller.Command{Kind: controller.SetWeight, Node: nodeName(n), Value: 1})
 	}
 	for k := range sidecars {
-		holder := &sidecar.Holder{ID: fmt.Sprint("sidecar-", k), Zone: "zone-0", Delta: true}
+		holder := &sidecar.ResourceCache{ID: fmt.Sprint("sidecar-", k), Zone: "zone-0", Delta: true}
 		p.holders = append(p.holders, holder)
 		if err := p.server.Open(0, uint64(k+1), true, holder.ID, holder.Zone); err != nil {
 			return nil, err
 		}
 		for _, request := range holder.BeginDelta() {
-			if err := p.server.Deltas(0, uint64(k+1), request); err != nil {
+			if err := p.server.HandleDelta(0, uint64(k+1), request); err != nil {
 				return nil, err
 			}
 		}
-		batch = append(batch, controller.Order{Kind: controller.Bind, Proxy: k})
+		batch = append(batch, controller.Command{Kind: controller.BindProxy, Proxy: k})
 	}
-	if err := p.server.Carry(0, append(batch, controller.Order{Kind: controller.RequestAck, Nonce: 1})); err != nil {
+	if err := p.server.ApplyCommands(0, append(batch, controller.Command{Kind: controller.RequestAck, Nonce: 1})); err != nil {
 		return nil, err
 	}
 	return p, p.settle(&pushCost{})
@@ -129,7 +129,7 @@
 	cost.server.stop()
 	cost.sidecars.start()
 	for k, one := range arrived {
-		out, err := p.holders[one.stream-1].Deltas(one.response)
+		out, err := p.holders[one.stream-1].HandleDelta(one.response)
 		if err != nil {
 			return err
 		}
@@ -139,7 +139,7 @@
 	cost.server.start()
 	for k, one := range arrived {
 		for _, request := range answers[k] {
-			if err := p.server.Deltas(0, one.stream, request); err != nil {
+			if err := p.server.HandleDelta(0, one.stream, request); err != nil {
 				return err
 			}
 		}
@@ -151,10 +151,10 @@
 // change sets one node's weight and has all sidecars accept it.
 func (p *pushServer) change(cost *pushCost) error {
 	p.changes++
-	order := []controller.Order{{Kind: controller.SetLine, Table: 0, Node: nodeName(p.nodes / 2), Figure: 1 + float64(p.changes%2)},
+	order := []controller.Command{{Kind: controller.SetWeight, Table: 0, Node: nodeName(p.nodes / 2), Value: 1 + float64(p.changes%2)},
 		{Kind: controller.RequestAck, Nonce: 1 + p.changes%nonceModulo}}
 	cost.server.start()
-	err := p.server.Carry(0, order)
+	err := p.server.ApplyCommands(0, order)
 	cost.server.stop()
 	if err != nil {
 		return err
--- a/scaling/record.go
+++ b/scaling/record.go
@@ -64,7 +64,7 @@
 	if err != nil {
 		panic(err) // specs are plain structs of strings and finite numbers
 	}
-	return records.Write{Key: records.Key{Kind: kind, Name: name}, Body: body, Any: true}
+	return records.Write{Key: records.Key{Kind: kind, Name: name}, Body: body, AnyRevision: true}
 }
 
 func (r *recordState) tenant(n int, share float64) records.Write {
@@ -74,7 +74,7 @@
 // write proposes and applies a transaction, and gives the bytes of its log entry.
 func (r *recordState) write(writes []records.Write) (entry int, err error) {
 	r.index++
-	data, err := json.Marshal(cluster.Command{Kind: cluster.Records, Client: operatorClient, Seq: r.index, Writes: writes,
+	data, err := json.Marshal(cluster.Command{Kind: cluster.CommandRecords, Client: operatorClient, Seq: r.index, Writes: writes,
 		By: operatorClient, Why: "one share changes"})
 	if err != nil {
 		return 0, err
@@ -94,7 +94,7 @@
 	for n := range scopeServices {
 		scope.Services = append(scope.Services, serviceName(n))
 	}
-	return scope.Normal()
+	return scope.Normalized()
 }
 
 // recordChangeSample meters one changed tenant at a member. Stored is what the change adds to the history as encoded.
@@ -225,8 +225,8 @@
 }
 
 func readChange(store *records.Store, scope records.Scope) error {
-	if delta := store.Since(store.Revision()-1, scope); !delta.Kept || len(delta.Updates) != 1 {
-		return fmt.Errorf("%d updates, kept: %v", len(delta.Updates), delta.Kept)
+	if delta := store.Since(store.Revision()-1, scope); !delta.Available || len(delta.Updates) != 1 {
+		return fmt.Errorf("%d updates, kept: %v", len(delta.Updates), delta.Available)
 	}
 	return nil
 }
--- a/scaling/report.go
+++ b/scaling/report.go
@@ -32,7 +32,7 @@
 func loadReport(node int) ([]byte, error) {
 	body, err := json.Marshal(map[string]any{"@type": "LOAD", "site": fmt.Sprint("zone-", node%listZones), "target": nodeName(node),
 		"count": 12, "fail": 1, "mean": 183.5, "over": 500, "util": map[string]float64{"inflight": 3, "util": 0.61}})
-	return append(wire.FrameHead(len(body)), body...), err
+	return append(wire.FrameHeader(len(body)), body...), err
 }
 
 // reportSample meters half a second of reports, one on each node, from a collector's bytes to the module. Values are for
@@ -52,7 +52,7 @@
 	for n := range nodes {
 		numbers[nodeName(n)] = uint32(n + 1)
 	}
-	frames := wire.Frames{Most: wire.FrameMost}
+	frames := wire.FrameReader{MaxBytes: wire.MaxFrameBytes}
 	err := repeat(&s, effort, func() error {
 		f.now += 0.5
 		taken := 0
@@ -76,7 +76,7 @@
 }
 
 // takeReports hands all whole messages to the module, as the front and the core do.
-func takeReports(frames *wire.Frames, f *moduleFleet, numbers map[string]uint32) (taken int, err error) {
+func takeReports(frames *wire.FrameReader, f *moduleFleet, numbers map[string]uint32) (taken int, err error) {
 	for {
 		body, err := frames.Next()
 		if err != nil || body == nil {
@@ -90,15 +90,15 @@
 		if !known {
 			return taken, errors.New("a report on an unknown node")
 		}
-		f.module.NodeSums(f.now, planner.Sums{Node: number, Ended: int(*message.Count), Lost: int(*message.Fail),
-			Mean: *message.Mean / wire.MSPerSecond, Span: *message.Over / wire.MSPerSecond})
+		f.module.AddLoadReport(f.now, planner.LoadReport{Node: number, Completed: int(*message.Count), Failed: int(*message.Failed),
+			MeanLatency: *message.Mean / wire.MillisecondsPerSecond, Interval: *message.Interval / wire.MillisecondsPerSecond})
 		taken++
 	}
 }
 
 // reportService is an xDS front on loopback with a core behind it and one sidecar that reports to it.
 type reportService struct {
-	front  *frontxds.Front
+	front  *frontxds.Server
 	stream loadv3.LoadReportingService_StreamLoadStatsClient
 	end    func()
 }
@@ -112,25 +112,25 @@
 // newReportService starts the front, has it know the nodes, and opens the sidecar's two streams.
 func newReportService(nodes int) (*reportService, error) {
 	front := frontxds.New(xds.NewCompiler(pushRoutes(1), time.Second), 1, zap.NewNop())
-	var known []controller.Entry
+	var known []controller.Endpoint
 	var places []frontxds.Node
 	for n := range nodes {
-		known = append(known, controller.Entry{Node: nodeName(n), Zone: "zone-0", Kind: "large", Weight: 1, Condition: planner.Ready})
+		known = append(known, controller.Endpoint{Node: nodeName(n), Zone: "zone-0", MachineType: "large", Weight: 1, State: planner.Ready})
 		places = append(places, frontxds.Node{Name: nodeName(n), Zone: "zone-0", Address: nodeAddress(n)})
 	}
 	// Sliced: the module takes reports in and orders nothing by itself.
-	front.Core = controller.New(settings.Deployment{Site: planner.Site{Zones: 1, Kinds: 1, Proxies: 1, Sliced: true, Routes: []planner.Route{{}}},
-		Zones: []string{"zone-0"}, Kinds: []string{"large"}, Routes: []string{"r0000"}, Tick: 0.004}, known, front, zap.NewNop())
+	front.Controller = controller.New(settings.Deployment{Planner: planner.Config{Zones: 1, MachineTypes: 1, Proxies: 1, Sharded: true, Routes: []planner.Route{{}}},
+		Zones: []string{"zone-0"}, MachineTypes: []string{"large"}, Routes: []string{"r0000"}, EventInterval: 0.004}, known, front, zap.NewNop())
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return nil, err
 	}
 	ctx, stop := context.WithCancel(context.Background())
 	var parts sync.WaitGroup
-	parts.Go(func() { front.Core.Run(ctx) })
+	parts.Go(func() { front.Controller.Run(ctx) })
 	parts.Go(func() { front.Run(ctx, listener) })
 	r := &reportService{front: front, end: func() { stop(); parts.Wait() }}
-	front.Place(places)
+	front.SetAddresses(places)
 	if err := r.connect(ctx, listener.Addr().String()); err != nil {
 		r.end()
 		return nil, err
@@ -150,7 +150,7 @@
 	if err != nil {
 		return err
 	}
-	holder := &sidecar.Holder{ID: sidecarID, Zone: "zone-0", Delta: true}
+	holder := &sidecar.ResourceCache{ID: sidecarID, Zone: "zone-0", Delta: true}
 	for _, request := range holder.BeginDelta() {
 		if err := resources.Send(request); err != nil {
 			return err
@@ -173,7 +173,7 @@
 	line := func(address xds.Address) {
 		local.UpstreamEndpointStats = append(local.UpstreamEndpointStats, &endpointv3.UpstreamEndpointStats{Address: address.Message(),
 			TotalIssuedRequests: 12, TotalSuccessfulRequests: 11, TotalErrorRequests: 1, LoadMetricStats: []*endpointv3.EndpointLoadMetricStats{
-				{MetricName: xds.CallSeconds, NumRequestsFinishedWithMetric: 11, TotalMetricValue: 2.1}}})
+				{MetricName: xds.LatencySumMetric, NumRequestsFinishedWithMetric: 11, TotalMetricValue: 2.1}}})
 	}
 	for n := range nodes {
 		line(nodeAddress(n))
--- a/scaling/socket.go
+++ b/scaling/socket.go
@@ -45,9 +45,9 @@
 		return nil, err
 	}
 	limits := configsync.DefaultLimits
-	limits.Lease, limits.MaxStreams, limits.WholeRate, limits.WholeBurst = lease, followers, followWhole, followWhole
+	limits.Lease, limits.MaxStreams, limits.FullScopeBytesPerSecond, limits.FullScopeBurstBytes = lease, followers, followWhole, followWhole
 	m := &socketMember{followed: source, service: frontfollow.NewService("member", source.store, limits, zap.NewNop())}
-	server := cluster.Serve(nil)
+	server := cluster.NewServer(nil)
 	m.service.Register(server)
 	ctx, stop := context.WithCancel(context.Background())
 	var parts sync.WaitGroup
@@ -78,7 +78,7 @@
 // inStep waits until the member knows that all followers have accepted its revision.
 func (m *socketMember) inStep() error {
 	for begun := time.Now(); time.Since(begun) < socketInStep; time.Sleep(lookForAnswers) {
-		if status := m.service.Status(); status.Live == len(m.clients) && status.InForce == m.store.Revision() {
+		if status := m.service.Status(); status.Live == len(m.clients) && status.ConvergedRevision == m.store.Revision() {
 			return nil
 		}
 	}
--- a/scaling/step.go
+++ b/scaling/step.go
@@ -23,20 +23,20 @@
 	orders    int
 }
 
-func (h *moduleHost) Bind(int, int)                                         { h.orders++ }
-func (h *moduleHost) SetLine(int, uint32, float64)                          { h.orders++ }
-func (h *moduleHost) SetLevel(int, planner.RouteID, float64, planner.Tries) { h.orders++ }
-func (h *moduleHost) RequestAck(nonce int)                                  { h.nonce, h.requested = nonce, true }
-func (h *moduleHost) Wake(float64)                                          {}
-func (h *moduleHost) Subscribe()                                            {}
-func (h *moduleHost) Log(string)                                            {}
+func (h *moduleHost) BindProxy(int, int)                                              { h.orders++ }
+func (h *moduleHost) SetWeight(int, uint32, float64)                                  { h.orders++ }
+func (h *moduleHost) SetAdmission(int, planner.RouteID, float64, planner.RetryPolicy) { h.orders++ }
+func (h *moduleHost) RequestAck(nonce int)                                            { h.nonce, h.requested = nonce, true }
+func (h *moduleHost) Wake(float64)                                                    {}
+func (h *moduleHost) Subscribe()                                                      {}
+func (h *moduleHost) Log(string)                                                      {}
 
 // moduleSite is a deployment without limits of a channel that would hold the module back.
-func moduleSite(proxies, routes, zones int) planner.Site {
-	site := planner.Site{Seed: 1, Zones: zones, Kinds: 1, Conductors: 1, Proxies: proxies, AskWithin: 10, Utilization: -1, Backlog: -1,
-		Levels: planner.LevelFraction, Pace: 1e6, Queue: 1e7, Head: 5, MessageSpan: 10, Period: 0.5, Ramp: 16, FallTimes: 3}
+func moduleSite(proxies, routes, zones int) planner.Config {
+	site := planner.Config{Seed: 1, Zones: zones, MachineTypes: 1, Controllers: 1, Proxies: proxies, SubscribeTimeout: 10, UtilizationIndex: -1, QueueLengthIndex: -1,
+		Admission: planner.AdmissionFraction, EntriesPerSecond: 1e6, MaxInFlightEntries: 1e7, MessageOverhead: 5, MessageWindow: 10, ReportInterval: 0.5, SlowStartWindow: 16, OverloadMultiple: 3}
 	for r := range routes {
-		site.Routes = append(site.Routes, planner.Route{SLOTime: 1, Importance: float64(1 + r)})
+		site.Routes = append(site.Routes, planner.Route{LatencyObjective: 1, PriorityWeight: float64(1 + r)})
 	}
 	return site
 }
@@ -44,7 +44,7 @@
 // moduleFleet is a conductor's module with its proxies joined, and time that goes on under it.
 type moduleFleet struct {
 	host           *moduleHost
-	module         *planner.Conductor
+	module         *planner.Planner
 	now            float64
 	nodes, proxies int
 	steps          int
@@ -53,11 +53,11 @@
 func newModuleFleet(nodes, proxies, routes, zones int) *moduleFleet {
 	f := &moduleFleet{host: &moduleHost{}, now: 100, nodes: nodes, proxies: proxies}
 	f.module = planner.New(f.host, moduleSite(proxies, routes, zones), f.now)
-	rows := make([]planner.Row, nodes)
+	rows := make([]planner.Endpoint, nodes)
 	for i := range rows {
-		rows[i] = planner.Row{Node: uint32(i + 1), Zone: i % zones, Condition: planner.Ready}
+		rows[i] = planner.Endpoint{Node: uint32(i + 1), Zone: i % zones, State: planner.Ready}
 	}
-	f.module.ListWhole(f.now, rows)
+	f.module.ReplaceEndpoints(f.now, rows)
 	for p := range proxies {
 		f.module.ProxyJoined(f.now, p, p%zones, 1)
 	}
@@ -67,10 +67,10 @@
 // reports tells what the proxies met at each node, and what each proxy was asked.
 func (f *moduleFleet) reports() {
 	for i := range f.nodes {
-		f.module.NodeSums(f.now, planner.Sums{Node: uint32(i + 1), Ended: 10, Mean: 0.2 + 0.1*float64(i%7), Span: 0.5})
+		f.module.AddLoadReport(f.now, planner.LoadReport{Node: uint32(i + 1), Completed: 10, MeanLatency: 0.2 + 0.1*float64(i%7), Interval: 0.5})
 	}
 	for p := range f.proxies {
-		f.module.RouteUsage(f.now, planner.Usage{Proxy: p, Calls: 3, Span: 1})
+		f.module.AddDemandReport(f.now, planner.DemandReport{Proxy: p, Requests: 3, Interval: 1})
 	}
 }
 
@@ -80,7 +80,7 @@
 		return
 	}
 	f.host.requested = false
-	f.module.OrdersTaken(f.now, f.host.nonce)
+	f.module.CommandsAccepted(f.now, f.host.nonce)
 	for p := range f.proxies {
 		f.module.Acknowledged(f.now, p, f.host.nonce)
 	}
@@ -96,7 +96,7 @@
 	if m != nil {
 		m.start()
 	}
-	f.module.Tick(f.now)
+	f.module.Step(f.now)
 	if m != nil {
 		m.stop()
 	}
--- a/settings/site.go
+++ b/settings/site.go
@@ -11,24 +11,24 @@
 	"harehook.dev/harehook/planner"
 )
 
-// NSPerSecond turns the module's seconds into the settings' nanoseconds.
-const NSPerSecond = 1e9
+// NanosecondsPerSecond turns the module's seconds into the settings' nanoseconds.
+const NanosecondsPerSecond = 1e9
 
 // Deployment is what the settings tell: the figures that the module reads, and the names behind its small
 // numbers, each at its place.
 type Deployment struct {
-	Site    planner.Site
-	Zones   []string
-	Kinds   []string // machine types
-	Routes  []string
-	Reports []string // values of a load report
-	Tick    float64  // s; least time between two turns
+	Planner       planner.Config
+	Zones         []string
+	MachineTypes  []string // machine types
+	Routes        []string
+	ReportValues  []string // values of a load report
+	EventInterval float64  // s; least time between two turns
 }
 
 // Decode reads the settings' JSON; keys that it does not know are passed over. Settings by which no conductor can work are
 // refused with the key at fault. A limit that is not told is none.
 func Decode(conf []byte) (Deployment, error) {
-	w := written{}
+	w := rawSettings{}
 	w.Extra.Backlog, w.Extra.PushRate = math.Inf(1), math.Inf(1)
 	if err := json.Unmarshal(conf, &w); err != nil {
 		return Deployment{}, fmt.Errorf("settings: %w", err)
@@ -37,60 +37,60 @@
 		return Deployment{}, fmt.Errorf("settings: %w", err)
 	}
 	d := Deployment{
-		Zones:   w.Zones,
-		Kinds:   w.MachineTypes,
-		Reports: w.Report.Names,
-		Tick:    Seconds(w.Tick),
-		Site: planner.Site{
-			Zones:       len(w.Zones),
-			Kinds:       len(w.MachineTypes),
-			Conductors:  max(1, int(w.Peers)),
-			Proxies:     int(w.Extra.ProxyCount),
-			OwnZone:     w.Extra.LocalFirst,
-			Sliced:      w.Extra.Shards > 0,
-			MustAsk:     w.Discovery == "subscribe",
-			AskWithin:   Seconds(w.Rules.AskWithin),
-			Utilization: -1,
-			Backlog:     -1,
-			Pace:        w.Extra.PushRate,
-			Queue:       w.Extra.Backlog,
-			Head:        w.Extra.Head,
-			Messages:    int(w.Extra.ReloadsMax),
-			MessageSpan: Seconds(w.Extra.CountedOver),
-			Period:      Seconds(w.Extra.Interval),
-			Ramp:        Seconds(w.Rules.RampTime),
-			FallTimes:   w.Rules.FallMultiple,
+		Zones:         w.Zones,
+		MachineTypes:  w.MachineTypes,
+		ReportValues:  w.Report.Names,
+		EventInterval: Seconds(w.Tick),
+		Planner: planner.Config{
+			Zones:              len(w.Zones),
+			MachineTypes:       len(w.MachineTypes),
+			Controllers:        max(1, int(w.Peers)),
+			Proxies:            int(w.Extra.ProxyCount),
+			LocalZoneProxies:   w.Extra.LocalFirst,
+			Sharded:            w.Extra.Shards > 0,
+			MustSubscribe:      w.Discovery == "subscribe",
+			SubscribeTimeout:   Seconds(w.Rules.AskWithin),
+			UtilizationIndex:   -1,
+			QueueLengthIndex:   -1,
+			EntriesPerSecond:   w.Extra.PushRate,
+			MaxInFlightEntries: w.Extra.Backlog,
+			MessageOverhead:    w.Extra.Head,
+			MaxMessages:        int(w.Extra.ReloadsMax),
+			MessageWindow:      Seconds(w.Extra.CountedOver),
+			ReportInterval:     Seconds(w.Extra.Interval),
+			SlowStartWindow:    Seconds(w.Rules.RampTime),
+			OverloadMultiple:   w.Rules.FallMultiple,
 		},
 	}
 	switch w.Extra.LevelKind {
 	case "fraction":
-		d.Site.Levels = planner.LevelFraction
+		d.Planner.Admission = planner.AdmissionFraction
 	case "per_second":
-		d.Site.Levels = planner.LevelRate
+		d.Planner.Admission = planner.AdmissionRate
 	}
 	if w.Report.Source == "inline" {
 		for k, name := range w.Report.Names {
 			switch name {
 			case "utilization":
-				d.Site.Utilization = k
+				d.Planner.UtilizationIndex = k
 			case "backlog":
-				d.Site.Backlog = k
+				d.Planner.QueueLengthIndex = k
 			}
 		}
 	}
 	for k, cat := range w.Categories {
 		d.Routes = append(d.Routes, cat.Name)
-		d.Site.Routes = append(d.Site.Routes, planner.Route{
-			SLOTime:    Seconds(cat.Promise),
-			Importance: cat.Gain,
-			HomeOnly:   k < len(w.Extra.HomeOnly) && w.Extra.HomeOnly[k],
+		d.Planner.Routes = append(d.Planner.Routes, planner.Route{
+			LatencyObjective: Seconds(cat.Promise),
+			PriorityWeight:   cat.Gain,
+			LocalZoneOnly:    k < len(w.Extra.HomeOnly) && w.Extra.HomeOnly[k],
 		})
 	}
 	return d, nil
 }
 
-// written is what is read of the settings as they are written; whole numbers may be written with a fraction of 0.
-type written struct {
+// rawSettings is what is read of the settings as they are written; whole numbers may be written with a fraction of 0.
+type rawSettings struct {
 	Categories []struct {
 		Name    string  `json:"name"`
 		Promise float64 `json:"promise-ns"`
@@ -130,12 +130,12 @@
 
 	bindLeast = 3 // lines that bind a proxy to a table of one line, beside the levels: the order, the line, the mark
 
-	// NumberMost is above all numbers of proxies.
-	NumberMost = 65535
+	// MaxProxies is above all numbers of proxies.
+	MaxProxies = 65535
 )
 
 // check tells the first thing by which no conductor can work.
-func (w *written) check() error {
+func (w *rawSettings) check() error {
 	extra, routes := &w.Extra, make([]string, len(w.Categories))
 	for k, cat := range w.Categories {
 		routes[k] = cat.Name
@@ -179,7 +179,7 @@
 		value       float64
 		least, most float64
 	}{
-		{"extra.proxy-count", extra.ProxyCount, 0, NumberMost},
+		{"extra.proxy-count", extra.ProxyCount, 0, MaxProxies},
 		{"extra.backlog", extra.Backlog, 1, math.Inf(1)},
 		{"extra.push-rate", extra.PushRate, math.SmallestNonzeroFloat64, math.Inf(1)},
 		{"extra.head", extra.Head, 0, math.Inf(1)},
@@ -210,4 +210,4 @@
 }
 
 // Seconds turns the settings' nanoseconds into the module's seconds.
-func Seconds[N uint64 | float64](ns N) float64 { return float64(ns) / NSPerSecond }
+func Seconds[N uint64 | float64](ns N) float64 { return float64(ns) / NanosecondsPerSecond }
--- a/settings/site_test.go
+++ b/settings/site_test.go
@@ -75,8 +75,8 @@
 	wrong string
 }
 
-func (h *host) Bind(int, int) { h.bound++ }
-func (h *host) SetLine(table int, node uint32, weight float64) {
+func (h *host) BindProxy(int, int) { h.bound++ }
+func (h *host) SetWeight(table int, node uint32, weight float64) {
 	if h.lines[table] == nil {
 		h.lines[table] = map[uint32]float64{}
 	}
@@ -85,7 +85,7 @@
 		h.wrong = fmt.Sprint("weight ", weight)
 	}
 }
-func (h *host) SetLevel(_ int, _ planner.RouteID, level float64, _ planner.Tries) {
+func (h *host) SetAdmission(_ int, _ planner.RouteID, level float64, _ planner.RetryPolicy) {
 	if !(level >= 0 && level <= math.MaxFloat32) {
 		h.wrong = fmt.Sprint("level ", level)
 	}
@@ -99,9 +99,9 @@
 // half-way, two proxies, and sums of a fleet that is full for a while.
 func serves(d Deployment) string {
 	h := &host{lines: map[int]map[uint32]float64{}}
-	c := planner.New(h, d.Site, 100)
-	rows := []planner.Row{{Node: 1, Condition: planner.Ready}, {Node: 2, Zone: len(d.Zones) - 1, Condition: planner.Ready, Started: 99}}
-	c.ListWhole(100, rows)
+	c := planner.New(h, d.Planner, 100)
+	rows := []planner.Endpoint{{Node: 1, State: planner.Ready}, {Node: 2, Zone: len(d.Zones) - 1, State: planner.Ready, StartTime: 99}}
+	c.ReplaceEndpoints(100, rows)
 	for p := range 2 {
 		c.ProxyJoined(100, p, p%len(d.Zones), 20)
 	}
@@ -111,20 +111,20 @@
 			mean = 5
 		}
 		for node := range 2 {
-			c.NodeSums(now, planner.Sums{Node: uint32(node + 1), Ended: 20, Span: 0.5, Mean: mean, Report: make([]float64, len(d.Reports))})
-			c.RouteUsage(now, planner.Usage{Proxy: node, Route: planner.RouteID(len(d.Routes) - 1), Calls: 20, Span: 0.5})
+			c.AddLoadReport(now, planner.LoadReport{Node: uint32(node + 1), Completed: 20, Interval: 0.5, MeanLatency: mean, Values: make([]float64, len(d.ReportValues))})
+			c.AddDemandReport(now, planner.DemandReport{Proxy: node, Route: planner.RouteID(len(d.Routes) - 1), Requests: 20, Interval: 0.5})
 		}
 		if now > 130 {
-			c.ListChanged(now, []planner.Row{{Node: 2, Zone: len(d.Zones) - 1, Condition: planner.Draining}})
+			c.UpdateEndpoints(now, []planner.Endpoint{{Node: 2, Zone: len(d.Zones) - 1, State: planner.Draining}})
 		}
-		c.Tick(now)
-		if c.OrdersTaken(now, h.mark); h.mark > 0 {
+		c.Step(now)
+		if c.CommandsAccepted(now, h.mark); h.mark > 0 {
 			for p := range 2 {
 				c.Acknowledged(now, p, h.mark)
 			}
 		}
 	}
-	if d.Site.Sliced {
+	if d.Planner.Sharded {
 		return h.wrong // a store hands its tables out
 	}
 	for table, lines := range h.lines {
--- a/sidecar/crossings_test.go
+++ b/sidecar/crossings_test.go
@@ -47,8 +47,8 @@
 	}
 	defer silent.Close()
 	port := uint32(silent.Addr().(*net.TCPAddr).Port)
-	table := &Table{Routes: []Entry{{Name: "q", Prefix: "/q", Part: 1, Cluster: "c"}},
-		Clusters: map[string][]Line{"c": {{Node: "s", Weight: 1, Address: xds.Address{Host: "127.0.0.1", Port: port}}}}}
+	table := &RoutingTable{Routes: []RouteEntry{{Name: "q", Prefix: "/q", Fraction: 1, Cluster: "c"}},
+		Clusters: map[string][]WeightedNode{"c": {{Node: "s", Weight: 1, Address: xds.Address{Host: "127.0.0.1", Port: port}}}}}
 	for name, text := range map[string]string{"a wait": "", "a call": "GET /q HTTP/1.1\r\nHost: x\r\n\r\n"} {
 		l, err := net.Listen("tcp", "127.0.0.1:0")
 		if err != nil {
@@ -62,7 +62,7 @@
 				once.Do(func() { close(waits); <-release })
 			}
 		}
-		p := &Plane{Listener: held{l, before}, Table: func() *Table { return table }, Connect: time.Second, Most: 4, Seed: 1,
+		p := &Proxy{Listener: held{l, before}, Table: func() *RoutingTable { return table }, ConnectTimeout: time.Second, MaxConnections: 4, Seed: 1,
 			Log: zap.NewNop(), Report: NewReport(time.Now())}
 		ended := make(chan struct{})
 		go func() { defer close(ended); p.Run(ctx) }()
--- a/sidecar/golden_test.go
+++ b/sidecar/golden_test.go
@@ -22,7 +22,7 @@
 			t.Fatal(err)
 		}
 	}
-	h := &Holder{ID: "till", Zone: "north"}
+	h := &ResourceCache{ID: "till", Zone: "north"}
 	if err := (&Store{Path: goldenStore}).Load(h); err != nil {
 		t.Fatal(err)
 	}
