--- a/sidecar/holder.go
+++ b/sidecar/holder.go
@@ -31,42 +31,42 @@
 	retriesMost   = 3
 )
 
-// Held is a resource that was accepted, as it was sent.
-type Held struct {
+// CachedResource is a resource that was accepted, as it was sent.
+type CachedResource struct {
 	Version string
 	Body    *anypb.Any
 }
 
-// Refused is a resource that was not.
-type Refused struct {
-	Kind      xds.Kind
-	Name, Why string
-	Version   string
+// RejectedResource is a resource that was not.
+type RejectedResource struct {
+	Kind         xds.Kind
+	Name, Reason string
+	Version      string
 }
 
-// Holder accepts and refuses what a conductor sends. It keeps what it accepted over streams and conductors.
-type Holder struct {
+// ResourceCache accepts and refuses what a conductor sends. It keeps what it accepted over streams and conductors.
+type ResourceCache struct {
 	ID, Zone string
 	Delta    bool
-	Mutating map[string]bool // routes that this sidecar itself knows for mutating, whatever it is told
-	OnRefuse func(Refused)   // nil: no one is told
-	// Also is a further check of this installation's own; nil: none.
-	Also func(kind xds.Kind, name string, body *anypb.Any) error
+	Mutating map[string]bool        // routes that this sidecar itself knows for mutating, whatever it is told
+	OnReject func(RejectedResource) // nil: no one is told
+	// ExtraCheck is a further check of this installation's own; nil: none.
+	ExtraCheck func(kind xds.Kind, name string, body *anypb.Any) error
 
-	held  [xds.Kinds]map[string]Held
+	held  [xds.Kinds]map[string]CachedResource
 	set   [xds.Kinds]string // state of the world: the version of the whole
 	asked [xds.Kinds][]string
 	nonce [xds.Kinds]string
-	table *Table
+	table *RoutingTable
 }
 
-// Forget drops all that is held.
-func (h *Holder) Forget() {
-	h.held, h.set, h.table = [xds.Kinds]map[string]Held{}, [xds.Kinds]string{}, nil
+// Clear drops all that is held.
+func (h *ResourceCache) Clear() {
+	h.held, h.set, h.table = [xds.Kinds]map[string]CachedResource{}, [xds.Kinds]string{}, nil
 }
 
 // versions are those held of a kind, by name.
-func (h *Holder) versions(kind xds.Kind) map[string]string {
+func (h *ResourceCache) versions(kind xds.Kind) map[string]string {
 	versions := map[string]string{}
 	for name, held := range h.held[kind] {
 		versions[name] = held.Version
@@ -75,17 +75,17 @@
 }
 
 // with is what is held of a kind and what came, where that is not told whole.
-func (h *Holder) with(kind xds.Kind, got map[string]Held) map[string]Held {
+func (h *ResourceCache) with(kind xds.Kind, got map[string]CachedResource) map[string]CachedResource {
 	next := maps.Clone(h.held[kind])
 	if next == nil {
-		next = map[string]Held{}
+		next = map[string]CachedResource{}
 	}
 	maps.Copy(next, got)
 	return next
 }
 
 // wants are the names to ask for: all clusters, one listener, and what these lead to.
-func (h *Holder) wants(kind xds.Kind) (names []string) {
+func (h *ResourceCache) wants(kind xds.Kind) (names []string) {
 	switch kind {
 	case xds.Endpoints:
 		names = slices.Sorted(maps.Keys(h.held[xds.Clusters]))
@@ -101,18 +101,18 @@
 	return names
 }
 
-func (h *Holder) node() *corev3.Node {
+func (h *ResourceCache) node() *corev3.Node {
 	return &corev3.Node{Id: h.ID, Locality: &corev3.Locality{Zone: h.Zone}, UserAgentName: "harehook-sidecar"}
 }
 
 // asks tells whether a kind can be asked for: without names endpoints and routes would mean none, and a later request
 // names them.
-func (h *Holder) asks(kind xds.Kind) bool {
+func (h *ResourceCache) asks(kind xds.Kind) bool {
 	return kind == xds.Clusters || kind == xds.Listeners || len(h.wants(kind)) > 0
 }
 
 // BeginState gives the first requests of a stream of the state of the world variant: each states the version held.
-func (h *Holder) BeginState() (out []*discoveryv3.DiscoveryRequest) {
+func (h *ResourceCache) BeginState() (out []*discoveryv3.DiscoveryRequest) {
 	h.begin()
 	for kind := range xds.Kinds {
 		if !h.asks(kind) {
@@ -126,7 +126,7 @@
 }
 
 // BeginDelta gives the first requests of a stream of the delta variant: each states the versions held.
-func (h *Holder) BeginDelta() (out []*discoveryv3.DeltaDiscoveryRequest) {
+func (h *ResourceCache) BeginDelta() (out []*discoveryv3.DeltaDiscoveryRequest) {
 	h.begin()
 	for kind := range xds.Kinds {
 		if !h.asks(kind) {
@@ -139,12 +139,12 @@
 	return out
 }
 
-func (h *Holder) begin() {
+func (h *ResourceCache) begin() {
 	h.asked, h.nonce = [xds.Kinds][]string{}, [xds.Kinds]string{}
 }
 
-// State takes a response and gives the answer, then the requests that what was accepted leads to.
-func (h *Holder) State(r *discoveryv3.DiscoveryResponse) (out []*discoveryv3.DiscoveryRequest, err error) {
+// HandleStateOfTheWorld takes a response and gives the answer, then the requests that what was accepted leads to.
+func (h *ResourceCache) HandleStateOfTheWorld(r *discoveryv3.DiscoveryResponse) (out []*discoveryv3.DiscoveryRequest, err error) {
 	kind, known := xds.KindOf(r.GetTypeUrl())
 	if !known {
 		return nil, fmt.Errorf("a response of type %q, which was not asked for", r.GetTypeUrl())
@@ -175,8 +175,8 @@
 	return out, nil
 }
 
-// Deltas is State for the delta variant.
-func (h *Holder) Deltas(r *discoveryv3.DeltaDiscoveryResponse) (out []*discoveryv3.DeltaDiscoveryRequest, err error) {
+// HandleDelta is State for the delta variant.
+func (h *ResourceCache) HandleDelta(r *discoveryv3.DeltaDiscoveryResponse) (out []*discoveryv3.DeltaDiscoveryRequest, err error) {
 	kind, known := xds.KindOf(r.GetTypeUrl())
 	if !known {
 		return nil, fmt.Errorf("a response of type %q, which was not asked for", r.GetTypeUrl())
@@ -226,7 +226,7 @@
 
 // accept takes a kind's resources over. What accepted routes still send to stays, also if it is no longer told: the
 // routes that replace them have not come or were refused.
-func (h *Holder) accept(kind xds.Kind, next map[string]Held) {
+func (h *ResourceCache) accept(kind xds.Kind, next map[string]CachedResource) {
 	for name, held := range h.held[kind] {
 		if _, stays := next[name]; !stays && (kind == xds.Clusters || kind == xds.Endpoints) && h.uses(name) {
 			next[name] = held
@@ -242,13 +242,13 @@
 	}
 }
 
-func (h *Holder) uses(cluster string) bool {
-	return slices.ContainsFunc(h.Table().Routes, func(r Entry) bool { return r.Cluster == cluster })
+func (h *ResourceCache) uses(cluster string) bool {
+	return slices.ContainsFunc(h.Table().Routes, func(r RouteEntry) bool { return r.Cluster == cluster })
 }
 
 // check reads resources. One fault refuses the response; the reason names the resource.
-func (h *Holder) check(kind xds.Kind, bodies []*anypb.Any, versions map[string]string) (map[string]Held, error) {
-	got := map[string]Held{}
+func (h *ResourceCache) check(kind xds.Kind, bodies []*anypb.Any, versions map[string]string) (map[string]CachedResource, error) {
+	got := map[string]CachedResource{}
 	var faults []error
 	for _, body := range bodies {
 		name, fault := "", error(nil)
@@ -257,8 +257,8 @@
 		} else if name, fault = h.checkOne(kind, body); fault == nil {
 			if _, twice := got[name]; twice {
 				fault = errors.New("is there twice")
-			} else if h.Also != nil {
-				fault = h.Also(kind, name, body)
+			} else if h.ExtraCheck != nil {
+				fault = h.ExtraCheck(kind, name, body)
 			}
 		}
 		version := versions[name]
@@ -267,12 +267,12 @@
 		}
 		if fault != nil {
 			faults = append(faults, fmt.Errorf("%s %q: %w", kind, name, fault))
-			if h.OnRefuse != nil {
-				h.OnRefuse(Refused{kind, name, fault.Error(), version})
+			if h.OnReject != nil {
+				h.OnReject(RejectedResource{kind, name, fault.Error(), version})
 			}
 			continue
 		}
-		got[name] = Held{version, body}
+		got[name] = CachedResource{version, body}
 	}
 	return got, errors.Join(faults...)
 }
@@ -285,7 +285,7 @@
 }
 
 // checkOne reads one resource and tells its name.
-func (h *Holder) checkOne(kind xds.Kind, body *anypb.Any) (string, error) {
+func (h *ResourceCache) checkOne(kind xds.Kind, body *anypb.Any) (string, error) {
 	switch kind {
 	case xds.Clusters:
 		m, err := read(body, &clusterv3.Cluster{})
@@ -308,7 +308,7 @@
 	}
 	m, err := read(body, &routev3.RouteConfiguration{})
 	if err == nil {
-		var entries []Entry
+		var entries []RouteEntry
 		entries, err = h.entriesOf(m)
 		agreed := h.Agreed()
 		for _, e := range entries {
@@ -325,7 +325,7 @@
 }
 
 // Agreed is the newest version of the agreed configuration that is held, 0 if none was told.
-func (h *Holder) Agreed() (version uint64) {
+func (h *ResourceCache) Agreed() (version uint64) {
 	for _, e := range h.Table().Routes {
 		version = max(version, e.Agreed)
 	}
@@ -357,7 +357,7 @@
 }
 
 // endpointsOf reads a cluster's lines.
-func endpointsOf(m *endpointv3.ClusterLoadAssignment) (lines []Line, err error) {
+func endpointsOf(m *endpointv3.ClusterLoadAssignment) (lines []WeightedNode, err error) {
 	seen := map[xds.Address]bool{}
 	for _, locality := range m.GetEndpoints() {
 		for _, e := range locality.GetLbEndpoints() {
@@ -374,7 +374,7 @@
 				return nil, fmt.Errorf("over %d endpoints", endpointsMost)
 			}
 			seen[address] = true
-			line := Line{Node: e.GetEndpoint().GetHostname(), Address: address, Zone: locality.GetLocality().GetZone(), Weight: 1}
+			line := WeightedNode{Node: e.GetEndpoint().GetHostname(), Address: address, Zone: locality.GetLocality().GetZone(), Weight: 1}
 			if weight != nil {
 				line.Weight = float64(weight.GetValue())
 			}
@@ -385,7 +385,7 @@
 }
 
 // entriesOf reads a table of routes. It refuses what would let a call of a mutating route run twice.
-func (h *Holder) entriesOf(m *routev3.RouteConfiguration) (entries []Entry, err error) {
+func (h *ResourceCache) entriesOf(m *routev3.RouteConfiguration) (entries []RouteEntry, err error) {
 	routes := map[string]bool{}
 	for _, host := range m.GetVirtualHosts() {
 		for _, r := range host.GetRoutes() {
@@ -397,7 +397,7 @@
 				return nil, fmt.Errorf("over %d entries", maxEntries)
 			}
 			about := r.GetMetadata().GetFilterMetadata()[xds.MetadataKey].GetFields()
-			e := Entry{Name: r.GetName(), Prefix: r.GetMatch().GetPrefix(), Part: 1}
+			e := RouteEntry{Name: r.GetName(), Prefix: r.GetMatch().GetPrefix(), Fraction: 1}
 			// A route of which nothing is said is taken for mutating: to repeat it would be the larger harm.
 			e.Mutating = about["mutating"] == nil || about["mutating"].GetBoolValue() || h.Mutating[e.Name]
 			e.Agreed = uint64(about[xds.AgreedKey].GetNumberValue())
@@ -405,8 +405,8 @@
 				return nil, fmt.Errorf("route %q has no prefix of a path", e.Name)
 			}
 			if f := r.GetMatch().GetRuntimeFraction().GetDefaultValue(); f != nil {
-				e.Part = float64(f.GetNumerator()) / map[int32]float64{0: 100, 1: 10000, 2: 1000000}[int32(f.GetDenominator())]
-				if !(e.Part <= 1) {
+				e.Fraction = float64(f.GetNumerator()) / map[int32]float64{0: 100, 1: 10000, 2: 1000000}[int32(f.GetDenominator())]
+				if !(e.Fraction <= 1) {
 					return nil, fmt.Errorf("route %q lets in more than all", e.Name)
 				}
 			}
@@ -435,19 +435,19 @@
 	return entries, nil
 }
 
-func (e *Entry) retries(p *routev3.RetryPolicy) error {
+func (e *RouteEntry) retries(p *routev3.RetryPolicy) error {
 	if p == nil || p.GetRetryOn() == "" {
 		return nil
 	}
-	e.Tries = 1
+	e.MaxRetries = 1
 	if p.GetNumRetries() != nil {
-		e.Tries = int(p.GetNumRetries().GetValue())
+		e.MaxRetries = int(p.GetNumRetries().GetValue())
 	}
-	if e.Tries > retriesMost {
-		return fmt.Errorf("route %q would be tried %d more times, %d at most", e.Name, e.Tries, retriesMost)
+	if e.MaxRetries > retriesMost {
+		return fmt.Errorf("route %q would be tried %d more times, %d at most", e.Name, e.MaxRetries, retriesMost)
 	}
 	for _, on := range strings.Split(p.GetRetryOn(), ",") {
-		if on = strings.TrimSpace(on); !strings.Contains(","+xds.RetryUnsent+",", ","+on+",") {
+		if on = strings.TrimSpace(on); !strings.Contains(","+xds.RetryIfNotSent+",", ","+on+",") {
 			if e.Mutating {
 				return fmt.Errorf("route %q is mutating and would be repeated on %q, after a try that may have run", e.Name, on)
 			}
--- a/sidecar/link.go
+++ b/sidecar/link.go
@@ -33,49 +33,49 @@
 	usualReport = time.Second
 )
 
-// Link keeps a stream to one of some conductors and has a holder take what it brings.
-type Link struct {
-	Holder     *Holder
-	Conductors []string
-	Store      *Store // nil: nothing outlives the process
-	Report     *Report
-	Secure     credentials.TransportCredentials // nil: none
-	Log        *zap.Logger
+// Client keeps a stream to one of some conductors and has a holder take what it brings.
+type Client struct {
+	Cache       *ResourceCache
+	Controllers []string
+	Store       *Store // nil: nothing outlives the process
+	Report      *LoadRecorder
+	Credentials credentials.TransportCredentials // nil: none
+	Log         *zap.Logger
 
 	Connected atomic.Bool
 	Streams   atomic.Uint64 // begun so far
 
-	table atomic.Pointer[Table]
+	table atomic.Pointer[RoutingTable]
 }
 
 // Table is what calls are routed by now; it never waits.
-func (l *Link) Table() *Table {
+func (l *Client) Table() *RoutingTable {
 	if t := l.table.Load(); t != nil {
 		return t
 	}
-	return &Table{}
+	return &RoutingTable{}
 }
 
 // Run loads what was held last and keeps a stream until ctx ends. Conductors are asked in turn, each sidecar beginning
 // at another one, with pauses that grow and differ.
-func (l *Link) Run(ctx context.Context) {
+func (l *Client) Run(ctx context.Context) {
 	if l.Store != nil {
-		if err := l.Store.Load(l.Holder); err != nil {
+		if err := l.Store.Load(l.Cache); err != nil {
 			l.Log.Error("what was held last is not used", zap.Error(err))
 		}
 	}
-	l.table.Store(l.Holder.Table())
+	l.table.Store(l.Cache.Table())
 	h := fnv.New64a()
-	h.Write([]byte(l.Holder.ID))
-	chance, pause := Chance{Seed: h.Sum64()}, backoffMin
-	for next := int(h.Sum64() % uint64(len(l.Conductors))); ctx.Err() == nil; next = (next + 1) % len(l.Conductors) {
+	h.Write([]byte(l.Cache.ID))
+	chance, pause := Random{Seed: h.Sum64()}, backoffMin
+	for next := int(h.Sum64() % uint64(len(l.Controllers))); ctx.Err() == nil; next = (next + 1) % len(l.Controllers) {
 		began := time.Now()
-		err := l.stream(ctx, l.Conductors[next])
+		err := l.stream(ctx, l.Controllers[next])
 		l.Connected.Store(false)
 		if ctx.Err() != nil {
 			return
 		}
-		l.Log.Warn("stream ended", zap.String("conductor", l.Conductors[next]), zap.Error(err))
+		l.Log.Warn("stream ended", zap.String("conductor", l.Controllers[next]), zap.Error(err))
 		if time.Since(began) > backoffMost {
 			pause = backoffMin
 		}
@@ -87,8 +87,8 @@
 	}
 }
 
-func (l *Link) stream(ctx context.Context, address string) error {
-	secure := l.Secure
+func (l *Client) stream(ctx context.Context, address string) error {
+	secure := l.Credentials
 	if secure == nil {
 		secure = insecure.NewCredentials()
 	}
@@ -112,29 +112,29 @@
 		l.Log.Info("stream begun", zap.String("conductor", address))
 		reports.Go(func() { l.report(ctx, loadv3.NewLoadReportingServiceClient(conn)) })
 	}
-	if l.Holder.Delta {
+	if l.Cache.Delta {
 		s, err := client.DeltaAggregatedResources(ctx)
 		if err != nil {
 			return err
 		}
-		return Converse(s, l.Holder.BeginDelta(), begun, l.Holder.Deltas, l.accepted)
+		return Exchange(s, l.Cache.BeginDelta(), begun, l.Cache.HandleDelta, l.accepted)
 	}
 	s, err := client.StreamAggregatedResources(ctx)
 	if err != nil {
 		return err
 	}
-	return Converse(s, l.Holder.BeginState(), begun, l.Holder.State, l.accepted)
+	return Exchange(s, l.Cache.BeginState(), begun, l.Cache.HandleStateOfTheWorld, l.accepted)
 }
 
-// Wire is a stream of either variant: requests go, responses come.
-type Wire[Request, Response any] interface {
+// Transport is a stream of either variant: requests go, responses come.
+type Transport[Request, Response any] interface {
 	Send(Request) error
 	Recv() (Response, error)
 }
 
-// Converse sends the first requests and then answers each response until the stream ends. What take accepted is done
+// Exchange sends the first requests and then answers each response until the stream ends. What take accepted is done
 // with by accepted, before the conductor is told.
-func Converse[Request, Response any](s Wire[Request, Response], first []Request, begun func(),
+func Exchange[Request, Response any](s Transport[Request, Response], first []Request, begun func(),
 	take func(Response) ([]Request, error), accepted func()) error {
 	for out := first; ; {
 		for _, r := range out {
@@ -159,19 +159,19 @@
 
 // accepted routes by what is accepted and keeps it, before the conductor is told: what a sidecar acknowledged it still
 // holds after a crash.
-func (l *Link) accepted() {
-	l.table.Store(l.Holder.Table())
+func (l *Client) accepted() {
+	l.table.Store(l.Cache.Table())
 	if l.Store == nil {
 		return
 	}
-	if err := l.Store.Save(l.Holder); err != nil {
+	if err := l.Store.Save(l.Cache); err != nil {
 		// A full disk must not stop the calls: it only costs the restart.
 		l.Log.Error("what is held could not be kept", zap.Error(err))
 	}
 }
 
 // report sends what was met as load reports until its stream ends.
-func (l *Link) report(ctx context.Context, client loadv3.LoadReportingServiceClient) {
+func (l *Client) report(ctx context.Context, client loadv3.LoadReportingServiceClient) {
 	if l.Report == nil {
 		return
 	}
@@ -179,7 +179,7 @@
 	if err != nil {
 		return
 	}
-	if err := s.Send(&loadv3.LoadStatsRequest{Node: l.Holder.node()}); err != nil {
+	if err := s.Send(&loadv3.LoadStatsRequest{Node: l.Cache.node()}); err != nil {
 		return
 	}
 	every := usualReport
@@ -204,7 +204,7 @@
 }
 
 // stats tells what was met, a cluster's nodes by zone; routes are metrics of a cluster of their own.
-func stats(nodes map[NodeKey]*NodeSum, routes map[string]int, span time.Duration) (out []*endpointv3.ClusterStats) {
+func stats(nodes map[NodeKey]*NodeLoad, routes map[string]int, span time.Duration) (out []*endpointv3.ClusterStats) {
 	clusters := map[string]*endpointv3.ClusterStats{}
 	localities := map[string]*endpointv3.UpstreamLocalityStats{}
 	cluster := func(name string) *endpointv3.ClusterStats {
@@ -225,14 +225,14 @@
 			c := cluster(key.Cluster)
 			c.UpstreamLocalityStats = append(c.UpstreamLocalityStats, local)
 		}
-		good := uint64(sum.Ended - sum.Lost)
+		good := uint64(sum.Completed - sum.Failed)
 		local.TotalSuccessfulRequests += good
-		local.TotalErrorRequests += uint64(sum.Lost)
+		local.TotalErrorRequests += uint64(sum.Failed)
 		local.UpstreamEndpointStats = append(local.UpstreamEndpointStats, &endpointv3.UpstreamEndpointStats{
 			Address:                 key.Address.Message(),
-			TotalSuccessfulRequests: good, TotalErrorRequests: uint64(sum.Lost), TotalIssuedRequests: uint64(sum.Ended),
-			LoadMetricStats: []*endpointv3.EndpointLoadMetricStats{{MetricName: xds.CallSeconds, NumRequestsFinishedWithMetric: good,
-				TotalMetricValue: sum.Spent.Seconds()}}})
+			TotalSuccessfulRequests: good, TotalErrorRequests: uint64(sum.Failed), TotalIssuedRequests: uint64(sum.Completed),
+			LoadMetricStats: []*endpointv3.EndpointLoadMetricStats{{MetricName: xds.LatencySumMetric, NumRequestsFinishedWithMetric: good,
+				TotalMetricValue: sum.LatencySum.Seconds()}}})
 	}
 	if len(routes) > 0 {
 		local := &endpointv3.UpstreamLocalityStats{}
@@ -247,7 +247,7 @@
 }
 
 // Describe says what is held, for a log line.
-func (l *Link) Describe() string {
+func (l *Client) Describe() string {
 	t := l.Table()
 	lines := 0
 	for _, c := range t.Clusters {
--- a/sidecar/plane.go
+++ b/sidecar/plane.go
@@ -29,18 +29,18 @@
 	idleNode    = 5 * time.Second  // that a connection to a node is kept without use: nodes may end it any time
 )
 
-// Plane takes HTTP/1.1 calls on a listener and sends them on by the table of the moment.
-type Plane struct {
-	Listener net.Listener
-	Table    func() *Table
-	Connect  time.Duration
-	Most     int // connections at once
-	Seed     uint64
-	Log      *zap.Logger
-	Report   *Report
+// Proxy takes HTTP/1.1 calls on a listener and sends them on by the table of the moment.
+type Proxy struct {
+	Listener       net.Listener
+	Table          func() *RoutingTable
+	ConnectTimeout time.Duration
+	MaxConnections int // connections at once
+	Seed           uint64
+	Log            *zap.Logger
+	Report         *LoadRecorder
 
 	lock   sync.Mutex
-	chance Chance
+	chance Random
 	idle   map[xds.Address][]*upstream
 	swept  time.Time // when connections that are kept too long were closed last
 }
@@ -51,14 +51,14 @@
 	used time.Time
 }
 
-// Report counts what was met since it was last taken.
-type Report struct {
+// LoadRecorder counts what was met since it was last taken.
+type LoadRecorder struct {
 	lock   sync.Mutex
-	nodes  map[NodeKey]*NodeSum
+	nodes  map[NodeKey]*NodeLoad
 	routes map[string]int
 	began  time.Time
 
-	Answered, Throttled, Failed, Again atomic.Uint64 // calls over all time, and further tries
+	Completed, Throttled, Failed, Retried atomic.Uint64 // calls over all time, and further tries
 }
 
 // NodeKey names a node within a cluster.
@@ -67,55 +67,55 @@
 	Address       xds.Address
 }
 
-// NodeSum is what tries met at a node.
-type NodeSum struct {
-	Ended, Lost int
-	Spent       time.Duration // of those that were not lost
+// NodeLoad is what tries met at a node.
+type NodeLoad struct {
+	Completed, Failed int
+	LatencySum        time.Duration // of those that were not lost
 }
 
 // NewReport begins one.
-func NewReport(now time.Time) *Report {
-	return &Report{nodes: map[NodeKey]*NodeSum{}, routes: map[string]int{}, began: now}
+func NewReport(now time.Time) *LoadRecorder {
+	return &LoadRecorder{nodes: map[NodeKey]*NodeLoad{}, routes: map[string]int{}, began: now}
 }
 
-func (r *Report) tried(key NodeKey, lost bool, spent time.Duration) {
+func (r *LoadRecorder) tried(key NodeKey, lost bool, spent time.Duration) {
 	r.lock.Lock()
 	defer r.lock.Unlock()
 	sum := r.nodes[key]
 	if sum == nil {
-		sum = &NodeSum{}
+		sum = &NodeLoad{}
 		r.nodes[key] = sum
 	}
-	if sum.Ended++; lost {
-		sum.Lost++
+	if sum.Completed++; lost {
+		sum.Failed++
 	} else {
-		sum.Spent += spent
+		sum.LatencySum += spent
 	}
 }
 
-func (r *Report) came(route string) {
+func (r *LoadRecorder) came(route string) {
 	r.lock.Lock()
 	defer r.lock.Unlock()
 	r.routes[route]++
 }
 
 // Take gives what was met since the last time.
-func (r *Report) Take(now time.Time) (nodes map[NodeKey]*NodeSum, routes map[string]int, span time.Duration) {
+func (r *LoadRecorder) Take(now time.Time) (nodes map[NodeKey]*NodeLoad, routes map[string]int, span time.Duration) {
 	r.lock.Lock()
 	defer r.lock.Unlock()
 	nodes, routes, span = r.nodes, r.routes, now.Sub(r.began)
-	r.nodes, r.routes, r.began = map[NodeKey]*NodeSum{}, map[string]int{}, now
+	r.nodes, r.routes, r.began = map[NodeKey]*NodeLoad{}, map[string]int{}, now
 	return nodes, routes, span
 }
 
 // Run takes calls until ctx ends; then those under way are cut.
-func (p *Plane) Run(ctx context.Context) {
+func (p *Proxy) Run(ctx context.Context) {
 	p.idle = map[xds.Address][]*upstream{}
 	p.chance.Seed = p.Seed
 	stop := context.AfterFunc(ctx, func() { p.Listener.Close() })
 	defer stop()
 	var calls sync.WaitGroup
-	slots := make(chan struct{}, max(p.Most, 1))
+	slots := make(chan struct{}, max(p.MaxConnections, 1))
 	for {
 		conn, err := p.Listener.Accept()
 		if err != nil {
@@ -147,14 +147,14 @@
 	}
 }
 
-func (p *Plane) draw() float64 {
+func (p *Proxy) draw() float64 {
 	p.lock.Lock()
 	defer p.lock.Unlock()
 	return p.chance.Next()
 }
 
 // serve answers a client's calls, one after the other.
-func (p *Plane) serve(ctx context.Context, conn net.Conn) {
+func (p *Proxy) serve(ctx context.Context, conn net.Conn) {
 	defer conn.Close()
 	// A deadline set here would be lost where the wait for the next request sets its own in that instant.
 	stop := context.AfterFunc(ctx, func() { conn.Close() })
@@ -184,7 +184,7 @@
 }
 
 // call routes one call and writes its answer. It tells whether the connection may be used on.
-func (p *Plane) call(ctx context.Context, conn net.Conn, call *http.Request) bool {
+func (p *Proxy) call(ctx context.Context, conn net.Conn, call *http.Request) bool {
 	table := p.Table()
 	entry := table.Route(call.URL.Path, p.draw)
 	answer := func(status int, head, why string) bool {
@@ -202,7 +202,7 @@
 	case entry.Status != 0:
 		p.Report.Throttled.Add(1)
 		p.Report.came(entry.Name)
-		return answer(entry.Status, xds.Throttled+": "+entry.Name+"\r\n", "throttled\n")
+		return answer(entry.Status, xds.ThrottledHeader+": "+entry.Name+"\r\n", "throttled\n")
 	}
 	limit := entry.TimeLimit
 	if limit <= 0 {
@@ -220,8 +220,8 @@
 		if err != nil {
 			// Nothing was sent: this try never ran, so another one is safe on every route.
 			p.Report.tried(key, true, 0)
-			if tried = append(tried, line.Address); len(tried) <= entry.Tries && time.Now().Before(deadline) {
-				p.Report.Again.Add(1)
+			if tried = append(tried, line.Address); len(tried) <= entry.MaxRetries && time.Now().Before(deadline) {
+				p.Report.Retried.Add(1)
 				continue
 			}
 			break
@@ -234,7 +234,7 @@
 		if lost {
 			p.Report.Failed.Add(1)
 		} else {
-			p.Report.Answered.Add(1)
+			p.Report.Completed.Add(1)
 		}
 		return open
 	}
@@ -255,7 +255,7 @@
 
 // carry sends a call over a connection and brings the answer back. From its first byte on the call may have run, so
 // it is never sent again, whatever comes.
-func (p *Plane) carry(conn net.Conn, call *http.Request, up *upstream, address xds.Address, deadline time.Time) (lost, open bool) {
+func (p *Proxy) carry(conn net.Conn, call *http.Request, up *upstream, address xds.Address, deadline time.Time) (lost, open bool) {
 	up.SetDeadline(deadline)
 	fail := func(status string, err error) (bool, bool) {
 		up.Close()
@@ -302,13 +302,13 @@
 }
 
 // connect gives a connection to a node: a kept one that has been quiet, or a new one.
-func (p *Plane) connect(ctx context.Context, address xds.Address, deadline time.Time) (*upstream, error) {
+func (p *Proxy) connect(ctx context.Context, address xds.Address, deadline time.Time) (*upstream, error) {
 	p.lock.Lock()
 	conns := p.idle[address]
 	for len(conns) > 0 {
 		up := conns[len(conns)-1]
 		conns = conns[:len(conns)-1]
-		if time.Since(up.used) < idleNode && up.r.Buffered() == 0 && connprobe.Quiet(up.Conn) {
+		if time.Since(up.used) < idleNode && up.r.Buffered() == 0 && connprobe.IsIdle(up.Conn) {
 			p.idle[address] = conns
 			p.lock.Unlock()
 			return up, nil
@@ -317,7 +317,7 @@
 	}
 	delete(p.idle, address)
 	p.lock.Unlock()
-	dialer := net.Dialer{Timeout: min(p.Connect, time.Until(deadline))}
+	dialer := net.Dialer{Timeout: min(p.ConnectTimeout, time.Until(deadline))}
 	conn, err := dialer.DialContext(ctx, "tcp", net.JoinHostPort(address.Host, fmt.Sprint(address.Port)))
 	if err != nil {
 		return nil, err
@@ -325,7 +325,7 @@
 	return &upstream{Conn: conn, r: bufio.NewReader(conn)}, nil
 }
 
-func (p *Plane) keep(address xds.Address, up *upstream) {
+func (p *Proxy) keep(address xds.Address, up *upstream) {
 	p.lock.Lock()
 	defer p.lock.Unlock()
 	if len(p.idle[address]) >= idlePerNode {
--- a/sidecar/plane_test.go
+++ b/sidecar/plane_test.go
@@ -20,19 +20,19 @@
 )
 
 // plane starts one whose only route goes to some nodes.
-func plane(t *testing.T, tries int, nodes ...*fakeplatform.NodeServer) (address string, p *Plane) {
-	table := &Table{Routes: []Entry{{Name: "q", Prefix: "/q", Part: 1, Cluster: "c", TimeLimit: 2 * time.Second, Tries: tries, Mutating: true},
-		{Name: "shut", Prefix: "/shut", Part: 1, Status: 503}}, Clusters: map[string][]Line{}}
+func plane(t *testing.T, tries int, nodes ...*fakeplatform.NodeServer) (address string, p *Proxy) {
+	table := &RoutingTable{Routes: []RouteEntry{{Name: "q", Prefix: "/q", Fraction: 1, Cluster: "c", TimeLimit: 2 * time.Second, MaxRetries: tries, Mutating: true},
+		{Name: "shut", Prefix: "/shut", Fraction: 1, Status: 503}}, Clusters: map[string][]WeightedNode{}}
 	for _, n := range nodes {
 		host, port, _ := net.SplitHostPort(n.Address())
 		number, _ := strconv.Atoi(port)
-		table.Clusters["c"] = append(table.Clusters["c"], Line{Node: n.Name, Weight: 1, Address: xds.Address{Host: host, Port: uint32(number)}})
+		table.Clusters["c"] = append(table.Clusters["c"], WeightedNode{Node: n.Name, Weight: 1, Address: xds.Address{Host: host, Port: uint32(number)}})
 	}
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	p = &Plane{Listener: l, Table: func() *Table { return table }, Connect: time.Second, Most: 64, Seed: 1, Log: zap.NewNop(), Report: NewReport(time.Now())}
+	p = &Proxy{Listener: l, Table: func() *RoutingTable { return table }, ConnectTimeout: time.Second, MaxConnections: 64, Seed: 1, Log: zap.NewNop(), Report: NewReport(time.Now())}
 	ctx, stop := context.WithCancel(context.Background())
 	var run sync.WaitGroup
 	run.Go(func() { p.Run(ctx) })
@@ -76,7 +76,7 @@
 			t.Fatalf("call %d: %s", k, got)
 		}
 	}
-	if n := p.Report.Answered.Load(); n != 200 {
+	if n := p.Report.Completed.Load(); n != 200 {
 		t.Errorf("%d answered", n)
 	}
 }
@@ -98,7 +98,7 @@
 			break
 		}
 		io.Copy(io.Discard, answer.Body)
-		states = append(states, fmt.Sprint(answer.StatusCode, answer.Header.Get(xds.Throttled)))
+		states = append(states, fmt.Sprint(answer.StatusCode, answer.Header.Get(xds.ThrottledHeader)))
 	}
 	if want := "[200 200 503shut 404 200 501 200]"; fmt.Sprint(states) != want {
 		t.Errorf("%v, want %s\n%s", states, want, got)
@@ -112,7 +112,7 @@
 	nodes, routes, _ := p.Report.Take(time.Now())
 	ended := 0
 	for _, sum := range nodes {
-		ended += sum.Ended
+		ended += sum.Completed
 	}
 	if ended != 4 || routes["q"] != 4 || routes["shut"] != 1 {
 		t.Errorf("%d tries, routes %v", ended, routes)
@@ -131,8 +131,8 @@
 			t.Fatal(got)
 		}
 	}
-	if good.Calls("/q") != 30 || p.Report.Again.Load() == 0 {
-		t.Errorf("%d calls, %d further tries", good.Calls("/q"), p.Report.Again.Load())
+	if good.Calls("/q") != 30 || p.Report.Retried.Load() == 0 {
+		t.Errorf("%d calls, %d further tries", good.Calls("/q"), p.Report.Retried.Load())
 	}
 	address, _ = plane(t, 1, silent, silent)
 	for range 10 {
--- a/sidecar/sidecar_test.go
+++ b/sidecar/sidecar_test.go
@@ -27,11 +27,11 @@
 func compiled(t testing.TB, weight float64) *xds.Snapshot {
 	c := xds.NewCompiler([]xds.Route{{Name: "quote", Prefix: "/quote", TimeLimit: time.Second},
 		{Name: "issue", Prefix: "/issue", Mutating: true, TimeLimit: time.Second}}, time.Second)
-	c.Place("a", "north", xds.Address{Host: "127.0.0.1", Port: 1})
-	c.Place("b", "south", xds.Address{Host: "127.0.0.1", Port: 2})
-	c.Take([]controller.Order{{Kind: controller.SetLine, Node: "a", Figure: 1}, {Kind: controller.SetLine, Node: "b", Figure: weight},
-		{Kind: controller.SetLevel, Table: planner.AllTables, Route: "quote", Figure: 0.25, Tries: planner.RetryUnsent},
-		{Kind: controller.SetLevel, Table: planner.AllTables, Route: "issue", Figure: 0.25, Tries: planner.RetryUnsent}})
+	c.SetAddress("a", "north", xds.Address{Host: "127.0.0.1", Port: 1})
+	c.SetAddress("b", "south", xds.Address{Host: "127.0.0.1", Port: 2})
+	c.ApplyCommands([]controller.Command{{Kind: controller.SetWeight, Node: "a", Value: 1}, {Kind: controller.SetWeight, Node: "b", Value: weight},
+		{Kind: controller.SetAdmission, Table: planner.AllTables, Route: "quote", Value: 0.25, Retry: planner.RetryIfNotSent},
+		{Kind: controller.SetAdmission, Table: planner.AllTables, Route: "issue", Value: 0.25, Retry: planner.RetryIfNotSent}})
 	s, err := c.Snapshot(0)
 	if err != nil {
 		t.Fatal(err)
@@ -40,13 +40,13 @@
 }
 
 // fill has a holder accept a snapshot; it gives the first refusal.
-func fill(h *Holder, s *xds.Snapshot) string {
+func fill(h *ResourceCache, s *xds.Snapshot) string {
 	for kind := range xds.Kinds {
 		r := &discoveryv3.DeltaDiscoveryResponse{TypeUrl: kind.URL(), Nonce: "n"}
 		for _, one := range s.Sets[kind] {
 			r.Resources = append(r.Resources, &discoveryv3.Resource{Name: one.Name, Version: one.Version, Resource: one.Body})
 		}
-		out, err := h.Deltas(r)
+		out, err := h.HandleDelta(r)
 		if err != nil {
 			return err.Error()
 		}
@@ -58,9 +58,9 @@
 }
 
 // filled is a holder that accepted such a snapshot.
-func filled(t testing.TB, weight float64) *Holder {
+func filled(t testing.TB, weight float64) *ResourceCache {
 	t.Helper()
-	h := &Holder{ID: "till", Zone: "north"}
+	h := &ResourceCache{ID: "till", Zone: "north"}
 	h.BeginDelta()
 	if why := fill(h, compiled(t, weight)); why != "" {
 		t.Fatal(why)
@@ -70,7 +70,7 @@
 
 func TestTable(t *testing.T) {
 	h := filled(t, 3)
-	table, chance := h.Table(), Chance{Seed: 5}
+	table, chance := h.Table(), Random{Seed: 5}
 	got, shut := map[string]int{}, 0
 	for range 4000 {
 		e := table.Route("/issue/7", chance.Next)
@@ -79,7 +79,7 @@
 			continue
 		}
 		line, ok := table.Pick(e.Cluster, nil, chance.Next)
-		if !ok || e.Tries != 1 || !e.Mutating {
+		if !ok || e.MaxRetries != 1 || !e.Mutating {
 			t.Fatalf("%v %v", line, e)
 		}
 		got[line.Node]++
@@ -106,17 +106,17 @@
 func TestManyRoutes(t *testing.T) {
 	fillRoutes := func(count int, throttled bool) string {
 		compiler := xds.NewCompiler([]xds.Route{{Name: "first", Prefix: "/first", TimeLimit: time.Second}}, time.Second)
-		compiler.Place("a", "north", xds.Address{Host: "127.0.0.1", Port: 1})
-		compiler.Take([]controller.Order{{Kind: controller.SetLine, Node: "a", Figure: 1}})
+		compiler.SetAddress("a", "north", xds.Address{Host: "127.0.0.1", Port: 1})
+		compiler.ApplyCommands([]controller.Command{{Kind: controller.SetWeight, Node: "a", Value: 1}})
 		var routes []xds.Route
 		for r := range count {
 			name := fmt.Sprintf("route-%04d", r)
 			routes = append(routes, xds.Route{Name: name, Prefix: "/" + name, TimeLimit: time.Second})
 			if throttled {
-				compiler.Take([]controller.Order{{Kind: controller.SetLevel, Table: planner.AllTables, Route: name, Figure: 0.25}})
+				compiler.ApplyCommands([]controller.Command{{Kind: controller.SetAdmission, Table: planner.AllTables, Route: name, Value: 0.25}})
 			}
 		}
-		compiler.Agree(0, routes)
+		compiler.SetAgreedRoutes(0, routes)
 		snapshot, err := compiler.Snapshot(0)
 		if err != nil {
 			t.Fatal(err)
@@ -124,7 +124,7 @@
 		if size := len(snapshot.Sets[xds.Routes][xds.RoutesName].Body.GetValue()); size > 1<<20 {
 			t.Errorf("%d routes, throttled %t, take %d bytes", count, throttled, size)
 		}
-		return fill(&Holder{ID: "s", Zone: "north"}, snapshot)
+		return fill(&ResourceCache{ID: "s", Zone: "north"}, snapshot)
 	}
 	for _, throttled := range []bool{false, true} {
 		if why := fillRoutes(xds.MaxRoutes, throttled); why != "" {
@@ -142,7 +142,7 @@
 	}
 	for entries, want := range map[int]string{xds.EntriesPerRoute * xds.MaxRoutes: "", len(host.Routes): "over 2048 entries"} {
 		table := &routev3.RouteConfiguration{VirtualHosts: []*routev3.VirtualHost{{Routes: host.Routes[:entries]}}}
-		if _, err := (&Holder{}).entriesOf(table); want == "" && err != nil || want != "" && (err == nil || !strings.Contains(err.Error(), want)) {
+		if _, err := (&ResourceCache{}).entriesOf(table); want == "" && err != nil || want != "" && (err == nil || !strings.Contains(err.Error(), want)) {
 			t.Errorf("%d entries: %v, want %q", entries, err, want)
 		}
 	}
@@ -198,7 +198,7 @@
 			h := filled(t, 1)
 			before := h.Table().Versions
 			body, _ := proto.Marshal(c.m)
-			out, err := h.Deltas(&discoveryv3.DeltaDiscoveryResponse{TypeUrl: c.kind.URL(), Nonce: "m", Resources: []*discoveryv3.Resource{
+			out, err := h.HandleDelta(&discoveryv3.DeltaDiscoveryResponse{TypeUrl: c.kind.URL(), Nonce: "m", Resources: []*discoveryv3.Resource{
 				{Name: "x", Version: "v", Resource: &anypb.Any{TypeUrl: c.kind.URL(), Value: body}}}})
 			if err != nil || !strings.Contains(out[0].GetErrorDetail().GetMessage(), c.want) {
 				t.Errorf("%v, %q; want %q", err, out[0].GetErrorDetail().GetMessage(), c.want)
@@ -227,7 +227,7 @@
 		if err := s.Save(next); (err == nil) != (step == "") {
 			t.Errorf("%s: %v", step, err)
 		}
-		back := &Holder{ID: "till"}
+		back := &ResourceCache{ID: "till"}
 		if err := (&Store{Path: path}).Load(back); err != nil {
 			t.Fatalf("%s: %v", step, err)
 		}
@@ -256,7 +256,7 @@
 		if err := os.WriteFile(path, text, 0o600); err != nil {
 			t.Fatal(err)
 		}
-		back := &Holder{ID: "till"}
+		back := &ResourceCache{ID: "till"}
 		err := (&Store{Path: path}).Load(back)
 		if err != nil && len(back.Table().Routes) > 0 {
 			t.Error("a damaged file was used")
@@ -285,7 +285,7 @@
 	if err := (&Store{Path: path}).Save(h); err != nil {
 		t.Fatal(err)
 	}
-	back := &Holder{ID: "till", Delta: true}
+	back := &ResourceCache{ID: "till", Delta: true}
 	if err := (&Store{Path: path}).Load(back); err != nil {
 		t.Fatal(err)
 	}
--- a/sidecar/store.go
+++ b/sidecar/store.go
@@ -28,7 +28,7 @@
 }
 
 // Save writes what a holder holds.
-func (s *Store) Save(h *Holder) error {
+func (s *Store) Save(h *ResourceCache) error {
 	var all discoveryv3.DeltaDiscoveryResponse
 	for kind := range xds.Kinds {
 		for name, held := range h.held[kind] {
@@ -96,7 +96,7 @@
 
 // Load reads what was held last into a holder that holds nothing. What can't be read whole, or would be refused by
 // now, is not taken: the sidecar then begins with nothing and says so.
-func (s *Store) Load(h *Holder) error {
+func (s *Store) Load(h *ResourceCache) error {
 	text, err := os.ReadFile(s.Path)
 	if errors.Is(err, os.ErrNotExist) {
 		return nil
@@ -139,7 +139,7 @@
 	for kind := range xds.Kinds {
 		held, fault := h.check(kind, bodies[kind], versions[kind])
 		if fault != nil {
-			h.Forget()
+			h.Clear()
 			return fmt.Errorf("%s: %w", s.Path, fault)
 		}
 		h.held[kind], h.set[kind] = held, sets[kind]
--- a/sidecar/table.go
+++ b/sidecar/table.go
@@ -12,38 +12,38 @@
 	"harehook.dev/harehook/xds"
 )
 
-// Line is a node that a cluster sends to.
-type Line struct {
+// WeightedNode is a node that a cluster sends to.
+type WeightedNode struct {
 	Node, Zone string
 	Address    xds.Address
 	Weight     float64
 }
 
-// Entry is a route, or the part of it that is turned away.
-type Entry struct {
+// RouteEntry is a route, or the part of it that is turned away.
+type RouteEntry struct {
 	Name, Prefix string
-	Part         float64 // that this entry takes of the calls that come to it
+	Fraction     float64 // that this entry takes of the calls that come to it
 	Status       int     // answered at once with that, 0: sent on
 	Cluster      string
 	TimeLimit    time.Duration
-	Tries        int // further ones, each only after proof that none before ran
+	MaxRetries   int // further ones, each only after proof that none before ran
 	Mutating     bool
 	Agreed       uint64 // the version of the agreed configuration that it is of, 0: not told
 }
 
-// Table is what accepted versions say of calls. It is never changed once it is made.
-type Table struct {
-	Routes   []Entry
-	Clusters map[string][]Line
+// RoutingTable is what accepted versions say of calls. It is never changed once it is made.
+type RoutingTable struct {
+	Routes   []RouteEntry
+	Clusters map[string][]WeightedNode
 	Versions [xds.Kinds]map[string]string
 }
 
 // Table gives what is accepted now.
-func (h *Holder) Table() *Table {
+func (h *ResourceCache) Table() *RoutingTable {
 	if h.table != nil {
 		return h.table
 	}
-	t := &Table{Clusters: map[string][]Line{}}
+	t := &RoutingTable{Clusters: map[string][]WeightedNode{}}
 	for kind := range xds.Kinds {
 		t.Versions[kind] = h.versions(kind)
 	}
@@ -62,14 +62,14 @@
 	return t
 }
 
-// Chance draws numbers from 0 to 1 from a seed.
-type Chance struct {
+// Random draws numbers from 0 to 1 from a seed.
+type Random struct {
 	Seed  uint64
 	draws uint64
 }
 
 // Next draws one.
-func (c *Chance) Next() float64 {
+func (c *Random) Next() float64 {
 	c.draws++
 	h := fnv.New64a()
 	fmt.Fprint(h, c.Seed, " ", c.draws)
@@ -82,10 +82,10 @@
 }
 
 // Route finds the entry that a path's call falls to; nil if there is none.
-func (t *Table) Route(path string, chance func() float64) *Entry {
+func (t *RoutingTable) Route(path string, chance func() float64) *RouteEntry {
 	for k := range t.Routes {
 		e := &t.Routes[k]
-		if strings.HasPrefix(path, e.Prefix) && (e.Part >= 1 || chance() < e.Part) {
+		if strings.HasPrefix(path, e.Prefix) && (e.Fraction >= 1 || chance() < e.Fraction) {
 			return e
 		}
 	}
@@ -93,9 +93,9 @@
 }
 
 // Pick draws a line of a cluster by weight, leaving out those tried before; false if none is left.
-func (t *Table) Pick(cluster string, tried []xds.Address, chance func() float64) (Line, bool) {
+func (t *RoutingTable) Pick(cluster string, tried []xds.Address, chance func() float64) (WeightedNode, bool) {
 	lines, whole := t.Clusters[cluster], 0.0
-	open := func(l Line) bool {
+	open := func(l WeightedNode) bool {
 		for _, a := range tried {
 			if a == l.Address {
 				return false
@@ -111,7 +111,7 @@
 		}
 	}
 	if last < 0 {
-		return Line{}, false
+		return WeightedNode{}, false
 	}
 	at := chance() * whole
 	for _, l := range lines {
--- a/simulation/checks.go
+++ b/simulation/checks.go
@@ -26,7 +26,7 @@
 }
 
 // recordApplied checks that an entry is applied alike at all members, and answers the operator who proposed it.
-func (w *World) recordApplied(m *member, done cluster.Done) {
+func (w *World) recordApplied(m *member, done cluster.AppliedCommand) {
 	key := fmt.Sprint(done.Command, done.Result)
 	if was, known := w.appliedEntry[done.Index]; known && was != key {
 		w.addViolation("entry %d is applied as %s at member %d, as %s elsewhere", done.Index, key, m.id, was)
@@ -36,8 +36,8 @@
 		w.firstResult[done.Command.Client] = done.Result
 	}
 	w.record("apply %d %d", m.id, done.Index)
-	if done.Result.Refused == "" && (done.Command.Kind == cluster.Put || done.Command.Kind == cluster.RollBack) {
-		w.recordAgreed(done.Result.Number)
+	if done.Result.Rejected == "" && (done.Command.Kind == cluster.CommandPut || done.Command.Kind == cluster.CommandRollBack) {
+		w.recordAgreed(done.Result.Version)
 	}
 	if p := m.pendingProposals[done.Command.Client]; p != nil && p.command.Seq == done.Command.Seq {
 		delete(m.pendingProposals, done.Command.Client)
@@ -59,10 +59,10 @@
 
 // checkLeader checks that no term has two leaders.
 func (w *World) checkLeader(m *member) {
-	if !m.Leads() {
+	if !m.IsLeader() {
 		return
 	}
-	term := m.Standing().Term
+	term := m.Status().Term
 	if other, known := w.leaderOfTerm[term]; known && other != m.id {
 		w.addViolation("members %d and %d lead in term %d", other, m.id, term)
 	}
@@ -79,7 +79,7 @@
 func (w *World) observeLeader() {
 	lead := uint64(0)
 	for _, m := range w.members {
-		if m.up && m.Leads() {
+		if m.up && m.IsLeader() {
 			lead = m.id
 		}
 	}
@@ -122,7 +122,7 @@
 	w.checkSidecars()
 	for _, m := range w.members {
 		if m.up {
-			w.outcome.Entries = max(w.outcome.Entries, int(m.Standing().Entries))
+			w.outcome.Entries = max(w.outcome.Entries, int(m.Status().Entries))
 		}
 	}
 	w.outcome.Print = w.digest
@@ -150,7 +150,7 @@
 				continue
 			}
 			op.Return = int64(2*w.setup.Ticks + 2)
-			op.Output = output{number: r.Number, ok: r.Refused == "", known: true}
+			op.Output = output{number: r.Version, ok: r.Rejected == "", known: true}
 		}
 		if o := op.Output.(output); op.Input.(input).put || o.ok {
 			history = append(history, op)
--- a/simulation/disk.go
+++ b/simulation/disk.go
@@ -19,7 +19,7 @@
 // disk is what of a member survives a crash.
 type disk struct {
 	identity string
-	synced   raftlog.Saved
+	synced   raftlog.SavedState
 	unsynced []raftlog.Batch // not synced yet: lost in a crash
 }
 
@@ -27,16 +27,16 @@
 func newDisk(id uint64) *disk {
 	return &disk{
 		identity: fmt.Sprint("disk-", id),
-		synced:   raftlog.Saved{Hard: &raftpb.HardState{}, Snapshot: &raftpb.Snapshot{}},
+		synced:   raftlog.SavedState{HardState: &raftpb.HardState{}, Snapshot: &raftpb.Snapshot{}},
 	}
 }
 
 // load returns a copy of what the disk holds.
-func (d *disk) load() *raftlog.Saved {
-	saved := &raftlog.Saved{
-		Identity: d.identity,
-		Hard:     proto.CloneOf(d.synced.Hard),
-		Snapshot: proto.CloneOf(d.synced.Snapshot),
+func (d *disk) load() *raftlog.SavedState {
+	saved := &raftlog.SavedState{
+		Identity:  d.identity,
+		HardState: proto.CloneOf(d.synced.HardState),
+		Snapshot:  proto.CloneOf(d.synced.Snapshot),
 	}
 	for _, e := range d.synced.Entries {
 		saved.Entries = append(saved.Entries, proto.CloneOf(e))
@@ -46,8 +46,8 @@
 
 // write has the disk hold a batch.
 func (d *disk) write(b raftlog.Batch) {
-	if b.Hard != nil {
-		d.synced.Hard = proto.CloneOf(b.Hard)
+	if b.HardState != nil {
+		d.synced.HardState = proto.CloneOf(b.HardState)
 	}
 	first := d.synced.Snapshot.GetMetadata().GetIndex()
 	if b.Snapshot != nil {
@@ -72,7 +72,7 @@
 	if w.setup.MaxSyncDelay > 0 {
 		m.busyUntil = w.now + w.random.IntN(w.setup.MaxSyncDelay+1)
 		if m.slowDisk {
-			m.busyUntil += w.setup.Timing.Election / 2
+			m.busyUntil += w.setup.Timing.ElectionTicks / 2
 		}
 	}
 	switch {
@@ -83,7 +83,7 @@
 		return errCrashedAtSave
 	case w.setup.Planted == VoteNotSynced:
 		m.disk.unsynced = append(m.disk.unsynced, b)
-		w.schedule(w.setup.Timing.Election, m.disk.syncFirst)
+		w.schedule(w.setup.Timing.ElectionTicks, m.disk.syncFirst)
 	default:
 		m.disk.write(b)
 	}
--- a/simulation/experiment.go
+++ b/simulation/experiment.go
@@ -40,8 +40,8 @@
 	"members":       func(s *Setup, v float64) { s.Members = int(v) },
 	"ticks":         func(s *Setup, v float64) { s.Ticks = int(v) },
 	"calm":          func(s *Setup, v float64) { s.Calm = int(v) },
-	"election":      func(s *Setup, v float64) { s.Timing.Election = int(v); s.Timing.Heartbeat = max(1, int(v)/5) },
-	"compact":       func(s *Setup, v float64) { s.Timing.Compact = uint64(v) },
+	"election":      func(s *Setup, v float64) { s.Timing.ElectionTicks = int(v); s.Timing.HeartbeatTicks = max(1, int(v)/5) },
+	"compact":       func(s *Setup, v float64) { s.Timing.CompactAfterEntries = uint64(v) },
 	"delay":         func(s *Setup, v float64) { s.MaxDelay = int(v) },
 	"loss":          func(s *Setup, v float64) { s.Loss = v },
 	"double":        func(s *Setup, v float64) { s.Double = v },
@@ -58,7 +58,7 @@
 		return nil, err
 	}
 	var faults kdl.Faults
-	e := &Experiment{Seeds: 10, Base: Setup{Members: 3, Ticks: 3000, Calm: 600, Timing: cluster.Timing{Election: 20, Heartbeat: 4, Compact: 100},
+	e := &Experiment{Seeds: 10, Base: Setup{Members: 3, Ticks: 3000, Calm: 600, Timing: cluster.Timing{ElectionTicks: 20, HeartbeatTicks: 4, CompactAfterEntries: 100},
 		MaxDelay: 4, ProposeEvery: 30, Sidecars: 6}}
 	if len(nodes) != 1 || nodes[0].Name != "experiment" || len(nodes[0].Args) != 1 {
 		faults.Add(1, "the document is one \"experiment\" with a name")
--- a/simulation/faults.go
+++ b/simulation/faults.go
@@ -45,8 +45,8 @@
 	}
 	chance := rand.New(rand.NewPCG(set.Seed, faultStream))
 	kinds := []FaultKind{Crash, Crash, Cut, Cut, CutOne, Stall, SlowIO, TransferLeader, Replace}
-	for at := set.Timing.Election * 3; at < set.Ticks-set.Calm; at += 1 + chance.IntN(2*set.FaultEvery) {
-		f := Fault{At: at, For: 1 + chance.IntN(8*set.Timing.Election), Kind: kinds[chance.IntN(len(kinds))],
+	for at := set.Timing.ElectionTicks * 3; at < set.Ticks-set.Calm; at += 1 + chance.IntN(2*set.FaultEvery) {
+		f := Fault{At: at, For: 1 + chance.IntN(8*set.Timing.ElectionTicks), Kind: kinds[chance.IntN(len(kinds))],
 			Member: 1 + uint64(chance.IntN(set.Members))}
 		for id := range uint64(set.Members) {
 			if chance.IntN(2) == 0 {
@@ -76,11 +76,11 @@
 		w.schedule(f.For, func() { m.slowDisk = false })
 	case TransferLeader:
 		if m.up {
-			m.Transfer(1 + uint64(w.random.IntN(w.setup.Members)))
+			m.TransferLeadership(1 + uint64(w.random.IntN(w.setup.Members)))
 		}
 	case Replace:
-		w.changeMembers(cluster.Change{Remove: []uint64{f.Member}}, removeTries)
-		w.schedule(f.For, func() { w.changeMembers(cluster.Change{Add: []uint64{f.Member}}, addTries) })
+		w.changeMembers(cluster.MembershipChange{Remove: []uint64{f.Member}}, removeTries)
+		w.schedule(f.For, func() { w.changeMembers(cluster.MembershipChange{Add: []uint64{f.Member}}, addTries) })
 	}
 }
 
@@ -101,9 +101,9 @@
 
 // changeMembers has whoever leads change the members. An addition is tried again until it is in force or ticks have
 // passed. A member that was removed goes on with its old log.
-func (w *World) changeMembers(c cluster.Change, ticks int) {
+func (w *World) changeMembers(c cluster.MembershipChange, ticks int) {
 	for _, m := range w.members {
-		if m.up && m.Leads() && (len(c.Remove) == 0 || len(m.Standing().Voters) == w.setup.Members) {
+		if m.up && m.IsLeader() && (len(c.Remove) == 0 || len(m.Status().Voters) == w.setup.Members) {
 			m.ChangeMembers(c)
 			w.runTurn(m)
 			break
@@ -115,9 +115,9 @@
 }
 
 // retryAddition tries an addition again if some leader does not have it.
-func (w *World) retryAddition(c cluster.Change, ticks int) {
+func (w *World) retryAddition(c cluster.MembershipChange, ticks int) {
 	for _, m := range w.members {
-		if m.up && m.Leads() && !slices.Contains(m.Standing().Voters, c.Add[0]) {
+		if m.up && m.IsLeader() && !slices.Contains(m.Status().Voters, c.Add[0]) {
 			w.changeMembers(c, ticks)
 			return
 		}
--- a/simulation/followers/check.go
+++ b/simulation/followers/check.go
@@ -44,7 +44,7 @@
 // accepted looks at what a node holds after it accepted a revision.
 func (c *checker) accepted(n *node) {
 	c.world.out.Accepted++
-	revision, held := n.machine.Revision(), n.machine.Held()
+	revision, held := n.machine.Revision(), n.machine.Records()
 	switch {
 	case revision < n.highest:
 		c.violate(BrokenOrder, "%s accepted %d after %d", n, revision, n.highest)
@@ -91,7 +91,7 @@
 	size := proto.Size(response)
 	content := configsync.ContentOf(response)
 	named := content.Records
-	if named == 0 && !content.Whole {
+	if named == 0 && !content.FullScope {
 		c.world.out.Progress++
 		if size > maxProgressBytes {
 			c.violate(BrokenCost, "%d bytes of progress", size)
@@ -106,7 +106,7 @@
 	if err != nil || revision <= held {
 		return
 	}
-	if content.Whole {
+	if content.FullScope {
 		c.sentWhole(one, held)
 		return
 	}
@@ -133,7 +133,7 @@
 // force asks all members at one moment, as an operator does, and compares what they claim with what followers hold.
 func (c *checker) force() {
 	now := c.world.clock.now()
-	var statuses []configsync.ForceStatus
+	var statuses []configsync.MemberStatus
 	for _, one := range c.world.members {
 		if one.server != nil {
 			statuses = append(statuses, c.planted(one.server.Status(now)))
@@ -153,14 +153,14 @@
 			continue
 		}
 		c.world.out.LiveAtClaims++
-		if n.machine.Revision() < force.InForce {
-			c.violate(BrokenForce, "%s holds %d with a live lease, %d is told to be in force", n, n.machine.Revision(), force.InForce)
+		if n.machine.Revision() < force.ConvergedRevision {
+			c.violate(BrokenForce, "%s holds %d with a live lease, %d is told to be in force", n, n.machine.Revision(), force.ConvergedRevision)
 		}
 	}
 }
 
 // planted spoils a status.
-func (c *checker) planted(status configsync.ForceStatus) configsync.ForceStatus {
+func (c *checker) planted(status configsync.MemberStatus) configsync.MemberStatus {
 	switch c.world.setup.Planted {
 	case PlantedLeases:
 		status.Leases = nil
@@ -214,12 +214,12 @@
 		return
 	}
 	now := c.world.clock.now()
-	var statuses []configsync.ForceStatus
+	var statuses []configsync.MemberStatus
 	for _, one := range c.world.members {
 		statuses = append(statuses, one.server.Status(now))
 	}
 	force := configsync.Merge(statuses, c.world.memberNames())
-	if !force.Known || force.InForce != c.world.log.last || force.Live != len(c.world.nodes) {
-		c.violate(BrokenCalm, "in force %d of %d, known %v, live %d of %d", force.InForce, c.world.log.last, force.Known, force.Live, len(c.world.nodes))
+	if !force.Known || force.ConvergedRevision != c.world.log.last || force.Live != len(c.world.nodes) {
+		c.violate(BrokenCalm, "in force %d of %d, known %v, live %d of %d", force.ConvergedRevision, c.world.log.last, force.Known, force.Live, len(c.world.nodes))
 	}
 }
--- a/simulation/followers/faults.go
+++ b/simulation/followers/faults.go
@@ -142,5 +142,5 @@
 	for range 1 + w.random.IntN(2) {
 		scope.Zones = append(scope.Zones, w.log.zone())
 	}
-	return scope.Normal()
+	return scope.Normalized()
 }
--- a/simulation/followers/log.go
+++ b/simulation/followers/log.go
@@ -118,7 +118,7 @@
 	if err != nil {
 		panic(err) // specs are plain structs
 	}
-	return records.Write{Key: records.Key{Kind: kind, Name: name}, Body: body, Any: true}
+	return records.Write{Key: records.Key{Kind: kind, Name: name}, Body: body, AnyRevision: true}
 }
 
 // commit adds a transaction to the log, some places after the last one, and works out the state after it.
@@ -156,7 +156,7 @@
 func (l *agreedLog) scopeAt(revision uint64, scope records.Scope) map[records.Key]*records.Record {
 	held := map[records.Key]*records.Record{}
 	for key, record := range l.states[revision] {
-		if scope.Holds(record) {
+		if scope.Contains(record) {
 			held[key] = record
 		}
 	}
--- a/simulation/followers/member.go
+++ b/simulation/followers/member.go
@@ -115,7 +115,7 @@
 	s.asked++
 	switch {
 	case s.planted == PlantedWhole:
-		delta.Updates, delta.Kept = nil, false
+		delta.Updates, delta.Available = nil, false
 	case s.planted == PlantedLost && s.asked%20 == 0 && len(delta.Updates) > 0:
 		delta.Updates = delta.Updates[1:]
 	}
--- a/simulation/followers/node.go
+++ b/simulation/followers/node.go
@@ -135,13 +135,13 @@
 	now := n.world.clock.now()
 	n.heardAt = n.world.clock.elapsed
 	n.backoff.Succeeded()
-	refused := n.machine.Refused
+	refused := n.machine.Rejected
 	reply, accepted, err := n.machine.Receive(now, response)
 	if err != nil {
 		n.moveOn()
 		return
 	}
-	if n.machine.Refused > refused {
+	if n.machine.Rejected > refused {
 		n.disturbed()
 		n.world.out.Refused++
 	}
--- a/simulation/followers/session.go
+++ b/simulation/followers/session.go
@@ -126,7 +126,7 @@
 // spoil adds a record to what tells of a revision only, as the planted fault has it.
 func spoil(planted Planted, response *discoveryv3.DeltaDiscoveryResponse) {
 	content := configsync.ContentOf(response)
-	progress := response.GetNonce() != "" && !content.Whole && content.Records == 0
+	progress := response.GetNonce() != "" && !content.FullScope && content.Records == 0
 	if planted == PlantedTalksToAll && progress {
 		response.RemovedResources = append(response.RemovedResources, "route/of-others")
 	}
--- a/simulation/followers/setup.go
+++ b/simulation/followers/setup.go
@@ -103,9 +103,9 @@
 
 // limits are those of the members: a small allowance, so that crowds do wait for it.
 func limits(planted Planted) configsync.Limits {
-	chosen := configsync.Limits{Lease: 3 * time.Second, MaxStreams: 200, WholeRate: 5 << 10, WholeBurst: 5 << 10, RefusedWait: 4 * time.Second}
+	chosen := configsync.Limits{Lease: 3 * time.Second, MaxStreams: 200, FullScopeBytesPerSecond: 5 << 10, FullScopeBurstBytes: 5 << 10, RejectedBackoff: 4 * time.Second}
 	if planted == PlantedNeverAgain {
-		chosen.RefusedWait = time.Hour
+		chosen.RejectedBackoff = time.Hour
 	}
 	return chosen
 }
--- a/simulation/lab_test.go
+++ b/simulation/lab_test.go
@@ -14,7 +14,7 @@
 )
 
 func setup(seed uint64, members int) Setup {
-	return Setup{Seed: seed, Members: members, Ticks: 3000, Calm: 600, Timing: cluster.Timing{Election: 20, Heartbeat: 4, Compact: 30},
+	return Setup{Seed: seed, Members: members, Ticks: 3000, Calm: 600, Timing: cluster.Timing{ElectionTicks: 20, HeartbeatTicks: 4, CompactAfterEntries: 30},
 		MinDelay: 0, MaxDelay: 6, Loss: 0.03, Double: 0.03, MaxSyncDelay: 1, FaultEvery: 60, ProposeEvery: 30, Sidecars: 6}
 }
 
--- a/simulation/member.go
+++ b/simulation/member.go
@@ -68,10 +68,10 @@
 
 // runTurn has a member act and carries what it sends.
 func (w *World) runTurn(m *member) {
-	messages, applied, reads, err := m.Turn(func(b raftlog.Batch) error { return w.saveToDisk(m, b) })
+	messages, applied, reads, err := m.Advance(func(b raftlog.Batch) error { return w.saveToDisk(m, b) })
 	if err != nil {
 		w.crashMember(m)
-		w.restartAfter(1+w.random.IntN(4*w.setup.Timing.Election), m)
+		w.restartAfter(1+w.random.IntN(4*w.setup.Timing.ElectionTicks), m)
 		return
 	}
 	for _, message := range messages {
--- a/simulation/operator.go
+++ b/simulation/operator.go
@@ -24,13 +24,13 @@
 // runOperator has one operator propose changes and read, through any member; what gets no answer is asked again elsewhere.
 func (w *World) runOperator() {
 	every := w.setup.ProposeEvery
-	if every == 0 || w.now < 2*w.setup.Timing.Election {
+	if every == 0 || w.now < 2*w.setup.Timing.ElectionTicks {
 		return
 	}
 	if w.now%every == 0 && w.pendingProposal == nil {
 		w.propose()
 	}
-	if p := w.pendingProposal; p != nil && (w.now-p.at)%(2*w.setup.Timing.Election) == 0 && w.now > p.at {
+	if p := w.pendingProposal; p != nil && (w.now-p.at)%(2*w.setup.Timing.ElectionTicks) == 0 && w.now > p.at {
 		if p.tries++; p.tries > proposeTries {
 			w.outcome.Unknown++
 			w.pendingProposal = nil // the operator gives up and does not know
@@ -51,7 +51,7 @@
 		base--
 	}
 	c := cluster.Command{
-		Kind:   cluster.Put,
+		Kind:   cluster.CommandPut,
 		Client: clientName(w.clientCount),
 		Seq:    1,
 		Base:   base,
@@ -90,7 +90,7 @@
 		answer(m.State.Current().Number, true)
 		return
 	}
-	id, err := m.ReadFresh()
+	id, err := m.RequestReadIndex()
 	if err != nil {
 		answer(0, false)
 		return
@@ -117,8 +117,8 @@
 	}
 	if m.Propose(p.command) == nil {
 		m.pendingProposals[p.command.Client] = p
-		if w.setup.Planted == BeforeCommit && m.Leads() {
-			m.uncommitted = cluster.Version{Number: m.Standing().Applied + 1, Text: p.command.Text}
+		if w.setup.Planted == BeforeCommit && m.IsLeader() {
+			m.uncommitted = cluster.Version{Number: m.Status().Applied + 1, Text: p.command.Text}
 		}
 	}
 	w.runTurn(m)
@@ -130,8 +130,8 @@
 		return
 	}
 	w.pendingProposal = nil
-	w.recordAnswer(p.op, output{number: r.Number, ok: r.Refused == "", known: true})
-	if r.Refused == "" {
+	w.recordAnswer(p.op, output{number: r.Version, ok: r.Rejected == "", known: true})
+	if r.Rejected == "" {
 		w.outcome.Agreed++
 		w.outcome.Commit = append(w.outcome.Commit, w.now-p.at)
 	} else {
--- a/xds/compile.go
+++ b/xds/compile.go
@@ -27,17 +27,17 @@
 
 // Names that conductors and sidecars share.
 const (
-	ListenerName = "calls"
-	RoutesName   = "calls"
-	MetadataKey  = "harehook" // of a route's metadata: its name, and whether it is mutating
-	AgreedKey    = "agreed"   // there: the version of the agreed configuration that the routes are of
-	Throttled    = "x-harehook-throttled"
+	ListenerName    = "calls"
+	RoutesName      = "calls"
+	MetadataKey     = "harehook" // of a route's metadata: its name, and whether it is mutating
+	AgreedKey       = "agreed"   // there: the version of the agreed configuration that the routes are of
+	ThrottledHeader = "x-harehook-throttled"
 	// RouteMetric is the prefix of the load metrics that count a route's calls, CallSeconds the metric of a node that
 	// sums the time of good tries.
-	RouteMetric = "route:"
-	CallSeconds = "seconds"
-	// RetryUnsent are the conditions of a further try that prove that the first never ran.
-	RetryUnsent = "connect-failure,refused-stream"
+	RouteMetric      = "route:"
+	LatencySumMetric = "seconds"
+	// RetryIfNotSent are the conditions of a further try that prove that the first never ran.
+	RetryIfNotSent = "connect-failure,refused-stream"
 
 	// MaxRoutes is how many routes a table has at most. Configurations with more are refused, as sidecars refuse such
 	// tables. Throttled, 1,024 routes are a table of under 1 MB; sidecars take messages of 8 MB.
@@ -55,11 +55,11 @@
 
 // Route is a kind of call as other installations configure it.
 type Route struct {
-	Name      string
-	Prefix    string // of the path
-	Mutating  bool
-	TimeLimit time.Duration
-	Most      float64 // part of its calls that is let in at most, by operators; 0 counts as all
+	Name        string
+	Prefix      string // of the path
+	Mutating    bool
+	TimeLimit   time.Duration
+	MaxAdmitted float64 // part of its calls that is let in at most, by operators; 0 counts as all
 }
 
 // Compiler holds what the module ordered, as tables, and turns it into resources.
@@ -82,7 +82,7 @@
 
 type level struct {
 	part  float64
-	tries planner.Tries
+	tries planner.RetryPolicy
 }
 
 // NewCompiler makes one for some routes.
@@ -92,11 +92,13 @@
 		tables: map[int]*table{}, levels: map[string]level{}, snapshots: map[int]*Snapshot{}}
 }
 
-// Agree has the routes of an agreed version count; all tables may change by it.
-func (c *Compiler) Agree(version uint64, routes []Route) { c.routes, c.agreed = routes, version }
+// SetAgreedRoutes has the routes of an agreed version count; all tables may change by it.
+func (c *Compiler) SetAgreedRoutes(version uint64, routes []Route) {
+	c.routes, c.agreed = routes, version
+}
 
-// Place says where a node takes calls; tables change with the next Take.
-func (c *Compiler) Place(node, zone string, address Address) {
+// SetAddress says where a node takes calls; tables change with the next Take.
+func (c *Compiler) SetAddress(node, zone string, address Address) {
 	if was, known := c.addresses[node]; known && c.nodes[was] == node {
 		delete(c.nodes, was)
 	}
@@ -109,18 +111,18 @@
 	return node, ok
 }
 
-// Take takes orders in; it gives the tables that may have changed.
-func (c *Compiler) Take(batch []controller.Order) (touched map[int]bool) {
+// ApplyCommands takes orders in; it gives the tables that may have changed.
+func (c *Compiler) ApplyCommands(batch []controller.Command) (touched map[int]bool) {
 	touched = map[int]bool{}
 	for _, o := range batch {
 		switch o.Kind {
-		case controller.SetLine:
+		case controller.SetWeight:
 			t := c.table(o.Table)
-			if t.lines[o.Node] = o.Figure; o.Figure <= 0 {
+			if t.lines[o.Node] = o.Value; o.Value <= 0 {
 				delete(t.lines, o.Node)
 			}
 			touched[o.Table] = true
-		case controller.SetLevel:
+		case controller.SetAdmission:
 			into := c.levels
 			if o.Table != planner.AllTables {
 				into = c.table(o.Table).levels
@@ -130,8 +132,8 @@
 					touched[t] = true
 				}
 			}
-			into[o.Route] = level{o.Figure, o.Tries}
-		case controller.Bind:
+			into[o.Route] = level{o.Value, o.Retry}
+		case controller.BindProxy:
 			c.table(o.Table)
 		}
 	}
@@ -222,8 +224,8 @@
 	host := &routev3.VirtualHost{Name: "all", Domains: []string{"*"}}
 	for _, route := range c.routes {
 		lv := c.level(t, route.Name)
-		if route.Most > 0 {
-			lv.part = min(lv.part, route.Most)
+		if route.MaxAdmitted > 0 {
+			lv.part = min(lv.part, route.MaxAdmitted)
 		}
 		fields := map[string]any{"route": route.Name, "mutating": route.Mutating}
 		if c.agreed > 0 {
@@ -247,7 +249,7 @@
 		}
 		if lv.part < 1 {
 			host.Routes = append(host.Routes, &routev3.Route{Name: route.Name, Match: match(), Metadata: metadata,
-				ResponseHeadersToAdd: []*corev3.HeaderValueOption{{Header: &corev3.HeaderValue{Key: Throttled, Value: route.Name}}},
+				ResponseHeadersToAdd: []*corev3.HeaderValueOption{{Header: &corev3.HeaderValue{Key: ThrottledHeader, Value: route.Name}}},
 				Action:               &routev3.Route_DirectResponse{DirectResponse: &routev3.DirectResponseAction{Status: statusShut}}})
 		}
 	}
@@ -272,10 +274,10 @@
 
 // retries are the further tries. Only those after proof that the first never ran exist: they are safe on every
 // route, and a mutating one can get no other by construction.
-func retries(tries planner.Tries) *routev3.RetryPolicy {
-	if tries != planner.RetryUnsent {
+func retries(tries planner.RetryPolicy) *routev3.RetryPolicy {
+	if tries != planner.RetryIfNotSent {
 		return nil
 	}
-	return &routev3.RetryPolicy{RetryOn: RetryUnsent, NumRetries: wrapperspb.UInt32(1),
+	return &routev3.RetryPolicy{RetryOn: RetryIfNotSent, NumRetries: wrapperspb.UInt32(1),
 		RetryHostPredicate: []*routev3.RetryPolicy_RetryHostPredicate{{Name: priorHosts}}}
 }
--- a/xds/resource.go
+++ b/xds/resource.go
@@ -98,8 +98,8 @@
 	return digest(h)
 }
 
-// Same tells whether two sets hold the same versions of the same names.
-func (s Set) Same(other Set) bool {
+// Equal tells whether two sets hold the same versions of the same names.
+func (s Set) Equal(other Set) bool {
 	if len(s) != len(other) {
 		return false
 	}
@@ -126,7 +126,7 @@
 		if s != nil {
 			after.seq[k] = s.seq[k]
 		}
-		if s == nil || !sets[k].Same(s.Sets[k]) {
+		if s == nil || !sets[k].Equal(s.Sets[k]) {
 			after.seq[k]++
 			changed = true
 		}
--- a/xds/same_test.go
+++ b/xds/same_test.go
@@ -21,12 +21,12 @@
 // twin is one module whose orders go both ways: as calls to a relay that carries them out, and as versions to sidecars.
 type twin struct {
 	t      *testing.T
-	module *planner.Conductor
+	module *planner.Planner
 	now    float64
 	wakeAt float64
-	batch  []controller.Order
+	batch  []controller.Command
 
-	calls  wire.Calls // the platform's way
+	calls  wire.CommandQueue // the platform's way
 	tables map[int]map[string]float64
 	bound  map[int]int
 	levels map[string]string
@@ -34,22 +34,22 @@
 	lines  int // compared
 
 	server  *xds.Server // the other
-	holders map[uint64]*sidecar.Holder
+	holders map[uint64]*sidecar.ResourceCache
 	inbox   []func()
 }
 
-func (w *twin) Bind(proxy, table int) {
-	w.batch = append(w.batch, controller.Order{Kind: controller.Bind, Proxy: proxy, Table: table})
+func (w *twin) BindProxy(proxy, table int) {
+	w.batch = append(w.batch, controller.Command{Kind: controller.BindProxy, Proxy: proxy, Table: table})
 }
-func (w *twin) SetLine(table int, node uint32, weight float64) {
-	w.batch = append(w.batch, controller.Order{Kind: controller.SetLine, Table: table, Node: fmt.Sprint("s-", node), Figure: weight})
+func (w *twin) SetWeight(table int, node uint32, weight float64) {
+	w.batch = append(w.batch, controller.Command{Kind: controller.SetWeight, Table: table, Node: fmt.Sprint("s-", node), Value: weight})
 }
-func (w *twin) SetLevel(table int, route planner.RouteID, level float64, tries planner.Tries) {
-	w.batch = append(w.batch, controller.Order{Kind: controller.SetLevel, Table: table, Route: []string{"quote", "issue"}[route],
-		Figure: level, Tries: tries})
+func (w *twin) SetAdmission(table int, route planner.RouteID, level float64, tries planner.RetryPolicy) {
+	w.batch = append(w.batch, controller.Command{Kind: controller.SetAdmission, Table: table, Route: []string{"quote", "issue"}[route],
+		Value: level, Retry: tries})
 }
 func (w *twin) RequestAck(nonce int) {
-	w.batch = append(w.batch, controller.Order{Kind: controller.RequestAck, Nonce: nonce})
+	w.batch = append(w.batch, controller.Command{Kind: controller.RequestAck, Nonce: nonce})
 }
 func (w *twin) Wake(at float64) { w.wakeAt = at }
 func (w *twin) Subscribe()      {}
@@ -57,7 +57,7 @@
 
 func (w *twin) Send(stream uint64, r *discoveryv3.DiscoveryResponse) {
 	w.inbox = append(w.inbox, func() {
-		out, err := w.holders[stream].State(r)
+		out, err := w.holders[stream].HandleStateOfTheWorld(r)
 		if err != nil {
 			w.t.Fatal(err)
 		}
@@ -65,14 +65,14 @@
 			if why := answer.GetErrorDetail().GetMessage(); why != "" {
 				w.t.Fatal(why)
 			}
-			w.server.State(w.now, stream, answer)
+			w.server.HandleStateOfTheWorld(w.now, stream, answer)
 		}
 	})
 }
 
 func (w *twin) SendDelta(stream uint64, r *discoveryv3.DeltaDiscoveryResponse) {
 	w.inbox = append(w.inbox, func() {
-		out, err := w.holders[stream].Deltas(r)
+		out, err := w.holders[stream].HandleDelta(r)
 		if err != nil {
 			w.t.Fatal(err)
 		}
@@ -80,30 +80,30 @@
 			if why := answer.GetErrorDetail().GetMessage(); why != "" {
 				w.t.Fatal(why)
 			}
-			w.server.Deltas(w.now, stream, answer)
+			w.server.HandleDelta(w.now, stream, answer)
 		}
 	})
 }
-func (w *twin) End(uint64, string)               {}
-func (w *twin) Joined(int, string)               {}
-func (w *twin) Left(int)                         {}
-func (w *twin) Refused(string, xds.Kind, string) {}
-func (w *twin) Confirmed(proxy, mark int)        { w.module.Acknowledged(w.now, proxy, mark) }
+func (w *twin) CloseStream(uint64, string)        {}
+func (w *twin) Joined(int, string)                {}
+func (w *twin) Left(int)                          {}
+func (w *twin) Rejected(string, xds.Kind, string) {}
+func (w *twin) Acknowledged(proxy, mark int)      { w.module.Acknowledged(w.now, proxy, mark) }
 
 // carry hands a turn's orders on, both ways, until nothing is under way.
 func (w *twin) carry() {
 	for len(w.batch)+len(w.inbox) > 0 {
 		if batch := w.batch; len(batch) > 0 {
 			w.batch = nil
-			if err := w.server.Carry(w.now, batch); err != nil {
+			if err := w.server.ApplyCommands(w.now, batch); err != nil {
 				w.t.Fatal(err)
 			}
 			w.calls.Add(batch)
 			for call := w.calls.Next(); call != nil; call = w.calls.Next() {
-				w.calls.Answer(fmt.Appendf(nil, "OK %d", w.relay(string(call))))
+				w.calls.HandleResponse(fmt.Appendf(nil, "OK %d", w.relay(string(call))))
 			}
-			if mark, ok := w.calls.Done(); ok {
-				w.module.OrdersTaken(w.now, mark)
+			if mark, ok := w.calls.TakeAccepted(); ok {
+				w.module.CommandsAccepted(w.now, mark)
 			}
 		}
 		for len(w.inbox) > 0 {
@@ -163,7 +163,7 @@
 		let := map[string]string{}
 		for _, e := range table.Routes {
 			if e.Status == 0 {
-				let[e.Name] = fmt.Sprintf("%.4f %d", e.Part, e.Tries)
+				let[e.Name] = fmt.Sprintf("%.4f %d", e.Fraction, e.MaxRetries)
 			}
 		}
 		for route, level := range w.levels {
@@ -185,35 +185,35 @@
 	const proxies, nodes = 12, 24
 	for seed := range uint64(4) {
 		chance := rand.New(rand.NewPCG(seed, 21))
-		w := &twin{t: t, tables: map[int]map[string]float64{}, bound: map[int]int{}, levels: map[string]string{}, holders: map[uint64]*sidecar.Holder{}}
+		w := &twin{t: t, tables: map[int]map[string]float64{}, bound: map[int]int{}, levels: map[string]string{}, holders: map[uint64]*sidecar.ResourceCache{}}
 		compiler := xds.NewCompiler([]xds.Route{{Name: "quote", Prefix: "/quote", TimeLimit: time.Second},
 			{Name: "issue", Prefix: "/issue", Mutating: true, TimeLimit: time.Second}}, time.Second)
 		w.server = xds.NewServer(compiler, w, proxies)
-		var rows []planner.Row
+		var rows []planner.Endpoint
 		for n := range uint32(nodes) {
 			zone := []string{"north", "south"}[n%2]
-			compiler.Place(fmt.Sprint("s-", n), zone, xds.Address{Host: "127.0.0.1", Port: 1000 + n})
-			rows = append(rows, planner.Row{Node: n, Zone: int(n % 2), Condition: planner.Ready})
+			compiler.SetAddress(fmt.Sprint("s-", n), zone, xds.Address{Host: "127.0.0.1", Port: 1000 + n})
+			rows = append(rows, planner.Endpoint{Node: n, Zone: int(n % 2), State: planner.Ready})
 		}
-		w.module = planner.New(w, planner.Site{Seed: seed, Zones: 2, Kinds: 1, Conductors: 1, Proxies: proxies, AskWithin: 10, Utilization: -1,
-			Backlog: -1, Levels: planner.LevelFraction, Pace: 1e5, Queue: 1e6, Head: 1, MessageSpan: 10, Period: 0.5, Ramp: 8, FallTimes: 4,
-			Routes: []planner.Route{{SLOTime: 1, Importance: 1}, {SLOTime: 1, Importance: 3}}}, 0)
-		w.module.ListWhole(0, rows)
+		w.module = planner.New(w, planner.Config{Seed: seed, Zones: 2, MachineTypes: 1, Controllers: 1, Proxies: proxies, SubscribeTimeout: 10, UtilizationIndex: -1,
+			QueueLengthIndex: -1, Admission: planner.AdmissionFraction, EntriesPerSecond: 1e5, MaxInFlightEntries: 1e6, MessageOverhead: 1, MessageWindow: 10, ReportInterval: 0.5, SlowStartWindow: 8, OverloadMultiple: 4,
+			Routes: []planner.Route{{LatencyObjective: 1, PriorityWeight: 1}, {LatencyObjective: 1, PriorityWeight: 3}}}, 0)
+		w.module.ReplaceEndpoints(0, rows)
 		w.carry()
 		for p := range proxies {
 			stream := uint64(p + 1)
-			h := &sidecar.Holder{ID: fmt.Sprint("till-", p), Zone: []string{"north", "south"}[p%2], Delta: p%3 == 0}
+			h := &sidecar.ResourceCache{ID: fmt.Sprint("till-", p), Zone: []string{"north", "south"}[p%2], Delta: p%3 == 0}
 			w.holders[stream] = h
 			if err := w.server.Open(0, stream, h.Delta, h.ID, h.Zone); err != nil {
 				t.Fatal(err)
 			}
 			if h.Delta {
 				for _, r := range h.BeginDelta() {
-					w.server.Deltas(0, stream, r)
+					w.server.HandleDelta(0, stream, r)
 				}
 			} else {
 				for _, r := range h.BeginState() {
-					w.server.State(0, stream, r)
+					w.server.HandleStateOfTheWorld(0, stream, r)
 				}
 			}
 			w.module.ProxyJoined(0, p, p%2, 5)
@@ -223,27 +223,27 @@
 			w.now = float64(step) * 0.1
 			if chance.IntN(25) == 0 {
 				k := chance.IntN(nodes)
-				rows[k].Condition = planner.Condition(chance.IntN(3))
-				if rows[k].Condition == planner.Ready {
-					rows[k].Started = w.now
+				rows[k].State = planner.EndpointState(chance.IntN(3))
+				if rows[k].State == planner.Ready {
+					rows[k].StartTime = w.now
 				}
-				w.module.ListChanged(w.now, rows[k:k+1])
+				w.module.UpdateEndpoints(w.now, rows[k:k+1])
 			}
 			if step%5 == 0 {
 				jam := step/150%2 == 1
 				for n := range uint32(nodes) {
-					s := planner.Sums{Node: n, Ended: 10, Mean: 0.2, Span: 0.5}
+					s := planner.LoadReport{Node: n, Completed: 10, MeanLatency: 0.2, Interval: 0.5}
 					if jam {
-						s.Lost, s.Mean = 6, 1.2
+						s.Failed, s.MeanLatency = 6, 1.2
 					}
-					w.module.NodeSums(w.now, s)
+					w.module.AddLoadReport(w.now, s)
 				}
 				for p := range proxies {
-					w.module.RouteUsage(w.now, planner.Usage{Proxy: p, Route: planner.RouteID(chance.IntN(2)), Calls: 10 + chance.IntN(40), Span: 0.5})
+					w.module.AddDemandReport(w.now, planner.DemandReport{Proxy: p, Route: planner.RouteID(chance.IntN(2)), Requests: 10 + chance.IntN(40), Interval: 0.5})
 				}
 			}
 			if w.now >= w.wakeAt {
-				w.module.Tick(w.now)
+				w.module.Step(w.now)
 			}
 			w.carry()
 			w.compare(seed)
--- a/xds/server.go
+++ b/xds/server.go
@@ -12,25 +12,25 @@
 
 const marksMost = 64 // that wait for one sidecar: a later one stands for those before it
 
-// Out is how a Server acts. Send and SendDelta never block: of each kind one response is out at most.
-type Out interface {
+// Sink is how a Server acts. Send and SendDelta never block: of each kind one response is out at most.
+type Sink interface {
 	Send(stream uint64, r *discoveryv3.DiscoveryResponse)
 	SendDelta(stream uint64, r *discoveryv3.DeltaDiscoveryResponse)
-	// End closes a stream and says why.
-	End(stream uint64, why string)
+	// CloseStream closes a stream and says why.
+	CloseStream(stream uint64, why string)
 	// Joined, Left and Confirmed tell the conductor of a sidecar, as a proxy.
 	Joined(proxy int, zone string)
 	Left(proxy int)
-	Confirmed(proxy, mark int)
-	// Refused says that a sidecar turned a version down.
-	Refused(sidecar string, kind Kind, why string)
+	Acknowledged(proxy, mark int)
+	// Rejected says that a sidecar turned a version down.
+	Rejected(sidecar string, kind Kind, why string)
 }
 
 // Server holds the sidecars, their streams and the tables that they are bound to.
 type Server struct {
 	Compiler *Compiler
 
-	out      Out
+	out      Sink
 	most     int
 	number   map[string]int // of a sidecar, given at its first stream
 	sidecars []*sidecar
@@ -45,7 +45,7 @@
 	bound    bool
 	marks    []mark
 	ended    float64 // when its last stream did
-	last     []Standing
+	last     []ResourceStatus
 	refused  uint64 // of the stream, told so far
 }
 
@@ -56,7 +56,7 @@
 }
 
 // NewServer makes one for at most so many sidecars.
-func NewServer(compiler *Compiler, out Out, most int) *Server {
+func NewServer(compiler *Compiler, out Sink, most int) *Server {
 	return &Server{Compiler: compiler, out: out, most: most, number: map[string]int{}, streams: map[uint64]*sidecar{}}
 }
 
@@ -82,7 +82,7 @@
 	if c.stream != nil {
 		old := c.stream.ID
 		s.Close(now, old)
-		s.out.End(old, "another stream of the same node began")
+		s.out.CloseStream(old, "another stream of the same node began")
 	}
 	c.zone, c.stream, c.bound, c.marks, c.refused = zone, NewStream(stream, delta), false, nil, 0
 	s.streams[stream] = c
@@ -112,31 +112,31 @@
 func (s *Server) Close(now float64, stream uint64) {
 	if c := s.streams[stream]; c != nil {
 		delete(s.streams, stream)
-		c.last, c.ended, c.stream = c.stream.Standings(now), now, nil
+		c.last, c.ended, c.stream = c.stream.Resources(now), now, nil
 		s.out.Left(c.number)
 	}
 }
 
-// State takes a request of the state of the world variant.
-func (s *Server) State(now float64, stream uint64, r *discoveryv3.DiscoveryRequest) error {
+// HandleStateOfTheWorld takes a request of the state of the world variant.
+func (s *Server) HandleStateOfTheWorld(now float64, stream uint64, r *discoveryv3.DiscoveryRequest) error {
 	c := s.streams[stream]
 	if c == nil {
 		return nil
 	}
-	if err := c.stream.State(now, r); err != nil {
+	if err := c.stream.HandleStateOfTheWorld(now, r); err != nil {
 		return err
 	}
 	s.answered(now, c, r.GetTypeUrl(), r.GetErrorDetail().GetMessage())
 	return nil
 }
 
-// Deltas takes a request of the delta variant.
-func (s *Server) Deltas(now float64, stream uint64, r *discoveryv3.DeltaDiscoveryRequest) error {
+// HandleDelta takes a request of the delta variant.
+func (s *Server) HandleDelta(now float64, stream uint64, r *discoveryv3.DeltaDiscoveryRequest) error {
 	c := s.streams[stream]
 	if c == nil {
 		return nil
 	}
-	if err := c.stream.Deltas(now, r); err != nil {
+	if err := c.stream.HandleDelta(now, r); err != nil {
 		return err
 	}
 	s.answered(now, c, r.GetTypeUrl(), r.GetErrorDetail().GetMessage())
@@ -144,10 +144,10 @@
 }
 
 func (s *Server) answered(now float64, c *sidecar, url, why string) {
-	if c.stream.Refused > c.refused {
-		c.refused = c.stream.Refused
+	if c.stream.Rejected > c.refused {
+		c.refused = c.stream.Rejected
 		kind, _ := KindOf(url)
-		s.out.Refused(c.id, kind, shorten(why))
+		s.out.Rejected(c.id, kind, shorten(why))
 	}
 	s.push(now, c)
 }
@@ -174,20 +174,20 @@
 	}
 	if held >= 0 {
 		// Who holds what a later mark stands for holds all before it.
-		s.out.Confirmed(c.number, c.marks[held].number)
+		s.out.Acknowledged(c.number, c.marks[held].number)
 		c.marks = slices.Delete(c.marks, 0, held+1)
 	}
 }
 
-// Carry takes a turn's orders: tables change, sidecars are bound, and all that this concerns get what is due.
-func (s *Server) Carry(now float64, batch []controller.Order) error {
+// ApplyCommands takes a turn's orders: tables change, sidecars are bound, and all that this concerns get what is due.
+func (s *Server) ApplyCommands(now float64, batch []controller.Command) error {
 	number := -1
 	concerned, moved := map[int]bool{}, map[int]bool{}
 	for _, o := range batch {
 		switch o.Kind {
 		case controller.RequestAck:
 			number = o.Nonce
-		case controller.Bind:
+		case controller.BindProxy:
 			if c := s.at(o.Proxy); c != nil {
 				moved[o.Proxy] = !c.bound || c.table != o.Table
 				c.table, c.bound = o.Table, true
@@ -195,7 +195,7 @@
 			}
 		}
 	}
-	touched := s.Compiler.Take(batch)
+	touched := s.Compiler.ApplyCommands(batch)
 	for _, c := range s.sidecars {
 		if c.stream != nil && c.bound && touched[c.table] {
 			concerned[c.number] = true
@@ -204,9 +204,9 @@
 	return s.aim(now, number, concerned, moved)
 }
 
-// Agree has the routes of an agreed version reach all sidecars.
-func (s *Server) Agree(now float64, version uint64, routes []Route) error {
-	s.Compiler.Agree(version, routes)
+// SetAgreedRoutes has the routes of an agreed version reach all sidecars.
+func (s *Server) SetAgreedRoutes(now float64, version uint64, routes []Route) error {
+	s.Compiler.SetAgreedRoutes(version, routes)
 	concerned := map[int]bool{}
 	for _, c := range s.sidecars {
 		if c.stream != nil && c.bound {
@@ -229,7 +229,7 @@
 			}
 			targets[c.table] = target
 		}
-		if c.stream.Aim(target, moved[proxy]); moved[proxy] {
+		if c.stream.SetTarget(target, moved[proxy]); moved[proxy] {
 			for k := range c.marks {
 				c.marks[k].need = target.seq // who holds the new table whole needs nothing of the old one
 			}
@@ -253,13 +253,13 @@
 
 // Sidecar is what an operator sees of one.
 type Sidecar struct {
-	ID, Zone                 string
-	Number, Table            int
-	Bound, Joined, Delta     bool
-	Away                     float64 // s since its last stream ended
-	Stale, Refused, Accepted uint64
-	Unconfirmed              int // marks
-	Standings                []Standing
+	ID, Zone                  string
+	Number, Table             int
+	Bound, Joined, Delta      bool
+	DisconnectedSeconds       float64 // s since its last stream ended
+	Stale, Rejected, Accepted uint64
+	Unconfirmed               int // marks
+	Resources                 []ResourceStatus
 }
 
 // Sidecars lists all that are known, by id.
@@ -267,12 +267,12 @@
 	for _, id := range sortedNames(s.number) {
 		c := s.sidecars[s.number[id]]
 		one := Sidecar{ID: id, Zone: c.zone, Number: c.number, Table: c.table, Bound: c.bound, Joined: c.stream != nil,
-			Unconfirmed: len(c.marks), Standings: c.last}
+			Unconfirmed: len(c.marks), Resources: c.last}
 		if c.stream != nil {
-			one.Delta, one.Stale, one.Refused, one.Accepted = c.stream.Delta, c.stream.Stale, c.stream.Refused, c.stream.Accepted
-			one.Standings = c.stream.Standings(now)
+			one.Delta, one.Stale, one.Rejected, one.Accepted = c.stream.Delta, c.stream.Stale, c.stream.Rejected, c.stream.Accepted
+			one.Resources = c.stream.Resources(now)
 		} else {
-			one.Away = now - c.ended
+			one.DisconnectedSeconds = now - c.ended
 		}
 		all = append(all, one)
 	}
@@ -285,5 +285,5 @@
 	return n, ok
 }
 
-// Streams tells whether a stream stands.
-func (s *Server) Streams(id uint64) bool { return s.streams[id] != nil }
+// Connected tells whether a stream stands.
+func (s *Server) Connected(id uint64) bool { return s.streams[id] != nil }
--- a/xds/stream.go
+++ b/xds/stream.go
@@ -18,10 +18,10 @@
 	reasonShown = 500  // bytes of a refusal's reason that are kept
 )
 
-// Refusal is a version that a sidecar turned down, and what it said of it.
-type Refusal struct {
-	Version, Why string
-	At           float64
+// Rejection is a version that a sidecar turned down, and what it said of it.
+type Rejection struct {
+	Version, Reason string
+	At              float64
 }
 
 // Stream is one aggregated stream of one sidecar. It knows what the sidecar asked for, was sent, holds and refused,
@@ -35,7 +35,7 @@
 	subs   [Kinds]subscription
 	sent   uint64 // responses so far
 
-	Stale, Refused, Accepted uint64 // answers to what is no longer out, NACKs, ACKs
+	Stale, Rejected, Accepted uint64 // answers to what is no longer out, NACKs, ACKs
 }
 
 type subscription struct {
@@ -48,10 +48,10 @@
 	heldSeq  uint64          // of the target's kind that is held whole
 	stated   string          // the version that the sidecar said it had, if we do not know it
 	out      *offer
-	last     string             // nonce of the newest response that was sent
-	refused  map[string]Refusal // by name: this version is not sent again
-	suspects map[string]bool    // of a response that was refused whole: sent one by one
-	shut     string             // a set that was refused and in which no resource is at fault
+	last     string               // nonce of the newest response that was sent
+	refused  map[string]Rejection // by name: this version is not sent again
+	suspects map[string]bool      // of a response that was refused whole: sent one by one
+	shut     string               // a set that was refused and in which no resource is at fault
 }
 
 // offer is a response that was sent and not answered.
@@ -68,14 +68,14 @@
 func NewStream(id uint64, delta bool) *Stream {
 	s := &Stream{ID: id, Delta: delta}
 	for k := range s.subs {
-		s.subs[k] = subscription{names: map[string]bool{}, owed: map[string]bool{}, held: Set{}, refused: map[string]Refusal{},
+		s.subs[k] = subscription{names: map[string]bool{}, owed: map[string]bool{}, held: Set{}, refused: map[string]Rejection{},
 			suspects: map[string]bool{}}
 	}
 	return s
 }
 
-// Aim sets what the sidecar is to hold from now on. Counts of another table's changes say nothing of this one's.
-func (s *Stream) Aim(target *Snapshot, otherTable bool) {
+// SetTarget sets what the sidecar is to hold from now on. Counts of another table's changes say nothing of this one's.
+func (s *Stream) SetTarget(target *Snapshot, otherTable bool) {
 	s.target = target
 	if otherTable {
 		for k := range s.subs {
@@ -86,8 +86,8 @@
 	}
 }
 
-// State takes a request of the state of the world variant.
-func (s *Stream) State(now float64, r *discoveryv3.DiscoveryRequest) error {
+// HandleStateOfTheWorld takes a request of the state of the world variant.
+func (s *Stream) HandleStateOfTheWorld(now float64, r *discoveryv3.DiscoveryRequest) error {
 	kind, known := KindOf(r.GetTypeUrl())
 	if !known {
 		return fmt.Errorf("type %q is not served", shorten(r.GetTypeUrl()))
@@ -144,8 +144,8 @@
 	sub.held, sub.heldSeq, sub.first, sub.stated = want, s.target.seq[kind], false, ""
 }
 
-// Deltas takes a request of the delta variant.
-func (s *Stream) Deltas(now float64, r *discoveryv3.DeltaDiscoveryRequest) error {
+// HandleDelta takes a request of the delta variant.
+func (s *Stream) HandleDelta(now float64, r *discoveryv3.DeltaDiscoveryRequest) error {
 	kind, known := KindOf(r.GetTypeUrl())
 	if !known {
 		return fmt.Errorf("type %q is not served", shorten(r.GetTypeUrl()))
@@ -224,7 +224,7 @@
 		}
 		return
 	}
-	s.Refused++
+	s.Rejected++
 	why := shorten(fault.GetMessage())
 	switch {
 	case len(out.changed) > 1:
@@ -235,10 +235,10 @@
 	case len(out.changed) == 1 && out.after[out.changed[0]] != nil:
 		name := out.changed[0]
 		delete(sub.suspects, name)
-		sub.refused[name] = Refusal{Version: out.after[name].Version, Why: why, At: now}
+		sub.refused[name] = Rejection{Version: out.after[name].Version, Reason: why, At: now}
 	default:
 		sub.shut = out.set
-		sub.refused[wildcard] = Refusal{Version: out.set, Why: why, At: now}
+		sub.refused[wildcard] = Rejection{Version: out.set, Reason: why, At: now}
 	}
 }
 
@@ -350,7 +350,7 @@
 			set = next.Version()
 		}
 		if !due || sub.shut == set {
-			if whole && sub.held.Same(next) {
+			if whole && sub.held.Equal(next) {
 				sub.heldSeq = s.target.seq[kind]
 			}
 			continue
@@ -422,19 +422,19 @@
 	return s.subs[kind].open && s.subs[kind].heldSeq >= seq
 }
 
-// Standing is what one resource is at one sidecar.
-type Standing struct {
-	Kind    Kind
-	Name    string
-	Held    string // the version that it accepted, empty if none
-	Wanted  string // the version that it is to hold, empty if it is to go
-	Waits   float64
-	Refusal *Refusal
-	Body    *anypb.Any
+// ResourceStatus is what one resource is at one sidecar.
+type ResourceStatus struct {
+	Kind           Kind
+	Name           string
+	Accepted       string // the version that it accepted, empty if none
+	Target         string // the version that it is to hold, empty if it is to go
+	PendingSeconds float64
+	Rejection      *Rejection
+	Body           *anypb.Any
 }
 
-// Standings lists all that a sidecar holds or is to hold.
-func (s *Stream) Standings(now float64) (all []Standing) {
+// Resources lists all that a sidecar holds or is to hold.
+func (s *Stream) Resources(now float64) (all []ResourceStatus) {
 	for kind := range Kinds {
 		sub := &s.subs[kind]
 		if !sub.open {
@@ -452,23 +452,23 @@
 			names[name] = true
 		}
 		for _, name := range sortedNames(names) {
-			st := Standing{Kind: kind, Name: name}
+			st := ResourceStatus{Kind: kind, Name: name}
 			if r := sub.held[name]; r != nil {
-				st.Held = r.Version
+				st.Accepted = r.Version
 			}
 			if r := want[name]; r != nil {
-				st.Wanted, st.Body = r.Version, r.Body
+				st.Target, st.Body = r.Version, r.Body
 			}
 			if sub.out != nil && slices.Contains(sub.out.changed, name) {
-				st.Waits = now - sub.out.at
+				st.PendingSeconds = now - sub.out.at
 			}
 			if refused, was := sub.refused[name]; was {
-				st.Refusal = &refused
+				st.Rejection = &refused
 			}
 			all = append(all, st)
 		}
 		if refused, was := sub.refused[wildcard]; was {
-			all = append(all, Standing{Kind: kind, Name: wildcard, Held: sub.held.Version(), Wanted: want.Version(), Refusal: &refused})
+			all = append(all, ResourceStatus{Kind: kind, Name: wildcard, Accepted: sub.held.Version(), Target: want.Version(), Rejection: &refused})
 		}
 	}
 	return all
--- a/xds/stream_test.go
+++ b/xds/stream_test.go
@@ -51,7 +51,7 @@
 		set[r.Name], c.names[r.Version] = r, one
 	}
 	c.target = c.target.next([Kinds]Set{Clusters: set, Endpoints: {}, Listeners: {}, Routes: {}})
-	c.s.Aim(c.target, false)
+	c.s.SetTarget(c.target, false)
 }
 
 // next notes what is sent now.
@@ -89,9 +89,9 @@
 	}
 	var err error
 	if c.s.Delta {
-		err = c.s.Deltas(1, &discoveryv3.DeltaDiscoveryRequest{TypeUrl: Clusters.URL(), ResponseNonce: nonce, ErrorDetail: fault})
+		err = c.s.HandleDelta(1, &discoveryv3.DeltaDiscoveryRequest{TypeUrl: Clusters.URL(), ResponseNonce: nonce, ErrorDetail: fault})
 	} else {
-		err = c.s.State(1, &discoveryv3.DiscoveryRequest{TypeUrl: Clusters.URL(), ResponseNonce: nonce, ErrorDetail: fault})
+		err = c.s.HandleStateOfTheWorld(1, &discoveryv3.DiscoveryRequest{TypeUrl: Clusters.URL(), ResponseNonce: nonce, ErrorDetail: fault})
 	}
 	if err != nil {
 		c.t.Fatal(err)
@@ -100,14 +100,14 @@
 
 func (c *script) ask(names ...string) {
 	if c.s.Delta {
-		c.s.Deltas(1, &discoveryv3.DeltaDiscoveryRequest{TypeUrl: Clusters.URL(), ResourceNamesSubscribe: names})
+		c.s.HandleDelta(1, &discoveryv3.DeltaDiscoveryRequest{TypeUrl: Clusters.URL(), ResourceNamesSubscribe: names})
 	} else {
-		c.s.State(1, &discoveryv3.DiscoveryRequest{TypeUrl: Clusters.URL(), ResourceNames: names})
+		c.s.HandleStateOfTheWorld(1, &discoveryv3.DiscoveryRequest{TypeUrl: Clusters.URL(), ResourceNames: names})
 	}
 }
 
 func (c *script) drop(names ...string) {
-	c.s.Deltas(1, &discoveryv3.DeltaDiscoveryRequest{TypeUrl: Clusters.URL(), ResourceNamesUnsubscribe: names})
+	c.s.HandleDelta(1, &discoveryv3.DeltaDiscoveryRequest{TypeUrl: Clusters.URL(), ResourceNamesUnsubscribe: names})
 }
 
 func (c *script) holds() {
@@ -285,9 +285,9 @@
 		c := newScript(t, delta, "a1", "b1")
 		versions := map[string]string{"a": thing(t, "a", '1').Version, "b": thing(t, "b", '0').Version, "gone": "x"}
 		if delta {
-			c.s.Deltas(1, &discoveryv3.DeltaDiscoveryRequest{TypeUrl: Clusters.URL(), InitialResourceVersions: versions})
+			c.s.HandleDelta(1, &discoveryv3.DeltaDiscoveryRequest{TypeUrl: Clusters.URL(), InitialResourceVersions: versions})
 		} else {
-			c.s.State(1, &discoveryv3.DiscoveryRequest{TypeUrl: Clusters.URL(), VersionInfo: c.target.Sets[Clusters].Version()})
+			c.s.HandleStateOfTheWorld(1, &discoveryv3.DiscoveryRequest{TypeUrl: Clusters.URL(), VersionInfo: c.target.Sets[Clusters].Version()})
 		}
 		c.next()
 		want := map[bool]string{true: "sent [b1] removed [gone]\n", false: "nothing\n"}[delta]
@@ -300,8 +300,8 @@
 // A mutating route is never compiled with a further try that could run a call twice, whatever is ordered.
 func TestCompiledTries(t *testing.T) {
 	c := NewCompiler([]Route{{Name: "issue", Prefix: "/issue", Mutating: true, TimeLimit: time.Second}}, time.Second)
-	for tries := range planner.Tries(5) {
-		c.Take([]controller.Order{{Kind: controller.SetLevel, Table: 0, Route: "issue", Figure: 0.5, Tries: tries}})
+	for tries := range planner.RetryPolicy(5) {
+		c.ApplyCommands([]controller.Command{{Kind: controller.SetAdmission, Table: 0, Route: "issue", Value: 0.5, Retry: tries}})
 		s, err := c.Snapshot(0)
 		if err != nil {
 			t.Fatal(err)
@@ -312,7 +312,7 @@
 				t.Errorf("tries %d: %s", tries, text)
 			}
 		}
-		if with := strings.Contains(text, RetryUnsent); with != (tries == planner.RetryUnsent) {
+		if with := strings.Contains(text, RetryIfNotSent); with != (tries == planner.RetryIfNotSent) {
 			t.Errorf("tries %d: further tries %t", tries, with)
 		}
 	}
@@ -368,26 +368,26 @@
 	f.Fuzz(func(t *testing.T, moves []byte, nonce, name string) {
 		out := &counting{out: map[string]int{}}
 		compiler := NewCompiler([]Route{{Name: "q", Prefix: "/"}}, time.Second)
-		compiler.Place("n", "z", Address{"127.0.0.1", 1})
+		compiler.SetAddress("n", "z", Address{"127.0.0.1", 1})
 		s := NewServer(compiler, out, 4)
 		for k, move := range moves[:min(len(moves), 200)] {
 			stream, kind := uint64(move%3), Kind(move/3%4)
 			node := &corev3.Node{Id: fmt.Sprint(move % 5)}
-			if !s.Streams(stream) && s.Open(float64(k), stream, stream == 1, node.GetId(), "z") != nil {
+			if !s.Connected(stream) && s.Open(float64(k), stream, stream == 1, node.GetId(), "z") != nil {
 				continue
 			}
 			if move > 200 {
-				s.Carry(float64(k), []controller.Order{{Kind: controller.SetLine, Table: int(move % 2), Node: "n", Figure: float64(move)},
-					{Kind: controller.Bind, Proxy: int(move % 4), Table: int(move % 2)}, {Kind: controller.RequestAck, Nonce: k}})
+				s.ApplyCommands(float64(k), []controller.Command{{Kind: controller.SetWeight, Table: int(move % 2), Node: "n", Value: float64(move)},
+					{Kind: controller.BindProxy, Proxy: int(move % 4), Table: int(move % 2)}, {Kind: controller.RequestAck, Nonce: k}})
 			}
 			if move%7 == 0 {
 				nonce = out.last
 			}
 			if stream == 1 {
-				s.Deltas(float64(k), stream, &discoveryv3.DeltaDiscoveryRequest{TypeUrl: kind.URL(), ResponseNonce: nonce,
+				s.HandleDelta(float64(k), stream, &discoveryv3.DeltaDiscoveryRequest{TypeUrl: kind.URL(), ResponseNonce: nonce,
 					ResourceNamesSubscribe: []string{name}, ResourceNamesUnsubscribe: []string{name}[:move%2]})
 			} else {
-				s.State(float64(k), stream, &discoveryv3.DiscoveryRequest{TypeUrl: kind.URL(), ResponseNonce: nonce,
+				s.HandleStateOfTheWorld(float64(k), stream, &discoveryv3.DiscoveryRequest{TypeUrl: kind.URL(), ResponseNonce: nonce,
 					ResourceNames: []string{name}[:move%2]})
 			}
 			for id, c := range s.streams {
@@ -415,8 +415,8 @@
 	c.out[fmt.Sprint(id, r.GetTypeUrl())]++
 	c.last = r.GetNonce()
 }
-func (c *counting) End(uint64, string)           {}
-func (c *counting) Joined(int, string)           {}
-func (c *counting) Left(int)                     {}
-func (c *counting) Confirmed(int, int)           {}
-func (c *counting) Refused(string, Kind, string) {}
+func (c *counting) CloseStream(uint64, string)    {}
+func (c *counting) Joined(int, string)            {}
+func (c *counting) Left(int)                      {}
+func (c *counting) Acknowledged(int, int)         {}
+func (c *counting) Rejected(string, Kind, string) {}
--- a/xds/transport/bench_test.go
+++ b/xds/transport/bench_test.go
@@ -24,18 +24,18 @@
 )
 
 // serve starts a front over loopback whose core decides nothing by itself.
-func serve(tb testing.TB, most int) (f *Front, address string) {
+func serve(tb testing.TB, most int) (f *Server, address string) {
 	compiler := machine.NewCompiler([]machine.Route{{Name: "quote", Prefix: "/quote", TimeLimit: time.Second}}, time.Second)
 	f = New(compiler, most, zap.NewNop())
-	f.Core = controller.New(settings.Deployment{Site: planner.Site{Zones: 1, Kinds: 1, Proxies: most, Sliced: true, Routes: []planner.Route{{}}},
-		Zones: []string{"north"}, Kinds: []string{"node"}, Routes: []string{"quote"}, Tick: 0.004}, nil, f, zap.NewNop())
+	f.Controller = controller.New(settings.Deployment{Planner: planner.Config{Zones: 1, MachineTypes: 1, Proxies: most, Sharded: true, Routes: []planner.Route{{}}},
+		Zones: []string{"north"}, MachineTypes: []string{"node"}, Routes: []string{"quote"}, EventInterval: 0.004}, nil, f, zap.NewNop())
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		tb.Fatal(err)
 	}
 	ctx, stop := context.WithCancel(context.Background())
 	var parts sync.WaitGroup
-	parts.Go(func() { f.Core.Run(ctx) })
+	parts.Go(func() { f.Controller.Run(ctx) })
 	parts.Go(func() { f.Run(ctx, l) })
 	tb.Cleanup(func() { stop(); parts.Wait() })
 	return f, l.Addr().String()
@@ -46,7 +46,7 @@
 	answers, bytes atomic.Int64
 }
 
-func (c *crowd) join(ctx context.Context, conn *grpc.ClientConn, h *sidecar.Holder) error {
+func (c *crowd) join(ctx context.Context, conn *grpc.ClientConn, h *sidecar.ResourceCache) error {
 	client := discoveryv3.NewAggregatedDiscoveryServiceClient(conn)
 	counted := func(size int) {
 		c.bytes.Add(int64(size))
@@ -57,18 +57,18 @@
 		if err != nil {
 			return err
 		}
-		return sidecar.Converse(s, h.BeginDelta(), nil, func(r *discoveryv3.DeltaDiscoveryResponse) ([]*discoveryv3.DeltaDiscoveryRequest, error) {
+		return sidecar.Exchange(s, h.BeginDelta(), nil, func(r *discoveryv3.DeltaDiscoveryResponse) ([]*discoveryv3.DeltaDiscoveryRequest, error) {
 			defer counted(proto.Size(r))
-			return h.Deltas(r)
+			return h.HandleDelta(r)
 		}, func() {})
 	}
 	s, err := client.StreamAggregatedResources(ctx)
 	if err != nil {
 		return err
 	}
-	return sidecar.Converse(s, h.BeginState(), nil, func(r *discoveryv3.DiscoveryResponse) ([]*discoveryv3.DiscoveryRequest, error) {
+	return sidecar.Exchange(s, h.BeginState(), nil, func(r *discoveryv3.DiscoveryResponse) ([]*discoveryv3.DiscoveryRequest, error) {
 		defer counted(proto.Size(r))
-		return h.State(r)
+		return h.HandleStateOfTheWorld(r)
 	}, func() {})
 }
 
@@ -96,17 +96,17 @@
 						defer conn.Close()
 					}
 					on := conn
-					go c.join(ctx, on, &sidecar.Holder{ID: fmt.Sprint("till-", k), Zone: "north", Delta: delta})
+					go c.join(ctx, on, &sidecar.ResourceCache{ID: fmt.Sprint("till-", k), Zone: "north", Delta: delta})
 				}
-				batch := []controller.Order{{Kind: controller.SetLevel, Table: planner.AllTables, Route: "quote", Figure: 1}}
+				batch := []controller.Command{{Kind: controller.SetAdmission, Table: planner.AllTables, Route: "quote", Value: 1}}
 				for n := range nodes {
 					name := fmt.Sprint("node-", n)
-					f.Place([]Node{{Name: name, Zone: "north", Address: machine.Address{Host: "10.0.0.1", Port: uint32(1000 + n)}}})
-					batch = append(batch, controller.Order{Kind: controller.SetLine, Node: name, Figure: 1})
+					f.SetAddresses([]Node{{Name: name, Zone: "north", Address: machine.Address{Host: "10.0.0.1", Port: uint32(1000 + n)}}})
+					batch = append(batch, controller.Command{Kind: controller.SetWeight, Node: name, Value: 1})
 				}
 				held := func() (n int) {
 					f.ask(func() {
-						for _, s := range f.Server.Sidecars(f.now()) {
+						for _, s := range f.Streams.Sidecars(f.now()) {
 							if s.Joined && s.Bound && s.Unconfirmed == 0 {
 								n++
 							}
@@ -118,9 +118,9 @@
 					time.Sleep(10 * time.Millisecond)
 				}
 				for proxy := range sidecars {
-					batch = append(batch, controller.Order{Kind: controller.Bind, Proxy: proxy})
+					batch = append(batch, controller.Command{Kind: controller.BindProxy, Proxy: proxy})
 				}
-				f.Carry(append(batch, controller.Order{Kind: controller.RequestAck, Nonce: 1}))
+				f.Enqueue(append(batch, controller.Command{Kind: controller.RequestAck, Nonce: 1}))
 				for held() < sidecars {
 					time.Sleep(10 * time.Millisecond)
 				}
@@ -132,7 +132,7 @@
 				for b.Loop() {
 					pushes++
 					want := c.answers.Load() + int64(sidecars)
-					f.Carry([]controller.Order{{Kind: controller.SetLine, Node: "node-7", Figure: 1 + float64(pushes%2)},
+					f.Enqueue([]controller.Command{{Kind: controller.SetWeight, Node: "node-7", Value: 1 + float64(pushes%2)},
 						{Kind: controller.RequestAck, Nonce: 1 + pushes%60000}})
 					for c.answers.Load() < want {
 						time.Sleep(100 * time.Microsecond)
--- a/xds/transport/front.go
+++ b/xds/transport/front.go
@@ -37,12 +37,12 @@
 	perClient   = 16 // streams of one connection
 )
 
-// Front serves sidecars. It is the core's carrier.
-type Front struct {
-	Core   *controller.Core
-	Server *machine.Server
-	Secure credentials.TransportCredentials // nil: none
-	Report time.Duration                    // between two load reports of a sidecar
+// Server serves sidecars. It is the core's carrier.
+type Server struct {
+	Controller     *controller.Controller
+	Streams        *machine.Server
+	Credentials    credentials.TransportCredentials // nil: none
+	ReportInterval time.Duration                    // between two load reports of a sidecar
 
 	Register func(grpc.ServiceRegistrar) // further services for operators; nil: none
 	Log      *zap.Logger
@@ -53,10 +53,10 @@
 	streams map[uint64]*stream // the hub's
 	ids     atomic.Uint64
 	lock    sync.Mutex
-	queue   [][]controller.Order // batches that the hub has not taken yet
+	queue   [][]controller.Command // batches that the hub has not taken yet
 	more    chan struct{}
 
-	Unreadable, Unknown atomic.Uint64 // requests that were no such thing, reports of what is not known
+	Malformed, Unknown atomic.Uint64 // requests that were no such thing, reports of what is not known
 }
 
 // stream is one that stands; its goroutines end with its context.
@@ -69,18 +69,18 @@
 }
 
 // New makes a front that serves nothing yet. The core is set before Run.
-func New(compiler *machine.Compiler, most int, log *zap.Logger) *Front {
-	f := &Front{Log: log, inbox: make(chan func(), inboxSize), done: make(chan struct{}), began: time.Now(),
-		streams: map[uint64]*stream{}, more: make(chan struct{}, 1), Report: time.Second}
-	f.Server = machine.NewServer(compiler, outward{f}, most)
+func New(compiler *machine.Compiler, most int, log *zap.Logger) *Server {
+	f := &Server{Log: log, inbox: make(chan func(), inboxSize), done: make(chan struct{}), began: time.Now(),
+		streams: map[uint64]*stream{}, more: make(chan struct{}, 1), ReportInterval: time.Second}
+	f.Streams = machine.NewServer(compiler, outward{f}, most)
 	return f
 }
 
-func (f *Front) now() float64 { return time.Since(f.began).Seconds() }
+func (f *Server) now() float64 { return time.Since(f.began).Seconds() }
 
-// Carry implements conductor.Carrier. All that is ordered is kept until sidecars hold it, so a mark's call counts as
+// Enqueue implements conductor.Carrier. All that is ordered is kept until sidecars hold it, so a mark's call counts as
 // taken at once.
-func (f *Front) Carry(batch []controller.Order) {
+func (f *Server) Enqueue(batch []controller.Command) {
 	f.lock.Lock()
 	f.queue = append(f.queue, batch)
 	f.lock.Unlock()
@@ -91,13 +91,13 @@
 }
 
 // Run serves on a listener until ctx ends.
-func (f *Front) Run(ctx context.Context, listener net.Listener) error {
+func (f *Server) Run(ctx context.Context, listener net.Listener) error {
 	options := []grpc.ServerOption{grpc.MaxRecvMsgSize(messageMost), grpc.MaxConcurrentStreams(perClient),
 		grpc.ConnectionTimeout(firstWithin),
 		grpc.KeepaliveParams(keepalive.ServerParameters{Time: pingAfter, Timeout: pingWithin, MaxConnectionIdle: idleMost}),
 		grpc.KeepaliveEnforcementPolicy(keepalive.EnforcementPolicy{MinTime: pingAfter / 2, PermitWithoutStream: true})}
-	if f.Secure != nil {
-		options = append(options, grpc.Creds(f.Secure))
+	if f.Credentials != nil {
+		options = append(options, grpc.Creds(f.Credentials))
 	}
 	server := grpc.NewServer(options...)
 	discoveryv3.RegisterAggregatedDiscoveryServiceServer(server, ads{f: f})
@@ -119,7 +119,7 @@
 }
 
 // hub owns the machines.
-func (f *Front) hub(ctx context.Context) {
+func (f *Server) hub(ctx context.Context) {
 	defer close(f.done)
 	for {
 		select {
@@ -133,12 +133,12 @@
 			f.queue = nil
 			f.lock.Unlock()
 			for _, batch := range queue {
-				if err := f.Server.Carry(f.now(), batch); err != nil {
+				if err := f.Streams.ApplyCommands(f.now(), batch); err != nil {
 					f.Log.Error("orders that make no resources", zap.Error(err))
 				}
 				for _, o := range batch {
 					if o.Kind == controller.RequestAck {
-						f.Core.OrdersTaken(o.Nonce)
+						f.Controller.CommandsAccepted(o.Nonce)
 					}
 				}
 			}
@@ -147,7 +147,7 @@
 }
 
 // tell has the hub do something; it tells whether the hub still runs.
-func (f *Front) tell(do func()) bool {
+func (f *Server) tell(do func()) bool {
 	select {
 	case f.inbox <- do:
 		return true
@@ -157,7 +157,7 @@
 }
 
 // ask is tell and waits until it is done.
-func (f *Front) ask(do func()) bool {
+func (f *Server) ask(do func()) bool {
 	ready := make(chan struct{})
 	if !f.tell(func() { do(); close(ready) }) {
 		return false
@@ -171,7 +171,7 @@
 }
 
 // outward is how the machines act; the hub calls it.
-type outward struct{ f *Front }
+type outward struct{ f *Server }
 
 func (o outward) Send(id uint64, r *discoveryv3.DiscoveryResponse)           { o.send(id, r) }
 func (o outward) SendDelta(id uint64, r *discoveryv3.DeltaDiscoveryResponse) { o.send(id, r) }
@@ -188,32 +188,32 @@
 	}
 }
 
-func (o outward) End(id uint64, why string) {
+func (o outward) CloseStream(id uint64, why string) {
 	if s := o.f.streams[id]; s != nil {
 		s.end(status.Error(codes.Aborted, why))
 	}
 }
 
-func (o outward) Joined(proxy int, zone string) { o.f.Core.ProxyJoined(proxy, zone, usualRate) }
-func (o outward) Left(proxy int)                { o.f.Core.ProxyLeft(proxy) }
-func (o outward) Confirmed(proxy, mark int)     { o.f.Core.Acknowledged(proxy, mark) }
-func (o outward) Refused(id string, kind machine.Kind, why string) {
+func (o outward) Joined(proxy int, zone string) { o.f.Controller.ProxyJoined(proxy, zone, usualRate) }
+func (o outward) Left(proxy int)                { o.f.Controller.ProxyLeft(proxy) }
+func (o outward) Acknowledged(proxy, mark int)  { o.f.Controller.Acknowledged(proxy, mark) }
+func (o outward) Rejected(id string, kind machine.Kind, why string) {
 	o.f.Log.Warn("version refused", zap.String("sidecar", id), zap.Stringer("kind", kind), zap.String("why", why))
 }
 
-// Place tells where nodes take calls; it is said before the core hears of them.
-func (f *Front) Place(nodes []Node) {
+// SetAddresses tells where nodes take calls; it is said before the core hears of them.
+func (f *Server) SetAddresses(nodes []Node) {
 	f.ask(func() {
 		for _, n := range nodes {
-			f.Server.Compiler.Place(n.Name, n.Zone, n.Address)
+			f.Streams.Compiler.SetAddress(n.Name, n.Zone, n.Address)
 		}
 	})
 }
 
-// Agree has the routes of an agreed version reach all sidecars.
-func (f *Front) Agree(version uint64, routes []machine.Route) {
+// SetAgreedRoutes has the routes of an agreed version reach all sidecars.
+func (f *Server) SetAgreedRoutes(version uint64, routes []machine.Route) {
 	f.ask(func() {
-		if err := f.Server.Agree(f.now(), version, routes); err != nil {
+		if err := f.Streams.SetAgreedRoutes(f.now(), version, routes); err != nil {
 			f.Log.Error("routes that make no resources", zap.Error(err))
 		}
 	})
@@ -228,7 +228,7 @@
 // ads serves the aggregated discovery service.
 type ads struct {
 	discoveryv3.UnimplementedAggregatedDiscoveryServiceServer
-	f *Front
+	f *Server
 }
 
 func (a ads) StreamAggregatedResources(wire discoveryv3.AggregatedDiscoveryService_StreamAggregatedResourcesServer) error {
@@ -238,7 +238,7 @@
 			return opener{}, nil, err
 		}
 		id, zone := machine.NodeOf(r.GetNode())
-		return opener{id, zone}, func(stream uint64) error { return a.f.Server.State(a.f.now(), stream, r) }, nil
+		return opener{id, zone}, func(stream uint64) error { return a.f.Streams.HandleStateOfTheWorld(a.f.now(), stream, r) }, nil
 	}, func(m any) error { return wire.Send(m.(*discoveryv3.DiscoveryResponse)) })
 }
 
@@ -249,14 +249,14 @@
 			return opener{}, nil, err
 		}
 		id, zone := machine.NodeOf(r.GetNode())
-		return opener{id, zone}, func(stream uint64) error { return a.f.Server.Deltas(a.f.now(), stream, r) }, nil
+		return opener{id, zone}, func(stream uint64) error { return a.f.Streams.HandleDelta(a.f.now(), stream, r) }, nil
 	}, func(m any) error { return wire.Send(m.(*discoveryv3.DeltaDiscoveryResponse)) })
 }
 
 type opener struct{ id, zone string }
 
 // serve drives one stream: this goroutine sends, another one receives.
-func (f *Front) serve(ctx context.Context, delta bool, recv func() (opener, func(uint64) error, error), send func(any) error) error {
+func (f *Server) serve(ctx context.Context, delta bool, recv func() (opener, func(uint64) error, error), send func(any) error) error {
 	ctx, end := context.WithCancelCause(ctx)
 	defer end(nil)
 	s := &stream{id: f.ids.Add(1), out: make(chan any, outSize), end: end}
@@ -273,8 +273,8 @@
 			if !opened {
 				first.Stop()
 				opened = true
-				if !f.Core.Zone(who.zone) {
-					f.Unreadable.Add(1)
+				if !f.Controller.KnowsZone(who.zone) {
+					f.Malformed.Add(1)
 					end(status.Errorf(codes.InvalidArgument, "zone %q is not known", who.zone))
 					return
 				}
@@ -283,8 +283,8 @@
 						return
 					}
 					f.streams[s.id] = s
-					if err := f.Server.Open(f.now(), s.id, delta, who.id, who.zone); err != nil {
-						f.Unreadable.Add(1)
+					if err := f.Streams.Open(f.now(), s.id, delta, who.id, who.zone); err != nil {
+						f.Malformed.Add(1)
 						end(status.Error(codes.InvalidArgument, err.Error()))
 					}
 				}) {
@@ -293,7 +293,7 @@
 			}
 			if !f.tell(func() {
 				if err := take(s.id); err != nil {
-					f.Unreadable.Add(1)
+					f.Malformed.Add(1)
 					end(status.Error(codes.InvalidArgument, err.Error()))
 				}
 			}) {
@@ -304,7 +304,7 @@
 	defer f.tell(func() {
 		s.closed = true
 		delete(f.streams, s.id)
-		f.Server.Close(f.now(), s.id)
+		f.Streams.Close(f.now(), s.id)
 	})
 	for {
 		select {
@@ -331,7 +331,7 @@
 // lrs takes load reports in: sums of tries at nodes, and calls by route.
 type lrs struct {
 	loadv3.UnimplementedLoadReportingServiceServer
-	f *Front
+	f *Server
 }
 
 const (
@@ -348,7 +348,7 @@
 		return err
 	}
 	id, _ := machine.NodeOf(r.GetNode())
-	if err := wire.Send(&loadv3.LoadStatsResponse{SendAllClusters: true, LoadReportingInterval: duration(f.Report),
+	if err := wire.Send(&loadv3.LoadStatsResponse{SendAllClusters: true, LoadReportingInterval: duration(f.ReportInterval),
 		ReportEndpointGranularity: true}); err != nil {
 		return err
 	}
@@ -363,9 +363,9 @@
 }
 
 // take tells the core what a sidecar met. A figure that can't be loses its own line only.
-func (f *Front) take(id string, r *loadv3.LoadStatsRequest) {
+func (f *Server) take(id string, r *loadv3.LoadStatsRequest) {
 	lines := 0
-	var sums []controller.Sums
+	var sums []controller.LoadReport
 	type usage struct {
 		route string
 		calls int
@@ -376,23 +376,23 @@
 	for _, c := range r.GetClusterStats() {
 		span := c.GetLoadReportInterval().AsDuration().Seconds()
 		if !(span > 0) || span > spanMost {
-			f.Unreadable.Add(1)
+			f.Malformed.Add(1)
 			continue
 		}
 		for _, local := range c.GetUpstreamLocalityStats() {
 			for _, e := range local.GetUpstreamEndpointStats() {
 				if lines++; lines > sumsMost {
-					f.Unreadable.Add(1)
+					f.Malformed.Add(1)
 					return
 				}
-				s := controller.Sums{Ended: count(e.GetTotalIssuedRequests()), Lost: count(e.GetTotalErrorRequests()), Span: span}
+				s := controller.LoadReport{Completed: count(e.GetTotalIssuedRequests()), Failed: count(e.GetTotalErrorRequests()), Interval: span}
 				for _, m := range e.GetLoadMetricStats() {
-					if n := m.GetNumRequestsFinishedWithMetric(); m.GetMetricName() == machine.CallSeconds && n > 0 {
-						s.Mean = m.GetTotalMetricValue() / float64(n)
+					if n := m.GetNumRequestsFinishedWithMetric(); m.GetMetricName() == machine.LatencySumMetric && n > 0 {
+						s.MeanLatency = m.GetTotalMetricValue() / float64(n)
 					}
 				}
-				if s.Ended < s.Lost || s.Ended == 0 || !(s.Mean >= 0) || math.IsInf(s.Mean, 0) || s.Ended == countMost {
-					f.Unreadable.Add(1)
+				if s.Completed < s.Failed || s.Completed == 0 || !(s.MeanLatency >= 0) || math.IsInf(s.MeanLatency, 0) || s.Completed == countMost {
+					f.Malformed.Add(1)
 					continue
 				}
 				sums, addresses = append(sums, s), append(addresses, machine.AddressOf(e.GetAddress()))
@@ -405,20 +405,20 @@
 		}
 	}
 	f.tell(func() {
-		proxy, known := f.Server.Number(id)
+		proxy, known := f.Streams.Number(id)
 		if !known {
 			f.Unknown.Add(1)
 			return
 		}
 		for _, u := range usages {
-			f.Core.RouteUsage(proxy, u.route, u.calls, u.span)
+			f.Controller.AddDemandReport(proxy, u.route, u.calls, u.span)
 		}
 		for k, s := range sums {
-			if s.Node, known = f.Server.Compiler.NodeAt(addresses[k]); !known {
+			if s.Node, known = f.Streams.Compiler.NodeAt(addresses[k]); !known {
 				f.Unknown.Add(1)
 				continue
 			}
-			f.Core.NodeSums(s)
+			f.Controller.AddLoadReport(s)
 		}
 	})
 }
--- a/xds/transport/front_test.go
+++ b/xds/transport/front_test.go
@@ -46,12 +46,12 @@
 }
 
 // settled is how many sidecars hold all that they are to hold.
-func settled(f *Front) (n int) {
+func settled(f *Server) (n int) {
 	f.ask(func() {
-		for _, s := range f.Server.Sidecars(f.now()) {
-			all := s.Joined && s.Bound && s.Unconfirmed == 0 && len(s.Standings) >= int(machine.Kinds)
-			for _, st := range s.Standings {
-				all = all && st.Held == st.Wanted
+		for _, s := range f.Streams.Sidecars(f.now()) {
+			all := s.Joined && s.Bound && s.Unconfirmed == 0 && len(s.Resources) >= int(machine.Kinds)
+			for _, st := range s.Resources {
+				all = all && st.Accepted == st.Target
 			}
 			if all {
 				n++
@@ -62,14 +62,14 @@
 }
 
 // known is how many sidecars ever joined, joined how many stand.
-func known(f *Front) (n int) {
-	f.ask(func() { n = len(f.Server.Sidecars(f.now())) })
+func known(f *Server) (n int) {
+	f.ask(func() { n = len(f.Streams.Sidecars(f.now())) })
 	return n
 }
 
-func joined(f *Front) (n int) {
+func joined(f *Server) (n int) {
 	f.ask(func() {
-		for _, s := range f.Server.Sidecars(f.now()) {
+		for _, s := range f.Streams.Sidecars(f.now()) {
 			if s.Joined {
 				n++
 			}
@@ -79,24 +79,24 @@
 }
 
 // table gives all sidecars a table of some nodes.
-func table(f *Front, sidecars, nodes int) {
-	batch := []controller.Order{{Kind: controller.SetLevel, Table: planner.AllTables, Route: "quote", Figure: 1}}
+func table(f *Server, sidecars, nodes int) {
+	batch := []controller.Command{{Kind: controller.SetAdmission, Table: planner.AllTables, Route: "quote", Value: 1}}
 	for n := range nodes {
 		name := fmt.Sprint("node-", n)
-		f.Place([]Node{{Name: name, Zone: "north", Address: machine.Address{Host: "127.0.0.1", Port: uint32(1000 + n)}}})
-		batch = append(batch, controller.Order{Kind: controller.SetLine, Node: name, Figure: 1})
+		f.SetAddresses([]Node{{Name: name, Zone: "north", Address: machine.Address{Host: "127.0.0.1", Port: uint32(1000 + n)}}})
+		batch = append(batch, controller.Command{Kind: controller.SetWeight, Node: name, Value: 1})
 	}
-	f.Carry(batch)
+	f.Enqueue(batch)
 	bindAll(f, sidecars, 1)
 }
 
 // bindAll binds those that joined, as the module does when they do.
-func bindAll(f *Front, sidecars, mark int) {
-	var batch []controller.Order
+func bindAll(f *Server, sidecars, mark int) {
+	var batch []controller.Command
 	for proxy := range sidecars {
-		batch = append(batch, controller.Order{Kind: controller.Bind, Proxy: proxy})
+		batch = append(batch, controller.Command{Kind: controller.BindProxy, Proxy: proxy})
 	}
-	f.Carry(append(batch, controller.Order{Kind: controller.RequestAck, Nonce: mark}))
+	f.Enqueue(append(batch, controller.Command{Kind: controller.RequestAck, Nonce: mark}))
 }
 
 // Hundreds of sidecars of both variants lose their streams at once, again and again, while tables change: all are back
@@ -104,9 +104,9 @@
 func TestStorm(t *testing.T) {
 	const sidecars = 300
 	f, address := serve(t, sidecars)
-	holders := make([]*sidecar.Holder, sidecars)
+	holders := make([]*sidecar.ResourceCache, sidecars)
 	for k := range holders {
-		holders[k] = &sidecar.Holder{ID: fmt.Sprint("till-", k), Zone: "north", Delta: k%2 == 0}
+		holders[k] = &sidecar.ResourceCache{ID: fmt.Sprint("till-", k), Zone: "north", Delta: k%2 == 0}
 	}
 	for round := range 4 {
 		ctx, stop := context.WithCancel(context.Background())
@@ -125,7 +125,7 @@
 			table(f, sidecars, 20)
 		} else {
 			if round%2 == 0 {
-				f.Carry([]controller.Order{{Kind: controller.SetLine, Node: "node-1", Figure: float64(round)}})
+				f.Enqueue([]controller.Command{{Kind: controller.SetWeight, Node: "node-1", Value: float64(round)}})
 			}
 			bindAll(f, sidecars, round+1)
 		}
@@ -142,7 +142,7 @@
 // What can't be is answered with a status and a reason, counted, and costs no one else anything.
 func TestBadClients(t *testing.T) {
 	f, address := serve(t, 3)
-	good := &sidecar.Holder{ID: "till", Zone: "north", Delta: true}
+	good := &sidecar.ResourceCache{ID: "till", Zone: "north", Delta: true}
 	ctx, stop := context.WithCancel(context.Background())
 	defer stop()
 	go (&crowd{}).join(ctx, dial(t, address), good)
@@ -188,8 +188,8 @@
 	if _, err := s.Recv(); status.Code(err) != codes.InvalidArgument || !strings.Contains(err.Error(), "no more may join") {
 		t.Errorf("too many: %v", err)
 	}
-	if f.Unreadable.Load() < 5 {
-		t.Errorf("%d counted", f.Unreadable.Load())
+	if f.Malformed.Load() < 5 {
+		t.Errorf("%d counted", f.Malformed.Load())
 	}
 	if settled(f) < 1 {
 		t.Error("the good one lost its table")
@@ -226,7 +226,7 @@
 	ctx, stop := context.WithCancel(t.Context())
 	defer stop()
 	conn := dial(t, address)
-	go (&crowd{}).join(ctx, conn, &sidecar.Holder{ID: "till", Zone: "north", Delta: true})
+	go (&crowd{}).join(ctx, conn, &sidecar.ResourceCache{ID: "till", Zone: "north", Delta: true})
 	until(t, "it joined", func() bool { return known(f) == 1 })
 	table(f, 1, 1)
 	s, err := loadv3.NewLoadReportingServiceClient(conn).StreamLoadStats(ctx)
@@ -234,7 +234,7 @@
 		t.Fatal(err)
 	}
 	s.Send(&loadv3.LoadStatsRequest{Node: &corev3.Node{Id: "till"}})
-	if r, err := s.Recv(); err != nil || r.GetLoadReportingInterval().AsDuration() != f.Report {
+	if r, err := s.Recv(); err != nil || r.GetLoadReportingInterval().AsDuration() != f.ReportInterval {
 		t.Fatalf("%v %v", r, err)
 	}
 	line := func(port uint32, issued, errors uint64) *endpointv3.UpstreamEndpointStats {
@@ -246,10 +246,10 @@
 			UpstreamLocalityStats: []*endpointv3.UpstreamLocalityStats{{UpstreamEndpointStats: lines}}}}})
 	}
 	report(time.Second, line(1000, 10, 2), line(1000, 1, 2), line(9999, 5, 0))
-	until(t, "the bad line and the unknown node are counted", func() bool { return f.Unreadable.Load() == 1 && f.Unknown.Load() == 1 })
+	until(t, "the bad line and the unknown node are counted", func() bool { return f.Malformed.Load() == 1 && f.Unknown.Load() == 1 })
 	report(0, line(1000, 10, 2))
 	report(-time.Second, line(1000, 10, 2))
-	until(t, "spans that can't be are counted", func() bool { return f.Unreadable.Load() == 3 })
+	until(t, "spans that can't be are counted", func() bool { return f.Malformed.Load() == 3 })
 	s.CloseSend()
 	if _, err := s.Recv(); err != io.EOF {
 		t.Errorf("after its end: %v", err)
--- a/xds/transport/members.go
+++ b/xds/transport/members.go
@@ -29,25 +29,25 @@
 	againMost   = 5 * time.Second
 )
 
-// Listed is a node of a list that another service keeps.
-type Listed struct {
+// Endpoint is a node of a list that another service keeps.
+type Endpoint struct {
 	Node
-	Condition planner.Condition
-	Weight    float64
+	State  planner.EndpointState
+	Weight float64
 }
 
-// Members follows the endpoints of a cluster that another service keeps, as the list of nodes. A version with a fault is
+// EndpointWatcher follows the endpoints of a cluster that another service keeps, as the list of nodes. A version with a fault is
 // refused with a reason and the last good one stays; so does it while the service is away.
-type Members struct {
+type EndpointWatcher struct {
 	Address, Cluster, Name string
-	Zone                   func(name string) bool               // whether it is known
-	Secure                 credentials.TransportCredentials     // nil: none
-	Take                   func(version string, nodes []Listed) // called with each version that is accepted
+	KnowsZone              func(name string) bool                 // whether it is known
+	Credentials            credentials.TransportCredentials       // nil: none
+	Accepted               func(version string, nodes []Endpoint) // called with each version that is accepted
 	Log                    *zap.Logger
 }
 
 // Run follows until ctx ends.
-func (m *Members) Run(ctx context.Context) {
+func (m *EndpointWatcher) Run(ctx context.Context) {
 	pause, version := againMin, ""
 	for ctx.Err() == nil {
 		began := time.Now()
@@ -67,8 +67,8 @@
 	}
 }
 
-func (m *Members) stream(ctx context.Context, version *string) error {
-	secure := m.Secure
+func (m *EndpointWatcher) stream(ctx context.Context, version *string) error {
+	secure := m.Credentials
 	if secure == nil {
 		secure = insecure.NewCredentials()
 	}
@@ -97,7 +97,7 @@
 		ask = &discoveryv3.DiscoveryRequest{TypeUrl: machine.Endpoints.URL(), ResourceNames: []string{m.Cluster}, ResponseNonce: r.GetNonce()}
 		if fault == nil {
 			*version = r.GetVersionInfo()
-			m.Take(*version, nodes)
+			m.Accepted(*version, nodes)
 		} else {
 			m.Log.Error("list of nodes refused, the last one stays", zap.String("version", r.GetVersionInfo()), zap.Error(fault))
 			ask.ErrorDetail = &rpc.Status{Code: int32(codes.InvalidArgument), Message: fault.Error()}
@@ -107,7 +107,7 @@
 }
 
 // read takes a version as a whole, or not at all: half a list would let nodes go that are there.
-func (m *Members) read(r *discoveryv3.DiscoveryResponse) (nodes []Listed, err error) {
+func (m *EndpointWatcher) read(r *discoveryv3.DiscoveryResponse) (nodes []Endpoint, err error) {
 	if r.GetTypeUrl() != machine.Endpoints.URL() || len(r.GetResources()) != 1 {
 		return nil, fmt.Errorf("%d resources of type %q, asked for was one cluster's endpoints", len(r.GetResources()), r.GetTypeUrl())
 	}
@@ -119,11 +119,11 @@
 	ready := 0
 	for _, local := range list.GetEndpoints() {
 		zone := local.GetLocality().GetZone()
-		if !m.Zone(zone) {
+		if !m.KnowsZone(zone) {
 			return nil, fmt.Errorf("zone %q is not known", zone)
 		}
 		for _, e := range local.GetLbEndpoints() {
-			one := Listed{Weight: 1, Condition: planner.Ready, Node: Node{Name: e.GetEndpoint().GetHostname(), Zone: zone,
+			one := Endpoint{Weight: 1, State: planner.Ready, Node: Node{Name: e.GetEndpoint().GetHostname(), Zone: zone,
 				Address: machine.AddressOf(e.GetEndpoint().GetAddress())}}
 			if one.Name == "" {
 				one.Name = fmt.Sprintf("%s:%d", one.Address.Host, one.Address.Port)
@@ -142,7 +142,7 @@
 			}
 			switch e.GetHealthStatus() {
 			case corev3.HealthStatus_DRAINING:
-				one.Condition = planner.Draining
+				one.State = planner.Draining
 			case corev3.HealthStatus_UNHEALTHY, corev3.HealthStatus_TIMEOUT:
 				continue // as though it were not listed: the service knows that it is down
 			default:
--- a/xds/transport/members_test.go
+++ b/xds/transport/members_test.go
@@ -78,11 +78,11 @@
 	defer server.Stop()
 	var taken []string
 	ctx, stop := context.WithCancel(context.Background())
-	m := &Members{Address: listener.Addr().String(), Cluster: "tickets", Name: "c", Log: zap.NewNop(), Zone: func(zone string) bool { return zone == "north" },
-		Take: func(version string, nodes []Listed) {
+	m := &EndpointWatcher{Address: listener.Addr().String(), Cluster: "tickets", Name: "c", Log: zap.NewNop(), KnowsZone: func(zone string) bool { return zone == "north" },
+		Accepted: func(version string, nodes []Endpoint) {
 			line := version
 			for _, n := range nodes {
-				line += fmt.Sprint(" ", n.Name, n.Condition)
+				line += fmt.Sprint(" ", n.Name, n.State)
 			}
 			l.lock.Lock()
 			defer l.lock.Unlock()
--- a/xds/transport/refuse_test.go
+++ b/xds/transport/refuse_test.go
@@ -21,7 +21,7 @@
 
 // picky is a sidecar that turns some contents down and whose routing is checked after each response.
 type picky struct {
-	*sidecar.Holder
+	*sidecar.ResourceCache
 	lock    sync.Mutex
 	refused map[string]bool
 	faults  []string
@@ -44,18 +44,18 @@
 	client := discoveryv3.NewAggregatedDiscoveryServiceClient(conn)
 	if p.Delta {
 		if s, err := client.DeltaAggregatedResources(ctx); err == nil {
-			talk(p, s, p.BeginDelta, p.Deltas)
+			talk(p, s, p.BeginDelta, p.HandleDelta)
 		}
 	} else if s, err := client.StreamAggregatedResources(ctx); err == nil {
-		talk(p, s, p.BeginState, p.State)
+		talk(p, s, p.BeginState, p.HandleStateOfTheWorld)
 	}
 }
 
-func talk[Request, Response any](p *picky, s sidecar.Wire[Request, Response], begin func() []Request, take func(Response) ([]Request, error)) {
+func talk[Request, Response any](p *picky, s sidecar.Transport[Request, Response], begin func() []Request, take func(Response) ([]Request, error)) {
 	p.lock.Lock()
 	first := begin()
 	p.lock.Unlock()
-	sidecar.Converse(s, first, nil, func(r Response) ([]Request, error) {
+	sidecar.Exchange(s, first, nil, func(r Response) ([]Request, error) {
 		p.lock.Lock()
 		defer p.lock.Unlock()
 		out, err := take(r)
@@ -81,8 +81,8 @@
 	}
 	for k := range all {
 		p := &picky{refused: map[string]bool{}}
-		p.Holder = &sidecar.Holder{ID: fmt.Sprint("till-", k), Zone: "north", Delta: k%2 == 0,
-			Also: func(_ machine.Kind, _ string, body *anypb.Any) error {
+		p.ResourceCache = &sidecar.ResourceCache{ID: fmt.Sprint("till-", k), Zone: "north", Delta: k%2 == 0,
+			ExtraCheck: func(_ machine.Kind, _ string, body *anypb.Any) error {
 				sum := fnv.New32a()
 				sum.Write(body.GetValue())
 				fmt.Fprint(sum, k)
@@ -91,14 +91,14 @@
 				}
 				return nil
 			},
-			OnRefuse: func(r sidecar.Refused) { p.refused[fmt.Sprint(r.Kind, r.Name, r.Version)] = true }}
+			OnReject: func(r sidecar.RejectedResource) { p.refused[fmt.Sprint(r.Kind, r.Name, r.Version)] = true }}
 		all[k] = p
 		begin(k)
 	}
 	until(t, "all joined", func() bool { return known(f) == sidecars })
 	table(f, sidecars, 20)
 	for n := range pushes {
-		f.Carry([]controller.Order{{Kind: controller.SetLine, Node: fmt.Sprint("node-", chance.IntN(20)), Figure: chance.Float64()},
+		f.Enqueue([]controller.Command{{Kind: controller.SetWeight, Node: fmt.Sprint("node-", chance.IntN(20)), Value: chance.Float64()},
 			{Kind: controller.RequestAck, Nonce: n + 2}})
 		f.ask(func() {})
 		time.Sleep(4 * time.Millisecond) // only a pace: streams bring the newest state
@@ -114,21 +114,21 @@
 	bindAll(f, sidecars, pushes+10)
 	until(t, "all settle but for what they refuse", func() bool {
 		n := 0
-		var joins []controller.Order // a stream that was cut may count for a while: its successor then joins after that
+		var joins []controller.Command // a stream that was cut may count for a while: its successor then joins after that
 		defer func() {
 			if len(joins) > 0 {
-				f.Carry(append(joins, controller.Order{Kind: controller.RequestAck, Nonce: pushes + 10})) // as the module binds who joins
+				f.Enqueue(append(joins, controller.Command{Kind: controller.RequestAck, Nonce: pushes + 10})) // as the module binds who joins
 			}
 		}()
 		f.ask(func() {
-			for _, s := range f.Server.Sidecars(f.now()) {
+			for _, s := range f.Streams.Sidecars(f.now()) {
 				if s.Joined && !s.Bound {
-					joins = append(joins, controller.Order{Kind: controller.Bind, Proxy: s.Number})
+					joins = append(joins, controller.Command{Kind: controller.BindProxy, Proxy: s.Number})
 				}
-				held, refuses := s.Bound && len(s.Standings) > 0, false
-				for _, st := range s.Standings {
-					held = held && st.Held == st.Wanted
-					refuses = refuses || st.Refusal != nil
+				held, refuses := s.Bound && len(s.Resources) > 0, false
+				for _, st := range s.Resources {
+					held = held && st.Accepted == st.Target
+					refuses = refuses || st.Rejection != nil
 				}
 				if held || refuses {
 					n++
--- a/xds/transport/status.go
+++ b/xds/transport/status.go
@@ -22,7 +22,7 @@
 // csds answers operators: what each sidecar holds, is to hold and refused, by the client status discovery service.
 type csds struct {
 	statusv3.UnimplementedClientStatusDiscoveryServiceServer
-	f *Front
+	f *Server
 }
 
 func (c csds) FetchClientStatus(_ context.Context, r *statusv3.ClientStatusRequest) (*statusv3.ClientStatusResponse, error) {
@@ -53,7 +53,7 @@
 	}
 	if !c.f.ask(func() {
 		now := c.f.now()
-		for _, s := range c.f.Server.Sidecars(now) {
+		for _, s := range c.f.Streams.Sidecars(now) {
 			if len(asked) == 0 || asked[s.ID] {
 				out.Config = append(out.Config, clientConfig(s, now, bare))
 			}
@@ -66,14 +66,14 @@
 
 // Keys of a node's metadata in these answers.
 const (
-	AboutJoined      = "joined"
-	AboutTable       = "table"
-	AboutAway        = "away_s"
-	AboutVariant     = "variant"
-	AboutStale       = "stale_answers"
-	AboutRefused     = "refused"
-	AboutAccepted    = "accepted"
-	AboutUnconfirmed = "unconfirmed"
+	StatusJoined              = "joined"
+	StatusTable               = "table"
+	StatusDisconnectedSeconds = "away_s"
+	StatusVariant             = "variant"
+	StatusStaleAnswers        = "stale_answers"
+	StatusRejected            = "refused"
+	StatusAccepted            = "accepted"
+	StatusUnconfirmed         = "unconfirmed"
 )
 
 func clientConfig(s machine.Sidecar, now float64, bare bool) *statusv3.ClientConfig {
@@ -84,23 +84,23 @@
 	if s.Delta {
 		variant = "delta"
 	}
-	about, _ := structpb.NewStruct(map[string]any{AboutJoined: s.Joined, AboutTable: table, AboutAway: s.Away,
-		AboutVariant: variant, AboutStale: float64(s.Stale), AboutRefused: float64(s.Refused), AboutAccepted: float64(s.Accepted),
-		AboutUnconfirmed: float64(s.Unconfirmed)})
+	about, _ := structpb.NewStruct(map[string]any{StatusJoined: s.Joined, StatusTable: table, StatusDisconnectedSeconds: s.DisconnectedSeconds,
+		StatusVariant: variant, StatusStaleAnswers: float64(s.Stale), StatusRejected: float64(s.Rejected), StatusAccepted: float64(s.Accepted),
+		StatusUnconfirmed: float64(s.Unconfirmed)})
 	out := &statusv3.ClientConfig{Node: &corev3.Node{Id: s.ID, Locality: &corev3.Locality{Zone: s.Zone}, Metadata: about}}
-	for _, st := range s.Standings {
-		one := &statusv3.ClientConfig_GenericXdsConfig{TypeUrl: st.Kind.URL(), Name: st.Name, VersionInfo: st.Held}
+	for _, st := range s.Resources {
+		one := &statusv3.ClientConfig_GenericXdsConfig{TypeUrl: st.Kind.URL(), Name: st.Name, VersionInfo: st.Accepted}
 		if !bare {
 			one.XdsConfig = st.Body
 		}
 		switch {
-		case st.Refusal != nil:
+		case st.Rejection != nil:
 			one.ConfigStatus, one.ClientStatus = statusv3.ConfigStatus_ERROR, adminv3.ClientResourceStatus_NACKED
-			one.ErrorState = &adminv3.UpdateFailureState{Details: st.Refusal.Why, VersionInfo: st.Refusal.Version,
-				LastUpdateAttempt: timestamppb.New(time.Now().Add(-time.Duration((now - st.Refusal.At) * float64(time.Second))))}
-		case st.Held == st.Wanted:
+			one.ErrorState = &adminv3.UpdateFailureState{Details: st.Rejection.Reason, VersionInfo: st.Rejection.Version,
+				LastUpdateAttempt: timestamppb.New(time.Now().Add(-time.Duration((now - st.Rejection.At) * float64(time.Second))))}
+		case st.Accepted == st.Target:
 			one.ConfigStatus, one.ClientStatus = statusv3.ConfigStatus_SYNCED, adminv3.ClientResourceStatus_ACKED
-		case st.Waits > 0:
+		case st.PendingSeconds > 0:
 			one.ConfigStatus, one.ClientStatus = statusv3.ConfigStatus_STALE, adminv3.ClientResourceStatus_REQUESTED
 		default:
 			one.ConfigStatus, one.ClientStatus = statusv3.ConfigStatus_NOT_SENT, adminv3.ClientResourceStatus_REQUESTED
--- a/xds/xds_test.go
+++ b/xds/xds_test.go
@@ -36,7 +36,7 @@
 }
 
 type holder struct {
-	*sidecar.Holder
+	*sidecar.ResourceCache
 	number  int
 	stream  *stream
 	sent    map[string]bool // kind, name and version that a server sent to it
@@ -58,9 +58,9 @@
 	w.restart()
 	for k := range sidecars {
 		h := &holder{number: k, sent: map[string]bool{}, refused: map[string]bool{}}
-		h.Holder = &sidecar.Holder{ID: fmt.Sprint("till-", k), Zone: "north", Delta: k%2 == 0}
+		h.ResourceCache = &sidecar.ResourceCache{ID: fmt.Sprint("till-", k), Zone: "north", Delta: k%2 == 0}
 		// Each sidecar turns down some contents, always the same ones.
-		h.Also = func(kind xds.Kind, name string, body *anypb.Any) error {
+		h.ExtraCheck = func(kind xds.Kind, name string, body *anypb.Any) error {
 			sum := fnv.New32a()
 			sum.Write(body.GetValue())
 			fmt.Fprint(sum, h.number)
@@ -69,7 +69,7 @@
 			}
 			return nil
 		}
-		h.OnRefuse = func(r sidecar.Refused) { h.refused[key(r.Kind, r.Name, r.Version)] = true }
+		h.OnReject = func(r sidecar.RejectedResource) { h.refused[key(r.Kind, r.Name, r.Version)] = true }
 		w.holders = append(w.holders, h)
 	}
 	return w
@@ -89,24 +89,24 @@
 	compiler := xds.NewCompiler([]xds.Route{{Name: "quote", Prefix: "/quote", TimeLimit: time.Second},
 		{Name: "issue", Prefix: "/issue", Mutating: true, TimeLimit: time.Second}}, time.Second)
 	for n := range 8 {
-		compiler.Place(fmt.Sprint("s-", n), "north", xds.Address{Host: "127.0.0.1", Port: uint32(9000 + n)})
+		compiler.SetAddress(fmt.Sprint("s-", n), "north", xds.Address{Host: "127.0.0.1", Port: uint32(9000 + n)})
 	}
 	w.server = xds.NewServer(compiler, w, 100)
-	var batch []controller.Order
+	var batch []controller.Command
 	for _, route := range []string{"quote", "issue"} {
-		batch = append(batch, controller.Order{Kind: controller.SetLevel, Table: planner.AllTables, Route: route, Figure: 1,
-			Tries: planner.RetryUnsent})
+		batch = append(batch, controller.Command{Kind: controller.SetAdmission, Table: planner.AllTables, Route: route, Value: 1,
+			Retry: planner.RetryIfNotSent})
 	}
 	for table := range 2 {
-		batch = append(batch, controller.Order{Kind: controller.SetLine, Table: table, Node: fmt.Sprint("s-", table), Figure: 1})
+		batch = append(batch, controller.Command{Kind: controller.SetWeight, Table: table, Node: fmt.Sprint("s-", table), Value: 1})
 	}
 	w.marks++
 	w.carry(batch)
 }
 
-func (w *world) carry(batch []controller.Order) {
+func (w *world) carry(batch []controller.Command) {
 	w.pushes++
-	if err := w.server.Carry(w.now, append(batch, controller.Order{Kind: controller.RequestAck, Nonce: w.marks})); err != nil {
+	if err := w.server.ApplyCommands(w.now, append(batch, controller.Command{Kind: controller.RequestAck, Nonce: w.marks})); err != nil {
 		w.t.Fatal(err)
 	}
 }
@@ -144,7 +144,7 @@
 	}
 }
 
-func (w *world) End(id uint64, why string) {
+func (w *world) CloseStream(id uint64, why string) {
 	if s := w.streams[id]; s != nil {
 		s.dead = true
 		delete(w.streams, id)
@@ -159,8 +159,8 @@
 	delete(w.on, proxy)
 }
 
-// Confirmed checks that a sidecar that confirmed a mark routes to no node that was taken away up to it.
-func (w *world) Confirmed(proxy, mark int) {
+// Acknowledged checks that a sidecar that confirmed a mark routes to no node that was taken away up to it.
+func (w *world) Acknowledged(proxy, mark int) {
 	for _, h := range w.holders {
 		if n, known := w.server.Number(h.ID); !known || n != proxy {
 			continue
@@ -184,7 +184,7 @@
 	return false
 }
 
-func (w *world) Refused(string, xds.Kind, string) {}
+func (w *world) Rejected(string, xds.Kind, string) {}
 
 func (w *world) fault(format string, args ...any) {
 	w.faults = append(w.faults, fmt.Sprintf("%.2f: ", w.now)+fmt.Sprintf(format, args...))
@@ -222,14 +222,14 @@
 				err = w.server.Open(w.now, s.id, false, r.GetNode().GetId(), "north")
 			}
 			if err == nil {
-				err = w.server.State(w.now, s.id, r)
+				err = w.server.HandleStateOfTheWorld(w.now, s.id, r)
 			}
 		case *discoveryv3.DeltaDiscoveryRequest:
 			if r.GetNode() != nil && w.new(s.id) {
 				err = w.server.Open(w.now, s.id, true, r.GetNode().GetId(), "north")
 			}
 			if err == nil {
-				err = w.server.Deltas(w.now, s.id, r)
+				err = w.server.HandleDelta(w.now, s.id, r)
 			}
 		}
 		if err != nil {
@@ -242,7 +242,7 @@
 		h := s.holder
 		switch r := m.(type) {
 		case *discoveryv3.DiscoveryResponse:
-			out, err := h.State(r)
+			out, err := h.HandleStateOfTheWorld(r)
 			if err != nil {
 				w.t.Fatal(err)
 			}
@@ -253,7 +253,7 @@
 				s.up = append(s.up, answer)
 			}
 		case *discoveryv3.DeltaDiscoveryResponse:
-			out, err := h.Deltas(r)
+			out, err := h.HandleDelta(r)
 			if err != nil {
 				w.t.Fatal(err)
 			}
@@ -267,16 +267,16 @@
 	}
 }
 
-func (w *world) new(id uint64) bool { return !w.server.Streams(id) }
+func (w *world) new(id uint64) bool { return !w.server.Connected(id) }
 
 // bind puts those that joined on a table, as the module does.
 func (w *world) bind() {
-	var batch []controller.Order
+	var batch []controller.Command
 	for proxy := range len(w.holders) {
 		if w.joined[proxy] {
 			delete(w.joined, proxy)
 			w.on[proxy] = true
-			batch = append(batch, controller.Order{Kind: controller.Bind, Proxy: proxy, Table: proxy % 2})
+			batch = append(batch, controller.Command{Kind: controller.BindProxy, Proxy: proxy, Table: proxy % 2})
 		}
 	}
 	if len(batch) > 0 {
@@ -294,19 +294,19 @@
 	case 0: // the first two stay, one a table: no one is left without a node
 		if node > 1 {
 			w.drained[cluster+" "+name] = w.marks
-			w.carry([]controller.Order{{Kind: controller.SetLine, Table: table, Node: name}})
+			w.carry([]controller.Command{{Kind: controller.SetWeight, Table: table, Node: name}})
 			return
 		}
 		fallthrough
 	case 1, 2:
 		delete(w.drained, cluster+" "+name)
-		w.carry([]controller.Order{{Kind: controller.SetLine, Table: table, Node: name, Figure: 0.1 + w.chance.Float64()}})
+		w.carry([]controller.Command{{Kind: controller.SetWeight, Table: table, Node: name, Value: 0.1 + w.chance.Float64()}})
 	case 3, 4:
-		w.carry([]controller.Order{{Kind: controller.SetLevel, Table: planner.AllTables, Route: "issue",
-			Figure: w.chance.Float64(), Tries: planner.Tries(w.chance.IntN(2))}})
+		w.carry([]controller.Command{{Kind: controller.SetAdmission, Table: planner.AllTables, Route: "issue",
+			Value: w.chance.Float64(), Retry: planner.RetryPolicy(w.chance.IntN(2))}})
 	case 5: // a sidecar moves to the other table
 		if proxy := w.chance.IntN(len(w.holders)); w.bound(proxy) {
-			w.carry([]controller.Order{{Kind: controller.Bind, Proxy: proxy, Table: table}})
+			w.carry([]controller.Command{{Kind: controller.BindProxy, Proxy: proxy, Table: table}})
 		}
 	}
 }
@@ -351,7 +351,7 @@
 			w.dial(h)
 		case 7: // the sidecar restarts, with what it held or, its disk lost, with nothing
 			if w.chance.IntN(4) == 0 {
-				h.Forget()
+				h.Clear()
 			}
 			w.dial(h)
 		case 8:
@@ -412,9 +412,9 @@
 			w.fault("not settled after %d steps", steps)
 		}
 		for _, c := range w.server.Sidecars(w.now) {
-			for _, s := range c.Standings {
-				if s.Held != s.Wanted && s.Refusal == nil && s.Kind != xds.Routes && s.Kind != xds.Listeners && s.Wanted != "" && !w.blocked(c) {
-					w.fault("%s holds %s of %s %s, not %s", c.ID, s.Held, s.Kind, s.Name, s.Wanted)
+			for _, s := range c.Resources {
+				if s.Accepted != s.Target && s.Rejection == nil && s.Kind != xds.Routes && s.Kind != xds.Listeners && s.Target != "" && !w.blocked(c) {
+					w.fault("%s holds %s of %s %s, not %s", c.ID, s.Accepted, s.Kind, s.Name, s.Target)
 				}
 			}
 		}
@@ -429,8 +429,8 @@
 
 // blocked tells whether a sidecar refused something that others wait for.
 func (w *world) blocked(c xds.Sidecar) bool {
-	for _, s := range c.Standings {
-		if s.Refusal != nil {
+	for _, s := range c.Resources {
+		if s.Rejection != nil {
 			return true
 		}
 	}
@@ -441,8 +441,8 @@
 func TestCheckerSeesPlanted(t *testing.T) {
 	w := newWorld(t, 1, 4)
 	for _, h := range w.holders {
-		refuse := h.Also
-		h.Also = func(kind xds.Kind, name string, body *anypb.Any) error {
+		refuse := h.ExtraCheck
+		h.ExtraCheck = func(kind xds.Kind, name string, body *anypb.Any) error {
 			if err := refuse(kind, name, body); err != nil && kind == xds.Endpoints {
 				m, _ := body.UnmarshalNew()
 				r, _ := xds.NewResource(kind, name, m)
