--- a/cmd/harehookctl/followers.go
+++ b/cmd/harehookctl/followers.go
@@ -31,27 +31,27 @@
 			"answer or has not served for a lease's time.\n" +
 			"The exit code is 1 if it is unknown or if a follower with a live lease has been behind for over " + maxBehind.String() + ".",
 		RunE: func(c *cobra.Command, _ []string) error {
-			report, err := asks[cluster.StatusReport](c.Context(), o, "Status", struct{}{})
+			report, err := callGroup[cluster.StatusReport](c.Context(), o, "Status", struct{}{})
 			if err != nil {
 				return err
 			}
-			force := o.askMembers(c.Context(), report)
+			force := o.fetchStatuses(c.Context(), report)
 			if o.output == "json" {
 				err = write(c.OutOrStdout(), force)
 			} else {
-				err = showForce(c.OutOrStdout(), force)
+				err = showConvergence(c.OutOrStdout(), force)
 			}
 			if err != nil {
 				return err
 			}
-			return judge(force)
+			return convergenceFault(force)
 		},
 	}
 }
 
-// askMembers asks all members at the same time what their followers hold, and joins the answers.
-func (o *options) askMembers(ctx context.Context, report cluster.StatusReport) machine.Convergence {
-	ctx, cancel := context.WithTimeout(ctx, askWithin)
+// fetchStatuses asks all members at the same time what their followers hold, and joins the answers.
+func (o *options) fetchStatuses(ctx context.Context, report cluster.StatusReport) machine.Convergence {
+	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	ids := slices.Concat(report.Status.Voters, report.Status.Learners)
 	names := make([]string, len(ids))
@@ -63,7 +63,7 @@
 	for at, id := range ids {
 		names[at] = strconv.FormatUint(id, 10)
 		asking.Go(func() {
-			told, err := o.askMember(ctx, report.Addresses[id])
+			told, err := o.fetchStatus(ctx, report.Addresses[id])
 			if err != nil {
 				return // it counts as one that did not answer
 			}
@@ -76,7 +76,7 @@
 	return machine.Merge(statuses, names)
 }
 
-func (o *options) askMember(ctx context.Context, address string) (told machine.MemberStatus, err error) {
+func (o *options) fetchStatus(ctx context.Context, address string) (told machine.MemberStatus, err error) {
 	conn, err := o.dialTo(address)
 	if err != nil {
 		return told, err
@@ -85,8 +85,8 @@
 	return transport.FetchMemberStatus(ctx, conn)
 }
 
-// judge says what of it is not in order.
-func judge(force machine.Convergence) error {
+// convergenceFault says what of it is not in order.
+func convergenceFault(force machine.Convergence) error {
 	var faults []string
 	late := 0
 	for _, one := range force.Behind {
@@ -106,7 +106,7 @@
 	return fault(errors.New(strings.Join(faults, "; ")))
 }
 
-func showForce(out io.Writer, force machine.Convergence) error {
+func showConvergence(out io.Writer, force machine.Convergence) error {
 	inForce := strconv.FormatUint(force.ConvergedRevision, 10)
 	if !force.Known {
 		inForce = "unknown"
--- a/cmd/harehookctl/followers_test.go
+++ b/cmd/harehookctl/followers_test.go
@@ -27,12 +27,12 @@
 		"no answer":   {configsync.Convergence{Revision: 5, ConvergedRevision: 5, UnknownMembers: []configsync.UnknownMember{{Member: "3", Reason: configsync.ReasonNoAnswer}}}, "member 3 did not answer", "in force everywhere: unknown"},
 		"not settled": {configsync.Convergence{Revision: 5, ConvergedRevision: 5, UnknownMembers: []configsync.UnknownMember{{Member: "1", Reason: configsync.ReasonNotSettled}}}, "member 1 has not served for a lease's time", "member 1 has not served"},
 	} {
-		err := judge(one.force)
+		err := convergenceFault(one.force)
 		if one.want == "" && err != nil || one.want != "" && (err == nil || !strings.Contains(err.Error(), one.want)) {
 			t.Errorf("%s: %v, want %q", name, err, one.want)
 		}
 		var out bytes.Buffer
-		if err := showForce(&out, one.force); err != nil || !strings.Contains(strings.Join(strings.Fields(out.String()), " "), one.shown) {
+		if err := showConvergence(&out, one.force); err != nil || !strings.Contains(strings.Join(strings.Fields(out.String()), " "), one.shown) {
 			t.Errorf("%s: %v, shown:\n%s\nwant %q", name, err, out.String(), one.shown)
 		}
 	}
--- a/cmd/harehookctl/following.go
+++ b/cmd/harehookctl/following.go
@@ -24,14 +24,14 @@
 				return err
 			}
 			defer conn.Close()
-			ctx, cancel := context.WithTimeout(c.Context(), askWithin)
+			ctx, cancel := context.WithTimeout(c.Context(), callTimeout)
 			defer cancel()
 			report, err := transport.FetchFollowerReport(ctx, conn)
 			if status.Code(err) == codes.Unimplemented {
-				return fault(fmt.Errorf("conductor %s does not follow a group", o.conductor))
+				return fault(fmt.Errorf("conductor %s does not follow a group", o.address))
 			}
 			if err != nil {
-				return away(fmt.Errorf("conductor %s: %s", o.conductor, status.Convert(err).Message()))
+				return unavailable(fmt.Errorf("conductor %s: %s", o.address, status.Convert(err).Message()))
 			}
 			if o.output == "json" {
 				err = write(c.OutOrStdout(), report)
--- a/cmd/harehookctl/golden_test.go
+++ b/cmd/harehookctl/golden_test.go
@@ -9,5 +9,5 @@
 // TestGoldenJSON compares the JSON that harehookctl prints with that of commit 3968cf4. What members and followers tell
 // is compared in their packages.
 func TestGoldenJSON(t *testing.T) {
-	goldentest.CompareJSON(t, "output.json", &sidecarRow{}, &tableRow{}, &kept{})
+	goldentest.CompareJSON(t, "output.json", &sidecarOutput{}, &tableOutput{}, &savedHistory{})
 }
--- a/cmd/harehookctl/group.go
+++ b/cmd/harehookctl/group.go
@@ -22,23 +22,23 @@
 	"harehook.dev/harehook/config"
 )
 
-const proposeWithin = 15 * time.Second
+const proposeTimeout = 15 * time.Second
 
-// asks makes a call to a member of the group and turns what it says into an exit code.
-func asks[Out any](ctx context.Context, o *options, name string, in any) (out Out, err error) {
+// callGroup makes a call to a member of the group and turns what it says into an exit code.
+func callGroup[Out any](ctx context.Context, o *options, name string, in any) (out Out, err error) {
 	conn, err := o.dial()
 	if err != nil {
 		return out, err
 	}
 	defer conn.Close()
-	ctx, stop := context.WithTimeout(ctx, proposeWithin)
+	ctx, stop := context.WithTimeout(ctx, proposeTimeout)
 	defer stop()
 	out, err = cluster.Call[Out](ctx, conn, name, in)
 	switch status.Code(err) {
 	case codes.OK:
 		return out, nil
 	case codes.Unavailable, codes.DeadlineExceeded:
-		return out, away(fmt.Errorf("member %s: %s", o.conductor, status.Convert(err).Message()))
+		return out, unavailable(fmt.Errorf("member %s: %s", o.address, status.Convert(err).Message()))
 	}
 	return out, fault(errors.New(status.Convert(err).Message()))
 }
@@ -50,7 +50,7 @@
 func (o *options) status() *cobra.Command {
 	return &cobra.Command{Use: "status", Short: "Show what a member of a group knows (--conductor is its group address)", Args: cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
-			r, err := asks[cluster.StatusReport](c.Context(), o, "Status", struct{}{})
+			r, err := callGroup[cluster.StatusReport](c.Context(), o, "Status", struct{}{})
 			if err != nil {
 				return err
 			}
@@ -92,7 +92,7 @@
 }
 
 func (o *options) read(ctx context.Context, in cluster.ReadRequest) (cluster.ReadResponse, error) {
-	return asks[cluster.ReadResponse](ctx, o, "Read", in)
+	return callGroup[cluster.ReadResponse](ctx, o, "Read", in)
 }
 
 func (o *options) config() *cobra.Command {
@@ -122,7 +122,7 @@
 
 // put proposes and prints what became of it.
 func (o *options) put(c *cobra.Command, command cluster.Command) error {
-	r, err := asks[cluster.Result](c.Context(), o, "Propose", command)
+	r, err := callGroup[cluster.Result](c.Context(), o, "Propose", command)
 	if err != nil {
 		return err
 	}
@@ -338,7 +338,7 @@
 			if args > 1 {
 				address = given[1]
 			}
-			r, err := asks[cluster.StatusReport](c.Context(), o, "Members", make(id, address))
+			r, err := callGroup[cluster.StatusReport](c.Context(), o, "Members", make(id, address))
 			if err != nil {
 				return err
 			}
@@ -367,7 +367,7 @@
 		if err != nil {
 			return err
 		}
-		r, err := asks[cluster.StatusReport](c.Context(), o, "Members", cluster.MembershipRequest{Lead: id})
+		r, err := callGroup[cluster.StatusReport](c.Context(), o, "Members", cluster.MembershipRequest{Lead: id})
 		if err == nil && r.Status.Leader != id {
 			err = fault(fmt.Errorf("member %d did not take over: it may be behind or out of reach", id))
 		}
@@ -375,13 +375,13 @@
 	}}
 }
 
-// kept is a snapshot of the history as operators keep it.
-type kept struct {
+// savedHistory is a snapshot of the history as operators keep it.
+type savedHistory struct {
 	Format   int               `json:"format"`
 	Versions []cluster.Version `json:"versions"`
 }
 
-const keptFormat = 1
+const savedHistoryFormat = 1
 
 func (o *options) snapshot() *cobra.Command {
 	c := &cobra.Command{Use: "snapshot", Short: "Save the agreed history to a file, or put a saved one in force"}
@@ -390,7 +390,7 @@
 		if err != nil {
 			return err
 		}
-		text, err := json.MarshalIndent(kept{keptFormat, r.Versions}, "", "  ")
+		text, err := json.MarshalIndent(savedHistory{savedHistoryFormat, r.Versions}, "", "  ")
 		if err != nil {
 			return err
 		}
@@ -404,9 +404,9 @@
 		if err != nil {
 			return fault(err)
 		}
-		var k kept
-		if err := json.Unmarshal(text, &k); err != nil || k.Format != keptFormat || len(k.Versions) == 0 {
-			return fault(fmt.Errorf("%s is no saved history of format %d", args[0], keptFormat))
+		var k savedHistory
+		if err := json.Unmarshal(text, &k); err != nil || k.Format != savedHistoryFormat || len(k.Versions) == 0 {
+			return fault(fmt.Errorf("%s is no saved history of format %d", args[0], savedHistoryFormat))
 		}
 		r, err := o.read(c.Context(), cluster.ReadRequest{Linearizable: true})
 		if err != nil {
--- a/cmd/harehookctl/main.go
+++ b/cmd/harehookctl/main.go
@@ -21,27 +21,27 @@
 
 // Exit codes, as docs/operators.md lists them.
 const (
-	exitFault   = 1 // what was asked about is not in order
-	exitUsage   = 2 // the call can't be understood
-	exitAway    = 3 // the conductor does not answer
-	askWithin   = 5 * time.Second
-	messageMost = 64 << 20 // bytes of an answer: thousands of sidecars with their resources
+	exitFault       = 1 // what was asked about is not in order
+	exitUsage       = 2 // the call can't be understood
+	exitUnavailable = 3 // the conductor does not answer
+	callTimeout     = 5 * time.Second
+	maxMessageBytes = 64 << 20 // bytes of an answer: thousands of sidecars with their resources
 )
 
-// wrong is an error with the exit code that it ends with.
-type wrong struct {
+// exitError is an error with the exit code that it ends with.
+type exitError struct {
 	error
 	code int
 }
 
-func away(err error) error  { return wrong{err, exitAway} }
-func fault(err error) error { return wrong{err, exitFault} }
+func unavailable(err error) error { return exitError{err, exitUnavailable} }
+func fault(err error) error       { return exitError{err, exitFault} }
 
 // options are the flags that all commands share.
 type options struct {
-	conductor string
-	output    string
-	files     certs.Files
+	address string
+	output  string
+	files   certs.Files
 }
 
 func main() {
@@ -55,7 +55,7 @@
 	root := &cobra.Command{Use: "harehookctl", Short: "Shows and checks what conductors and sidecars do", SilenceUsage: true,
 		SilenceErrors: true}
 	flags := root.PersistentFlags()
-	flags.StringVar(&o.conductor, "conductor", "127.0.0.1:18000", "address of the conductor")
+	flags.StringVar(&o.address, "conductor", "127.0.0.1:18000", "address of the conductor")
 	flags.StringVarP(&o.output, "output", "o", "text", "text or json")
 	flags.StringVar(&o.files.Certificate, "certificate", "", "file of the certificate, where conductors ask for one")
 	flags.StringVar(&o.files.Key, "key", "", "file of its key")
@@ -68,7 +68,7 @@
 		return 0
 	}
 	fmt.Fprintln(os.Stderr, "harehookctl:", err)
-	var w wrong
+	var w exitError
 	if errors.As(err, &w) {
 		return w.code
 	}
@@ -87,7 +87,7 @@
 }
 
 // dial prepares a connection to the conductor.
-func (o *options) dial() (*grpc.ClientConn, error) { return o.dialTo(o.conductor) }
+func (o *options) dial() (*grpc.ClientConn, error) { return o.dialTo(o.address) }
 
 // dialTo prepares a connection to another conductor of the installation.
 func (o *options) dialTo(address string) (*grpc.ClientConn, error) {
@@ -103,5 +103,5 @@
 		secure = credentials.NewTLS(held.Client("conductor"))
 	}
 	return grpc.NewClient("passthrough:///"+address, grpc.WithTransportCredentials(secure),
-		grpc.WithDefaultCallOptions(grpc.MaxCallRecvMsgSize(messageMost)))
+		grpc.WithDefaultCallOptions(grpc.MaxCallRecvMsgSize(maxMessageBytes)))
 }
--- a/cmd/harehookctl/records.go
+++ b/cmd/harehookctl/records.go
@@ -24,7 +24,7 @@
 }
 
 func (o *options) readRecords(ctx context.Context, in cluster.RecordsRequest) (cluster.RecordsResponse, error) {
-	return asks[cluster.RecordsResponse](ctx, o, "Records", in)
+	return callGroup[cluster.RecordsResponse](ctx, o, "Records", in)
 }
 
 func (o *options) recordsList() *cobra.Command {
--- a/cmd/harehookctl/show.go
+++ b/cmd/harehookctl/show.go
@@ -111,50 +111,50 @@
 		return nil, err
 	}
 	defer conn.Close()
-	ctx, stop := context.WithTimeout(ctx, askWithin)
+	ctx, stop := context.WithTimeout(ctx, callTimeout)
 	defer stop()
 	got, err := statusv3.NewClientStatusDiscoveryServiceClient(conn).FetchClientStatus(ctx, &statusv3.ClientStatusRequest{ExcludeResourceContents: bare})
 	if err != nil {
-		return nil, away(fmt.Errorf("conductor %s: %w", o.conductor, err))
+		return nil, unavailable(fmt.Errorf("conductor %s: %w", o.address, err))
 	}
 	return got.GetConfig(), nil
 }
 
-// sidecarRow is a sidecar as it is shown.
-type sidecarRow struct {
-	ID          string    `json:"id"`
-	Zone        string    `json:"zone"`
-	Table       string    `json:"table"`
-	Joined      bool      `json:"joined"`
-	AwayS       float64   `json:"away_s,omitempty"`
-	Unconfirmed int       `json:"unconfirmed"`
-	Versions    []version `json:"versions"`
+// sidecarOutput is a sidecar as it is shown.
+type sidecarOutput struct {
+	ID            string          `json:"id"`
+	Zone          string          `json:"zone"`
+	Table         string          `json:"table"`
+	Joined        bool            `json:"joined"`
+	DisconnectedS float64         `json:"away_s,omitempty"`
+	Unconfirmed   int             `json:"unconfirmed"`
+	Versions      []versionOutput `json:"versions"`
 }
 
-type version struct {
-	Kind    string `json:"kind"`
-	Name    string `json:"name"`
-	Held    string `json:"held"`
-	Status  string `json:"status"`
-	Refused string `json:"refused,omitempty"`
-	Why     string `json:"why,omitempty"`
+type versionOutput struct {
+	Kind     string `json:"kind"`
+	Name     string `json:"name"`
+	Accepted string `json:"held"`
+	Status   string `json:"status"`
+	Rejected string `json:"refused,omitempty"`
+	Reason   string `json:"why,omitempty"`
 }
 
-func row(c *statusv3.ClientConfig) sidecarRow {
+func sidecarOutputOf(c *statusv3.ClientConfig) sidecarOutput {
 	about := c.GetNode().GetMetadata().GetFields()
-	r := sidecarRow{ID: c.GetNode().GetId(), Zone: c.GetNode().GetLocality().GetZone(), Table: about[front.StatusTable].GetStringValue(),
-		Joined: about[front.StatusJoined].GetBoolValue(), AwayS: about[front.StatusDisconnectedSeconds].GetNumberValue(),
+	r := sidecarOutput{ID: c.GetNode().GetId(), Zone: c.GetNode().GetLocality().GetZone(), Table: about[front.StatusTable].GetStringValue(),
+		Joined: about[front.StatusJoined].GetBoolValue(), DisconnectedS: about[front.StatusDisconnectedSeconds].GetNumberValue(),
 		Unconfirmed: int(about[front.StatusUnconfirmed].GetNumberValue())}
 	for _, g := range c.GetGenericXdsConfigs() {
 		kind, _ := xds.KindOf(g.GetTypeUrl())
-		r.Versions = append(r.Versions, version{kind.String(), g.GetName(), g.GetVersionInfo(), strings.ToLower(g.GetConfigStatus().String()),
+		r.Versions = append(r.Versions, versionOutput{kind.String(), g.GetName(), g.GetVersionInfo(), strings.ToLower(g.GetConfigStatus().String()),
 			g.GetErrorState().GetVersionInfo(), g.GetErrorState().GetDetails()})
 	}
 	return r
 }
 
-func (r sidecarRow) refuses() bool {
-	return slices.ContainsFunc(r.Versions, func(v version) bool { return v.Refused != "" })
+func (r sidecarOutput) rejects() bool {
+	return slices.ContainsFunc(r.Versions, func(v versionOutput) bool { return v.Rejected != "" })
 }
 
 func (o *options) sidecars() *cobra.Command {
@@ -165,11 +165,11 @@
 			if err != nil {
 				return err
 			}
-			var rows []sidecarRow
+			var rows []sidecarOutput
 			refused := 0
 			for _, config := range configs {
-				r := row(config)
-				if r.refuses() {
+				r := sidecarOutputOf(config)
+				if r.rejects() {
 					refused++
 				} else if refusing {
 					continue
@@ -190,38 +190,38 @@
 	return c
 }
 
-func showSidecars(out io.Writer, rows []sidecarRow) error {
+func showSidecars(out io.Writer, rows []sidecarOutput) error {
 	w := tabwriter.NewWriter(out, 0, 4, 2, ' ', 0)
 	fmt.Fprintln(w, "SIDECAR\tZONE\tTABLE\tSTREAM\tKIND\tNAME\tHELD\tSTATUS\tREFUSED")
 	for _, r := range rows {
 		stream := "stands"
 		if !r.Joined {
-			stream = fmt.Sprintf("gone %.0f s", r.AwayS)
+			stream = fmt.Sprintf("gone %.0f s", r.DisconnectedS)
 		}
 		if len(r.Versions) == 0 {
 			fmt.Fprintf(w, "%s\t%s\t%s\t%s\t-\t-\t-\t-\t\n", r.ID, r.Zone, r.Table, stream)
 		}
 		for _, v := range r.Versions {
 			refused := ""
-			if v.Refused != "" {
-				refused = v.Refused + ": " + v.Why
+			if v.Rejected != "" {
+				refused = v.Rejected + ": " + v.Reason
 			}
-			fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%s\t%s\t%s\t%s\t%s\n", r.ID, r.Zone, r.Table, stream, v.Kind, v.Name, v.Held, v.Status, refused)
+			fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%s\t%s\t%s\t%s\t%s\n", r.ID, r.Zone, r.Table, stream, v.Kind, v.Name, v.Accepted, v.Status, refused)
 		}
 	}
 	return w.Flush()
 }
 
-// tableRow is a line of a table, or a route of it.
-type tableRow struct {
-	Table  string  `json:"table"`
-	Zone   string  `json:"zone,omitempty"`
-	Node   string  `json:"node,omitempty"`
-	Part   float64 `json:"part,omitempty"`
-	Route  string  `json:"route,omitempty"`
-	LetIn  float64 `json:"let_in,omitempty"`
-	Tries  string  `json:"further_tries,omitempty"`
-	Number int     `json:"sidecars"`
+// tableOutput is a line of a table, or a route of it.
+type tableOutput struct {
+	Table    string  `json:"table"`
+	Zone     string  `json:"zone,omitempty"`
+	Node     string  `json:"node,omitempty"`
+	Fraction float64 `json:"part,omitempty"`
+	Route    string  `json:"route,omitempty"`
+	Admitted float64 `json:"let_in,omitempty"`
+	Retries  string  `json:"further_tries,omitempty"`
+	Sidecars int     `json:"sidecars"`
 }
 
 func (o *options) tables() *cobra.Command {
@@ -231,7 +231,7 @@
 			if err != nil {
 				return err
 			}
-			rows, err := tableRows(configs)
+			rows, err := tableOutputs(configs)
 			if err != nil {
 				return err
 			}
@@ -242,25 +242,25 @@
 			fmt.Fprintln(w, "TABLE\tSIDECARS\tZONE\tNODE\tPART\tROUTE\tLET IN\tFURTHER TRIES")
 			for _, r := range rows {
 				if r.Route != "" {
-					fmt.Fprintf(w, "%s\t%d\t\t\t\t%s\t%.1f%%\t%s\n", r.Table, r.Number, r.Route, 100*r.LetIn, r.Tries)
+					fmt.Fprintf(w, "%s\t%d\t\t\t\t%s\t%.1f%%\t%s\n", r.Table, r.Sidecars, r.Route, 100*r.Admitted, r.Retries)
 				} else {
-					fmt.Fprintf(w, "%s\t%d\t%s\t%s\t%.1f%%\t\t\t\n", r.Table, r.Number, r.Zone, r.Node, 100*r.Part)
+					fmt.Fprintf(w, "%s\t%d\t%s\t%s\t%.1f%%\t\t\t\n", r.Table, r.Sidecars, r.Zone, r.Node, 100*r.Fraction)
 				}
 			}
 			return w.Flush()
 		}}
 }
 
-// tableRows reads the tables out of what one sidecar of each is to hold.
-func tableRows(configs []*statusv3.ClientConfig) (rows []tableRow, err error) {
+// tableOutputs reads the tables out of what one sidecar of each is to hold.
+func tableOutputs(configs []*statusv3.ClientConfig) (rows []tableOutput, err error) {
 	number, seen := map[string]int{}, map[string]bool{}
 	for _, c := range configs {
-		if r := row(c); r.Joined {
+		if r := sidecarOutputOf(c); r.Joined {
 			number[r.Table]++
 		}
 	}
 	for _, c := range configs {
-		table := row(c).Table
+		table := sidecarOutputOf(c).Table
 		if seen[table] || number[table] == 0 || table == "" {
 			continue
 		}
@@ -279,8 +279,8 @@
 				}
 				for _, l := range m.GetEndpoints() {
 					for _, e := range l.GetLbEndpoints() {
-						rows = append(rows, tableRow{Table: table, Zone: l.GetLocality().GetZone(), Node: e.GetEndpoint().GetHostname(),
-							Part: float64(e.GetLoadBalancingWeight().GetValue()) / max(whole, 1), Number: number[table]})
+						rows = append(rows, tableOutput{Table: table, Zone: l.GetLocality().GetZone(), Node: e.GetEndpoint().GetHostname(),
+							Fraction: float64(e.GetLoadBalancingWeight().GetValue()) / max(whole, 1), Sidecars: number[table]})
 					}
 				}
 			case kind == xds.Routes:
@@ -288,30 +288,30 @@
 				if err := proto.Unmarshal(g.GetXdsConfig().GetValue(), &m); err != nil {
 					return nil, err
 				}
-				rows = append(rows, routeRows(&m, table, number[table])...)
+				rows = append(rows, routeOutputs(&m, table, number[table])...)
 			}
 		}
 	}
-	slices.SortStableFunc(rows, func(a, b tableRow) int { return strings.Compare(a.Table, b.Table) })
+	slices.SortStableFunc(rows, func(a, b tableOutput) int { return strings.Compare(a.Table, b.Table) })
 	return rows, nil
 }
 
-func routeRows(m *routev3.RouteConfiguration, table string, number int) (rows []tableRow) {
+func routeOutputs(m *routev3.RouteConfiguration, table string, number int) (rows []tableOutput) {
 	for _, host := range m.GetVirtualHosts() {
 		for _, r := range host.GetRoutes() {
 			if r.GetRoute() == nil {
-				if slices.ContainsFunc(rows, func(before tableRow) bool { return before.Route == r.GetName() }) {
+				if slices.ContainsFunc(rows, func(before tableOutput) bool { return before.Route == r.GetName() }) {
 					continue // the part that is turned away of a route that is let in
 				}
-				rows = append(rows, tableRow{Table: table, Route: r.GetName(), Tries: "none", Number: number})
+				rows = append(rows, tableOutput{Table: table, Route: r.GetName(), Retries: "none", Sidecars: number})
 				continue
 			}
-			one := tableRow{Table: table, Route: r.GetName(), LetIn: 1, Tries: "none", Number: number}
+			one := tableOutput{Table: table, Route: r.GetName(), Admitted: 1, Retries: "none", Sidecars: number}
 			if f := r.GetMatch().GetRuntimeFraction().GetDefaultValue(); f != nil {
-				one.LetIn = float64(f.GetNumerator()) / 1e6
+				one.Admitted = float64(f.GetNumerator()) / 1e6
 			}
 			if on := r.GetRoute().GetRetryPolicy().GetRetryOn(); on != "" {
-				one.Tries = on
+				one.Retries = on
 			}
 			rows = append(rows, one)
 		}
@@ -365,13 +365,13 @@
 		return err
 	}
 	for _, c := range configs {
-		r := row(c)
+		r := sidecarOutputOf(c)
 		stream := map[bool]string{true: "joined, table " + r.Table, false: "gone"}[r.Joined]
 		if err := tell(r.ID, stream, map[string]any{"sidecar": r.ID, "stream": stream}); err != nil {
 			return err
 		}
 		for _, v := range r.Versions {
-			what := strings.TrimSpace(v.Status + " " + v.Held + " " + v.Refused + " " + v.Why)
+			what := strings.TrimSpace(v.Status + " " + v.Accepted + " " + v.Rejected + " " + v.Reason)
 			if err := tell(r.ID+" "+v.Kind+" "+v.Name, what, map[string]any{"sidecar": r.ID, "version": v}); err != nil {
 				return err
 			}
--- a/internal/daemon/follower.go
+++ b/internal/daemon/follower.go
@@ -20,8 +20,8 @@
 	watcher *watcher
 	log     *zap.Logger
 
-	checked  *config.Agreed // what the records that were checked last come to, for accepted
-	revision atomic.Uint64  // of what is in use
+	candidate *config.Agreed // what the records that were checked last come to, for accepted
+	revision  atomic.Uint64  // of what is in use
 }
 
 // newFollower prepares the follower; run drives it.
@@ -48,7 +48,7 @@
 }
 
 func (f *follower) run(ctx context.Context) {
-	f.log.Info("follows a group", zap.Strings("members", f.watcher.told.Follow.Members))
+	f.log.Info("follows a group", zap.Strings("members", f.watcher.settings.Follow.Members))
 	f.client.Run(ctx)
 }
 
@@ -56,13 +56,13 @@
 func (f *follower) check(revision uint64, held map[records.Key]*records.Record) error {
 	agreed, err := config.AgreedOf(held)
 	if err == nil {
-		err = f.watcher.usable(agreed)
+		err = f.watcher.checkRecords(agreed)
 	}
 	if err != nil {
 		f.log.Error("revision refused, what was in use stays", zap.Uint64("revision", revision), zap.Error(err))
 		return err
 	}
-	f.checked = agreed
+	f.candidate = agreed
 	return nil
 }
 
@@ -70,11 +70,11 @@
 // touch nothing that this conductor needs.
 func (f *follower) accepted(revision uint64, _ map[records.Key]*records.Record) {
 	f.revision.Store(revision)
-	if f.checked == nil || !f.watcher.publish(f.client.RoutingRevision(), f.checked) {
+	if f.candidate == nil || !f.watcher.publish(f.client.RoutingRevision(), f.candidate) {
 		return
 	}
-	f.log.Info("revision in use", zap.Uint64("revision", revision), zap.Int("routes", len(f.checked.Routes)),
-		zap.Int("overrides", len(f.checked.Overrides)))
+	f.log.Info("revision in use", zap.Uint64("revision", revision), zap.Int("routes", len(f.candidate.Routes)),
+		zap.Int("overrides", len(f.candidate.Overrides)))
 }
 
 // stale says that the lease has run out, or that there is one again.
@@ -87,9 +87,9 @@
 	f.log.Info("not stale: a member is followed")
 }
 
-// usable says why agreed records can't be used with what this conductor knows.
-func (w *watcher) usable(agreed *config.Agreed) error {
-	w.lock.Lock()
-	defer w.lock.Unlock()
-	return w.told.CheckChange(agreed, w.agreed, w.listed)
+// checkRecords says why agreed records can't be used with what this conductor knows.
+func (w *watcher) checkRecords(agreed *config.Agreed) error {
+	w.stateLock.Lock()
+	defer w.stateLock.Unlock()
+	return w.settings.CheckChange(agreed, w.agreed, w.listed)
 }
--- a/internal/daemon/followers.go
+++ b/internal/daemon/followers.go
@@ -14,8 +14,8 @@
 )
 
 const (
-	leaderEvery   = 500 * time.Millisecond // between two looks for a leader
-	leaderTimeout = time.Second            // for the member's answer
+	leaderPollInterval = 500 * time.Millisecond // between two looks for a leader
+	leaderTimeout      = time.Second            // for the member's answer
 )
 
 // errNoLeader is why followers are sent to another member.
@@ -46,7 +46,7 @@
 // run looks for a leader until ctx ends. A member that knew none for a lease's time may be cut off from the others: it
 // must not extend leases, so that its followers go to members that are not, or know that they are stale.
 func (f *followers) run(ctx context.Context) {
-	tick := time.NewTicker(leaderEvery)
+	tick := time.NewTicker(leaderPollInterval)
 	defer tick.Stop()
 	led, paused := time.Now(), false
 	for {
--- a/internal/daemon/main.go
+++ b/internal/daemon/main.go
@@ -27,7 +27,7 @@
 	front "harehook.dev/harehook/xds/transport"
 )
 
-const lookEvery = time.Second // for changes of the list of nodes and of the keys
+const reloadInterval = time.Second // for changes of the list of nodes and of the keys
 
 // Main runs the program under a name, which is also that of its default configuration.
 func Main(name string) {
@@ -52,7 +52,7 @@
 	if err != nil {
 		return err
 	}
-	serving := newFront(told, nodes, held, log)
+	serving := newServer(told, nodes, held, log)
 	listener, err := net.Listen("tcp", told.Listen)
 	if err != nil {
 		return err
@@ -60,8 +60,8 @@
 	serving.Controller = controller.New(told.Deployment, entries(nodes), serving, log)
 	log.Info("started", zap.Stringer("listen", listener.Addr()), zap.Int("nodes", len(nodes)), zap.Bool("secure", held != nil))
 
-	w := &watcher{told: told, listed: nodes, serving: serving, secure: held, log: log, poke: make(chan struct{}, 1)}
-	w.out = w.hear
+	w := &watcher{settings: told, listed: nodes, server: serving, certificates: held, log: log, agreedChanged: make(chan struct{}, 1)}
+	w.apply = w.setNodes
 	member, follows, err := groupRoles(told, w, held, log)
 	if err != nil {
 		return err
@@ -105,12 +105,12 @@
 	if err != nil {
 		return nil, nil, err
 	}
-	w.serving.Register = follows.client.Register
+	w.server.Register = follows.client.Register
 	return nil, follows, nil
 }
 
-// newFront makes the front that serves sidecars, which knows where the nodes are. Its core is set by the caller.
-func newFront(told *config.Controller, nodes []config.Node, held *certs.Store, log *zap.Logger) *front.Server {
+// newServer makes the front that serves sidecars, which knows where the nodes are. Its core is set by the caller.
+func newServer(told *config.Controller, nodes []config.Node, held *certs.Store, log *zap.Logger) *front.Server {
 	serving := front.New(xds.NewCompiler(told.Routes, told.ConnectTimeout), told.Sidecars, log)
 	serving.ReportInterval = told.ReportInterval
 	if held != nil {
@@ -124,12 +124,12 @@
 
 // nodeService follows the service that lists the nodes.
 func nodeService(told *config.Controller, w *watcher, held *certs.Store, log *zap.Logger) *front.EndpointWatcher {
-	return &front.EndpointWatcher{Address: told.NodeService, Cluster: told.Cluster, Name: told.Name, KnowsZone: w.serving.Controller.KnowsZone, Accepted: w.listedBy, Log: log,
-		Credentials: serviceKeys(held)}
+	return &front.EndpointWatcher{Address: told.NodeService, Cluster: told.Cluster, Name: told.Name, KnowsZone: w.server.Controller.KnowsZone, Accepted: w.acceptList, Log: log,
+		Credentials: nodeServiceCredentials(held)}
 }
 
-// serviceKeys are what the service that lists nodes is met with.
-func serviceKeys(held *certs.Store) credentials.TransportCredentials {
+// nodeServiceCredentials are what the service that lists nodes is met with.
+func nodeServiceCredentials(held *certs.Store) credentials.TransportCredentials {
 	if held == nil {
 		return nil
 	}
@@ -146,23 +146,23 @@
 // watcher takes a changed list of nodes, changed keys and agreed versions over. A list with a fault leaves the old one
 // in place.
 type watcher struct {
-	told    *config.Controller
-	serving *front.Server
-	secure  *certs.Store
-	log     *zap.Logger
-	poke    chan struct{}       // an agreed version came
-	out     func([]config.Node) // has the core hear of nodes
+	settings      *config.Controller
+	server        *front.Server
+	certificates  *certs.Store
+	log           *zap.Logger
+	agreedChanged chan struct{}       // an agreed version came
+	apply         func([]config.Node) // has the core hear of nodes
 
-	telling sync.Mutex // from looking at what is in force until it is told: an older list must not overtake a newer one
-	lock    sync.Mutex
-	listed  []config.Node
-	agreed  *config.Agreed
-	number  uint64 // under which sidecars are told the agreed routes
+	applyLock     sync.Mutex // from looking at what is in force until it is told: an older list must not overtake a newer one
+	stateLock     sync.Mutex
+	listed        []config.Node
+	agreed        *config.Agreed
+	agreedVersion uint64 // under which sidecars are told the agreed routes
 }
 
 // run looks steadily and at SIGHUP until ctx ends.
 func (w *watcher) run(ctx context.Context, again <-chan os.Signal) {
-	tick := time.NewTicker(lookEvery)
+	tick := time.NewTicker(reloadInterval)
 	defer tick.Stop()
 	failed := ""
 	for {
@@ -171,15 +171,15 @@
 			return
 		case <-again:
 		case <-tick.C:
-		case <-w.poke:
-			w.tell()
+		case <-w.agreedChanged:
+			w.applyNodes()
 			continue
 		}
-		w.secure.ReloadIfChanged(w.log)
-		if w.told.NodeService != "" {
+		w.certificates.ReloadIfChanged(w.log)
+		if w.settings.NodeService != "" {
 			continue // the service tells
 		}
-		nodes, err := w.told.ReadNodes()
+		nodes, err := w.settings.ReadNodes()
 		if err == nil && len(nodes) == 0 {
 			err = errors.New("it names no node")
 		}
@@ -191,77 +191,77 @@
 			continue
 		}
 		failed = ""
-		if w.lock.Lock(); slices.Equal(nodes, w.listed) {
-			w.lock.Unlock()
+		if w.stateLock.Lock(); slices.Equal(nodes, w.listed) {
+			w.stateLock.Unlock()
 			continue
 		}
 		w.listed = nodes
-		w.lock.Unlock()
+		w.stateLock.Unlock()
 		w.log.Info("list of nodes read", zap.Int("nodes", len(nodes)))
-		w.tell()
+		w.applyNodes()
 	}
 }
 
-// listedBy takes a list that a service keeps.
-func (w *watcher) listedBy(version string, nodes []front.Endpoint) {
+// acceptList takes a list that a service keeps.
+func (w *watcher) acceptList(version string, nodes []front.Endpoint) {
 	var list []config.Node
 	for _, n := range nodes {
-		list = append(list, config.Node{Address: n.Address, Endpoint: controller.Endpoint{Node: n.Name, Zone: n.Zone, MachineType: w.told.Deployment.MachineTypes[0],
+		list = append(list, config.Node{Address: n.Address, Endpoint: controller.Endpoint{Node: n.Name, Zone: n.Zone, MachineType: w.settings.Deployment.MachineTypes[0],
 			State: n.State, Weight: n.Weight}})
 	}
-	w.lock.Lock()
+	w.stateLock.Lock()
 	w.listed = list
-	w.lock.Unlock()
+	w.stateLock.Unlock()
 	w.log.Info("list of nodes told", zap.String("version", version), zap.Int("nodes", len(list)))
-	w.tell()
+	w.applyNodes()
 }
 
-// tell tells of the nodes as the list and the agreed overrides have them.
-func (w *watcher) tell() {
-	w.telling.Lock()
-	defer w.telling.Unlock()
-	w.lock.Lock()
+// applyNodes tells of the nodes as the list and the agreed overrides have them.
+func (w *watcher) applyNodes() {
+	w.applyLock.Lock()
+	defer w.applyLock.Unlock()
+	w.stateLock.Lock()
 	nodes := w.listed
 	if w.agreed != nil {
 		nodes = w.agreed.ApplyOverrides(nodes)
 	}
-	w.lock.Unlock()
-	w.out(nodes)
+	w.stateLock.Unlock()
+	w.apply(nodes)
 }
 
-func (w *watcher) hear(nodes []config.Node) {
+func (w *watcher) setNodes(nodes []config.Node) {
 	var places []front.Node
 	for _, n := range nodes {
 		places = append(places, front.Node{Name: n.Node, Zone: n.Zone, Address: n.Address})
 	}
-	w.serving.SetAddresses(places)
-	w.serving.Controller.ReplaceEndpoints(entries(nodes))
+	w.server.SetAddresses(places)
+	w.server.Controller.ReplaceEndpoints(entries(nodes))
 }
 
-// fits says why records that are proposed can't be used here.
-func (w *watcher) fits(proposed []*records.Record) error {
+// checkProposal says why records that are proposed can't be used here.
+func (w *watcher) checkProposal(proposed []*records.Record) error {
 	a, err := config.AgreedFrom(proposed)
 	if err != nil {
 		return err
 	}
-	w.lock.Lock()
-	defer w.lock.Unlock()
-	return w.told.CheckAgreed(a, w.listed)
+	w.stateLock.Lock()
+	defer w.stateLock.Unlock()
+	return w.settings.CheckAgreed(a, w.listed)
 }
 
-// take has an agreed version count. What was agreed is in force also where this conductor's own list has changed since
+// applyAgreed has an agreed version count. What was agreed is in force also where this conductor's own list has changed since
 // so that it no longer fits: it says so and goes on.
-func (w *watcher) take(agreed records.View) {
+func (w *watcher) applyAgreed(agreed records.View) {
 	a, err := config.AgreedFrom(agreed.Records)
 	if err != nil {
 		w.log.Error("agreed version can't be read", zap.Uint64("number", agreed.Revision), zap.Error(err))
 		return
 	}
-	w.lock.Lock()
-	if err := w.told.CheckAgreed(a, w.listed); err != nil {
+	w.stateLock.Lock()
+	if err := w.settings.CheckAgreed(a, w.listed); err != nil {
 		w.log.Error("agreed version does not fit this conductor", zap.Uint64("number", agreed.Revision), zap.Error(err))
 	}
-	w.lock.Unlock()
+	w.stateLock.Unlock()
 	w.publish(agreed.RoutingRevision, a)
 }
 
@@ -270,21 +270,21 @@
 // conductors of the same scope, whatever else each has heard of since. Sidecars refuse routes of a lower number than they
 // hold, also from another conductor.
 func (w *watcher) publish(number uint64, agreed *config.Agreed) bool {
-	w.lock.Lock()
-	was, numberWas := w.agreed, w.number
-	w.agreed, w.number = agreed, number
-	w.lock.Unlock()
+	w.stateLock.Lock()
+	was, numberWas := w.agreed, w.agreedVersion
+	w.agreed, w.agreedVersion = agreed, number
+	w.stateLock.Unlock()
 	if was == nil {
 		was = &config.Agreed{}
 	}
 	routes := len(agreed.Routes) > 0 && (number != numberWas || !slices.Equal(agreed.Routes, was.Routes))
 	overrides := !maps.Equal(agreed.Overrides, was.Overrides)
 	if routes {
-		w.serving.SetAgreedRoutes(number, agreed.Routes)
+		w.server.SetAgreedRoutes(number, agreed.Routes)
 	}
 	if overrides {
 		select {
-		case w.poke <- struct{}{}:
+		case w.agreedChanged <- struct{}{}:
 		default: // run is to tell already
 		}
 	}
--- a/internal/daemon/member.go
+++ b/internal/daemon/member.go
@@ -20,12 +20,12 @@
 
 // member is this conductor's part in a group that agrees on configuration.
 type member struct {
-	node     *cluster.Node
-	agreed   *records.Store
-	follow   *followers
-	disk     *raftlog.Log
-	server   *grpc.Server
-	listener net.Listener
+	node      *cluster.Node
+	agreed    *records.Store
+	followers *followers
+	disk      *raftlog.Log
+	server    *grpc.Server
+	listener  net.Listener
 }
 
 // join opens the log and prepares the member. A log that can't be gone on with ends the start.
@@ -40,7 +40,7 @@
 		disk.Close()
 		return nil, err
 	}
-	node.CheckProposal = w.fits
+	node.CheckProposal = w.checkProposal
 	var secure *tls.Config
 	if held != nil {
 		secure = held.Server()
@@ -53,9 +53,9 @@
 	}
 	m := &member{node: node, agreed: state.Store(), disk: disk, server: cluster.NewServer(secure), listener: listener}
 	node.Register(m.server)
-	m.follow = newFollowers(node, strconv.FormatUint(group.ID, 10), machine.DefaultLimits, log.Named("followers"))
-	m.follow.service.Register(m.server)
-	node.OnCommit = m.follow.service.Committed
+	m.followers = newFollowers(node, strconv.FormatUint(group.ID, 10), machine.DefaultLimits, log.Named("followers"))
+	m.followers.service.Register(m.server)
+	node.OnCommit = m.followers.service.Committed
 	log.Info("member of a group", zap.Uint64("id", group.ID), zap.Stringer("listen", listener.Addr()), zap.String("disk", saved.Identity))
 	return m, nil
 }
@@ -68,7 +68,7 @@
 	defer stop()
 	following, leave := context.WithCancel(ctx)
 	defer leave()
-	parts.Go(func() { m.follow.run(following) })
+	parts.Go(func() { m.followers.run(following) })
 	ended := make(chan error, 1)
 	parts.Go(func() { ended <- m.node.Run(ctx) })
 	taken := uint64(0) // the revision as of which the watcher has routes and overrides
@@ -86,7 +86,7 @@
 			}
 			agreed := m.agreed.OfKinds(records.KindRoute, records.KindOverride)
 			taken = agreed.Revision
-			w.take(agreed)
+			w.applyAgreed(agreed)
 		}
 	}
 }
--- a/internal/daemon/watcher_test.go
+++ b/internal/daemon/watcher_test.go
@@ -18,9 +18,9 @@
 	holds, release := make(chan struct{}), make(chan struct{})
 	var told [][]config.Node
 	first := true
-	w := &watcher{told: &config.Controller{Deployment: settings.Deployment{MachineTypes: []string{"any"}}}, log: zap.NewNop(),
+	w := &watcher{settings: &config.Controller{Deployment: settings.Deployment{MachineTypes: []string{"any"}}}, log: zap.NewNop(),
 		listed: []config.Node{{Endpoint: controller.Endpoint{Node: "old"}}}}
-	w.out = func(nodes []config.Node) {
+	w.apply = func(nodes []config.Node) {
 		if first {
 			first = false
 			close(holds)
@@ -29,11 +29,11 @@
 		told = append(told, nodes)
 	}
 	older, newer := make(chan struct{}), make(chan struct{})
-	go func() { defer close(older); w.tell() }()
+	go func() { defer close(older); w.applyNodes() }()
 	<-holds
 	go func() {
 		defer close(newer)
-		w.listedBy("2", []transport.Endpoint{{Node: transport.Node{Name: "new"}, State: planner.Ready}})
+		w.acceptList("2", []transport.Endpoint{{Node: transport.Node{Name: "new"}, State: planner.Ready}})
 	}()
 	select {
 	case <-newer: // told in the midst of the older one
--- a/internal/testbed/fleet.go
+++ b/internal/testbed/fleet.go
@@ -69,7 +69,7 @@
 	if err != nil {
 		return err
 	}
-	options := loadtest.Options{Program: program, Arguments: []string{workerCommand}, Conductor: o.conductorProgram(program), Progress: command.ErrOrStderr()}
+	options := loadtest.Options{WorkerProgram: program, WorkerArguments: []string{workerCommand}, ControllerProgram: o.conductorProgram(program), Progress: command.ErrOrStderr()}
 	if len(experiment.Values) > 0 {
 		return o.sweep(ctx, command.OutOrStdout(), experiment, options)
 	}
--- a/internal/testbed/fleet_test.go
+++ b/internal/testbed/fleet_test.go
@@ -68,8 +68,8 @@
 		t.Errorf("there is more than one object: %v", err)
 	}
 	m := report.Measured
-	if report.Asked.Conductors != 8 || m.Changes != 20 || len(m.Members) != 3 || !m.Separate || m.Conductor == nil {
-		t.Errorf("asked %+v, measured %+v", report.Asked, m)
+	if report.Plan.Controllers != 8 || m.Changes != 20 || len(m.Members) != 3 || !m.Separate || m.Controller == nil {
+		t.Errorf("asked %+v, measured %+v", report.Plan, m)
 	}
 	for _, member := range m.Members {
 		if member.WorstMB == 0 {
@@ -95,8 +95,8 @@
 	if err := json.NewDecoder(&out).Decode(&report); err != nil {
 		t.Fatal(err)
 	}
-	if m := report.Measured; m.Changes != 60 || m.Concerned[loadtest.FaultMemberKilled] == 0 || len(report.Broken) != 0 {
-		t.Errorf("%d changes, concerned %v, broken %q", m.Changes, m.Concerned, report.Broken)
+	if m := report.Measured; m.Changes != 60 || m.Affected[loadtest.FaultMemberKilled] == 0 || len(report.Broken) != 0 {
+		t.Errorf("%d changes, concerned %v, broken %q", m.Changes, m.Affected, report.Broken)
 	}
 	wantNothingLeft(t, folder)
 }
--- a/internal/testbed/follow.go
+++ b/internal/testbed/follow.go
@@ -26,7 +26,7 @@
 	flags.IntVar(&setup.Members, "members", setup.Members, "members of the group")
 	flags.IntVar(&setup.Followers, "followers", setup.Followers, "followers")
 	flags.DurationVar(&setup.Active, "active", setup.Active, "time with commits and faults")
-	flags.DurationVar(&setup.Calm, "calm", setup.Calm, "time without, by the end of which all have to be in step")
+	flags.DurationVar(&setup.FaultFree, "calm", setup.FaultFree, "time without, by the end of which all have to be in step")
 	flags.DurationVar(&setup.CommitEvery, "commit-every", setup.CommitEvery, "mean time between two commits")
 	flags.DurationVar(&setup.FaultEvery, "fault-every", setup.FaultEvery, "mean time between two faults")
 	flags.StringVar((*string)(&setup.Planted), "planted", "", "a fault in the program itself, to see that it is found")
@@ -47,7 +47,7 @@
 		}
 		fmt.Fprintf(command.OutOrStdout(), "simulated: %d seeds, %d with a violation, in %v\n", seeds, broken, time.Since(began).Round(time.Millisecond))
 		if seeds == 1 {
-			fmt.Fprintf(command.OutOrStdout(), "print %x\n", outcomes[0].Print)
+			fmt.Fprintf(command.OutOrStdout(), "print %x\n", outcomes[0].Fingerprint)
 		}
 		return printOutcome(command, sum, broken)
 	}
@@ -78,8 +78,8 @@
 
 func printOutcome(command *cobra.Command, sum followers.Outcome, broken int) error {
 	out := command.OutOrStdout()
-	fmt.Fprintf(out, "commits %d, faults %d, accepted %d, refused %d\n", sum.Commits, sum.Faults, sum.Accepted, sum.Refused)
-	fmt.Fprintf(out, "messages: %d whole scopes, %d changes, %d of progress only\n", sum.Whole, sum.Changes, sum.Progress)
+	fmt.Fprintf(out, "commits %d, faults %d, accepted %d, refused %d\n", sum.Commits, sum.Faults, sum.Accepted, sum.Rejected)
+	fmt.Fprintf(out, "messages: %d whole scopes, %d changes, %d of progress only\n", sum.FullScopes, sum.Changes, sum.Progress)
 	fmt.Fprintf(out, "in force: %d claims compared with %d live followers; %d times a follower was stale\n", sum.Claims, sum.LiveAtClaims, sum.Stale)
 	fmt.Fprintf(out, "in step: %d changes checked for delay, %d of them beside a crowd\n", sum.InStepChecked, sum.InStepBesideCrowd)
 	fmt.Fprintf(out, "all in step within %v of calm at the latest\n", sum.Settled)
--- a/internal/testbed/main.go
+++ b/internal/testbed/main.go
@@ -67,12 +67,12 @@
 	f := c.Flags()
 	f.IntVar(&s.Members, "members", 5, "members of the group")
 	f.IntVar(&s.Ticks, "ticks", 3000, "length of a run")
-	f.IntVar(&s.Calm, "calm", 600, "ticks at the end without faults")
+	f.IntVar(&s.FaultFreeTicks, "calm", 600, "ticks at the end without faults")
 	f.IntVar(&s.Timing.ElectionTicks, "election", 20, "ticks without a leader until one is elected")
 	f.Uint64Var(&s.Timing.CompactAfterEntries, "compact", 30, "entries after which a log is cut")
 	f.IntVar(&s.MaxDelay, "delay", 6, "most ticks that a message takes")
 	f.Float64Var(&s.Loss, "loss", 0.03, "part of messages lost")
-	f.Float64Var(&s.Double, "double", 0.03, "part of messages that come twice")
+	f.Float64Var(&s.Duplication, "double", 0.03, "part of messages that come twice")
 	f.IntVar(&s.MaxSyncDelay, "sync", 1, "most ticks that a save takes")
 	f.IntVar(&s.FaultEvery, "fault-every", 60, "ticks between two faults")
 	f.IntVar(&s.ProposeEvery, "propose-every", 30, "ticks between two proposals")
@@ -115,7 +115,7 @@
 			fmt.Fprintf(c.OutOrStdout(), "%+v\n", f)
 		}
 		out := simulation.Play(*s)
-		fmt.Fprintf(c.OutOrStdout(), "print %x, agreed %d, refused %d, unknown %d, settled %d\n", out.Print, out.Agreed, out.Refused, out.Unknown, out.Settled)
+		fmt.Fprintf(c.OutOrStdout(), "print %x, agreed %d, refused %d, unknown %d, settled %d\n", out.Fingerprint, out.Agreed, out.Rejected, out.Unknown, out.Settled)
 		for _, v := range out.Violations {
 			fmt.Fprintln(c.OutOrStdout(), v)
 		}
--- a/internal/testbed/slopes.go
+++ b/internal/testbed/slopes.go
@@ -44,7 +44,7 @@
 	for _, s := range scaling.All() {
 		fmt.Fprintf(w, "%s\t%s\tby %s\t%v\n", s.Name, s.Operation, s.Size, s.Sizes)
 	}
-	fmt.Fprintf(w, "agreed text\tholds %d routes of 95 bytes at most\n", scaling.AgreedMost())
+	fmt.Fprintf(w, "agreed text\tholds %d routes of 95 bytes at most\n", scaling.MaxAgreedRoutes())
 	return w.Flush()
 }
 
--- a/loadtest/bounds.go
+++ b/loadtest/bounds.go
@@ -5,18 +5,18 @@
 // Bounds are what a run is held to. A bound of 0 is measured but not held. That nothing is lost, changed or taken back
 // is always held.
 type Bounds struct {
-	InForceS     float64 `json:"in_force_s"`     // from a change's answer until in force, the worst
-	BytesBeside  float64 `json:"bytes_beside"`   // of one record changed, to an interested conductor, beside the record
-	RestartNineS float64 `json:"restart_nine_s"` // until nine in ten restarted conductors are in step
-	RestartAllS  float64 `json:"restart_all_s"`
-	ConductorCPU float64 `json:"conductor_cpu"` // part of a core, busiest 10 s of steady running
-	ConductorMB  float64 `json:"conductor_mb"`  // resident
-	ConductorKBS float64 `json:"conductor_kbs"` // kilobytes a second in and out, busiest 10 s of steady running
+	ConvergenceS  float64 `json:"in_force_s"`     // from a change's answer until in force, the worst
+	OverheadBytes float64 `json:"bytes_beside"`   // of one record changed, to an interested conductor, beside the record
+	RestartP90S   float64 `json:"restart_nine_s"` // until nine in ten restarted conductors are in step
+	RestartAllS   float64 `json:"restart_all_s"`
+	ControllerCPU float64 `json:"conductor_cpu"` // part of a core, busiest 10 s of steady running
+	ControllerMB  float64 `json:"conductor_mb"`  // resident
+	ControllerKBS float64 `json:"conductor_kbs"` // kilobytes a second in and out, busiest 10 s of steady running
 }
 
 // DefaultBounds are the operators'.
 func DefaultBounds() Bounds {
-	return Bounds{InForceS: 7, BytesBeside: 1024, RestartNineS: 10, RestartAllS: 30, ConductorCPU: 0.011, ConductorMB: 128, ConductorKBS: 16}
+	return Bounds{ConvergenceS: 7, OverheadBytes: 1024, RestartP90S: 10, RestartAllS: 30, ControllerCPU: 0.011, ControllerMB: 128, ControllerKBS: 16}
 }
 
 // Broken names the bounds that a run broke, one line each.
@@ -26,16 +26,16 @@
 			lines = append(lines, fmt.Sprintf("%s: %.4g %s, bound %.4g", name, measured, unit, limit))
 		}
 	}
-	hold("in force at the worst", b.InForceS, m.InForce.WorstMS/1000, "s")
-	hold("bytes to an interested conductor beside the record, at the worst", b.BytesBeside, float64(m.Messages.BesideRecord.Worst), "bytes")
+	hold("in force at the worst", b.ConvergenceS, m.Convergence.WorstMS/1000, "s")
+	hold("bytes to an interested conductor beside the record, at the worst", b.OverheadBytes, float64(m.Messages.RecordOverhead.Worst), "bytes")
 	if m.Restarted != nil {
-		hold("all restarted, nine in ten in step", b.RestartNineS, m.Restarted.NineInTenMS/1000, "s")
+		hold("all restarted, nine in ten in step", b.RestartP90S, m.Restarted.P90MS/1000, "s")
 		hold("all restarted, all in step", b.RestartAllS, m.Restarted.WorstMS/1000, "s")
 	}
-	if m.Conductor != nil {
-		hold("processor time of the conductor in its own process", b.ConductorCPU, m.Conductor.BusiestCPU, "of a core")
-		hold("memory of the conductor in its own process", b.ConductorMB, m.Conductor.WorstMB, "MB")
-		hold("bytes of the conductor in its own process", b.ConductorKBS, m.Conductor.BusiestKBS, "KB/s")
+	if m.Controller != nil {
+		hold("processor time of the conductor in its own process", b.ControllerCPU, m.Controller.BusiestCPU, "of a core")
+		hold("memory of the conductor in its own process", b.ControllerMB, m.Controller.WorstMB, "MB")
+		hold("bytes of the conductor in its own process", b.ControllerKBS, m.Controller.BusiestKBS, "KB/s")
 	}
 	if m.Messages.UninterestedRecords > 0 {
 		lines = append(lines, fmt.Sprintf("records to uninterested conductors: %d, bound 0", m.Messages.UninterestedRecords))
--- a/loadtest/configuration.go
+++ b/loadtest/configuration.go
@@ -14,8 +14,8 @@
 const (
 	tenantTail      = 0.8  // exponent by which a service's part of the tenants falls with its rank
 	serviceMaxZones = 6    // zones that a service runs in at most
-	allottedShare   = 0.9  // part of a service's capacity that its tenants are given together
-	shareStep       = 1e-6 // shares are whole multiples of it
+	allottedQuota   = 0.9  // part of a service's capacity that its tenants are given together
+	quotaStep       = 1e-6 // shares are whole multiples of it
 	overriddenNodes = 0.01 // part of the nodes that are overridden at the beginning
 )
 
@@ -120,7 +120,7 @@
 		count[c.services[rank]]++
 	}
 	for service, tenants := range count {
-		c.share[service] = allottedShare / float64(tenants)
+		c.share[service] = allottedQuota / float64(tenants)
 	}
 	for _, name := range c.tenants {
 		key := records.Key{Kind: records.KindTenant, Name: name}
@@ -135,8 +135,8 @@
 func (c *Configuration) tenant(key records.Key) records.TenantSpec {
 	service := c.service[key]
 	share := c.share[service] * (0.2 + 0.8*c.random.Float64())
-	steps := max(1, math.Floor(share/shareStep))
-	return records.TenantSpec{Service: service, Share: steps * shareStep}
+	steps := max(1, math.Floor(share/quotaStep))
+	return records.TenantSpec{Service: service, Share: steps * quotaStep}
 }
 
 func (c *Configuration) drawOverrides() error {
@@ -254,23 +254,23 @@
 	return key, c.overrideSpec()
 }
 
-// Conductor is one that follows the group.
-type Conductor struct {
+// Controller is one that follows the group.
+type Controller struct {
 	Name   string        `json:"name"`
 	Region int           `json:"region"`
 	Scope  records.Scope `json:"scope"`
 }
 
 // Conductors spreads the conductors over the zones and draws the services that each needs.
-func (c *Configuration) Conductors() (conductors []Conductor) {
+func (c *Configuration) Conductors() (conductors []Controller) {
 	random := rand.New(rand.NewPCG(c.plan.Seed, 2))
-	for at := range c.plan.Conductors {
+	for at := range c.plan.Controllers {
 		zone := at % len(c.zones)
 		scope := records.Scope{Zones: []string{c.zones[zone]}}
 		for _, service := range random.Perm(len(c.services))[:min(scopeServices, len(c.services))] {
 			scope.Services = append(scope.Services, c.services[service])
 		}
-		conductors = append(conductors, Conductor{Name: fmt.Sprintf("conductor-%04d", at), Region: zone % c.plan.Regions, Scope: scope.Normalized()})
+		conductors = append(conductors, Controller{Name: fmt.Sprintf("conductor-%04d", at), Region: zone % c.plan.Regions, Scope: scope.Normalized()})
 	}
 	return conductors
 }
--- a/loadtest/conductorprocess.go
+++ b/loadtest/controllerprocess.go
@@ -11,8 +11,8 @@
 	"harehook.dev/harehook/configsync"
 )
 
-// conductorProcess is a worker that plays conductors.
-type conductorProcess struct {
+// controllerProcess is a worker that plays conductors.
+type controllerProcess struct {
 	*worker
 	indexes  []int
 	external bool // it runs harehookd, which tells no events and takes no orders
@@ -29,8 +29,8 @@
 	startTime time.Duration
 }
 
-// take notes what the worker tells.
-func (r *run) take(p *conductorProcess, told *news) {
+// handleReport notes what the worker tells.
+func (r *run) handleReport(p *controllerProcess, told *workerReport) {
 	if told.PID != 0 {
 		p.pid = told.PID
 	}
@@ -54,52 +54,52 @@
 	}
 }
 
-// startConductors starts the one conductor's process and those of the hollow ones, all conductors at once, and waits
+// startControllers starts the one conductor's process and those of the hollow ones, all conductors at once, and waits
 // until all are in step.
-func (r *run) startConductors(ctx context.Context) error {
+func (r *run) startControllers(ctx context.Context) error {
 	var hollow []int
-	for at := range r.conductors {
-		if at != ownConductor {
+	for at := range r.controllers {
+		if at != measuredController {
 			hollow = append(hollow, at)
 		}
 	}
 	if r.program == "" {
-		if err := r.startWorker(ctx, []int{ownConductor}); err != nil {
+		if err := r.startWorker(ctx, []int{measuredController}); err != nil {
 			return err
 		}
 	}
-	for indexes := range slices.Chunk(hollow, conductorsPerWorker) {
+	for indexes := range slices.Chunk(hollow, controllersPerWorker) {
 		if err := r.startWorker(ctx, indexes); err != nil {
 			return err
 		}
 	}
 	began := time.Now()
-	if err := r.order(actionRestart, 0, func(int) bool { return true }); err != nil {
+	if err := r.command(actionRestart, 0, func(int) bool { return true }); err != nil {
 		return err
 	}
 	if err := r.startProgram(ctx); err != nil {
 		return err
 	}
-	if err := r.untilInStep(ctx, stepTimeout); err != nil {
+	if err := r.waitConverged(ctx, stepTimeout); err != nil {
 		return err
 	}
-	r.tell("%d conductors in step after %.1f s", len(r.conductors), time.Since(began).Seconds())
+	r.logProgress("%d conductors in step after %.1f s", len(r.controllers), time.Since(began).Seconds())
 	return r.noteStart(ctx)
 }
 
 func (r *run) startWorker(ctx context.Context, indexes []int) error {
-	started, err := r.launch(RoleConductors)
+	started, err := r.launch(RoleControllers)
 	if err != nil {
 		return err
 	}
-	p := &conductorProcess{worker: started, indexes: indexes, ready: make(chan struct{}), finished: make(chan struct{})}
+	p := &controllerProcess{worker: started, indexes: indexes, ready: make(chan struct{}), finished: make(chan struct{})}
 	r.workers = append(r.workers, p)
-	r.crew.add(started, func(told *news) { r.take(p, told) })
-	setup := &conductorsSetup{Members: r.addresses(), Lease: configsync.DefaultLimits.Lease, Seed: r.plan.Seed}
+	r.crew.add(started, func(told *workerReport) { r.handleReport(p, told) })
+	setup := &controllersSetup{Members: r.addresses(), Lease: configsync.DefaultLimits.Lease, Seed: r.plan.Seed}
 	for _, at := range indexes {
-		setup.Conductors = append(setup.Conductors, numbered{at, r.conductors[at]})
+		setup.Controllers = append(setup.Controllers, numbered{at, r.controllers[at]})
 	}
-	if err := started.orders.write(order{Conductors: setup}); err != nil {
+	if err := started.commands.write(workerCommand{Controllers: setup}); err != nil {
 		return err
 	}
 	return r.wait(ctx, p.ready, startTimeout, "a worker of conductors is not ready")
@@ -117,27 +117,27 @@
 	}
 }
 
-// order has something done to the conductors that are chosen, in all workers evenly over a time.
-func (r *run) order(kind actionKind, over time.Duration, chosen func(conductor int) bool) error {
+// command has something done to the conductors that are chosen, in all workers evenly over a time.
+func (r *run) command(kind actionKind, over time.Duration, chosen func(conductor int) bool) error {
 	for _, p := range r.workers {
 		one := &action{Kind: kind, Over: over}
 		for _, at := range p.indexes {
 			if chosen(at) {
-				one.Conductors = append(one.Conductors, at)
+				one.Controllers = append(one.Controllers, at)
 			}
 		}
-		if len(one.Conductors) == 0 || p.external {
+		if len(one.Controllers) == 0 || p.external {
 			continue
 		}
-		if err := p.orders.write(order{Action: one}); err != nil {
+		if err := p.commands.write(workerCommand{Action: one}); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// untilInStep waits until all conductors hold what was agreed when it was called.
-func (r *run) untilInStep(ctx context.Context, timeout time.Duration) error {
+// waitConverged waits until all conductors hold what was agreed when it was called.
+func (r *run) waitConverged(ctx context.Context, timeout time.Duration) error {
 	want := r.recorder.newest()
 	deadline := time.Now().Add(timeout)
 	for {
@@ -149,9 +149,9 @@
 			return err
 		}
 		if time.Now().After(deadline) {
-			return fmt.Errorf("%d of %d conductors are not in step after %s; %s", behind, len(r.conductors), timeout, r.group.describe(ctx))
+			return fmt.Errorf("%d of %d conductors are not in step after %s; %s", behind, len(r.controllers), timeout, r.group.describe(ctx))
 		}
-		if err := pause(ctx, lookEvery); err != nil {
+		if err := sleep(ctx, pollInterval); err != nil {
 			return err
 		}
 	}
@@ -163,7 +163,7 @@
 		if p.external {
 			continue
 		}
-		if err := p.orders.write(order{Action: &action{Kind: actionFinish}}); err != nil {
+		if err := p.commands.write(workerCommand{Action: &action{Kind: actionFinish}}); err != nil {
 			return err
 		}
 	}
--- /dev/null
+++ b/loadtest/controllers.go
@@ -0,0 +1,301 @@
+package loadtest
+
+import (
+	"context"
+	"fmt"
+	"hash/fnv"
+	"sync"
+	"time"
+
+	front "harehook.dev/harehook/configsync/transport"
+	"harehook.dev/harehook/records"
+)
+
+const (
+	reportInterval     = 50 * time.Millisecond // events are told together
+	wireReportInterval = time.Second
+	rejectOneIn        = 2    // of the changes, while a conductor refuses
+	maxQueuedEvents    = 8192 // that wait to be told; a conductor that has another to tell waits
+)
+
+// controllerHooks are where tests plant faults.
+type controllerHooks struct {
+	event func(*event) // may change what a conductor tells
+}
+
+// controllers is the worker that plays conductors without a data plane.
+type controllers struct {
+	setup      *controllersSetup
+	hooks      controllerHooks
+	out        *lineWriter
+	wire       wireCounter
+	messages   *messageMeter
+	events     chan event
+	reportLock sync.Mutex                   // events are taken and written in one go
+	done       <-chan struct{}              // closed as the worker ends
+	simulated  map[int]*simulatedController // by place in the fleet
+	running    sync.WaitGroup
+}
+
+// simulatedController is one conductor: the real client, and nothing behind it.
+type simulatedController struct {
+	worker *controllers
+	numbered
+	meter *meter
+
+	mutex       sync.Mutex
+	stop        context.CancelFunc // of the present life
+	stopped     chan struct{}      // closed at the end of that
+	incarnation int
+	rejecting   bool
+	last        event // what was accepted last
+	records     map[records.Key]*records.Record
+}
+
+func newControllers(setup *controllersSetup, hooks controllerHooks, out *lineWriter) *controllers {
+	w := &controllers{
+		setup: setup, hooks: hooks, out: out, messages: newMessageMeter(),
+		events: make(chan event, maxQueuedEvents), simulated: map[int]*simulatedController{},
+	}
+	for _, one := range setup.Controllers {
+		h := &simulatedController{worker: w, numbered: one}
+		h.meter = newMeter(&w.wire, w.messages, h.joined)
+		w.simulated[one.Index] = h
+	}
+	return w
+}
+
+// run plays the conductors until ctx ends; actions come meanwhile.
+func (w *controllers) run(ctx context.Context, actions <-chan *action) error {
+	ctx, stop := context.WithCancel(ctx)
+	defer w.running.Wait()
+	defer stop()
+	w.done = ctx.Done()
+	telling := make(chan error, 1)
+	go func() { telling <- w.reportEvents(ctx) }()
+	if err := w.out.write(workerReport{Ready: true}); err != nil {
+		return err
+	}
+	for {
+		select {
+		case <-ctx.Done():
+			return nil
+		case err := <-telling:
+			return err
+		case one := <-actions:
+			if err := w.perform(ctx, one); err != nil {
+				return err
+			}
+		}
+	}
+}
+
+// reportEvents writes events and the wire's counters until ctx ends.
+func (w *controllers) reportEvents(ctx context.Context) error {
+	tick, wire := time.NewTicker(reportInterval), time.NewTicker(wireReportInterval)
+	defer tick.Stop()
+	defer wire.Stop()
+	for {
+		select {
+		case <-ctx.Done():
+			return nil
+		case <-tick.C:
+			if err := w.reportQueued(nil); err != nil {
+				return err
+			}
+		case <-wire.C:
+			if err := w.out.write(workerReport{Wire: w.wire.reading()}); err != nil {
+				return err
+			}
+		}
+	}
+}
+
+// reportQueued writes the events that wait, and further ones.
+func (w *controllers) reportQueued(further []event) error {
+	w.reportLock.Lock()
+	defer w.reportLock.Unlock()
+	var events []event
+	for range len(w.events) {
+		events = append(events, <-w.events)
+	}
+	if events = append(events, further...); len(events) == 0 {
+		return nil
+	}
+	return w.out.write(workerReport{Events: events})
+}
+
+// perform does something to conductors. What takes its time goes on in the background.
+func (w *controllers) perform(ctx context.Context, one *action) error {
+	switch one.Kind {
+	case actionReport:
+		return w.report(false)
+	case actionFinish:
+		return w.finish()
+	}
+	w.running.Go(func() {
+		for at, index := range one.Controllers {
+			if at > 0 && one.Over > 0 {
+				select {
+				case <-ctx.Done():
+					return
+				case <-time.After(one.Over / time.Duration(len(one.Controllers))):
+				}
+			}
+			if h := w.simulated[index]; h != nil && ctx.Err() == nil {
+				h.perform(ctx, one.Kind)
+			}
+		}
+	})
+	return nil
+}
+
+func (w *controllers) report(finished bool) error {
+	messages, err := w.messages.report()
+	if err != nil {
+		return err
+	}
+	return w.out.write(workerReport{Messages: messages, Wire: w.wire.reading(), Finished: finished})
+}
+
+// finish ends all clients and tells what each held.
+func (w *controllers) finish() error {
+	var final []event
+	for _, h := range w.simulated {
+		h.end()
+	}
+	for _, h := range w.simulated {
+		final = append(final, h.final())
+	}
+	if err := w.reportQueued(final); err != nil {
+		return err
+	}
+	return w.report(true)
+}
+
+func (h *simulatedController) perform(ctx context.Context, kind actionKind) {
+	switch kind {
+	case actionRestart:
+		h.end()
+		h.begin(ctx)
+	case actionReconnect:
+		h.meter.closeAll()
+	case actionCut:
+		h.meter.cut()
+	case actionHeal:
+		h.meter.heal()
+	case actionReject, actionAccept:
+		h.mutex.Lock()
+		defer h.mutex.Unlock()
+		h.rejecting = kind == actionReject
+	}
+}
+
+// end ends the present life, if there is one.
+func (h *simulatedController) end() {
+	h.mutex.Lock()
+	stop, ended := h.stop, h.stopped
+	h.stop, h.stopped = nil, nil
+	h.mutex.Unlock()
+	if stop == nil {
+		return
+	}
+	stop()
+	h.meter.closeAll()
+	<-ended
+}
+
+// begin starts a life in which nothing is held yet.
+func (h *simulatedController) begin(ctx context.Context) {
+	h.mutex.Lock()
+	defer h.mutex.Unlock()
+	ctx, h.stop = context.WithCancel(ctx)
+	ended := make(chan struct{})
+	h.stopped = ended
+	h.incarnation++
+	h.records, h.last = nil, event{}
+	h.meter.holds.Store(false)
+	h.report(event{Kind: eventStarted, Incarnation: h.incarnation})
+	client, err := front.NewClient(front.Config{
+		Name: h.Name, Scope: h.Scope, Members: h.worker.setup.Members, Lease: h.worker.setup.Lease,
+		Seed:        h.worker.setup.Seed<<20 + uint64(h.Index)<<4 + uint64(h.incarnation),
+		Check:       h.check,
+		Accepted:    h.accepted,
+		DialOptions: h.meter.options(),
+	})
+	if err != nil {
+		panic(err) // a setup of our own: a name, members and a lease are always there
+	}
+	h.worker.running.Go(func() {
+		defer close(ended)
+		client.Run(ctx)
+	})
+}
+
+// report queues an event. It waits while the queue is full, so that nothing is lost.
+func (h *simulatedController) report(one event) {
+	one.Controller = h.Index
+	if one.At == 0 {
+		one.At = time.Now().UnixNano()
+	}
+	if h.worker.hooks.event != nil {
+		h.worker.hooks.event(&one)
+	}
+	select {
+	case h.worker.events <- one:
+	case <-h.worker.done:
+	}
+}
+
+func (h *simulatedController) joined(member string) {
+	h.report(event{Kind: eventJoined, Member: member})
+}
+
+// check refuses one change in some while the conductor is to refuse.
+func (h *simulatedController) check(revision uint64, _ map[records.Key]*records.Record) error {
+	h.mutex.Lock()
+	defer h.mutex.Unlock()
+	if !h.rejecting {
+		return nil
+	}
+	hash := fnv.New32a()
+	fmt.Fprint(hash, h.Name, revision)
+	if hash.Sum32()%rejectOneIn != 0 {
+		return nil
+	}
+	return fmt.Errorf("revision %d is refused by the experiment", revision)
+}
+
+// accepted tells the revision held and the digest of its records, which is computed where records have come.
+func (h *simulatedController) accepted(revision uint64, held map[records.Key]*records.Record) {
+	at := time.Now().UnixNano()
+	h.mutex.Lock()
+	one := event{Kind: eventAccepted, At: at, Incarnation: h.incarnation, Revision: revision, Digest: h.last.Digest, Outside: h.last.Outside}
+	if h.meter.changed.Swap(false) || h.records == nil {
+		one.Digest, one.Outside = DigestOfAll(held), outside(h.Scope, held)
+	}
+	h.last, h.records = one, held
+	h.meter.holds.Store(true)
+	h.mutex.Unlock()
+	h.report(one)
+}
+
+// final is what the conductor held at its end, its digest computed anew.
+func (h *simulatedController) final() event {
+	h.mutex.Lock()
+	defer h.mutex.Unlock()
+	return event{
+		Kind: eventFinal, Controller: h.Index, At: time.Now().UnixNano(), Incarnation: h.incarnation,
+		Revision: h.last.Revision, Digest: DigestOfAll(h.records), Outside: outside(h.Scope, h.records),
+	}
+}
+
+// outside counts records that are held but not of a scope.
+func outside(scope records.Scope, held map[records.Key]*records.Record) (count int) {
+	for _, record := range held {
+		if !scope.Contains(record) {
+			count++
+		}
+	}
+	return count
+}
--- a/loadtest/experiment_test.go
+++ b/loadtest/experiment_test.go
@@ -51,7 +51,7 @@
 		t.Fatal(err)
 	}
 	plans := experiment.plans()
-	if len(plans) != 4 || plans[2].Conductors != 30 || plans[2].Members != 3 || plans[2].Bounds.InForceS != 2.5 {
+	if len(plans) != 4 || plans[2].Controllers != 30 || plans[2].Members != 3 || plans[2].Bounds.ConvergenceS != 2.5 {
 		t.Errorf("%+v", plans)
 	}
 	if !reflect.DeepEqual(plans[0].Faults, []Fault{FaultReconnect, FaultRegionCut}) {
@@ -81,7 +81,7 @@
 func TestPlansThatCantBePlayed(t *testing.T) {
 	t.Parallel()
 	for name, change := range map[string]func(p *Plan){
-		"no conductor":      func(p *Plan) { p.Conductors = 0 },
+		"no conductor":      func(p *Plan) { p.Controllers = 0 },
 		"no member":         func(p *Plan) { p.Members = 0 },
 		"too many members":  func(p *Plan) { p.Members = maxMembers + 1 },
 		"no route":          func(p *Plan) { p.Routes = 0 },
@@ -109,9 +109,9 @@
 	s := &Sweep{Name: "synthetic", Figure: "conductors"}
 	for _, size := range sizes {
 		n := float64(size)
-		report := &Report{Asked: OperatorsPlan()}
-		report.Asked.Conductors = size
-		report.Measured.Conductor = &ConductorUse{ProcessUse: ProcessUse{WorstMB: n * n}, BusiestKBS: 5 + 2*n}
+		report := &Report{Plan: OperatorsPlan()}
+		report.Plan.Controllers = size
+		report.Measured.Controller = &ControllerUsage{ProcessUsage: ProcessUsage{WorstMB: n * n}, BusiestKBS: 5 + 2*n}
 		s.Reports = append(s.Reports, report)
 	}
 	s.Slopes = slopes(s.Rows())
--- a/loadtest/faults.go
+++ b/loadtest/faults.go
@@ -10,49 +10,49 @@
 )
 
 // weight is the part of the time that a fault is played for, beside the other faults.
-var weight = map[Fault]float64{FaultReconnect: 1, FaultMemberKilled: 3, FaultRefusing: 1, FaultRegionCut: 2, FaultAllRestarted: 4}
+var weight = map[Fault]float64{FaultReconnect: 1, FaultMemberKilled: 3, FaultRejecting: 1, FaultRegionCut: 2, FaultAllRestarted: 4}
 
 const (
-	steadyPart      = 0.25 // of the time, before the first fault
-	reconnectOneIn  = 10
-	refuseOneIn     = 5
-	restartPart     = 0.6 // of the fault's time in which all are restarted
-	restartWithin   = time.Minute
-	cutPart         = 0.6 // of the fault's time for which a region is cut off
-	refusePart      = 0.6 // of the fault's time in which changes are refused
-	memberDownPart  = 1.0 / 6
-	longestDowntime = 5 * time.Second
+	faultFreeFraction  = 0.25 // of the time, before the first fault
+	reconnectOneIn     = 10
+	rejectingOneIn     = 5
+	restartFraction    = 0.6 // of the fault's time in which all are restarted
+	maxRestartSpread   = time.Minute
+	cutFraction        = 0.6 // of the fault's time for which a region is cut off
+	rejectFraction     = 0.6 // of the fault's time in which changes are refused
+	memberDownFraction = 1.0 / 6
+	longestDowntime    = 5 * time.Second
 )
 
 // playFaults plays one fault after the other until the plan's time is over.
 func (r *run) playFaults(ctx context.Context) error {
-	end := r.playing.Add(time.Duration(r.plan.Seconds) * time.Second)
+	end := r.playStart.Add(time.Duration(r.plan.Seconds) * time.Second)
 	faults := slices.DeleteFunc(slices.Clone(AllFaults), func(f Fault) bool { return !slices.Contains(r.plan.Faults, f) })
 	if len(faults) == 0 {
-		r.steadyUntil = end
+		r.faultFreeUntil = end
 		return nil
 	}
 	sum := 0.0
 	for _, fault := range faults {
 		sum += weight[fault]
 	}
-	steady := time.Duration(steadyPart * float64(end.Sub(r.playing)))
-	r.steadyUntil = r.playing.Add(steady)
-	unit := time.Duration(float64(end.Sub(r.steadyUntil)) / sum)
+	steady := time.Duration(faultFreeFraction * float64(end.Sub(r.playStart)))
+	r.faultFreeUntil = r.playStart.Add(steady)
+	unit := time.Duration(float64(end.Sub(r.faultFreeUntil)) / sum)
 	random := rand.New(rand.NewPCG(r.plan.Seed, 3))
-	if err := pause(ctx, steady); err != nil {
+	if err := sleep(ctx, steady); err != nil {
 		return err
 	}
 	defer r.recorder.enter("")
 	for _, fault := range faults {
 		slot := time.Duration(weight[fault]) * unit
-		r.tell("%s, %.0f s", fault, slot.Seconds())
+		r.logProgress("%s, %.0f s", fault, slot.Seconds())
 		r.recorder.enter(fault)
 		until := time.Now().Add(slot)
 		if err := r.playFault(ctx, fault, slot, random); err != nil {
 			return err
 		}
-		if err := pause(ctx, time.Until(until)); err != nil {
+		if err := sleep(ctx, time.Until(until)); err != nil {
 			return err
 		}
 	}
@@ -65,24 +65,26 @@
 		return r.reconnect(random)
 	case FaultMemberKilled:
 		return r.killMembers(ctx, slot)
-	case FaultRefusing:
-		return r.refuse(ctx, part(slot, refusePart), random)
+	case FaultRejecting:
+		return r.rejectChanges(ctx, scaleDuration(slot, rejectFraction), random)
 	case FaultRegionCut:
-		return r.cutRegion(ctx, part(slot, cutPart), random)
+		return r.cutRegion(ctx, scaleDuration(slot, cutFraction), random)
 	case FaultAllRestarted:
-		return r.restartAll(ctx, min(restartWithin, part(slot, restartPart)))
+		return r.restartAll(ctx, min(maxRestartSpread, scaleDuration(slot, restartFraction)))
 	}
 	return nil
 }
 
-func part(of time.Duration, share float64) time.Duration { return time.Duration(share * float64(of)) }
+func scaleDuration(of time.Duration, share float64) time.Duration {
+	return time.Duration(share * float64(of))
+}
 
 // choose gives the conductors that are chosen. The one with a process of its own is left alone: its steady running is
 // measured.
 func (r *run) choose(chosen func(conductor int) bool) (indexes []int, has func(int) bool) {
 	set := map[int]bool{}
-	for at := range r.conductors {
-		if at != ownConductor && chosen(at) {
+	for at := range r.controllers {
+		if at != measuredController && chosen(at) {
 			indexes = append(indexes, at)
 			set[at] = true
 		}
@@ -98,7 +100,7 @@
 	indexes, has := r.choose(oneIn(random, reconnectOneIn))
 	now := time.Now()
 	r.recorder.open(FaultReconnect, indexes, now, now)
-	return r.order(actionReconnect, 0, has)
+	return r.command(actionReconnect, 0, has)
 }
 
 // killMembers kills a member that follows, and the leader in the second half.
@@ -106,7 +108,7 @@
 	half := time.Now().Add(slot / 2)
 	for _, leader := range []bool{false, true} {
 		if leader {
-			if err := pause(ctx, time.Until(half)); err != nil {
+			if err := sleep(ctx, time.Until(half)); err != nil {
 				return err
 			}
 		}
@@ -118,7 +120,7 @@
 		if !leader {
 			victim = lead%uint64(r.plan.Members) + 1
 		}
-		if err := r.killMember(ctx, victim, min(longestDowntime, part(slot, memberDownPart))); err != nil {
+		if err := r.killMember(ctx, victim, min(longestDowntime, scaleDuration(slot, memberDownFraction))); err != nil {
 			return err
 		}
 	}
@@ -132,46 +134,46 @@
 	if err := member.die(); err != nil {
 		return err
 	}
-	if err := pause(ctx, down); err != nil {
+	if err := sleep(ctx, down); err != nil {
 		return err
 	}
 	return r.startMember(ctx, member)
 }
 
-// refuse has some conductors refuse some changes for a while.
-func (r *run) refuse(ctx context.Context, over time.Duration, random *rand.Rand) error {
-	indexes, has := r.choose(oneIn(random, refuseOneIn))
+// rejectChanges has some conductors refuse some changes for a while.
+func (r *run) rejectChanges(ctx context.Context, over time.Duration, random *rand.Rand) error {
+	indexes, has := r.choose(oneIn(random, rejectingOneIn))
 	now := time.Now()
-	r.recorder.open(FaultRefusing, indexes, now, now.Add(over+configsync.DefaultLimits.RejectedBackoff))
-	if err := r.order(actionRefuse, 0, has); err != nil {
+	r.recorder.open(FaultRejecting, indexes, now, now.Add(over+configsync.DefaultLimits.RejectedBackoff))
+	if err := r.command(actionReject, 0, has); err != nil {
 		return err
 	}
-	if err := pause(ctx, over); err != nil {
+	if err := sleep(ctx, over); err != nil {
 		return err
 	}
-	return r.order(actionAccept, 0, has)
+	return r.command(actionAccept, 0, has)
 }
 
 // cutRegion cuts the conductors of one region off.
 func (r *run) cutRegion(ctx context.Context, over time.Duration, random *rand.Rand) error {
 	region := random.IntN(r.plan.Regions)
-	indexes, has := r.choose(func(at int) bool { return r.conductors[at].Region == region })
+	indexes, has := r.choose(func(at int) bool { return r.controllers[at].Region == region })
 	now := time.Now()
 	r.recorder.open(FaultRegionCut, indexes, now, now.Add(over))
-	if err := r.order(actionCut, 0, has); err != nil {
+	if err := r.command(actionCut, 0, has); err != nil {
 		return err
 	}
-	if err := pause(ctx, over); err != nil {
+	if err := sleep(ctx, over); err != nil {
 		return err
 	}
-	return r.order(actionHeal, 0, has)
+	return r.command(actionHeal, 0, has)
 }
 
 // restartAll restarts all conductors evenly over a time.
 func (r *run) restartAll(ctx context.Context, over time.Duration) error {
 	_, has := r.choose(func(int) bool { return true })
-	if err := r.order(actionRestart, over, has); err != nil {
+	if err := r.command(actionRestart, over, has); err != nil {
 		return err
 	}
-	return pause(ctx, over)
+	return sleep(ctx, over)
 }
--- a/loadtest/fleet_test.go
+++ b/loadtest/fleet_test.go
@@ -9,10 +9,10 @@
 // smallPlan is played in a few seconds. Its bounds are those that don't depend on the machine.
 func smallPlan() Plan {
 	plan := OperatorsPlan()
-	plan.Conductors, plan.Nodes, plan.Services, plan.Routes, plan.Tenants = 20, 100, 12, 60, 500
+	plan.Controllers, plan.Nodes, plan.Services, plan.Routes, plan.Tenants = 20, 100, 12, 60, 500
 	plan.Regions, plan.Zones, plan.Members = 2, 4, 1
 	plan.Changes, plan.Seconds = 20, 2
-	plan.Bounds = Bounds{BytesBeside: DefaultBounds().BytesBeside}
+	plan.Bounds = Bounds{OverheadBytes: DefaultBounds().OverheadBytes}
 	return plan
 }
 
@@ -41,7 +41,7 @@
 	for _, line := range report.Broken {
 		t.Error(line)
 	}
-	plan, m := report.Asked, report.Measured
+	plan, m := report.Plan, report.Measured
 	if want := int(float64(plan.Seconds) * plan.Changes); m.Changes != want {
 		t.Errorf("%d changes, want %d", m.Changes, want)
 	}
@@ -49,13 +49,13 @@
 	for _, times := range m.Followers {
 		counted += times.Count
 	}
-	if want := int64(m.Changes * plan.Conductors); counted != want {
+	if want := int64(m.Changes * plan.Controllers); counted != want {
 		t.Errorf("%d times of conductors for changes, want %d", counted, want)
 	}
 	// On a slow machine a conductor may give a member up, and ask another one, before it has accepted its scope.
-	if m.Messages.Whole.Count < wholeScopes || m.Messages.WholeAgain != 0 {
+	if m.Messages.FullScope.Count < wholeScopes || m.Messages.FullScopeAgain != 0 {
 		t.Errorf("%d whole scopes, %d of them to conductors that held something; want %d or more, none of them so",
-			m.Messages.Whole.Count, m.Messages.WholeAgain, wholeScopes)
+			m.Messages.FullScope.Count, m.Messages.FullScopeAgain, wholeScopes)
 	}
 	// A message tells one change or more, so there are as many as interested conductors at the most.
 	if most := int64(m.Messages.InterestedPerChange*float64(m.Changes) + 0.5); m.Messages.Change.Count == 0 || m.Messages.Change.Count > most {
@@ -72,7 +72,7 @@
 func TestSmallFleet(t *testing.T) {
 	t.Parallel()
 	plan := smallPlan()
-	wantInOrder(t, play(t, plan, hooks{}), int64(plan.Conductors))
+	wantInOrder(t, play(t, plan, hooks{}), int64(plan.Controllers))
 }
 
 func TestSmallFleetThroughFaults(t *testing.T) {
@@ -81,12 +81,12 @@
 	plan.Members, plan.Seconds = 3, 8
 	plan.Faults = AllFaults
 	report := play(t, plan, hooks{})
-	restarted := int64(plan.Conductors - 1) // all but the one with a process of its own
-	wantInOrder(t, report, int64(plan.Conductors)+restarted)
+	restarted := int64(plan.Controllers - 1) // all but the one with a process of its own
+	wantInOrder(t, report, int64(plan.Controllers)+restarted)
 	if report.Measured.Restarted.Count != restarted {
 		t.Errorf("%d conductors were in step after their restart, want %d", report.Measured.Restarted.Count, restarted)
 	}
-	concerned := report.Measured.Concerned
+	concerned := report.Measured.Affected
 	for _, fault := range AllFaults {
 		if concerned[fault] == 0 {
 			t.Errorf("%s concerned nobody", fault)
@@ -101,11 +101,11 @@
 func TestBytesOfAChangeDoNotGrow(t *testing.T) {
 	t.Parallel()
 	small, large := smallPlan(), smallPlan()
-	large.Conductors, large.Tenants, large.Routes = 4*small.Conductors, 10*small.Tenants, 4*small.Routes
+	large.Controllers, large.Tenants, large.Routes = 4*small.Controllers, 10*small.Tenants, 4*small.Routes
 	few, many := play(t, small, hooks{}), play(t, large, hooks{})
-	wantInOrder(t, few, int64(small.Conductors))
-	wantInOrder(t, many, int64(large.Conductors))
-	if before, after := few.Measured.Messages.BesideRecord, many.Measured.Messages.BesideRecord; after.Worst > before.Worst+revisionDigits {
+	wantInOrder(t, few, int64(small.Controllers))
+	wantInOrder(t, many, int64(large.Controllers))
+	if before, after := few.Measured.Messages.RecordOverhead, many.Measured.Messages.RecordOverhead; after.Worst > before.Worst+revisionDigits {
 		t.Errorf("beside a record: %d bytes in the small fleet, %d in the large one", before.Worst, after.Worst)
 	}
 	if before, after := few.Measured.Messages.Progress, many.Measured.Messages.Progress; after.Worst > before.Worst+revisionDigits {
--- a/loadtest/group.go
+++ b/loadtest/group.go
@@ -70,7 +70,7 @@
 			return 0, err
 		}
 		g.next = (g.next + 1) % len(g.conns)
-		if waiting := pause(ctx, tryAgainAfter); waiting != nil {
+		if waiting := sleep(ctx, tryAgainAfter); waiting != nil {
 			return 0, fmt.Errorf("%w: %w", waiting, err)
 		}
 	}
@@ -88,7 +88,7 @@
 			}
 			err = failed
 		}
-		if waiting := pause(ctx, tryAgainAfter); waiting != nil {
+		if waiting := sleep(ctx, tryAgainAfter); waiting != nil {
 			return 0, fmt.Errorf("no leader: %w: %w", waiting, err)
 		}
 	}
--- a/loadtest/member.go
+++ b/loadtest/member.go
@@ -21,8 +21,8 @@
 	source func(records.Source) records.Source // stands between the member's records and its followers
 }
 
-// countsEvery is how often a member tells what it sent and looks for a leader.
-const countsEvery = 500 * time.Millisecond
+// countsInterval is how often a member tells what it sent and looks for a leader.
+const countsInterval = 500 * time.Millisecond
 
 // errNoLeader is why followers are sent to another member.
 var errNoLeader = errors.New("this member knows no leader: ask another one")
@@ -82,7 +82,7 @@
 	ended := make(chan error, 1)
 	parts.Go(func() { ended <- m.node.Run(ctx) })
 	parts.Go(func() { m.watch(ctx) })
-	if err := m.out.write(news{Ready: true}); err != nil {
+	if err := m.out.write(workerReport{Ready: true}); err != nil {
 		return err
 	}
 	return <-ended
@@ -91,9 +91,9 @@
 // watch tells what was sent, and sends followers away once no leader was known for a lease's time, until ctx ends.
 func (m *member) watch(ctx context.Context) {
 	led := time.Now()
-	for pause(ctx, countsEvery) == nil {
+	for sleep(ctx, countsInterval) == nil {
 		counts := m.service.Counts()
-		if m.out.write(news{Counts: &counts}) != nil {
+		if m.out.write(workerReport{Counts: &counts}) != nil {
 			return
 		}
 		if report, err := m.node.Status(ctx); err == nil && report.Status.Leader != 0 {
--- a/loadtest/members.go
+++ b/loadtest/members.go
@@ -80,19 +80,19 @@
 	member.mutex.Lock()
 	member.worker, member.ready = started, ready
 	member.mutex.Unlock()
-	r.crew.add(started, func(told *news) { member.take(started, told, r.recorder) })
+	r.crew.add(started, func(told *workerReport) { member.take(started, told, r.recorder) })
 	setup := &memberSetup{ID: member.id, Folder: filepath.Join(r.folder, fmt.Sprint("member-", member.id)), Addresses: map[uint64]string{}}
 	for _, other := range r.members {
 		setup.Addresses[other.id] = other.address
 	}
-	if err := started.orders.write(order{Member: setup}); err != nil {
+	if err := started.commands.write(workerCommand{Member: setup}); err != nil {
 		return err
 	}
 	return r.wait(ctx, ready, startTimeout, fmt.Sprintf("member %d does not serve", member.id))
 }
 
 // take notes what the member tells.
-func (m *memberProcess) take(from *worker, told *news, to *recorder) {
+func (m *memberProcess) take(from *worker, told *workerReport, to *recorder) {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	if m.worker != from {
--- a/loadtest/message.go
+++ b/loadtest/message.go
@@ -11,17 +11,17 @@
 
 // The roles of a worker, which is a process of its own or, in tests, a goroutine.
 const (
-	RoleMember     = "member"
-	RoleConductors = "conductors"
-	RoleProgram    = "program" // one conductor, which is harehookd
+	RoleMember      = "member"
+	RoleControllers = "conductors"
+	RoleProgram     = "program" // one conductor, which is harehookd
 )
 
-// order is what a worker is told, one JSON object a line on its standard input. A worker ends when its input does.
-type order struct {
-	Member     *memberSetup     `json:"member,omitempty"`
-	Conductors *conductorsSetup `json:"conductors,omitempty"`
-	Program    *programSetup    `json:"program,omitempty"`
-	Action     *action          `json:"action,omitempty"`
+// workerCommand is what a worker is told, one JSON object a line on its standard input. A worker ends when its input does.
+type workerCommand struct {
+	Member      *memberSetup      `json:"member,omitempty"`
+	Controllers *controllersSetup `json:"conductors,omitempty"`
+	Program     *programSetup     `json:"program,omitempty"`
+	Action      *action           `json:"action,omitempty"`
 }
 
 // memberSetup says how to start a member of the group.
@@ -31,18 +31,18 @@
 	Addresses map[uint64]string `json:"addresses"`
 }
 
-// conductorsSetup says which conductors a worker plays.
-type conductorsSetup struct {
-	Members    []string      `json:"members"` // addresses
-	Lease      time.Duration `json:"lease_ns"`
-	Seed       uint64        `json:"seed"`
-	Conductors []numbered    `json:"conductors"`
+// controllersSetup says which conductors a worker plays.
+type controllersSetup struct {
+	Members     []string      `json:"members"` // addresses
+	Lease       time.Duration `json:"lease_ns"`
+	Seed        uint64        `json:"seed"`
+	Controllers []numbered    `json:"conductors"`
 }
 
 // numbered is a conductor with its place in the fleet.
 type numbered struct {
 	Index int `json:"index"`
-	Conductor
+	Controller
 }
 
 // actionKind is something that is done to conductors.
@@ -53,7 +53,7 @@
 	actionReconnect actionKind = "reconnect" // the connection is closed
 	actionCut       actionKind = "cut"       // nothing comes through any more, without a word
 	actionHeal      actionKind = "heal"      // ends a cut; what was cut is closed
-	actionRefuse    actionKind = "refuse"    // some changes are refused from now on
+	actionReject    actionKind = "refuse"    // some changes are refused from now on
 	actionAccept    actionKind = "accept"    // ends that
 	actionReport    actionKind = "report"    // what was measured until now
 	actionFinish    actionKind = "finish"    // ends all clients and tells what they hold
@@ -61,13 +61,13 @@
 
 // action is done to the conductors of a worker at these places in the fleet, evenly over a time.
 type action struct {
-	Kind       actionKind    `json:"kind"`
-	Conductors []int         `json:"conductors,omitempty"`
-	Over       time.Duration `json:"over_ns,omitempty"`
+	Kind        actionKind    `json:"kind"`
+	Controllers []int         `json:"conductors,omitempty"`
+	Over        time.Duration `json:"over_ns,omitempty"`
 }
 
-// news is what a worker tells, one JSON object a line on its standard output.
-type news struct {
+// workerReport is what a worker tells, one JSON object a line on its standard output.
+type workerReport struct {
 	Ready    bool               `json:"ready,omitempty"`    // the member serves, or the conductors are set up
 	PID      int                `json:"pid,omitempty"`      // of the program that the worker runs
 	Failed   string             `json:"failed,omitempty"`   // the worker ends
@@ -82,7 +82,7 @@
 type eventKind string
 
 const (
-	eventLife     eventKind = "life"     // it was started, and holds nothing
+	eventStarted  eventKind = "life"     // it was started, and holds nothing
 	eventJoined   eventKind = "joined"   // a member has answered on a new stream
 	eventAccepted eventKind = "accepted" // it holds another revision
 	eventFinal    eventKind = "final"    // what it held at the end
@@ -90,14 +90,14 @@
 
 // event is told by the time of the machine that all workers run on.
 type event struct {
-	Kind      eventKind `json:"k"`
-	Conductor int       `json:"c"`
-	At        int64     `json:"t"` // Unix time in ns
-	Life      int       `json:"l,omitempty"`
-	Revision  uint64    `json:"r,omitempty"`
-	Digest    Digest    `json:"d,omitempty"`
-	Outside   int       `json:"o,omitempty"` // records held that are not of its scope
-	Member    string    `json:"m,omitempty"` // address
+	Kind        eventKind `json:"k"`
+	Controller  int       `json:"c"`
+	At          int64     `json:"t"` // Unix time in ns
+	Incarnation int       `json:"l,omitempty"`
+	Revision    uint64    `json:"r,omitempty"`
+	Digest      Digest    `json:"d,omitempty"`
+	Outside     int       `json:"o,omitempty"` // records held that are not of its scope
+	Member      string    `json:"m,omitempty"` // address
 }
 
 // wireReading is what went over a worker's connections since it began, with all framing above TCP.
--- a/loadtest/messages.go
+++ b/loadtest/messages.go
@@ -11,46 +11,46 @@
 
 // messageMeter counts the messages that the conductors of a worker get, by what they are for.
 type messageMeter struct {
-	mutex                                             sync.Mutex
-	whole, change, progress, beside                   *hdrhistogram.Histogram // bytes
-	heartbeats, changeRecords, repeatedly, wholeAgain int64
+	mutex                                                        sync.Mutex
+	fullScope, change, progress, overhead                        *hdrhistogram.Histogram // bytes
+	heartbeats, changeRecords, fullScopeRepeated, fullScopeAgain int64
 }
 
 const (
-	maxMessageBytes = 64 << 20
-	figures         = 3 // significant ones that histograms keep
+	maxMessageBytes   = 64 << 20
+	significantDigits = 3 // significant ones that histograms keep
 )
 
 func newBytesHistogram() *hdrhistogram.Histogram {
-	return hdrhistogram.New(1, maxMessageBytes, figures)
+	return hdrhistogram.New(1, maxMessageBytes, significantDigits)
 }
 
 func newMessageMeter() *messageMeter {
-	return &messageMeter{whole: newBytesHistogram(), change: newBytesHistogram(), progress: newBytesHistogram(), beside: newBytesHistogram()}
+	return &messageMeter{fullScope: newBytesHistogram(), change: newBytesHistogram(), progress: newBytesHistogram(), overhead: newBytesHistogram()}
 }
 
-func (m *messageMeter) noteHeartbeat(int) {
+func (m *messageMeter) recordHeartbeat(int) {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	m.heartbeats++
 }
 
-// note counts an offer. A whole scope is in order as the first offer of a stream; later it is told in place of what
+// record counts an offer. A whole scope is in order as the first offer of a stream; later it is told in place of what
 // changed, so that all of it counts as bytes beside the record.
-func (m *messageMeter) note(response *discoveryv3.DeltaDiscoveryResponse, wireBytes int, first, holds bool) {
+func (m *messageMeter) record(response *discoveryv3.DeltaDiscoveryResponse, wireBytes int, first, holds bool) {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	content := configsync.ContentOf(response)
 	bytes := min(int64(wireBytes), maxMessageBytes)
 	switch {
 	case content.FullScope:
-		m.whole.RecordValue(bytes)
+		m.fullScope.RecordValue(bytes)
 		if holds {
-			m.wholeAgain++
+			m.fullScopeAgain++
 		}
 		if !first {
-			m.repeatedly++
-			m.beside.RecordValue(bytes)
+			m.fullScopeRepeated++
+			m.overhead.RecordValue(bytes)
 		}
 	case content.Records == 0:
 		m.progress.RecordValue(bytes)
@@ -60,24 +60,24 @@
 		for _, resource := range response.GetResources() {
 			bytes -= int64(bodyBytes(resource))
 		}
-		m.beside.RecordValue(max(1, bytes/int64(content.Records)))
+		m.overhead.RecordValue(max(1, bytes/int64(content.Records)))
 	}
 }
 
 // messageReport is what a messageMeter has counted, in a form that goes from process to process.
 type messageReport struct {
-	Whole, Change, Progress, Beside                   []byte // histograms, encoded
-	Heartbeats, ChangeRecords, Repeatedly, WholeAgain int64
+	FullScope, Change, Progress, Overhead                        []byte // histograms, encoded
+	Heartbeats, ChangeRecords, FullScopeRepeated, FullScopeAgain int64
 }
 
 func (m *messageMeter) report() (report *messageReport, err error) {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
-	report = &messageReport{Heartbeats: m.heartbeats, ChangeRecords: m.changeRecords, Repeatedly: m.repeatedly, WholeAgain: m.wholeAgain}
+	report = &messageReport{Heartbeats: m.heartbeats, ChangeRecords: m.changeRecords, FullScopeRepeated: m.fullScopeRepeated, FullScopeAgain: m.fullScopeAgain}
 	for _, one := range []struct {
 		from *hdrhistogram.Histogram
 		to   *[]byte
-	}{{m.whole, &report.Whole}, {m.change, &report.Change}, {m.progress, &report.Progress}, {m.beside, &report.Beside}} {
+	}{{m.fullScope, &report.FullScope}, {m.change, &report.Change}, {m.progress, &report.Progress}, {m.overhead, &report.Overhead}} {
 		if *one.to, err = one.from.Encode(hdrhistogram.V2CompressedEncodingCookieBase); err != nil {
 			return nil, err
 		}
@@ -91,12 +91,12 @@
 	defer m.mutex.Unlock()
 	m.heartbeats += report.Heartbeats
 	m.changeRecords += report.ChangeRecords
-	m.repeatedly += report.Repeatedly
-	m.wholeAgain += report.WholeAgain
+	m.fullScopeRepeated += report.FullScopeRepeated
+	m.fullScopeAgain += report.FullScopeAgain
 	for _, one := range []struct {
 		from []byte
 		to   *hdrhistogram.Histogram
-	}{{report.Whole, m.whole}, {report.Change, m.change}, {report.Progress, m.progress}, {report.Beside, m.beside}} {
+	}{{report.FullScope, m.fullScope}, {report.Change, m.change}, {report.Progress, m.progress}, {report.Overhead, m.overhead}} {
 		decoded, err := hdrhistogram.Decode(one.from)
 		if err != nil {
 			return err
--- a/loadtest/meter.go
+++ b/loadtest/meter.go
@@ -204,11 +204,11 @@
 		if content := configsync.ContentOf(response); content.FullScope || content.Records > 0 {
 			s.meter.changed.Store(true)
 		}
-		s.meter.messages.note(response, payload.WireLength, !stream.offered, s.meter.holds.Load())
+		s.meter.messages.record(response, payload.WireLength, !stream.offered, s.meter.holds.Load())
 		stream.offered = true
 		return
 	}
-	s.meter.messages.noteHeartbeat(payload.WireLength)
+	s.meter.messages.recordHeartbeat(payload.WireLength)
 }
 
 // TagConn implements stats.Handler.
--- a/loadtest/model.go
+++ b/loadtest/model.go
@@ -39,19 +39,19 @@
 // Model is what the group has agreed on, told by the answers to proposals. It knows what each conductor has to hold at
 // each revision.
 type Model struct {
-	conductors []Conductor
-	held       map[records.Key]*records.Record
-	versions   [][]version // by conductor, ascending
-	loaded     uint64      // revision of the last transaction of the load
+	controllers []Controller
+	records     map[records.Key]*records.Record
+	versions    [][]version // by conductor, ascending
+	loaded      uint64      // revision of the last transaction of the load
 }
 
 // NewModel makes one of a group that has agreed on nothing.
-func NewModel(conductors []Conductor) *Model {
-	return &Model{conductors: conductors, held: map[records.Key]*records.Record{}, versions: make([][]version, len(conductors))}
+func NewModel(conductors []Controller) *Model {
+	return &Model{controllers: conductors, records: map[records.Key]*records.Record{}, versions: make([][]version, len(conductors))}
 }
 
-// place is where records stand: an empty name concerns all.
-type place struct{ service, zone string }
+// scopeKey is where records stand: an empty name concerns all.
+type scopeKey struct{ service, zone string }
 
 // Load notes the transactions that were agreed on before the first conductor came.
 func (m *Model) Load(transaction records.Transaction, revision uint64) error {
@@ -64,15 +64,15 @@
 
 // Loaded ends the load: from here on each change is followed by itself.
 func (m *Model) Loaded() {
-	sums := map[place]Digest{}
-	for _, record := range m.held {
-		sums[place{record.Service, record.Zone}] += digestOf(record)
+	sums := map[scopeKey]Digest{}
+	for _, record := range m.records {
+		sums[scopeKey{record.Service, record.Zone}] += digestOf(record)
 	}
-	for at, conductor := range m.conductors {
+	for at, conductor := range m.controllers {
 		var sum Digest
 		for _, service := range append(slices.Clone(conductor.Scope.Services), "") {
 			for _, zone := range append(slices.Clone(conductor.Scope.Zones), "") {
-				sum += sums[place{service, zone}]
+				sum += sums[scopeKey{service, zone}]
 			}
 		}
 		m.versions[at] = []version{{m.loaded, sum}}
@@ -85,7 +85,7 @@
 	if err != nil {
 		return nil, err
 	}
-	for at, conductor := range m.conductors {
+	for at, conductor := range m.controllers {
 		difference, touched := Digest(0), false
 		for _, update := range updates {
 			if conductor.Scope.Contains(update.Before) {
@@ -108,15 +108,15 @@
 
 func (m *Model) write(transaction records.Transaction, revision uint64) (updates []records.Update, err error) {
 	for _, write := range transaction.Writes {
-		update := records.Update{Before: m.held[write.Key]}
+		update := records.Update{Before: m.records[write.Key]}
 		if len(write.Body) == 0 {
-			delete(m.held, write.Key)
+			delete(m.records, write.Key)
 		} else {
 			if update.After, err = records.Parse(write.Key, write.Body); err != nil {
 				return nil, err
 			}
 			update.After.Revision = revision
-			m.held[write.Key] = update.After
+			m.records[write.Key] = update.After
 		}
 		updates = append(updates, update)
 	}
--- a/loadtest/model_test.go
+++ b/loadtest/model_test.go
@@ -63,7 +63,7 @@
 func TestModelKnowsEarlierRevisions(t *testing.T) {
 	t.Parallel()
 	scope := records.Scope{Services: []string{"a"}}
-	model := NewModel([]Conductor{{Name: "one", Scope: scope}})
+	model := NewModel([]Controller{{Name: "one", Scope: scope}})
 	write := func(admit string) records.Transaction {
 		body := []byte(`{"service":"a","prefix":"/a","time_limit_ms":100,"admit":` + admit + `}`)
 		return records.Transaction{Writes: []records.Write{{Key: records.Key{Kind: records.KindRoute, Name: "r"}, Body: body}}}
--- a/loadtest/plan.go
+++ b/loadtest/plan.go
@@ -1,10 +1,12 @@
-// Package fleet plays a fleet of conductors that follow a group of members on one machine, and measures how fast and at
-// what cost changes of configuration come into force.
+// Package loadtest runs a fleet of controllers that follow a group of members on one machine, and measures how fast and
+// at what cost changes of configuration reach all of them.
 //
-// The members are real: each is a cluster.Node with its log on disk and the service that followers are told by, a
-// process of its own unless a test asks for all in one. Most conductors are hollow: the real client and follower, many
-// in a process, with no data plane. One conductor has a process of its own, whose processor time, memory and bytes are
-// measured. All is on loopback.
+// The members are real: each is a cluster.Node with its log on disk and the service that followers connect to, in a
+// process of its own unless a test asks for one process. Most controllers are simulated: the real client and follower,
+// many in a process, without a data plane. One controller has a process of its own, whose processor time, memory and
+// bytes are measured. All traffic stays on loopback.
+//
+// Play carries out a Plan and returns a Report; ReadExperiment reads plans from KDL.
 package loadtest
 
 import (
@@ -22,12 +24,12 @@
 	FaultMemberKilled Fault = "member-killed" // a member is killed and started again, then the leader
 	FaultReconnect    Fault = "reconnect"     // one conductor in ten loses its connection
 	FaultRegionCut    Fault = "region-cut"    // the conductors of one region are cut off for a while
-	FaultRefusing     Fault = "refusing"      // some conductors refuse some changes
+	FaultRejecting    Fault = "refusing"      // some conductors refuse some changes
 	FaultAllRestarted Fault = "all-restarted" // all conductors are restarted within a minute, holding nothing
 )
 
 // AllFaults lists the faults in the order in which they are played.
-var AllFaults = []Fault{FaultReconnect, FaultMemberKilled, FaultRefusing, FaultRegionCut, FaultAllRestarted}
+var AllFaults = []Fault{FaultReconnect, FaultMemberKilled, FaultRejecting, FaultRegionCut, FaultAllRestarted}
 
 // ParseFaults reads names separated by commas.
 func ParseFaults(text string) (faults []Fault, err error) {
@@ -48,44 +50,44 @@
 
 // Plan is what a run is asked to do.
 type Plan struct {
-	Conductors int     `json:"conductors"`
-	Nodes      int     `json:"nodes"`
-	Services   int     `json:"services"`
-	Routes     int     `json:"routes"`
-	Tenants    int     `json:"tenants"`
-	Regions    int     `json:"regions"`
-	Zones      int     `json:"zones"`
-	Members    int     `json:"members"`
-	Changes    float64 `json:"changes"` // a second
-	Seconds    int     `json:"seconds"` // that changes are played for
-	Seed       uint64  `json:"seed"`
-	Faults     []Fault `json:"faults"`
-	Bounds     Bounds  `json:"bounds"`
+	Controllers int     `json:"conductors"`
+	Nodes       int     `json:"nodes"`
+	Services    int     `json:"services"`
+	Routes      int     `json:"routes"`
+	Tenants     int     `json:"tenants"`
+	Regions     int     `json:"regions"`
+	Zones       int     `json:"zones"`
+	Members     int     `json:"members"`
+	Changes     float64 `json:"changes"` // a second
+	Seconds     int     `json:"seconds"` // that changes are played for
+	Seed        uint64  `json:"seed"`
+	Faults      []Fault `json:"faults"`
+	Bounds      Bounds  `json:"bounds"`
 }
 
 // OperatorsPlan is the operators' size.
 func OperatorsPlan() Plan {
 	return Plan{
-		Conductors: 1700, Nodes: 13000, Services: 570, Routes: 3400, Tenants: 140000,
+		Controllers: 1700, Nodes: 13000, Services: 570, Routes: 3400, Tenants: 140000,
 		Regions: 12, Zones: 42, Members: 5, Changes: 1, Seconds: 120, Seed: 1, Bounds: DefaultBounds(),
 	}
 }
 
 // The most that a run may ask for: it has to leave room on the machine that it runs on.
 const (
-	maxConductors = 4000
-	maxMembers    = 9
-	maxRecords    = 400_000
-	maxChanges    = 200 // a second
-	maxSeconds    = 3600
-	scopeServices = 6 // services of a conductor's scope
+	maxControllers = 4000
+	maxMembers     = 9
+	maxRecords     = 400_000
+	maxChanges     = 200 // a second
+	maxSeconds     = 3600
+	scopeServices  = 6 // services of a conductor's scope
 )
 
 // Validate says what of a plan can't be played.
 func (p Plan) Validate() error {
 	switch {
-	case p.Conductors < 1 || p.Conductors > maxConductors:
-		return fmt.Errorf("conductors have to be 1 to %d, not %d", maxConductors, p.Conductors)
+	case p.Controllers < 1 || p.Controllers > maxControllers:
+		return fmt.Errorf("conductors have to be 1 to %d, not %d", maxControllers, p.Controllers)
 	case p.Members < 1 || p.Members > maxMembers:
 		return fmt.Errorf("members have to be 1 to %d, not %d", maxMembers, p.Members)
 	case p.Services < 1 || p.Routes < 1 || p.Tenants < 0 || p.Nodes < 1:
@@ -125,7 +127,7 @@
 
 // Settings are all figures of a plan.
 var Settings = []Setting{
-	intSetting("conductors", "conductors that follow the group", func(p *Plan) *int { return &p.Conductors }),
+	intSetting("conductors", "conductors that follow the group", func(p *Plan) *int { return &p.Controllers }),
 	intSetting("nodes", "nodes that overrides name", func(p *Plan) *int { return &p.Nodes }),
 	intSetting("services", "services", func(p *Plan) *int { return &p.Services }),
 	intSetting("routes", "routes, spread over the services", func(p *Plan) *int { return &p.Routes }),
@@ -137,13 +139,13 @@
 	intSetting("seconds", "how long changes are played", func(p *Plan) *int { return &p.Seconds }),
 	{"seed", "what configuration, changes and faults are drawn from",
 		func(p *Plan) float64 { return float64(p.Seed) }, func(p *Plan, value float64) { p.Seed = uint64(value) }},
-	floatSetting("bound-in-force-s", "bound: seconds from a change's answer until it is in force, the worst", func(p *Plan) *float64 { return &p.Bounds.InForceS }),
-	floatSetting("bound-bytes-beside", "bound: bytes to an interested conductor beside the record", func(p *Plan) *float64 { return &p.Bounds.BytesBeside }),
-	floatSetting("bound-restart-nine-s", "bound: seconds until nine in ten restarted conductors are in step", func(p *Plan) *float64 { return &p.Bounds.RestartNineS }),
+	floatSetting("bound-in-force-s", "bound: seconds from a change's answer until it is in force, the worst", func(p *Plan) *float64 { return &p.Bounds.ConvergenceS }),
+	floatSetting("bound-bytes-beside", "bound: bytes to an interested conductor beside the record", func(p *Plan) *float64 { return &p.Bounds.OverheadBytes }),
+	floatSetting("bound-restart-nine-s", "bound: seconds until nine in ten restarted conductors are in step", func(p *Plan) *float64 { return &p.Bounds.RestartP90S }),
 	floatSetting("bound-restart-all-s", "bound: seconds until all restarted conductors are in step", func(p *Plan) *float64 { return &p.Bounds.RestartAllS }),
-	floatSetting("bound-conductor-cpu", "bound: part of a core of the conductor in its own process", func(p *Plan) *float64 { return &p.Bounds.ConductorCPU }),
-	floatSetting("bound-conductor-mb", "bound: resident megabytes of that conductor", func(p *Plan) *float64 { return &p.Bounds.ConductorMB }),
-	floatSetting("bound-conductor-kbs", "bound: kilobytes a second of that conductor, in and out", func(p *Plan) *float64 { return &p.Bounds.ConductorKBS }),
+	floatSetting("bound-conductor-cpu", "bound: part of a core of the conductor in its own process", func(p *Plan) *float64 { return &p.Bounds.ControllerCPU }),
+	floatSetting("bound-conductor-mb", "bound: resident megabytes of that conductor", func(p *Plan) *float64 { return &p.Bounds.ControllerMB }),
+	floatSetting("bound-conductor-kbs", "bound: kilobytes a second of that conductor, in and out", func(p *Plan) *float64 { return &p.Bounds.ControllerKBS }),
 }
 
 // setting finds a figure by its name.
--- a/loadtest/planted_test.go
+++ b/loadtest/planted_test.go
@@ -28,7 +28,7 @@
 	plant := memberHooks{source: func(s records.Source) records.Source { return forgetful{s} }}
 	report := play(t, smallPlan(), hooks{member: plant})
 	wantBroken(t, report, "bytes to an interested conductor beside the record")
-	if report.Measured.Messages.WholeInPlace == 0 || report.Measured.Messages.WholeAgain == 0 {
+	if report.Measured.Messages.FullScopeInStep == 0 || report.Measured.Messages.FullScopeAgain == 0 {
 		t.Error("no whole scope was counted as sent in place of a change")
 	}
 }
@@ -61,8 +61,8 @@
 
 func plantEvents(change func(accepted int, one *event)) hooks {
 	accepted := 0 // only the planted conductor's goroutine counts
-	return hooks{conductor: conductorHooks{event: func(one *event) {
-		if one.Conductor == plantedConductor && one.Kind == eventAccepted {
+	return hooks{conductor: controllerHooks{event: func(one *event) {
+		if one.Controller == plantedConductor && one.Kind == eventAccepted {
 			accepted++
 			change(accepted, one)
 		}
@@ -124,7 +124,7 @@
 func TestPlantedLateConductor(t *testing.T) {
 	t.Parallel()
 	plan := smallPlan()
-	plan.Bounds.InForceS = DefaultBounds().InForceS
+	plan.Bounds.ConvergenceS = DefaultBounds().ConvergenceS
 	report := play(t, plan, plantEvents(func(accepted int, one *event) {
 		if accepted > 1 {
 			one.At += (8 * time.Second).Nanoseconds()
@@ -138,23 +138,23 @@
 	bounds := DefaultBounds()
 	within := func() Measured {
 		return Measured{
-			InForce:   Times{WorstMS: 7000},
-			Messages:  Messages{BesideRecord: Bytes{Worst: 1024}},
-			Restarted: &Times{NineInTenMS: 10000, WorstMS: 30000},
-			Conductor: &ConductorUse{ProcessUse: ProcessUse{BusiestCPU: 0.011, WorstMB: 128}, BusiestKBS: 16},
+			Convergence: Times{WorstMS: 7000},
+			Messages:    Messages{RecordOverhead: Bytes{Worst: 1024}},
+			Restarted:   &Times{P90MS: 10000, WorstMS: 30000},
+			Controller:  &ControllerUsage{ProcessUsage: ProcessUsage{BusiestCPU: 0.011, WorstMB: 128}, BusiestKBS: 16},
 		}
 	}
 	if m := within(); len(m.Broken(bounds)) != 0 {
 		t.Errorf("at the bounds: %q", m.Broken(bounds))
 	}
 	for name, over := range map[string]func(m *Measured){
-		"in force at the worst":         func(m *Measured) { m.InForce.WorstMS++ },
-		"beside the record":             func(m *Measured) { m.Messages.BesideRecord.Worst++ },
-		"nine in ten in step":           func(m *Measured) { m.Restarted.NineInTenMS++ },
+		"in force at the worst":         func(m *Measured) { m.Convergence.WorstMS++ },
+		"beside the record":             func(m *Measured) { m.Messages.RecordOverhead.Worst++ },
+		"nine in ten in step":           func(m *Measured) { m.Restarted.P90MS++ },
 		"all restarted, all in step":    func(m *Measured) { m.Restarted.WorstMS++ },
-		"processor time":                func(m *Measured) { m.Conductor.BusiestCPU += 0.0001 },
-		"memory":                        func(m *Measured) { m.Conductor.WorstMB++ },
-		"bytes of the conductor":        func(m *Measured) { m.Conductor.BusiestKBS++ },
+		"processor time":                func(m *Measured) { m.Controller.BusiestCPU += 0.0001 },
+		"memory":                        func(m *Measured) { m.Controller.WorstMB++ },
+		"bytes of the conductor":        func(m *Measured) { m.Controller.BusiestKBS++ },
 		"records to uninterested":       func(m *Measured) { m.Messages.UninterestedRecords++ },
 		"never: conductor-0001: a word": func(m *Measured) { m.Violations = []Violation{{"conductor-0001", "a word"}} },
 	} {
--- a/loadtest/program.go
+++ b/loadtest/program.go
@@ -18,11 +18,11 @@
 
 // programSetup says how to start harehookd as a conductor that follows the group.
 type programSetup struct {
-	Program   string   `json:"program"`
-	Folder    string   `json:"folder"` // of its files
-	Members   []string `json:"members"`
-	Conductor          // whose name and scope it has
-	Routes    []string `json:"routes"` // lines of its file
+	Program    string   `json:"program"`
+	Folder     string   `json:"folder"` // of its files
+	Members    []string `json:"members"`
+	Controller          // whose name and scope it has
+	Routes     []string `json:"routes"` // lines of its file
 }
 
 // program is the worker that runs harehookd behind proxies, which count what it is sent and sends.
@@ -53,12 +53,12 @@
 	}
 	started, ended := make(chan int, 1), make(chan error, 1)
 	go func() { ended <- p.execute(ctx, path, started) }()
-	tick := time.NewTicker(wireEvery)
+	tick := time.NewTicker(wireReportInterval)
 	defer tick.Stop()
 	for {
 		select {
 		case pid := <-started:
-			if err := p.out.write(news{Ready: true, PID: pid}); err != nil {
+			if err := p.out.write(workerReport{Ready: true, PID: pid}); err != nil {
 				stop()
 				return errors.Join(err, <-ended)
 			}
@@ -68,7 +68,7 @@
 			}
 			return fmt.Errorf("%s ended: %w", p.setup.Program, err)
 		case <-tick.C:
-			if err := p.out.write(news{Wire: p.wire.reading()}); err != nil {
+			if err := p.out.write(workerReport{Wire: p.wire.reading()}); err != nil {
 				stop()
 				return errors.Join(err, <-ended)
 			}
--- a/loadtest/recorder.go
+++ b/loadtest/recorder.go
@@ -33,8 +33,8 @@
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	for _, one := range events {
-		if one.Conductor >= 0 && one.Conductor < len(r.histories) {
-			r.histories[one.Conductor].note(one)
+		if one.Controller >= 0 && one.Controller < len(r.histories) {
+			r.histories[one.Controller].note(one)
 		}
 	}
 }
--- a/loadtest/report.go
+++ b/loadtest/report.go
@@ -13,63 +13,63 @@
 
 // Report is what a run was asked to do and what it measured.
 type Report struct {
-	Asked    Plan     `json:"asked"`
+	Plan     Plan     `json:"asked"`
 	Measured Measured `json:"measured"`
 	Broken   []string `json:"broken"` // a line for each bound that broke
 }
 
 // Measured is what a run measured.
 type Measured struct {
-	Separate   bool            `json:"separate"` // members and conductors were processes of their own
-	Records    int             `json:"records"`
-	Changes    int             `json:"changes"`
-	InForce    Times           `json:"in_force"`          // from a change's answer until all have accepted it that it was due from
-	ByPhase    map[Fault]Times `json:"in_force_by_phase"` // by the fault that was played
-	Followers  map[Fault]Times `json:"followers"`         // of each follower and change, by the fault that concerned the follower
-	Concerned  map[Fault]int   `json:"concerned"`         // how often a fault concerned a conductor
-	Interested Times           `json:"interested"`        // of those in whose scope the change was, while no fault concerned them
-	Start      Times           `json:"start"`             // until in step, from each conductor's start; all start at once
-	Restarted  *Times          `json:"restarted,omitempty"`
-	Messages   Messages        `json:"messages"`
-	HollowKBS  float64         `json:"hollow_kbs"` // of a hollow conductor, in and out, on average while no fault was played
-	Members    []MemberUse     `json:"members"`
-	Hollow     []ProcessUse    `json:"hollow_processes"`
-	Conductor  *ConductorUse   `json:"conductor,omitempty"`
-	Violations []Violation     `json:"violations"`
-	Notes      []string        `json:"notes"` // what is measured and what is hollow
+	Separate           bool             `json:"separate"` // members and conductors were processes of their own
+	Records            int              `json:"records"`
+	Changes            int              `json:"changes"`
+	Convergence        Times            `json:"in_force"`          // from a change's answer until all have accepted it that it was due from
+	ConvergenceByFault map[Fault]Times  `json:"in_force_by_phase"` // by the fault that was played
+	Followers          map[Fault]Times  `json:"followers"`         // of each follower and change, by the fault that concerned the follower
+	Affected           map[Fault]int    `json:"concerned"`         // how often a fault concerned a conductor
+	Interested         Times            `json:"interested"`        // of those in whose scope the change was, while no fault concerned them
+	Start              Times            `json:"start"`             // until in step, from each conductor's start; all start at once
+	Restarted          *Times           `json:"restarted,omitempty"`
+	Messages           Messages         `json:"messages"`
+	SimulatedKBS       float64          `json:"hollow_kbs"` // of a hollow conductor, in and out, on average while no fault was played
+	Members            []MemberUsage    `json:"members"`
+	SimulatedProcesses []ProcessUsage   `json:"hollow_processes"`
+	Controller         *ControllerUsage `json:"conductor,omitempty"`
+	Violations         []Violation      `json:"violations"`
+	Notes              []string         `json:"notes"` // what is measured and what is hollow
 }
 
 // Messages are those that conductors got. Their bytes are those of the messages; HTTP/2's framing comes on top.
 type Messages struct {
 	Change              Bytes   `json:"change"`   // to conductors in whose scope something changed
 	Progress            Bytes   `json:"progress"` // to all others: the revision alone
-	Whole               Bytes   `json:"whole"`
+	FullScope           Bytes   `json:"whole"`
 	Heartbeats          int64   `json:"heartbeats"`
-	BesideRecord        Bytes   `json:"beside_record"`  // of a message with changes, for each record in it, without its body
-	WholeInPlace        int64   `json:"whole_in_place"` // whole scopes sent to conductors that were in step
-	WholeAgain          int64   `json:"whole_again"`    // likewise to those that held something, also as they reconnected
+	RecordOverhead      Bytes   `json:"beside_record"`  // of a message with changes, for each record in it, without its body
+	FullScopeInStep     int64   `json:"whole_in_place"` // whole scopes sent to conductors that were in step
+	FullScopeAgain      int64   `json:"whole_again"`    // likewise to those that held something, also as they reconnected
 	UninterestedRecords int64   `json:"uninterested_records"`
 	InterestedPerChange float64 `json:"interested_per_change"` // conductors
 }
 
-// ProcessUse is what a process used while changes were played.
-type ProcessUse struct {
+// ProcessUsage is what a process used while changes were played.
+type ProcessUsage struct {
 	CPU        float64 `json:"cpu"`         // part of a core, on average
 	BusiestCPU float64 `json:"busiest_cpu"` // over the busiest 10 s
 	WorstMB    float64 `json:"worst_mb"`    // resident
 }
 
-// MemberUse is what a member used. One that was killed and started again is told as one.
-type MemberUse struct {
+// MemberUsage is what a member used. One that was killed and started again is told as one.
+type MemberUsage struct {
 	ID uint64 `json:"id"`
-	ProcessUse
+	ProcessUsage
 	Sent configsync.Counts `json:"sent"` // since it was started last
 }
 
-// ConductorUse is what the conductor with a process of its own used. No fault concerned it but those of members.
-type ConductorUse struct {
-	Harehookd bool `json:"harehookd"` // it is the program; else a client alone
-	ProcessUse
+// ControllerUsage is what the conductor with a process of its own used. No fault concerned it but those of members.
+type ControllerUsage struct {
+	IsProgram bool `json:"harehookd"` // it is the program; else a client alone
+	ProcessUsage
 	KBS        float64 `json:"kbs"` // in and out, on average
 	BusiestKBS float64 `json:"busiest_kbs"`
 	StartCPU   float64 `json:"start_cpu_s"` // seconds of processor time until all conductors were in step
@@ -90,31 +90,31 @@
 	line := timeline(rec.changes, rec.histories, lease)
 	m := Measured{
 		Separate: r.separate, Records: len(r.configuration.bodies), Changes: len(rec.changes),
-		InForce: line.inForce.told(), ByPhase: toldByFault(line.inForceByPhase), Followers: toldByFault(line.followers),
-		Concerned: line.concerned, Interested: line.interested.told(), Notes: r.notes(),
+		Convergence: line.convergence.summary(), ConvergenceByFault: summarizeByFault(line.convergenceByFault), Followers: summarizeByFault(line.followers),
+		Affected: line.affected, Interested: line.interested.summary(), Notes: r.notes(),
 		Violations: checkHistories(r.model, rec.histories, rec.newest()),
 	}
 	if r.programFault != "" {
-		m.Violations = append(m.Violations, Violation{r.conductors[ownConductor].Name, r.programFault})
+		m.Violations = append(m.Violations, Violation{r.controllers[measuredController].Name, r.programFault})
 	}
 	start := untilInStep(rec.histories, 1, 1, rec.newestAt)
-	m.Start = start.told()
+	m.Start = start.summary()
 	if slices.Contains(r.plan.Faults, FaultAllRestarted) {
 		restarted := untilInStep(rec.histories, 2, maxLives, rec.newestAt)
-		told := restarted.told()
+		told := restarted.summary()
 		m.Restarted = &told
 	}
 	if err := r.reportMessages(&m); err != nil {
 		return nil, err
 	}
-	r.reportUse(&m)
-	return &Report{Asked: r.plan, Measured: m, Broken: m.Broken(r.plan.Bounds)}, nil
+	r.reportUsage(&m)
+	return &Report{Plan: r.plan, Measured: m, Broken: m.Broken(r.plan.Bounds)}, nil
 }
 
-func toldByFault(all map[Fault]*times) map[Fault]Times {
+func summarizeByFault(all map[Fault]*times) map[Fault]Times {
 	told := map[Fault]Times{}
 	for fault, one := range all {
-		told[cmp.Or(fault, "none")] = one.told()
+		told[cmp.Or(fault, "none")] = one.summary()
 	}
 	return told
 }
@@ -130,8 +130,8 @@
 		}
 	}
 	m.Messages = Messages{
-		Change: toldBytes(all.change), Progress: toldBytes(all.progress), Whole: toldBytes(all.whole),
-		BesideRecord: toldBytes(all.beside), Heartbeats: all.heartbeats, WholeInPlace: all.repeatedly, WholeAgain: all.wholeAgain,
+		Change: summarizeBytes(all.change), Progress: summarizeBytes(all.progress), FullScope: summarizeBytes(all.fullScope),
+		RecordOverhead: summarizeBytes(all.overhead), Heartbeats: all.heartbeats, FullScopeInStep: all.fullScopeRepeated, FullScopeAgain: all.fullScopeAgain,
 	}
 	for _, one := range r.recorder.histories {
 		for _, accepted := range one.accepted {
@@ -146,32 +146,32 @@
 	return nil
 }
 
-func (r *run) reportUse(m *Measured) {
+func (r *run) reportUsage(m *Measured) {
 	bytes, seconds := 0.0, 0.0
 	for _, p := range r.workers {
-		wire := p.wireSamples(r.playing)
-		use := p.use(r.playing)
-		if p.indexes[0] == ownConductor {
-			m.Conductor = &ConductorUse{
-				Harehookd: p.external, ProcessUse: use, KBS: mean(wire) / kilobyte, BusiestKBS: busiest(wire) / kilobyte,
+		wire := p.wireSamples(r.playStart)
+		use := p.use(r.playStart)
+		if p.indexes[0] == measuredController {
+			m.Controller = &ControllerUsage{
+				IsProgram: p.external, ProcessUsage: use, KBS: mean(wire) / kilobyte, BusiestKBS: busiest(wire) / kilobyte,
 				StartCPU: p.startCPU, StartKB: p.startWire / kilobyte, StartS: p.startTime.Seconds(),
 			}
 			continue
 		}
-		m.Hollow = append(m.Hollow, use)
-		steady := slices.DeleteFunc(wire, func(s sample) bool { return s.at.After(r.steadyUntil) })
+		m.SimulatedProcesses = append(m.SimulatedProcesses, use)
+		steady := slices.DeleteFunc(wire, func(s sample) bool { return s.at.After(r.faultFreeUntil) })
 		bytes += mean(steady)
 		seconds += float64(len(p.indexes))
 	}
 	if seconds > 0 {
-		m.HollowKBS = bytes / seconds / kilobyte
+		m.SimulatedKBS = bytes / seconds / kilobyte
 	}
 	if !r.separate {
-		m.Conductor, m.Hollow = nil, nil // all shared one process
+		m.Controller, m.SimulatedProcesses = nil, nil // all shared one process
 		return
 	}
 	for _, member := range r.members {
-		m.Members = append(m.Members, member.use())
+		m.Members = append(m.Members, member.usage())
 	}
 }
 
@@ -186,7 +186,7 @@
 	return []string{
 		fmt.Sprintf("measured: %d members, each a process with its log on disk, on loopback", r.plan.Members),
 		own,
-		fmt.Sprintf("hollow: %d conductors in %d processes, the real client and follower each with its own stream, no data plane", len(r.conductors)-1, len(r.workers)-1),
+		fmt.Sprintf("hollow: %d conductors in %d processes, the real client and follower each with its own stream, no data plane", len(r.controllers)-1, len(r.workers)-1),
 		"all ran on one machine, so delays of the network are those of loopback",
 	}
 }
@@ -199,13 +199,13 @@
 }
 
 // use is what a worker of conductors used since a time.
-func (p *conductorProcess) use(since time.Time) ProcessUse {
-	return useOf(p.samples, p.resident, since)
+func (p *controllerProcess) use(since time.Time) ProcessUsage {
+	return usageOf(p.samples, p.resident, since)
 }
 
-func useOf(samples []sample, resident int64, since time.Time) ProcessUse {
+func usageOf(samples []sample, resident int64, since time.Time) ProcessUsage {
 	samples = after(samples, since)
-	return ProcessUse{CPU: mean(samples), BusiestCPU: busiest(samples), WorstMB: float64(resident) / megabyte}
+	return ProcessUsage{CPU: mean(samples), BusiestCPU: busiest(samples), WorstMB: float64(resident) / megabyte}
 }
 
 func after(samples []sample, since time.Time) []sample {
@@ -213,7 +213,7 @@
 }
 
 // wireSamples are the bytes of a worker in and out since a time.
-func (p *conductorProcess) wireSamples(since time.Time) (samples []sample) {
+func (p *controllerProcess) wireSamples(since time.Time) (samples []sample) {
 	for _, one := range p.wire {
 		samples = append(samples, sample{time.Unix(0, one.At), float64(one.In + one.Out)})
 	}
--- a/loadtest/run.go
+++ b/loadtest/run.go
@@ -11,53 +11,53 @@
 )
 
 const (
-	conductorsPerWorker = 450              // hollow ones in a process
-	startTimeout        = 30 * time.Second // of a worker
-	leaderTimeout       = 30 * time.Second // until the group has a leader
-	stepTimeout         = 2 * time.Minute  // until all conductors are in step at the start
-	drainTimeout        = 30 * time.Second // likewise at the end
-	finishTimeout       = time.Minute      // until all workers have told what they measured
-	lookEvery           = 20 * time.Millisecond
-	sampleEvery         = time.Second
-	ownConductor        = 0 // place of the conductor that has a process of its own
+	controllersPerWorker = 450              // hollow ones in a process
+	startTimeout         = 30 * time.Second // of a worker
+	leaderTimeout        = 30 * time.Second // until the group has a leader
+	stepTimeout          = 2 * time.Minute  // until all conductors are in step at the start
+	drainTimeout         = 30 * time.Second // likewise at the end
+	finishTimeout        = time.Minute      // until all workers have told what they measured
+	pollInterval         = 20 * time.Millisecond
+	sampleInterval       = time.Second
+	measuredController   = 0 // place of the conductor that has a process of its own
 )
 
 // Options say how a run is carried out.
 type Options struct {
-	Program   string    // whose processes the workers are, started with Arguments and a role
-	Arguments []string  // empty Program: all is in this process
-	Conductor string    // harehookd's path: the conductor with a process of its own is that; empty: a client alone
-	Progress  io.Writer // is told what goes on
+	WorkerProgram     string    // whose processes the workers are, started with Arguments and a role
+	WorkerArguments   []string  // empty Program: all is in this process
+	ControllerProgram string    // harehookd's path: the conductor with a process of its own is that; empty: a client alone
+	Progress          io.Writer // is told what goes on
 
 	planted hooks // faults that tests plant; in this process only
 }
 
 func (o Options) launcher() launcher {
-	if o.Program == "" {
+	if o.WorkerProgram == "" {
 		return inProcess(o.planted)
 	}
-	return processes(o.Program, o.Arguments...)
+	return processes(o.WorkerProgram, o.WorkerArguments...)
 }
 
 // run is a fleet that is played.
 type run struct {
-	plan          Plan
-	progress      io.Writer
-	launch        func(role string) (*worker, error) // a worker that lives as long as the run, whichever stage starts it
-	separate      bool                               // workers are processes
-	program       string                             // harehookd's path, empty if there is none
-	folder        string                             // of the members' logs
-	configuration *Configuration
-	conductors    []Conductor
-	model         *Model
-	recorder      *recorder
-	crew          crew
-	group         *group
-	members       []*memberProcess
-	workers       []*conductorProcess
-	playing       time.Time // since when changes are played
-	steadyUntil   time.Time // no fault was played until then
-	programFault  string    // that harehookd did not hold what was agreed at the end
+	plan           Plan
+	progress       io.Writer
+	launch         func(role string) (*worker, error) // a worker that lives as long as the run, whichever stage starts it
+	separate       bool                               // workers are processes
+	program        string                             // harehookd's path, empty if there is none
+	folder         string                             // of the members' logs
+	configuration  *Configuration
+	controllers    []Controller
+	model          *Model
+	recorder       *recorder
+	crew           crew
+	group          *group
+	members        []*memberProcess
+	workers        []*controllerProcess
+	playStart      time.Time // since when changes are played
+	faultFreeUntil time.Time // no fault was played until then
+	programFault   string    // that harehookd did not hold what was agreed at the end
 }
 
 // Play carries out a plan and tells what was asked and measured. The error is of a run that could not be carried out;
@@ -81,7 +81,7 @@
 	if err := r.prepare(); err != nil {
 		return nil, err
 	}
-	stages := []func(context.Context) error{r.startMembers, r.load, r.startConductors, r.play, r.drain, r.finish}
+	stages := []func(context.Context) error{r.startMembers, r.load, r.startControllers, r.play, r.drain, r.finish}
 	for _, stage := range stages {
 		if err := stage(ctx); err != nil {
 			return nil, errors.Join(err, r.recorder.failed())
@@ -97,12 +97,12 @@
 func newRun(ctx context.Context, plan Plan, options Options) *run {
 	launch := options.launcher()
 	return &run{
-		plan: plan, progress: options.Progress, separate: options.Program != "", program: options.Conductor,
+		plan: plan, progress: options.Progress, separate: options.WorkerProgram != "", program: options.ControllerProgram,
 		launch: func(role string) (*worker, error) { return launch(ctx, role) },
 	}
 }
 
-func (r *run) tell(format string, args ...any) {
+func (r *run) logProgress(format string, args ...any) {
 	fmt.Fprintf(r.progress, "fleet: "+format+"\n", args...)
 }
 
@@ -110,10 +110,10 @@
 	if r.configuration, err = Generate(r.plan); err != nil {
 		return err
 	}
-	r.conductors = r.configuration.Conductors()
-	r.model = NewModel(r.conductors)
-	r.recorder = newRecorder(len(r.conductors))
-	r.recorder.histories[ownConductor].external = r.program != ""
+	r.controllers = r.configuration.Conductors()
+	r.model = NewModel(r.controllers)
+	r.recorder = newRecorder(len(r.controllers))
+	r.recorder.histories[measuredController].external = r.program != ""
 	return nil
 }
 
@@ -133,12 +133,12 @@
 		r.recorder.agree(revision, time.Now())
 	}
 	r.model.Loaded()
-	r.tell("%d records loaded by %d transactions in %.1f s", len(r.configuration.bodies), len(transactions), time.Since(began).Seconds())
+	r.logProgress("%d records loaded by %d transactions in %.1f s", len(r.configuration.bodies), len(transactions), time.Since(began).Seconds())
 	return nil
 }
 
-// pause waits.
-func pause(ctx context.Context, d time.Duration) error {
+// sleep waits.
+func sleep(ctx context.Context, d time.Duration) error {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
 	select {
@@ -151,7 +151,7 @@
 
 // play makes changes at the plan's rate, plays the faults and samples what the processes use meanwhile.
 func (r *run) play(ctx context.Context) error {
-	r.playing = time.Now()
+	r.playStart = time.Now()
 	ctx, stop := context.WithCancel(ctx)
 	defer stop()
 	var sampling sync.WaitGroup
@@ -173,7 +173,7 @@
 func (r *run) playChanges(ctx context.Context) error {
 	count := max(1, int(float64(r.plan.Seconds)*r.plan.Changes))
 	for at := range count {
-		if err := pause(ctx, time.Until(r.playing.Add(time.Duration(at)*r.plan.interval()))); err != nil {
+		if err := sleep(ctx, time.Until(r.playStart.Add(time.Duration(at)*r.plan.interval()))); err != nil {
 			return err
 		}
 		transaction, err := r.configuration.Next()
@@ -198,11 +198,11 @@
 // drain waits until all conductors hold the last change. That they don't is no failure of the run: the check of what
 // they held at the end tells it.
 func (r *run) drain(ctx context.Context) error {
-	if err := r.untilInStep(ctx, drainTimeout); err != nil {
-		r.tell("%v", err)
+	if err := r.waitConverged(ctx, drainTimeout); err != nil {
+		r.logProgress("%v", err)
 	}
 	if r.program != "" {
-		if err := r.untilProgramInStep(ctx, drainTimeout); err != nil {
+		if err := r.waitProgramConverged(ctx, drainTimeout); err != nil {
 			r.programFault = err.Error()
 		}
 	}
--- a/loadtest/sampling.go
+++ b/loadtest/sampling.go
@@ -17,13 +17,13 @@
 		for _, member := range r.members {
 			member.sample()
 		}
-		if pause(ctx, sampleEvery) != nil {
+		if sleep(ctx, sampleInterval) != nil {
 			return
 		}
 	}
 }
 
-func (p *conductorProcess) sample() {
+func (p *controllerProcess) sample() {
 	used, err := readUsage(p.pid)
 	if err != nil {
 		return
@@ -39,7 +39,7 @@
 	if !r.separate {
 		return nil
 	}
-	if err := pause(ctx, wireEvery+tellEvery); err != nil {
+	if err := sleep(ctx, wireReportInterval+reportInterval); err != nil {
 		return err
 	}
 	for _, p := range r.workers {
@@ -74,9 +74,9 @@
 	m.resident = max(m.resident, used.resident)
 }
 
-// use is what the member used while changes were played.
-func (m *memberProcess) use() MemberUse {
+// usage is what the member used while changes were played.
+func (m *memberProcess) usage() MemberUsage {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
-	return MemberUse{ID: m.id, ProcessUse: useOf(m.samples, m.resident, time.Time{}), Sent: m.sent}
+	return MemberUsage{ID: m.id, ProcessUsage: usageOf(m.samples, m.resident, time.Time{}), Sent: m.sent}
 }
--- a/loadtest/startprogram.go
+++ b/loadtest/startprogram.go
@@ -12,8 +12,8 @@
 	"harehook.dev/harehook/records"
 )
 
-// askEvery is how often members are asked whether harehookd is in step, which it does not tell by itself.
-const askEvery = 100 * time.Millisecond
+// programPollInterval is how often members are asked whether harehookd is in step, which it does not tell by itself.
+const programPollInterval = 100 * time.Millisecond
 
 // startProgram starts harehookd, if there is one, as the conductor with a process of its own.
 func (r *run) startProgram(ctx context.Context) error {
@@ -25,21 +25,21 @@
 	if err != nil {
 		return err
 	}
-	p := &conductorProcess{worker: started, indexes: []int{ownConductor}, external: true, ready: make(chan struct{})}
+	p := &controllerProcess{worker: started, indexes: []int{measuredController}, external: true, ready: make(chan struct{})}
 	r.workers = append(r.workers, p)
-	r.crew.add(started, func(told *news) { r.take(p, told) })
-	conductor := r.conductors[ownConductor]
+	r.crew.add(started, func(told *workerReport) { r.handleReport(p, told) })
+	conductor := r.controllers[measuredController]
 	setup := &programSetup{
 		Program: r.program, Folder: filepath.Join(r.folder, "harehookd"), Members: r.addresses(),
-		Conductor: conductor, Routes: r.configuration.routeLines(conductor.Scope),
+		Controller: conductor, Routes: r.configuration.routeLines(conductor.Scope),
 	}
-	if err := started.orders.write(order{Program: setup}); err != nil {
+	if err := started.commands.write(workerCommand{Program: setup}); err != nil {
 		return err
 	}
 	if err := r.wait(ctx, p.ready, startTimeout, "harehookd does not start"); err != nil {
 		return err
 	}
-	if err := r.untilProgramInStep(ctx, stepTimeout); err != nil {
+	if err := r.waitProgramConverged(ctx, stepTimeout); err != nil {
 		return err
 	}
 	p.startTime = time.Since(began)
@@ -59,10 +59,10 @@
 	return lines
 }
 
-// untilProgramInStep waits until a member knows that harehookd holds what was agreed when this was called.
-func (r *run) untilProgramInStep(ctx context.Context, timeout time.Duration) error {
+// waitProgramConverged waits until a member knows that harehookd holds what was agreed when this was called.
+func (r *run) waitProgramConverged(ctx context.Context, timeout time.Duration) error {
 	want := r.recorder.newest()
-	name := r.conductors[ownConductor].Name
+	name := r.controllers[measuredController].Name
 	deadline := time.Now().Add(timeout)
 	for {
 		lease, found := r.lease(ctx, name)
@@ -76,7 +76,7 @@
 			return fmt.Errorf("harehookd held revision %d after %s, %d was agreed; it refused %d: %s",
 				lease.Accepted, timeout, want, lease.RejectedRevision, lease.Reason)
 		}
-		if err := pause(ctx, askEvery); err != nil {
+		if err := sleep(ctx, programPollInterval); err != nil {
 			return err
 		}
 	}
--- a/loadtest/sweep.go
+++ b/loadtest/sweep.go
@@ -27,25 +27,25 @@
 
 // Row is one run as Parquet keeps it.
 type Row struct {
-	Experiment   string  `parquet:"experiment,dict"`
-	Figure       string  `parquet:"figure,dict"`
-	Value        float64 `parquet:"value"`
-	Seed         uint64  `parquet:"seed"`
-	Conductors   int64   `parquet:"conductors"`
-	Records      int64   `parquet:"records"`
-	Changes      int64   `parquet:"changes"`
-	InForceMS    float64 `parquet:"in_force_median_ms"`
-	InForceWorst float64 `parquet:"in_force_worst_ms"`
-	StartNineMS  float64 `parquet:"start_nine_in_ten_ms"`
-	ChangeBytes  float64 `parquet:"change_bytes"`
-	BesideWorst  float64 `parquet:"beside_record_worst_bytes"`
-	WholeBytes   float64 `parquet:"whole_bytes"`
-	MemberCPU    float64 `parquet:"member_cpu"`
-	MemberMB     float64 `parquet:"member_mb"`
-	ConductorCPU float64 `parquet:"conductor_cpu"`
-	ConductorMB  float64 `parquet:"conductor_mb"`
-	ConductorKBS float64 `parquet:"conductor_kbs"`
-	Broken       string  `parquet:"broken"`
+	Experiment         string  `parquet:"experiment,dict"`
+	Figure             string  `parquet:"figure,dict"`
+	Value              float64 `parquet:"value"`
+	Seed               uint64  `parquet:"seed"`
+	Controllers        int64   `parquet:"conductors"`
+	Records            int64   `parquet:"records"`
+	Changes            int64   `parquet:"changes"`
+	ConvergenceMS      float64 `parquet:"in_force_median_ms"`
+	ConvergenceWorstMS float64 `parquet:"in_force_worst_ms"`
+	StartP90MS         float64 `parquet:"start_nine_in_ten_ms"`
+	ChangeBytes        float64 `parquet:"change_bytes"`
+	OverheadWorstBytes float64 `parquet:"beside_record_worst_bytes"`
+	FullScopeBytes     float64 `parquet:"whole_bytes"`
+	MemberCPU          float64 `parquet:"member_cpu"`
+	MemberMB           float64 `parquet:"member_mb"`
+	ControllerCPU      float64 `parquet:"conductor_cpu"`
+	ControllerMB       float64 `parquet:"conductor_mb"`
+	ControllerKBS      float64 `parquet:"conductor_kbs"`
+	Broken             string  `parquet:"broken"`
 }
 
 // metric is a column that charts and slopes show over the swept figure.
@@ -55,16 +55,16 @@
 }
 
 var metrics = []metric{
-	{"in-force", "ms, median", func(r *Row) float64 { return r.InForceMS }},
-	{"in-force-worst", "ms", func(r *Row) float64 { return r.InForceWorst }},
-	{"start", "ms, nine in ten", func(r *Row) float64 { return r.StartNineMS }},
+	{"in-force", "ms, median", func(r *Row) float64 { return r.ConvergenceMS }},
+	{"in-force-worst", "ms", func(r *Row) float64 { return r.ConvergenceWorstMS }},
+	{"start", "ms, nine in ten", func(r *Row) float64 { return r.StartP90MS }},
 	{"change", "bytes, median", func(r *Row) float64 { return r.ChangeBytes }},
-	{"whole", "bytes, median", func(r *Row) float64 { return r.WholeBytes }},
+	{"whole", "bytes, median", func(r *Row) float64 { return r.FullScopeBytes }},
 	{"member-cpu", "of a core, mean of members", func(r *Row) float64 { return r.MemberCPU }},
 	{"member-memory", "MB, mean of members", func(r *Row) float64 { return r.MemberMB }},
-	{"conductor-cpu", "of a core, busiest 10 s", func(r *Row) float64 { return r.ConductorCPU }},
-	{"conductor-memory", "MB", func(r *Row) float64 { return r.ConductorMB }},
-	{"conductor-wire", "KB/s, busiest 10 s", func(r *Row) float64 { return r.ConductorKBS }},
+	{"conductor-cpu", "of a core, busiest 10 s", func(r *Row) float64 { return r.ControllerCPU }},
+	{"conductor-memory", "MB", func(r *Row) float64 { return r.ControllerMB }},
+	{"conductor-wire", "KB/s, busiest 10 s", func(r *Row) float64 { return r.ControllerKBS }},
 }
 
 // Sweep plays the plan once for each value of the figure, one after the other.
@@ -86,7 +86,7 @@
 func (s *Sweep) Rows() (rows []Row) {
 	setting, _ := setting(s.Figure)
 	for _, report := range s.Reports {
-		rows = append(rows, row(s, setting.Get(&report.Asked), report))
+		rows = append(rows, row(s, setting.Get(&report.Plan), report))
 	}
 	return rows
 }
@@ -94,18 +94,18 @@
 func row(s *Sweep, value float64, report *Report) Row {
 	m := report.Measured
 	r := Row{
-		Experiment: s.Name, Figure: s.Figure, Value: value, Seed: report.Asked.Seed,
-		Conductors: int64(report.Asked.Conductors), Records: int64(m.Records), Changes: int64(m.Changes),
-		InForceMS: m.InForce.MedianMS, InForceWorst: m.InForce.WorstMS, StartNineMS: m.Start.NineInTenMS,
-		ChangeBytes: float64(m.Messages.Change.Median), BesideWorst: float64(m.Messages.BesideRecord.Worst),
-		WholeBytes: float64(m.Messages.Whole.Median),
+		Experiment: s.Name, Figure: s.Figure, Value: value, Seed: report.Plan.Seed,
+		Controllers: int64(report.Plan.Controllers), Records: int64(m.Records), Changes: int64(m.Changes),
+		ConvergenceMS: m.Convergence.MedianMS, ConvergenceWorstMS: m.Convergence.WorstMS, StartP90MS: m.Start.P90MS,
+		ChangeBytes: float64(m.Messages.Change.Median), OverheadWorstBytes: float64(m.Messages.RecordOverhead.Worst),
+		FullScopeBytes: float64(m.Messages.FullScope.Median),
 	}
 	for _, member := range m.Members {
 		r.MemberCPU += member.CPU / float64(len(m.Members))
 		r.MemberMB += member.WorstMB / float64(len(m.Members))
 	}
-	if c := m.Conductor; c != nil {
-		r.ConductorCPU, r.ConductorMB, r.ConductorKBS = c.BusiestCPU, c.WorstMB, c.BusiestKBS
+	if c := m.Controller; c != nil {
+		r.ControllerCPU, r.ControllerMB, r.ControllerKBS = c.BusiestCPU, c.WorstMB, c.BusiestKBS
 	}
 	for _, line := range report.Broken {
 		r.Broken += line + "\n"
@@ -155,7 +155,7 @@
 	setting, _ := setting(s.Figure)
 	for _, report := range s.Reports {
 		for _, line := range report.Broken {
-			lines = append(lines, fmt.Sprintf("%s %g: %s", s.Figure, setting.Get(&report.Asked), line))
+			lines = append(lines, fmt.Sprintf("%s %g: %s", s.Figure, setting.Get(&report.Plan), line))
 		}
 	}
 	return lines
--- a/loadtest/timeline.go
+++ b/loadtest/timeline.go
@@ -44,9 +44,9 @@
 // note takes an event.
 func (h *history) note(one event) {
 	at := time.Unix(0, one.At)
-	told := acceptance{at, one.Life, one.Revision, one.Digest, one.Outside}
+	told := acceptance{at, one.Incarnation, one.Revision, one.Digest, one.Outside}
 	switch one.Kind {
-	case eventLife:
+	case eventStarted:
 		h.lives = append(h.lives, at)
 	case eventJoined:
 		h.joined = append(h.joined, at)
@@ -87,7 +87,7 @@
 func (h *history) extend(w window) window {
 	rejoined := slices.IndexFunc(h.joined, func(at time.Time) bool { return at.After(w.from) })
 	back := w.to
-	if w.fault != FaultRefusing && rejoined >= 0 && h.joined[rejoined].After(back) {
+	if w.fault != FaultRejecting && rejoined >= 0 && h.joined[rejoined].After(back) {
 		back = h.joined[rejoined]
 	}
 	for _, one := range h.accepted {
@@ -101,7 +101,7 @@
 }
 
 // rank orders faults by how much they excuse.
-var rank = map[Fault]int{FaultReconnect: 1, FaultMemberKilled: 2, FaultRefusing: 3, FaultRegionCut: 4, FaultAllRestarted: 5}
+var rank = map[Fault]int{FaultReconnect: 1, FaultMemberKilled: 2, FaultRejecting: 3, FaultRegionCut: 4, FaultAllRestarted: 5}
 
 // concerned is the window that says most about a time, if there is one.
 func concerned(windows []window, from, to time.Time) (found window) {
@@ -118,12 +118,12 @@
 
 // Violation is something that must never be.
 type Violation struct {
-	Conductor string `json:"conductor"`
-	What      string `json:"what"`
+	Controller string `json:"conductor"`
+	What       string `json:"what"`
 }
 
 // String names the conductor and what it did.
-func (v Violation) String() string { return "never: " + v.Conductor + ": " + v.What }
+func (v Violation) String() string { return "never: " + v.Controller + ": " + v.What }
 
 // maxViolations is how many are told; one fault of the program breaks the rules for many conductors.
 const maxViolations = 20
@@ -135,7 +135,7 @@
 			continue
 		}
 		for _, what := range one.check(model, at, newest) {
-			if violations = append(violations, Violation{model.conductors[at].Name, what}); len(violations) >= maxViolations {
+			if violations = append(violations, Violation{model.controllers[at].Name, what}); len(violations) >= maxViolations {
 				return violations
 			}
 		}
@@ -196,21 +196,21 @@
 
 // timings are the times of a run, by what was going on.
 type timings struct {
-	inForce        *times           // of each change: until all that it was due from have accepted it
-	inForceByPhase map[Fault]*times // empty: no fault was played
-	followers      map[Fault]*times // of each change and conductor, by the fault that concerned it
-	concerned      map[Fault]int    // how often a fault concerned a conductor
-	interested     *times           // likewise, of conductors whose scope the change touched and no fault concerned
+	convergence        *times           // of each change: until all that it was due from have accepted it
+	convergenceByFault map[Fault]*times // empty: no fault was played
+	followers          map[Fault]*times // of each change and conductor, by the fault that concerned it
+	affected           map[Fault]int    // how often a fault concerned a conductor
+	interested         *times           // likewise, of conductors whose scope the change touched and no fault concerned
 }
 
 // timeline works out the times of all changes.
 func timeline(changes []change, histories []*history, lease time.Duration) *timings {
-	t := &timings{inForce: newTimes(), inForceByPhase: map[Fault]*times{}, followers: map[Fault]*times{}, concerned: map[Fault]int{}, interested: newTimes()}
+	t := &timings{convergence: newTimes(), convergenceByFault: map[Fault]*times{}, followers: map[Fault]*times{}, affected: map[Fault]int{}, interested: newTimes()}
 	worst := make([]time.Duration, len(changes))
 	for conductor, one := range histories {
 		windows := one.allWindows()
 		for _, w := range windows {
-			t.concerned[w.fault]++
+			t.affected[w.fault]++
 		}
 		for k, accepted := range one.acceptTimes(changes) {
 			if accepted.IsZero() {
@@ -219,16 +219,16 @@
 			c := changes[k]
 			delay := max(0, accepted.Sub(c.answered))
 			concern := concerned(windows, c.answered, accepted)
-			byFault(t.followers, concern.fault).note(delay)
+			byFault(t.followers, concern.fault).record(delay)
 			if concern.fault == "" && c.interested[conductor] {
-				t.interested.note(delay)
+				t.interested.record(delay)
 			}
 			worst[k] = max(worst[k], dueAfter(c, concern, delay, lease))
 		}
 	}
 	for k, c := range changes {
-		t.inForce.note(worst[k])
-		byFault(t.inForceByPhase, c.phase).note(worst[k])
+		t.convergence.record(worst[k])
+		byFault(t.convergenceByFault, c.phase).record(worst[k])
 	}
 	return t
 }
@@ -237,7 +237,7 @@
 // its lease has run out. One that was restarted or refuses is told by itself.
 func dueAfter(c change, concern window, delay, lease time.Duration) time.Duration {
 	switch concern.fault {
-	case FaultAllRestarted, FaultRefusing:
+	case FaultAllRestarted, FaultRejecting:
 		return 0
 	case FaultRegionCut:
 		return min(delay, max(0, concern.from.Add(lease).Sub(c.answered)))
@@ -259,7 +259,7 @@
 	for _, one := range histories {
 		for life := first; life <= min(last, len(one.lives)); life++ {
 			if held := one.inStep(life, newestAt(one.lives[life-1])); !held.IsZero() {
-				found.note(held.Sub(one.lives[life-1]))
+				found.record(held.Sub(one.lives[life-1]))
 			}
 		}
 	}
--- a/loadtest/timeline_test.go
+++ b/loadtest/timeline_test.go
@@ -11,7 +11,9 @@
 // at is a time of these tests, in seconds from their beginning.
 func at(seconds float64) time.Time { return begin.Add(time.Duration(seconds * float64(time.Second))) }
 
-func took(t *times) time.Duration { return time.Duration(t.told().WorstMS * float64(time.Millisecond)) }
+func took(t *times) time.Duration {
+	return time.Duration(t.summary().WorstMS * float64(time.Millisecond))
+}
 
 // near tells whether a time is the one that is wanted, as histograms keep it.
 func near(got, want time.Duration) bool {
@@ -24,10 +26,10 @@
 	quick := &history{accepted: []acceptance{{at: at(0.9), revision: 5}, {at: at(2.1), revision: 8}}}
 	slow := &history{accepted: []acceptance{{at: at(4), revision: 9}}} // both changes as one
 	line := timeline(changes, []*history{quick, slow}, 3*time.Second)
-	if worst := took(line.inForce); !near(worst, 3*time.Second) {
+	if worst := took(line.convergence); !near(worst, 3*time.Second) {
 		t.Errorf("in force after %s, want 3s", worst)
 	}
-	if count := line.followers[""].told().Count; count != 4 {
+	if count := line.followers[""].summary().Count; count != 4 {
 		t.Errorf("%d times, want one of each conductor and change", count)
 	}
 }
@@ -41,7 +43,7 @@
 		windows:  []window{{FaultRegionCut, at(10), at(29)}},
 	}
 	line := timeline(changes, []*history{cut}, 3*time.Second)
-	if worst := took(line.inForce); !near(worst, 2*time.Second) {
+	if worst := took(line.convergence); !near(worst, 2*time.Second) {
 		t.Errorf("in force after %s, want 2s: its lease ran until 13", worst)
 	}
 	if worst := took(line.followers[FaultRegionCut]); !near(worst, 20*time.Second) {
@@ -60,7 +62,7 @@
 		},
 	}
 	line := timeline(changes, []*history{restarted}, 3*time.Second)
-	if worst := took(line.inForce); !near(worst, 500*time.Millisecond) {
+	if worst := took(line.convergence); !near(worst, 500*time.Millisecond) {
 		t.Errorf("in force after %s, want 500ms", worst)
 	}
 	newestAt := func(when time.Time) uint64 {
@@ -86,17 +88,17 @@
 		windows:  []window{{FaultReconnect, at(9), at(9)}},
 	}
 	line := timeline(changes, []*history{one}, 3*time.Second)
-	if line.followers[FaultReconnect].told().Count != 1 || line.followers[""].told().Count != 1 {
-		t.Errorf("told apart: %v", toldByFault(line.followers))
+	if line.followers[FaultReconnect].summary().Count != 1 || line.followers[""].summary().Count != 1 {
+		t.Errorf("told apart: %v", summarizeByFault(line.followers))
 	}
-	if worst := took(line.inForce); !near(worst, 2*time.Second) {
+	if worst := took(line.convergence); !near(worst, 2*time.Second) {
 		t.Errorf("in force after %s, want 2s: who reconnects counts", worst)
 	}
 }
 
 func TestChecksOfHistories(t *testing.T) {
 	t.Parallel()
-	model := NewModel([]Conductor{{Name: "one"}})
+	model := NewModel([]Controller{{Name: "one"}})
 	model.versions[0] = []version{{4, 40}, {7, 70}}
 	held := func(revision uint64, digest Digest) acceptance {
 		return acceptance{at: at(float64(revision)), life: 1, revision: revision, digest: digest}
@@ -129,10 +131,10 @@
 
 func TestViolationsAreBounded(t *testing.T) {
 	t.Parallel()
-	var conductors []Conductor
+	var conductors []Controller
 	var histories []*history
 	for range 5 * maxViolations {
-		conductors = append(conductors, Conductor{Name: "one"})
+		conductors = append(conductors, Controller{Name: "one"})
 		histories = append(histories, &history{})
 	}
 	if got := len(checkHistories(NewModel(conductors), histories, 1)); got != maxViolations {
--- a/loadtest/times.go
+++ b/loadtest/times.go
@@ -11,22 +11,24 @@
 
 const longestTime = time.Hour
 
-func newTimes() *times { return &times{hdrhistogram.New(1, longestTime.Microseconds(), figures)} }
+func newTimes() *times {
+	return &times{hdrhistogram.New(1, longestTime.Microseconds(), significantDigits)}
+}
 
-func (t *times) note(d time.Duration) {
+func (t *times) record(d time.Duration) {
 	t.histogram.RecordValue(min(max(d.Microseconds(), 1), longestTime.Microseconds()))
 }
 
 // Times is a distribution of durations as it is told.
 type Times struct {
-	Count       int64   `json:"count"`
-	MedianMS    float64 `json:"median_ms"`
-	NineInTenMS float64 `json:"nine_in_ten_ms"`
-	P99MS       float64 `json:"p99_ms"`
-	WorstMS     float64 `json:"worst_ms"`
+	Count    int64   `json:"count"`
+	MedianMS float64 `json:"median_ms"`
+	P90MS    float64 `json:"nine_in_ten_ms"`
+	P99MS    float64 `json:"p99_ms"`
+	WorstMS  float64 `json:"worst_ms"`
 }
 
-func (t *times) told() Times {
+func (t *times) summary() Times {
 	at := func(quantile float64) float64 { return float64(t.histogram.ValueAtQuantile(quantile)) / 1000 }
 	if t.histogram.TotalCount() == 0 {
 		return Times{}
@@ -43,7 +45,7 @@
 	Sum    int64 `json:"sum"`
 }
 
-func toldBytes(h *hdrhistogram.Histogram) Bytes {
+func summarizeBytes(h *hdrhistogram.Histogram) Bytes {
 	if h.TotalCount() == 0 {
 		return Bytes{}
 	}
--- a/loadtest/worker.go
+++ b/loadtest/worker.go
@@ -16,7 +16,7 @@
 // hooks are where tests plant faults; they reach only workers in the test's own process.
 type hooks struct {
 	member    memberHooks
-	conductor conductorHooks
+	conductor controllerHooks
 }
 
 // Work is the body of a worker: it takes orders until they end, and tells news.
@@ -29,7 +29,7 @@
 	defer stop()
 	writer := newLineWriter(out)
 	decoder := json.NewDecoder(bufio.NewReader(in))
-	var setup order
+	var setup workerCommand
 	if err := decoder.Decode(&setup); err != nil {
 		return err
 	}
@@ -37,7 +37,7 @@
 	go func() {
 		defer stop() // whoever gives the orders is gone
 		for {
-			var next order
+			var next workerCommand
 			if decoder.Decode(&next) != nil {
 				return
 			}
@@ -52,28 +52,28 @@
 	switch {
 	case role == RoleMember && setup.Member != nil:
 		err = runMember(ctx, setup.Member, planted.member, writer)
-	case role == RoleConductors && setup.Conductors != nil:
-		err = newConductors(setup.Conductors, planted.conductor, writer).run(ctx, actions)
+	case role == RoleControllers && setup.Controllers != nil:
+		err = newControllers(setup.Controllers, planted.conductor, writer).run(ctx, actions)
 	case role == RoleProgram && setup.Program != nil:
 		err = (&program{setup: setup.Program, out: writer}).run(ctx)
 	default:
 		err = fmt.Errorf("no worker has the role %q, or its setup does not fit", role)
 	}
 	if err != nil && ctx.Err() == nil {
-		writer.write(news{Failed: err.Error()})
+		writer.write(workerReport{Failed: err.Error()})
 	}
 	return err
 }
 
 // worker is the far side of one that runs.
 type worker struct {
-	role   string
-	pid    int // 0: in this process
-	orders *lineWriter
-	input  io.Closer
-	output io.Reader
-	kill   func()        // at once, with no time to tidy up
-	ended  chan struct{} // closed once it has ended
+	role     string
+	pid      int // 0: in this process
+	commands *lineWriter
+	input    io.Closer
+	output   io.Reader
+	kill     func()        // at once, with no time to tidy up
+	ended    chan struct{} // closed once it has ended
 }
 
 const (
@@ -105,10 +105,10 @@
 }
 
 // follow hands on what the worker tells until it ends.
-func (w *worker) follow(take func(*news)) {
+func (w *worker) follow(take func(*workerReport)) {
 	decoder := json.NewDecoder(bufio.NewReader(w.output))
 	for {
-		var told news
+		var told workerReport
 		if decoder.Decode(&told) != nil {
 			return
 		}
@@ -181,7 +181,7 @@
 }
 
 // add has a worker's news taken until it ends.
-func (c *crew) add(w *worker, take func(*news)) {
+func (c *crew) add(w *worker, take func(*workerReport)) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	if c.workers == nil {
--- a/scaling/agreed.go
+++ b/scaling/agreed.go
@@ -102,8 +102,8 @@
 	})
 }
 
-// AgreedMost is the largest number of routes of this form that one agreed text can hold.
-func AgreedMost() int {
+// MaxAgreedRoutes is the largest number of routes of this form that one agreed text can hold.
+func MaxAgreedRoutes() int {
 	least, most := 1, 2*OperatorsRoutes
 	for least+1 < most {
 		middle := (least + most) / 2
@@ -118,5 +118,5 @@
 
 func agreedSlopes() []Slope {
 	return []Slope{{Name: "agreed-text", Operation: "one changed route, as one text: wire is the log entry, stored a snapshot after 64 versions, heap the state; cpu and allocations are propose, check and apply",
-		Size: "routes", Method: Hollow, Sizes: []int{34, 110, 340, 1000, OperatorsRoutes}, Run: agreedSample}}
+		Size: "routes", Method: Isolated, Sizes: []int{34, 110, 340, 1000, OperatorsRoutes}, Run: agreedSample}}
 }
--- a/scaling/fit.go
+++ b/scaling/fit.go
@@ -21,8 +21,8 @@
 	return last.Values[f.Quantity] * math.Pow(size/float64(last.Size), f.Tail)
 }
 
-// fitLeast is the number of positive samples that a fit takes.
-const fitLeast = 3
+// minFitSizes is the number of positive samples that a fit takes.
+const minFitSizes = 3
 
 // FitOf fits a quantity over samples. It tells false if too few of them have the quantity.
 func FitOf(samples []Sample, q Quantity) (Fit, bool) {
@@ -33,7 +33,7 @@
 			logX, logY = append(logX, math.Log(float64(s.Size))), append(logY, math.Log(v))
 		}
 	}
-	if len(x) < fitLeast {
+	if len(x) < minFitSizes {
 		return Fit{}, false
 	}
 	f := Fit{Quantity: q}
--- a/scaling/follow.go
+++ b/scaling/follow.go
@@ -12,10 +12,10 @@
 )
 
 const (
-	followTenants  = 1400 // of the state that is followed, ten services
-	followWhole    = 1 << 40
-	changedService = 0 // whose tenant changes
-	otherService   = 1
+	followTenants   = 1400 // of the state that is followed, ten services
+	followFullScope = 1 << 40
+	changedService  = 0 // whose tenant changes
+	otherService    = 1
 )
 
 // followed is a member's store, changed one tenant at a time.
@@ -68,7 +68,7 @@
 		return nil, err
 	}
 	limits := configsync.DefaultLimits
-	limits.MaxStreams, limits.FullScopeBytesPerSecond, limits.FullScopeBurstBytes = followers, followWhole, followWhole
+	limits.MaxStreams, limits.FullScopeBytesPerSecond, limits.FullScopeBurstBytes = followers, followFullScope, followFullScope
 	f := &followMember{followed: source, now: time.Unix(1e9, 0), scope: scope}
 	f.server = configsync.NewServer("member", source.store, limits, f.now)
 	for n := range followers {
@@ -199,12 +199,12 @@
 	sizes := []int{20, 60, 200, 600, 2000}
 	return []Slope{
 		{Name: "follow-change-interested", Operation: "one tenant changed, to a follower that needs it: member's side, without sockets", Size: "followers, all interested",
-			Method: Hollow, Sizes: sizes,
+			Method: Isolated, Sizes: sizes,
 			Run: func(size int, effort Effort) (Sample, error) {
 				return followSample(size, effort, scopeOf(changedService))
 			}},
 		{Name: "follow-change-other", Operation: "one tenant changed, to a follower that does not need it: member's side, without sockets", Size: "followers, none interested",
-			Method: Hollow, Sizes: sizes,
+			Method: Isolated, Sizes: sizes,
 			Run: func(size int, effort Effort) (Sample, error) {
 				return followSample(size, effort, scopeOf(otherService))
 			}},
--- a/scaling/group.go
+++ b/scaling/group.go
@@ -13,7 +13,7 @@
 
 const (
 	ticksSecond  = 20   // of cluster.Node's clock
-	electionMost = 2000 // ticks until a group has a leader
+	maxElections = 2000 // ticks until a group has a leader
 	neverCompact = 1 << 40
 )
 
@@ -42,7 +42,7 @@
 		}
 		g.members = append(g.members, m)
 	}
-	for range electionMost {
+	for range maxElections {
 		if err := g.tick(); err != nil {
 			return nil, err
 		}
--- a/scaling/list.go
+++ b/scaling/list.go
@@ -29,11 +29,11 @@
 )
 
 const (
-	listPart   = 64 << 10 // bytes that a socket's read brings
-	listBytes  = 64 << 20 // bytes that a list may have here, far over what is taken
-	listZones  = OperatorsZones
-	listWithin = time.Minute // for one list over a loopback stream; only a fault takes that long
-	cluster0   = "nodes"
+	listPart    = 64 << 10 // bytes that a socket's read brings
+	listBytes   = 64 << 20 // bytes that a list may have here, far over what is taken
+	listZones   = OperatorsZones
+	listTimeout = time.Minute // for one list over a loopback stream; only a fault takes that long
+	cluster0    = "nodes"
 )
 
 // platformList is discovery's response with the whole list, in the platform's form.
@@ -203,7 +203,7 @@
 				return fmt.Errorf("%d of %d nodes were read", n, nodes)
 			}
 			return nil
-		case <-time.After(listWithin):
+		case <-time.After(listTimeout):
 			return errors.New("the list did not come")
 		}
 	})
@@ -212,7 +212,7 @@
 // changeSample meters one node's change of condition told to the module, which plans at once.
 func changeSample(nodes int, effort Effort) (Sample, error) {
 	s := newSample(nodes)
-	f := newModuleFleet(nodes, usualProxies, 2, 2)
+	f := newPlannerFleet(nodes, typicalProxies, 2, 2)
 	for range settleSteps {
 		f.step(nil)
 	}
@@ -241,7 +241,7 @@
 func startSample(nodes int, effort Effort) (Sample, error) {
 	s := newSample(nodes)
 	return s, repeat(&s, effort, func() error {
-		newModuleFleet(nodes, usualProxies, 2, 2)
+		newPlannerFleet(nodes, typicalProxies, 2, 2)
 		return nil
 	})
 }
@@ -252,7 +252,7 @@
 		{Name: "list-watch", Operation: "a whole list read by the platform's watch", Size: "nodes", Method: Measured, Sizes: sizes, Run: watchSample},
 		{Name: "list-file", Operation: "harehookd's file of nodes read", Size: "nodes", Method: Measured, Sizes: sizes, Run: fileSample},
 		{Name: "list-members", Operation: "a version of the list over a loopback stream, both ends", Size: "nodes", Method: Measured, Sizes: sizes, Run: membersSample},
-		{Name: "list-start", Operation: "a module that starts, is told the list and 110 proxies", Size: "nodes", Method: Hollow, Sizes: sizes, Run: startSample},
-		{Name: "list-change", Operation: "one node's change told to the module, 110 proxies", Size: "nodes", Method: Hollow, Sizes: sizes, Run: changeSample},
+		{Name: "list-start", Operation: "a module that starts, is told the list and 110 proxies", Size: "nodes", Method: Isolated, Sizes: sizes, Run: startSample},
+		{Name: "list-change", Operation: "one node's change told to the module, 110 proxies", Size: "nodes", Method: Isolated, Sizes: sizes, Run: changeSample},
 	}
 }
--- a/scaling/report.go
+++ b/scaling/loadreport.go
@@ -47,7 +47,7 @@
 		}
 		bytes = append(bytes, report...)
 	}
-	f := newModuleFleet(nodes, usualProxies, 2, 2)
+	f := newPlannerFleet(nodes, typicalProxies, 2, 2)
 	numbers := make(map[string]uint32, nodes)
 	for n := range nodes {
 		numbers[nodeName(n)] = uint32(n + 1)
@@ -76,7 +76,7 @@
 }
 
 // takeReports hands all whole messages to the module, as the front and the core do.
-func takeReports(frames *wire.FrameReader, f *moduleFleet, numbers map[string]uint32) (taken int, err error) {
+func takeReports(frames *wire.FrameReader, f *plannerFleet, numbers map[string]uint32) (taken int, err error) {
 	for {
 		body, err := frames.Next()
 		if err != nil || body == nil {
@@ -104,9 +104,9 @@
 }
 
 const (
-	sidecarID      = "sidecar-0"
-	answeredWithin = time.Minute // for what a loopback connection answers at once; only a fault takes that long
-	lookAgain      = 100 * time.Microsecond
+	sidecarID     = "sidecar-0"
+	answerTimeout = time.Minute // for what a loopback connection answers at once; only a fault takes that long
+	pollInterval  = 100 * time.Microsecond
 )
 
 // newReportService starts the front, has it know the nodes, and opens the sidecar's two streams.
@@ -198,8 +198,8 @@
 			return err
 		}
 		taken++
-		for begun := time.Now(); service.front.Unknown.Load() < taken; time.Sleep(lookAgain) {
-			if time.Since(begun) > answeredWithin {
+		for begun := time.Now(); service.front.Unknown.Load() < taken; time.Sleep(pollInterval) {
+			if time.Since(begun) > answerTimeout {
 				return errors.New("a report was not taken")
 			}
 		}
@@ -216,7 +216,7 @@
 
 func reportSlopes() []Slope {
 	return []Slope{{Name: "reports", Operation: "a collector's report on one node, read and told to the module", Size: "nodes reported each half second",
-		Method: Hollow, Sizes: []int{130, 400, 1300, 4000, OperatorsNodes}, Run: reportSample},
+		Method: Isolated, Sizes: []int{130, 400, 1300, 4000, OperatorsNodes}, Run: reportSample},
 		{Name: "reports-sidecar", Operation: "a line on one node of a sidecar's load report, over loopback, both ends", Size: "nodes of a report",
 			Method: Measured, Sizes: []int{10, 40, 130, 400, 1300, 4000}, Run: sidecarReportSample}}
 }
--- a/scaling/log.go
+++ b/scaling/log.go
@@ -11,8 +11,8 @@
 	"harehook.dev/harehook/raftlog"
 )
 
-// entriesKept is how many entries the memory of the log is taken over.
-const entriesKept = 64
+// retainedEntries is how many entries the memory of the log is taken over.
+const retainedEntries = 64
 
 func logEntry(index uint64, data []byte) *raftpb.Entry {
 	term := uint64(1)
@@ -39,7 +39,7 @@
 		return log.Save(raftlog.Batch{HardState: &raftpb.HardState{Term: &term, Vote: &vote, Commit: &commit},
 			Entries: []*raftpb.Entry{logEntry(index, data)}})
 	}
-	for range entriesKept {
+	for range retainedEntries {
 		if err := save(); err != nil {
 			return s, err
 		}
@@ -48,7 +48,7 @@
 	if err != nil {
 		return s, err
 	}
-	s.Values[Stored] = float64(info.Size()) / entriesKept
+	s.Values[Stored] = float64(info.Size()) / retainedEntries
 	return s, repeat(&s, effort, save)
 }
 
@@ -62,7 +62,7 @@
 		}
 		member := g.members[0]
 		// A roll-back to a version that there is not is refused on apply: the state stays as it is, and the log grows.
-		for n := range entriesKept {
+		for n := range retainedEntries {
 			command := cluster.Command{Kind: cluster.CommandRollBack, Client: operatorClient, Seq: uint64(n + 1), To: 1, Text: strings.Repeat("x", size)}
 			if err := g.propose(command); err != nil {
 				return nil, err
@@ -82,7 +82,7 @@
 	return []Slope{
 		{Name: "log-save", Operation: "an entry kept on disk; stored is the file for each entry", Size: "bytes of the entry", Method: Measured,
 			Sizes: []int{100, 1000, 10000, 100000, 262144}, Run: saveSample},
-		{Name: "log-memory", Operation: "an entry of the log held in memory", Size: "bytes of the text in it", Method: Hollow,
+		{Name: "log-memory", Operation: "an entry of the log held in memory", Size: "bytes of the text in it", Method: Isolated,
 			Sizes: []int{100, 1000, 10000, 100000, 262144}, Run: entryHeapSample},
 	}
 }
--- a/scaling/loopback.go
+++ b/scaling/loopback.go
@@ -19,11 +19,11 @@
 )
 
 const (
-	loopbackSpan  = 3 * time.Second  // that an idle group is watched for
-	loopbackCalm  = time.Second      // after the election, until all disks are registered
-	electedWithin = 30 * time.Second // only a fault takes that long
-	endedWithin   = 30 * time.Second // likewise
-	lookForLeader = 50 * time.Millisecond
+	loopbackSpan       = 3 * time.Second  // that an idle group is watched for
+	loopbackCalm       = time.Second      // after the election, until all disks are registered
+	electionTimeout    = 30 * time.Second // only a fault takes that long
+	shutdownTimeout    = 30 * time.Second // likewise
+	leaderPollInterval = 50 * time.Millisecond
 )
 
 // countingListener counts the bytes of all connections that it took, both ways. Each connection has one such end.
@@ -118,7 +118,7 @@
 
 // elected waits until all members know a leader.
 func (g *loopbackGroup) elected(ctx context.Context) error {
-	for begun := time.Now(); time.Since(begun) < electedWithin; time.Sleep(lookForLeader) {
+	for begun := time.Now(); time.Since(begun) < electionTimeout; time.Sleep(leaderPollInterval) {
 		known := 0
 		for _, node := range g.nodes {
 			report, err := node.Status(ctx)
@@ -146,8 +146,8 @@
 	go func() { g.parts.Wait(); close(ended) }()
 	select {
 	case <-ended:
-	case <-time.After(endedWithin):
-		return fmt.Errorf("a member did not end within %s", endedWithin)
+	case <-time.After(shutdownTimeout):
+		return fmt.Errorf("a member did not end within %s", shutdownTimeout)
 	}
 	for _, disk := range g.disks {
 		disk.Close()
--- a/scaling/memory.go
+++ b/scaling/memory.go
@@ -5,8 +5,8 @@
 // moduleHeap is the memory of a module that has settled. Values are the whole heap: the fit gives it for one more.
 func moduleHeap(size, nodes, proxies, routes int) (Sample, error) {
 	s := newSample(size)
-	heap, _, err := heapOf(func() (*moduleFleet, error) {
-		f := newModuleFleet(nodes, proxies, routes, 2)
+	heap, _, err := heapOf(func() (*plannerFleet, error) {
+		f := newPlannerFleet(nodes, proxies, routes, 2)
 		for range settleSteps {
 			f.step(nil)
 		}
@@ -33,22 +33,22 @@
 
 func memorySlopes() []Slope {
 	return []Slope{
-		{Name: "memory-module-nodes", Operation: "the module's memory, 110 proxies, 12 routes", Size: "nodes", Method: Hollow,
+		{Name: "memory-module-nodes", Operation: "the module's memory, 110 proxies, 12 routes", Size: "nodes", Method: Isolated,
 			Sizes: []int{130, 400, 1300, 4000, OperatorsNodes},
-			Run:   func(size int, _ Effort) (Sample, error) { return moduleHeap(size, size, usualProxies, 12) }},
-		{Name: "memory-module-proxies", Operation: "the module's memory, 800 nodes, 12 routes", Size: "proxies", Method: Hollow,
+			Run:   func(size int, _ Effort) (Sample, error) { return moduleHeap(size, size, typicalProxies, 12) }},
+		{Name: "memory-module-proxies", Operation: "the module's memory, 800 nodes, 12 routes", Size: "proxies", Method: Isolated,
 			Sizes: []int{110, 300, 800, 2400},
 			Run:   func(size int, _ Effort) (Sample, error) { return moduleHeap(size, stepNodes, size, 12) }},
-		{Name: "memory-module-routes", Operation: "the module's memory, 800 nodes, 2,400 proxies", Size: "routes", Method: Hollow,
+		{Name: "memory-module-routes", Operation: "the module's memory, 800 nodes, 2,400 proxies", Size: "routes", Method: Isolated,
 			Sizes: []int{1, 4, 16, 64},
 			Run:   func(size int, _ Effort) (Sample, error) { return moduleHeap(size, stepNodes, 2400, size) }},
-		{Name: "memory-xds-sidecars", Operation: "the xDS server's memory, pool of 200 nodes, 12 routes", Size: "sidecars", Method: Hollow,
+		{Name: "memory-xds-sidecars", Operation: "the xDS server's memory, pool of 200 nodes, 12 routes", Size: "sidecars", Method: Isolated,
 			Sizes: []int{30, 100, 300, 1000},
 			Run:   func(size int, _ Effort) (Sample, error) { return serverHeap(size, size, pushPool, 12) }},
-		{Name: "memory-xds-nodes", Operation: "the xDS server's memory, 10 sidecars on one pool, 12 routes", Size: "nodes", Method: Hollow,
+		{Name: "memory-xds-nodes", Operation: "the xDS server's memory, 10 sidecars on one pool, 12 routes", Size: "nodes", Method: Isolated,
 			Sizes: []int{100, 300, 1000, 4000},
 			Run:   func(size int, _ Effort) (Sample, error) { return serverHeap(size, 10, size, 12) }},
-		{Name: "memory-xds-routes", Operation: "the xDS server's memory, 10 sidecars, pool of 10 nodes", Size: "routes", Method: Hollow,
+		{Name: "memory-xds-routes", Operation: "the xDS server's memory, 10 sidecars, pool of 10 nodes", Size: "routes", Method: Isolated,
 			Sizes: []int{10, 30, 100, 300, 1000},
 			Run:   func(size int, _ Effort) (Sample, error) { return serverHeap(size, 10, 10, size) }},
 	}
--- a/scaling/meter.go
+++ b/scaling/meter.go
@@ -57,15 +57,15 @@
 )
 
 const (
-	fullLeast = 60 * time.Millisecond // of processor time
-	fullMost  = 20000                 // operations, where one takes next to nothing
-	fullFew   = 3                     // operations at the least, however long one takes
-	batchMost = 5                     // operations between two looks at the meter
+	fullMinTime = 60 * time.Millisecond // of processor time
+	fullMaxTime = 20000                 // operations, where one takes next to nothing
+	fullFew     = 3                     // operations at the least, however long one takes
+	maxBatch    = 5                     // operations between two looks at the meter
 )
 
 // enough tells whether a figure is taken after n operations, of which there are to be few at least.
 func (e Effort) enough(m *meter, n, few int) bool {
-	return n >= few && (e == Brief || n >= fullMost || m.cpu >= fullLeast)
+	return n >= few && (e == Brief || n >= fullMaxTime || m.cpu >= fullMinTime)
 }
 
 // repeat meters an operation until enough has gone into it.
@@ -75,7 +75,7 @@
 	}
 	var m meter
 	n := 0
-	for batch := 1; !effort.enough(&m, n, fullFew); batch = min(2*batch, batchMost) {
+	for batch := 1; !effort.enough(&m, n, fullFew); batch = min(2*batch, maxBatch) {
 		m.start()
 		for range batch {
 			if err := operation(); err != nil {
--- a/scaling/record.go
+++ b/scaling/record.go
@@ -217,7 +217,7 @@
 	return s, repeat(&s, effort, func() error { return read(r.state.Store(), scope) })
 }
 
-func readWhole(store *records.Store, scope records.Scope) error {
+func readAll(store *records.Store, scope records.Scope) error {
 	if held := store.InScope(scope).Records; len(held) < scopeServices {
 		return fmt.Errorf("%d records in scope", len(held))
 	}
@@ -236,13 +236,13 @@
 	const size = "tenants, with 570 services and 3,400 routes for each 140,000"
 	return []Slope{
 		{Name: "record-change", Operation: "one tenant changed, as records: wire is the log entry, stored its part of the history; cpu and allocations are propose, check and apply",
-			Size: size, Method: Hollow, Sizes: sizes, Run: recordChangeSample},
-		{Name: "record-memory", Operation: "a record in a member's state: heap, and stored in a snapshot", Size: size, Method: Hollow, Sizes: sizes, Run: recordMemorySample},
-		{Name: "record-snapshot", Operation: "a snapshot of the state, 100 changes after the last one", Size: size, Method: Hollow, Sizes: sizes, Run: recordSnapshotSample},
-		{Name: "record-restore", Operation: "the state taken from a snapshot", Size: size, Method: Hollow, Sizes: sizes, Run: recordRestoreSample},
-		{Name: "record-scope", Operation: "a scope of six services read whole", Size: size, Method: Hollow, Sizes: sizes,
-			Run: func(size int, effort Effort) (Sample, error) { return recordReadSample(size, effort, readWhole) }},
-		{Name: "record-since", Operation: "what one change did to a scope of six services", Size: size, Method: Hollow, Sizes: sizes,
+			Size: size, Method: Isolated, Sizes: sizes, Run: recordChangeSample},
+		{Name: "record-memory", Operation: "a record in a member's state: heap, and stored in a snapshot", Size: size, Method: Isolated, Sizes: sizes, Run: recordMemorySample},
+		{Name: "record-snapshot", Operation: "a snapshot of the state, 100 changes after the last one", Size: size, Method: Isolated, Sizes: sizes, Run: recordSnapshotSample},
+		{Name: "record-restore", Operation: "the state taken from a snapshot", Size: size, Method: Isolated, Sizes: sizes, Run: recordRestoreSample},
+		{Name: "record-scope", Operation: "a scope of six services read whole", Size: size, Method: Isolated, Sizes: sizes,
+			Run: func(size int, effort Effort) (Sample, error) { return recordReadSample(size, effort, readAll) }},
+		{Name: "record-since", Operation: "what one change did to a scope of six services", Size: size, Method: Isolated, Sizes: sizes,
 			Run: func(size int, effort Effort) (Sample, error) { return recordReadSample(size, effort, readChange) }},
 	}
 }
--- a/scaling/records_test.go
+++ b/scaling/records_test.go
@@ -67,11 +67,11 @@
 
 func allRead(tenants int) (Sample, error) {
 	return recordReadSample(tenants, Brief, func(store *records.Store, _ records.Scope) error {
-		return readWhole(store, records.Scope{All: true})
+		return readAll(store, records.Scope{All: true})
 	})
 }
 
-func scopeRead(tenants int) (Sample, error) { return recordReadSample(tenants, Brief, readWhole) }
+func scopeRead(tenants int) (Sample, error) { return recordReadSample(tenants, Brief, readAll) }
 
 // wholeScopeTold has all followers lose what they hold and open another stream before each change.
 func wholeScopeTold(followers int) (Sample, error) {
--- a/scaling/capacity.go
+++ b/scaling/scaling.go
@@ -1,4 +1,4 @@
-// Package capacity measures how the cost of each part of the control plane grows with its size. A Slope runs one part
+// Package scaling measures how the cost of each part of the control plane grows with its size. A Slope runs one part
 // at several sizes and notes what each took: processor time of the process, bytes and objects allocated, bytes on the
 // wire or on disk, memory that stays. Fit turns the samples into a growth exponent and a straight line, which
 // docs/CAPACITY.md holds against the operators' budget.
@@ -15,15 +15,15 @@
 
 // Budget is what one conductor may spend on control at the operators' size.
 const (
-	BudgetCore          = 0.011     // of one core
-	BudgetMemory        = 128 << 20 // bytes
-	BudgetBandwidth     = 16 << 10  // bytes a second
-	OperatorsNodes      = 13000
-	OperatorsConductors = 1700
-	OperatorsServices   = 570
-	OperatorsRoutes     = 3400
-	OperatorsTenants    = 140000
-	OperatorsZones      = 42
+	BudgetCore           = 0.011     // of one core
+	BudgetMemory         = 128 << 20 // bytes
+	BudgetBandwidth      = 16 << 10  // bytes a second
+	OperatorsNodes       = 13000
+	OperatorsControllers = 1700
+	OperatorsServices    = 570
+	OperatorsRoutes      = 3400
+	OperatorsTenants     = 140000
+	OperatorsZones       = 42
 )
 
 // Quantity is something that a sample tells.
@@ -77,7 +77,7 @@
 // The methods, from the real thing downwards. Arithmetic is never a slope's: it is what the page does with slopes.
 const (
 	Measured  Method = "measured"  // the real code over real sockets, files or bytes as it runs in service
-	Hollow    Method = "hollow"    // the real machines, without the parts around them
+	Isolated  Method = "hollow"    // the real machines, without the parts around them
 	Simulated Method = "simulated" // members or modules on a clock of the harness
 )
 
--- a/scaling/capacity_test.go
+++ b/scaling/scaling_test.go
@@ -107,7 +107,7 @@
 // smaller leaves the largest size out under the race detector, which takes ten times as long.
 func smaller(sizes []int) []int {
 	if raced {
-		return sizes[:min(len(sizes), fitLeast)]
+		return sizes[:min(len(sizes), minFitSizes)]
 	}
 	return sizes
 }
@@ -283,7 +283,7 @@
 
 func listEachStep(nodes int) (Sample, error) {
 	s := newSample(nodes)
-	f := newModuleFleet(nodes, usualProxies, 2, 2)
+	f := newPlannerFleet(nodes, typicalProxies, 2, 2)
 	return s, repeat(&s, Brief, func() error {
 		rows := make([]planner.Endpoint, nodes)
 		for i := range rows {
--- a/scaling/socket.go
+++ b/scaling/socket.go
@@ -17,14 +17,14 @@
 )
 
 const (
-	quietLease     = 10 * time.Minute // no renewal falls into what is metered
-	renewalsBrief  = 2                // lease renewals of each follower that are counted
-	renewalsFull   = 5
-	changesBrief   = 5 // changes that are told
-	changesFull    = 50
-	socketInStep   = time.Minute // for all followers; only a fault takes that long
-	lookForAnswers = time.Millisecond
-	lookForRenewed = 50 * time.Millisecond // seldom, so that looking is not what is metered
+	quietLease          = 10 * time.Minute // no renewal falls into what is metered
+	renewalsBrief       = 2                // lease renewals of each follower that are counted
+	renewalsFull        = 5
+	changesBrief        = 5 // changes that are told
+	changesFull         = 50
+	socketInStep        = time.Minute // for all followers; only a fault takes that long
+	answerPollInterval  = time.Millisecond
+	renewalPollInterval = 50 * time.Millisecond // seldom, so that looking is not what is metered
 )
 
 // socketMember is a member's service on loopback with followers, each a real client with its own connection.
@@ -45,7 +45,7 @@
 		return nil, err
 	}
 	limits := configsync.DefaultLimits
-	limits.Lease, limits.MaxStreams, limits.FullScopeBytesPerSecond, limits.FullScopeBurstBytes = lease, followers, followWhole, followWhole
+	limits.Lease, limits.MaxStreams, limits.FullScopeBytesPerSecond, limits.FullScopeBurstBytes = lease, followers, followFullScope, followFullScope
 	m := &socketMember{followed: source, service: frontfollow.NewService("member", source.store, limits, zap.NewNop())}
 	server := cluster.NewServer(nil)
 	m.service.Register(server)
@@ -77,7 +77,7 @@
 
 // inStep waits until the member knows that all followers have accepted its revision.
 func (m *socketMember) inStep() error {
-	for begun := time.Now(); time.Since(begun) < socketInStep; time.Sleep(lookForAnswers) {
+	for begun := time.Now(); time.Since(begun) < socketInStep; time.Sleep(answerPollInterval) {
 		if status := m.service.Status(); status.Live == len(m.clients) && status.ConvergedRevision == m.store.Revision() {
 			return nil
 		}
@@ -114,13 +114,13 @@
 func (m *socketMember) tell(change records.Change) error {
 	from := m.service.Counts().Accepted
 	m.service.Committed(change)
-	return m.await(lookForAnswers, func(now configsync.Counts) bool { return now.Accepted-from >= uint64(len(m.clients)) })
+	return m.await(answerPollInterval, func(now configsync.Counts) bool { return now.Accepted-from >= uint64(len(m.clients)) })
 }
 
 // renewals waits until the followers have renewed their leases once more, all together.
 func (m *socketMember) renewals() error {
 	from := m.service.Counts().Heartbeats
-	return m.await(lookForRenewed, func(now configsync.Counts) bool { return now.Heartbeats-from >= uint64(len(m.clients)) })
+	return m.await(renewalPollInterval, func(now configsync.Counts) bool { return now.Heartbeats-from >= uint64(len(m.clients)) })
 }
 
 // await looks at the member's counts until they are as they should be.
--- a/scaling/step.go
+++ b/scaling/step.go
@@ -7,32 +7,32 @@
 )
 
 const (
-	stepEvery    = 0.1   // s between two steps of the module
-	stepsReport  = 5     // steps between two reports on a node, which come each half second
-	usualProxies = 110   // proxies of one conductor
-	stepNodes    = 800   // nodes where the proxies grow
-	stepsFew     = 30    // steps that one figure is taken over at least: 3 s, so that all that is not of every step is in it
-	settleSteps  = 30    // steps until the first tables and levels are out
-	nonceModulo  = 60000 // nonces of a push, well under what an order carries
+	stepEvery      = 0.1   // s between two steps of the module
+	stepsReport    = 5     // steps between two reports on a node, which come each half second
+	typicalProxies = 110   // proxies of one conductor
+	stepNodes      = 800   // nodes where the proxies grow
+	stepsFew       = 30    // steps that one figure is taken over at least: 3 s, so that all that is not of every step is in it
+	settleSteps    = 30    // steps until the first tables and levels are out
+	nonceModulo    = 60000 // nonces of a push, well under what an order carries
 )
 
-// moduleHost carries nothing out. It notes the last nonce, so that it can be acknowledged, and counts the orders.
-type moduleHost struct {
+// plannerHost carries nothing out. It notes the last nonce, so that it can be acknowledged, and counts the orders.
+type plannerHost struct {
 	nonce     int
 	requested bool
 	orders    int
 }
 
-func (h *moduleHost) BindProxy(int, int)                                              { h.orders++ }
-func (h *moduleHost) SetWeight(int, uint32, float64)                                  { h.orders++ }
-func (h *moduleHost) SetAdmission(int, planner.RouteID, float64, planner.RetryPolicy) { h.orders++ }
-func (h *moduleHost) RequestAck(nonce int)                                            { h.nonce, h.requested = nonce, true }
-func (h *moduleHost) Wake(float64)                                                    {}
-func (h *moduleHost) Subscribe()                                                      {}
-func (h *moduleHost) Log(string)                                                      {}
+func (h *plannerHost) BindProxy(int, int)                                              { h.orders++ }
+func (h *plannerHost) SetWeight(int, uint32, float64)                                  { h.orders++ }
+func (h *plannerHost) SetAdmission(int, planner.RouteID, float64, planner.RetryPolicy) { h.orders++ }
+func (h *plannerHost) RequestAck(nonce int)                                            { h.nonce, h.requested = nonce, true }
+func (h *plannerHost) Wake(float64)                                                    {}
+func (h *plannerHost) Subscribe()                                                      {}
+func (h *plannerHost) Log(string)                                                      {}
 
-// moduleSite is a deployment without limits of a channel that would hold the module back.
-func moduleSite(proxies, routes, zones int) planner.Config {
+// plannerConfig is a deployment without limits of a channel that would hold the module back.
+func plannerConfig(proxies, routes, zones int) planner.Config {
 	site := planner.Config{Seed: 1, Zones: zones, MachineTypes: 1, Controllers: 1, Proxies: proxies, SubscribeTimeout: 10, UtilizationIndex: -1, QueueLengthIndex: -1,
 		Admission: planner.AdmissionFraction, EntriesPerSecond: 1e6, MaxInFlightEntries: 1e7, MessageOverhead: 5, MessageWindow: 10, ReportInterval: 0.5, SlowStartWindow: 16, OverloadMultiple: 3}
 	for r := range routes {
@@ -41,18 +41,18 @@
 	return site
 }
 
-// moduleFleet is a conductor's module with its proxies joined, and time that goes on under it.
-type moduleFleet struct {
-	host           *moduleHost
+// plannerFleet is a conductor's module with its proxies joined, and time that goes on under it.
+type plannerFleet struct {
+	host           *plannerHost
 	module         *planner.Planner
 	now            float64
 	nodes, proxies int
 	steps          int
 }
 
-func newModuleFleet(nodes, proxies, routes, zones int) *moduleFleet {
-	f := &moduleFleet{host: &moduleHost{}, now: 100, nodes: nodes, proxies: proxies}
-	f.module = planner.New(f.host, moduleSite(proxies, routes, zones), f.now)
+func newPlannerFleet(nodes, proxies, routes, zones int) *plannerFleet {
+	f := &plannerFleet{host: &plannerHost{}, now: 100, nodes: nodes, proxies: proxies}
+	f.module = planner.New(f.host, plannerConfig(proxies, routes, zones), f.now)
 	rows := make([]planner.Endpoint, nodes)
 	for i := range rows {
 		rows[i] = planner.Endpoint{Node: uint32(i + 1), Zone: i % zones, State: planner.Ready}
@@ -65,7 +65,7 @@
 }
 
 // reports tells what the proxies met at each node, and what each proxy was asked.
-func (f *moduleFleet) reports() {
+func (f *plannerFleet) reports() {
 	for i := range f.nodes {
 		f.module.AddLoadReport(f.now, planner.LoadReport{Node: uint32(i + 1), Completed: 10, MeanLatency: 0.2 + 0.1*float64(i%7), Interval: 0.5})
 	}
@@ -75,7 +75,7 @@
 }
 
 // confirm has all proxies acknowledge what was ordered.
-func (f *moduleFleet) confirm() {
+func (f *plannerFleet) confirm() {
 	if !f.host.requested {
 		return
 	}
@@ -87,7 +87,7 @@
 }
 
 // step lets a tenth of a second pass. The reports and confirmations beside it are not metered.
-func (f *moduleFleet) step(m *meter) {
+func (f *plannerFleet) step(m *meter) {
 	if f.steps%stepsReport == 0 {
 		f.reports()
 	}
@@ -106,7 +106,7 @@
 // stepSample meters steps of a fleet that has settled.
 func stepSample(size, nodes, proxies int, effort Effort) (Sample, error) {
 	s := newSample(size)
-	f := newModuleFleet(nodes, proxies, 2, 2)
+	f := newPlannerFleet(nodes, proxies, 2, 2)
 	for range settleSteps {
 		f.step(nil)
 	}
@@ -125,10 +125,10 @@
 
 func stepSlopes() []Slope {
 	return []Slope{
-		{Name: "step-nodes", Operation: "one step of the module (10 a second), 110 proxies", Size: "nodes", Method: Hollow,
+		{Name: "step-nodes", Operation: "one step of the module (10 a second), 110 proxies", Size: "nodes", Method: Isolated,
 			Sizes: []int{23, 130, 800, 3200, 13000},
-			Run:   func(size int, effort Effort) (Sample, error) { return stepSample(size, size, usualProxies, effort) }},
-		{Name: "step-proxies", Operation: "one step of the module (10 a second), 800 nodes", Size: "proxies", Method: Hollow,
+			Run:   func(size int, effort Effort) (Sample, error) { return stepSample(size, size, typicalProxies, effort) }},
+		{Name: "step-proxies", Operation: "one step of the module (10 a second), 800 nodes", Size: "proxies", Method: Isolated,
 			Sizes: []int{110, 300, 800, 2400},
 			Run:   func(size int, effort Effort) (Sample, error) { return stepSample(size, stepNodes, size, effort) }},
 	}
--- a/scaling/push.go
+++ b/scaling/xdspush.go
@@ -15,7 +15,7 @@
 const (
 	pushPool     = 200 // nodes of the pool where the sidecars grow
 	pushSidecars = 100 // sidecars where the pool grows
-	exchangeMost = 100 // exchanges of a sidecar until it holds all, far above the dozen that it takes
+	maxExchanges = 100 // exchanges of a sidecar until it holds all, far above the dozen that it takes
 )
 
 // sent is a response on its way to a sidecar.
@@ -98,7 +98,7 @@
 
 // settle carries responses and answers until nothing is on its way.
 func (p *pushServer) settle(cost *pushCost) error {
-	for range exchangeMost {
+	for range maxExchanges {
 		if p.refused != nil {
 			return p.refused
 		}
@@ -109,7 +109,7 @@
 			return err
 		}
 	}
-	return fmt.Errorf("not settled after %d exchanges", exchangeMost)
+	return fmt.Errorf("not settled after %d exchanges", maxExchanges)
 }
 
 // exchange carries all responses that are on their way, and the answers back.
@@ -187,17 +187,17 @@
 	server := func(c *pushCost) *meter { return &c.server }
 	client := func(c *pushCost) *meter { return &c.sidecars }
 	return []Slope{
-		{Name: "push-sidecars", Operation: "one changed weight to one sidecar, server's side, pool of 200 nodes", Size: "sidecars on the table", Method: Hollow,
+		{Name: "push-sidecars", Operation: "one changed weight to one sidecar, server's side, pool of 200 nodes", Size: "sidecars on the table", Method: Isolated,
 			Sizes: []int{10, 30, 100, 300, 1000},
 			Run: func(size int, effort Effort) (Sample, error) {
 				return pushSample(size, size, pushPool, effort, server)
 			}},
-		{Name: "push-pool", Operation: "one changed weight to one sidecar, server's side, 100 sidecars", Size: "nodes of the pool", Method: Hollow,
+		{Name: "push-pool", Operation: "one changed weight to one sidecar, server's side, 100 sidecars", Size: "nodes of the pool", Method: Isolated,
 			Sizes: []int{10, 50, 200, 1000},
 			Run: func(size int, effort Effort) (Sample, error) {
 				return pushSample(size, pushSidecars, size, effort, server)
 			}},
-		{Name: "push-accept", Operation: "one changed weight accepted by one sidecar, its side", Size: "nodes of the pool", Method: Hollow,
+		{Name: "push-accept", Operation: "one changed weight accepted by one sidecar, its side", Size: "nodes of the pool", Method: Isolated,
 			Sizes: []int{10, 50, 200, 1000},
 			Run: func(size int, effort Effort) (Sample, error) {
 				return pushSample(size, pushSidecars, size, effort, client)
--- a/simulation/checks.go
+++ b/simulation/checks.go
@@ -51,9 +51,9 @@
 		return
 	}
 	w.agreedAt[number] = w.now
-	if w.leaderLostAt >= 0 && w.now > w.leaderLostAt {
-		w.outcome.Gap = append(w.outcome.Gap, w.now-w.leaderLostAt)
-		w.leaderLostAt = -1
+	if w.leaderFailedAt >= 0 && w.now > w.leaderFailedAt {
+		w.outcome.Gap = append(w.outcome.Gap, w.now-w.leaderFailedAt)
+		w.leaderFailedAt = -1
 	}
 }
 
@@ -83,8 +83,8 @@
 			lead = m.id
 		}
 	}
-	if w.lastLeader != 0 && !w.members[w.lastLeader-1].up && w.leaderLostAt < 0 {
-		w.leaderLostAt = w.now
+	if w.lastLeader != 0 && !w.members[w.lastLeader-1].up && w.leaderFailedAt < 0 {
+		w.leaderFailedAt = w.now
 	}
 	if lead != 0 {
 		w.lastLeader = lead
@@ -109,7 +109,7 @@
 	if at < 0 {
 		return // noted before
 	}
-	w.outcome.Held = append(w.outcome.Held, w.now-at)
+	w.outcome.Converged = append(w.outcome.Converged, w.now-at)
 	w.agreedAt[newest] = -1
 	if w.outcome.Settled < 0 && w.now >= w.calmFrom && at >= w.calmFrom {
 		w.outcome.Settled = w.now - w.calmFrom
@@ -125,7 +125,7 @@
 			w.outcome.Entries = max(w.outcome.Entries, int(m.Status().Entries))
 		}
 	}
-	w.outcome.Print = w.digest
+	w.outcome.Fingerprint = w.digest
 }
 
 // checkHistory checks that some order of the operations explains what operators saw.
--- a/simulation/experiment.go
+++ b/simulation/experiment.go
@@ -39,12 +39,12 @@
 var figures = map[string]func(s *Setup, v float64){
 	"members":       func(s *Setup, v float64) { s.Members = int(v) },
 	"ticks":         func(s *Setup, v float64) { s.Ticks = int(v) },
-	"calm":          func(s *Setup, v float64) { s.Calm = int(v) },
+	"calm":          func(s *Setup, v float64) { s.FaultFreeTicks = int(v) },
 	"election":      func(s *Setup, v float64) { s.Timing.ElectionTicks = int(v); s.Timing.HeartbeatTicks = max(1, int(v)/5) },
 	"compact":       func(s *Setup, v float64) { s.Timing.CompactAfterEntries = uint64(v) },
 	"delay":         func(s *Setup, v float64) { s.MaxDelay = int(v) },
 	"loss":          func(s *Setup, v float64) { s.Loss = v },
-	"double":        func(s *Setup, v float64) { s.Double = v },
+	"double":        func(s *Setup, v float64) { s.Duplication = v },
 	"sync":          func(s *Setup, v float64) { s.MaxSyncDelay = int(v) },
 	"fault-every":   func(s *Setup, v float64) { s.FaultEvery = int(v) },
 	"propose-every": func(s *Setup, v float64) { s.ProposeEvery = int(v) },
@@ -58,7 +58,7 @@
 		return nil, err
 	}
 	var faults kdl.Faults
-	e := &Experiment{Seeds: 10, Base: Setup{Members: 3, Ticks: 3000, Calm: 600, Timing: cluster.Timing{ElectionTicks: 20, HeartbeatTicks: 4, CompactAfterEntries: 100},
+	e := &Experiment{Seeds: 10, Base: Setup{Members: 3, Ticks: 3000, FaultFreeTicks: 600, Timing: cluster.Timing{ElectionTicks: 20, HeartbeatTicks: 4, CompactAfterEntries: 100},
 		MaxDelay: 4, ProposeEvery: 30, Sidecars: 6}}
 	if len(nodes) != 1 || nodes[0].Name != "experiment" || len(nodes[0].Args) != 1 {
 		faults.Add(1, "the document is one \"experiment\" with a name")
@@ -90,7 +90,7 @@
 	if len(e.Sweeps) > 2 {
 		faults.Add(nodes[0].Line, "two figures are swept at most, not %d", len(e.Sweeps))
 	}
-	if e.Base.Members < 1 || e.Base.Members > 9 || e.Base.Calm >= e.Base.Ticks || e.Seeds < 1 {
+	if e.Base.Members < 1 || e.Base.Members > 9 || e.Base.FaultFreeTicks >= e.Base.Ticks || e.Seeds < 1 {
 		faults.Add(nodes[0].Line, "members are 1 to 9, calm is under ticks, seeds are at least 1")
 	}
 	return e, faults.Err()
@@ -98,22 +98,22 @@
 
 // Row is one run as the results keep it.
 type Row struct {
-	Experiment string  `parquet:"experiment,dict"`
-	X          string  `parquet:"x,dict"`
-	XValue     float64 `parquet:"x_value"`
-	Y          string  `parquet:"y,dict"`
-	YValue     float64 `parquet:"y_value"`
-	Seed       uint64  `parquet:"seed"`
-	Print      uint64  `parquet:"print"`
-	Violations string  `parquet:"violations"`
-	Agreed     int64   `parquet:"agreed"`
-	Refused    int64   `parquet:"refused"`
-	Unknown    int64   `parquet:"unknown"`
-	Commit     []int64 `parquet:"commit_ticks"`
-	Gap        []int64 `parquet:"gap_ticks"`
-	Held       []int64 `parquet:"held_ticks"`
-	Settled    int64   `parquet:"settled_ticks"`
-	Entries    int64   `parquet:"entries"`
+	Experiment  string  `parquet:"experiment,dict"`
+	X           string  `parquet:"x,dict"`
+	XValue      float64 `parquet:"x_value"`
+	Y           string  `parquet:"y,dict"`
+	YValue      float64 `parquet:"y_value"`
+	Seed        uint64  `parquet:"seed"`
+	Fingerprint uint64  `parquet:"print"`
+	Violations  string  `parquet:"violations"`
+	Agreed      int64   `parquet:"agreed"`
+	Rejected    int64   `parquet:"refused"`
+	Unknown     int64   `parquet:"unknown"`
+	Commit      []int64 `parquet:"commit_ticks"`
+	Gap         []int64 `parquet:"gap_ticks"`
+	Converged   []int64 `parquet:"held_ticks"`
+	Settled     int64   `parquet:"settled_ticks"`
+	Entries     int64   `parquet:"entries"`
 }
 
 // Run plays all runs, as many at once as there are cores; their order in the rows does not depend on that.
@@ -166,7 +166,7 @@
 }
 
 func (r *Row) fill(o Outcome) {
-	r.Print, r.Agreed, r.Refused, r.Unknown = o.Print, int64(o.Agreed), int64(o.Refused), int64(o.Unknown)
+	r.Fingerprint, r.Agreed, r.Rejected, r.Unknown = o.Fingerprint, int64(o.Agreed), int64(o.Rejected), int64(o.Unknown)
 	r.Settled, r.Entries = int64(o.Settled), int64(o.Entries)
 	for _, v := range o.Violations {
 		r.Violations += v + "\n"
@@ -177,7 +177,7 @@
 		}
 		return to
 	}
-	r.Commit, r.Gap, r.Held = wide(o.Commit), wide(o.Gap), wide(o.Held)
+	r.Commit, r.Gap, r.Converged = wide(o.Commit), wide(o.Gap), wide(o.Converged)
 }
 
 // Metrics are what tables and charts show of runs: the ticks of all that came.
@@ -187,7 +187,7 @@
 }{
 	{"commit", func(r Row) []int64 { return r.Commit }},
 	{"gap", func(r Row) []int64 { return r.Gap }},
-	{"held", func(r Row) []int64 { return r.Held }},
+	{"held", func(r Row) []int64 { return r.Converged }},
 	{"settled", func(r Row) []int64 { return []int64{r.Settled} }},
 	{"entries", func(r Row) []int64 { return []int64{r.Entries} }},
 }
--- a/simulation/faults.go
+++ b/simulation/faults.go
@@ -23,9 +23,9 @@
 
 // How a change of members is tried, in ticks.
 const (
-	removeTries = 40  // for so long a removal is tried
-	addTries    = 400 // for so long an addition is tried
-	changeEvery = 5   // between two tries
+	maxRemoveAttempts = 40  // for so long a removal is tried
+	maxAddAttempts    = 400 // for so long an addition is tried
+	changeEvery       = 5   // between two tries
 )
 
 const faultStream = 12 // of the random numbers that draw a run's faults
@@ -45,7 +45,7 @@
 	}
 	chance := rand.New(rand.NewPCG(set.Seed, faultStream))
 	kinds := []FaultKind{Crash, Crash, Cut, Cut, CutOne, Stall, SlowIO, TransferLeader, Replace}
-	for at := set.Timing.ElectionTicks * 3; at < set.Ticks-set.Calm; at += 1 + chance.IntN(2*set.FaultEvery) {
+	for at := set.Timing.ElectionTicks * 3; at < set.Ticks-set.FaultFreeTicks; at += 1 + chance.IntN(2*set.FaultEvery) {
 		f := Fault{At: at, For: 1 + chance.IntN(8*set.Timing.ElectionTicks), Kind: kinds[chance.IntN(len(kinds))],
 			Member: 1 + uint64(chance.IntN(set.Members))}
 		for id := range uint64(set.Members) {
@@ -53,7 +53,7 @@
 				f.Side = append(f.Side, id+1)
 			}
 		}
-		f.For = min(f.For, set.Ticks-set.Calm-at)
+		f.For = min(f.For, set.Ticks-set.FaultFreeTicks-at)
 		faults = append(faults, f)
 	}
 	return faults
@@ -79,8 +79,8 @@
 			m.TransferLeadership(1 + uint64(w.random.IntN(w.setup.Members)))
 		}
 	case Replace:
-		w.changeMembers(cluster.MembershipChange{Remove: []uint64{f.Member}}, removeTries)
-		w.schedule(f.For, func() { w.changeMembers(cluster.MembershipChange{Add: []uint64{f.Member}}, addTries) })
+		w.changeMembers(cluster.MembershipChange{Remove: []uint64{f.Member}}, maxRemoveAttempts)
+		w.schedule(f.For, func() { w.changeMembers(cluster.MembershipChange{Add: []uint64{f.Member}}, maxAddAttempts) })
 	}
 }
 
@@ -105,7 +105,7 @@
 	for _, m := range w.members {
 		if m.up && m.IsLeader() && (len(c.Remove) == 0 || len(m.Status().Voters) == w.setup.Members) {
 			m.ChangeMembers(c)
-			w.runTurn(m)
+			w.advance(m)
 			break
 		}
 	}
--- a/simulation/followers/check.go
+++ b/simulation/followers/check.go
@@ -107,7 +107,7 @@
 		return
 	}
 	if content.FullScope {
-		c.sentWhole(one, held)
+		c.sentFullScope(one, held)
 		return
 	}
 	c.world.out.Changes++
@@ -122,16 +122,16 @@
 	}
 }
 
-// sentWhole looks whether the member still knew the changes since the revision held.
-func (c *checker) sentWhole(one *session, held uint64) {
-	c.world.out.Whole++
+// sentFullScope looks whether the member still knew the changes since the revision held.
+func (c *checker) sentFullScope(one *session, held uint64) {
+	c.world.out.FullScopes++
 	if held > 0 && held >= one.member.floor {
 		c.violate(BrokenCost, "%s at %d got its scope whole, the member knows the changes since %d", one.follower, held, one.member.floor)
 	}
 }
 
-// force asks all members at one moment, as an operator does, and compares what they claim with what followers hold.
-func (c *checker) force() {
+// convergence asks all members at one moment, as an operator does, and compares what they claim with what followers hold.
+func (c *checker) convergence() {
 	now := c.world.clock.now()
 	var statuses []configsync.MemberStatus
 	for _, one := range c.world.members {
@@ -154,7 +154,7 @@
 		}
 		c.world.out.LiveAtClaims++
 		if n.machine.Revision() < force.ConvergedRevision {
-			c.violate(BrokenForce, "%s holds %d with a live lease, %d is told to be in force", n, n.machine.Revision(), force.ConvergedRevision)
+			c.violate(BrokenConvergence, "%s holds %d with a live lease, %d is told to be in force", n, n.machine.Revision(), force.ConvergedRevision)
 		}
 	}
 }
@@ -164,7 +164,7 @@
 	switch c.world.setup.Planted {
 	case PlantedLeases:
 		status.Leases = nil
-	case PlantedEarlySettled:
+	case PlantedSettledTooSoon:
 		status.Settled = true
 	}
 	return status
@@ -188,7 +188,7 @@
 	committed := c.world.clock.elapsed
 	for _, n := range inStep {
 		process, one := n.process, n.session
-		c.world.clock.after(inStepWithin, func() {
+		c.world.clock.after(maxInStepDelay, func() {
 			if n.process != process || n.session != one || n.troubled >= committed || one.member.troubled >= committed || !one.healthy() {
 				return // something happened to it meanwhile
 			}
@@ -203,11 +203,11 @@
 	}
 }
 
-// calm says who is not in step at the end.
-func (c *checker) calm() {
+// recovered says who is not in step at the end.
+func (c *checker) recovered() {
 	for _, n := range c.world.nodes {
 		if !n.inStep(c.world.log.last) {
-			c.violate(BrokenCalm, "%s holds %d of %d, connected %v", n, n.machine.Revision(), c.world.log.last, n.session != nil)
+			c.violate(BrokenRecovery, "%s holds %d of %d, connected %v", n, n.machine.Revision(), c.world.log.last, n.session != nil)
 		}
 	}
 	if len(c.world.out.Violations) > 0 {
@@ -220,6 +220,6 @@
 	}
 	force := configsync.Merge(statuses, c.world.memberNames())
 	if !force.Known || force.ConvergedRevision != c.world.log.last || force.Live != len(c.world.nodes) {
-		c.violate(BrokenCalm, "in force %d of %d, known %v, live %d of %d", force.ConvergedRevision, c.world.log.last, force.Known, force.Live, len(c.world.nodes))
+		c.violate(BrokenRecovery, "in force %d of %d, known %v, live %d of %d", force.ConvergedRevision, c.world.log.last, force.Known, force.Live, len(c.world.nodes))
 	}
 }
