--- a/simulation/followers/follow_test.go
+++ b/simulation/followers/follow_test.go
@@ -20,8 +20,8 @@
 		sum = sum.Add(out)
 	}
 	t.Logf("%+v", sum)
-	for name, seen := range map[string]int{"commits": sum.Commits, "faults": sum.Faults, "accepted": sum.Accepted, "refused": sum.Refused,
-		"whole scopes": sum.Whole, "changes": sum.Changes, "progress": sum.Progress, "claims": sum.Claims, "live at claims": sum.LiveAtClaims,
+	for name, seen := range map[string]int{"commits": sum.Commits, "faults": sum.Faults, "accepted": sum.Accepted, "refused": sum.Rejected,
+		"whole scopes": sum.FullScopes, "changes": sum.Changes, "progress": sum.Progress, "claims": sum.Claims, "live at claims": sum.LiveAtClaims,
 		"stale": sum.Stale, "in step": sum.InStepChecked, "in step beside a crowd": sum.InStepBesideCrowd} {
 		if seen < seeds {
 			t.Errorf("%s: %d in %d seeds: nothing was tried", name, seen, seeds)
@@ -33,8 +33,8 @@
 func TestSame(t *testing.T) {
 	for seed := range uint64(3) {
 		a, b := Play(DefaultSetup(seed)), Play(DefaultSetup(seed))
-		if a.Print != b.Print || a.Accepted != b.Accepted {
-			t.Errorf("seed %d: %x and %x", seed, a.Print, b.Print)
+		if a.Fingerprint != b.Fingerprint || a.Accepted != b.Accepted {
+			t.Errorf("seed %d: %x and %x", seed, a.Fingerprint, b.Fingerprint)
 		}
 	}
 }
@@ -42,16 +42,16 @@
 // Each checker sees a fault that is planted for it.
 func TestPlanted(t *testing.T) {
 	for planted, want := range map[Planted]ViolationKind{
-		PlantedWhole:        BrokenCost,
-		PlantedTalksToAll:   BrokenCost,
-		PlantedLost:         BrokenContents,
-		PlantedContents:     BrokenTwice,
-		PlantedBack:         BrokenOrder,
-		PlantedLeases:       BrokenForce,
-		PlantedLongLease:    BrokenForce,
-		PlantedEarlySettled: BrokenForce,
-		PlantedNeverAgain:   BrokenCalm,
-		PlantedSlowChanges:  BrokenDelay,
+		PlantedFullScope:      BrokenCost,
+		PlantedOutOfScope:     BrokenCost,
+		PlantedMissingChange:  BrokenContents,
+		PlantedContents:       BrokenTwice,
+		PlantedOlderRevision:  BrokenOrder,
+		PlantedLeases:         BrokenConvergence,
+		PlantedLongLease:      BrokenConvergence,
+		PlantedSettledTooSoon: BrokenConvergence,
+		PlantedNeverAgain:     BrokenRecovery,
+		PlantedSlowChanges:    BrokenDelay,
 	} {
 		t.Run(string(planted), func(t *testing.T) {
 			const seeds = 40
--- a/simulation/followers/member.go
+++ b/simulation/followers/member.go
@@ -114,9 +114,9 @@
 	delta := s.Store.Since(revision, scope)
 	s.asked++
 	switch {
-	case s.planted == PlantedWhole:
+	case s.planted == PlantedFullScope:
 		delta.Updates, delta.Available = nil, false
-	case s.planted == PlantedLost && s.asked%20 == 0 && len(delta.Updates) > 0:
+	case s.planted == PlantedMissingChange && s.asked%20 == 0 && len(delta.Updates) > 0:
 		delta.Updates = delta.Updates[1:]
 	}
 	return delta
--- a/simulation/followers/node.go
+++ b/simulation/followers/node.go
@@ -93,7 +93,7 @@
 func (n *node) moveOn() {
 	n.leave()
 	n.disturbed()
-	if n.world.setup.Planted == PlantedBack {
+	if n.world.setup.Planted == PlantedOlderRevision {
 		n.begin()
 	}
 	n.connectAfter(n.backoff.Failed())
@@ -143,7 +143,7 @@
 	}
 	if n.machine.Rejected > refused {
 		n.disturbed()
-		n.world.out.Refused++
+		n.world.out.Rejected++
 	}
 	if accepted {
 		n.world.check.accepted(n)
--- a/simulation/followers/session.go
+++ b/simulation/followers/session.go
@@ -127,7 +127,7 @@
 func spoil(planted Planted, response *discoveryv3.DeltaDiscoveryResponse) {
 	content := configsync.ContentOf(response)
 	progress := response.GetNonce() != "" && !content.FullScope && content.Records == 0
-	if planted == PlantedTalksToAll && progress {
+	if planted == PlantedOutOfScope && progress {
 		response.RemovedResources = append(response.RemovedResources, "route/of-others")
 	}
 }
--- a/simulation/followers/world.go
+++ b/simulation/followers/world.go
@@ -9,8 +9,8 @@
 	"harehook.dev/harehook/records"
 )
 
-// forceEvery is how often the revision in force is asked for.
-const forceEvery = 300 * time.Millisecond
+// convergenceCheckInterval is how often the revision in force is asked for.
+const convergenceCheckInterval = 300 * time.Millisecond
 
 // world is a run.
 type world struct {
@@ -41,12 +41,12 @@
 	}
 	w.every(setup.CommitEvery, w.commit)
 	w.every(setup.FaultEvery, w.inject)
-	w.askForce()
+	w.checkConvergence()
 	w.clock.run(setup.Active, w.broken)
 	if !w.broken() {
 		w.runCalm()
 	}
-	w.out.Print = w.check.print.Sum64()
+	w.out.Fingerprint = w.check.print.Sum64()
 	return w.out
 }
 
@@ -76,17 +76,17 @@
 	}
 }
 
-func (w *world) askForce() {
-	w.clock.after(forceEvery, func() {
-		w.check.force()
-		w.askForce()
+func (w *world) checkConvergence() {
+	w.clock.after(convergenceCheckInterval, func() {
+		w.check.convergence()
+		w.checkConvergence()
 	})
 }
 
 // runCalm lets all come in step without commits. What faults began still ends in it.
 func (w *world) runCalm() {
 	const step = 100 * time.Millisecond
-	end := w.setup.Active + w.setup.Calm
+	end := w.setup.Active + w.setup.FaultFree
 	for w.clock.elapsed < end && !w.broken() {
 		w.clock.run(w.clock.elapsed+step, w.broken)
 		w.clock.elapsed = min(end, w.clock.elapsed/step*step+step)
@@ -95,7 +95,7 @@
 		}
 	}
 	if !w.broken() {
-		w.check.calm()
+		w.check.recovered()
 	}
 }
 
--- a/simulation/lab_test.go
+++ b/simulation/lab_test.go
@@ -14,8 +14,8 @@
 )
 
 func setup(seed uint64, members int) Setup {
-	return Setup{Seed: seed, Members: members, Ticks: 3000, Calm: 600, Timing: cluster.Timing{ElectionTicks: 20, HeartbeatTicks: 4, CompactAfterEntries: 30},
-		MinDelay: 0, MaxDelay: 6, Loss: 0.03, Double: 0.03, MaxSyncDelay: 1, FaultEvery: 60, ProposeEvery: 30, Sidecars: 6}
+	return Setup{Seed: seed, Members: members, Ticks: 3000, FaultFreeTicks: 600, Timing: cluster.Timing{ElectionTicks: 20, HeartbeatTicks: 4, CompactAfterEntries: 30},
+		MinDelay: 0, MaxDelay: 6, Loss: 0.03, Duplication: 0.03, MaxSyncDelay: 1, FaultEvery: 60, ProposeEvery: 30, Sidecars: 6}
 }
 
 // Over many seeds of crashes, cuts, stalls, slow disks and changes of members nothing that must never be is seen, and
@@ -43,8 +43,8 @@
 // The same seed is the same run.
 func TestSame(t *testing.T) {
 	for seed := range uint64(5) {
-		if a, b := Play(setup(seed, 5)), Play(setup(seed, 5)); a.Print != b.Print || fmt.Sprint(a) != fmt.Sprint(b) {
-			t.Errorf("seed %d: %x and %x", seed, a.Print, b.Print)
+		if a, b := Play(setup(seed, 5)), Play(setup(seed, 5)); a.Fingerprint != b.Fingerprint || fmt.Sprint(a) != fmt.Sprint(b) {
+			t.Errorf("seed %d: %x and %x", seed, a.Fingerprint, b.Fingerprint)
 		}
 	}
 }
--- a/simulation/member.go
+++ b/simulation/member.go
@@ -66,8 +66,8 @@
 	})
 }
 
-// runTurn has a member act and carries what it sends.
-func (w *World) runTurn(m *member) {
+// advance has a member act and carries what it sends.
+func (w *World) advance(m *member) {
 	messages, applied, reads, err := m.Advance(func(b raftlog.Batch) error { return w.saveToDisk(m, b) })
 	if err != nil {
 		w.crashMember(m)
--- a/simulation/network.go
+++ b/simulation/network.go
@@ -21,7 +21,7 @@
 		return
 	}
 	copies := 1
-	if w.random.Float64() < w.setup.Double {
+	if w.random.Float64() < w.setup.Duplication {
 		copies = 2
 	}
 	sent := delivery{
@@ -63,5 +63,5 @@
 	}
 	w.record("%s %d %d", d.message.GetType(), d.message.GetFrom(), d.to.id)
 	d.to.Step(d.identity, d.known, proto.CloneOf(d.message))
-	w.runTurn(d.to)
+	w.advance(d.to)
 }
--- a/simulation/operator.go
+++ b/simulation/operator.go
@@ -9,8 +9,8 @@
 )
 
 const (
-	proposeTries = 6 // after which an operator gives up
-	staleBase    = 5 // one in so many proposals is by an operator who did not see the last change
+	maxProposeAttempts = 6 // after which an operator gives up
+	staleBase          = 5 // one in so many proposals is by an operator who did not see the last change
 )
 
 // proposal is a change of configuration that an operator waits for.
@@ -31,7 +31,7 @@
 		w.propose()
 	}
 	if p := w.pendingProposal; p != nil && (w.now-p.at)%(2*w.setup.Timing.ElectionTicks) == 0 && w.now > p.at {
-		if p.tries++; p.tries > proposeTries {
+		if p.tries++; p.tries > maxProposeAttempts {
 			w.outcome.Unknown++
 			w.pendingProposal = nil // the operator gives up and does not know
 			return
@@ -96,7 +96,7 @@
 		return
 	}
 	m.pendingReads[id] = answer
-	w.runTurn(m)
+	w.advance(m)
 }
 
 // newestVersion is the newest version that any member that is up knows: what an operator sees who looks around.
@@ -121,7 +121,7 @@
 			m.uncommitted = cluster.Version{Number: m.Status().Applied + 1, Text: p.command.Text}
 		}
 	}
-	w.runTurn(m)
+	w.advance(m)
 }
 
 // recordResult ends the proposal that the operator waits for with its result.
@@ -135,6 +135,6 @@
 		w.outcome.Agreed++
 		w.outcome.Commit = append(w.outcome.Commit, w.now-p.at)
 	} else {
-		w.outcome.Refused++
+		w.outcome.Rejected++
 	}
 }
--- a/simulation/sidecars.go
+++ b/simulation/sidecars.go
@@ -1,15 +1,15 @@
 package simulation
 
 const (
-	lookEvery = 7  // ticks between two looks of a sidecar at a member
-	moveEvery = 50 // ticks after which a sidecar looks at another member
+	pollInterval = 7  // ticks between two looks of a sidecar at a member
+	moveInterval = 50 // ticks after which a sidecar looks at another member
 )
 
 // updateSidecars has each sidecar look at one member now and then and take what that has published, unless it is older
 // than what it holds.
 func (w *World) updateSidecars() {
 	for k := range w.sidecars {
-		if (w.now+k)%lookEvery == 0 {
+		if (w.now+k)%pollInterval == 0 {
 			w.updateSidecar(k)
 		}
 	}
@@ -17,7 +17,7 @@
 
 // updateSidecar has a sidecar look at a member.
 func (w *World) updateSidecar(sidecar int) {
-	m := w.members[(sidecar+w.now/moveEvery)%len(w.members)]
+	m := w.members[(sidecar+w.now/moveInterval)%len(w.members)]
 	if !w.isRunning(m) {
 		return
 	}
--- a/simulation/world.go
+++ b/simulation/world.go
@@ -1,4 +1,4 @@
-// Package lab plays the project's own machines on a clock of its own: members of a group, their disks, a network that
+// Package simulation plays the project's own machines on a clock of its own: members of a group, their disks, a network that
 // delays, loses, doubles, reorders and cuts, operators and sidecars. One seed is one run, byte for byte. Checkers
 // beside it say what must never be.
 package simulation
@@ -33,7 +33,7 @@
 	firstResult     map[string]cluster.Result // of each client's proposal, the first time that it was applied
 	sidecars        []uint64                  // the version that each holds
 	agreedAt        map[uint64]int            // by version number; -1 once all sidecars have held it
-	leaderLostAt    int
+	leaderFailedAt  int
 	lastLeader      uint64
 	calmFrom        int
 }
@@ -61,18 +61,18 @@
 // newWorld returns a run in which no member has started.
 func newWorld(set Setup) *World {
 	w := &World{
-		setup:         set,
-		random:        rand.New(rand.NewPCG(set.Seed, runStream)),
-		cutUntil:      map[link]int{},
-		outcome:       Outcome{Settled: -1},
-		textOfVersion: map[uint64]string{},
-		leaderOfTerm:  map[uint64]uint64{},
-		appliedEntry:  map[uint64]string{},
-		firstResult:   map[string]cluster.Result{},
-		sidecars:      make([]uint64, set.Sidecars),
-		agreedAt:      map[uint64]int{},
-		leaderLostAt:  -1,
-		calmFrom:      set.Ticks - set.Calm,
+		setup:          set,
+		random:         rand.New(rand.NewPCG(set.Seed, runStream)),
+		cutUntil:       map[link]int{},
+		outcome:        Outcome{Settled: -1},
+		textOfVersion:  map[uint64]string{},
+		leaderOfTerm:   map[uint64]uint64{},
+		appliedEntry:   map[uint64]string{},
+		firstResult:    map[string]cluster.Result{},
+		sidecars:       make([]uint64, set.Sidecars),
+		agreedAt:       map[uint64]int{},
+		leaderFailedAt: -1,
+		calmFrom:       set.Ticks - set.FaultFreeTicks,
 	}
 	for id := range uint64(set.Members) {
 		w.members = append(w.members, &member{id: id + 1, disk: newDisk(id + 1)})
@@ -92,7 +92,7 @@
 	for _, m := range w.members {
 		if w.isRunning(m) {
 			m.Tick()
-			w.runTurn(m)
+			w.advance(m)
 		}
 	}
 	w.runOperator()
