--- a/internal/daemon/followers.go
+++ b/internal/daemon/followers.go
@@ -2,79 +2,38 @@
 
 import (
 	"context"
-	"errors"
-	"time"
 
 	"go.uber.org/zap"
 
 	"harehook.dev/harehook/cluster"
-	machine "harehook.dev/harehook/configsync"
+	"harehook.dev/harehook/configsync"
 	"harehook.dev/harehook/configsync/transport"
 	"harehook.dev/harehook/records"
 )
 
-const (
-	leaderPollInterval = 500 * time.Millisecond // between two looks for a leader
-	leaderTimeout      = time.Second            // for the member's answer
-)
-
-// errNoLeader is why followers are sent to another member.
-var errNoLeader = errors.New("this member knows no leader and may be out of date: ask another one")
-
-// agreeingGroup is what followers' service needs of this conductor's member of the group.
-type agreeingGroup interface {
+// followedGroup is what serving followers needs of this controller's member of the group.
+type followedGroup interface {
 	Records() records.Source
 	Status(ctx context.Context) (cluster.StatusReport, error)
 }
 
-// followers is the part of a member that serves conductors that follow the group.
+// followers is the part of a member that serves the controllers that follow the group.
 type followers struct {
 	service *transport.Service
-	group   agreeingGroup
-	lease   time.Duration
-	log     *zap.Logger
+	guard   transport.LeaderGuard
 }
 
-// newFollowers makes it; the member's server registers the service, and its node tells the service of commits.
-func newFollowers(group agreeingGroup, address string, limits machine.Limits, log *zap.Logger) *followers {
-	return &followers{
-		service: transport.NewService(address, group.Records(), limits, log),
-		group:   group, lease: limits.Lease, log: log,
+// newFollowers prepares the service. The caller registers it on the member's server and has the member's node notify it
+// of commits.
+func newFollowers(group followedGroup, address string, limits configsync.Limits, log *zap.Logger) *followers {
+	service := transport.NewService(address, group.Records(), limits, log)
+	hasLeader := func(ctx context.Context) bool {
+		report, err := group.Status(ctx)
+		return err == nil && report.Status.Leader != 0
 	}
+	guard := transport.LeaderGuard{Service: service, HasLeader: hasLeader, Lease: limits.Lease, Log: log}
+	return &followers{service: service, guard: guard}
 }
 
-// run looks for a leader until ctx ends. A member that knew none for a lease's time may be cut off from the others: it
-// must not extend leases, so that its followers go to members that are not, or know that they are stale.
-func (f *followers) run(ctx context.Context) {
-	tick := time.NewTicker(leaderPollInterval)
-	defer tick.Stop()
-	led, paused := time.Now(), false
-	for {
-		select {
-		case <-ctx.Done():
-			return
-		case <-tick.C:
-		}
-		if f.hasLeader(ctx) {
-			led = time.Now()
-		}
-		leaderless := time.Since(led) >= f.lease
-		if leaderless == paused {
-			continue
-		}
-		if paused = leaderless; paused {
-			f.log.Warn("followers are sent away: no leader is known")
-			f.service.Pause(errNoLeader)
-		} else {
-			f.log.Info("followers are served again")
-			f.service.Pause(nil)
-		}
-	}
-}
-
-func (f *followers) hasLeader(ctx context.Context) bool {
-	ctx, cancel := context.WithTimeout(ctx, leaderTimeout)
-	defer cancel()
-	report, err := f.group.Status(ctx)
-	return err == nil && report.Status.Leader != 0
-}
+// run pauses the service while the member knows no leader, until ctx ends.
+func (f *followers) run(ctx context.Context) { f.guard.Run(ctx) }
--- a/loadtest/member.go
+++ b/loadtest/member.go
@@ -2,7 +2,6 @@
 
 import (
 	"context"
-	"errors"
 	"net"
 	"sync"
 	"time"
@@ -21,12 +20,9 @@
 	source func(records.Source) records.Source // stands between the member's records and its followers
 }
 
-// countsInterval is how often a member tells what it sent and looks for a leader.
+// countsInterval is how often a member reports what it has sent.
 const countsInterval = 500 * time.Millisecond
 
-// errNoLeader is why followers are sent to another member.
-var errNoLeader = errors.New("this member knows no leader: ask another one")
-
 // member is the worker that is a member of the group, as harehookd has it but without a data plane.
 type member struct {
 	node    *cluster.Node
@@ -81,28 +77,26 @@
 	parts.Go(func() { server.Serve(listener) })
 	ended := make(chan error, 1)
 	parts.Go(func() { ended <- m.node.Run(ctx) })
-	parts.Go(func() { m.watch(ctx) })
+	parts.Go(func() { m.reportCounts(ctx) })
+	guard := front.LeaderGuard{Service: m.service, HasLeader: m.hasLeader, Lease: configsync.DefaultLimits.Lease, Log: zap.NewNop()}
+	parts.Go(func() { guard.Run(ctx) })
 	if err := m.out.write(workerReport{Ready: true}); err != nil {
 		return err
 	}
 	return <-ended
 }
 
-// watch tells what was sent, and sends followers away once no leader was known for a lease's time, until ctx ends.
-func (m *member) watch(ctx context.Context) {
-	led := time.Now()
+// reportCounts reports what was sent until ctx ends.
+func (m *member) reportCounts(ctx context.Context) {
 	for sleep(ctx, countsInterval) == nil {
 		counts := m.service.Counts()
 		if m.out.write(workerReport{Counts: &counts}) != nil {
 			return
 		}
-		if report, err := m.node.Status(ctx); err == nil && report.Status.Leader != 0 {
-			led = time.Now()
-		}
-		if time.Since(led) >= configsync.DefaultLimits.Lease {
-			m.service.Pause(errNoLeader)
-		} else {
-			m.service.Pause(nil)
-		}
 	}
 }
+
+func (m *member) hasLeader(ctx context.Context) bool {
+	report, err := m.node.Status(ctx)
+	return err == nil && report.Status.Leader != 0
+}
