--- /dev/null
+++ b/internal/daemon/agreed.go
@@ -0,0 +1,84 @@
+package daemon
+
+import (
+	"maps"
+	"slices"
+
+	"go.uber.org/zap"
+
+	"harehook.dev/harehook/config"
+	"harehook.dev/harehook/records"
+)
+
+// checkProposal returns why proposed records cannot be used by this controller.
+func (w *watcher) checkProposal(proposed []*records.Record) error {
+	agreed, err := config.AgreedFrom(proposed)
+	if err != nil {
+		return err
+	}
+	w.stateLock.Lock()
+	defer w.stateLock.Unlock()
+	return w.settings.CheckAgreed(agreed, w.listed)
+}
+
+// checkChange returns why agreed configuration cannot replace the one in effect at this controller.
+func (w *watcher) checkChange(agreed *config.Agreed) error {
+	w.stateLock.Lock()
+	defer w.stateLock.Unlock()
+	return w.settings.CheckChange(agreed, w.agreed, w.listed)
+}
+
+// applyAgreed puts agreed records into effect. Records that were agreed on take effect also where this controller's own
+// list has changed since, so that they no longer fit: it logs that and goes on.
+func (w *watcher) applyAgreed(view records.View) {
+	agreed, err := config.AgreedFrom(view.Records)
+	if err != nil {
+		w.log.Error("agreed version can't be read", zap.Uint64("number", view.Revision), zap.Error(err))
+		return
+	}
+	if err := w.checkFits(agreed); err != nil {
+		w.log.Error("agreed version does not fit this controller", zap.Uint64("number", view.Revision), zap.Error(err))
+	}
+	w.publish(view.RoutingRevision, agreed)
+}
+
+func (w *watcher) checkFits(agreed *config.Agreed) error {
+	w.stateLock.Lock()
+	defer w.stateLock.Unlock()
+	return w.settings.CheckAgreed(agreed, w.listed)
+}
+
+// publish puts routes and overrides into effect if they differ from those in effect, and reports whether they did. Most
+// revisions change neither. Without an agreed route the controller's own routes stay.
+//
+// version is the routing revision, which is the same at all controllers of the same scope whatever else each has
+// received. Sidecars refuse routes of a lower version than they hold, also from another controller.
+func (w *watcher) publish(version uint64, agreed *config.Agreed) (changed bool) {
+	former, formerVersion := w.setAgreed(version, agreed)
+	routesChanged := len(agreed.Routes) > 0 && (version != formerVersion || !slices.Equal(agreed.Routes, former.Routes))
+	overridesChanged := !maps.Equal(agreed.Overrides, former.Overrides)
+	if routesChanged {
+		w.server.SetAgreedRoutes(version, agreed.Routes)
+	}
+	if overridesChanged {
+		select {
+		case w.agreedChanged <- struct{}{}:
+		default: // run is to apply them already
+		}
+	}
+	return routesChanged || overridesChanged
+}
+
+// setAgreed replaces the agreed configuration and returns the former one, which is empty if there was none.
+func (w *watcher) setAgreed(version uint64, agreed *config.Agreed) (former *config.Agreed, formerVersion uint64) {
+	w.stateLock.Lock()
+	defer w.stateLock.Unlock()
+	former = w.agreed
+	formerVersion = w.agreedVersion
+	w.agreed = agreed
+	w.agreedVersion = version
+	if former == nil {
+		former = &config.Agreed{}
+	}
+	return former, formerVersion
+}
--- /dev/null
+++ b/internal/daemon/daemon.go
@@ -0,0 +1,87 @@
+// Package daemon is the program harehook-xds: a controller for installations without the platform. It serves sidecars
+// over xDS and is alone, a member of a group that agrees on configuration, or a follower of one.
+//
+// Main reads the configuration, wires the controller to the xDS server and runs both with a watcher, which takes over
+// changed endpoint lists, certificates and agreed configuration, until the program is told to end.
+package daemon
+
+import (
+	"context"
+	"errors"
+	"net"
+	"os"
+	"os/signal"
+	"sync"
+	"syscall"
+
+	"go.uber.org/zap"
+
+	"harehook.dev/harehook/config"
+	"harehook.dev/harehook/controller"
+	"harehook.dev/harehook/internal/certs"
+	"harehook.dev/harehook/internal/invariant"
+	"harehook.dev/harehook/internal/logging"
+)
+
+// Main runs the program under a name, which is also that of its default configuration.
+func Main(name string) {
+	config.Main(name, "A controller that serves sidecars over xDS", name+".kdl", run)
+}
+
+// run serves by the configuration at a path until ctx ends.
+func run(ctx context.Context, path string) error {
+	reload := make(chan os.Signal, 1)
+	signal.Notify(reload, syscall.SIGHUP)
+	settings, err := config.ReadController(path)
+	if err != nil {
+		return err
+	}
+	nodes, err := settings.ReadNodes()
+	if err != nil {
+		return err
+	}
+	log := logging.New(settings.Name, os.Stderr)
+	defer log.Sync()
+	invariant.Watch(func(what string) { log.Error("invariant broken", zap.String("what", what)) })
+	certificates, err := certs.Load(settings.Certificates)
+	if err != nil {
+		return err
+	}
+	server := newServer(settings, nodes, certificates, log)
+	listener, err := net.Listen("tcp", settings.Listen)
+	if err != nil {
+		return err
+	}
+	server.Controller = controller.New(settings.Deployment, endpointsOf(nodes), server, log)
+	log.Info("started", zap.Stringer("listen", listener.Addr()), zap.Int("nodes", len(nodes)), zap.Bool("secure", certificates != nil))
+
+	w := newWatcher(settings, nodes, server, certificates, log)
+	groupRole, err := newRole(settings, w, certificates, log)
+	if err != nil {
+		return err
+	}
+	return serve(ctx, w, groupRole, listener, reload)
+}
+
+// serve runs all parts until ctx ends or one of them cannot go on.
+func serve(ctx context.Context, w *watcher, groupRole role, listener net.Listener, reload <-chan os.Signal) error {
+	ctx, stop := context.WithCancel(ctx)
+	defer stop()
+	var parts sync.WaitGroup
+	parts.Go(func() { w.server.Controller.Run(ctx) })
+	parts.Go(func() { w.run(ctx, reload) })
+	if w.settings.NodeService != "" {
+		service := newEndpointWatcher(w)
+		parts.Go(func() { service.Run(ctx) })
+	}
+	var roleFault error
+	parts.Go(func() {
+		roleFault = groupRole.run(ctx)
+		stop() // a member without its log must not go on
+	})
+	serverFault := w.server.Run(ctx, listener)
+	stop()
+	parts.Wait()
+	w.log.Info("stopped")
+	return errors.Join(serverFault, roleFault)
+}
--- a/internal/daemon/follower.go
+++ b/internal/daemon/follower.go
@@ -14,49 +14,60 @@
 	"harehook.dev/harehook/records"
 )
 
-// follower is this conductor's part where it follows a group without being a member.
+// follower is the role of a controller that follows a group without being a member.
 type follower struct {
 	client  *transport.Client
 	watcher *watcher
 	log     *zap.Logger
 
-	candidate *config.Agreed // what the records that were checked last come to, for accepted
-	revision  atomic.Uint64  // of what is in use
+	candidate *config.Agreed // of the records that were checked last; accepted puts it into effect
+	revision  atomic.Uint64  // in effect
 }
 
 // newFollower prepares the follower; run drives it.
-func newFollower(told *config.Controller, w *watcher, held *certs.Store, log *zap.Logger) (*follower, error) {
+func newFollower(settings *config.Controller, w *watcher, certificates *certs.Store, log *zap.Logger) (*follower, error) {
 	f := &follower{watcher: w, log: log.Named("follow")}
-	config := transport.Config{
-		Name: told.Name, Scope: told.Follow.Scope, Members: told.Follow.Members, Lease: told.Follow.Lease, Seed: followSeed(told),
-		Check: f.check, Accepted: f.accepted, Stale: f.stale, Log: f.log,
+	clientConfig := transport.Config{
+		Name:     settings.Name,
+		Scope:    settings.Follow.Scope,
+		Members:  settings.Follow.Members,
+		Lease:    settings.Follow.Lease,
+		Seed:     followSeed(settings),
+		Check:    f.check,
+		Accepted: f.accepted,
+		Stale:    f.setStale,
+		Log:      f.log,
 	}
-	if held != nil {
-		config.Credentials = credentials.NewTLS(held.Client("conductor"))
+	if certificates != nil {
+		clientConfig.Credentials = credentials.NewTLS(certificates.Client(controllerName))
 	}
-	var err error
-	f.client, err = transport.NewClient(config)
-	return f, err
+	client, err := transport.NewClient(clientConfig)
+	if err != nil {
+		return nil, err
+	}
+	f.client = client
+	return f, nil
 }
 
-// followSeed differs between conductors also where their files state the same seed, so that they don't ask the same
+// followSeed differs between controllers also where their files state the same seed, so that they do not poll the same
 // member at the same time.
-func followSeed(told *config.Controller) uint64 {
+func followSeed(settings *config.Controller) uint64 {
 	hash := fnv.New64a()
-	hash.Write([]byte(told.Name + " " + told.Listen))
-	return hash.Sum64() ^ told.Seed
+	hash.Write([]byte(settings.Name + " " + settings.Listen))
+	return hash.Sum64() ^ settings.Seed
 }
 
-func (f *follower) run(ctx context.Context) {
+func (f *follower) run(ctx context.Context) error {
 	f.log.Info("follows a group", zap.Strings("members", f.watcher.settings.Follow.Members))
 	f.client.Run(ctx)
+	return nil
 }
 
-// check says why records can't be used here. It runs on the client's goroutine, as accepted does.
-func (f *follower) check(revision uint64, held map[records.Key]*records.Record) error {
-	agreed, err := config.AgreedOf(held)
+// check returns why records cannot be used here. It runs on the client's goroutine, as accepted does.
+func (f *follower) check(revision uint64, received map[records.Key]*records.Record) error {
+	agreed, err := config.AgreedOf(received)
 	if err == nil {
-		err = f.watcher.checkRecords(agreed)
+		err = f.watcher.checkChange(agreed)
 	}
 	if err != nil {
 		f.log.Error("revision refused, what was in use stays", zap.Uint64("revision", revision), zap.Error(err))
@@ -66,30 +77,25 @@
 	return nil
 }
 
-// accepted has an accepted revision count. Sidecars are told only where routes or overrides differ: most revisions
-// touch nothing that this conductor needs.
+// accepted puts an accepted revision into effect. Sidecars are updated only where routes or overrides differ: most
+// revisions change nothing that this controller needs.
 func (f *follower) accepted(revision uint64, _ map[records.Key]*records.Record) {
 	f.revision.Store(revision)
 	if f.candidate == nil || !f.watcher.publish(f.client.RoutingRevision(), f.candidate) {
 		return
 	}
-	f.log.Info("revision in use", zap.Uint64("revision", revision), zap.Int("routes", len(f.candidate.Routes)),
+	f.log.Info("revision in use",
+		zap.Uint64("revision", revision),
+		zap.Int("routes", len(f.candidate.Routes)),
 		zap.Int("overrides", len(f.candidate.Overrides)))
 }
 
-// stale says that the lease has run out, or that there is one again.
-func (f *follower) stale(yes bool) {
-	if yes {
+// setStale logs that the lease has run out, or that there is one again.
+func (f *follower) setStale(stale bool) {
+	if stale {
 		f.log.Warn("stale: no member was heard for a lease's time, what was accepted last stays in use",
 			zap.Uint64("revision", f.revision.Load()))
 		return
 	}
 	f.log.Info("not stale: a member is followed")
 }
-
-// checkRecords says why agreed records can't be used with what this conductor knows.
-func (w *watcher) checkRecords(agreed *config.Agreed) error {
-	w.stateLock.Lock()
-	defer w.stateLock.Unlock()
-	return w.settings.CheckChange(agreed, w.agreed, w.listed)
-}
--- a/internal/daemon/member.go
+++ b/internal/daemon/member.go
@@ -12,13 +12,13 @@
 
 	"harehook.dev/harehook/cluster"
 	"harehook.dev/harehook/config"
-	machine "harehook.dev/harehook/configsync"
+	"harehook.dev/harehook/configsync"
 	"harehook.dev/harehook/internal/certs"
 	"harehook.dev/harehook/raftlog"
 	"harehook.dev/harehook/records"
 )
 
-// member is this conductor's part in a group that agrees on configuration.
+// member is the role of a controller that is a member of a group.
 type member struct {
 	node      *cluster.Node
 	agreed    *records.Store
@@ -26,10 +26,11 @@
 	disk      *raftlog.Log
 	server    *grpc.Server
 	listener  net.Listener
+	watcher   *watcher
 }
 
-// join opens the log and prepares the member. A log that can't be gone on with ends the start.
-func join(group *config.Group, w *watcher, held *certs.Store, log *zap.Logger) (*member, error) {
+// newMember opens the log and prepares the member. A log that cannot be used ends the start with an error of raftlog.
+func newMember(group *config.Group, w *watcher, certificates *certs.Store, log *zap.Logger) (*member, error) {
 	disk, saved, err := raftlog.Open(group.DataFolder)
 	if err != nil {
 		return nil, err
@@ -41,52 +42,59 @@
 		return nil, err
 	}
 	node.CheckProposal = w.checkProposal
-	var secure *tls.Config
-	if held != nil {
-		secure = held.Server()
-		node.TLSConfig = func() *tls.Config { return held.Client("conductor") }
+	var serverTLS *tls.Config
+	if certificates != nil {
+		serverTLS = certificates.Server()
+		node.TLSConfig = func() *tls.Config { return certificates.Client(controllerName) }
 	}
 	listener, err := net.Listen("tcp", group.Listen)
 	if err != nil {
 		disk.Close()
 		return nil, err
 	}
-	m := &member{node: node, agreed: state.Store(), disk: disk, server: cluster.NewServer(secure), listener: listener}
+	m := &member{node: node, agreed: state.Store(), disk: disk, server: cluster.NewServer(serverTLS), listener: listener, watcher: w}
 	node.Register(m.server)
-	m.followers = newFollowers(node, strconv.FormatUint(group.ID, 10), machine.DefaultLimits, log.Named("followers"))
+	m.followers = newFollowers(node, strconv.FormatUint(group.ID, 10), configsync.DefaultLimits, log.Named("followers"))
 	m.followers.service.Register(m.server)
 	node.OnCommit = m.followers.service.Committed
 	log.Info("member of a group", zap.Uint64("id", group.ID), zap.Stringer("listen", listener.Addr()), zap.String("disk", saved.Identity))
 	return m, nil
 }
 
-// run serves the group until ctx ends, and has each version that is in force count.
-func (m *member) run(ctx context.Context, w *watcher) error {
+// run serves the group until ctx ends, and puts what is agreed into effect here. Its error is that of the node, such as a
+// disk that failed.
+func (m *member) run(ctx context.Context) error {
 	var parts sync.WaitGroup
 	parts.Go(func() { m.server.Serve(m.listener) })
-	stop := context.AfterFunc(ctx, m.server.Stop)
-	defer stop()
-	following, leave := context.WithCancel(ctx)
-	defer leave()
-	parts.Go(func() { m.followers.run(following) })
+	stopServer := context.AfterFunc(ctx, m.server.Stop)
+	defer stopServer()
+	guardContext, stopGuard := context.WithCancel(ctx)
+	defer stopGuard()
+	parts.Go(func() { m.followers.run(guardContext) })
 	ended := make(chan error, 1)
 	parts.Go(func() { ended <- m.node.Run(ctx) })
-	taken := uint64(0) // the revision as of which the watcher has routes and overrides
+	applied := uint64(0) // the revision as of which routes and overrides are in effect here
 	for {
 		select {
 		case err := <-ended:
-			leave()
+			stopGuard()
 			m.server.Stop()
 			parts.Wait()
 			m.disk.Close()
 			return err
 		case <-m.node.Changed:
-			if m.agreed.LastChange(records.KindRoute, records.KindOverride) <= taken {
-				continue // other records changed, which this conductor's own tables do not show
-			}
-			agreed := m.agreed.OfKinds(records.KindRoute, records.KindOverride)
-			taken = agreed.Revision
-			w.applyAgreed(agreed)
+			applied = m.apply(applied)
 		}
 	}
 }
+
+// apply puts routes and overrides into effect if they have changed since a revision. It returns the revision as of which
+// they are in effect. Changes of other records do not show in this controller's tables.
+func (m *member) apply(applied uint64) uint64 {
+	if m.agreed.LastChange(records.KindRoute, records.KindOverride) <= applied {
+		return applied
+	}
+	view := m.agreed.OfKinds(records.KindRoute, records.KindOverride)
+	m.watcher.applyAgreed(view)
+	return view.Revision
+}
--- a/internal/daemon/member_test.go
+++ b/internal/daemon/member_test.go
@@ -14,7 +14,7 @@
 func TestMemberTellsOfCommits(t *testing.T) {
 	address := free(t)
 	group := &config.Group{ID: 1, Listen: address, DataFolder: filepath.Join(t.TempDir(), "data"), Addresses: map[uint64]string{1: address}, Voters: []uint64{1}}
-	m, err := join(group, &watcher{}, nil, zap.NewNop())
+	m, err := newMember(group, &watcher{}, nil, zap.NewNop())
 	if err != nil {
 		t.Fatal(err)
 	}
