--- /dev/null
+++ b/cmd/harehookctl/difference.go
@@ -0,0 +1,67 @@
+package main
+
+// maxCommonRun bounds the memory of the search for the longest common run of lines, in pairs of lines: 80 MB.
+const maxCommonRun = 10_000_000
+
+// difference lists the lines that go and come. What both texts begin and end with is set aside first.
+func difference(from, to []string) []string {
+	for len(from) > 0 && len(to) > 0 && from[0] == to[0] {
+		from, to = from[1:], to[1:]
+	}
+	for len(from) > 0 && len(to) > 0 && from[len(from)-1] == to[len(to)-1] {
+		from, to = from[:len(from)-1], to[:len(to)-1]
+	}
+	if len(from)*len(to) > maxCommonRun {
+		return differenceBySet(from, to)
+	}
+	return differenceByRun(from, to)
+}
+
+// differenceBySet lists the lines that only one text has: those that go, then those that come.
+func differenceBySet(from, to []string) (lines []string) {
+	missing := func(sign string, list, other []string) {
+		has := make(map[string]bool, len(other))
+		for _, line := range other {
+			has[line] = true
+		}
+		for _, line := range list {
+			if !has[line] {
+				lines = append(lines, sign+line)
+			}
+		}
+	}
+	missing("-", from, to)
+	missing("+", to, from)
+	return lines
+}
+
+// differenceByRun lists them by the longest common run of lines.
+func differenceByRun(from, to []string) (lines []string) {
+	common := make([][]int, len(from)+1)
+	for k := range common {
+		common[k] = make([]int, len(to)+1)
+	}
+	for a := len(from) - 1; a >= 0; a-- {
+		for b := len(to) - 1; b >= 0; b-- {
+			if from[a] == to[b] {
+				common[a][b] = common[a+1][b+1] + 1
+			} else {
+				common[a][b] = max(common[a+1][b], common[a][b+1])
+			}
+		}
+	}
+	a, b := 0, 0
+	for a < len(from) || b < len(to) {
+		switch {
+		case a < len(from) && b < len(to) && from[a] == to[b]:
+			a, b = a+1, b+1
+		case b == len(to) || a < len(from) && common[a+1][b] >= common[a][b+1]:
+			lines = append(lines, "-"+from[a])
+			a++
+		default:
+			lines = append(lines, "+"+to[b])
+			b++
+		}
+	}
+	return lines
+}
--- a/cmd/harehookctl/followers.go
+++ b/cmd/harehookctl/followers.go
@@ -22,11 +22,11 @@
 // maxBehind is within what a change is to be in force everywhere.
 const maxBehind = 7 * time.Second
 
-// followers shows how far changes have come at all conductors that follow the group.
+// followers shows how far changes have come at all controllers that follow the group.
 func (o *options) followers() *cobra.Command {
 	return &cobra.Command{
 		Use: "followers", Short: "Show which revision is in force at all followers of a group, and who is behind", Args: cobra.NoArgs,
-		Long: "Ask all members of a group (--conductor is the group address of one) what their followers have accepted. A revision is\n" +
+		Long: "Ask all members of a group (--controller is the group address of one) what their followers have accepted. A revision is\n" +
 			"in force everywhere when every follower with a live lease has accepted it; that is unknown where a member does not\n" +
 			"answer or has not served for a lease's time.\n" +
 			"The exit code is 1 if it is unknown or if a follower with a live lease has been behind for over " + maxBehind.String() + ".",
--- a/cmd/harehookctl/following.go
+++ b/cmd/harehookctl/following.go
@@ -12,11 +12,11 @@
 	"harehook.dev/harehook/configsync/transport"
 )
 
-// following shows how a conductor that follows a group is doing.
+// following shows how a controller that follows a group is doing.
 func (o *options) following() *cobra.Command {
 	return &cobra.Command{
-		Use: "following", Short: "Show how a conductor that follows a group is doing", Args: cobra.NoArgs,
-		Long: "Show how a conductor that follows a group is doing (--conductor is its address for sidecars).\n" +
+		Use: "following", Short: "Show how a controller that follows a group is doing", Args: cobra.NoArgs,
+		Long: "Show how a controller that follows a group is doing (--controller is its address for sidecars).\n" +
 			"The exit code is 1 if it is stale: its lease has run out, and it goes on with its last good revision.",
 		RunE: func(c *cobra.Command, _ []string) error {
 			conn, err := o.dial()
@@ -28,10 +28,10 @@
 			defer cancel()
 			report, err := transport.FetchFollowerReport(ctx, conn)
 			if status.Code(err) == codes.Unimplemented {
-				return fault(fmt.Errorf("conductor %s does not follow a group", o.address))
+				return fault(fmt.Errorf("controller %s does not follow a group", o.address))
 			}
 			if err != nil {
-				return unavailable(fmt.Errorf("conductor %s: %s", o.address, status.Convert(err).Message()))
+				return unavailable(fmt.Errorf("controller %s: %s", o.address, status.Convert(err).Message()))
 			}
 			if o.output == "json" {
 				err = write(c.OutOrStdout(), report)
--- a/cmd/harehookctl/group_test.go
+++ b/cmd/harehookctl/group_test.go
@@ -3,6 +3,7 @@
 import (
 	"fmt"
 	"math/rand/v2"
+	"net"
 	"slices"
 	"testing"
 )
@@ -46,3 +47,19 @@
 		t.Errorf("%q and %q", small, bySet)
 	}
 }
+
+// TestFormerAddressFlag guards scripts of earlier releases, which call the flag of the controller's address
+// "--conductor": it goes on to work beside "--controller".
+func TestFormerAddressFlag(t *testing.T) {
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	address := listener.Addr().String()
+	listener.Close()
+	for _, flag := range []string{"--controller", "--conductor"} {
+		if code := run([]string{flag, address, "sidecars"}); code != exitUnavailable {
+			t.Errorf("%s: exit code %d, want %d: nobody listens there", flag, code, exitUnavailable)
+		}
+	}
+}
--- /dev/null
+++ b/cmd/harehookctl/history.go
@@ -0,0 +1,111 @@
+package main
+
+import (
+	"context"
+	"fmt"
+	"slices"
+	"strconv"
+	"strings"
+	"text/tabwriter"
+	"time"
+
+	"github.com/spf13/cobra"
+
+	"harehook.dev/harehook/cluster"
+)
+
+func (o *options) read(ctx context.Context, in cluster.ReadRequest) (cluster.ReadResponse, error) {
+	return callGroup[cluster.ReadResponse](ctx, o, "Read", in)
+}
+
+// config prints the configuration in effect.
+func (o *options) config() *cobra.Command {
+	stale := false
+	c := &cobra.Command{Use: "config", Short: "Print the configuration in force", Args: cobra.NoArgs, RunE: func(c *cobra.Command, _ []string) error {
+		r, err := o.read(c.Context(), cluster.ReadRequest{Linearizable: !stale})
+		if err != nil {
+			return err
+		}
+		if o.output == "json" {
+			return write(c.OutOrStdout(), r)
+		}
+		v := r.Versions[0]
+		if !r.Linearizable {
+			fmt.Fprintln(c.OutOrStdout(), "// may be stale: as this member has it")
+		}
+		if v.Number == 0 {
+			fmt.Fprintln(c.OutOrStdout(), "// nothing was agreed yet: controllers go by their own files")
+			return nil
+		}
+		fmt.Fprintf(c.OutOrStdout(), "// version %d, by %s, %s: %s\n%s\n", v.Number, v.By, time.Unix(v.At, 0).UTC().Format(time.RFC3339), v.Why, strings.TrimSpace(v.Text))
+		return nil
+	}}
+	c.Flags().BoolVar(&stale, "stale", false, "as this member has it, without asking the others")
+	return c
+}
+
+// history lists the versions that the group retains.
+func (o *options) history() *cobra.Command {
+	return &cobra.Command{Use: "history", Short: "Show the versions that are kept", Args: cobra.NoArgs, RunE: func(c *cobra.Command, _ []string) error {
+		in := cluster.ReadRequest{Linearizable: true, History: true}
+		if o.output != "json" {
+			in.Texts = []uint64{} // the table shows none
+		}
+		r, err := o.read(c.Context(), in)
+		if err != nil {
+			return err
+		}
+		if o.output == "json" {
+			return write(c.OutOrStdout(), r.Versions)
+		}
+		w := tabwriter.NewWriter(c.OutOrStdout(), 0, 4, 2, ' ', 0)
+		fmt.Fprintln(w, "VERSION\tTERM\tAT\tBY\tWHY")
+		for _, v := range r.Versions {
+			fmt.Fprintf(w, "%d\t%d\t%s\t%s\t%s\n", v.Number, v.Term, time.Unix(v.At, 0).UTC().Format(time.RFC3339), v.By, v.Why)
+		}
+		return w.Flush()
+	}}
+}
+
+// diff prints the lines in which two versions differ.
+func (o *options) diff() *cobra.Command {
+	return &cobra.Command{Use: "diff FROM TO", Short: "Show the lines in which two versions differ (0: nothing)", Args: cobra.ExactArgs(2), RunE: func(c *cobra.Command, args []string) error {
+		in := cluster.ReadRequest{Linearizable: true, History: true, Texts: []uint64{}}
+		for _, arg := range args {
+			number, err := strconv.ParseUint(arg, 10, 64)
+			if err != nil {
+				return err
+			}
+			in.Texts = append(in.Texts, number)
+		}
+		r, err := o.read(c.Context(), in)
+		if err != nil {
+			return err
+		}
+		var texts [2]string
+		for k, number := range in.Texts {
+			if texts[k], err = textOf(r.Versions, number); err != nil {
+				return err
+			}
+		}
+		for _, line := range difference(strings.Split(strings.TrimSpace(texts[0]), "\n"), strings.Split(strings.TrimSpace(texts[1]), "\n")) {
+			fmt.Fprintln(c.OutOrStdout(), line)
+		}
+		return nil
+	}}
+}
+
+// textOf is the text of one of some versions, empty for 0.
+func textOf(versions []cluster.Version, number uint64) (string, error) {
+	if number == 0 {
+		return "", nil
+	}
+	at := slices.IndexFunc(versions, func(v cluster.Version) bool { return v.Number == number })
+	switch {
+	case at < 0:
+		return "", fault(fmt.Errorf("version %d is not kept", number))
+	case versions[at].Text == "":
+		return "", fault(fmt.Errorf("the text of version %d is not kept: the changes since are too many", number))
+	}
+	return versions[at].Text, nil
+}
--- a/cmd/harehookctl/main.go
+++ b/cmd/harehookctl/main.go
@@ -1,5 +1,6 @@
-// Command harehookctl is the operators' command line: it checks configurations and shows what a conductor's sidecars
-// hold and refuse.
+// Command harehookctl is the operators' command line: it checks configurations, shows what a controller's sidecars have
+// accepted and rejected, and reads and changes the configuration that a group agrees on. Each command is in a file of its
+// name.
 package main
 
 import (
@@ -22,13 +23,20 @@
 // Exit codes, as docs/operators.md lists them.
 const (
 	exitFault       = 1 // what was asked about is not in order
-	exitUsage       = 2 // the call can't be understood
-	exitUnavailable = 3 // the conductor does not answer
-	callTimeout     = 5 * time.Second
-	maxMessageBytes = 64 << 20 // bytes of an answer: thousands of sidecars with their resources
+	exitUsage       = 2 // the call cannot be understood
+	exitUnavailable = 3 // the controller does not answer
 )
 
-// exitError is an error with the exit code that it ends with.
+const (
+	defaultAddress = "127.0.0.1:18000"
+	// formerAddressFlag is what the flag "controller" was called in earlier releases; scripts go on to use it.
+	formerAddressFlag = "conductor"
+	callTimeout       = 5 * time.Second
+	maxMessageBytes   = 64 << 20    // of an answer: thousands of sidecars with their resources
+	controllerName    = "conductor" // that certificates of controllers state
+)
+
+// exitError is an error with the exit code that it leads to.
 type exitError struct {
 	error
 	code int
@@ -44,22 +52,25 @@
 	files   certs.Files
 }
 
-func main() {
+func main() { os.Exit(run(os.Args[1:])) }
+
+// run carries out a call of the command line and returns its exit code.
+func run(args []string) int {
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, os.Interrupt)
 	defer stop()
-	os.Exit(run(ctx, os.Args[1:]))
-}
-
-func run(ctx context.Context, args []string) int {
 	o := &options{}
-	root := &cobra.Command{Use: "harehookctl", Short: "Shows and checks what conductors and sidecars do", SilenceUsage: true,
+	root := &cobra.Command{Use: "harehookctl", Short: "Shows and checks what controllers and sidecars do", SilenceUsage: true,
 		SilenceErrors: true}
 	flags := root.PersistentFlags()
-	flags.StringVar(&o.address, "conductor", "127.0.0.1:18000", "address of the conductor")
+	flags.StringVar(&o.address, "controller", defaultAddress, "address of the controller, or of a group's member")
+	flags.StringVar(&o.address, formerAddressFlag, defaultAddress, "")
 	flags.StringVarP(&o.output, "output", "o", "text", "text or json")
-	flags.StringVar(&o.files.Certificate, "certificate", "", "file of the certificate, where conductors ask for one")
+	flags.StringVar(&o.files.Certificate, "certificate", "", "file of the certificate, where controllers ask for one")
 	flags.StringVar(&o.files.Key, "key", "", "file of its key")
-	flags.StringVar(&o.files.Roots, "roots", "", "file of the roots that conductors are checked by")
+	flags.StringVar(&o.files.Roots, "roots", "", "file of the roots that controllers are checked by")
+	if err := flags.MarkHidden(formerAddressFlag); err != nil {
+		panic(err) // it was defined just before
+	}
 	root.AddCommand(o.check(), o.sidecars(), o.tables(), o.follow(), o.following(), o.followers())
 	root.AddCommand(o.clusterCommands()...)
 	root.SetArgs(args)
@@ -75,7 +86,7 @@
 	return exitUsage
 }
 
-// valid looks at the flags that cobra does not check.
+// valid checks the flags that cobra does not.
 func (o *options) valid() error {
 	if o.output != "text" && o.output != "json" {
 		return fmt.Errorf("the output is text or json, not %q", o.output)
@@ -86,22 +97,22 @@
 	return nil
 }
 
-// dial prepares a connection to the conductor.
+// dial prepares a connection to the controller.
 func (o *options) dial() (*grpc.ClientConn, error) { return o.dialTo(o.address) }
 
-// dialTo prepares a connection to another conductor of the installation.
+// dialTo prepares a connection to another controller of the installation.
 func (o *options) dialTo(address string) (*grpc.ClientConn, error) {
 	if err := o.valid(); err != nil {
 		return nil, err
 	}
-	secure := insecure.NewCredentials()
-	held, err := certs.Load(o.files)
+	transportCredentials := insecure.NewCredentials()
+	certificates, err := certs.Load(o.files)
 	if err != nil {
 		return nil, fault(err)
 	}
-	if held != nil {
-		secure = credentials.NewTLS(held.Client("conductor"))
+	if certificates != nil {
+		transportCredentials = credentials.NewTLS(certificates.Client(controllerName))
 	}
-	return grpc.NewClient("passthrough:///"+address, grpc.WithTransportCredentials(secure),
+	return grpc.NewClient("passthrough:///"+address, grpc.WithTransportCredentials(transportCredentials),
 		grpc.WithDefaultCallOptions(grpc.MaxCallRecvMsgSize(maxMessageBytes)))
 }
--- /dev/null
+++ b/cmd/harehookctl/propose.go
@@ -0,0 +1,92 @@
+package main
+
+import (
+	"fmt"
+	"os"
+	"os/user"
+	"strconv"
+	"time"
+
+	"github.com/spf13/cobra"
+
+	"harehook.dev/harehook/cluster"
+	"harehook.dev/harehook/config"
+)
+
+// put proposes and prints what became of it.
+func (o *options) put(c *cobra.Command, command cluster.Command) error {
+	r, err := callGroup[cluster.Result](c.Context(), o, "Propose", command)
+	if err != nil {
+		return err
+	}
+	if r.Rejected != "" {
+		return refusal(r.Rejected)
+	}
+	if o.output == "json" {
+		return write(c.OutOrStdout(), r)
+	}
+	fmt.Fprintf(c.OutOrStdout(), "version %d is in force\n", r.Version)
+	return nil
+}
+
+// command begins a proposal that a repeat of the same call would not carry out twice.
+func command(kind cluster.CommandKind, base uint64, id, why string) cluster.Command {
+	by := "unknown"
+	if u, err := user.Current(); err == nil {
+		by = u.Username
+	}
+	if id == "" {
+		id = fmt.Sprintf("%s-%d-%d", by, os.Getpid(), time.Now().UnixNano())
+	}
+	return cluster.Command{Kind: kind, Client: id, Seq: 1, Base: base, By: by, Why: why, At: time.Now().Unix()}
+}
+
+// propose has a configuration file agreed on.
+func (o *options) propose() *cobra.Command {
+	base, why, id := int64(-1), "", ""
+	c := &cobra.Command{Use: "propose FILE", Short: "Have a configuration agreed on", Args: cobra.ExactArgs(1), RunE: func(c *cobra.Command, files []string) error {
+		text, err := os.ReadFile(files[0])
+		if err != nil {
+			return fault(err)
+		}
+		if err := config.ValidateAgreed(string(text)); err != nil {
+			return fault(fmt.Errorf("%s: %w", files[0], err))
+		}
+		if base < 0 {
+			r, err := o.read(c.Context(), cluster.ReadRequest{Linearizable: true})
+			if err != nil {
+				return err
+			}
+			base = int64(r.Versions[0].Number)
+		}
+		put := command(cluster.CommandPut, uint64(base), id, why)
+		put.Text = string(text)
+		return o.put(c, put)
+	}}
+	c.Flags().Int64Var(&base, "base", base, "the version that it changes; without it the one in force")
+	c.Flags().StringVar(&why, "why", "", "the reason, for the history")
+	c.Flags().StringVar(&id, "id", "", "name of this proposal: one that got no answer may be made again under it")
+	return c
+}
+
+// rollback puts an earlier version into effect under a new number.
+func (o *options) rollback() *cobra.Command {
+	why := ""
+	c := &cobra.Command{Use: "rollback VERSION", Short: "Have an earlier version in force again, under a new number", Args: cobra.ExactArgs(1), RunE: func(c *cobra.Command, args []string) error {
+		to, err := strconv.ParseUint(args[0], 10, 64)
+		if err != nil {
+			return err
+		}
+		r, err := o.read(c.Context(), cluster.ReadRequest{Linearizable: true})
+		if err != nil {
+			return err
+		}
+		back := command(cluster.CommandRollBack, r.Versions[0].Number, "", why)
+		if back.To = to; why == "" {
+			back.Why = fmt.Sprint("back to version ", to)
+		}
+		return o.put(c, back)
+	}}
+	c.Flags().StringVar(&why, "why", "", "the reason, for the history")
+	return c
+}
--- a/cmd/harehookctl/records.go
+++ b/cmd/harehookctl/records.go
@@ -27,6 +27,7 @@
 	return callGroup[cluster.RecordsResponse](ctx, o, "Records", in)
 }
 
+// recordsList prints records by kind and service.
 func (o *options) recordsList() *cobra.Command {
 	kind, service := "", ""
 	c := &cobra.Command{Use: "list", Short: "List the records with the revisions that set them", Args: cobra.NoArgs, RunE: func(c *cobra.Command, _ []string) error {
@@ -81,6 +82,7 @@
 	return config.FormatRecord(record), nil
 }
 
+// recordsGet prints one record.
 func (o *options) recordsGet() *cobra.Command {
 	return &cobra.Command{Use: "get KIND/NAME", Short: "Show a record with the revision that set it", Args: cobra.ExactArgs(1), RunE: func(c *cobra.Command, args []string) error {
 		key, err := records.ParseKey(args[0])
@@ -106,6 +108,7 @@
 	}}
 }
 
+// recordsApply writes and removes records in one transaction.
 func (o *options) recordsApply() *cobra.Command {
 	why, id := "", ""
 	c := &cobra.Command{Use: "apply FILE", Short: "Write and remove records together, or none of them", Args: cobra.ExactArgs(1),
--- /dev/null
+++ b/cmd/harehookctl/snapshot.go
@@ -0,0 +1,60 @@
+package main
+
+import (
+	"encoding/json"
+	"fmt"
+	"os"
+
+	"github.com/spf13/cobra"
+
+	"harehook.dev/harehook/cluster"
+)
+
+// savedHistory is a snapshot of the history as operators keep it.
+type savedHistory struct {
+	Format   int               `json:"format"`
+	Versions []cluster.Version `json:"versions"`
+}
+
+const savedHistoryFormat = 1
+
+// snapshot saves the history to a file and restores from one.
+func (o *options) snapshot() *cobra.Command {
+	c := &cobra.Command{Use: "snapshot", Short: "Save the agreed history to a file, or put a saved one in force"}
+	c.AddCommand(&cobra.Command{Use: "save FILE", Short: "Save the versions that are kept", Args: cobra.ExactArgs(1), RunE: func(c *cobra.Command, args []string) error {
+		r, err := o.read(c.Context(), cluster.ReadRequest{Linearizable: true, History: true})
+		if err != nil {
+			return err
+		}
+		text, err := json.MarshalIndent(savedHistory{savedHistoryFormat, r.Versions}, "", "  ")
+		if err != nil {
+			return err
+		}
+		if err := os.WriteFile(args[0], append(text, '\n'), 0o600); err != nil {
+			return fault(err)
+		}
+		fmt.Fprintf(c.OutOrStdout(), "%d versions\n", len(r.Versions))
+		return nil
+	}}, &cobra.Command{Use: "restore FILE", Short: "Have a saved history's last version in force, as after a lost majority", Args: cobra.ExactArgs(1), RunE: func(c *cobra.Command, args []string) error {
+		text, err := os.ReadFile(args[0])
+		if err != nil {
+			return fault(err)
+		}
+		var k savedHistory
+		if err := json.Unmarshal(text, &k); err != nil || k.Format != savedHistoryFormat || len(k.Versions) == 0 {
+			return fault(fmt.Errorf("%s is no saved history of format %d", args[0], savedHistoryFormat))
+		}
+		r, err := o.read(c.Context(), cluster.ReadRequest{Linearizable: true})
+		if err != nil {
+			return err
+		}
+		last := k.Versions[len(k.Versions)-1]
+		if last.Text == "" {
+			return fault(fmt.Errorf("%s has no text of its last version", args[0]))
+		}
+		put := command(cluster.CommandPut, r.Versions[0].Number, "", fmt.Sprintf("restored: version %d of another history, by %s: %s", last.Number, last.By, last.Why))
+		put.Text = last.Text
+		return o.put(c, put)
+	}})
+	return c
+}
--- /dev/null
+++ b/cmd/harehookctl/tables.go
@@ -0,0 +1,157 @@
+package main
+
+import (
+	"fmt"
+	"slices"
+	"strings"
+	"text/tabwriter"
+
+	endpointv3 "github.com/envoyproxy/go-control-plane/envoy/config/endpoint/v3"
+	routev3 "github.com/envoyproxy/go-control-plane/envoy/config/route/v3"
+	statusv3 "github.com/envoyproxy/go-control-plane/envoy/service/status/v3"
+	"github.com/spf13/cobra"
+	"google.golang.org/protobuf/proto"
+
+	"harehook.dev/harehook/xds"
+)
+
+// tableOutput is an entry of a table, or a route of it, as it is printed.
+type tableOutput struct {
+	Table    string  `json:"table"`
+	Zone     string  `json:"zone,omitempty"`
+	Node     string  `json:"node,omitempty"`
+	Fraction float64 `json:"part,omitempty"`
+	Route    string  `json:"route,omitempty"`
+	Admitted float64 `json:"let_in,omitempty"`
+	Retries  string  `json:"further_tries,omitempty"`
+	Sidecars int     `json:"sidecars"`
+}
+
+// tables prints the routing tables of joined sidecars.
+func (o *options) tables() *cobra.Command {
+	return &cobra.Command{Use: "tables", Short: "Show the tables that joined sidecars are to hold", Args: cobra.NoArgs,
+		RunE: func(c *cobra.Command, _ []string) error {
+			configs, err := o.fetch(c.Context(), false)
+			if err != nil {
+				return err
+			}
+			rows, err := tableOutputs(configs)
+			if err != nil {
+				return err
+			}
+			if o.output == "json" {
+				return write(c.OutOrStdout(), rows)
+			}
+			w := tabwriter.NewWriter(c.OutOrStdout(), 0, 4, 2, ' ', 0)
+			fmt.Fprintln(w, "TABLE\tSIDECARS\tZONE\tNODE\tFRACTION\tROUTE\tADMITTED\tRETRIES")
+			for _, r := range rows {
+				if r.Route != "" {
+					fmt.Fprintf(w, "%s\t%d\t\t\t\t%s\t%.1f%%\t%s\n", r.Table, r.Sidecars, r.Route, 100*r.Admitted, r.Retries)
+				} else {
+					fmt.Fprintf(w, "%s\t%d\t%s\t%s\t%.1f%%\t\t\t\n", r.Table, r.Sidecars, r.Zone, r.Node, 100*r.Fraction)
+				}
+			}
+			return w.Flush()
+		}}
+}
+
+// tableOutputs reads the tables from what one sidecar of each is to hold, ordered by table.
+func tableOutputs(configs []*statusv3.ClientConfig) (rows []tableOutput, err error) {
+	sidecars := sidecarsByTable(configs)
+	seen := map[string]bool{}
+	for _, config := range configs {
+		table := sidecarOutputOf(config).Table
+		if seen[table] || sidecars[table] == 0 || table == "" {
+			continue
+		}
+		seen[table] = true
+		outputs, err := outputsOfSidecar(config, table, sidecars[table])
+		if err != nil {
+			return nil, err
+		}
+		rows = append(rows, outputs...)
+	}
+	slices.SortStableFunc(rows, func(a, b tableOutput) int { return strings.Compare(a.Table, b.Table) })
+	return rows, nil
+}
+
+// sidecarsByTable counts the joined sidecars of each table.
+func sidecarsByTable(configs []*statusv3.ClientConfig) map[string]int {
+	counts := map[string]int{}
+	for _, config := range configs {
+		if output := sidecarOutputOf(config); output.Joined {
+			counts[output.Table]++
+		}
+	}
+	return counts
+}
+
+// outputsOfSidecar reads a sidecar's table, which it shares with others.
+func outputsOfSidecar(config *statusv3.ClientConfig, table string, sidecars int) (rows []tableOutput, err error) {
+	for _, resource := range config.GetGenericXdsConfigs() {
+		if resource.GetXdsConfig() == nil {
+			continue
+		}
+		body := resource.GetXdsConfig().GetValue()
+		kind, _ := xds.KindOf(resource.GetTypeUrl())
+		switch kind {
+		case xds.Endpoints:
+			var assignment endpointv3.ClusterLoadAssignment
+			if err := proto.Unmarshal(body, &assignment); err != nil {
+				return nil, err
+			}
+			rows = append(rows, endpointOutputs(&assignment, table, sidecars)...)
+		case xds.Routes:
+			var routes routev3.RouteConfiguration
+			if err := proto.Unmarshal(body, &routes); err != nil {
+				return nil, err
+			}
+			rows = append(rows, routeOutputs(&routes, table, sidecars)...)
+		}
+	}
+	return rows, nil
+}
+
+// endpointOutputs lists the endpoints of a table with the fraction of its requests that each gets.
+func endpointOutputs(assignment *endpointv3.ClusterLoadAssignment, table string, sidecars int) (rows []tableOutput) {
+	total := 0.0
+	for _, locality := range assignment.GetEndpoints() {
+		total += float64(locality.GetLoadBalancingWeight().GetValue())
+	}
+	for _, locality := range assignment.GetEndpoints() {
+		for _, endpoint := range locality.GetLbEndpoints() {
+			rows = append(rows, tableOutput{
+				Table:    table,
+				Zone:     locality.GetLocality().GetZone(),
+				Node:     endpoint.GetEndpoint().GetHostname(),
+				Fraction: float64(endpoint.GetLoadBalancingWeight().GetValue()) / max(total, 1),
+				Sidecars: sidecars,
+			})
+		}
+	}
+	return rows
+}
+
+// routeOutputs lists the routes of a table with the fraction that is admitted and the conditions of retries.
+func routeOutputs(m *routev3.RouteConfiguration, table string, number int) (rows []tableOutput) {
+	for _, host := range m.GetVirtualHosts() {
+		for _, r := range host.GetRoutes() {
+			if r.GetRoute() == nil {
+				if slices.ContainsFunc(rows, func(before tableOutput) bool { return before.Route == r.GetName() }) {
+					continue // the rejected fraction of a route that was listed
+				}
+				rows = append(rows, tableOutput{Table: table, Route: r.GetName(), Retries: "none", Sidecars: number})
+				continue
+			}
+			one := tableOutput{Table: table, Route: r.GetName(), Admitted: 1, Retries: "none", Sidecars: number}
+			if f := r.GetMatch().GetRuntimeFraction().GetDefaultValue(); f != nil {
+				one.Admitted = float64(f.GetNumerator()) / 1e6
+			}
+			if on := r.GetRoute().GetRetryPolicy().GetRetryOn(); on != "" {
+				one.Retries = on
+			}
+			rows = append(rows, one)
+		}
+	}
+	return rows
+}
--- a/internal/daemon/group_test.go
+++ b/internal/daemon/group_test.go
@@ -281,7 +281,7 @@
 	}
 	out, _ := g.at(0, "history", "-o", "json")
 	base := out[strings.Index(out, `"number": `)+10:]
-	base = base[:strings.Index(base, ",")]
+	base, _, _ = strings.Cut(base, ",")
 	file := filepath.Join(g.folder, "agreed-1.kdl")
 	if out, code := g.at(1, "propose", file, "--base", base, "--id", "once", "--why", "one"); code != 0 {
 		t.Fatalf("exit %d: %s", code, out)
