--- a/internal/daemon/daemon_test.go
+++ b/internal/daemon/daemon_test.go
@@ -27,7 +27,7 @@
 var programs string
 
 func TestMain(m *testing.M) {
-	dir, err := os.MkdirTemp("", "harehookd")
+	dir, err := os.MkdirTemp("", "harehook-xds")
 	if err != nil {
 		panic(err)
 	}
@@ -237,7 +237,7 @@
 // not missed, and one that comes back finds that sidecars hold its versions.
 func TestInstallation(t *testing.T) {
 	in := setUp(t, "n-1", "n-2", "s-1")
-	stop := in.start("harehookd", "conductor.kdl")
+	stop := in.start("harehook-xds", "conductor.kdl")
 	first, _ := in.sidecar("till-1", "north", "delta")
 	second, stopSecond := in.sidecar("till-2", "south", "state")
 	in.until("both answer", func() bool { return answers(first)() && answers(second)() })
@@ -274,7 +274,7 @@
 	if out, code := in.ctl("sidecars"); code != exitAway {
 		t.Errorf("a conductor that is away: exit %d, %s", code, out)
 	}
-	in.start("harehookd", "conductor.kdl")
+	in.start("harehook-xds", "conductor.kdl")
 	in.until("all are back", func() bool { return in.synced(2) })
 	in.spread(second, "/quote", 10)
 }
@@ -311,7 +311,7 @@
 // A try that never ran is made at another node, on a mutating route as well; one that may have run is not.
 func TestTries(t *testing.T) {
 	in := setUp(t, "n-1", "n-2", "s-1")
-	in.start("harehookd", "conductor.kdl")
+	in.start("harehook-xds", "conductor.kdl")
 	address, _ := in.sidecar("till", "north", "delta")
 	in.until("answers", answers(address))
 	in.until("further tries are let", func() bool {
@@ -357,7 +357,7 @@
 		return fmt.Sprintf("keys certificate=%q key=%q roots=\"roots.pem\"", who+".crt", who+".key")
 	}
 	in.configure(keys("conductor"))
-	in.start("harehookd", "conductor.kdl")
+	in.start("harehook-xds", "conductor.kdl")
 	stranger, _ := in.sidecar("stranger", "north", "delta")
 	in.keys = keys("till")
 	address, _ := in.sidecar("till", "north", "delta")
--- a/internal/daemon/follower_test.go
+++ b/internal/daemon/follower_test.go
@@ -143,7 +143,7 @@
 	in := setUp(t, "n-1", "n-2", "s-1")
 	m := newTestMember(t, nil)
 	in.configure(fmt.Sprintf("follow { member %q; }", m.address))
-	in.start("harehookd", "conductor.kdl")
+	in.start("harehook-xds", "conductor.kdl")
 	log := in.logs["conductor.kdl"]
 	address, _ := in.sidecar("till", "north", "delta")
 	in.until("its own routes count", answers(address))
@@ -221,7 +221,7 @@
 	number := m.set(routes("/v1"))
 	tenant(0.2)
 	in.configure(fmt.Sprintf("follow { member %q; }", m.address))
-	stop := in.start("harehookd", "conductor.kdl")
+	stop := in.start("harehook-xds", "conductor.kdl")
 	address, _ := in.sidecar("till", "north", "delta")
 	held := func() uint64 { return in.heldNumber("till") }
 	in.until("the agreed routes are held", func() bool { _, status := ask(address, "/v1", ""); return status == http.StatusOK && held() > 0 })
@@ -230,7 +230,7 @@
 	}
 	stop()
 	tenant(0.3)
-	in.start("harehookd", "conductor.kdl")
+	in.start("harehook-xds", "conductor.kdl")
 	in.until("all is held from the one that was started anew", func() bool { return in.synced(1) })
 	if got := held(); got != number {
 		t.Errorf("routes held under number %d after a restart, agreed on as revision %d", got, number)
@@ -243,7 +243,7 @@
 	m := newTestMember(t, nil)
 	m.set(routes("/v1"))
 	in.configure(fmt.Sprintf("follow { member %q; }", m.address))
-	in.start("harehookd", "conductor.kdl")
+	in.start("harehook-xds", "conductor.kdl")
 	address, _ := in.sidecar("till", "north", "delta")
 	in.until("the agreed routes count", func() bool { _, status := ask(address, "/v1", ""); return status == http.StatusOK })
 	for share := range 5 {
@@ -277,7 +277,7 @@
 	m.set(routes("/v1"))
 	settings := fmt.Sprintf("follow { member %q; }", m.address)
 	in.configure(settings)
-	stop := in.start("harehookd", "conductor.kdl")
+	stop := in.start("harehook-xds", "conductor.kdl")
 	in.until("one without keys is told why", func() bool {
 		return strings.Contains(in.logs["conductor.kdl"].String(), "member left")
 	})
@@ -286,7 +286,7 @@
 	}
 	stop()
 	in.configure(settings + `; keys certificate="c.crt" key="c.key" roots="roots.pem"`)
-	in.start("harehookd", "conductor.kdl")
+	in.start("harehook-xds", "conductor.kdl")
 	in.until("one with keys follows", func() bool {
 		status := m.service.Status()
 		return status.Live == 1 && status.ConvergedRevision == 1
--- a/internal/daemon/followers_command_test.go
+++ b/internal/daemon/followers_command_test.go
@@ -50,6 +50,6 @@
 		return code == 1 && strings.Contains(out, "in force everywhere: unknown") &&
 			strings.Contains(out, fmt.Sprintf("member %d did not answer", lost+1))
 	})
-	g.stops[lost] = g.start("harehookd", fmt.Sprintf("c-%d.kdl", lost+1))
+	g.stops[lost] = g.start("harehook-xds", fmt.Sprintf("c-%d.kdl", lost+1))
 	g.until("it is known again", func() bool { force, code := g.force(lead); return code == 0 && force.Known && force.Live == 2 })
 }
--- a/internal/daemon/group_followers_test.go
+++ b/internal/daemon/group_followers_test.go
@@ -40,7 +40,7 @@
 		g.conductor(k, "follow { "+members.String()+"}")
 		f.files = append(f.files, f.rename(k))
 		f.gates = append(f.gates, gates)
-		f.stop = append(f.stop, g.start("harehookd", f.files[len(f.files)-1]))
+		f.stop = append(f.stop, g.start("harehook-xds", f.files[len(f.files)-1]))
 		f.tills = append(f.tills, g.till(fmt.Sprintf("till-of-%d", k+1), k))
 	}
 	return f
@@ -117,7 +117,7 @@
 	other := (lead + 1) % 3
 	prefix, _ = g.agree(other)
 	f.allHold("what was agreed on without the leader", prefix)
-	g.stops[lead] = g.start("harehookd", fmt.Sprintf("c-%d.kdl", lead+1))
+	g.stops[lead] = g.start("harehook-xds", fmt.Sprintf("c-%d.kdl", lead+1))
 	g.until("it is back and has all", func() bool {
 		out, code := g.at(lead, "config")
 		return code == 0 && strings.Contains(out, prefix+"\"")
@@ -152,7 +152,7 @@
 	}
 	prefix, _ = g.agree(other)
 	for k := range f.stop {
-		f.stop[k] = g.start("harehookd", f.files[k])
+		f.stop[k] = g.start("harehook-xds", f.files[k])
 	}
 	f.allHold("what was agreed on while both were down", prefix)
 	f.until("neither is stale", func() bool { return !f.report(0).Stale && !f.report(1).Stale })
--- a/internal/daemon/group_test.go
+++ b/internal/daemon/group_test.go
@@ -51,7 +51,7 @@
 	}
 	for k := range n {
 		g.conductor(k, g.member(k, fmt.Sprintf("data-%d", k+1), false))
-		g.stops[k] = g.start("harehookd", fmt.Sprintf("c-%d.kdl", k+1))
+		g.stops[k] = g.start("harehook-xds", fmt.Sprintf("c-%d.kdl", k+1))
 	}
 	return g
 }
@@ -230,7 +230,7 @@
 		t.Errorf("agreed again after %s (%s), %s is stated", took, since, recovery)
 	}
 	g.until("both hold the next", func() bool { return g.holds(atLeader, prefix)() && g.holds(atOther, prefix)() })
-	g.stops[lead] = g.start("harehookd", fmt.Sprintf("c-%d.kdl", lead+1))
+	g.stops[lead] = g.start("harehook-xds", fmt.Sprintf("c-%d.kdl", lead+1))
 	g.until("it is back and has all", func() bool {
 		out, code := g.at(lead, "config")
 		return code == 0 && strings.Contains(out, prefix+"\"")
@@ -389,7 +389,7 @@
 	})
 	g.stops[lost]()
 	g.conductor(lost, g.member(lost, "data-lost", false))
-	stop := g.start("harehookd", fmt.Sprintf("c-%d.kdl", lost+1))
+	stop := g.start("harehook-xds", fmt.Sprintf("c-%d.kdl", lost+1))
 	g.until("it ends, and says why", func() bool {
 		return strings.Contains(g.logs[fmt.Sprintf("c-%d.kdl", lost+1)].String(), "remove it and add this one under a new number")
 	})
@@ -400,7 +400,7 @@
 	g.n = 4
 	g.serve, g.listen = append(g.serve, free(t)), append(g.listen, free(t))
 	g.conductor(3, g.member(3, "data-4", true))
-	g.start("harehookd", "c-4.kdl")
+	g.start("harehook-xds", "c-4.kdl")
 	g.atLeader("members", "add", "4", g.listen[3])
 	prefix, _ := g.agree(lead)
 	g.until("the successor has all", func() bool {
--- /dev/null
+++ b/internal/daemon/names_test.go
@@ -0,0 +1,25 @@
+package daemon
+
+import (
+	"os/exec"
+	"path/filepath"
+	"strings"
+	"testing"
+)
+
+// TestBothNamesStart guards installations that start the program by its former name: both names run it, and its messages
+// begin with the name that was used.
+func TestBothNamesStart(t *testing.T) {
+	t.Parallel()
+	for _, name := range []string{"harehook-xds", "harehookd"} {
+		t.Run(name, func(t *testing.T) {
+			command := exec.Command(filepath.Join(programs, name))
+			command.Dir = t.TempDir()
+			out, err := command.CombinedOutput()
+			want := name + ": open " + name + ".kdl: no such file or directory"
+			if err == nil || !strings.Contains(string(out), want) {
+				t.Errorf("%v: %s, want %q", err, out, want)
+			}
+		})
+	}
+}
--- a/internal/daemon/routes_test.go
+++ b/internal/daemon/routes_test.go
@@ -25,6 +25,6 @@
 	if out, code := in.ctl("check", in.folder+"/conductor.kdl"); code != 1 || !strings.Contains(out, want) {
 		t.Errorf("check: exit %d: %s", code, out)
 	}
-	in.start("harehookd", "conductor.kdl")
+	in.start("harehook-xds", "conductor.kdl")
 	in.until("the start is refused", func() bool { return strings.Contains(in.logs["conductor.kdl"].String(), want) })
 }
--- a/internal/daemon/routing_test.go
+++ b/internal/daemon/routing_test.go
@@ -24,14 +24,14 @@
 	m.set(routes("/v1"))
 	created := m.set(thirdRoute(records.RouteSpec{Prefix: "/third", TimeLimitMS: 2000}))
 	in.configure(follow + thirdConfigured)
-	stop := in.start("harehookd", "conductor.kdl")
+	stop := in.start("harehook-xds", "conductor.kdl")
 	address, _ := in.sidecar("till", "north", "delta")
 	in.until("the newest route is held", func() bool { return in.heldNumber("till") == created && in.synced(1) })
 
 	stop()
 	removed := m.set(thirdRoute(nil))
 	in.configure(follow)
-	in.start("harehookd", "conductor.kdl")
+	in.start("harehook-xds", "conductor.kdl")
 	in.until("the routes that are left are held", func() bool { return in.heldNumber("till") == removed })
 	if _, status := ask(address, "/third", ""); status != http.StatusNotFound {
 		t.Errorf("the removed route: status %d", status)
@@ -53,7 +53,7 @@
 	m.set(thirdRoute(records.RouteSpec{Prefix: "/third", TimeLimitMS: 2000}))
 	m.set(thirdRoute(nil))
 	in.configure(fmt.Sprintf("follow { member %q; }", m.address))
-	in.start("harehookd", "conductor.kdl")
+	in.start("harehook-xds", "conductor.kdl")
 	address, _ := in.sidecar("till", "north", "delta")
 	in.until("the revision is accepted", func() bool {
 		leases := m.service.Status().Leases
@@ -81,7 +81,7 @@
 	restart := func(more string) {
 		g.stops[0]()
 		g.conductor(0, g.member(0, "data-1", false)+more)
-		g.stops[0] = g.start("harehookd", "c-1.kdl")
+		g.stops[0] = g.start("harehook-xds", "c-1.kdl")
 		g.leader()
 	}
 	apply := func(text string) (revision uint64) {
--- a/internal/testbed/fleet.go
+++ b/internal/testbed/fleet.go
@@ -24,7 +24,7 @@
 	options := &fleetOptions{}
 	command := &cobra.Command{
 		Use:   "fleet [EXPERIMENT.kdl]",
-		Short: "Play a fleet of conductors that follow a group on this machine, and hold it to its bounds",
+		Short: "Play a fleet of controllers that follow a group on this machine, and hold it to its bounds",
 		Args:  cobra.MaximumNArgs(1),
 		RunE:  options.run,
 	}
@@ -33,29 +33,39 @@
 		command.Flags().Float64(setting.Name, setting.Get(&plan), setting.Usage)
 	}
 	command.Flags().StringVar(&options.faults, "faults", "", fmt.Sprintf("faults to play, separated by commas: %v", loadtest.AllFaults))
-	command.Flags().StringVar(&options.conductor, "conductor", "", "the program harehookd, for the conductor with a process of its own; by default the one in this program's folder, and a client alone where there is none")
+	command.Flags().StringVar(&options.controllerPath, "controller", "", "the program harehook-xds, for the controller with a process of its own; by default the one in this program's folder, and a client alone where there is none")
+	command.Flags().StringVar(&options.controllerPath, formerControllerFlag, "", "")
+	if err := command.Flags().MarkHidden(formerControllerFlag); err != nil {
+		panic(err) // it was defined just before
+	}
 	command.Flags().BoolVar(&options.json, "json", false, "print one object with what was asked and measured")
 	command.Flags().StringVar(&options.folder, "out", "found/lab", "folder for the results of a sweep")
 	return command
 }
 
+// formerControllerFlag is what the flag "controller" was called in earlier releases; scripts go on to use it.
+const formerControllerFlag = "conductor"
+
+// fleetOptions are the flags of the load test.
 type fleetOptions struct {
-	faults    string
-	conductor string
-	json      bool
-	folder    string
+	faults         string
+	controllerPath string // of the program for the controller with a process of its own
+	json           bool
+	folder         string
 }
 
-// conductorProgram is the program that is asked for, or else harehookd beside this program, if it is there.
-func (o *fleetOptions) conductorProgram(self string) string {
-	if o.conductor != "" {
-		return o.conductor
-	}
-	beside := filepath.Join(filepath.Dir(self), "harehookd")
-	if _, err := os.Stat(beside); err != nil {
-		return ""
+// controllerProgram is the program that is asked for, or else harehook-xds beside this program, if it is there.
+func (o *fleetOptions) controllerProgram(self string) string {
+	if o.controllerPath != "" {
+		return o.controllerPath
+	}
+	for _, name := range []string{"harehook-xds", "harehookd"} {
+		beside := filepath.Join(filepath.Dir(self), name)
+		if _, err := os.Stat(beside); err == nil {
+			return beside
+		}
 	}
-	return beside
+	return ""
 }
 
 func (o *fleetOptions) run(command *cobra.Command, arguments []string) error {
@@ -69,7 +79,7 @@
 	if err != nil {
 		return err
 	}
-	options := loadtest.Options{WorkerProgram: program, WorkerArguments: []string{workerCommand}, ControllerProgram: o.conductorProgram(program), Progress: command.ErrOrStderr()}
+	options := loadtest.Options{WorkerProgram: program, WorkerArguments: []string{workerCommand}, ControllerProgram: o.controllerProgram(program), Progress: command.ErrOrStderr()}
 	if len(experiment.Values) > 0 {
 		return o.sweep(ctx, command.OutOrStdout(), experiment, options)
 	}
--- a/loadtest/controllerprocess.go
+++ b/loadtest/controllerprocess.go
@@ -15,7 +15,7 @@
 type controllerProcess struct {
 	*worker
 	indexes  []int
-	external bool // it runs harehookd, which tells no events and takes no orders
+	external bool // it runs harehook-xds, which tells no events and takes no orders
 	ready    chan struct{}
 	finished chan struct{}
 
--- a/loadtest/member.go
+++ b/loadtest/member.go
@@ -23,7 +23,7 @@
 // countsInterval is how often a member reports what it has sent.
 const countsInterval = 500 * time.Millisecond
 
-// member is the worker that is a member of the group, as harehookd has it but without a data plane.
+// member is the worker that is a member of the group, as harehook-xds has it but without a data plane.
 type member struct {
 	node    *cluster.Node
 	service *front.Service
--- a/loadtest/message.go
+++ b/loadtest/message.go
@@ -13,7 +13,7 @@
 const (
 	RoleMember      = "member"
 	RoleControllers = "conductors"
-	RoleProgram     = "program" // one controller, which is harehookd
+	RoleProgram     = "program" // one controller, which is harehook-xds
 )
 
 // workerCommand is what a worker is told, one JSON object a line on its standard input. A worker ends when its input does.
--- a/loadtest/program.go
+++ b/loadtest/program.go
@@ -16,7 +16,7 @@
 	"time"
 )
 
-// programSetup says how to start harehookd as a controller that follows the group.
+// programSetup says how to start harehook-xds as a controller that follows the group.
 type programSetup struct {
 	Program    string   `json:"program"`
 	Folder     string   `json:"folder"` // of its files
@@ -25,7 +25,7 @@
 	Routes     []string `json:"routes"` // lines of its file
 }
 
-// program is the worker that runs harehookd behind proxies, which count what it is sent and sends.
+// program is the worker that runs harehook-xds behind proxies, which count what it is sent and sends.
 type program struct {
 	setup *programSetup
 	out   *lineWriter
--- a/loadtest/report.go
+++ b/loadtest/report.go
@@ -74,7 +74,7 @@
 	BusiestKBS float64 `json:"busiest_kbs"`
 	StartCPU   float64 `json:"start_cpu_s"` // seconds of processor time until all controllers were in step
 	StartKB    float64 `json:"start_kb"`
-	StartS     float64 `json:"start_s,omitempty"` // until a member knew it to be in step; harehookd only
+	StartS     float64 `json:"start_s,omitempty"` // until a member knew it to be in step; harehook-xds only
 }
 
 const (
--- a/loadtest/run.go
+++ b/loadtest/run.go
@@ -26,7 +26,7 @@
 type Options struct {
 	WorkerProgram     string    // whose processes the workers are, started with Arguments and a role
 	WorkerArguments   []string  // empty Program: all is in this process
-	ControllerProgram string    // harehookd's path: the controller with a process of its own is that; empty: a client alone
+	ControllerProgram string    // harehook-xds's path: the controller with a process of its own is that; empty: a client alone
 	Progress          io.Writer // is told what goes on
 
 	planted hooks // faults that tests plant; in this process only
@@ -45,7 +45,7 @@
 	progress       io.Writer
 	launch         func(role string) (*worker, error) // a worker that lives as long as the run, whichever stage starts it
 	separate       bool                               // workers are processes
-	program        string                             // harehookd's path, empty if there is none
+	program        string                             // harehook-xds's path, empty if there is none
 	folder         string                             // of the members' logs
 	configuration  *Configuration
 	controllers    []Controller
@@ -57,7 +57,7 @@
 	workers        []*controllerProcess
 	playStart      time.Time // since when changes are played
 	faultFreeUntil time.Time // no fault was played until then
-	programFault   string    // that harehookd did not hold what was agreed at the end
+	programFault   string    // that harehook-xds did not hold what was agreed at the end
 }
 
 // Play carries out a plan and tells what was asked and measured. The error is of a run that could not be carried out;
--- a/loadtest/startprogram.go
+++ b/loadtest/startprogram.go
@@ -12,10 +12,10 @@
 	"harehook.dev/harehook/records"
 )
 
-// programPollInterval is how often members are asked whether harehookd is in step, which it does not tell by itself.
+// programPollInterval is how often members are asked whether harehook-xds is in step, which it does not tell by itself.
 const programPollInterval = 100 * time.Millisecond
 
-// startProgram starts harehookd, if there is one, as the controller with a process of its own.
+// startProgram starts harehook-xds, if there is one, as the controller with a process of its own.
 func (r *run) startProgram(ctx context.Context) error {
 	if r.program == "" {
 		return nil
@@ -46,7 +46,7 @@
 	return nil
 }
 
-// routeLines are the routes of a scope as harehookd's file has them. Their prefixes stay, and what is not mutating
+// routeLines are the routes of a scope as harehook-xds's file has them. Their prefixes stay, and what is not mutating
 // there may become so.
 func (c *Configuration) routeLines(scope records.Scope) (lines []string) {
 	for _, name := range c.routes {
@@ -59,7 +59,7 @@
 	return lines
 }
 
-// waitProgramConverged waits until a member knows that harehookd holds what was agreed when this was called.
+// waitProgramConverged waits until a member knows that harehook-xds holds what was agreed when this was called.
 func (r *run) waitProgramConverged(ctx context.Context, timeout time.Duration) error {
 	want := r.recorder.newest()
 	name := r.controllers[measuredController].Name
--- a/loadtest/timeline.go
+++ b/loadtest/timeline.go
@@ -32,7 +32,7 @@
 
 // history is what one controller told.
 type history struct {
-	external bool        // it is harehookd, which tells nothing
+	external bool        // it is harehook-xds, which tells nothing
 	lives    []time.Time // when each began
 	joined   []time.Time // when a member answered on a new stream
 	member   string      // that answered last
--- a/scaling/list.go
+++ b/scaling/list.go
@@ -93,7 +93,7 @@
 	return s, repeat(&s, effort, func() error { _, err := take(); return err })
 }
 
-// fileSample meters harehookd's file of nodes.
+// fileSample meters harehook-xds's file of nodes.
 func fileSample(nodes int, effort Effort) (Sample, error) {
 	s := newSample(nodes)
 	folder, err := os.MkdirTemp("", "harehook-list-")
