--- a/scaling/scaling.go
+++ b/scaling/scaling.go
@@ -77,7 +77,7 @@
 // The methods, from the real thing downwards. Arithmetic is never a slope's: it is what the page does with slopes.
 const (
 	Measured  Method = "measured"  // the real code over real sockets, files or bytes as it runs in service
-	Isolated  Method = "hollow"    // the real machines, without the parts around them
+	Isolated  Method = "isolated"  // the real machines, without the parts around them
 	Simulated Method = "simulated" // members or modules on a clock of the harness
 )
 
