--- a/planner/bench_test.go
+++ b/planner/bench_test.go
@@ -43,7 +43,7 @@
 }
 
 func answerAll(c *Planner, now float64, proxies int) {
-	mark := c.channel.nonces % nonceModulo
+	mark := c.inFlight.nonces % nonceModulo
 	c.CommandsAccepted(now, mark)
 	for p := range proxies {
 		c.Acknowledged(now, p, mark)
@@ -54,7 +54,7 @@
 	sizes(b, func(b *testing.B, proxies, nodes int) {
 		c, now := fleet(proxies, nodes)
 		for b.Loop() {
-			now += wakeEvery
+			now += stepInterval
 			for i := range uint32(nodes) {
 				c.AddLoadReport(now, LoadReport{Node: i + 1, Completed: 10, MeanLatency: 0.2, Interval: 0.5})
 			}
@@ -74,7 +74,7 @@
 			}
 			joinAll(c, now, proxies)
 			for len(c.unbound) > 0 {
-				now += wakeEvery
+				now += stepInterval
 				answerAll(c, now, proxies)
 				c.Step(now)
 			}
--- a/planner/brain_test.go
+++ b/planner/brain_test.go
@@ -34,7 +34,7 @@
 			if len(members) != 3 {
 				t.Errorf("pool %d of %d has %d proxies", pool, len(tr.c.members), len(members))
 			}
-			if whole := sum(tr.c.sent[pool]); whole == 0 {
+			if whole := sum(tr.c.published[pool]); whole == 0 {
 				t.Errorf("pool %d has weights of %.2f", pool, whole)
 			}
 		}
@@ -56,8 +56,8 @@
 		{"one zone only", []float64{7}, []float64{3}},
 	} {
 		n := len(fill.rooms)
-		c := &Planner{site: Config{Zones: n}}
-		given := c.fill(fill.shares, fill.rooms)
+		c := &Planner{config: Config{Zones: n}}
+		given := c.allocate(fill.shares, fill.rooms)
 		tr.say("%s: shares %v rooms %v", fill.name, fill.shares, fill.rooms)
 		for from := range n {
 			tr.say("  zone %d gives %.2f", from, given[from*n:from*n+n])
@@ -355,9 +355,9 @@
 		tr.c.UpdateEndpoints(tr.now, []Endpoint{{Node: 1, StartTime: tr.now, State: EndpointState(1 + k%2)}})
 		tr.run(2)
 	}
-	tr.say("free %.0f", tr.c.free(1))
+	tr.say("free %.0f", tr.c.available(1))
 	tr.c.ProxyLeft(tr.now, 0)
-	tr.say("free %.0f", tr.c.free(1))
+	tr.say("free %.0f", tr.c.available(1))
 	tr.check()
 }
 
@@ -491,13 +491,13 @@
 	kept := ""
 	for _, step := range steps {
 		step.do()
-		least := tr.c.free(1)
+		least := tr.c.available(1)
 		for range 30 {
 			tr.run(0.1)
-			least = min(least, tr.c.free(1))
+			least = min(least, tr.c.available(1))
 		}
 		lines, bound := 0, 0
-		for _, sent := range tr.c.sent {
+		for _, sent := range tr.c.published {
 			for _, weight := range sent {
 				if weight > 0 {
 					lines++
@@ -560,7 +560,7 @@
 	tr := scene(t, testSite(), 4)
 	tr.c.ProxyJoined(tr.now, 2, 0, 40)
 	show := func(what string) {
-		tr.say("%s: %.0f and %.0f calls a second", what, sum(tr.c.usage[0]), sum(tr.c.usage[2]))
+		tr.say("%s: %.0f and %.0f calls a second", what, sum(tr.c.demand[0]), sum(tr.c.demand[2]))
 	}
 	for _, step := range []struct {
 		what  string
@@ -579,7 +579,7 @@
 	for node := range tr.meets {
 		tr.c.AddLoadReport(tr.now, LoadReport{Node: node, Completed: 120, MeanLatency: 0.2, Interval: 6})
 	}
-	tr.say("answered: %.0f a second", sum(tr.c.ended)/viewWindow)
+	tr.say("answered: %.0f a second", sum(tr.c.completed)/loadWindow)
 	tr.check()
 }
 
@@ -587,12 +587,12 @@
 func TestEmptyFirst(t *testing.T) {
 	tr := scene(t, testSite(), 24)
 	tr.run(2)
-	clear(tr.c.sent[3])
-	tr.c.members[3], tr.c.poolCalls[3] = []int{1}, 0
-	tr.c.sent[0][0] *= 5
-	tr.c.plan()
+	clear(tr.c.published[3])
+	tr.c.members[3], tr.c.subsetDemand[3] = []int{1}, 0
+	tr.c.published[0][0] *= 5
+	tr.c.planTables()
 	tr.say("-- table 0 is far off, table 3 has no line")
-	tr.c.pushAll(tr.c.movedByTable([]int{0, 1, 2, 3}), bindPart)
+	tr.c.publishAll(tr.c.changedByTable([]int{0, 1, 2, 3}), bindShare)
 	tr.check()
 }
 
@@ -608,7 +608,7 @@
 	tr.c.ProxyJoined(tr.now, 1, 1, 40)
 	tr.c.AddDemandReport(tr.now, DemandReport{Proxy: 1, Route: 0, Requests: 1, Interval: 0.5})
 	tr.c.Step(tr.wake)
-	tr.say("calls a second by pool %.0f", tr.c.poolCalls)
+	tr.say("calls a second by pool %.0f", tr.c.subsetDemand)
 	tr.check()
 }
 
@@ -649,7 +649,7 @@
 	}
 	waits := func(when string) {
 		bound := len(tr.c.members[0]) + len(tr.c.members[1])
-		tr.say("%s: %.0f of %.0f lines wait, %d bound", when, tr.c.channel.lines, site.MaxInFlightEntries, bound)
+		tr.say("%s: %.0f of %.0f lines wait, %d bound", when, tr.c.inFlight.entries, site.MaxInFlightEntries, bound)
 	}
 	join()
 	waits("joined")
@@ -671,7 +671,7 @@
 func TestRepeated(t *testing.T) {
 	site := testSite()
 	tr := scene(t, site, 4)
-	waits := func(when string) { tr.say("%s: %.0f lines wait", when, tr.c.channel.lines) }
+	waits := func(when string) { tr.say("%s: %.0f lines wait", when, tr.c.inFlight.entries) }
 	tr.run(1)
 	waits("calm")
 	tr.mute = true
@@ -711,7 +711,7 @@
 	var kept []string
 	say := func(when string) {
 		bound := len(tr.c.members[0]) + len(tr.c.members[1])
-		kept = append(kept, fmt.Sprintf("%s: %.1f s of the channel wait, %d bound", when, tr.c.channel.lines/site.EntriesPerSecond, bound))
+		kept = append(kept, fmt.Sprintf("%s: %.1f s of the channel wait, %d bound", when, tr.c.inFlight.entries/site.EntriesPerSecond, bound))
 	}
 	say("joined")
 	for range 4 {
@@ -719,7 +719,7 @@
 		tr.run(1)
 	}
 	say("4 s later")
-	before := tr.c.channel.lines
+	before := tr.c.inFlight.entries
 	tr.c.UpdateEndpoints(tr.now, []Endpoint{{Node: 2, Zone: 1, State: Draining}})
 	kept = append(kept, fmt.Sprintf("the drain is behind %.1f s", before/site.EntriesPerSecond))
 	tr.Reset()
--- a/planner/helper.go
+++ b/planner/helper.go
@@ -12,10 +12,10 @@
 	return s
 }
 
-// chance draws from 0 to 1.
-func (c *Planner) chance() float64 {
+// random draws from 0 to 1.
+func (c *Planner) random() float64 {
 	c.draws++
 	h := fnv.New64a()
-	fmt.Fprint(h, c.site.Seed, c.draws)
+	fmt.Fprint(h, c.config.Seed, c.draws)
 	return float64(h.Sum64()>>11) / (1 << 53)
 }
--- a/planner/list.go
+++ b/planner/list.go
@@ -5,95 +5,95 @@
 	"math"
 )
 
-const askFirst = 0.2 // s before the list's service is asked again after a failure
+const initialSubscribeBackoff = 0.2 // s before the list's service is asked again after a failure
 
 // ReplaceEndpoints is the complete list, at the start the one last known: what it lacks is gone.
 func (c *Planner) ReplaceEndpoints(now float64, rows []Endpoint) {
-	for i := range c.condition {
-		c.condition[i] = Removed
+	for i := range c.state {
+		c.state[i] = Removed
 	}
 	c.UpdateEndpoints(now, rows)
 }
 
 // UpdateEndpoints brings the entries that are new or other than before.
 func (c *Planner) UpdateEndpoints(now float64, rows []Endpoint) {
-	c.now, c.askTries = now, 0
+	c.now, c.subscribeFailures = now, 0
 	if len(c.node) == 0 {
-		c.makePools(len(rows))
-		for p, here := range c.joined {
+		c.makeSubsets(len(rows))
+		for p, here := range c.connected {
 			if here {
-				c.assignPool(p, c.home[p])
+				c.assignSubset(p, c.assigned[p])
 			}
 		}
 	}
 	for _, row := range rows {
-		if row.Zone >= c.site.Zones || row.MachineType >= c.site.MachineTypes {
+		if row.Zone >= c.config.Zones || row.MachineType >= c.config.MachineTypes {
 			continue
 		}
-		i, known := c.index[row.Node]
+		i, known := c.indexOf[row.Node]
 		if !known {
-			i = c.addNode(row)
+			i = c.addEndpoint(row)
 		}
-		if row.StartTime > c.started[i] {
+		if row.StartTime > c.startTime[i] {
 			// A restart under the same id is a new, cold process: what was seen of the old one is void.
-			c.started[i] = row.StartTime
+			c.startTime[i] = row.StartTime
 			c.setHealth(i, healthy)
-			c.forget(i)
+			c.resetStatistics(i)
 		}
-		c.condition[i], c.listed[i] = row.State, cmp.Or(max(row.Weight, 0), 1)
+		c.state[i], c.weight[i] = row.State, cmp.Or(max(row.Weight, 0), 1)
 	}
-	c.changed = !c.site.Sharded
-	c.sendUrgent()
+	c.tablesOutdated = !c.config.Sharded
+	c.publishUrgent()
 }
 
-func (c *Planner) addNode(row Endpoint) int {
+func (c *Planner) addEndpoint(row Endpoint) int {
 	i := len(c.node)
-	if n := len(c.spare); n > 0 {
-		i, c.spare = c.spare[n-1], c.spare[:n-1]
+	if n := len(c.unused); n > 0 {
+		i, c.unused = c.unused[n-1], c.unused[:n-1]
 	} else {
-		c.node, c.kind, c.pool = append(c.node, 0), append(c.kind, 0), append(c.pool, 0)
-		c.condition, c.health = append(c.condition, Removed), append(c.health, healthy)
-		for _, figure := range []*[]float64{&c.listed, &c.started, &c.since, &c.done, &c.busy,
-			&c.quick, &c.queue, &c.use, &c.ended, &c.lost, &c.spent} {
+		c.node, c.machineType, c.subset = append(c.node, 0), append(c.machineType, 0), append(c.subset, 0)
+		c.state, c.health = append(c.state, Removed), append(c.health, healthy)
+		for _, figure := range []*[]float64{&c.weight, &c.startTime, &c.healthSince, &c.answered, &c.busySeconds,
+			&c.baselineLatency, &c.queueLength, &c.utilization, &c.completed, &c.failed, &c.latencySum} {
 			*figure = append(*figure, 0)
 		}
-		for t := range c.sent {
-			c.sent[t], c.want[t] = append(c.sent[t], 0), append(c.want[t], 0)
+		for t := range c.published {
+			c.published[t], c.desired[t] = append(c.published[t], 0), append(c.desired[t], 0)
 		}
 	}
-	c.index[row.Node] = i
-	c.node[i], c.kind[i], c.condition[i], c.health[i] = row.Node, row.MachineType, Ready, healthy
-	c.pool[i] = (row.Zone + c.site.Zones*c.nodesDealt[row.Zone]) % len(c.want)
-	c.nodesDealt[row.Zone]++
-	c.started[i], c.since[i] = -1, 0
+	c.indexOf[row.Node] = i
+	c.node[i], c.machineType[i], c.state[i], c.health[i] = row.Node, row.MachineType, Ready, healthy
+	c.subset[i] = (row.Zone + c.config.Zones*c.dealtByZone[row.Zone]) % len(c.desired)
+	c.dealtByZone[row.Zone]++
+	c.startTime[i], c.healthSince[i] = -1, 0
 	return i
 }
 
 // ReleaseEndpoint guards against memory and work that grow with each release: a node that is gone for good gives its
 // place back. It tells whether it could: not while a table has its line.
 func (c *Planner) ReleaseEndpoint(node uint32) bool {
-	i, known := c.index[node]
+	i, known := c.indexOf[node]
 	if !known {
 		return true
 	}
-	for t := range c.sent {
-		if c.condition[i] != Removed || c.sent[t][i] > 0 {
+	for t := range c.published {
+		if c.state[i] != Removed || c.published[t][i] > 0 {
 			return false
 		}
-		c.want[t][i] = 0
+		c.desired[t][i] = 0
 	}
-	c.forget(i)
-	delete(c.index, node)
-	c.spare = append(c.spare, i)
+	c.resetStatistics(i)
+	delete(c.indexOf, node)
+	c.unused = append(c.unused, i)
 	return true
 }
 
 // EndpointWatchFailed says that asking for the list failed or that the subscription broke.
 func (c *Planner) EndpointWatchFailed(now float64) {
 	c.now = now
-	if c.site.MustSubscribe && !c.site.Sharded && math.IsInf(c.askAt, 1) {
+	if c.config.MustSubscribe && !c.config.Sharded && math.IsInf(c.subscribeAt, 1) {
 		// Waits grow and are spread by chance: the service is one for all and turns crowds away.
-		c.askAt = now + min(askFirst*math.Exp2(c.askTries), c.site.SubscribeTimeout/4)*(0.5+c.chance())
-		c.askTries++
+		c.subscribeAt = now + min(initialSubscribeBackoff*math.Exp2(c.subscribeFailures), c.config.SubscribeTimeout/4)*(0.5+c.random())
+		c.subscribeFailures++
 	}
 }
--- a/planner/pools.go
+++ b/planner/pools.go
@@ -7,60 +7,60 @@
 
 // Pools of nodes and proxies, and what of each pool's traffic goes to which.
 const (
-	maxPoolNodes = 10.0 // nodes of a pool on average: one is a tenth, and each still gets many calls of a proxy
-	ownPrior     = 20.0 // proxies that must be seen before ours tell much of those that we do not see
+	maxSubsetEndpoints = 10.0 // nodes of a pool on average: one is a tenth, and each still gets many calls of a proxy
+	unseenDemandPrior  = 20.0 // proxies that must be seen before ours tell much of those that we do not see
 )
 
-// makePools makes the pools, each some nodes and proxies of a zone with one table for these. A zone is one pool
+// makeSubsets makes the pools, each some nodes and proxies of a zone with one table for these. A zone is one pool
 // unless its table would take the channel too long and give its proxies too many connections.
-func (c *Planner) makePools(nodes int) {
-	n := c.site.Zones * max(1, int(math.Ceil(float64(nodes)/float64(c.site.Zones)/maxPoolNodes)))
-	c.poolCalls, c.members, c.writes = make([]float64, n), make([][]int, n), make([][]float64, n)
-	c.want, c.sent = make([][]float64, n), make([][]float64, n)
-	c.callers, c.nodesDealt = make([]float64, n), make([]int, c.site.Zones)
-	c.heardAt = slices.Repeat([]float64{c.now}, n)
-	c.sentLevels, c.levelsSentAt, c.sentNoRetry = make([][]float64, n), make([]float64, n), make([]bool, n)
-	for z := range c.sentLevels {
-		c.sentLevels[z] = slices.Repeat([]float64{1}, len(c.site.Routes)) // proxies let all in until told
+func (c *Planner) makeSubsets(nodes int) {
+	n := c.config.Zones * max(1, int(math.Ceil(float64(nodes)/float64(c.config.Zones)/maxSubsetEndpoints)))
+	c.subsetDemand, c.members, c.messageTimes = make([]float64, n), make([][]int, n), make([][]float64, n)
+	c.desired, c.published = make([][]float64, n), make([][]float64, n)
+	c.subsetBaselineRate, c.dealtByZone = make([]float64, n), make([]int, c.config.Zones)
+	c.demandReportedAt = slices.Repeat([]float64{c.now}, n)
+	c.publishedLevels, c.levelsPublishedAt, c.publishedNoRetry = make([][]float64, n), make([]float64, n), make([]bool, n)
+	for z := range c.publishedLevels {
+		c.publishedLevels[z] = slices.Repeat([]float64{1}, len(c.config.Routes)) // proxies let all in until told
 	}
 }
 
-// assignPool gives a proxy the pool of its zone whose proxies get the fewest calls.
-func (c *Planner) assignPool(proxy, zone int) {
+// assignSubset gives a proxy the pool of its zone whose proxies get the fewest calls.
+func (c *Planner) assignSubset(proxy, zone int) {
 	best := zone
-	for pool := best; pool < len(c.want); pool += c.site.Zones {
-		if c.callers[pool] < c.callers[best] {
+	for pool := best; pool < len(c.desired); pool += c.config.Zones {
+		if c.subsetBaselineRate[pool] < c.subsetBaselineRate[best] {
 			best = pool
 		}
 	}
-	c.home[proxy] = best
-	c.callers[best] += c.typical[proxy]
+	c.assigned[proxy] = best
+	c.subsetBaselineRate[best] += c.baselineRate[proxy]
 }
 
-// shares are the calls by pool for the fill. A conductor that its own zone's proxies join would lend their
+// demandShares are the calls by pool for the fill. A conductor that its own zone's proxies join would lend their
 // calls to all zones alike: those that it does not see are taken to be as many, and where the room is.
-func (c *Planner) shares(poolRoom []float64) []float64 {
-	if !c.site.LocalZoneProxies {
-		return c.poolCalls
+func (c *Planner) demandShares(poolRoom []float64) []float64 {
+	if !c.config.LocalZoneProxies {
+		return c.subsetDemand
 	}
-	shares, missing := slices.Clone(c.poolCalls), make([]float64, len(poolRoom))
-	all, seen, room := float64(c.site.Proxies), 0.0, max(sum(poolRoom), 1e-9)
+	shares, missing := slices.Clone(c.subsetDemand), make([]float64, len(poolRoom))
+	all, seen, room := float64(c.config.Proxies), 0.0, max(sum(poolRoom), 1e-9)
 	for pool, members := range c.members {
 		seen += float64(len(members))
 		missing[pool] = max(0, all*poolRoom[pool]/room-float64(len(members)))
 	}
 	// The fuller our own nodes are, the likelier it is that others have more room.
-	belief := max(0, min(1, (tightTime-c.load)/(tightTime-slackTime)))
-	unseen, whole := belief*sum(c.callers)/(seen+ownPrior)*max(0, all-seen), sum(missing)
+	belief := max(0, min(1, (saturatedLatency-c.saturation)/(saturatedLatency-relievedLatency)))
+	unseen, whole := belief*sum(c.subsetBaselineRate)/(seen+unseenDemandPrior)*max(0, all-seen), sum(missing)
 	for pool, proxies := range missing {
 		shares[pool] += unseen * proxies / max(whole, 1e-9)
 	}
 	return shares
 }
 
-// fill is the paper's Algorithm 1 over pools: direct room first, then evenly over those that still have room,
+// allocate is the paper's Algorithm 1 over pools: direct room first, then evenly over those that still have room,
 // of its own zone first, a pool weighing its share of the traffic. It gives what of each goes to which.
-func (c *Planner) fill(shares, poolRoom []float64) []float64 {
+func (c *Planner) allocate(shares, poolRoom []float64) []float64 {
 	n := len(poolRoom)
 	left := slices.Clone(poolRoom)
 	given := make([]float64, n*n)
@@ -69,18 +69,18 @@
 	for {
 		clear(use)
 		clear(load)
-		near, far := make([][]int, c.site.Zones), []int(nil) // pools with room, of a zone and anywhere
+		near, far := make([][]int, c.config.Zones), []int(nil) // pools with room, of a zone and anywhere
 		for to := range n {
 			if left[to] > 1e-9*whole {
-				near[to%c.site.Zones] = append(near[to%c.site.Zones], to)
+				near[to%c.config.Zones] = append(near[to%c.config.Zones], to)
 				far = append(far, to)
 			}
 		}
 		for from, share := range shares {
-			targets := near[from%c.site.Zones]
+			targets := near[from%c.config.Zones]
 			if left[from] > 1e-9*whole {
 				targets = []int{from}
-			} else if len(targets) == 0 && !c.homeOnly {
+			} else if len(targets) == 0 && !c.localZoneOnly {
 				targets = far
 			}
 			if share > 0 && len(targets) == 0 {
--- a/planner/speed.go
+++ b/planner/speed.go
@@ -4,85 +4,85 @@
 
 // What a node can answer.
 const (
-	learnEvery  = 0.5  // s between two steps of the learned speeds
-	speedWindow = 8.0  // s that a node's answers and use are remembered: its work varies from call to call
-	learnPrior  = 1.5  // s of being busy that its kind counts for: a few dozen calls tell about as much
-	easyTime    = 0.30 // part of the SLO time that a try takes without waiting, for all that is known
-	quickFade   = 0.01 // a second by which the best time seen at a node fades: its work may change
-	easyUse     = 0.30 // least busy part of a node that is believed: less says nothing of its speed
-	rampFrom    = 0.25 // part of its weight that a new node starts with (design page)
-	maxEase     = 0.25 // most part of its ramp that a cold node gets, for each time of the fall multiple
-	minPart     = 0.1  // least part that a ramp or lost tries leave a node: it still gets calls to be judged by
+	updateInterval        = 0.5  // s between two steps of the learned speeds
+	capacityWindow        = 8.0  // s that a node's answers and use are remembered: its work varies from call to call
+	capacityPrior         = 1.5  // s of being busy that its kind counts for: a few dozen calls tell about as much
+	idleLatency           = 0.30 // part of the SLO time that a try takes without waiting, for all that is known
+	baselineLatencyGrowth = 0.01 // a second by which the best time seen at a node fades: its work may change
+	minUtilization        = 0.30 // least busy part of a node that is believed: less says nothing of its speed
+	minSlowStartFraction  = 0.25 // part of its weight that a new node starts with (design page)
+	maxSlowStartDamping   = 0.25 // most part of its ramp that a cold node gets, for each time of the fall multiple
+	minCapacityFraction   = 0.1  // least part that a ramp or lost tries leave a node: it still gets calls to be judged by
 )
 
-// learn keeps what each node answered beside how busy it was; the quotient is its speed. A node that tells
+// learnCapacity keeps what each node answered beside how busy it was; the quotient is its speed. A node that tells
 // nothing counts as busy by how long its tries wait beside the best time seen there.
-func (c *Planner) learn() {
-	keep := math.Exp(-learnEvery / speedWindow)
-	for i, ended := range c.ended {
-		lost, spent := c.lost[i], c.spent[i]
-		if c.condition[i] != Ready || c.health[i] != healthy || ended < minTries || c.warmth(i) < 1 || c.slo == 0 {
+func (c *Planner) learnCapacity() {
+	keep := math.Exp(-updateInterval / capacityWindow)
+	for i, ended := range c.completed {
+		lost, spent := c.failed[i], c.latencySum[i]
+		if c.state[i] != Ready || c.health[i] != healthy || ended < minAttempts || c.slowStartFraction(i) < 1 || c.meanObjective == 0 {
 			continue
 		}
-		use := c.use[i]
-		if c.site.UtilizationIndex < 0 {
-			if good := ended - lost; good >= minTries {
-				c.quick[i] = min(c.quick[i]*(1+quickFade*learnEvery), spent/good)
+		use := c.utilization[i]
+		if c.config.UtilizationIndex < 0 {
+			if good := ended - lost; good >= minAttempts {
+				c.baselineLatency[i] = min(c.baselineLatency[i]*(1+baselineLatencyGrowth*updateInterval), spent/good)
 			}
-			quick := min(c.quick[i], easyTime*c.slo)
-			use = 1 - quick/max(quick, (spent+lost*c.slo)/ended)
+			quick := min(c.baselineLatency[i], idleLatency*c.meanObjective)
+			use = 1 - quick/max(quick, (spent+lost*c.meanObjective)/ended)
 		}
-		c.done[i] = c.done[i]*keep + (ended-lost)/viewWindow*learnEvery
-		c.busy[i] = c.busy[i]*keep + max(use, easyUse)*c.listed[i]*learnEvery
+		c.answered[i] = c.answered[i]*keep + (ended-lost)/loadWindow*updateInterval
+		c.busySeconds[i] = c.busySeconds[i]*keep + max(use, minUtilization)*c.weight[i]*updateInterval
 	}
-	done, busy := make([]float64, len(c.kindSpeed)), make([]float64, len(c.kindSpeed))
-	for i, k := range c.kind {
-		done[k], busy[k] = done[k]+c.done[i], busy[k]+c.busy[i]
+	done, busy := make([]float64, len(c.typeCapacity)), make([]float64, len(c.typeCapacity))
+	for i, k := range c.machineType {
+		done[k], busy[k] = done[k]+c.answered[i], busy[k]+c.busySeconds[i]
 	}
-	for k := range c.kindSpeed {
-		c.kindSpeed[k] = (done[k] + learnPrior*(sum(c.done)+1e-9)/(sum(c.busy)+1e-9)) / (busy[k] + learnPrior)
+	for k := range c.typeCapacity {
+		c.typeCapacity[k] = (done[k] + capacityPrior*(sum(c.answered)+1e-9)/(sum(c.busySeconds)+1e-9)) / (busy[k] + capacityPrior)
 	}
 }
 
-// speed is a node's listed weight times what is learned of it; where little is, its kind's.
-func (c *Planner) speed(i int) float64 {
-	prior := learnPrior * c.listed[i]
-	return c.listed[i] * (c.done[i] + prior*c.kindSpeed[c.kind[i]]) / (c.busy[i] + prior)
+// learnedCapacity is a node's listed weight times what is learned of it; where little is, its kind's.
+func (c *Planner) learnedCapacity(i int) float64 {
+	prior := capacityPrior * c.weight[i]
+	return c.weight[i] * (c.answered[i] + prior*c.typeCapacity[c.machineType[i]]) / (c.busySeconds[i] + prior)
 }
 
-// warmth is the part of its weight that a node has by its ramp.
-func (c *Planner) warmth(i int) float64 {
-	if c.started[i] <= 0 {
+// slowStartFraction is the part of its weight that a node has by its ramp.
+func (c *Planner) slowStartFraction(i int) float64 {
+	if c.startTime[i] <= 0 {
 		return 1
 	}
-	return min(1, rampFrom+(1-rampFrom)*max(0, c.now-c.started[i])/max(c.site.SlowStartWindow, wakeEvery))
+	return min(1, minSlowStartFraction+(1-minSlowStartFraction)*max(0, c.now-c.startTime[i])/max(c.config.SlowStartWindow, stepInterval))
 }
 
-// ease guards against a cold node being pushed over by tries that others turn away: it gets less
+// slowStartDamping guards against a cold node being pushed over by tries that others turn away: it gets less
 // by the square of what the fleet answers, and by the fleet's load. Until sums tell, little is answered.
-func (c *Planner) ease(i int) float64 {
-	part := rampFrom
-	if c.answering > 0 {
-		part = c.answering * c.answering * min(1, slackTime/c.load)
+func (c *Planner) slowStartDamping(i int) float64 {
+	part := minSlowStartFraction
+	if c.successRatio > 0 {
+		part = c.successRatio * c.successRatio * min(1, relievedLatency/c.saturation)
 	}
-	return max(minPart, min(part, maxEase*c.site.OverloadMultiple))
+	return max(minCapacityFraction, min(part, maxSlowStartDamping*c.config.OverloadMultiple))
 }
 
-// room is a node's part of its pool's capacity.
-func (c *Planner) room(i int) float64 {
-	if c.condition[i] != Ready || c.health[i] == ejected {
+// capacity is a node's part of its pool's capacity.
+func (c *Planner) capacity(i int) float64 {
+	if c.state[i] != Ready || c.health[i] == ejected {
 		return 0
 	}
-	room, usual := c.speed(i), c.medianLost
-	if warmth := c.warmth(i); warmth < 1 {
-		room, usual = room*warmth*c.ease(i), 0
+	room, usual := c.learnedCapacity(i), c.medianFailureRatio
+	if warmth := c.slowStartFraction(i); warmth < 1 {
+		room, usual = room*warmth*c.slowStartDamping(i), 0
 	}
-	if c.ended[i] >= minTries {
+	if c.completed[i] >= minAttempts {
 		// One that has grown far slower than its peers, or is cold, loses tries long before its speed is learned.
-		room *= max(minPart, 1-max(0, c.lost[i]/c.ended[i]-usual))
+		room *= max(minCapacityFraction, 1-max(0, c.failed[i]/c.completed[i]-usual))
 	}
-	if c.health[i] == onTrial {
-		room *= trialPart
+	if c.health[i] == probation {
+		room *= probationFraction
 	}
 	return room
 }
--- a/planner/trace_test.go
+++ b/planner/trace_test.go
@@ -80,12 +80,12 @@
 
 // run lets time pass; every period brings the scene's sums and each mark is confirmed.
 func (tr *trace) run(seconds float64) {
-	next := tr.now + tr.c.site.ReportInterval
+	next := tr.now + tr.c.config.ReportInterval
 	for end := tr.now + seconds; tr.now < end; {
 		tr.c.CommandsAccepted(tr.now, tr.order)
 		tr.now = tr.wake
 		if tr.now >= next {
-			next += tr.c.site.ReportInterval
+			next += tr.c.config.ReportInterval
 			for node := uint32(1); int(node) <= len(tr.c.node); node++ {
 				s := tr.meets[node]
 				s.Node = node
@@ -95,13 +95,13 @@
 			}
 			for p, routes := range tr.calls {
 				for r, calls := range routes {
-					tr.c.AddDemandReport(tr.now, DemandReport{Proxy: p, Route: RouteID(r), Requests: calls, Interval: tr.c.site.ReportInterval})
+					tr.c.AddDemandReport(tr.now, DemandReport{Proxy: p, Route: RouteID(r), Requests: calls, Interval: tr.c.config.ReportInterval})
 				}
 			}
 		}
 		tr.c.Step(tr.now)
 		if !tr.mute && tr.order > 0 {
-			for p := range tr.c.joined {
+			for p := range tr.c.connected {
 				tr.c.Acknowledged(tr.now, p, tr.order)
 			}
 		}
