--- a/planner/bench_test.go
+++ b/planner/bench_test.go
@@ -29,7 +29,7 @@
 	c = New(silent{}, site, 100)
 	c.ReplaceEndpoints(100, rows(nodes))
 	joinAll(c, 100, proxies)
-	for now = 100; len(c.unbound) > 0 || now < 102; now += 0.1 {
+	for now = 100; len(c.proxies.unbound) > 0 || now < 102; now += 0.1 {
 		answerAll(c, now, proxies)
 		c.Step(now)
 	}
@@ -73,7 +73,7 @@
 				c.ProxyLeft(now, p)
 			}
 			joinAll(c, now, proxies)
-			for len(c.unbound) > 0 {
+			for len(c.proxies.unbound) > 0 {
 				now += stepInterval
 				answerAll(c, now, proxies)
 				c.Step(now)
--- a/planner/brain_test.go
+++ b/planner/brain_test.go
@@ -30,11 +30,12 @@
 		}
 		tr.c.ReplaceEndpoints(tr.now, rows(40))
 		tr.run(2)
-		for pool, members := range tr.c.members {
+		for pool := range tr.c.subsets {
+			members := tr.c.subsets[pool].members
 			if len(members) != 3 {
-				t.Errorf("pool %d of %d has %d proxies", pool, len(tr.c.members), len(members))
+				t.Errorf("pool %d of %d has %d proxies", pool, len(tr.c.subsets), len(members))
 			}
-			if whole := sum(tr.c.published[pool]); whole == 0 {
+			if whole := sum(tr.c.subsets[pool].published); whole == 0 {
 				t.Errorf("pool %d has weights of %.2f", pool, whole)
 			}
 		}
@@ -497,15 +498,15 @@
 			least = min(least, tr.c.available(1))
 		}
 		lines, bound := 0, 0
-		for _, sent := range tr.c.published {
-			for _, weight := range sent {
+		for subset := range tr.c.subsets {
+			for _, weight := range tr.c.subsets[subset].published {
 				if weight > 0 {
 					lines++
 				}
 			}
 		}
-		for _, members := range tr.c.members {
-			bound += len(members)
+		for _, subset := range tr.c.subsets {
+			bound += len(subset.members)
 		}
 		kept += fmt.Sprintf("%s: %d lines, %d proxies bound, %.0f lines free at least\n", step.name, lines,
 			bound, least)
@@ -560,7 +561,7 @@
 	tr := scene(t, testSite(), 4)
 	tr.c.ProxyJoined(tr.now, 2, 0, 40)
 	show := func(what string) {
-		tr.say("%s: %.0f and %.0f calls a second", what, sum(tr.c.demand[0]), sum(tr.c.demand[2]))
+		tr.say("%s: %.0f and %.0f calls a second", what, sum(tr.c.proxies.all[0].demand), sum(tr.c.proxies.all[2].demand))
 	}
 	for _, step := range []struct {
 		what  string
@@ -579,7 +580,7 @@
 	for node := range tr.meets {
 		tr.c.AddLoadReport(tr.now, LoadReport{Node: node, Completed: 120, MeanLatency: 0.2, Interval: 6})
 	}
-	tr.say("answered: %.0f a second", sum(tr.c.completed)/loadWindow)
+	tr.say("answered: %.0f a second", tr.c.endpoints.sum(func(e *endpoint) float64 { return e.completed })/loadWindow)
 	tr.check()
 }
 
@@ -587,9 +588,9 @@
 func TestEmptyFirst(t *testing.T) {
 	tr := scene(t, testSite(), 24)
 	tr.run(2)
-	clear(tr.c.published[3])
-	tr.c.members[3], tr.c.subsetDemand[3] = []int{1}, 0
-	tr.c.published[0][0] *= 5
+	clear(tr.c.subsets[3].published)
+	tr.c.subsets[3].members, tr.c.subsets[3].demand = []int{1}, 0
+	tr.c.subsets[0].published[0] *= 5
 	tr.c.planTables()
 	tr.say("-- table 0 is far off, table 3 has no line")
 	tr.c.publishAll(tr.c.changedByTable([]int{0, 1, 2, 3}), bindShare)
@@ -608,7 +609,7 @@
 	tr.c.ProxyJoined(tr.now, 1, 1, 40)
 	tr.c.AddDemandReport(tr.now, DemandReport{Proxy: 1, Route: 0, Requests: 1, Interval: 0.5})
 	tr.c.Step(tr.wake)
-	tr.say("calls a second by pool %.0f", tr.c.subsetDemand)
+	tr.say("calls a second by pool %.0f", tr.c.demandBySubset())
 	tr.check()
 }
 
@@ -648,7 +649,7 @@
 		}
 	}
 	waits := func(when string) {
-		bound := len(tr.c.members[0]) + len(tr.c.members[1])
+		bound := len(tr.c.subsets[0].members) + len(tr.c.subsets[1].members)
 		tr.say("%s: %.0f of %.0f lines wait, %d bound", when, tr.c.inFlight.entries, site.MaxInFlightEntries, bound)
 	}
 	join()
@@ -710,7 +711,7 @@
 	}
 	var kept []string
 	say := func(when string) {
-		bound := len(tr.c.members[0]) + len(tr.c.members[1])
+		bound := len(tr.c.subsets[0].members) + len(tr.c.subsets[1].members)
 		kept = append(kept, fmt.Sprintf("%s: %.1f s of the channel wait, %d bound", when, tr.c.inFlight.entries/site.EntriesPerSecond, bound))
 	}
 	say("joined")
--- a/planner/health.go
+++ b/planner/health.go
@@ -18,24 +18,24 @@
 
 // setHealth notes and logs a node's health.
 func (c *Planner) setHealth(i int, h health) {
-	if c.health[i] != h {
-		c.host.Log(fmt.Sprintf("node %d %s", c.node[i], [...]string{"well", "out", "on trial"}[h]))
+	if c.endpoints.all[i].health != h {
+		c.host.Log(fmt.Sprintf("node %d %s", c.endpoints.all[i].node, [...]string{"well", "out", "on trial"}[h]))
 	}
-	c.health[i], c.healthSince[i], c.tablesOutdated = h, c.now, true
+	c.endpoints.all[i].health, c.endpoints.all[i].healthSince, c.tablesOutdated = h, c.now, true
 }
 
 // updateOutliers ejects nodes that lose far more than their peers, and tries them again with a small part.
 func (c *Planner) updateOutliers() {
 	losses, all, away := []float64(nil), 0.0, 0.0
-	for i, condition := range c.state {
-		if condition != Ready {
+	for i := range c.endpoints.all {
+		if c.endpoints.all[i].state != Ready {
 			continue
 		}
-		all += c.weight[i]
-		if c.health[i] != healthy {
-			away += c.weight[i]
-		} else if c.completed[i] >= minAttempts {
-			losses = append(losses, c.failed[i]/c.completed[i])
+		all += c.endpoints.all[i].weight
+		if c.endpoints.all[i].health != healthy {
+			away += c.endpoints.all[i].weight
+		} else if c.endpoints.all[i].completed >= minAttempts {
+			losses = append(losses, c.endpoints.all[i].failed/c.endpoints.all[i].completed)
 		}
 	}
 	slices.Sort(losses)
@@ -44,25 +44,25 @@
 		c.medianFailureRatio = losses[len(losses)/2]
 	}
 	lossLimit := ejectFailureRatio + 1.5*c.medianFailureRatio
-	for i := range c.node {
-		if c.state[i] != Ready {
+	for i := range c.endpoints.all {
+		if c.endpoints.all[i].state != Ready {
 			continue
 		}
-		ended, lost, spent := c.completed[i], c.failed[i], c.latencySum[i]
+		ended, lost, spent := c.endpoints.all[i].completed, c.endpoints.all[i].failed, c.endpoints.all[i].latencySum
 		// A full node turns calls away as well, but the calls that it answers take long: that is load, and the
 		// weights answer it. To eject it would only fill the next one.
-		quick := spent < saturatedLatency*c.meanObjective*(ended-lost) && c.queueLength[i] < minOverloadQueue
+		quick := spent < saturatedLatency*c.meanObjective*(ended-lost) && c.endpoints.all[i].queueLength < minOverloadQueue
 		bad := ended >= minAttempts && lost >= lossLimit*ended && (lost >= deadFailureRatio*ended || quick)
 		switch {
-		case c.health[i] == ejected:
-			if c.now >= c.healthSince[i]+ejectionSeconds {
+		case c.endpoints.all[i].health == ejected:
+			if c.now >= c.endpoints.all[i].healthSince+ejectionSeconds {
 				c.resetStatistics(i)
 				c.setHealth(i, probation)
 			}
-		case bad && (c.health[i] == probation || away+c.weight[i] <= maxEjectedWeight*all*lost/ended):
-			away += c.weight[i]
+		case bad && (c.endpoints.all[i].health == probation || away+c.endpoints.all[i].weight <= maxEjectedWeight*all*lost/ended):
+			away += c.endpoints.all[i].weight
 			c.setHealth(i, ejected)
-		case !bad && c.health[i] == probation && ended >= minAttempts:
+		case !bad && c.endpoints.all[i].health == probation && ended >= minAttempts:
 			c.setHealth(i, healthy)
 		}
 	}
--- a/planner/levels.go
+++ b/planner/levels.go
@@ -29,7 +29,7 @@
 	}
 	// A zone or a release takes nodes away and brings them back, a conductor that stops its proxies: what the
 	// nodes can answer of ours goes and comes along, as slowly as the usage of proxies that left fades.
-	callers := max(sum(c.subsetBaselineRate), 1e-9)
+	callers := max(c.baselineRate(), 1e-9)
 	c.servedBaselineRate = max(callers, callers+(c.servedBaselineRate-callers)*math.Exp(-updateInterval/demandWindow))
 	good, fleet, able := c.measureSaturation()
 	asked := c.estimateOriginalRequests()
@@ -88,18 +88,19 @@
 	if all = true; c.saturated {
 		tries = NoRetry
 	}
-	for z, sent := range c.publishedLevels {
-		lines := float64(len(c.members[z])*len(c.publishedLevels)) * (c.config.MessageOverhead + 1 + routes) // as though all were as many
-		late := c.now >= c.levelsPublishedAt[z]+max(publishInterval, lines/(maxLevelShare*max(c.config.EntriesPerSecond, 1)))
-		if !late || c.publishedNoRetry[z] == c.saturated && slices.Equal(sent, c.level) {
+	for z := range c.subsets {
+		sent := c.subsets[z].publishedLevels
+		lines := float64(len(c.subsets[z].members)*len(c.subsets)) * (c.config.MessageOverhead + 1 + routes) // as though all were as many
+		late := c.now >= c.subsets[z].levelsPublishedAt+max(publishInterval, lines/(maxLevelShare*max(c.config.EntriesPerSecond, 1)))
+		if !late || c.subsets[z].publishedNoRetry == c.saturated && slices.Equal(sent, c.level) {
 			continue
 		}
-		room := c.fits(c.inFlight.cost(c.now, c.members[z], routes), bindShare) || c.available(idleShare) > 0
+		room := c.fits(c.inFlight.cost(c.now, c.subsets[z].members, routes), bindShare) || c.available(idleShare) > 0
 		if all = all && room; !room || !c.mayPublish(z, routes, urgentShare) {
 			continue // a pool that has had its messages holds no other back
 		}
 		for r, level := range c.level {
-			if sent[r] != level || c.publishedNoRetry[z] != c.saturated {
+			if sent[r] != level || c.subsets[z].publishedNoRetry != c.saturated {
 				if sent[r] = level; c.config.Admission == AdmissionRate {
 					level = c.admissionRate(r)
 				}
@@ -107,7 +108,7 @@
 				c.reserveEntry(z)
 			}
 		}
-		c.levelsPublishedAt[z], c.publishedNoRetry[z] = c.now, c.saturated
+		c.subsets[z].levelsPublishedAt, c.subsets[z].publishedNoRetry = c.now, c.saturated
 	}
 	return all
 }
@@ -115,9 +116,9 @@
 // admissionRate is each proxy's max-min rate that lets in a part of a route's first tries; repeats use none of it.
 func (c *Planner) admissionRate(r int) float64 {
 	var rates []float64
-	for p, here := range c.connected {
-		if here {
-			rates = append(rates, c.demand[p][r]*c.originalRequests[r]/max(c.routeDemand[r], 1e-9))
+	for p := range c.proxies.all {
+		if c.proxies.all[p].connected {
+			rates = append(rates, c.proxies.all[p].demand[r]*c.originalRequests[r]/max(c.routeDemand[r], 1e-9))
 		}
 	}
 	slices.Sort(rates)
--- a/planner/load.go
+++ b/planner/load.go
@@ -18,64 +18,67 @@
 // AddLoadReport brings what the proxies of a zone met at a node.
 func (c *Planner) AddLoadReport(now float64, s LoadReport) {
 	c.now = now
-	i, known := c.indexOf[s.Node]
-	if !known || now-s.Interval-maxReportDelay < c.startTime[i] {
+	i, known := c.endpoints.indexOf[s.Node]
+	if !known || now-s.Interval-maxReportDelay < c.endpoints.all[i].startTime {
 		return // it tells of the process before: a zone's new nodes were put out for what the lost ones had lost
 	}
 	// What was held up and comes all at once must not pass for a rate of answers that was never reached.
 	part := min(1, loadWindow/max(s.Interval, 1e-9))
 	ended, lost := float64(s.Completed)*part, float64(s.Failed)*part
-	c.completed[i], c.failed[i], c.latencySum[i] = c.completed[i]+ended, c.failed[i]+lost, c.latencySum[i]+(ended-lost)*s.MeanLatency
+	c.endpoints.all[i].completed, c.endpoints.all[i].failed, c.endpoints.all[i].latencySum = c.endpoints.all[i].completed+ended, c.endpoints.all[i].failed+lost, c.endpoints.all[i].latencySum+(ended-lost)*s.MeanLatency
 	if k := c.config.QueueLengthIndex; k >= 0 && k < len(s.Values) {
-		c.queueLength[i] = s.Values[k]
+		c.endpoints.all[i].queueLength = s.Values[k]
 	}
 	if k := c.config.UtilizationIndex; k >= 0 && k < len(s.Values) {
-		c.utilization[i] += (s.Values[k] - c.utilization[i]) * (1 - math.Exp(-c.config.ReportInterval/loadWindow))
+		c.endpoints.all[i].utilization += (s.Values[k] - c.endpoints.all[i].utilization) * (1 - math.Exp(-c.config.ReportInterval/loadWindow))
 	}
 }
 
 // AddDemandReport brings how many calls of a route came to a proxy.
 func (c *Planner) AddDemandReport(now float64, u DemandReport) {
 	c.now = now
-	if u.Proxy >= len(c.connected) || c.demand[u.Proxy] == nil || int(u.Route) >= len(c.config.Routes) || u.Interval <= 0 {
+	if u.Proxy >= len(c.proxies.all) || c.proxies.all[u.Proxy].demand == nil || int(u.Route) >= len(c.config.Routes) || u.Interval <= 0 {
 		return
 	}
 	// A proxy without calls says nothing: what was counted fades as others of its pool report, and stays while
 	// none does. Reports that were held up come all at once: each tells of the time that is averaged at most.
-	pool := c.assigned[u.Proxy]
-	if keep := math.Exp((c.demandReportedAt[pool] - now) / demandWindow); keep < 1 {
-		for _, p := range c.members[pool] {
-			for r := range c.demand[p] {
-				c.demand[p][r] *= keep
+	pool := c.proxies.all[u.Proxy].subset
+	if keep := math.Exp((c.subsets[pool].demandReportedAt - now) / demandWindow); keep < 1 {
+		for _, member := range c.subsets[pool].members {
+			demand := c.proxies.all[member].demand
+			for r := range demand {
+				demand[r] *= keep
 			}
 		}
 	}
-	c.demandReportedAt[pool] = now
-	c.demand[u.Proxy][u.Route] += float64(u.Requests) / max(u.Interval, demandWindow)
+	c.subsets[pool].demandReportedAt = now
+	c.proxies.all[u.Proxy].demand[u.Route] += float64(u.Requests) / max(u.Interval, demandWindow)
 }
 
 // updateDemand lets what was met age, but on trial, where few calls must tell, and sums up what is asked.
 func (c *Planner) updateDemand() {
 	keep := math.Exp((c.decayedAt - c.now) / loadWindow)
 	c.decayedAt = c.now
-	for i := range c.node {
-		if c.health[i] != probation {
-			c.completed[i], c.failed[i], c.latencySum[i] = keep*c.completed[i], keep*c.failed[i], keep*c.latencySum[i]
+	for i := range c.endpoints.all {
+		if c.endpoints.all[i].health != probation {
+			c.endpoints.all[i].completed, c.endpoints.all[i].failed, c.endpoints.all[i].latencySum = keep*c.endpoints.all[i].completed, keep*c.endpoints.all[i].failed, keep*c.endpoints.all[i].latencySum
 		}
 	}
 	c.successRatio = 0
-	if ended := sum(c.completed); ended >= minAttempts {
-		c.successRatio = 1 - sum(c.failed)/ended
+	if ended := c.endpoints.sum(func(e *endpoint) float64 { return e.completed }); ended >= minAttempts {
+		c.successRatio = 1 - c.endpoints.sum(func(e *endpoint) float64 { return e.failed })/ended
 		c.windowCoverage += (1 - c.windowCoverage) * (1 - keep)
 	}
-	clear(c.subsetDemand)
+	for z := range c.subsets {
+		c.subsets[z].demand = 0
+	}
 	clear(c.routeDemand)
-	for p, here := range c.connected {
-		for r, rate := range c.demand[p] {
-			c.subsetDemand[c.assigned[p]] += rate
+	for p := range c.proxies.all {
+		for r, rate := range c.proxies.all[p].demand {
+			c.subsets[c.proxies.all[p].subset].demand += rate
 			c.routeDemand[r] += rate
-			if !here {
-				c.demand[p][r] *= math.Exp(-stepInterval / demandWindow)
+			if !c.proxies.all[p].connected {
+				c.proxies.all[p].demand[r] *= math.Exp(-stepInterval / demandWindow)
 			}
 		}
 	}
@@ -86,27 +89,28 @@
 }
 
 func (c *Planner) resetStatistics(i int) {
-	c.completed[i], c.failed[i], c.latencySum[i], c.answered[i], c.busySeconds[i] = 0, 0, 0, 0, 0
-	c.utilization[i], c.queueLength[i], c.baselineLatency[i] = 0, 0, math.Inf(1)
+	c.endpoints.all[i].completed, c.endpoints.all[i].failed, c.endpoints.all[i].latencySum, c.endpoints.all[i].answered, c.endpoints.all[i].busySeconds = 0, 0, 0, 0, 0
+	c.endpoints.all[i].utilization, c.endpoints.all[i].queueLength, c.endpoints.all[i].baselineLatency = 0, 0, math.Inf(1)
 }
 
 // measureSaturation sees how full the fleet is; it gives what was answered, the nodes' weight, and what they could
 // answer. A few full nodes are for the weights to relieve: each counts for its answers, and bounded.
 func (c *Planner) measureSaturation() (good, fleet, able float64) {
 	c.saturation = 0
-	for i, tries := range c.completed {
-		if c.state[i] != Ready || c.health[i] == ejected {
+	for i := range c.endpoints.all {
+		tries := c.endpoints.all[i].completed
+		if c.endpoints.all[i].state != Ready || c.endpoints.all[i].health == ejected {
 			continue
 		}
-		fleet, able = fleet+c.weight[i]*c.slowStartFraction(i), able+c.learnedCapacity(i)*c.slowStartFraction(i)
-		answers := tries - c.failed[i]
+		fleet, able = fleet+c.endpoints.all[i].weight*c.slowStartFraction(i), able+c.learnedCapacity(i)*c.slowStartFraction(i)
+		answers := tries - c.endpoints.all[i].failed
 		good += answers
 		// Tries lost where the others are quick are no load: connections refused, or a node that fails.
-		slow := min(1, max(0, (c.latencySum[i]/max(answers, 1)/c.meanObjective-idleLatency)/(saturatedLatency-idleLatency)))
-		part := (c.latencySum[i]/c.meanObjective + slow*c.failed[i]) / max(tries, minAttempts)
+		slow := min(1, max(0, (c.endpoints.all[i].latencySum/max(answers, 1)/c.meanObjective-idleLatency)/(saturatedLatency-idleLatency)))
+		part := (c.endpoints.all[i].latencySum/c.meanObjective + slow*c.endpoints.all[i].failed) / max(tries, minAttempts)
 		if c.config.QueueLengthIndex >= 0 {
 			// Calls that wait tell of a queue before those that waited do.
-			part = idleLatency + c.queueLength[i]*loadWindow/max(answers, 1)/float64(c.config.Controllers)/c.meanObjective
+			part = idleLatency + c.endpoints.all[i].queueLength*loadWindow/max(answers, 1)/float64(c.config.Controllers)/c.meanObjective
 		}
 		c.saturation += answers * min(part, 1)
 	}
@@ -118,11 +122,11 @@
 // and that is turned away again; how often shows early in throttling, beside what as many asked before.
 func (c *Planner) estimateOriginalRequests() (asked float64) {
 	all, was, hidden, turned := sum(c.routeDemand), 0.0, 0.0, 0.0
-	calls := max(sum(c.subsetDemand), 1e-9)
+	calls := max(sum(c.demandBySubset()), 1e-9)
 	for r, rate := range c.routeDemand {
 		shut := 0.0
-		for z, sent := range c.publishedLevels {
-			shut += (1 - sent[r]) * c.subsetDemand[z] / calls
+		for z := range c.subsets {
+			shut += (1 - c.subsets[z].publishedLevels[r]) * c.subsets[z].demand / calls
 		}
 		c.rejected[r] += (shut - c.rejected[r]) * updateInterval / admissionLag
 		if !c.throttling {
@@ -137,7 +141,7 @@
 		seen := min(max((all-was)/hidden, 0), maxClientRetries)
 		c.clientRetries += (seen - c.clientRetries) * updateInterval / admissionLag
 	}
-	if tries := sum(c.completed) / loadWindow / c.windowCoverage; c.saturation < idleLatency && turned > 0 {
+	if tries := c.endpoints.sum(func(e *endpoint) float64 { return e.completed }) / loadWindow / c.windowCoverage; c.saturation < idleLatency && turned > 0 {
 		// Repeats alone could keep an idle fleet throttled: where nothing waits, what ended was let in.
 		c.clientRetries = min(max((all-turned)/tries-1, 0)*all/turned, maxClientRetries)
 	}
--- a/planner/proxies.go
+++ b/planner/proxies.go
@@ -5,78 +5,129 @@
 	"slices"
 )
 
-// ProxyJoined says that a proxy's stream stands. It is to be bound: what it holds may be anyone's.
-func (c *Planner) ProxyJoined(now float64, proxy, zone int, rate float64) {
-	for len(c.connected) <= proxy {
-		c.connected, c.assigned = append(c.connected, false), append(c.assigned, 0)
-		c.baselineRate, c.demand = append(c.baselineRate, 0), append(c.demand, nil)
+// proxy is what the planner knows of one proxy. It is kept when its stream breaks: its demand decays.
+type proxy struct {
+	connected    bool
+	subset       int
+	baselineRate float64   // requests a second that it usually gets, as told when it joined; 0 while it is away
+	demand       []float64 // requests a second by route; nil before it joined for the first time
+}
+
+// proxyRegistry holds the proxies by their number.
+type proxyRegistry struct {
+	all     []proxy
+	unbound []int // those that joined and wait to be bound, the first one first
+}
+
+// grow makes room for a proxy's number.
+func (r *proxyRegistry) grow(number int) {
+	for len(r.all) <= number {
+		r.all = append(r.all, proxy{})
 	}
+}
+
+// connected lists the proxies whose streams are connected.
+func (r *proxyRegistry) connected() []int {
+	var numbers []int
+	for p := range r.all {
+		if r.all[p].connected {
+			numbers = append(numbers, p)
+		}
+	}
+	return numbers
+}
+
+// dequeue takes a proxy off those that wait to be bound.
+func (r *proxyRegistry) dequeue(number int) {
+	r.unbound = slices.DeleteFunc(r.unbound, func(p int) bool { return p == number })
+}
+
+// ProxyJoined says that a proxy's stream is connected, and how many requests a second it usually gets. The proxy is
+// bound to a table in any case, as it may hold the one of another controller.
+func (c *Planner) ProxyJoined(now float64, proxy, zone int, rate float64) {
 	c.now = now
-	best := min(zone, c.config.Zones-1)
-	if c.connected[proxy] && c.assigned[proxy]%c.config.Zones == best {
-		// One that stands is told again after a gap in the news. Its stream may never have broken: then what
-		// waits for it still waits, and it gets its table's lines. Taking that off overran the channel.
-		if !slices.Contains(c.unbound, proxy) {
-			c.unbound = append(c.unbound, proxy)
+	c.proxies.grow(proxy)
+	zone = min(zone, c.config.Zones-1)
+	if p := &c.proxies.all[proxy]; p.connected && p.subset%c.config.Zones == zone {
+		// A connected proxy is notified again after a gap in the watch. Its stream may never have broken: then what
+		// is in flight to it still is, and it gets its table's entries. Releasing that would overrun the channel.
+		if !slices.Contains(c.proxies.unbound, proxy) {
+			c.proxies.unbound = append(c.proxies.unbound, proxy)
 		}
 		c.bindWaiting()
 		return
 	}
 	c.ProxyLeft(now, proxy)
-	c.connected[proxy], c.baselineRate[proxy] = true, rate
-	c.assignSubset(proxy, best)
-	if home := c.assigned[proxy]; len(c.members[home]) == 0 {
-		c.demandReportedAt[home] = now // all were away: the first report on one took off their usual calls
-	}
-	if c.demand[proxy] == nil || sum(c.demand[proxy]) < rate {
-		// One that is back counts for its usual calls at once: what it is asked is told seconds later.
-		c.demand[proxy] = slices.Repeat([]float64{rate / float64(len(c.config.Routes))}, len(c.config.Routes))
-	}
+	c.connect(proxy, zone, rate)
 	if !c.config.Sharded {
-		c.unbound = append(c.unbound, proxy)
+		c.proxies.unbound = append(c.proxies.unbound, proxy)
 		c.bindWaiting()
 	}
 }
 
-// ProxyLeft says that a proxy's stream broke. Its usage fades: a short break swings no zone's share.
+// connect gives a proxy its subset and its demand until reports tell it.
+func (c *Planner) connect(proxy, zone int, rate float64) {
+	p := &c.proxies.all[proxy]
+	p.connected = true
+	p.baselineRate = rate
+	c.assignSubset(proxy, zone)
+	if s := &c.subsets[p.subset]; len(s.members) == 0 {
+		// All its proxies were away, and the time until now tells nothing of their demand: else the first report
+		// would take off their baseline rates, and the allocation would spill into the subset's own endpoints.
+		s.demandReportedAt = c.now
+	}
+	if p.demand == nil || sum(p.demand) < rate {
+		// A proxy that is back counts for its baseline rate at once: its reports come seconds later.
+		p.demand = slices.Repeat([]float64{rate / float64(len(c.config.Routes))}, len(c.config.Routes))
+	}
+}
+
+// ProxyLeft says that a proxy's stream broke. Its demand decays, so that a short break moves no subset's share.
 func (c *Planner) ProxyLeft(now float64, proxy int) {
 	c.now = now
-	if proxy < len(c.connected) && c.connected[proxy] {
-		home, gone := c.assigned[proxy], func(p int) bool { return p == proxy }
-		c.subsetBaselineRate[home] -= c.baselineRate[proxy]
-		c.members[home], c.unbound = slices.DeleteFunc(c.members[home], gone), slices.DeleteFunc(c.unbound, gone)
-		c.connected[proxy], c.baselineRate[proxy] = false, 0
-		c.inFlight.proxyLeft(proxy)
+	if proxy >= len(c.proxies.all) || !c.proxies.all[proxy].connected {
+		return
 	}
+	p := &c.proxies.all[proxy]
+	s := &c.subsets[p.subset]
+	s.baselineRate -= p.baselineRate
+	s.members = slices.DeleteFunc(s.members, func(member int) bool { return member == proxy })
+	c.proxies.dequeue(proxy)
+	p.connected = false
+	p.baselineRate = 0
+	c.inFlight.proxyLeft(proxy)
 }
 
-// bindWaiting puts proxies that joined on their tables, as the queue takes them: a fleet would overrun it.
-// Before any node is known a table would only take from them the nodes that they hold.
+// bindWaiting binds proxies that joined, as flow control lets it: a whole fleet at once would overrun the channel.
+// Before the first endpoint is known it binds none: an empty table would take from them what they hold.
 func (c *Planner) bindWaiting() {
-	for len(c.unbound) > 0 && len(c.node) > 0 {
-		p := c.unbound[0]
-		if !c.fits(c.bindCost(p)+c.config.MessageOverhead+1, bindShare) {
+	for len(c.proxies.unbound) > 0 && len(c.endpoints.all) > 0 {
+		proxy := c.proxies.unbound[0]
+		if !c.fits(c.bindCost(proxy)+c.config.MessageOverhead+1, bindShare) {
 			return
 		}
-		c.unbound = c.unbound[1:]
-		c.bind(p)
+		c.proxies.unbound = c.proxies.unbound[1:]
+		c.bind(proxy)
 	}
 }
 
-// bindCost is how many lines of its own it takes to bind a proxy to its table.
+// bindCost is the entries that a proxy is sent when it is bound: the bind, the admission levels and the table.
 func (c *Planner) bindCost(proxy int) float64 {
-	lines := 1 + float64(len(c.config.Routes))
-	for _, weight := range c.published[c.assigned[proxy]] {
-		lines += min(1, math.Ceil(weight))
+	entries := 1 + float64(len(c.config.Routes))
+	for _, weight := range c.subsets[c.proxies.all[proxy].subset].published {
+		entries += min(1, math.Ceil(weight))
 	}
-	return lines
+	return entries
 }
 
+// bind puts a proxy on its subset's table.
 func (c *Planner) bind(proxy int) {
-	c.host.BindProxy(proxy, c.assigned[proxy])
-	if members := &c.members[c.assigned[proxy]]; !slices.Contains(*members, proxy) {
-		*members = append(*members, proxy)
+	subset := c.proxies.all[proxy].subset
+	c.host.BindProxy(proxy, subset)
+	s := &c.subsets[subset]
+	if !slices.Contains(s.members, proxy) {
+		s.members = append(s.members, proxy)
 	}
 	c.reserve([]int{proxy}, c.bindCost(proxy))
-	c.inFlight.addBind(c.assigned[proxy])
+	c.inFlight.addBind(subset)
 }
--- a/planner/queue.go
+++ b/planner/queue.go
@@ -15,10 +15,10 @@
 
 // reserveEntry books a line to the proxies of a pool.
 func (c *Planner) reserveEntry(pool int) {
-	if w := c.messageTimes[pool]; len(c.members[pool]) > 0 && (len(w) == 0 || w[len(w)-1] != c.now) {
-		c.messageTimes[pool] = append(w, c.now)
+	if w := c.subsets[pool].messageTimes; len(c.subsets[pool].members) > 0 && (len(w) == 0 || w[len(w)-1] != c.now) {
+		c.subsets[pool].messageTimes = append(w, c.now)
 	}
-	c.reserve(c.members[pool], 1)
+	c.reserve(c.subsets[pool].members, 1)
 	c.inFlight.addWeight(c.now, pool)
 }
 
@@ -49,9 +49,9 @@
 
 // mayPublish tells whether lines to all proxies of a pool and messages for them fit into a part of the limits.
 func (c *Planner) mayPublish(pool int, each, queue float64) bool {
-	w := slices.DeleteFunc(c.messageTimes[pool], func(at float64) bool { return c.now-at > c.config.MessageWindow })
-	c.messageTimes[pool] = w
-	lines, limit := c.inFlight.cost(c.now, c.members[pool], each), queue*float64(c.config.MaxMessages)-1
+	w := slices.DeleteFunc(c.subsets[pool].messageTimes, func(at float64) bool { return c.now-at > c.config.MessageWindow })
+	c.subsets[pool].messageTimes = w
+	lines, limit := c.inFlight.cost(c.now, c.subsets[pool].members, each), queue*float64(c.config.MaxMessages)-1
 	more := len(w) == 0 || w[len(w)-1] != c.now
 	return c.fits(lines, queue) && (!more || c.config.MaxMessages == 0 || len(w) == 0 || float64(len(w)) < limit)
 }
@@ -63,15 +63,10 @@
 		return
 	}
 	c.inFlight.probes++
-	var here []int
-	for p, joined := range c.connected {
-		if joined {
-			here = append(here, p)
-		}
-	}
+	here := c.proxies.connected()
 	if len(here) > 0 {
 		p := here[int(c.random()*float64(len(here)))]
-		c.unbound = slices.DeleteFunc(c.unbound, func(q int) bool { return q == p })
+		c.proxies.dequeue(p)
 		c.bind(p)
 	}
 }
--- a/planner/speed.go
+++ b/planner/speed.go
@@ -19,43 +19,45 @@
 // nothing counts as busy by how long its tries wait beside the best time seen there.
 func (c *Planner) learnCapacity() {
 	keep := math.Exp(-updateInterval / capacityWindow)
-	for i, ended := range c.completed {
-		lost, spent := c.failed[i], c.latencySum[i]
-		if c.state[i] != Ready || c.health[i] != healthy || ended < minAttempts || c.slowStartFraction(i) < 1 || c.meanObjective == 0 {
+	for i := range c.endpoints.all {
+		ended := c.endpoints.all[i].completed
+		lost, spent := c.endpoints.all[i].failed, c.endpoints.all[i].latencySum
+		if c.endpoints.all[i].state != Ready || c.endpoints.all[i].health != healthy || ended < minAttempts || c.slowStartFraction(i) < 1 || c.meanObjective == 0 {
 			continue
 		}
-		use := c.utilization[i]
+		use := c.endpoints.all[i].utilization
 		if c.config.UtilizationIndex < 0 {
 			if good := ended - lost; good >= minAttempts {
-				c.baselineLatency[i] = min(c.baselineLatency[i]*(1+baselineLatencyGrowth*updateInterval), spent/good)
+				c.endpoints.all[i].baselineLatency = min(c.endpoints.all[i].baselineLatency*(1+baselineLatencyGrowth*updateInterval), spent/good)
 			}
-			quick := min(c.baselineLatency[i], idleLatency*c.meanObjective)
+			quick := min(c.endpoints.all[i].baselineLatency, idleLatency*c.meanObjective)
 			use = 1 - quick/max(quick, (spent+lost*c.meanObjective)/ended)
 		}
-		c.answered[i] = c.answered[i]*keep + (ended-lost)/loadWindow*updateInterval
-		c.busySeconds[i] = c.busySeconds[i]*keep + max(use, minUtilization)*c.weight[i]*updateInterval
+		c.endpoints.all[i].answered = c.endpoints.all[i].answered*keep + (ended-lost)/loadWindow*updateInterval
+		c.endpoints.all[i].busySeconds = c.endpoints.all[i].busySeconds*keep + max(use, minUtilization)*c.endpoints.all[i].weight*updateInterval
 	}
 	done, busy := make([]float64, len(c.typeCapacity)), make([]float64, len(c.typeCapacity))
-	for i, k := range c.machineType {
-		done[k], busy[k] = done[k]+c.answered[i], busy[k]+c.busySeconds[i]
+	for i := range c.endpoints.all {
+		k := c.endpoints.all[i].machineType
+		done[k], busy[k] = done[k]+c.endpoints.all[i].answered, busy[k]+c.endpoints.all[i].busySeconds
 	}
 	for k := range c.typeCapacity {
-		c.typeCapacity[k] = (done[k] + capacityPrior*(sum(c.answered)+1e-9)/(sum(c.busySeconds)+1e-9)) / (busy[k] + capacityPrior)
+		c.typeCapacity[k] = (done[k] + capacityPrior*(c.endpoints.sum(func(e *endpoint) float64 { return e.answered })+1e-9)/(c.endpoints.sum(func(e *endpoint) float64 { return e.busySeconds })+1e-9)) / (busy[k] + capacityPrior)
 	}
 }
 
 // learnedCapacity is a node's listed weight times what is learned of it; where little is, its kind's.
 func (c *Planner) learnedCapacity(i int) float64 {
-	prior := capacityPrior * c.weight[i]
-	return c.weight[i] * (c.answered[i] + prior*c.typeCapacity[c.machineType[i]]) / (c.busySeconds[i] + prior)
+	prior := capacityPrior * c.endpoints.all[i].weight
+	return c.endpoints.all[i].weight * (c.endpoints.all[i].answered + prior*c.typeCapacity[c.endpoints.all[i].machineType]) / (c.endpoints.all[i].busySeconds + prior)
 }
 
 // slowStartFraction is the part of its weight that a node has by its ramp.
 func (c *Planner) slowStartFraction(i int) float64 {
-	if c.startTime[i] <= 0 {
+	if c.endpoints.all[i].startTime <= 0 {
 		return 1
 	}
-	return min(1, minSlowStartFraction+(1-minSlowStartFraction)*max(0, c.now-c.startTime[i])/max(c.config.SlowStartWindow, stepInterval))
+	return min(1, minSlowStartFraction+(1-minSlowStartFraction)*max(0, c.now-c.endpoints.all[i].startTime)/max(c.config.SlowStartWindow, stepInterval))
 }
 
 // slowStartDamping guards against a cold node being pushed over by tries that others turn away: it gets less
@@ -70,18 +72,18 @@
 
 // capacity is a node's part of its pool's capacity.
 func (c *Planner) capacity(i int) float64 {
-	if c.state[i] != Ready || c.health[i] == ejected {
+	if c.endpoints.all[i].state != Ready || c.endpoints.all[i].health == ejected {
 		return 0
 	}
 	room, usual := c.learnedCapacity(i), c.medianFailureRatio
 	if warmth := c.slowStartFraction(i); warmth < 1 {
 		room, usual = room*warmth*c.slowStartDamping(i), 0
 	}
-	if c.completed[i] >= minAttempts {
+	if c.endpoints.all[i].completed >= minAttempts {
 		// One that has grown far slower than its peers, or is cold, loses tries long before its speed is learned.
-		room *= max(minCapacityFraction, 1-max(0, c.failed[i]/c.completed[i]-usual))
+		room *= max(minCapacityFraction, 1-max(0, c.endpoints.all[i].failed/c.endpoints.all[i].completed-usual))
 	}
-	if c.health[i] == probation {
+	if c.endpoints.all[i].health == probation {
 		room *= probationFraction
 	}
 	return room
--- a/planner/pools.go
+++ b/planner/subsets.go
@@ -11,47 +11,81 @@
 	unseenDemandPrior  = 20.0 // proxies that must be seen before ours tell much of those that we do not see
 )
 
-// makeSubsets makes the pools, each some nodes and proxies of a zone with one table for these. A zone is one pool
-// unless its table would take the channel too long and give its proxies too many connections.
-func (c *Planner) makeSubsets(nodes int) {
-	n := c.config.Zones * max(1, int(math.Ceil(float64(nodes)/float64(c.config.Zones)/maxSubsetEndpoints)))
-	c.subsetDemand, c.members, c.messageTimes = make([]float64, n), make([][]int, n), make([][]float64, n)
-	c.desired, c.published = make([][]float64, n), make([][]float64, n)
-	c.subsetBaselineRate, c.dealtByZone = make([]float64, n), make([]int, c.config.Zones)
-	c.demandReportedAt = slices.Repeat([]float64{c.now}, n)
-	c.publishedLevels, c.levelsPublishedAt, c.publishedNoRetry = make([][]float64, n), make([]float64, n), make([]bool, n)
-	for z := range c.publishedLevels {
-		c.publishedLevels[z] = slices.Repeat([]float64{1}, len(c.config.Routes)) // proxies let all in until told
+// subset is some endpoints and proxies of a zone. These proxies, its members, share one routing table.
+type subset struct {
+	members      []int     // proxies that are bound to its table
+	baselineRate float64   // requests a second that its connected proxies usually get
+	messageTimes []float64 // s, of the messages written to its members within Config.MessageWindow
+
+	demand           float64 // requests a second, as of the last step
+	demandReportedAt float64 // s, when one of its proxies last reported demand
+
+	publishedLevels   []float64 // admission levels by route
+	levelsPublishedAt float64   // s
+	publishedNoRetry  bool      // whether retries were switched off with them
+
+	desired, published []float64 // the table's weights by endpoint
+}
+
+// makeSubsets makes the subsets for a list of some endpoints. A zone is one subset unless that would have more than
+// maxSubsetEndpoints: a long table would take the channel too long and give the proxies too many connections.
+func (c *Planner) makeSubsets(endpoints int) {
+	perZone := max(1, int(math.Ceil(float64(endpoints)/float64(c.config.Zones)/maxSubsetEndpoints)))
+	c.subsets = make([]subset, c.config.Zones*perZone)
+	for z := range c.subsets {
+		c.subsets[z] = subset{
+			demandReportedAt: c.now,
+			publishedLevels:  slices.Repeat([]float64{1}, len(c.config.Routes)), // proxies admit all until told
+		}
 	}
+	c.endpoints.dealtByZone = make([]int, c.config.Zones)
 }
 
-// assignSubset gives a proxy the pool of its zone whose proxies get the fewest calls.
+// assignSubset gives a proxy the subset of its zone with the lowest baseline rate.
 func (c *Planner) assignSubset(proxy, zone int) {
 	best := zone
-	for pool := best; pool < len(c.desired); pool += c.config.Zones {
-		if c.subsetBaselineRate[pool] < c.subsetBaselineRate[best] {
-			best = pool
+	for candidate := best; candidate < len(c.subsets); candidate += c.config.Zones {
+		if c.subsets[candidate].baselineRate < c.subsets[best].baselineRate {
+			best = candidate
 		}
 	}
-	c.assigned[proxy] = best
-	c.subsetBaselineRate[best] += c.baselineRate[proxy]
+	c.proxies.all[proxy].subset = best
+	c.subsets[best].baselineRate += c.proxies.all[proxy].baselineRate
+}
+
+// baselineRate is the requests a second that the connected proxies usually get.
+func (c *Planner) baselineRate() (total float64) {
+	for z := range c.subsets {
+		total += c.subsets[z].baselineRate
+	}
+	return total
+}
+
+// demandBySubset lists the subsets' demand, in requests a second.
+func (c *Planner) demandBySubset() []float64 {
+	demand := make([]float64, len(c.subsets))
+	for z := range c.subsets {
+		demand[z] = c.subsets[z].demand
+	}
+	return demand
 }
 
 // demandShares are the calls by pool for the fill. A conductor that its own zone's proxies join would lend their
 // calls to all zones alike: those that it does not see are taken to be as many, and where the room is.
 func (c *Planner) demandShares(poolRoom []float64) []float64 {
 	if !c.config.LocalZoneProxies {
-		return c.subsetDemand
+		return c.demandBySubset()
 	}
-	shares, missing := slices.Clone(c.subsetDemand), make([]float64, len(poolRoom))
+	shares, missing := c.demandBySubset(), make([]float64, len(poolRoom))
 	all, seen, room := float64(c.config.Proxies), 0.0, max(sum(poolRoom), 1e-9)
-	for pool, members := range c.members {
+	for pool := range c.subsets {
+		members := c.subsets[pool].members
 		seen += float64(len(members))
 		missing[pool] = max(0, all*poolRoom[pool]/room-float64(len(members)))
 	}
 	// The fuller our own nodes are, the likelier it is that others have more room.
 	belief := max(0, min(1, (saturatedLatency-c.saturation)/(saturatedLatency-relievedLatency)))
-	unseen, whole := belief*sum(c.subsetBaselineRate)/(seen+unseenDemandPrior)*max(0, all-seen), sum(missing)
+	unseen, whole := belief*c.baselineRate()/(seen+unseenDemandPrior)*max(0, all-seen), sum(missing)
 	for pool, proxies := range missing {
 		shares[pool] += unseen * proxies / max(whole, 1e-9)
 	}
--- a/planner/tables.go
+++ b/planner/tables.go
@@ -16,11 +16,11 @@
 
 // planTables water-fills the pools' traffic over the pools' room and lays the wanted tables out.
 func (c *Planner) planTables() {
-	n := len(c.desired)
-	room, poolRoom, total := make([]float64, len(c.node)), make([]float64, n), 0.0
-	for i := range c.node {
+	n := len(c.subsets)
+	room, poolRoom, total := make([]float64, len(c.endpoints.all)), make([]float64, n), 0.0
+	for i := range c.endpoints.all {
 		room[i] = c.capacity(i)
-		poolRoom[c.subset[i]] += room[i]
+		poolRoom[c.endpoints.all[i].subset] += room[i]
 		total += room[i]
 	}
 	given := c.allocate(c.demandShares(poolRoom), poolRoom)
@@ -29,10 +29,10 @@
 	taker, part := make([]int, n), make([]float64, n)
 	for z, room := range poolRoom {
 		part[z] = max(maxSpillFraction, 1-given[z*n+z]/max(room, 1e-9))
-		clear(c.desired[z])
+		clear(c.subsets[z].desired)
 	}
-	for i := len(c.node) - 1; i >= 0; i-- {
-		z, own := c.subset[i], room[i]
+	for i := len(c.endpoints.all) - 1; i >= 0; i-- {
+		z, own := c.endpoints.all[i].subset, room[i]
 		for lend := part[z] * room[i]; lend > 0 && taker[z] < n-1; {
 			from := (z + 1 + taker[z]) % n
 			if given[from*n+z] < minWeightChange*room[i] {
@@ -40,22 +40,23 @@
 				continue
 			}
 			take := min(lend, given[from*n+z])
-			c.desired[from][i] += take
+			c.subsets[from].desired[i] += take
 			given[from*n+z] -= take
 			own, lend = own-take, lend-take
 		}
 		if given[z*n+z] > 0 {
-			c.desired[z][i] = own
+			c.subsets[z].desired[i] = own
 		}
 	}
-	for z, want := range c.desired {
+	for z := range c.subsets {
+		want := c.subsets[z].desired
 		whole := sum(want)
 		for i := range want {
 			if whole > 0 {
 				want[i] /= whole
-			} else if total == 0 && c.state[i] == Ready {
-				want[i] = c.published[z][i] // no capacity: the last tables stay, but for what must go
-			} else if c.subset[i] == z || poolRoom[z] == 0 {
+			} else if total == 0 && c.endpoints.all[i].state == Ready {
+				want[i] = c.subsets[z].published[i] // no capacity: the last tables stay, but for what must go
+			} else if c.endpoints.all[i].subset == z || poolRoom[z] == 0 {
 				// No allocation: its own nodes, or where it has none, all: a proxy that joins must find a line.
 				want[i] = room[i] / max(total, 1e-9)
 			}
@@ -74,8 +75,8 @@
 	}
 	c.tablesOutdated = false
 	c.planTables()
-	for t := range c.published {
-		gone := slices.DeleteFunc(c.changedEntries(t, 0), func(i int) bool { return c.state[i] == Ready })
+	for t := range c.subsets {
+		gone := slices.DeleteFunc(c.changedEntries(t, 0), func(i int) bool { return c.endpoints.all[i].state == Ready })
 		c.tablesOutdated = !c.publish(t, gone, urgentShare) || c.tablesOutdated
 	}
 	c.bindWaiting()
@@ -83,8 +84,8 @@
 		c.tablesOutdated = true
 		return
 	}
-	urgent := make([][]int, len(c.published))
-	for t := range c.published {
+	urgent := make([][]int, len(c.subsets))
+	for t := range c.subsets {
 		_, urgent[t] = c.misplaced(t)
 	}
 	c.tablesOutdated = !c.publishAll(urgent, bindShare) || c.tablesOutdated
@@ -93,13 +94,13 @@
 // misplaced tells how many of a table's calls go elsewhere than wanted, and the lines that cannot wait.
 func (c *Planner) misplaced(t int) (calls float64, urgent []int) {
 	rest, part := 0.0, 0.0
-	for i, weight := range c.published[t] {
-		if c.desired[t][i] > 0 {
+	for i, weight := range c.subsets[t].published {
+		if c.subsets[t].desired[i] > 0 {
 			rest += weight
 		}
 	}
-	for i, weight := range c.published[t] {
-		want := c.desired[t][i]
+	for i, weight := range c.subsets[t].published {
+		want := c.subsets[t].desired[i]
 		part += math.Abs(want-weight/max(rest, 1e-9)) / 2
 		if weight > 0 && (want == 0 || c.slowStartFraction(i) < 1 && 2*want*rest <= weight) {
 			urgent = append(urgent, i)
@@ -108,10 +109,10 @@
 	if rest == 0 || part > maxMisplaced || len(urgent) > 0 {
 		urgent = c.changedEntries(t, minWeightChange)
 	}
-	if rest == 0 && len(c.members[t]) > 0 {
+	if rest == 0 && len(c.subsets[t].members) > 0 {
 		return math.Inf(1), urgent // its proxies have no node to pick
 	}
-	return part * c.subsetDemand[t], urgent
+	return part * c.subsets[t].demand, urgent
 }
 
 // publishAll sends lines by table, the one with most calls off for each line first: else a small pool's, all of
@@ -124,7 +125,7 @@
 		if len(lines[t]) > 0 {
 			tables = append(tables, t)
 			off[t], _ = c.misplaced(t)
-			off[t] /= c.inFlight.cost(c.now, c.members[t], float64(len(lines[t]))) + 1
+			off[t] /= c.inFlight.cost(c.now, c.subsets[t].members, float64(len(lines[t]))) + 1
 		}
 	}
 	slices.SortStableFunc(tables, func(t, u int) int { return cmp.Compare(off[u], off[t]) })
@@ -145,15 +146,16 @@
 		}
 		return
 	}
-	if c.now < c.nextPublication || len(c.unbound) > 0 || c.available(idleShare) <= 0 {
+	if c.now < c.nextPublication || len(c.proxies.unbound) > 0 || c.available(idleShare) <= 0 {
 		return
 	}
 	c.planTables()
 	var first, then []int
-	for t, want := range c.desired {
+	for t := range c.subsets {
+		want := c.subsets[t].desired
 		sends := false
 		for i, weight := range want {
-			sends = sends || weight > 0 && c.subset[i] != t
+			sends = sends || weight > 0 && c.endpoints.all[i].subset != t
 		}
 		if moved := len(c.changedEntries(t, minWeightChange)) > 0; moved && sends {
 			then = append(then, t)
@@ -174,7 +176,7 @@
 // publishedScale turns wanted weights into those of a table as sent, by their median ratio: weights only count beside
 // each other, so that a line that goes or turns cold moves no other.
 func (c *Planner) publishedScale(t int) float64 {
-	want, sent, half := c.desired[t], c.published[t], 0.0
+	want, sent, half := c.subsets[t].desired, c.subsets[t].published, 0.0
 	var kept []int
 	for i, weight := range want {
 		if weight > 0 && sent[i] > 0 {
@@ -194,9 +196,9 @@
 // changedEntries lists a table's lines that are off by more than a part, the one that moves most calls first.
 func (c *Planner) changedEntries(t int, part float64) (lines []int) {
 	scale := c.publishedScale(t)
-	by := func(i int) float64 { return math.Abs(c.desired[t][i]*scale - c.published[t][i]) }
-	for i, want := range c.desired[t] {
-		if by(i) > part*max(want*scale, c.published[t][i]) {
+	by := func(i int) float64 { return math.Abs(c.subsets[t].desired[i]*scale - c.subsets[t].published[i]) }
+	for i, want := range c.subsets[t].desired {
+		if by(i) > part*max(want*scale, c.subsets[t].published[i]) {
 			lines = append(lines, i)
 		}
 	}
@@ -206,7 +208,7 @@
 
 // changedByTable lists, by table, what moved of some tables by a tenth.
 func (c *Planner) changedByTable(tables []int) [][]int {
-	lines := make([][]int, len(c.desired))
+	lines := make([][]int, len(c.subsets))
 	for _, t := range tables {
 		lines[t] = c.changedEntries(t, minWeightChange)
 	}
@@ -224,8 +226,8 @@
 		}
 	}
 	for _, i := range lines[:n] {
-		c.published[t][i] = c.desired[t][i] * scale
-		c.host.SetWeight(t, c.node[i], c.published[t][i])
+		c.subsets[t].published[i] = c.subsets[t].desired[i] * scale
+		c.host.SetWeight(t, c.endpoints.all[i].node, c.subsets[t].published[i])
 		c.reserveEntry(t)
 	}
 	return n == len(lines)
--- a/planner/trace_test.go
+++ b/planner/trace_test.go
@@ -86,7 +86,7 @@
 		tr.now = tr.wake
 		if tr.now >= next {
 			next += tr.c.config.ReportInterval
-			for node := uint32(1); int(node) <= len(tr.c.node); node++ {
+			for node := uint32(1); int(node) <= len(tr.c.endpoints.all); node++ {
 				s := tr.meets[node]
 				s.Node = node
 				if s.Completed > 0 {
@@ -101,7 +101,7 @@
 		}
 		tr.c.Step(tr.now)
 		if !tr.mute && tr.order > 0 {
-			for p := range tr.c.connected {
+			for p := range tr.c.proxies.all {
 				tr.c.Acknowledged(tr.now, p, tr.order)
 			}
 		}
