--- a/planner/bench_test.go
+++ b/planner/bench_test.go
@@ -43,7 +43,7 @@
 }
 
 func answerAll(c *Planner, now float64, proxies int) {
-	mark := c.inFlight.nonces % nonceModulo
+	mark := c.flow.account.nonces % nonceModulo
 	c.CommandsAccepted(now, mark)
 	for p := range proxies {
 		c.Acknowledged(now, p, mark)
--- a/planner/brain_test.go
+++ b/planner/brain_test.go
@@ -356,9 +356,9 @@
 		tr.c.UpdateEndpoints(tr.now, []Endpoint{{Node: 1, StartTime: tr.now, State: EndpointState(1 + k%2)}})
 		tr.run(2)
 	}
-	tr.say("free %.0f", tr.c.available(1))
+	tr.say("free %.0f", tr.c.flow.available(1))
 	tr.c.ProxyLeft(tr.now, 0)
-	tr.say("free %.0f", tr.c.available(1))
+	tr.say("free %.0f", tr.c.flow.available(1))
 	tr.check()
 }
 
@@ -492,10 +492,10 @@
 	kept := ""
 	for _, step := range steps {
 		step.do()
-		least := tr.c.available(1)
+		least := tr.c.flow.available(1)
 		for range 30 {
 			tr.run(0.1)
-			least = min(least, tr.c.available(1))
+			least = min(least, tr.c.flow.available(1))
 		}
 		lines, bound := 0, 0
 		for subset := range tr.c.subsets {
@@ -650,7 +650,7 @@
 	}
 	waits := func(when string) {
 		bound := len(tr.c.subsets[0].members) + len(tr.c.subsets[1].members)
-		tr.say("%s: %.0f of %.0f lines wait, %d bound", when, tr.c.inFlight.entries, site.MaxInFlightEntries, bound)
+		tr.say("%s: %.0f of %.0f lines wait, %d bound", when, tr.c.flow.account.entries, site.MaxInFlightEntries, bound)
 	}
 	join()
 	waits("joined")
@@ -672,7 +672,7 @@
 func TestRepeated(t *testing.T) {
 	site := testSite()
 	tr := scene(t, site, 4)
-	waits := func(when string) { tr.say("%s: %.0f lines wait", when, tr.c.inFlight.entries) }
+	waits := func(when string) { tr.say("%s: %.0f lines wait", when, tr.c.flow.account.entries) }
 	tr.run(1)
 	waits("calm")
 	tr.mute = true
@@ -712,7 +712,7 @@
 	var kept []string
 	say := func(when string) {
 		bound := len(tr.c.subsets[0].members) + len(tr.c.subsets[1].members)
-		kept = append(kept, fmt.Sprintf("%s: %.1f s of the channel wait, %d bound", when, tr.c.inFlight.entries/site.EntriesPerSecond, bound))
+		kept = append(kept, fmt.Sprintf("%s: %.1f s of the channel wait, %d bound", when, tr.c.flow.account.entries/site.EntriesPerSecond, bound))
 	}
 	say("joined")
 	for range 4 {
@@ -720,7 +720,7 @@
 		tr.run(1)
 	}
 	say("4 s later")
-	before := tr.c.inFlight.entries
+	before := tr.c.flow.account.entries
 	tr.c.UpdateEndpoints(tr.now, []Endpoint{{Node: 2, Zone: 1, State: Draining}})
 	kept = append(kept, fmt.Sprintf("the drain is behind %.1f s", before/site.EntriesPerSecond))
 	tr.Reset()
--- a/planner/conductor.go
+++ b/planner/conductor.go
@@ -11,7 +11,7 @@
 // New makes a conductor that knows nothing yet.
 func New(host Host, site Config, now float64) *Planner {
 	c := &Planner{host: host, config: site, now: now, endpoints: endpointRegistry{indexOf: map[uint32]int{}}, nextPublication: now, nextUpdate: now,
-		decayedAt: now, workBudget: math.Inf(1), saturated: true, subscribeAt: math.Inf(1), inFlight: flowControl{messageOverhead: site.MessageOverhead}}
+		decayedAt: now, workBudget: math.Inf(1), saturated: true, subscribeAt: math.Inf(1), flow: newFlowControl(site)}
 	c.typeCapacity = slices.Repeat([]float64{1}, site.MachineTypes)
 	for _, figure := range []*[]float64{&c.routeDemand, &c.originalRequests, &c.unthrottledDemand, &c.rejected, &c.level, &c.priorityPerCost} {
 		*figure = make([]float64, len(site.Routes))
--- /dev/null
+++ b/planner/flowcontrol.go
@@ -0,0 +1,150 @@
+package planner
+
+import "slices"
+
+// Shares of the channel's queue (Config.MaxInFlightEntries) that commands may fill. The more urgent a command, the more
+// it may fill, so that what must go always finds room.
+const (
+	idleShare     = 0.10 // up to which the queue counts as empty
+	ordinaryShare = 0.35 // for changes of tables that may wait; the channel can be several times slower than stated
+	bindShare     = 0.60 // for tables of proxies that joined, admission levels and tables that are far off
+	urgentShare   = 0.80 // for endpoints that drain or were removed
+	maxCallShare  = 0.20 // for one call: where answers are lost, it may be in flight several times
+)
+
+const (
+	// maxQueueSeconds is how much of the channel's rate may be in flight for what is not urgent. What waits longer is
+	// out of date when it arrives, and urgent entries wait behind it.
+	maxQueueSeconds = 2.0
+	// probeSeconds is the time from the last batch to the first probe of what is in flight.
+	probeSeconds = 3.0
+	// maxProbeBackoff bounds the time between two probes, in probeSeconds above the first.
+	maxProbeBackoff = 3.0
+)
+
+// flowControl decides which commands may be sent now, by what is in flight to the proxies.
+type flowControl struct {
+	account          inFlightAccount
+	maxEntries       float64 // that may be in flight
+	entriesPerSecond float64 // that the channel delivers as stated, 0 if not stated
+	maxMessages      int     // to one proxy within messageWindow, 0 for no limit
+	messageWindow    float64 // s
+	probes           float64 // probes since a nonce was last acknowledged
+}
+
+func newFlowControl(config Config) flowControl {
+	return flowControl{
+		account:          inFlightAccount{messageOverhead: config.MessageOverhead},
+		maxEntries:       config.MaxInFlightEntries,
+		entriesPerSecond: config.EntriesPerSecond,
+		maxMessages:      config.MaxMessages,
+		messageWindow:    config.MessageWindow,
+	}
+}
+
+// available returns how many entries may be sent until a share of the queue is full. What is in flight is known by
+// acknowledgements alone: the channel can be far slower than stated, and for long. Where the queue holds far more
+// than the channel delivers in maxQueueSeconds, what is not urgent fills a share of that only.
+func (f *flowControl) available(share float64) float64 {
+	size := f.maxEntries
+	if share < urgentShare && f.entriesPerSecond > 0 {
+		size = min(size, maxQueueSeconds*f.entriesPerSecond)
+	}
+	return share*size - f.account.entries
+}
+
+// idle reports whether the queue counts as empty.
+func (f *flowControl) idle() bool { return f.available(idleShare) > 0 }
+
+// fits reports whether entries may be sent within a share of the queue and of the next call. If they are more than
+// the share ever has room for, they may be sent while the queue is idle: else they would wait for good.
+func (f *flowControl) fits(entries, share float64) bool {
+	unanswered := f.account.unanswered
+	fitsCall := unanswered == 0 || unanswered+entries <= maxCallShare*f.maxEntries
+	if !fitsCall {
+		return false
+	}
+	return entries <= f.available(share) || f.idle() && entries <= f.available(urgentShare)
+}
+
+// mayPublish reports whether entries for each member of a subset fit into a share of the queue, and a message to each
+// into a share of the messages that a proxy may get.
+func (f *flowControl) mayPublish(now float64, s *subset, each, share float64) bool {
+	s.messageTimes = slices.DeleteFunc(s.messageTimes, func(at float64) bool { return now-at > f.messageWindow })
+	if !f.fits(f.account.cost(now, s.members, each), share) {
+		return false
+	}
+	recent := len(s.messageTimes)
+	needsMessage := recent == 0 || s.messageTimes[recent-1] != now
+	maxRecent := share*float64(f.maxMessages) - 1
+	return !needsMessage || f.maxMessages == 0 || recent == 0 || float64(recent) < maxRecent
+}
+
+// probeDue reports whether nothing was sent, and nothing acknowledged, for so long that a proxy has to be probed.
+func (f *flowControl) probeDue(now float64) bool {
+	batches := f.account.batches
+	if len(batches) == 0 {
+		return false
+	}
+	wait := probeSeconds * (1 + min(f.probes, maxProbeBackoff))
+	return now >= batches[len(batches)-1].at+wait
+}
+
+// reserveEntry counts an entry for each member of a subset as in flight.
+func (c *Planner) reserveEntry(subset int) {
+	s := &c.subsets[subset]
+	recent := len(s.messageTimes)
+	if len(s.members) > 0 && (recent == 0 || s.messageTimes[recent-1] != c.now) {
+		s.messageTimes = append(s.messageTimes, c.now)
+	}
+	c.reserve(s.members, 1)
+	c.flow.account.countWeight(c.now, subset)
+}
+
+// reserve counts entries for each of some proxies as in flight. The first of a batch requests acknowledgement.
+func (c *Planner) reserve(proxies []int, each float64) {
+	if c.flow.account.reserve(c.now, proxies, each) {
+		c.host.RequestAck(c.flow.account.nonces % nonceModulo)
+	}
+}
+
+// probe binds one connected proxy again when nothing was acknowledged for long. Without it the channel could count as
+// full for good: the proxies that were to acknowledge the last nonce may have been renewed, and as nothing fits,
+// nothing is sent that others could acknowledge. The proxy that is bound acknowledges that all before has left.
+func (c *Planner) probe() {
+	if !c.flow.probeDue(c.now) {
+		return
+	}
+	c.flow.probes++
+	connected := c.proxies.connected()
+	if len(connected) == 0 {
+		return
+	}
+	proxy := connected[int(c.random()*float64(len(connected)))]
+	c.proxies.dequeue(proxy)
+	c.bind(proxy)
+}
+
+// InFlight is how many entries may be in flight to the proxies, never fewer than are.
+func (c *Planner) InFlight() float64 { return c.flow.account.entries }
+
+// CommandsAccepted says that the call with a nonce was answered: its commands were carried out.
+func (c *Planner) CommandsAccepted(now float64, nonce int) {
+	c.now = now
+	c.flow.account.accept(nonce)
+}
+
+// CommandsRetried says that the call with a nonce goes out again though its outcome is unknown: it may have been
+// carried out, all of it (whole) or its first part.
+func (c *Planner) CommandsRetried(now float64, nonce int, whole bool) {
+	c.now = now
+	c.flow.account.retry(nonce, whole)
+}
+
+// Acknowledged says that a proxy applied all commands up to a nonce.
+func (c *Planner) Acknowledged(now float64, proxy, nonce int) {
+	c.now = now
+	if c.flow.account.acknowledge(proxy, nonce) {
+		c.flow.probes = 0
+	}
+}
--- /dev/null
+++ b/planner/inflight_test.go
@@ -0,0 +1,76 @@
+package planner
+
+import (
+	"fmt"
+	"math/rand/v2"
+	"testing"
+)
+
+// checkInvariants fails the test if a field of the account contradicts what its comment says.
+func checkInvariants(t *testing.T, a *inFlightAccount) {
+	t.Helper()
+	var entries, unanswered float64
+	for k, b := range a.batches {
+		open := 0.0
+		for _, n := range b.open {
+			open += n
+		}
+		if b.entries != open {
+			t.Fatalf("batch %d has %v entries, its open messages %v", b.nonce, b.entries, open)
+		}
+		if b.reserved < b.entries || b.messages < len(b.open) {
+			t.Fatalf("batch %d reserved %v entries in %d messages, and %v in %d are open", b.nonce, b.reserved, b.messages,
+				b.entries, len(b.open))
+		}
+		if k > 0 && a.batches[k-1].nonce >= b.nonce {
+			t.Fatalf("batch %d comes after batch %d", b.nonce, a.batches[k-1].nonce)
+		}
+		if k > 0 && b.accepted && !a.batches[k-1].accepted {
+			t.Fatalf("batch %d is accepted, batch %d before it is not", b.nonce, a.batches[k-1].nonce)
+		}
+		entries += b.entries + b.repeated
+		if !b.accepted {
+			unanswered += b.entries
+		}
+	}
+	if a.entries != entries || a.unanswered != unanswered {
+		t.Fatalf("%v entries and %v unanswered, the batches have %v and %v", a.entries, a.unanswered, entries, unanswered)
+	}
+}
+
+// Flow control decides by the sums of the account. If they drifted from the batches, the channel would be overrun or
+// count as full for good. They have to agree after any sequence of events. Whole numbers of entries add up exactly.
+func TestInFlightAccountInvariants(t *testing.T) {
+	for seed := range uint64(40) {
+		t.Run(fmt.Sprintf("seed %d", seed), func(t *testing.T) {
+			random := rand.New(rand.NewPCG(seed, 1))
+			a := inFlightAccount{messageOverhead: 5}
+			now := 100.0
+			for range 400 {
+				proxy := random.IntN(8)
+				nonce := max(0, a.nonces-random.IntN(6))
+				switch random.IntN(8) {
+				case 0, 1:
+					now += 0.1
+				case 2, 3:
+					a.reserve(now, []int{proxy, 8 + random.IntN(8)}, float64(1+random.IntN(9)))
+					a.countWeight(now, random.IntN(3))
+				case 4:
+					a.reserve(now, []int{proxy}, 10)
+					a.countBind(now, random.IntN(3))
+				case 5:
+					a.accept(nonce)
+				case 6:
+					a.acknowledge(proxy, nonce)
+				case 7:
+					if random.IntN(2) == 0 {
+						a.proxyLeft(proxy)
+					} else {
+						a.retry(nonce, random.IntN(2) == 0)
+					}
+				}
+				checkInvariants(t, &a)
+			}
+		})
+	}
+}
--- a/planner/levels.go
+++ b/planner/levels.go
@@ -95,8 +95,8 @@
 		if !late || c.subsets[z].publishedNoRetry == c.saturated && slices.Equal(sent, c.level) {
 			continue
 		}
-		room := c.fits(c.inFlight.cost(c.now, c.subsets[z].members, routes), bindShare) || c.available(idleShare) > 0
-		if all = all && room; !room || !c.mayPublish(z, routes, urgentShare) {
+		room := c.flow.fits(c.flow.account.cost(c.now, c.subsets[z].members, routes), bindShare) || c.flow.idle()
+		if all = all && room; !room || !c.flow.mayPublish(c.now, &c.subsets[z], routes, urgentShare) {
 			continue // a pool that has had its messages holds no other back
 		}
 		for r, level := range c.level {
--- a/planner/proxies.go
+++ b/planner/proxies.go
@@ -95,7 +95,7 @@
 	c.proxies.dequeue(proxy)
 	p.connected = false
 	p.baselineRate = 0
-	c.inFlight.proxyLeft(proxy)
+	c.flow.account.proxyLeft(proxy)
 }
 
 // bindWaiting binds proxies that joined, as flow control lets it: a whole fleet at once would overrun the channel.
@@ -103,7 +103,7 @@
 func (c *Planner) bindWaiting() {
 	for len(c.proxies.unbound) > 0 && len(c.endpoints.all) > 0 {
 		proxy := c.proxies.unbound[0]
-		if !c.fits(c.bindCost(proxy)+c.config.MessageOverhead+1, bindShare) {
+		if !c.flow.fits(c.bindCost(proxy)+c.config.MessageOverhead+1, bindShare) {
 			return
 		}
 		c.proxies.unbound = c.proxies.unbound[1:]
@@ -129,5 +129,5 @@
 		s.members = append(s.members, proxy)
 	}
 	c.reserve([]int{proxy}, c.bindCost(proxy))
-	c.inFlight.addBind(subset)
+	c.flow.account.countBind(c.now, subset)
 }
--- a/planner/state.go
+++ b/planner/state.go
@@ -37,7 +37,7 @@
 
 	nextPublication, stageDeadline, nextUpdate, decayedAt, noCutBefore, throttlingSince float64 // the next or last time of each
 
-	inFlight flowControl // what waits on its way to the proxies
+	flow flowControl
 
 	workBudget, peakThroughput float64   // work a second, in SLO times: what is let in, what was answered at best of late
 	budgetScale                float64   // listed weight, ramped, of the nodes, times the calls, that these are for
--- a/planner/tables.go
+++ b/planner/tables.go
@@ -125,7 +125,7 @@
 		if len(lines[t]) > 0 {
 			tables = append(tables, t)
 			off[t], _ = c.misplaced(t)
-			off[t] /= c.inFlight.cost(c.now, c.subsets[t].members, float64(len(lines[t]))) + 1
+			off[t] /= c.flow.account.cost(c.now, c.subsets[t].members, float64(len(lines[t]))) + 1
 		}
 	}
 	slices.SortStableFunc(tables, func(t, u int) int { return cmp.Compare(off[u], off[t]) })
@@ -140,13 +140,13 @@
 // publishOrdinary sends the tables that moved: pools that receive first, then pools that send to others.
 func (c *Planner) publishOrdinary() {
 	if len(c.nextStage) > 0 {
-		if open, messages := c.inFlight.unacknowledged(c.stageNonce); 2*open <= messages || c.now >= c.stageDeadline {
+		if open, messages := c.flow.account.unacknowledged(c.stageNonce); 2*open <= messages || c.now >= c.stageDeadline {
 			c.publishAll(c.changedByTable(c.nextStage), ordinaryShare)
 			c.nextStage = nil
 		}
 		return
 	}
-	if c.now < c.nextPublication || len(c.proxies.unbound) > 0 || c.available(idleShare) <= 0 {
+	if c.now < c.nextPublication || len(c.proxies.unbound) > 0 || !c.flow.idle() {
 		return
 	}
 	c.planTables()
@@ -170,7 +170,7 @@
 		c.nextPublication = c.now + publishInterval
 		c.publishAll(c.changedByTable(first), ordinaryShare)
 	}
-	c.nextStage, c.stageNonce, c.stageDeadline = then, c.inFlight.nonces, c.now+publishInterval
+	c.nextStage, c.stageNonce, c.stageDeadline = then, c.flow.account.nonces, c.now+publishInterval
 }
 
 // publishedScale turns wanted weights into those of a table as sent, by their median ratio: weights only count beside
@@ -220,8 +220,8 @@
 // nodes were on no table for 10 s.
 func (c *Planner) publish(t int, lines []int, queue float64) bool {
 	scale, n := c.publishedScale(t), len(lines)
-	for n > 0 && !c.mayPublish(t, float64(n), queue) {
-		if n--; queue < urgentShare && c.available(idleShare) <= 0 {
+	for n > 0 && !c.flow.mayPublish(c.now, &c.subsets[t], float64(n), queue) {
+		if n--; queue < urgentShare && !c.flow.idle() {
 			return false
 		}
 	}
