--- a/planner/brain_test.go
+++ b/planner/brain_test.go
@@ -57,8 +57,11 @@
 		{"one zone only", []float64{7}, []float64{3}},
 	} {
 		n := len(fill.rooms)
-		c := &Planner{config: Config{Zones: n}}
-		given := c.allocate(fill.shares, fill.rooms)
+		loads := make([]subsetLoad, n)
+		for z := range loads {
+			loads[z] = subsetLoad{zone: z, demand: fill.shares[z], capacity: fill.rooms[z]}
+		}
+		given := allocate(loads, n, false).granted
 		tr.say("%s: shares %v rooms %v", fill.name, fill.shares, fill.rooms)
 		for from := range n {
 			tr.say("  zone %d gives %.2f", from, given[from*n:from*n+n])
@@ -609,7 +612,7 @@
 	tr.c.ProxyJoined(tr.now, 1, 1, 40)
 	tr.c.AddDemandReport(tr.now, DemandReport{Proxy: 1, Route: 0, Requests: 1, Interval: 0.5})
 	tr.c.Step(tr.wake)
-	tr.say("calls a second by pool %.0f", tr.c.demandBySubset())
+	tr.say("calls a second by pool %.0f", []float64{tr.c.subsets[0].demand, tr.c.subsets[1].demand})
 	tr.check()
 }
 
--- a/planner/load.go
+++ b/planner/load.go
@@ -122,7 +122,7 @@
 // and that is turned away again; how often shows early in throttling, beside what as many asked before.
 func (c *Planner) estimateOriginalRequests() (asked float64) {
 	all, was, hidden, turned := sum(c.routeDemand), 0.0, 0.0, 0.0
-	calls := max(sum(c.demandBySubset()), 1e-9)
+	calls := max(c.subsetDemand(), 1e-9)
 	for r, rate := range c.routeDemand {
 		shut := 0.0
 		for z := range c.subsets {
--- a/planner/subsets.go
+++ b/planner/subsets.go
@@ -8,7 +8,6 @@
 // Pools of nodes and proxies, and what of each pool's traffic goes to which.
 const (
 	maxSubsetEndpoints = 10.0 // nodes of a pool on average: one is a tenth, and each still gets many calls of a proxy
-	unseenDemandPrior  = 20.0 // proxies that must be seen before ours tell much of those that we do not see
 )
 
 // subset is some endpoints and proxies of a zone. These proxies, its members, share one routing table.
@@ -61,82 +60,10 @@
 	return total
 }
 
-// demandBySubset lists the subsets' demand, in requests a second.
-func (c *Planner) demandBySubset() []float64 {
-	demand := make([]float64, len(c.subsets))
+// subsetDemand is the demand of all subsets, in requests a second.
+func (c *Planner) subsetDemand() (total float64) {
 	for z := range c.subsets {
-		demand[z] = c.subsets[z].demand
-	}
-	return demand
-}
-
-// demandShares are the calls by pool for the fill. A conductor that its own zone's proxies join would lend their
-// calls to all zones alike: those that it does not see are taken to be as many, and where the room is.
-func (c *Planner) demandShares(poolRoom []float64) []float64 {
-	if !c.config.LocalZoneProxies {
-		return c.demandBySubset()
-	}
-	shares, missing := c.demandBySubset(), make([]float64, len(poolRoom))
-	all, seen, room := float64(c.config.Proxies), 0.0, max(sum(poolRoom), 1e-9)
-	for pool := range c.subsets {
-		members := c.subsets[pool].members
-		seen += float64(len(members))
-		missing[pool] = max(0, all*poolRoom[pool]/room-float64(len(members)))
-	}
-	// The fuller our own nodes are, the likelier it is that others have more room.
-	belief := max(0, min(1, (saturatedLatency-c.saturation)/(saturatedLatency-relievedLatency)))
-	unseen, whole := belief*c.baselineRate()/(seen+unseenDemandPrior)*max(0, all-seen), sum(missing)
-	for pool, proxies := range missing {
-		shares[pool] += unseen * proxies / max(whole, 1e-9)
-	}
-	return shares
-}
-
-// allocate is the paper's Algorithm 1 over pools: direct room first, then evenly over those that still have room,
-// of its own zone first, a pool weighing its share of the traffic. It gives what of each goes to which.
-func (c *Planner) allocate(shares, poolRoom []float64) []float64 {
-	n := len(poolRoom)
-	left := slices.Clone(poolRoom)
-	given := make([]float64, n*n)
-	whole := sum(poolRoom)
-	use, load := make([]float64, n*n), make([]float64, n)
-	for {
-		clear(use)
-		clear(load)
-		near, far := make([][]int, c.config.Zones), []int(nil) // pools with room, of a zone and anywhere
-		for to := range n {
-			if left[to] > 1e-9*whole {
-				near[to%c.config.Zones] = append(near[to%c.config.Zones], to)
-				far = append(far, to)
-			}
-		}
-		for from, share := range shares {
-			targets := near[from%c.config.Zones]
-			if left[from] > 1e-9*whole {
-				targets = []int{from}
-			} else if len(targets) == 0 && !c.localZoneOnly {
-				targets = far
-			}
-			if share > 0 && len(targets) == 0 {
-				return given
-			}
-			for _, to := range targets {
-				use[from*n+to] += share / float64(len(targets))
-				load[to] += share / float64(len(targets))
-			}
-		}
-		bottleneck := math.Inf(1)
-		for to := range n {
-			if load[to] > 0 {
-				bottleneck = min(bottleneck, left[to]/load[to])
-			}
-		}
-		if math.IsInf(bottleneck, 1) {
-			return given
-		}
-		for k, u := range use {
-			given[k] += u * bottleneck
-			left[k%n] -= u * bottleneck
-		}
+		total += c.subsets[z].demand
 	}
+	return total
 }
--- a/planner/tables.go
+++ b/planner/tables.go
@@ -14,51 +14,76 @@
 	maxMisplaced     = 0.25 // part of a table's calls that may go elsewhere than wanted before it is set anew at once
 )
 
-// planTables water-fills the pools' traffic over the pools' room and lays the wanted tables out.
+// planTables sets the desired weights of all tables: it allocates the subsets' demand to their capacity and lays out
+// what each is granted.
 func (c *Planner) planTables() {
+	capacity := make([]float64, len(c.endpoints.all)) // by endpoint
+	loads := make([]subsetLoad, len(c.subsets))
+	for z := range loads {
+		loads[z].zone = z % c.config.Zones
+		loads[z].demand = c.subsets[z].demand
+	}
+	total := 0.0
+	for i := range capacity {
+		capacity[i] = c.capacity(i)
+		loads[c.endpoints.all[i].subset].capacity += capacity[i]
+		total += capacity[i]
+	}
+	c.addUnseenDemand(loads)
+	granted := allocate(loads, c.config.Zones, c.localZoneOnly)
+	c.layOutTables(capacity, loads, &granted)
+	c.normalizeTables(capacity, loads, total)
+}
+
+// layOutTables turns what subsets are granted into capacity by endpoint. What a subset grants to others takes few of
+// its endpoints, from the end of the list: an entry costs one at every proxy of the table. But it takes none whole: if
+// the other subsets are lost, the subset's own members still have entries for all its endpoints.
+func (c *Planner) layOutTables(capacity []float64, loads []subsetLoad, granted *allocation) {
 	n := len(c.subsets)
-	room, poolRoom, total := make([]float64, len(c.endpoints.all)), make([]float64, n), 0.0
-	for i := range c.endpoints.all {
-		room[i] = c.capacity(i)
-		poolRoom[c.endpoints.all[i].subset] += room[i]
-		total += room[i]
-	}
-	given := c.allocate(c.demandShares(poolRoom), poolRoom)
-	// What a pool lends to others takes few nodes, from the end of the list: each line costs one at every proxy.
-	// But it takes no whole ones: should the others be lost, the pool's own proxies still hold all its nodes.
-	taker, part := make([]int, n), make([]float64, n)
-	for z, room := range poolRoom {
-		part[z] = max(maxSpillFraction, 1-given[z*n+z]/max(room, 1e-9))
+	maxSpill := make([]float64, n) // by subset, the part of an endpoint that others may take
+	for z := range c.subsets {
+		maxSpill[z] = max(maxSpillFraction, 1-granted.get(z, z)/max(loads[z].capacity, 1e-9))
 		clear(c.subsets[z].desired)
 	}
-	for i := len(c.endpoints.all) - 1; i >= 0; i-- {
-		z, own := c.endpoints.all[i].subset, room[i]
-		for lend := part[z] * room[i]; lend > 0 && taker[z] < n-1; {
-			from := (z + 1 + taker[z]) % n
-			if given[from*n+z] < minWeightChange*room[i] {
-				taker[z]++ // less is not worth a line
+	borrower := make([]int, n) // by subset, how many of the subsets that follow it have what they were granted
+	for i := len(capacity) - 1; i >= 0; i-- {
+		z := c.endpoints.all[i].subset
+		own := capacity[i]
+		spill := maxSpill[z] * capacity[i]
+		for spill > 0 && borrower[z] < n-1 {
+			from := (z + 1 + borrower[z]) % n
+			rest := granted.get(from, z)
+			if rest < minWeightChange*capacity[i] {
+				borrower[z]++ // less is not worth an entry
 				continue
 			}
-			take := min(lend, given[from*n+z])
-			c.subsets[from].desired[i] += take
-			given[from*n+z] -= take
-			own, lend = own-take, lend-take
+			taken := min(spill, rest)
+			c.subsets[from].desired[i] += taken
+			granted.take(from, z, taken)
+			own -= taken
+			spill -= taken
 		}
-		if given[z*n+z] > 0 {
+		if granted.get(z, z) > 0 {
 			c.subsets[z].desired[i] = own
 		}
 	}
+}
+
+// normalizeTables makes each table's weights add up to 1, and fills the tables that were granted nothing.
+func (c *Planner) normalizeTables(capacity []float64, loads []subsetLoad, totalCapacity float64) {
 	for z := range c.subsets {
-		want := c.subsets[z].desired
-		whole := sum(want)
-		for i := range want {
-			if whole > 0 {
-				want[i] /= whole
-			} else if total == 0 && c.endpoints.all[i].state == Ready {
-				want[i] = c.subsets[z].published[i] // no capacity: the last tables stay, but for what must go
-			} else if c.endpoints.all[i].subset == z || poolRoom[z] == 0 {
-				// No allocation: its own nodes, or where it has none, all: a proxy that joins must find a line.
-				want[i] = room[i] / max(total, 1e-9)
+		s := &c.subsets[z]
+		whole := sum(s.desired)
+		for i := range s.desired {
+			switch {
+			case whole > 0:
+				s.desired[i] /= whole
+			case totalCapacity == 0 && c.endpoints.all[i].state == Ready:
+				// No endpoint has capacity: the published table stays but for endpoints that drain or were removed.
+				s.desired[i] = s.published[i]
+			case c.endpoints.all[i].subset == z || loads[z].capacity == 0:
+				// Its own endpoints, or all where it has none: a proxy that joins must find an entry.
+				s.desired[i] = capacity[i] / max(totalCapacity, 1e-9)
 			}
 		}
 	}
