--- /dev/null
+++ b/planner/admission.go
@@ -0,0 +1,210 @@
+package planner
+
+import (
+	"cmp"
+	"math"
+	"slices"
+)
+
+// The work budget.
+const (
+	// budgetCut times what the fleet can answer is admitted after a cut: less than that, so that full queues empty.
+	budgetCut = 0.95
+	// cutIntervalSeconds is the time between two cuts: load reports reach back some seconds, come late and are
+	// averaged, so that a cut shows only then.
+	cutIntervalSeconds = 5.0
+	// budgetGrowth is the part by which the budget grows each second while the fleet is idle: queues fill later than
+	// load reports tell.
+	budgetGrowth = 0.05
+	// budgetRecovery is the part by which it grows besides, for a budget of nothing beside the peak throughput.
+	budgetRecovery = 0.5
+	// minWindowCoverage is the part of loadWindow that has to be covered by reports before they tell the throughput.
+	minWindowCoverage = 0.5
+	// capacityTarget is the part of what busy endpoints could answer that is admitted: requests arrive at random.
+	capacityTarget = 0.65
+	// unboundBudgetRatio is the budget, in times of what is asked, from which on it does not bind.
+	unboundBudgetRatio = 1.3
+)
+
+// Admission levels.
+const (
+	// priorityTierRatio is the part of a route's priority per cost that another needs to share its level.
+	priorityTierRatio = 0.8
+	// minLevel is the lowest admission level: 0 would also stop the requests that a proxy holds.
+	minLevel = 0.02
+	// minLevelChange is the part by which a level has to change before it is published.
+	minLevelChange = 0.05
+)
+
+// admissionControl decides how much of each route the proxies admit. It guards against full queues, in which requests
+// wait until their objective is missed: it admits the work that the fleet has shown it can answer, and of that the
+// routes with the highest priority per cost first. A route's latency objective stands for the work of a request, as
+// nothing else is known of it; work is counted in latency objectives a second.
+type admissionControl struct {
+	kind            AdmissionKind
+	utilization     bool // whether endpoints report it
+	routes          []Route
+	byPriority      []int     // routes, that with the highest priority per cost first
+	priorityPerCost []float64 // by route
+
+	workBudget     float64 // work admitted, +Inf while it does not bind
+	peakThroughput float64 // best work answered of late
+	budgetScale    float64 // weight of the endpoints times servedBaselineRate that both are for
+	noCutBefore    float64 // s
+
+	// servedBaselineRate is the baseline rate of our proxies, those that left of late included.
+	servedBaselineRate float64
+
+	throttling      bool    // whether the budget binds
+	throttlingSince float64 // s
+
+	levels  []float64 // by route, the part of its requests to admit
+	retries clientRetryEstimate
+}
+
+// admissionInput is what an update of admission control is decided by.
+type admissionInput struct {
+	now            float64
+	demand         []float64 // requests a second by route
+	meanObjective  float64   // s, of that demand
+	subsets        []subset  // their demand and published levels
+	baselineRate   float64   // requests a second that the connected proxies usually get
+	fleet          fleetLoad
+	saturation     float64
+	windowCoverage float64 // part of loadWindow that reports cover
+	attempts       float64 // attempts a second that completed
+}
+
+func newAdmissionControl(config Config) admissionControl {
+	routes := len(config.Routes)
+	return admissionControl{
+		kind:            config.Admission,
+		utilization:     config.UtilizationIndex >= 0,
+		routes:          config.Routes,
+		priorityPerCost: make([]float64, routes),
+		workBudget:      math.Inf(1),
+		levels:          make([]float64, routes),
+		retries:         newClientRetryEstimate(routes),
+	}
+}
+
+// rankRoutes orders the routes by priority per cost and admits all of them.
+func (a *admissionControl) rankRoutes() {
+	for r, route := range a.routes {
+		a.byPriority = append(a.byPriority, r)
+		a.priorityPerCost[r] = route.PriorityWeight / max(route.LatencyObjective, 1e-9)
+		a.levels[r] = 1
+	}
+	slices.SortStableFunc(a.byPriority, func(r, q int) int {
+		return cmp.Compare(a.priorityPerCost[q], a.priorityPerCost[r])
+	})
+}
+
+// update decides the levels, every updateInterval. It reports whether throttling has begun or ended.
+func (a *admissionControl) update(in admissionInput) (throttlingChanged bool) {
+	a.followBaselineRate(in.baselineRate)
+	a.retries.update(in, a)
+	asked := a.originalWork()
+	a.scaleBudget(in.fleet.weight * a.servedBaselineRate)
+	if in.windowCoverage > minWindowCoverage {
+		// Before, a few answers would pass for all that the fleet can do, and throttle an idle one.
+		throughput := in.fleet.answers / loadWindow / in.windowCoverage * in.meanObjective
+		a.peakThroughput = max(a.peakThroughput, throughput)
+	}
+	a.moveBudget(in)
+	a.limitByUtilization(in, asked)
+	if a.kind == AdmissionOff || in.saturation < relievedLatency && a.workBudget > unboundBudgetRatio*asked {
+		a.workBudget = math.Inf(1)
+	}
+	throttling := !math.IsInf(a.workBudget, 1)
+	throttlingChanged = throttling != a.throttling
+	if throttlingChanged {
+		a.throttling = throttling
+		a.throttlingSince = in.now
+	}
+	a.assignLevels()
+	return throttlingChanged
+}
+
+// followBaselineRate follows the proxies that join at once, and those that leave as slowly as their demand decays:
+// another controller serves them from then on, or they go on sending.
+func (a *admissionControl) followBaselineRate(connected float64) {
+	connected = max(connected, 1e-9)
+	left := a.servedBaselineRate - connected
+	a.servedBaselineRate = max(connected, connected+left*math.Exp(-updateInterval/demandWindow))
+}
+
+// scaleBudget lets the budget follow the endpoints and our proxies. A zone or a release takes endpoints away and brings
+// them back, a controller that stops leaves its proxies to others: what the endpoints can answer of ours goes and
+// comes along. Held fast, the budget would reject requests at an idle fleet or admit too many to a small one.
+func (a *admissionControl) scaleBudget(scale float64) {
+	if a.budgetScale > 0 {
+		a.workBudget = a.workBudget * scale / a.budgetScale
+		a.peakThroughput = a.peakThroughput * scale / a.budgetScale
+	}
+	a.budgetScale = scale
+}
+
+// moveBudget cuts the budget while the fleet is saturated, and lets it grow while the fleet is relieved: the faster,
+// the farther it is under the peak throughput.
+func (a *admissionControl) moveBudget(in admissionInput) {
+	switch {
+	case in.saturation > saturatedLatency && in.now >= a.noCutBefore && a.peakThroughput > 0:
+		a.workBudget = budgetCut * min(a.workBudget, a.peakThroughput)
+		a.noCutBefore = in.now + cutIntervalSeconds
+	case in.saturation < relievedLatency:
+		deficit := max(0, 1-a.workBudget/max(a.peakThroughput, 1e-9))
+		growth := budgetGrowth + budgetRecovery*deficit
+		relief := min(1, (relievedLatency-in.saturation)/(relievedLatency-idleLatency))
+		a.workBudget *= 1 + growth*updateInterval*relief
+	}
+}
+
+// limitByUtilization bounds the budget by what busy endpoints could answer. Where utilization is reported that is
+// known, and a burst shows in what is asked before any queue tells. Capacity that is learned from latencies is too
+// rough for it.
+func (a *admissionControl) limitByUtilization(in admissionInput, asked float64) {
+	limit := in.fleet.capacity * (capacityTarget * in.meanObjective)
+	if a.utilization && asked > limit {
+		a.workBudget = min(a.workBudget, limit)
+	}
+}
+
+// originalWork is the work that is asked with original requests.
+func (a *admissionControl) originalWork() (work float64) {
+	for r, requests := range a.retries.original {
+		work += requests * a.routes[r].LatencyObjective
+	}
+	return work
+}
+
+// assignLevels spends the budget on the routes by priority per cost. Routes of about the same share one level, as
+// priority per cost is known only roughly.
+func (a *admissionControl) assignLevels() {
+	left := a.workBudget
+	level := 1.0
+	tierPriority := math.Inf(1)
+	for k, r := range a.byPriority {
+		if a.priorityPerCost[r] < priorityTierRatio*tierPriority {
+			tierPriority = a.priorityPerCost[r]
+			work := a.tierWork(a.byPriority[k:])
+			level = max(minLevel, min(1, left/max(work, 1e-9)))
+			left = max(0, left-work)
+		}
+		before := a.levels[r]
+		if math.Abs(level-before) > minLevelChange*before || level == 1 && before < 1 {
+			a.levels[r] = level
+		}
+	}
+}
+
+// tierWork is the work of the routes that share the level of the first one.
+func (a *admissionControl) tierWork(routes []int) (work float64) {
+	first := a.priorityPerCost[routes[0]]
+	for _, r := range routes {
+		if a.priorityPerCost[r] >= priorityTierRatio*first {
+			work += a.retries.original[r] * a.routes[r].LatencyObjective
+		}
+	}
+	return work
+}
--- a/planner/brain_test.go
+++ b/planner/brain_test.go
@@ -236,7 +236,7 @@
 	tr.say("-- it is over; each call that is turned away comes again twice")
 	for range 20 {
 		let := 0.0
-		for r, level := range tr.c.level {
+		for r, level := range tr.c.admission.levels {
 			let += 20 * level / 4
 			tr.calls[0][r] = int(10 + 20*(1-level))
 		}
--- a/planner/conductor.go
+++ b/planner/conductor.go
@@ -1,7 +1,7 @@
 package planner
 
 import (
-	"cmp"
+	"fmt"
 	"math"
 	"slices"
 )
@@ -11,21 +11,17 @@
 // New makes a conductor that knows nothing yet.
 func New(host Host, site Config, now float64) *Planner {
 	c := &Planner{host: host, config: site, now: now, endpoints: endpointRegistry{indexOf: map[uint32]int{}}, nextPublication: now, nextUpdate: now,
-		decayedAt: now, workBudget: math.Inf(1), saturated: true, subscribeAt: math.Inf(1), flow: newFlowControl(site)}
+		decayedAt: now, admission: newAdmissionControl(site), retries: retryControl{saturated: true}, subscribeAt: math.Inf(1), flow: newFlowControl(site)}
 	c.typeCapacity = slices.Repeat([]float64{1}, site.MachineTypes)
-	for _, figure := range []*[]float64{&c.routeDemand, &c.originalRequests, &c.unthrottledDemand, &c.rejected, &c.level, &c.priorityPerCost} {
-		*figure = make([]float64, len(site.Routes))
-	}
+	c.routeDemand = make([]float64, len(site.Routes))
 	c.makeSubsets(0)
 	if site.Sharded {
 		return c
 	}
-	for r, rt := range site.Routes {
-		c.routesByPriority = append(c.routesByPriority, r)
-		c.priorityPerCost[r], c.level[r] = rt.PriorityWeight/max(rt.LatencyObjective, 1e-9), 1
-		c.localZoneOnly = c.localZoneOnly || rt.LocalZoneOnly
+	c.admission.rankRoutes()
+	for _, route := range site.Routes {
+		c.localZoneOnly = c.localZoneOnly || route.LocalZoneOnly
 	}
-	slices.SortStableFunc(c.routesByPriority, func(a, b int) int { return cmp.Compare(c.priorityPerCost[b], c.priorityPerCost[a]) })
 	if site.MustSubscribe {
 		host.Subscribe()
 	}
@@ -33,6 +29,30 @@
 	return c
 }
 
+// updateAdmission decides the admission levels and the retry policy, once load reports tell enough.
+func (c *Planner) updateAdmission() {
+	if c.meanObjective == 0 || c.successRatio == 0 {
+		return
+	}
+	fleet := c.measureSaturation()
+	c.retries.update(c.saturation)
+	completed := c.endpoints.sum(func(e *endpoint) float64 { return e.completed })
+	changed := c.admission.update(admissionInput{
+		now:            c.now,
+		demand:         c.routeDemand,
+		meanObjective:  c.meanObjective,
+		subsets:        c.subsets,
+		baselineRate:   c.baselineRate(),
+		fleet:          fleet,
+		saturation:     c.saturation,
+		windowCoverage: c.windowCoverage,
+		attempts:       completed / loadWindow / c.windowCoverage,
+	})
+	if changed {
+		c.host.Log(fmt.Sprintf("throttling: %t", c.admission.throttling))
+	}
+}
+
 // Step comes at the pace that the conductor asked for.
 func (c *Planner) Step(now float64) {
 	c.now = now
--- a/planner/load.go
+++ b/planner/load.go
@@ -4,15 +4,11 @@
 
 // What proxies met at nodes, what is asked of them, and how full the fleet is.
 const (
-	demandWindow      = 3.0  // s over which a proxy's usage is averaged: long enough for its few calls, callers drift
-	loadWindow        = 2.5  // s that what was met at a node is remembered: a few dozen calls, a few reports
-	maxReportDelay    = 1.6  // s that sums come late at most, as the platform's pages tell
-	saturatedLatency  = 0.55 // part of the SLO time that the fleet's mean time may take before less is let in
-	relievedLatency   = 0.45 // part under which more is let in again
-	admissionLag      = 3.0  // s over which a level shows in what is asked: its way, the report's and the mean's
-	clientRetryWindow = 8.0  // s of throttling in which repeats are told from a change of callers
-	minRejectedDemand = 0.1  // part of the calls that must be turned away for that
-	maxClientRetries  = 3.0  // repeats of a call that are believed
+	demandWindow     = 3.0  // s over which a proxy's usage is averaged: long enough for its few calls, callers drift
+	loadWindow       = 2.5  // s that what was met at a node is remembered: a few dozen calls, a few reports
+	maxReportDelay   = 1.6  // s that sums come late at most, as the platform's pages tell
+	saturatedLatency = 0.55 // part of the SLO time that the fleet's mean time may take before less is let in
+	relievedLatency  = 0.45 // part under which more is let in again
 )
 
 // AddLoadReport brings what the proxies of a zone met at a node.
@@ -93,57 +89,40 @@
 	c.endpoints.all[i].utilization, c.endpoints.all[i].queueLength, c.endpoints.all[i].baselineLatency = 0, 0, math.Inf(1)
 }
 
+// fleetLoad is what load reports and the list tell of the endpoints in service.
+type fleetLoad struct {
+	answers  float64 // good answers within loadWindow
+	weight   float64 // listed, with slow start
+	capacity float64 // requests a second that they could answer if all were busy
+}
+
 // measureSaturation sees how full the fleet is; it gives what was answered, the nodes' weight, and what they could
 // answer. A few full nodes are for the weights to relieve: each counts for its answers, and bounded.
-func (c *Planner) measureSaturation() (good, fleet, able float64) {
+func (c *Planner) measureSaturation() fleetLoad {
+	var fleet fleetLoad
 	c.saturation = 0
 	for i := range c.endpoints.all {
-		tries := c.endpoints.all[i].completed
-		if c.endpoints.all[i].state != Ready || c.endpoints.all[i].health == ejected {
+		e := &c.endpoints.all[i]
+		if e.state != Ready || e.health == ejected {
 			continue
 		}
-		fleet, able = fleet+c.endpoints.all[i].weight*c.slowStartFraction(i), able+c.learnedCapacity(i)*c.slowStartFraction(i)
-		answers := tries - c.endpoints.all[i].failed
-		good += answers
-		// Tries lost where the others are quick are no load: connections refused, or a node that fails.
-		slow := min(1, max(0, (c.endpoints.all[i].latencySum/max(answers, 1)/c.meanObjective-idleLatency)/(saturatedLatency-idleLatency)))
-		part := (c.endpoints.all[i].latencySum/c.meanObjective + slow*c.endpoints.all[i].failed) / max(tries, minAttempts)
-		if c.config.QueueLengthIndex >= 0 {
-			// Calls that wait tell of a queue before those that waited do.
-			part = idleLatency + c.endpoints.all[i].queueLength*loadWindow/max(answers, 1)/float64(c.config.Controllers)/c.meanObjective
-		}
-		c.saturation += answers * min(part, 1)
+		fleet.weight += e.weight * c.slowStartFraction(i)
+		fleet.capacity += c.learnedCapacity(i) * c.slowStartFraction(i)
+		answers := e.completed - e.failed
+		fleet.answers += answers
+		c.saturation += answers * min(c.endpointSaturation(e), 1)
 	}
-	c.saturation /= max(good, 1)
-	return good, fleet, able
+	c.saturation /= max(fleet.answers, 1)
+	return fleet
 }
 
-// estimateOriginalRequests tells first tries from what is asked, in SLO times a second. Clients repeat what is turned away,
-// and that is turned away again; how often shows early in throttling, beside what as many asked before.
-func (c *Planner) estimateOriginalRequests() (asked float64) {
-	all, was, hidden, turned := sum(c.routeDemand), 0.0, 0.0, 0.0
-	calls := max(c.subsetDemand(), 1e-9)
-	for r, rate := range c.routeDemand {
-		shut := 0.0
-		for z := range c.subsets {
-			shut += (1 - c.subsets[z].publishedLevels[r]) * c.subsets[z].demand / calls
-		}
-		c.rejected[r] += (shut - c.rejected[r]) * updateInterval / admissionLag
-		if !c.throttling {
-			c.unthrottledDemand[r] = rate / c.servedBaselineRate
-		}
-		was, hidden = was+c.unthrottledDemand[r]*c.servedBaselineRate, hidden+c.unthrottledDemand[r]*c.servedBaselineRate*c.rejected[r]
-		turned += rate * c.rejected[r]
-		c.originalRequests[r] = rate / (1 + c.clientRetries*c.rejected[r])
-		asked += c.originalRequests[r] * c.config.Routes[r].LatencyObjective
-	}
-	if c.throttling && c.now < c.throttlingSince+clientRetryWindow && hidden > minRejectedDemand*was {
-		seen := min(max((all-was)/hidden, 0), maxClientRetries)
-		c.clientRetries += (seen - c.clientRetries) * updateInterval / admissionLag
-	}
-	if tries := c.endpoints.sum(func(e *endpoint) float64 { return e.completed }) / loadWindow / c.windowCoverage; c.saturation < idleLatency && turned > 0 {
-		// Repeats alone could keep an idle fleet throttled: where nothing waits, what ended was let in.
-		c.clientRetries = min(max((all-turned)/tries-1, 0)*all/turned, maxClientRetries)
+func (c *Planner) endpointSaturation(e *endpoint) float64 {
+	answers := e.completed - e.failed
+	if c.config.QueueLengthIndex >= 0 {
+		// Calls that wait tell of a queue before those that waited do.
+		return idleLatency + e.queueLength*loadWindow/max(answers, 1)/float64(c.config.Controllers)/c.meanObjective
 	}
-	return asked
+	// Tries lost where the others are quick are no load: connections refused, or a node that fails.
+	slow := min(1, max(0, (e.latencySum/max(answers, 1)/c.meanObjective-idleLatency)/(saturatedLatency-idleLatency)))
+	return (e.latencySum/c.meanObjective + slow*e.failed) / max(e.completed, minAttempts)
 }
--- /dev/null
+++ b/planner/retrypolicy.go
@@ -0,0 +1,22 @@
+package planner
+
+// retryControl decides when proxies try another endpoint by themselves: once, after proof that the first attempt was
+// not sent, which is safe on every route. While the fleet is saturated they do not: a retry only fills another
+// endpoint, and retries of all requests together keep the fleet saturated.
+type retryControl struct {
+	// saturated is true until reports tell otherwise: the controller may have restarted during an overload.
+	saturated bool
+}
+
+// update follows the fleet's saturation, with hysteresis.
+func (r *retryControl) update(saturation float64) {
+	r.saturated = saturation > saturatedLatency || r.saturated && saturation > relievedLatency
+}
+
+// policy returns what the proxies are to do.
+func (r *retryControl) policy() RetryPolicy {
+	if r.saturated {
+		return NoRetry
+	}
+	return RetryIfNotSent
+}
--- a/planner/state.go
+++ b/planner/state.go
@@ -35,23 +35,13 @@
 	stageNonce int
 	nextStage  []int
 
-	nextPublication, stageDeadline, nextUpdate, decayedAt, noCutBefore, throttlingSince float64 // the next or last time of each
+	nextPublication, stageDeadline, nextUpdate, decayedAt float64 // the next or last time of each
 
 	flow flowControl
 
-	workBudget, peakThroughput float64   // work a second, in SLO times: what is let in, what was answered at best of late
-	budgetScale                float64   // listed weight, ramped, of the nodes, times the calls, that these are for
-	servedBaselineRate         float64   // usual calls of our proxies, with those that left of late
-	originalRequests           []float64 // calls a second by route that are first tries
-	unthrottledDemand          []float64 // calls a second by route asked before throttling, for each typical one
-	rejected                   []float64 // part of a route that was turned away, as old as what is asked
-	clientRetries              float64   // times that a client comes again with what is turned away
-	priorityPerCost            []float64 // a route's importance for its SLO time
-	routesByPriority           []int     // routes, the one with most gain first
-	level                      []float64
-	saturation                 float64 // part of an SLO time that the fleet takes for a call
-	throttling                 bool
-	saturated                  bool // also until sums tell: we may have restarted in the middle of a jam
+	admission  admissionControl
+	retries    retryControl
+	saturation float64 // part of an SLO time that the fleet takes for a call
 
 	subscribeAt, subscribeFailures float64
 }
--- a/planner/subsets.go
+++ b/planner/subsets.go
@@ -19,9 +19,9 @@
 	demand           float64 // requests a second, as of the last step
 	demandReportedAt float64 // s, when one of its proxies last reported demand
 
-	publishedLevels   []float64 // admission levels by route
-	levelsPublishedAt float64   // s
-	publishedNoRetry  bool      // whether retries were switched off with them
+	publishedLevels      []float64 // admission levels by route
+	levelsPublishedAt    float64   // s
+	publishedRetryPolicy RetryPolicy
 
 	desired, published []float64 // the table's weights by endpoint
 }
@@ -33,8 +33,9 @@
 	c.subsets = make([]subset, c.config.Zones*perZone)
 	for z := range c.subsets {
 		c.subsets[z] = subset{
-			demandReportedAt: c.now,
-			publishedLevels:  slices.Repeat([]float64{1}, len(c.config.Routes)), // proxies admit all until told
+			demandReportedAt:     c.now,
+			publishedLevels:      slices.Repeat([]float64{1}, len(c.config.Routes)), // proxies admit all until told
+			publishedRetryPolicy: RetryIfNotSent,
 		}
 	}
 	c.endpoints.dealtByZone = make([]int, c.config.Zones)
@@ -59,11 +60,3 @@
 	}
 	return total
 }
-
-// subsetDemand is the demand of all subsets, in requests a second.
-func (c *Planner) subsetDemand() (total float64) {
-	for z := range c.subsets {
-		total += c.subsets[z].demand
-	}
-	return total
-}
