--- a/planner/brain_test.go
+++ b/planner/brain_test.go
@@ -35,7 +35,7 @@
 			if len(members) != 3 {
 				t.Errorf("pool %d of %d has %d proxies", pool, len(tr.c.subsets), len(members))
 			}
-			if whole := sum(tr.c.subsets[pool].published); whole == 0 {
+			if whole := sum(tr.c.subsets[pool].table.published); whole == 0 {
 				t.Errorf("pool %d has weights of %.2f", pool, whole)
 			}
 		}
@@ -502,7 +502,7 @@
 		}
 		lines, bound := 0, 0
 		for subset := range tr.c.subsets {
-			for _, weight := range tr.c.subsets[subset].published {
+			for _, weight := range tr.c.subsets[subset].table.published {
 				if weight > 0 {
 					lines++
 				}
@@ -583,7 +583,7 @@
 	for node := range tr.meets {
 		tr.c.AddLoadReport(tr.now, LoadReport{Node: node, Completed: 120, MeanLatency: 0.2, Interval: 6})
 	}
-	tr.say("answered: %.0f a second", tr.c.endpoints.sum(func(e *endpoint) float64 { return e.completed })/loadWindow)
+	tr.say("answered: %.0f a second", tr.c.endpoints.sum(func(e *endpoint) float64 { return e.load.completed })/loadWindow)
 	tr.check()
 }
 
@@ -591,9 +591,9 @@
 func TestEmptyFirst(t *testing.T) {
 	tr := scene(t, testSite(), 24)
 	tr.run(2)
-	clear(tr.c.subsets[3].published)
+	clear(tr.c.subsets[3].table.published)
 	tr.c.subsets[3].members, tr.c.subsets[3].demand = []int{1}, 0
-	tr.c.subsets[0].published[0] *= 5
+	tr.c.subsets[0].table.published[0] *= 5
 	tr.c.planTables()
 	tr.say("-- table 0 is far off, table 3 has no line")
 	tr.c.publishAll(tr.c.changedByTable([]int{0, 1, 2, 3}), bindShare)
--- a/planner/clientretries.go
+++ b/planner/clientretries.go
@@ -44,7 +44,7 @@
 		rejected := 0.0 // mean over the subsets, as the levels were published
 		for z := range in.subsets {
 			s := &in.subsets[z]
-			rejected += (1 - s.publishedLevels[r]) * s.demand / totalSubsetDemand
+			rejected += (1 - s.admission.levels[r]) * s.demand / totalSubsetDemand
 		}
 		e.rejected[r] += (rejected - e.rejected[r]) * updateInterval / admissionLag
 		if !admission.throttling {
--- a/planner/endpoints.go
+++ b/planner/endpoints.go
@@ -17,11 +17,8 @@
 	health      health
 	healthSince float64 // s
 
-	completed, failed, latencySum float64 // attempts and s, decaying
-	queueLength, utilization      float64 // as reported
-
-	answered, busySeconds float64 // requests, and s of its weight that it was busy meanwhile, decaying
-	baselineLatency       float64 // s, the best mean latency seen
+	load     endpointLoad
+	evidence capacityEvidence
 }
 
 // endpointRegistry holds the endpoints under dense indices, which the routing tables share.
@@ -64,95 +61,111 @@
 	r.unused = append(r.unused, i)
 }
 
+// resetStatistics forgets what was seen of an endpoint's process.
+func (e *endpoint) resetStatistics() {
+	e.load = endpointLoad{}
+	e.evidence = capacityEvidence{baselineLatency: math.Inf(1)}
+}
+
+// endpointWatch is when to subscribe to the list's changes, where a controller has to.
+type endpointWatch struct {
+	subscribeAt float64 // s, +Inf unless a subscription failed
+	failures    float64 // since the last update
+}
+
 // initialSubscribeBackoff is the mean time in s from the first failure of the list's watch to the next subscription.
 const initialSubscribeBackoff = 0.2
 
 // ReplaceEndpoints handles a full list, or at the start the one last known: endpoints that it lacks are removed.
-func (c *Planner) ReplaceEndpoints(now float64, rows []Endpoint) {
-	for i := range c.endpoints.all {
-		c.endpoints.all[i].state = Removed
+func (p *Planner) ReplaceEndpoints(now float64, rows []Endpoint) {
+	for i := range p.endpoints.all {
+		p.endpoints.all[i].state = Removed
 	}
-	c.UpdateEndpoints(now, rows)
+	p.UpdateEndpoints(now, rows)
 }
 
 // UpdateEndpoints handles endpoints that are new or have changed. Those of a zone or machine type that the Config
 // does not have are ignored.
-func (c *Planner) UpdateEndpoints(now float64, rows []Endpoint) {
-	c.now = now
-	c.subscribeFailures = 0
-	if len(c.endpoints.all) == 0 {
-		c.makeSubsets(len(rows))
-		for p := range c.proxies.all {
-			if c.proxies.all[p].connected {
-				c.assignSubset(p, c.proxies.all[p].subset)
+func (p *Planner) UpdateEndpoints(now float64, rows []Endpoint) {
+	p.now = now
+	p.watch.failures = 0
+	if len(p.endpoints.all) == 0 {
+		p.makeSubsets(len(rows))
+		for number := range p.proxies.all {
+			if p.proxies.all[number].connected {
+				p.assignSubset(number, p.proxies.all[number].subset)
 			}
 		}
 	}
 	for _, listed := range rows {
-		if listed.Zone < c.config.Zones && listed.MachineType < c.config.MachineTypes {
-			c.updateEndpoint(listed)
+		if listed.Zone < p.config.Zones && listed.MachineType < p.config.MachineTypes {
+			p.updateEndpoint(listed)
 		}
 	}
-	c.tablesOutdated = !c.config.Sharded
-	c.publishUrgent()
+	p.publication.outdated = !p.config.Sharded
+	p.publishUrgent()
 }
 
-func (c *Planner) updateEndpoint(listed Endpoint) {
-	i, known := c.endpoints.indexOf[listed.Node]
+func (p *Planner) updateEndpoint(listed Endpoint) {
+	i, known := p.endpoints.indexOf[listed.Node]
 	if !known {
-		i = c.addEndpoint(listed)
+		i = p.addEndpoint(listed)
 	}
-	e := &c.endpoints.all[i]
+	e := &p.endpoints.all[i]
 	if listed.StartTime > e.startTime {
 		// A restart under the same name is a new, cold process: what was seen of the former one tells nothing of it.
 		e.startTime = listed.StartTime
-		c.setHealth(i, healthy)
-		c.resetStatistics(i)
+		p.setHealth(i, healthy)
+		e.resetStatistics()
 	}
 	e.state = listed.State
 	e.weight = cmp.Or(max(listed.Weight, 0), 1)
 }
 
 // addEndpoint deals a new endpoint to the next subset of its zone and makes room for it in all tables.
-func (c *Planner) addEndpoint(listed Endpoint) int {
-	subset := (listed.Zone + c.config.Zones*c.endpoints.dealtByZone[listed.Zone]) % len(c.subsets)
-	i := c.endpoints.add(listed, subset)
-	for t := range c.subsets {
-		s := &c.subsets[t]
-		if i == len(s.desired) {
-			s.desired = append(s.desired, 0)
-			s.published = append(s.published, 0)
-		}
+func (p *Planner) addEndpoint(listed Endpoint) int {
+	subset := (listed.Zone + p.config.Zones*p.endpoints.dealtByZone[listed.Zone]) % len(p.subsets)
+	i := p.endpoints.add(listed, subset)
+	for t := range p.subsets {
+		p.subsets[t].table.grow(i)
 	}
 	return i
 }
 
 // ReleaseEndpoint forgets an endpoint that was removed for good. Without it memory and work would grow with each
 // release of the service. It reports false, and keeps the endpoint, while a published table still has its entry.
-func (c *Planner) ReleaseEndpoint(node uint32) bool {
-	i, known := c.endpoints.indexOf[node]
+func (p *Planner) ReleaseEndpoint(node uint32) bool {
+	i, known := p.endpoints.indexOf[node]
 	if !known {
 		return true
 	}
-	for t := range c.subsets {
-		if c.endpoints.all[i].state != Removed || c.subsets[t].published[i] > 0 {
+	for t := range p.subsets {
+		if p.endpoints.all[i].state != Removed || p.subsets[t].table.published[i] > 0 {
 			return false
 		}
-		c.subsets[t].desired[i] = 0
+		p.subsets[t].table.desired[i] = 0
 	}
-	c.resetStatistics(i)
-	c.endpoints.release(i)
+	p.endpoints.all[i].resetStatistics()
+	p.endpoints.release(i)
 	return true
 }
 
 // EndpointWatchFailed says that a subscription to the list failed or broke. The next one follows after a backoff.
-func (c *Planner) EndpointWatchFailed(now float64) {
-	c.now = now
-	if !c.config.MustSubscribe || c.config.Sharded || !math.IsInf(c.subscribeAt, 1) {
+func (p *Planner) EndpointWatchFailed(now float64) {
+	p.now = now
+	if !p.config.MustSubscribe || p.config.Sharded || !math.IsInf(p.watch.subscribeAt, 1) {
 		return
 	}
 	// The backoff grows and is random: the service is one for all controllers and rejects crowds.
-	backoff := min(initialSubscribeBackoff*math.Exp2(c.subscribeFailures), c.config.SubscribeTimeout/4)
-	c.subscribeAt = now + backoff*(0.5+c.random())
-	c.subscribeFailures++
+	backoff := min(initialSubscribeBackoff*math.Exp2(p.watch.failures), p.config.SubscribeTimeout/4)
+	p.watch.subscribeAt = now + backoff*(0.5+p.random.next())
+	p.watch.failures++
+}
+
+// resubscribe subscribes to the list again when the backoff is over.
+func (p *Planner) resubscribe() {
+	if p.now >= p.watch.subscribeAt {
+		p.watch.subscribeAt = math.Inf(1)
+		p.host.Subscribe()
+	}
 }
--- a/planner/flowcontrol.go
+++ b/planner/flowcontrol.go
@@ -91,60 +91,60 @@
 }
 
 // reserveEntry counts an entry for each member of a subset as in flight.
-func (c *Planner) reserveEntry(subset int) {
-	s := &c.subsets[subset]
+func (p *Planner) reserveEntry(subset int) {
+	s := &p.subsets[subset]
 	recent := len(s.messageTimes)
-	if len(s.members) > 0 && (recent == 0 || s.messageTimes[recent-1] != c.now) {
-		s.messageTimes = append(s.messageTimes, c.now)
+	if len(s.members) > 0 && (recent == 0 || s.messageTimes[recent-1] != p.now) {
+		s.messageTimes = append(s.messageTimes, p.now)
 	}
-	c.reserve(s.members, 1)
-	c.flow.account.countWeight(c.now, subset)
+	p.reserve(s.members, 1)
+	p.flow.account.countWeight(p.now, subset)
 }
 
 // reserve counts entries for each of some proxies as in flight. The first of a batch requests acknowledgement.
-func (c *Planner) reserve(proxies []int, each float64) {
-	if c.flow.account.reserve(c.now, proxies, each) {
-		c.host.RequestAck(c.flow.account.nonces % nonceModulo)
+func (p *Planner) reserve(proxies []int, each float64) {
+	if p.flow.account.reserve(p.now, proxies, each) {
+		p.host.RequestAck(p.flow.account.nonces % nonceModulo)
 	}
 }
 
 // probe binds one connected proxy again when nothing was acknowledged for long. Without it the channel could count as
 // full for good: the proxies that were to acknowledge the last nonce may have been renewed, and as nothing fits,
 // nothing is sent that others could acknowledge. The proxy that is bound acknowledges that all before has left.
-func (c *Planner) probe() {
-	if !c.flow.probeDue(c.now) {
+func (p *Planner) probe() {
+	if !p.flow.probeDue(p.now) {
 		return
 	}
-	c.flow.probes++
-	connected := c.proxies.connected()
+	p.flow.probes++
+	connected := p.proxies.connected()
 	if len(connected) == 0 {
 		return
 	}
-	proxy := connected[int(c.random()*float64(len(connected)))]
-	c.proxies.dequeue(proxy)
-	c.bind(proxy)
+	proxy := connected[int(p.random.next()*float64(len(connected)))]
+	p.proxies.dequeue(proxy)
+	p.bind(proxy)
 }
 
 // InFlight is how many entries may be in flight to the proxies, never fewer than are.
-func (c *Planner) InFlight() float64 { return c.flow.account.entries }
+func (p *Planner) InFlight() float64 { return p.flow.account.entries }
 
 // CommandsAccepted says that the call with a nonce was answered: its commands were carried out.
-func (c *Planner) CommandsAccepted(now float64, nonce int) {
-	c.now = now
-	c.flow.account.accept(nonce)
+func (p *Planner) CommandsAccepted(now float64, nonce int) {
+	p.now = now
+	p.flow.account.accept(nonce)
 }
 
 // CommandsRetried says that the call with a nonce goes out again though its outcome is unknown: it may have been
 // carried out, all of it (whole) or its first part.
-func (c *Planner) CommandsRetried(now float64, nonce int, whole bool) {
-	c.now = now
-	c.flow.account.retry(nonce, whole)
+func (p *Planner) CommandsRetried(now float64, nonce int, whole bool) {
+	p.now = now
+	p.flow.account.retry(nonce, whole)
 }
 
 // Acknowledged says that a proxy applied all commands up to a nonce.
-func (c *Planner) Acknowledged(now float64, proxy, nonce int) {
-	c.now = now
-	if c.flow.account.acknowledge(proxy, nonce) {
-		c.flow.probes = 0
+func (p *Planner) Acknowledged(now float64, proxy, nonce int) {
+	p.now = now
+	if p.flow.account.acknowledge(proxy, nonce) {
+		p.flow.probes = 0
 	}
 }
--- a/planner/load.go
+++ b/planner/load.go
@@ -2,127 +2,148 @@
 
 import "math"
 
-// What proxies met at nodes, what is asked of them, and how full the fleet is.
 const (
-	demandWindow     = 3.0  // s over which a proxy's usage is averaged: long enough for its few calls, callers drift
-	loadWindow       = 2.5  // s that what was met at a node is remembered: a few dozen calls, a few reports
-	maxReportDelay   = 1.6  // s that sums come late at most, as the platform's pages tell
-	saturatedLatency = 0.55 // part of the SLO time that the fleet's mean time may take before less is let in
-	relievedLatency  = 0.45 // part under which more is let in again
+	// loadWindow is the time in s over which the attempts at an endpoint are remembered: a few dozen of them, and a few
+	// reports.
+	loadWindow = 2.5
+	// maxReportDelay is the most that a load report comes late, in s, as the platform's pages tell.
+	maxReportDelay = 1.6
+	// minAttempts is how many attempts must have completed before an endpoint, or the fleet, is judged by them.
+	minAttempts = 4.0
 )
 
-// AddLoadReport brings what the proxies of a zone met at a node.
-func (c *Planner) AddLoadReport(now float64, s LoadReport) {
-	c.now = now
-	i, known := c.endpoints.indexOf[s.Node]
-	if !known || now-s.Interval-maxReportDelay < c.endpoints.all[i].startTime {
-		return // it tells of the process before: a zone's new nodes were put out for what the lost ones had lost
-	}
-	// What was held up and comes all at once must not pass for a rate of answers that was never reached.
-	part := min(1, loadWindow/max(s.Interval, 1e-9))
-	ended, lost := float64(s.Completed)*part, float64(s.Failed)*part
-	c.endpoints.all[i].completed, c.endpoints.all[i].failed, c.endpoints.all[i].latencySum = c.endpoints.all[i].completed+ended, c.endpoints.all[i].failed+lost, c.endpoints.all[i].latencySum+(ended-lost)*s.MeanLatency
-	if k := c.config.QueueLengthIndex; k >= 0 && k < len(s.Values) {
-		c.endpoints.all[i].queueLength = s.Values[k]
-	}
-	if k := c.config.UtilizationIndex; k >= 0 && k < len(s.Values) {
-		c.endpoints.all[i].utilization += (s.Values[k] - c.endpoints.all[i].utilization) * (1 - math.Exp(-c.config.ReportInterval/loadWindow))
-	}
+// Saturation, the mean latency of attempts as part of the latency objective.
+const (
+	idleLatency      = 0.30 // of an attempt that does not wait, for all that is known
+	relievedLatency  = 0.45 // under which more is admitted
+	saturatedLatency = 0.55 // over which less is admitted
+)
+
+// endpointLoad is what load reports tell of an endpoint. The attempts decay over loadWindow.
+type endpointLoad struct {
+	completed   float64 // attempts
+	failed      float64 // of these
+	latencySum  float64 // s, of those that did not fail
+	queueLength float64 // requests that wait, as last reported
+	utilization float64 // busy part of its cores, as reported, averaged
 }
 
-// AddDemandReport brings how many calls of a route came to a proxy.
-func (c *Planner) AddDemandReport(now float64, u DemandReport) {
-	c.now = now
-	if u.Proxy >= len(c.proxies.all) || c.proxies.all[u.Proxy].demand == nil || int(u.Route) >= len(c.config.Routes) || u.Interval <= 0 {
-		return
-	}
-	// A proxy without calls says nothing: what was counted fades as others of its pool report, and stays while
-	// none does. Reports that were held up come all at once: each tells of the time that is averaged at most.
-	pool := c.proxies.all[u.Proxy].subset
-	if keep := math.Exp((c.subsets[pool].demandReportedAt - now) / demandWindow); keep < 1 {
-		for _, member := range c.subsets[pool].members {
-			demand := c.proxies.all[member].demand
-			for r := range demand {
-				demand[r] *= keep
-			}
-		}
-	}
-	c.subsets[pool].demandReportedAt = now
-	c.proxies.all[u.Proxy].demand[u.Route] += float64(u.Requests) / max(u.Interval, demandWindow)
+// answers are the attempts that did not fail.
+func (l *endpointLoad) answers() float64 { return l.completed - l.failed }
+
+// decay takes a factor of the attempts off.
+func (l *endpointLoad) decay(keep float64) {
+	l.completed *= keep
+	l.failed *= keep
+	l.latencySum *= keep
 }
 
-// updateDemand lets what was met age, but on trial, where few calls must tell, and sums up what is asked.
-func (c *Planner) updateDemand() {
-	keep := math.Exp((c.decayedAt - c.now) / loadWindow)
-	c.decayedAt = c.now
-	for i := range c.endpoints.all {
-		if c.endpoints.all[i].health != probation {
-			c.endpoints.all[i].completed, c.endpoints.all[i].failed, c.endpoints.all[i].latencySum = keep*c.endpoints.all[i].completed, keep*c.endpoints.all[i].failed, keep*c.endpoints.all[i].latencySum
-		}
-	}
-	c.successRatio = 0
-	if ended := c.endpoints.sum(func(e *endpoint) float64 { return e.completed }); ended >= minAttempts {
-		c.successRatio = 1 - c.endpoints.sum(func(e *endpoint) float64 { return e.failed })/ended
-		c.windowCoverage += (1 - c.windowCoverage) * (1 - keep)
+// loadStatistics is what load reports tell of the fleet.
+type loadStatistics struct {
+	decayedAt      float64 // s
+	successRatio   float64 // part of all attempts that did not fail, 0 while too few completed
+	windowCoverage float64 // part of loadWindow that reports have covered since the planner started
+	saturation     float64 // mean latency of attempts as part of the latency objective, as of the last update
+}
+
+// AddLoadReport handles what the proxies of a zone got from an endpoint. Reports on unknown endpoints are ignored.
+func (p *Planner) AddLoadReport(now float64, report LoadReport) {
+	p.now = now
+	i, known := p.endpoints.indexOf[report.Node]
+	if !known {
+		return
 	}
-	for z := range c.subsets {
-		c.subsets[z].demand = 0
+	e := &p.endpoints.all[i]
+	if now-report.Interval-maxReportDelay < e.startTime {
+		// The report reaches back to the process before: when a lost zone came back, its new endpoints would be ejected
+		// for the failures of the lost ones.
+		return
 	}
-	clear(c.routeDemand)
-	for p := range c.proxies.all {
-		for r, rate := range c.proxies.all[p].demand {
-			c.subsets[c.proxies.all[p].subset].demand += rate
-			c.routeDemand[r] += rate
-			if !c.proxies.all[p].connected {
-				c.proxies.all[p].demand[r] *= math.Exp(-stepInterval / demandWindow)
-			}
-		}
+	// Reports that were held up come all at once. Each counts for the window that is averaged at most: else they would
+	// pass for a throughput that was never reached.
+	part := min(1, loadWindow/max(report.Interval, 1e-9))
+	completed := float64(report.Completed) * part
+	failed := float64(report.Failed) * part
+	e.load.completed += completed
+	e.load.failed += failed
+	e.load.latencySum += (completed - failed) * report.MeanLatency
+	if k := p.config.QueueLengthIndex; k >= 0 && k < len(report.Values) {
+		e.load.queueLength = report.Values[k]
 	}
-	c.meanObjective = 0
-	for r, rate := range c.routeDemand {
-		c.meanObjective += c.config.Routes[r].LatencyObjective * rate / max(sum(c.routeDemand), 1e-9)
+	if k := p.config.UtilizationIndex; k >= 0 && k < len(report.Values) {
+		weight := 1 - math.Exp(-p.config.ReportInterval/loadWindow)
+		e.load.utilization += (report.Values[k] - e.load.utilization) * weight
 	}
 }
 
-func (c *Planner) resetStatistics(i int) {
-	c.endpoints.all[i].completed, c.endpoints.all[i].failed, c.endpoints.all[i].latencySum, c.endpoints.all[i].answered, c.endpoints.all[i].busySeconds = 0, 0, 0, 0, 0
-	c.endpoints.all[i].utilization, c.endpoints.all[i].queueLength, c.endpoints.all[i].baselineLatency = 0, 0, math.Inf(1)
+// update decays the attempts, but those of endpoints on probation, where few must tell, and sees how many succeed.
+func (s *loadStatistics) update(now float64, endpoints *endpointRegistry) {
+	keep := math.Exp((s.decayedAt - now) / loadWindow)
+	s.decayedAt = now
+	for i := range endpoints.all {
+		if e := &endpoints.all[i]; e.health != probation {
+			e.load.decay(keep)
+		}
+	}
+	s.successRatio = 0
+	completed := endpoints.sum(func(e *endpoint) float64 { return e.load.completed })
+	if completed >= minAttempts {
+		failed := endpoints.sum(func(e *endpoint) float64 { return e.load.failed })
+		s.successRatio = 1 - failed/completed
+		s.windowCoverage += (1 - s.windowCoverage) * (1 - keep)
+	}
 }
 
 // fleetLoad is what load reports and the list tell of the endpoints in service.
 type fleetLoad struct {
-	answers  float64 // good answers within loadWindow
-	weight   float64 // listed, with slow start
-	capacity float64 // requests a second that they could answer if all were busy
+	answers  float64 // attempts within loadWindow that did not fail
+	weight   float64 // listed weight, as far as slow start gives it
+	capacity float64 // requests a second that they can answer
+}
+
+// fleetInput is what the fleet's load is measured by.
+type fleetInput struct {
+	now           float64
+	endpoints     []endpoint
+	capacity      *capacityEstimate
+	slowStart     slowStart
+	meanObjective float64 // s
+	queueReported bool    // whether endpoints report the requests that wait
+	controllers   int     // whose requests wait there
 }
 
-// measureSaturation sees how full the fleet is; it gives what was answered, the nodes' weight, and what they could
-// answer. A few full nodes are for the weights to relieve: each counts for its answers, and bounded.
-func (c *Planner) measureSaturation() fleetLoad {
+// measureFleet measures the load of the endpoints in service and their saturation. A few full endpoints are for the
+// weights to relieve: each counts with its answers, and for a latency objective at most.
+func (s *loadStatistics) measureFleet(in fleetInput) fleetLoad {
 	var fleet fleetLoad
-	c.saturation = 0
-	for i := range c.endpoints.all {
-		e := &c.endpoints.all[i]
+	latency := 0.0 // in latency objectives
+	for i := range in.endpoints {
+		e := &in.endpoints[i]
 		if e.state != Ready || e.health == ejected {
 			continue
 		}
-		fleet.weight += e.weight * c.slowStartFraction(i)
-		fleet.capacity += c.learnedCapacity(i) * c.slowStartFraction(i)
-		answers := e.completed - e.failed
+		fraction := in.slowStart.fraction(in.now, e.startTime)
+		answers := e.load.answers()
+		fleet.weight += e.weight * fraction
+		fleet.capacity += in.capacity.learned(e) * fraction
 		fleet.answers += answers
-		c.saturation += answers * min(c.endpointSaturation(e), 1)
+		latency += answers * min(in.endpointLatency(e), 1)
 	}
-	c.saturation /= max(fleet.answers, 1)
+	s.saturation = latency / max(fleet.answers, 1)
 	return fleet
 }
 
-func (c *Planner) endpointSaturation(e *endpoint) float64 {
-	answers := e.completed - e.failed
-	if c.config.QueueLengthIndex >= 0 {
-		// Calls that wait tell of a queue before those that waited do.
-		return idleLatency + e.queueLength*loadWindow/max(answers, 1)/float64(c.config.Controllers)/c.meanObjective
+// endpointLatency is the mean latency of attempts at an endpoint as part of the latency objective.
+func (in *fleetInput) endpointLatency(e *endpoint) float64 {
+	answers := max(e.load.answers(), 1)
+	if in.queueReported {
+		// Requests that wait tell of a queue before those that have waited do.
+		wait := e.load.queueLength * loadWindow / answers / float64(in.controllers) / in.meanObjective
+		return idleLatency + wait
 	}
-	// Tries lost where the others are quick are no load: connections refused, or a node that fails.
-	slow := min(1, max(0, (e.latencySum/max(answers, 1)/c.meanObjective-idleLatency)/(saturatedLatency-idleLatency)))
-	return (e.latencySum/c.meanObjective + slow*e.failed) / max(e.completed, minAttempts)
+	// A failed attempt counts for an objective where the answers are slow. Where they are quick it tells of no queue,
+	// but of rejected connections or a fault.
+	answerLatency := e.load.latencySum / answers / in.meanObjective
+	slow := min(1, max(0, (answerLatency-idleLatency)/(saturatedLatency-idleLatency)))
+	return (e.load.latencySum/in.meanObjective + slow*e.load.failed) / max(e.load.completed, minAttempts)
 }
--- /dev/null
+++ b/planner/outlier.go
@@ -0,0 +1,133 @@
+package planner
+
+import "slices"
+
+const (
+	// ejectFailureRatio is the part of its attempts that an endpoint may fail, above medianFailureMultiple times what
+	// the median endpoint fails.
+	ejectFailureRatio     = 0.25
+	medianFailureMultiple = 1.5
+	// deadFailureRatio is the part of failed attempts that no load explains: a full endpoint answers some.
+	deadFailureRatio = 0.95
+	// minOverloadQueue is the queue length, where reported, that tells of load rather than of a fault.
+	minOverloadQueue = 1.0
+	// maxEjectedWeight is the part of the listed weight that may be ejected at once if all attempts fail there, and less
+	// in proportion if fewer do.
+	maxEjectedWeight = 0.40
+	// ejectionSeconds is how long an endpoint is ejected before its probation: most faults last longer.
+	ejectionSeconds = 4.0
+	// probationFraction is the part of its capacity that an endpoint gets on probation, as a new one does.
+	probationFraction = 0.25
+)
+
+// health is an endpoint's state in outlier detection.
+type health uint8
+
+const (
+	healthy   health = iota
+	ejected          // it gets no requests for ejectionSeconds
+	probation        // it gets few requests, to be judged by
+)
+
+func (h health) String() string {
+	switch h {
+	case healthy:
+		return "healthy"
+	case ejected:
+		return "ejected"
+	case probation:
+		return "probation"
+	}
+	return "unknown"
+}
+
+// logWord is the word of Host.Log for a health. It is on the simulator's wire.
+func (h health) logWord() string {
+	switch h {
+	case ejected:
+		return "out"
+	case probation:
+		return "on trial"
+	}
+	return "well"
+}
+
+// healthChange is a decision on an endpoint, by its index.
+type healthChange struct {
+	endpoint int
+	health   health
+}
+
+// outlierDetector ejects endpoints that fail far more attempts than their peers, and tries them again. Outliers that
+// are in service answer quickly with errors, draw requests, and fail them.
+type outlierDetector struct {
+	medianFailureRatio float64 // part of its attempts that the median healthy endpoint fails
+}
+
+// judge decides which endpoints change their health. If most endpoints fail at once, the cause is not at one of them
+// (a late report, a network partition): the fleet's median and maxEjectedWeight keep them in service.
+func (d *outlierDetector) judge(now float64, endpoints []endpoint, meanObjective float64) []healthChange {
+	totalWeight := 0.0
+	ejectedWeight := 0.0 // of those on probation as well
+	var failureRatios []float64
+	for i := range endpoints {
+		e := &endpoints[i]
+		if e.state != Ready {
+			continue
+		}
+		totalWeight += e.weight
+		if e.health != healthy {
+			ejectedWeight += e.weight
+		} else if e.load.completed >= minAttempts {
+			failureRatios = append(failureRatios, e.load.failed/e.load.completed)
+		}
+	}
+	d.medianFailureRatio = median(failureRatios)
+	var changes []healthChange
+	for i := range endpoints {
+		e := &endpoints[i]
+		if e.state != Ready {
+			continue
+		}
+		failing := d.failing(e, meanObjective)
+		switch {
+		case e.health == ejected:
+			if now >= e.healthSince+ejectionSeconds {
+				changes = append(changes, healthChange{i, probation})
+			}
+		case failing:
+			maxWeight := maxEjectedWeight * totalWeight * e.load.failed / e.load.completed
+			if e.health == probation || ejectedWeight+e.weight <= maxWeight {
+				ejectedWeight += e.weight
+				changes = append(changes, healthChange{i, ejected})
+			}
+		case e.health == probation && e.load.completed >= minAttempts:
+			changes = append(changes, healthChange{i, healthy})
+		}
+	}
+	return changes
+}
+
+// failing reports whether an endpoint fails far more attempts than the median one, and not for being full. A full
+// endpoint rejects requests as well, but those that it answers take long: the weights relieve it, while to eject it
+// would only fill the next one.
+func (d *outlierDetector) failing(e *endpoint, meanObjective float64) bool {
+	if e.load.completed < minAttempts {
+		return false
+	}
+	limit := ejectFailureRatio + medianFailureMultiple*d.medianFailureRatio
+	if e.load.failed < limit*e.load.completed {
+		return false
+	}
+	quick := e.load.latencySum < saturatedLatency*meanObjective*e.load.answers() && e.load.queueLength < minOverloadQueue
+	return quick || e.load.failed >= deadFailureRatio*e.load.completed
+}
+
+// median sorts values and returns the middle one, of two the greater, and 0 if there is none.
+func median(values []float64) float64 {
+	if len(values) == 0 {
+		return 0
+	}
+	slices.Sort(values)
+	return values[len(values)/2]
+}
--- a/planner/publishlevels.go
+++ b/planner/publishlevels.go
@@ -8,70 +8,82 @@
 // maxLevelShare is the most of the channel's rate that admission levels take: tables have to move on as well.
 const maxLevelShare = 0.5
 
+// publishedAdmission is what the members of a subset were last sent.
+type publishedAdmission struct {
+	levels      []float64 // by route, before they are turned into rates
+	retryPolicy RetryPolicy
+	at          float64 // s
+}
+
+// newPublishedAdmission is what proxies do until they are told: they admit all, and retry.
+func newPublishedAdmission(routes int) publishedAdmission {
+	return publishedAdmission{levels: slices.Repeat([]float64{1}, routes), retryPolicy: RetryIfNotSent}
+}
+
 // publishLevels sends the admission levels and the retry policy, subset by subset as flow control lets it, and before
 // tables that may wait: in one piece for all proxies they may not fit beside tables for many seconds, during which an
 // overload goes on with all admitted. It reports whether all that were due fit into the queue.
-func (c *Planner) publishLevels() (allFit bool) {
+func (p *Planner) publishLevels() (allFit bool) {
 	allFit = true
-	for z := range c.subsets {
-		if !c.levelsDue(z) {
+	for z := range p.subsets {
+		if !p.levelsDue(z) {
 			continue
 		}
-		s := &c.subsets[z]
-		entries := float64(len(c.admission.byPriority))
-		fits := c.flow.fits(c.flow.account.cost(c.now, s.members, entries), bindShare) || c.flow.idle()
+		s := &p.subsets[z]
+		entries := float64(len(p.admission.byPriority))
+		fits := p.flow.fits(p.flow.account.cost(p.now, s.members, entries), bindShare) || p.flow.idle()
 		allFit = allFit && fits
 		// A subset whose proxies got all the messages that they may get holds no other back.
-		if fits && c.flow.mayPublish(c.now, s, entries, urgentShare) {
-			c.publishSubsetLevels(z)
+		if fits && p.flow.mayPublish(p.now, s, entries, urgentShare) {
+			p.publishSubsetLevels(z)
 		}
 	}
 	return allFit
 }
 
 // levelsDue reports whether a subset's levels or retry policy have changed and may be sent again.
-func (c *Planner) levelsDue(subset int) bool {
-	s := &c.subsets[subset]
-	entriesEach := c.config.MessageOverhead + 1 + float64(len(c.admission.byPriority))
-	entries := float64(len(s.members)*len(c.subsets)) * entriesEach // as though all subsets were as large
-	interval := max(publishInterval, entries/(maxLevelShare*max(c.config.EntriesPerSecond, 1)))
-	if c.now < s.levelsPublishedAt+interval {
+func (p *Planner) levelsDue(subset int) bool {
+	s := &p.subsets[subset]
+	entriesEach := p.config.MessageOverhead + 1 + float64(len(p.admission.byPriority))
+	entries := float64(len(s.members)*len(p.subsets)) * entriesEach // as though all subsets were as large
+	interval := max(publishInterval, entries/(maxLevelShare*max(p.config.EntriesPerSecond, 1)))
+	if p.now < s.admission.at+interval {
 		return false
 	}
-	return s.publishedRetryPolicy != c.retries.policy() || !slices.Equal(s.publishedLevels, c.admission.levels)
+	return s.admission.retryPolicy != p.retries.policy() || !slices.Equal(s.admission.levels, p.admission.levels)
 }
 
 // publishSubsetLevels sends a subset the levels that changed, or all with a changed retry policy.
-func (c *Planner) publishSubsetLevels(subset int) {
-	s := &c.subsets[subset]
-	policy := c.retries.policy()
-	for r, level := range c.admission.levels {
-		if s.publishedLevels[r] == level && s.publishedRetryPolicy == policy {
+func (p *Planner) publishSubsetLevels(subset int) {
+	s := &p.subsets[subset]
+	policy := p.retries.policy()
+	for r, level := range p.admission.levels {
+		if s.admission.levels[r] == level && s.admission.retryPolicy == policy {
 			continue
 		}
-		s.publishedLevels[r] = level
-		if c.config.Admission == AdmissionRate {
-			level = c.admissionRate(r)
+		s.admission.levels[r] = level
+		if p.config.Admission == AdmissionRate {
+			level = p.admissionRate(r)
 		}
-		c.host.SetAdmission(subset, RouteID(r), level, policy)
-		c.reserveEntry(subset)
+		p.host.SetAdmission(subset, RouteID(r), level, policy)
+		p.reserveEntry(subset)
 	}
-	s.levelsPublishedAt = c.now
-	s.publishedRetryPolicy = policy
+	s.admission.at = p.now
+	s.admission.retryPolicy = policy
 }
 
 // admissionRate is the max-min fair rate of each proxy, in requests a second, that admits a route's level of its
 // original requests. Client retries use none of it. A route that is admitted in full has no bound.
-func (c *Planner) admissionRate(route int) float64 {
-	original := c.admission.retries.original[route]
+func (p *Planner) admissionRate(route int) float64 {
+	original := p.admission.retries.original[route]
 	var rates []float64 // original requests a second, by connected proxy
-	for k := range c.proxies.all {
-		if member := &c.proxies.all[k]; member.connected {
-			rates = append(rates, member.demand[route]*original/max(c.routeDemand[route], 1e-9))
+	for k := range p.proxies.all {
+		if member := &p.proxies.all[k]; member.connected {
+			rates = append(rates, member.demand[route]*original/max(p.demand.byRoute[route], 1e-9))
 		}
 	}
 	slices.Sort(rates)
-	level := c.admission.levels[route]
+	level := p.admission.levels[route]
 	left := level * sum(rates)
 	for k, rate := range rates {
 		equalShare := left / float64(len(rates)-k)
--- a/planner/unseendemand.go
+++ b/planner/unseendemand.go
@@ -7,8 +7,8 @@
 // own zone. A controller that allocates with the demand of its own zone alone takes the other zones for empty, and
 // spills most requests to them. The proxies that are not seen are assumed to be in number and demand as ours usually
 // are, and where the capacity is.
-func (c *Planner) addUnseenDemand(loads []subsetLoad) {
-	if !c.config.LocalZoneProxies {
+func (p *Planner) addUnseenDemand(loads []subsetLoad) {
+	if !p.config.LocalZoneProxies {
 		return
 	}
 	totalCapacity := 0.0
@@ -16,19 +16,19 @@
 		totalCapacity += load.capacity
 	}
 	totalCapacity = max(totalCapacity, 1e-9)
-	proxies := float64(c.config.Proxies)
+	proxies := float64(p.config.Proxies)
 	seen := 0.0
 	totalMissing := 0.0
 	missing := make([]float64, len(loads)) // by subset, proxies that its capacity suggests and that are not seen
-	for z := range c.subsets {
-		members := float64(len(c.subsets[z].members))
+	for z := range p.subsets {
+		members := float64(len(p.subsets[z].members))
 		seen += members
 		missing[z] = max(0, proxies*loads[z].capacity/totalCapacity-members)
 		totalMissing += missing[z]
 	}
 	// The fuller our own endpoints are, the likelier it is that others have capacity left.
-	belief := max(0, min(1, (saturatedLatency-c.saturation)/(saturatedLatency-relievedLatency)))
-	unseen := belief * c.baselineRate() / (seen + unseenDemandPrior) * max(0, proxies-seen)
+	belief := max(0, min(1, (saturatedLatency-p.load.saturation)/(saturatedLatency-relievedLatency)))
+	unseen := belief * p.baselineRate() / (seen + unseenDemandPrior) * max(0, proxies-seen)
 	for z := range loads {
 		loads[z].demand += unseen * missing[z] / max(totalMissing, 1e-9)
 	}
