--- a/planner/bench_test.go
+++ b/planner/bench_test.go
@@ -5,29 +5,29 @@
 	"testing"
 )
 
-type silent struct{}
+type discardHost struct{}
 
-func (silent) BindProxy(int, int)                              {}
-func (silent) SetWeight(int, uint32, float64)                  {}
-func (silent) SetAdmission(int, RouteID, float64, RetryPolicy) {}
-func (silent) RequestAck(int)                                  {}
-func (silent) Wake(float64)                                    {}
-func (silent) Subscribe()                                      {}
-func (silent) Log(string)                                      {}
+func (discardHost) BindProxy(int, int)                              {}
+func (discardHost) SetWeight(int, uint32, float64)                  {}
+func (discardHost) SetAdmission(int, RouteID, float64, RetryPolicy) {}
+func (discardHost) RequestAck(int)                                  {}
+func (discardHost) Wake(float64)                                    {}
+func (discardHost) Subscribe()                                      {}
+func (discardHost) Log(string)                                      {}
 
-// sizes runs a benchmark at fleets of growing size.
-func sizes(b *testing.B, run func(b *testing.B, proxies, nodes int)) {
+// runSizes runs a benchmark at fleets of growing size.
+func runSizes(b *testing.B, run func(b *testing.B, proxies, nodes int)) {
 	for _, size := range [][2]int{{110, 3200}, {300, 60}, {1200, 200}, {2400, 200}, {2400, 800}} {
 		b.Run(fmt.Sprintf("proxies=%d/nodes=%d", size[0], size[1]), func(b *testing.B) { run(b, size[0], size[1]) })
 	}
 }
 
-// fleet is a conductor that all proxies have joined and confirmed.
-func fleet(proxies, nodes int) (c *Planner, now float64) {
-	site := testSite()
+// newFleet is a conductor that all proxies have joined and confirmed.
+func newFleet(proxies, nodes int) (c *Planner, now float64) {
+	site := testConfig()
 	site.Proxies, site.MaxInFlightEntries = proxies, float64(proxies)*108
-	c = New(silent{}, site, 100)
-	c.ReplaceEndpoints(100, rows(nodes))
+	c = New(discardHost{}, site, 100)
+	c.ReplaceEndpoints(100, endpointList(nodes))
 	joinAll(c, 100, proxies)
 	for now = 100; len(c.proxies.unbound) > 0 || now < 102; now += 0.1 {
 		answerAll(c, now, proxies)
@@ -51,8 +51,8 @@
 }
 
 func BenchmarkWake(b *testing.B) {
-	sizes(b, func(b *testing.B, proxies, nodes int) {
-		c, now := fleet(proxies, nodes)
+	runSizes(b, func(b *testing.B, proxies, nodes int) {
+		c, now := newFleet(proxies, nodes)
 		for b.Loop() {
 			now += stepInterval
 			for i := range uint32(nodes) {
@@ -66,8 +66,8 @@
 
 // A crowd that joins at once, and its confirmations.
 func BenchmarkJoin(b *testing.B) {
-	sizes(b, func(b *testing.B, proxies, nodes int) {
-		c, now := fleet(proxies, nodes)
+	runSizes(b, func(b *testing.B, proxies, nodes int) {
+		c, now := newFleet(proxies, nodes)
 		for b.Loop() {
 			for p := range proxies {
 				c.ProxyLeft(now, p)
@@ -85,8 +85,8 @@
 
 // One report of a proxy's calls, in pools as large as these fleets have.
 func BenchmarkUsage(b *testing.B) {
-	sizes(b, func(b *testing.B, proxies, nodes int) {
-		c, now := fleet(proxies, nodes)
+	runSizes(b, func(b *testing.B, proxies, nodes int) {
+		c, now := newFleet(proxies, nodes)
 		for k := 0; b.Loop(); k++ {
 			now += 0.001
 			c.AddDemandReport(now, DemandReport{Proxy: k % proxies, Requests: 3, Interval: 1})
--- a/planner/brain_test.go
+++ b/planner/brain_test.go
@@ -7,35 +7,35 @@
 )
 
 // Proxies are bound at once, to tables that have lines.
-func TestJoin(t *testing.T) {
-	tr := scene(t, testSite(), 4)
+func TestJoiningProxiesAreBoundAtOnce(t *testing.T) {
+	tr := newScene(t, testConfig(), 4)
 	tr.check()
 }
 
 // Proxies that join before any list are bound once one has come, to the pools that its size asks for; until then they
 // keep what they hold.
-func TestFirstList(t *testing.T) {
+func TestProxiesWaitForFirstList(t *testing.T) {
 	for _, empty := range []bool{false, true} {
-		tr := &trace{t: t, now: 100, meets: map[uint32]LoadReport{}}
-		tr.c = New(tr, testSite(), tr.now)
+		tr := &trace{t: t, now: 100, reports: map[uint32]LoadReport{}}
+		tr.planner = New(tr, testConfig(), tr.now)
 		if empty {
-			tr.c.ReplaceEndpoints(tr.now, nil)
+			tr.planner.ReplaceEndpoints(tr.now, nil)
 		}
 		for p := range 12 {
-			tr.c.ProxyJoined(tr.now, p, p%2, 10)
+			tr.planner.ProxyJoined(tr.now, p, p%2, 10)
 		}
 		tr.run(1)
 		if strings.Contains(tr.String(), "bind") {
 			t.Errorf("ordered without a node:\n%s", tr)
 		}
-		tr.c.ReplaceEndpoints(tr.now, rows(40))
+		tr.planner.ReplaceEndpoints(tr.now, endpointList(40))
 		tr.run(2)
-		for pool := range tr.c.subsets {
-			members := tr.c.subsets[pool].members
+		for pool := range tr.planner.subsets {
+			members := tr.planner.subsets[pool].members
 			if len(members) != 3 {
-				t.Errorf("pool %d of %d has %d proxies", pool, len(tr.c.subsets), len(members))
+				t.Errorf("pool %d of %d has %d proxies", pool, len(tr.planner.subsets), len(members))
 			}
-			if whole := sum(tr.c.subsets[pool].table.published); whole == 0 {
+			if whole := sum(tr.planner.subsets[pool].table.published); whole == 0 {
 				t.Errorf("pool %d has weights of %.2f", pool, whole)
 			}
 		}
@@ -43,7 +43,7 @@
 }
 
 // The water-fill: direct room first, then evenly over the zones with room; all room is given in the end.
-func TestFill(t *testing.T) {
+func TestAllocationUsesOwnEndpointsFirst(t *testing.T) {
 	tr := &trace{t: t}
 	for _, fill := range []struct {
 		name          string
@@ -80,31 +80,31 @@
 }
 
 // A draining node leaves every table at once, also the last one of its zone.
-func TestDrain(t *testing.T) {
-	tr := scene(t, testSite(), 3)
+func TestDrainingEndpointLeavesAllTables(t *testing.T) {
+	tr := newScene(t, testConfig(), 3)
 	tr.run(1)
 	tr.say("-- node 2, alone in its zone, drains")
-	tr.c.UpdateEndpoints(tr.now, []Endpoint{{Node: 2, Zone: 1, State: Draining}})
+	tr.planner.UpdateEndpoints(tr.now, []Endpoint{{Node: 2, Zone: 1, State: Draining}})
 	tr.check()
 }
 
 // A node that restarts under its own id is cold at once and ramps from a quarter weight.
-func TestRestart(t *testing.T) {
-	tr := scene(t, testSite(), 4)
+func TestRestartedEndpointStartsSlowly(t *testing.T) {
+	tr := newScene(t, testConfig(), 4)
 	tr.run(1)
 	tr.say("-- node 1 restarts")
-	tr.c.UpdateEndpoints(tr.now, []Endpoint{{Node: 1, State: Ready, StartTime: tr.now}})
+	tr.planner.UpdateEndpoints(tr.now, []Endpoint{{Node: 1, State: Ready, StartTime: tr.now}})
 	tr.run(20)
 	tr.check()
 }
 
 // What was met before a node's start tells nothing of the process that runs now; what was met since does.
-func TestProcessBefore(t *testing.T) {
-	tr := scene(t, testSite(), 6)
+func TestReportOnFormerProcessIsIgnored(t *testing.T) {
+	tr := newScene(t, testConfig(), 6)
 	tr.run(3)
 	tr.say("-- node 1 restarts; late sums say that it answers none")
-	tr.c.UpdateEndpoints(tr.now, []Endpoint{{Node: 1, State: Ready, StartTime: tr.now - 1}})
-	tr.meets[1] = LoadReport{Completed: 8, Failed: 8, Interval: 4}
+	tr.planner.UpdateEndpoints(tr.now, []Endpoint{{Node: 1, State: Ready, StartTime: tr.now - 1}})
+	tr.reports[1] = LoadReport{Completed: 8, Failed: 8, Interval: 4}
 	tr.run(4)
 	tr.say("-- so do those that began since")
 	tr.run(2)
@@ -112,326 +112,326 @@
 }
 
 // In a jam a cold node gets less than its ramp, as most tries are lost and come again.
-func TestColdInJam(t *testing.T) {
-	tr := scene(t, testSite(), 4)
-	tr.meet(LoadReport{Completed: 20, Failed: 15, MeanLatency: 1})
+func TestColdEndpointIsDampedInOverload(t *testing.T) {
+	tr := newScene(t, testConfig(), 4)
+	tr.reportAll(LoadReport{Completed: 20, Failed: 15, MeanLatency: 1})
 	tr.run(2)
 	tr.say("-- node 1 restarts")
-	tr.c.UpdateEndpoints(tr.now, []Endpoint{{Node: 1, State: Ready, StartTime: tr.now}})
+	tr.planner.UpdateEndpoints(tr.now, []Endpoint{{Node: 1, State: Ready, StartTime: tr.now}})
 	tr.check()
 }
 
 // A node that takes calls and answers none is out when they are given up, and comes back over a trial.
-func TestSilent(t *testing.T) {
-	tr := scene(t, testSite(), 6)
+func TestSilentEndpointIsEjectedAndComesBack(t *testing.T) {
+	tr := newScene(t, testConfig(), 6)
 	tr.run(3)
 	tr.say("-- node 1 answers none")
-	tr.meets[1] = LoadReport{Completed: 4, Failed: 4}
+	tr.reports[1] = LoadReport{Completed: 4, Failed: 4}
 	tr.run(8)
 	tr.say("-- node 1 answers again")
-	tr.meets[1] = LoadReport{Completed: 1, MeanLatency: 0.2}
+	tr.reports[1] = LoadReport{Completed: 1, MeanLatency: 0.2}
 	tr.run(4)
 	tr.check()
 }
 
 // All silent at once is a late report, no sick fleet.
-func TestAllSilent(t *testing.T) {
-	tr := scene(t, testSite(), 6)
+func TestMissingReportsEjectNobody(t *testing.T) {
+	tr := newScene(t, testConfig(), 6)
 	tr.run(3)
 	tr.say("-- no sums any more")
-	clear(tr.meets)
+	clear(tr.reports)
 	tr.run(5)
 	tr.check()
 }
 
 // A node that fails fast is out; one that is full, and answers slowly, is not.
-func TestFailing(t *testing.T) {
-	tr := scene(t, testSite(), 6)
+func TestFailingEndpointIsEjectedAndFullOneIsNot(t *testing.T) {
+	tr := newScene(t, testConfig(), 6)
 	tr.run(3)
 	tr.say("-- node 1 fails fast, node 2 is full")
-	tr.meets[1] = LoadReport{Completed: 10, Failed: 6, MeanLatency: 0.2}
-	tr.meets[2] = LoadReport{Completed: 20, Failed: 12, MeanLatency: 1.5}
+	tr.reports[1] = LoadReport{Completed: 10, Failed: 6, MeanLatency: 0.2}
+	tr.reports[2] = LoadReport{Completed: 20, Failed: 12, MeanLatency: 1.5}
 	tr.run(3)
 	tr.check()
 }
 
 // A node that has grown far slower than its peers gets less at once by what it loses more than these; where all lose
 // alike no one does.
-func TestSlow(t *testing.T) {
-	tr := scene(t, testSite(), 6)
+func TestSlowEndpointGetsLessAtOnce(t *testing.T) {
+	tr := newScene(t, testConfig(), 6)
 	tr.run(4)
 	tr.say("-- node 1 answers half of its tries, late")
-	tr.meets[1] = LoadReport{Completed: 10, Failed: 5, MeanLatency: 1.8}
+	tr.reports[1] = LoadReport{Completed: 10, Failed: 5, MeanLatency: 1.8}
 	tr.run(2)
 	tr.say("-- so do all")
-	tr.meet(tr.meets[1])
+	tr.reportAll(tr.reports[1])
 	tr.run(2)
 	tr.check()
 }
 
 // Calls are let in by importance when the fleet is full, and again when it no longer is.
-func TestJam(t *testing.T) {
-	tr := scene(t, testSite(), 4)
+func TestOverloadAdmitsByPriority(t *testing.T) {
+	tr := newScene(t, testConfig(), 4)
 	tr.run(2)
 	tr.say("-- all nodes are full")
-	tr.meet(LoadReport{Completed: 10, Failed: 5, MeanLatency: 1})
+	tr.reportAll(LoadReport{Completed: 10, Failed: 5, MeanLatency: 1})
 	tr.run(6)
 	tr.say("-- and empty again")
-	tr.meet(LoadReport{Completed: 10, MeanLatency: 0.2})
+	tr.reportAll(LoadReport{Completed: 10, MeanLatency: 0.2})
 	tr.run(12)
 	tr.check()
 }
 
 // While marks stay away, ordinary changes wait and urgent ones go out.
-func TestSlowChannel(t *testing.T) {
-	site := testSite()
+func TestUrgentChangesPassSlowChannel(t *testing.T) {
+	site := testConfig()
 	site.MaxInFlightEntries, site.EntriesPerSecond = 100, 50
-	tr := scene(t, site, 8)
-	tr.mute = true
+	tr := newScene(t, site, 8)
+	tr.withholdAcks = true
 	tr.say("-- zone 0 is asked for more")
-	tr.calls[0] = []int{30, 30}
+	tr.requests[0] = []int{30, 30}
 	tr.run(4)
 	tr.say("-- node 2 drains")
-	tr.c.UpdateEndpoints(tr.now, []Endpoint{{Node: 2, Zone: 1, State: Draining}})
+	tr.planner.UpdateEndpoints(tr.now, []Endpoint{{Node: 2, Zone: 1, State: Draining}})
 	tr.check()
 }
 
 // Where the list must be asked, a failed call is repeated with growing waits.
-func TestAsk(t *testing.T) {
-	site := testSite()
+func TestFailedSubscriptionBacksOff(t *testing.T) {
+	site := testConfig()
 	site.MustSubscribe = true
-	tr := scene(t, site, 2)
+	tr := newScene(t, site, 2)
 	for range 4 {
-		tr.c.EndpointWatchFailed(tr.now)
+		tr.planner.EndpointWatchFailed(tr.now)
 		tr.run(3)
 	}
 	tr.check()
 }
 
 // Clients that come again do not lower the level further, and it comes back at once when nothing waits.
-func TestRepeats(t *testing.T) {
-	tr := scene(t, testSite(), 4)
+func TestClientRetriesAreNotDemand(t *testing.T) {
+	tr := newScene(t, testConfig(), 4)
 	tr.run(2)
 	tr.say("-- all nodes are full")
-	tr.meet(LoadReport{Completed: 10, Failed: 3, MeanLatency: 0.8})
+	tr.reportAll(LoadReport{Completed: 10, Failed: 3, MeanLatency: 0.8})
 	tr.run(3)
 	tr.say("-- what was turned away is asked three times, and nothing waits")
-	tr.calls = [][]int{{24, 10}, {24, 10}}
-	tr.meet(LoadReport{Completed: 8, MeanLatency: 0.2})
+	tr.requests = [][]int{{24, 10}, {24, 10}}
+	tr.reportAll(LoadReport{Completed: 8, MeanLatency: 0.2})
 	tr.run(6)
 	tr.say("-- first tries fall by half")
-	tr.calls = [][]int{{12, 5}, {12, 5}}
+	tr.requests = [][]int{{12, 5}, {12, 5}}
 	tr.run(4)
 	tr.check()
 }
 
 // When a burst ends while it is throttled, repeats of what is turned away do not keep the fleet throttled.
-func TestBurstOver(t *testing.T) {
-	tr := scene(t, testSite(), 4)
+func TestThrottlingEndsWithBurst(t *testing.T) {
+	tr := newScene(t, testConfig(), 4)
 	tr.run(2)
 	tr.say("-- a burst, and all nodes are full")
-	tr.calls = [][]int{{40, 40}, {40, 40}}
-	tr.meet(LoadReport{Completed: 14, Failed: 8, MeanLatency: 0.9})
+	tr.requests = [][]int{{40, 40}, {40, 40}}
+	tr.reportAll(LoadReport{Completed: 14, Failed: 8, MeanLatency: 0.9})
 	tr.run(4)
 	tr.say("-- it is over; each call that is turned away comes again twice")
 	for range 20 {
 		let := 0.0
-		for r, level := range tr.c.admission.levels {
+		for r, level := range tr.planner.admission.levels {
 			let += 20 * level / 4
-			tr.calls[0][r] = int(10 + 20*(1-level))
+			tr.requests[0][r] = int(10 + 20*(1-level))
 		}
-		tr.calls[1] = tr.calls[0]
-		tr.meet(LoadReport{Completed: int(let), MeanLatency: 0.2})
+		tr.requests[1] = tr.requests[0]
+		tr.reportAll(LoadReport{Completed: int(let), MeanLatency: 0.2})
 		tr.run(0.5)
 	}
 	tr.check()
 }
 
 // What is let in falls and rises with the nodes that are there.
-func TestLostNodes(t *testing.T) {
-	tr := scene(t, testSite(), 8)
-	tr.meet(LoadReport{Completed: 5, Failed: 1, MeanLatency: 0.9})
+func TestBudgetFollowsEndpoints(t *testing.T) {
+	tr := newScene(t, testConfig(), 8)
+	tr.reportAll(LoadReport{Completed: 5, Failed: 1, MeanLatency: 0.9})
 	tr.run(3)
 	tr.say("-- half of the nodes are gone")
-	list := rows(8)
-	tr.c.ReplaceEndpoints(tr.now, list[:4])
+	list := endpointList(8)
+	tr.planner.ReplaceEndpoints(tr.now, list[:4])
 	tr.run(2)
 	tr.say("-- and back, long warm")
-	tr.c.ReplaceEndpoints(tr.now, list)
+	tr.planner.ReplaceEndpoints(tr.now, list)
 	tr.run(2)
 	tr.check()
 }
 
 // Routes that gain about alike share a level; levels that are rates give each proxy its max-min share.
-func TestSharedLevel(t *testing.T) {
-	site := testSite()
+func TestRoutesOfOneTierShareLevel(t *testing.T) {
+	site := testConfig()
 	site.Admission = AdmissionRate
 	site.Routes = append(site.Routes, Route{LatencyObjective: 1, PriorityWeight: 2.8})
-	tr := scene(t, site, 4)
-	tr.calls = [][]int{{10, 2, 2}, {10, 8, 8}}
-	tr.meet(LoadReport{Completed: 10, Failed: 8, MeanLatency: 1})
+	tr := newScene(t, site, 4)
+	tr.requests = [][]int{{10, 2, 2}, {10, 8, 8}}
+	tr.reportAll(LoadReport{Completed: 10, Failed: 8, MeanLatency: 1})
 	tr.run(3)
 	tr.check()
 }
 
 // A proxy that comes back counts for its usual calls, and takes its zone's cold nodes' room with it.
-func TestBack(t *testing.T) {
-	tr := scene(t, testSite(), 4)
+func TestReturningProxyCountsForBaselineRate(t *testing.T) {
+	tr := newScene(t, testConfig(), 4)
 	tr.run(2)
 	tr.say("-- zone 1 is lost with its proxy")
-	tr.c.ProxyLeft(tr.now, 1)
-	tr.c.ReplaceEndpoints(tr.now, []Endpoint{rows(4)[0], rows(4)[2]})
-	tr.calls[1] = []int{0, 0}
+	tr.planner.ProxyLeft(tr.now, 1)
+	tr.planner.ReplaceEndpoints(tr.now, []Endpoint{endpointList(4)[0], endpointList(4)[2]})
+	tr.requests[1] = []int{0, 0}
 	tr.run(10)
 	tr.say("-- and starts again")
-	cold := rows(4)
+	cold := endpointList(4)
 	cold[1].StartTime, cold[3].StartTime = tr.now, tr.now
-	tr.c.ReplaceEndpoints(tr.now, cold)
-	tr.c.ProxyJoined(tr.now, 1, 1, 40)
+	tr.planner.ReplaceEndpoints(tr.now, cold)
+	tr.planner.ProxyJoined(tr.now, 1, 1, 40)
 	tr.run(2)
 	tr.check()
 }
 
 // Zones that receive are updated first; senders follow when most proxies confirmed, or after a second.
-func TestSteps(t *testing.T) {
-	tr := scene(t, testSite(), 5)
+func TestReceivingTablesArePublishedFirst(t *testing.T) {
+	tr := newScene(t, testConfig(), 5)
 	tr.run(1)
-	tr.mute = true
+	tr.withholdAcks = true
 	tr.say("-- nodes 1 and 2 slow down; marks stay away")
-	tr.meets[1], tr.meets[2] = LoadReport{Completed: 6, MeanLatency: 0.8}, LoadReport{Completed: 4, MeanLatency: 1.2}
+	tr.reports[1], tr.reports[2] = LoadReport{Completed: 6, MeanLatency: 0.8}, LoadReport{Completed: 4, MeanLatency: 1.2}
 	tr.run(4)
 	tr.check()
 }
 
 // A fleet that joins at once is bound as the queue takes it, and what must go still goes out.
-func TestCrowd(t *testing.T) {
-	site := testSite()
+func TestCrowdIsBoundAsChannelAllows(t *testing.T) {
+	site := testConfig()
 	site.Proxies, site.MaxInFlightEntries = 12, 100
-	tr := scene(t, site, 4)
-	tr.mute = true
+	tr := newScene(t, site, 4)
+	tr.withholdAcks = true
 	for p := 2; p < 12; p++ {
-		tr.c.ProxyJoined(tr.now, p, p%2, 1)
+		tr.planner.ProxyJoined(tr.now, p, p%2, 1)
 	}
 	tr.say("-- node 1 drains while proxies wait")
-	tr.c.UpdateEndpoints(tr.now, []Endpoint{{Node: 1, State: Draining}})
+	tr.planner.UpdateEndpoints(tr.now, []Endpoint{{Node: 1, State: Draining}})
 	tr.say("-- the channel confirms")
-	tr.mute = false
+	tr.withholdAcks = false
 	tr.run(1)
 	tr.check()
 }
 
 // A zone with many nodes is divided, and its pools take each other's calls before those of another zone do.
-func TestPools(t *testing.T) {
-	tr := scene(t, testSite(), 24)
-	tr.c.ProxyJoined(tr.now, 2, 0, 10)
+func TestLargeZoneIsDivided(t *testing.T) {
+	tr := newScene(t, testConfig(), 24)
+	tr.planner.ProxyJoined(tr.now, 2, 0, 10)
 	tr.run(1)
 	tr.say("-- proxy 0 is asked for more than its pool can answer")
-	tr.calls[0] = []int{30, 30}
+	tr.requests[0] = []int{30, 30}
 	tr.run(2)
 	tr.check()
 }
 
 // A table leads to few nodes of another zone, and its own zone's proxies keep them.
-func TestLend(t *testing.T) {
-	tr := scene(t, testSite(), 12)
-	tr.calls[0] = []int{15, 15}
+func TestSpillTakesFewEndpoints(t *testing.T) {
+	tr := newScene(t, testConfig(), 12)
+	tr.requests[0] = []int{15, 15}
 	tr.run(4)
 	tr.check()
 }
 
 // A table that lost much is set anew at once, and a cold node does not take what the lost ones had.
-func TestLoss(t *testing.T) {
-	tr := scene(t, testSite(), 12)
-	tr.c.UpdateEndpoints(tr.now, []Endpoint{{Node: 1, State: Ready, StartTime: tr.now}})
+func TestTableThatLostMuchIsPublishedAtOnce(t *testing.T) {
+	tr := newScene(t, testConfig(), 12)
+	tr.planner.UpdateEndpoints(tr.now, []Endpoint{{Node: 1, State: Ready, StartTime: tr.now}})
 	tr.run(8)
 	tr.say("-- three of zone 0's six nodes are gone")
-	tr.c.UpdateEndpoints(tr.now, []Endpoint{{Node: 3}, {Node: 5}, {Node: 7}})
+	tr.planner.UpdateEndpoints(tr.now, []Endpoint{{Node: 3}, {Node: 5}, {Node: 7}})
 	tr.check()
 }
 
 // A channel that is slow for a minute never holds more than its queue takes; a broken stream frees its part.
-func TestLongSlow(t *testing.T) {
-	site := testSite()
+func TestQueueStaysBoundedOnSlowChannel(t *testing.T) {
+	site := testConfig()
 	site.MaxInFlightEntries, site.EntriesPerSecond = 60, 30
-	tr := scene(t, site, 8)
-	tr.mute = true
+	tr := newScene(t, site, 8)
+	tr.withholdAcks = true
 	for k := range 30 {
-		tr.c.UpdateEndpoints(tr.now, []Endpoint{{Node: 1, StartTime: tr.now, State: EndpointState(1 + k%2)}})
+		tr.planner.UpdateEndpoints(tr.now, []Endpoint{{Node: 1, StartTime: tr.now, State: EndpointState(1 + k%2)}})
 		tr.run(2)
 	}
-	tr.say("free %.0f", tr.c.flow.available(1))
-	tr.c.ProxyLeft(tr.now, 0)
-	tr.say("free %.0f", tr.c.flow.available(1))
+	tr.say("free %.0f", tr.planner.flow.available(1))
+	tr.planner.ProxyLeft(tr.now, 0)
+	tr.say("free %.0f", tr.planner.flow.available(1))
 	tr.check()
 }
 
 // What drains leaves all tables before proxies are bound; these come before a table is set anew.
-func TestOrder(t *testing.T) {
-	site := testSite()
+func TestRemovalsThenBindsThenTables(t *testing.T) {
+	site := testConfig()
 	site.Proxies, site.MaxInFlightEntries = 20, 80
-	tr := scene(t, site, 12)
+	tr := newScene(t, site, 12)
 	tr.run(2)
 	tr.say("-- nodes restart and drain as proxies join")
-	tr.mute = true
+	tr.withholdAcks = true
 	for p := 2; p < 8; p++ {
-		tr.c.ProxyJoined(tr.now, p, p%2, 1)
+		tr.planner.ProxyJoined(tr.now, p, p%2, 1)
 	}
-	tr.c.UpdateEndpoints(tr.now, []Endpoint{{Node: 1, State: Ready, StartTime: tr.now}, {Node: 4, Zone: 1},
+	tr.planner.UpdateEndpoints(tr.now, []Endpoint{{Node: 1, State: Ready, StartTime: tr.now}, {Node: 4, Zone: 1},
 		{Node: 6, Zone: 1, State: Draining}, {Node: 5, State: Draining}})
-	tr.mute = false
+	tr.withholdAcks = false
 	tr.run(1)
 	tr.check()
 }
 
 // A conductor whose proxies are of its own zone keeps their calls there, as those that it does not see are
 // taken to be where the room is; once its zone is asked for far more than usual, it lends.
-func TestOwnZone(t *testing.T) {
-	site := testSite()
+func TestUnseenDemandKeepsRequestsInZone(t *testing.T) {
+	site := testConfig()
 	site.LocalZoneProxies, site.Proxies, site.Controllers = true, 60, 2
-	tr := scene(t, site, 12)
-	tr.c.ProxyLeft(tr.now, 1)
+	tr := newScene(t, site, 12)
+	tr.planner.ProxyLeft(tr.now, 1)
 	for p := 2; p < 30; p++ {
-		tr.c.ProxyJoined(tr.now, p, 0, 10)
+		tr.planner.ProxyJoined(tr.now, p, 0, 10)
 	}
 	tr.run(3)
 	tr.say("-- proxy 0 is asked for far more")
-	tr.calls[0] = []int{150, 150}
+	tr.requests[0] = []int{150, 150}
 	tr.run(2)
 	tr.say("-- and its nodes are slow")
 	for node := uint32(1); node < 12; node += 2 {
-		tr.meets[node] = LoadReport{Completed: 20, MeanLatency: 0.6}
+		tr.reports[node] = LoadReport{Completed: 20, MeanLatency: 0.6}
 	}
 	tr.run(2)
 	tr.check()
 }
 
 // Proxies that leave go on sending, and may come back: what is let in does not jump as they go.
-func TestLeave(t *testing.T) {
-	tr := scene(t, testSite(), 4)
+func TestLevelsStayAsProxiesLeave(t *testing.T) {
+	tr := newScene(t, testConfig(), 4)
 	for p := 2; p < 8; p++ {
-		tr.c.ProxyJoined(tr.now, p, p%2, 40)
-		tr.calls = append(tr.calls, []int{10, 10})
+		tr.planner.ProxyJoined(tr.now, p, p%2, 40)
+		tr.requests = append(tr.requests, []int{10, 10})
 	}
-	tr.meet(LoadReport{Completed: 20, Failed: 8, MeanLatency: 0.9})
+	tr.reportAll(LoadReport{Completed: 20, Failed: 8, MeanLatency: 0.9})
 	tr.run(4)
 	tr.say("-- six of eight proxies leave")
 	for p := 2; p < 8; p++ {
-		tr.c.ProxyLeft(tr.now, p)
-		tr.calls[p] = []int{0, 0}
+		tr.planner.ProxyLeft(tr.now, p)
+		tr.requests[p] = []int{0, 0}
 	}
-	tr.meet(LoadReport{Completed: 5, MeanLatency: 0.2})
+	tr.reportAll(LoadReport{Completed: 5, MeanLatency: 0.2})
 	tr.run(3)
 	tr.check()
 }
 
 // Connections refused by most nodes while answers are quick are neither load nor the nodes' fault.
-func TestRefused(t *testing.T) {
-	tr := scene(t, testSite(), 12)
+func TestQuickRejectionsAreNotLoad(t *testing.T) {
+	tr := newScene(t, testConfig(), 12)
 	tr.run(2)
 	tr.say("-- half of the nodes refuse half of the tries")
-	for node := range tr.meets {
+	for node := range tr.reports {
 		if node%4 < 2 {
-			tr.meets[node] = LoadReport{Completed: 12, Failed: 6, MeanLatency: 0.2}
+			tr.reports[node] = LoadReport{Completed: 12, Failed: 6, MeanLatency: 0.2}
 		}
 	}
 	tr.run(4)
@@ -439,76 +439,76 @@
 }
 
 // A conductor that starts in a jam does not take the first few answers told for all that the fleet can do.
-func TestStartInJam(t *testing.T) {
-	tr := scene(t, testSite(), 4)
-	tr.meet(LoadReport{Completed: 10, Failed: 4, MeanLatency: 1.1})
+func TestStartDuringOverload(t *testing.T) {
+	tr := newScene(t, testConfig(), 4)
+	tr.reportAll(LoadReport{Completed: 10, Failed: 4, MeanLatency: 1.1})
 	tr.run(4)
 	tr.say("-- all is answered quickly")
-	tr.meet(LoadReport{Completed: 6, MeanLatency: 0.2})
+	tr.reportAll(LoadReport{Completed: 6, MeanLatency: 0.2})
 	tr.run(8)
 	tr.check()
 }
 
 // Nothing that the list, the streams or the sums may bring ends in a panic or in orders that the queue cannot
 // take.
-func TestOdd(t *testing.T) {
-	site := testSite()
+func TestUnexpectedEventsKeepQueueBounded(t *testing.T) {
+	site := testConfig()
 	site.Proxies, site.MaxInFlightEntries = 300, 3000
-	tr := &trace{t: t, now: 100, meets: map[uint32]LoadReport{}}
-	tr.c = New(tr, site, tr.now)
+	tr := &trace{t: t, now: 100, reports: map[uint32]LoadReport{}}
+	tr.planner = New(tr, site, tr.now)
 	steps := []struct {
 		name string
 		do   func()
 	}{
-		{"an empty list", func() { tr.c.ReplaceEndpoints(tr.now, nil) }},
+		{"an empty list", func() { tr.planner.ReplaceEndpoints(tr.now, nil) }},
 		{"300 proxies in one batch", func() {
 			for p := range 300 {
-				tr.c.ProxyJoined(tr.now, p, p%2, 1)
+				tr.planner.ProxyJoined(tr.now, p, p%2, 1)
 			}
 		}},
-		{"no node in zone 1", func() { tr.c.ReplaceEndpoints(tr.now, rows(60)[:1]) }},
+		{"no node in zone 1", func() { tr.planner.ReplaceEndpoints(tr.now, endpointList(60)[:1]) }},
 		{"the list swings", func() {
 			for k := range 20 {
-				tr.c.ReplaceEndpoints(tr.now, rows(60)[k%2*30:k%2*30+30])
+				tr.planner.ReplaceEndpoints(tr.now, endpointList(60)[k%2*30:k%2*30+30])
 			}
 		}},
 		{"all start again cold", func() {
-			cold := rows(60)
+			cold := endpointList(60)
 			for k := range cold {
 				cold[k].StartTime = tr.now
 			}
-			tr.c.ReplaceEndpoints(tr.now, cold)
+			tr.planner.ReplaceEndpoints(tr.now, cold)
 		}},
 		{"sums and marks of what is not known", func() {
-			tr.c.AddLoadReport(tr.now, LoadReport{Node: 999, Completed: 5, Failed: 9, MeanLatency: -1})
-			tr.c.AddDemandReport(tr.now, DemandReport{Proxy: 999, Route: 9, Requests: 1, Interval: 1})
-			tr.c.Acknowledged(tr.now, 999, 59999)
-			tr.c.ProxyLeft(tr.now, 999)
+			tr.planner.AddLoadReport(tr.now, LoadReport{Node: 999, Completed: 5, Failed: 9, MeanLatency: -1})
+			tr.planner.AddDemandReport(tr.now, DemandReport{Proxy: 999, Route: 9, Requests: 1, Interval: 1})
+			tr.planner.Acknowledged(tr.now, 999, 59999)
+			tr.planner.ProxyLeft(tr.now, 999)
 		}},
-		{"all nodes gone", func() { tr.c.ReplaceEndpoints(tr.now, nil) }},
+		{"all nodes gone", func() { tr.planner.ReplaceEndpoints(tr.now, nil) }},
 		{"all proxies gone", func() {
 			for p := range 300 {
-				tr.c.ProxyLeft(tr.now, p)
+				tr.planner.ProxyLeft(tr.now, p)
 			}
 		}},
 	}
 	kept := ""
 	for _, step := range steps {
 		step.do()
-		least := tr.c.flow.available(1)
+		least := tr.planner.flow.available(1)
 		for range 30 {
 			tr.run(0.1)
-			least = min(least, tr.c.flow.available(1))
+			least = min(least, tr.planner.flow.available(1))
 		}
 		lines, bound := 0, 0
-		for subset := range tr.c.subsets {
-			for _, weight := range tr.c.subsets[subset].table.published {
+		for subset := range tr.planner.subsets {
+			for _, weight := range tr.planner.subsets[subset].table.published {
 				if weight > 0 {
 					lines++
 				}
 			}
 		}
-		for _, subset := range tr.c.subsets {
+		for _, subset := range tr.planner.subsets {
 			bound += len(subset.members)
 		}
 		kept += fmt.Sprintf("%s: %d lines, %d proxies bound, %.0f lines free at least\n", step.name, lines,
@@ -520,39 +520,39 @@
 }
 
 // A node at which calls wait turns some away because it is full: it stays in.
-func TestFullQueue(t *testing.T) {
-	site := testSite()
+func TestEndpointWithQueueIsNotEjected(t *testing.T) {
+	site := testConfig()
 	site.QueueLengthIndex = 0
-	tr := scene(t, site, 6)
+	tr := newScene(t, site, 6)
 	tr.run(2)
 	tr.say("-- node 1 is full and answers quickly what it takes, node 2 fails")
-	tr.meets[1] = LoadReport{Completed: 20, Failed: 12, MeanLatency: 0.4, Values: []float64{6}}
-	tr.meets[2] = LoadReport{Completed: 20, Failed: 12, MeanLatency: 0.4, Values: []float64{0}}
+	tr.reports[1] = LoadReport{Completed: 20, Failed: 12, MeanLatency: 0.4, Values: []float64{6}}
+	tr.reports[2] = LoadReport{Completed: 20, Failed: 12, MeanLatency: 0.4, Values: []float64{0}}
 	tr.run(3)
 	tr.check()
 }
 
 // Tries that other nodes refuse come again at a cold one that takes them: it gets little of the table.
-func TestColdAmongRefused(t *testing.T) {
-	tr := scene(t, testSite(), 6)
-	tr.meet(LoadReport{Completed: 12, Failed: 6, MeanLatency: 0.2})
+func TestColdEndpointIsDampedWhileOthersReject(t *testing.T) {
+	tr := newScene(t, testConfig(), 6)
+	tr.reportAll(LoadReport{Completed: 12, Failed: 6, MeanLatency: 0.2})
 	tr.run(2)
 	tr.say("-- node 1 restarts")
-	tr.c.UpdateEndpoints(tr.now, []Endpoint{{Node: 1, State: Ready, StartTime: tr.now}})
+	tr.planner.UpdateEndpoints(tr.now, []Endpoint{{Node: 1, State: Ready, StartTime: tr.now}})
 	tr.run(1)
 	tr.check()
 }
 
 // Proxies that are told again, after a gap in the news, were not away: levels stay as they are.
-func TestToldAgain(t *testing.T) {
-	tr := scene(t, testSite(), 4)
+func TestRepeatedJoinKeepsLevels(t *testing.T) {
+	tr := newScene(t, testConfig(), 4)
 	tr.run(10)
-	tr.meet(LoadReport{Completed: 10, Failed: 4, MeanLatency: 0.9})
-	tr.calls = [][]int{{40, 10}, {40, 10}}
+	tr.reportAll(LoadReport{Completed: 10, Failed: 4, MeanLatency: 0.9})
+	tr.requests = [][]int{{40, 10}, {40, 10}}
 	tr.run(20)
 	tr.say("-- both proxies are told again")
-	for p := range tr.calls {
-		tr.c.ProxyJoined(tr.now, p, p, 100)
+	for p := range tr.requests {
+		tr.planner.ProxyJoined(tr.now, p, p, 100)
 	}
 	tr.run(4)
 	tr.check()
@@ -560,100 +560,100 @@
 
 // A proxy without calls says nothing: its usage fades while others of its zone report and stays while none does; what
 // was held up meanwhile and comes all at once is no burst.
-func TestUsage(t *testing.T) {
-	tr := scene(t, testSite(), 4)
-	tr.c.ProxyJoined(tr.now, 2, 0, 40)
+func TestDemandDecaysWithReportsOfSubset(t *testing.T) {
+	tr := newScene(t, testConfig(), 4)
+	tr.planner.ProxyJoined(tr.now, 2, 0, 40)
 	show := func(what string) {
-		tr.say("%s: %.0f and %.0f calls a second", what, sum(tr.c.proxies.all[0].demand), sum(tr.c.proxies.all[2].demand))
+		tr.say("%s: %.0f and %.0f calls a second", what, sum(tr.planner.proxies.all[0].demand), sum(tr.planner.proxies.all[2].demand))
 	}
 	for _, step := range []struct {
 		what  string
 		calls [][]int
 	}{{"both are asked", [][]int{{10, 10}, {10, 10}, {10, 10}}}, {"one is not", [][]int{{10, 10}}}, {"no reports", nil}} {
-		tr.calls = step.calls
+		tr.requests = step.calls
 		tr.run(6)
 		show(step.what)
 	}
 	for proxy := range 3 {
 		for route := range 2 {
-			tr.c.AddDemandReport(tr.now, DemandReport{Proxy: proxy, Route: RouteID(route), Requests: 120, Interval: 6})
+			tr.planner.AddDemandReport(tr.now, DemandReport{Proxy: proxy, Route: RouteID(route), Requests: 120, Interval: 6})
 		}
 	}
 	show("all that was held up")
-	for node := range tr.meets {
-		tr.c.AddLoadReport(tr.now, LoadReport{Node: node, Completed: 120, MeanLatency: 0.2, Interval: 6})
+	for node := range tr.reports {
+		tr.planner.AddLoadReport(tr.now, LoadReport{Node: node, Completed: 120, MeanLatency: 0.2, Interval: 6})
 	}
-	tr.say("answered: %.0f a second", tr.c.endpoints.sum(func(e *endpoint) float64 { return e.load.completed })/loadWindow)
+	tr.say("answered: %.0f a second", tr.planner.endpoints.sum(func(e *endpoint) float64 { return e.load.completed })/loadWindow)
 	tr.check()
 }
 
 // Of tables that are off, those that leave their proxies without a node go first, whatever the calls of the others.
-func TestEmptyFirst(t *testing.T) {
-	tr := scene(t, testSite(), 24)
+func TestEmptyTableIsPublishedFirst(t *testing.T) {
+	tr := newScene(t, testConfig(), 24)
 	tr.run(2)
-	clear(tr.c.subsets[3].table.published)
-	tr.c.subsets[3].members, tr.c.subsets[3].demand = []int{1}, 0
-	tr.c.subsets[0].table.published[0] *= 5
-	tr.c.planTables()
+	clear(tr.planner.subsets[3].table.published)
+	tr.planner.subsets[3].members, tr.planner.subsets[3].demand = []int{1}, 0
+	tr.planner.subsets[0].table.published[0] *= 5
+	tr.planner.planTables()
 	tr.say("-- table 0 is far off, table 3 has no line")
-	tr.c.publishAll(tr.c.changedByTable([]int{0, 1, 2, 3}), bindShare)
+	tr.planner.publishAll(tr.planner.changedByTable([]int{0, 1, 2, 3}), bindShare)
 	tr.check()
 }
 
 // The proxies of a lost zone count for their usual calls when they are back, also once the first report comes.
-func TestZoneBack(t *testing.T) {
-	tr := scene(t, testSite(), 4)
+func TestReturningZoneKeepsBaselineRate(t *testing.T) {
+	tr := newScene(t, testConfig(), 4)
 	tr.run(3)
-	tr.c.ProxyLeft(tr.now, 1)
-	calls := tr.calls
-	tr.calls = calls[:1]
+	tr.planner.ProxyLeft(tr.now, 1)
+	calls := tr.requests
+	tr.requests = calls[:1]
 	tr.run(10)
 	tr.say("-- proxy 1 is back after 10 s")
-	tr.c.ProxyJoined(tr.now, 1, 1, 40)
-	tr.c.AddDemandReport(tr.now, DemandReport{Proxy: 1, Route: 0, Requests: 1, Interval: 0.5})
-	tr.c.Step(tr.wake)
-	tr.say("calls a second by pool %.0f", []float64{tr.c.subsets[0].demand, tr.c.subsets[1].demand})
+	tr.planner.ProxyJoined(tr.now, 1, 1, 40)
+	tr.planner.AddDemandReport(tr.now, DemandReport{Proxy: 1, Route: 0, Requests: 1, Interval: 0.5})
+	tr.planner.Step(tr.wakeAt)
+	tr.say("calls a second by pool %.0f", []float64{tr.planner.subsets[0].demand, tr.planner.subsets[1].demand})
 	tr.check()
 }
 
 // Proxies that another conductor leaves to us bring the nodes' part that was theirs: levels stay as they join and as
 // they go back.
-func TestTakenOver(t *testing.T) {
-	tr := scene(t, testSite(), 4)
+func TestLevelsStayAsProxiesAreTakenOver(t *testing.T) {
+	tr := newScene(t, testConfig(), 4)
 	tr.run(2)
-	tr.meet(LoadReport{Completed: 10, Failed: 5, MeanLatency: 0.8})
+	tr.reportAll(LoadReport{Completed: 10, Failed: 5, MeanLatency: 0.8})
 	tr.run(4)
 	tr.say("-- two more proxies")
-	tr.calls = [][]int{{10, 10}, {10, 10}, {10, 10}, {10, 10}}
+	tr.requests = [][]int{{10, 10}, {10, 10}, {10, 10}, {10, 10}}
 	for p := 2; p < 4; p++ {
-		tr.c.ProxyJoined(tr.now, p, p%2, 40)
+		tr.planner.ProxyJoined(tr.now, p, p%2, 40)
 	}
 	tr.run(4)
 	tr.say("-- they go back")
 	for p := 2; p < 4; p++ {
-		tr.c.ProxyLeft(tr.now, p)
+		tr.planner.ProxyLeft(tr.now, p)
 	}
-	tr.calls = tr.calls[:2]
+	tr.requests = tr.requests[:2]
 	tr.run(4)
 	tr.check()
 }
 
 // Proxies that stand are told again after a gap in the news: what waits for them still counts, they keep getting
 // their table's lines, and they are bound again only as the channel has room.
-func TestToldInFullChannel(t *testing.T) {
-	site := testSite()
+func TestRepeatedJoinReleasesNothing(t *testing.T) {
+	site := testConfig()
 	site.Proxies, site.MaxInFlightEntries = 40, 600
-	tr := &trace{t: t, now: 100, mute: true}
-	tr.c = New(tr, site, tr.now)
-	tr.c.ReplaceEndpoints(tr.now, rows(6))
+	tr := &trace{t: t, now: 100, withholdAcks: true}
+	tr.planner = New(tr, site, tr.now)
+	tr.planner.ReplaceEndpoints(tr.now, endpointList(6))
 	join := func() {
 		for p := range site.Proxies {
-			tr.c.ProxyJoined(tr.now, p, p%2, 1)
+			tr.planner.ProxyJoined(tr.now, p, p%2, 1)
 		}
 	}
 	waits := func(when string) {
-		bound := len(tr.c.subsets[0].members) + len(tr.c.subsets[1].members)
-		tr.say("%s: %.0f of %.0f lines wait, %d bound", when, tr.c.flow.account.entries, site.MaxInFlightEntries, bound)
+		bound := len(tr.planner.subsets[0].members) + len(tr.planner.subsets[1].members)
+		tr.say("%s: %.0f of %.0f lines wait, %d bound", when, tr.planner.flow.account.entries, site.MaxInFlightEntries, bound)
 	}
 	join()
 	waits("joined")
@@ -663,68 +663,68 @@
 	waits("told again")
 	tr.run(1)
 	waits("later")
-	tr.c.ProxyLeft(tr.now, 0)
-	tr.c.ProxyJoined(tr.now, 0, 0, 1)
+	tr.planner.ProxyLeft(tr.now, 0)
+	tr.planner.ProxyJoined(tr.now, 0, 0, 1)
 	waits("one was renewed")
-	tr.c.Acknowledged(tr.now, 1, tr.order)
+	tr.planner.Acknowledged(tr.now, 1, tr.nonce)
 	waits("the last mark was confirmed")
 	tr.check()
 }
 
 // A call that may have been carried out and goes out again counts twice, until a later mark shows that both left.
-func TestRepeated(t *testing.T) {
-	site := testSite()
-	tr := scene(t, site, 4)
-	waits := func(when string) { tr.say("%s: %.0f lines wait", when, tr.c.flow.account.entries) }
+func TestRetriedCallCountsTwice(t *testing.T) {
+	site := testConfig()
+	tr := newScene(t, site, 4)
+	waits := func(when string) { tr.say("%s: %.0f lines wait", when, tr.planner.flow.account.entries) }
 	tr.run(1)
 	waits("calm")
-	tr.mute = true
-	tr.c.UpdateEndpoints(tr.now, []Endpoint{{Node: 2, Zone: 1, State: Draining}})
+	tr.withholdAcks = true
+	tr.planner.UpdateEndpoints(tr.now, []Endpoint{{Node: 2, Zone: 1, State: Draining}})
 	waits("node 2 drains")
-	first := tr.order
-	tr.c.CommandsRetried(tr.now, first, true)
+	first := tr.nonce
+	tr.planner.CommandsRetried(tr.now, first, true)
 	waits("repeated")
-	tr.c.CommandsAccepted(tr.now, first)
+	tr.planner.CommandsAccepted(tr.now, first)
 	for p := range 2 {
-		tr.c.Acknowledged(tr.now, p, first)
+		tr.planner.Acknowledged(tr.now, p, first)
 	}
 	waits("confirmed, for all one knows the first time")
 	tr.now += 0.1
-	tr.c.UpdateEndpoints(tr.now, []Endpoint{{Node: 1, State: Draining}})
+	tr.planner.UpdateEndpoints(tr.now, []Endpoint{{Node: 1, State: Draining}})
 	waits("node 1 drains")
 	for p := range 2 {
-		tr.c.Acknowledged(tr.now, p, tr.order)
+		tr.planner.Acknowledged(tr.now, p, tr.nonce)
 	}
-	tr.c.CommandsAccepted(tr.now, tr.order)
+	tr.planner.CommandsAccepted(tr.now, tr.nonce)
 	waits("confirmed")
 	tr.check()
 }
 
 // Where the queue holds far more than the channel sends in a while, a crowd is bound as it drains, a level still goes
 // out, and a drain finds little before it.
-func TestLongQueue(t *testing.T) {
-	site := testSite()
+func TestLongQueueIsFilledByRate(t *testing.T) {
+	site := testConfig()
 	site.Proxies, site.EntriesPerSecond, site.MaxInFlightEntries = 200, 100, 100000
-	tr := &trace{t: t, now: 100, meets: map[uint32]LoadReport{}, mute: true}
-	tr.c = New(tr, site, tr.now)
-	tr.c.ReplaceEndpoints(tr.now, rows(6))
-	tr.c.CommandsAccepted(tr.now, tr.order)
+	tr := &trace{t: t, now: 100, reports: map[uint32]LoadReport{}, withholdAcks: true}
+	tr.planner = New(tr, site, tr.now)
+	tr.planner.ReplaceEndpoints(tr.now, endpointList(6))
+	tr.planner.CommandsAccepted(tr.now, tr.nonce)
 	for p := range site.Proxies {
-		tr.c.ProxyJoined(tr.now, p, p%2, 1)
+		tr.planner.ProxyJoined(tr.now, p, p%2, 1)
 	}
 	var kept []string
 	say := func(when string) {
-		bound := len(tr.c.subsets[0].members) + len(tr.c.subsets[1].members)
-		kept = append(kept, fmt.Sprintf("%s: %.1f s of the channel wait, %d bound", when, tr.c.flow.account.entries/site.EntriesPerSecond, bound))
+		bound := len(tr.planner.subsets[0].members) + len(tr.planner.subsets[1].members)
+		kept = append(kept, fmt.Sprintf("%s: %.1f s of the channel wait, %d bound", when, tr.planner.flow.account.entries/site.EntriesPerSecond, bound))
 	}
 	say("joined")
 	for range 4 {
-		tr.c.Acknowledged(tr.now, 0, tr.order)
+		tr.planner.Acknowledged(tr.now, 0, tr.nonce)
 		tr.run(1)
 	}
 	say("4 s later")
-	before := tr.c.flow.account.entries
-	tr.c.UpdateEndpoints(tr.now, []Endpoint{{Node: 2, Zone: 1, State: Draining}})
+	before := tr.planner.flow.account.entries
+	tr.planner.UpdateEndpoints(tr.now, []Endpoint{{Node: 2, Zone: 1, State: Draining}})
 	kept = append(kept, fmt.Sprintf("the drain is behind %.1f s", before/site.EntriesPerSecond))
 	tr.Reset()
 	for _, line := range kept {
