--- a/planner/bench_test.go
+++ b/planner/bench_test.go
@@ -24,9 +24,9 @@
 
 // newFleet is a conductor that all proxies have joined and confirmed.
 func newFleet(proxies, nodes int) (c *Planner, now float64) {
-	site := testConfig()
-	site.Proxies, site.MaxInFlightEntries = proxies, float64(proxies)*108
-	c = New(discardHost{}, site, 100)
+	config := testConfig()
+	config.Proxies, config.MaxInFlightEntries = proxies, float64(proxies)*108
+	c = New(discardHost{}, config, 100)
 	c.ReplaceEndpoints(100, endpointList(nodes))
 	joinAll(c, 100, proxies)
 	for now = 100; len(c.proxies.unbound) > 0 || now < 102; now += 0.1 {
@@ -43,10 +43,10 @@
 }
 
 func answerAll(c *Planner, now float64, proxies int) {
-	mark := c.flow.account.nonces % nonceModulo
-	c.CommandsAccepted(now, mark)
+	nonce := c.flow.account.nonces % nonceModulo
+	c.CommandsAccepted(now, nonce)
 	for p := range proxies {
-		c.Acknowledged(now, p, mark)
+		c.Acknowledged(now, p, nonce)
 	}
 }
 
--- a/planner/brain_test.go
+++ b/planner/brain_test.go
@@ -35,8 +35,8 @@
 			if len(members) != 3 {
 				t.Errorf("pool %d of %d has %d proxies", pool, len(tr.planner.subsets), len(members))
 			}
-			if whole := sum(tr.planner.subsets[pool].table.published); whole == 0 {
-				t.Errorf("pool %d has weights of %.2f", pool, whole)
+			if total := sum(tr.planner.subsets[pool].table.published); total == 0 {
+				t.Errorf("pool %d has weights of %.2f", pool, total)
 			}
 		}
 	}
@@ -61,15 +61,15 @@
 		for z := range loads {
 			loads[z] = subsetLoad{zone: z, demand: fill.shares[z], capacity: fill.rooms[z]}
 		}
-		given := allocate(loads, n, false).granted
+		granted := allocate(loads, n, false).granted
 		tr.say("%s: shares %v rooms %v", fill.name, fill.shares, fill.rooms)
 		for from := range n {
-			tr.say("  zone %d gives %.2f", from, given[from*n:from*n+n])
+			tr.say("  zone %d gives %.2f", from, granted[from*n:from*n+n])
 		}
 		for to, room := range fill.rooms {
 			used := 0.0
 			for from := range n {
-				used += given[from*n+to]
+				used += granted[from*n+to]
 			}
 			if used > room+1e-9 {
 				t.Errorf("%s: zone %d is given %v over its room %v", fill.name, to, used, room)
@@ -184,9 +184,9 @@
 
 // While marks stay away, ordinary changes wait and urgent ones go out.
 func TestUrgentChangesPassSlowChannel(t *testing.T) {
-	site := testConfig()
-	site.MaxInFlightEntries, site.EntriesPerSecond = 100, 50
-	tr := newScene(t, site, 8)
+	config := testConfig()
+	config.MaxInFlightEntries, config.EntriesPerSecond = 100, 50
+	tr := newScene(t, config, 8)
 	tr.withholdAcks = true
 	tr.say("-- zone 0 is asked for more")
 	tr.requests[0] = []int{30, 30}
@@ -198,9 +198,9 @@
 
 // Where the list must be asked, a failed call is repeated with growing waits.
 func TestFailedSubscriptionBacksOff(t *testing.T) {
-	site := testConfig()
-	site.MustSubscribe = true
-	tr := newScene(t, site, 2)
+	config := testConfig()
+	config.MustSubscribe = true
+	tr := newScene(t, config, 2)
 	for range 4 {
 		tr.planner.EndpointWatchFailed(tr.now)
 		tr.run(3)
@@ -264,10 +264,10 @@
 
 // Routes that gain about alike share a level; levels that are rates give each proxy its max-min share.
 func TestRoutesOfOneTierShareLevel(t *testing.T) {
-	site := testConfig()
-	site.Admission = AdmissionRate
-	site.Routes = append(site.Routes, Route{LatencyObjective: 1, PriorityWeight: 2.8})
-	tr := newScene(t, site, 4)
+	config := testConfig()
+	config.Admission = AdmissionRate
+	config.Routes = append(config.Routes, Route{LatencyObjective: 1, PriorityWeight: 2.8})
+	tr := newScene(t, config, 4)
 	tr.requests = [][]int{{10, 2, 2}, {10, 8, 8}}
 	tr.reportAll(LoadReport{Completed: 10, Failed: 8, MeanLatency: 1})
 	tr.run(3)
@@ -305,9 +305,9 @@
 
 // A fleet that joins at once is bound as the queue takes it, and what must go still goes out.
 func TestCrowdIsBoundAsChannelAllows(t *testing.T) {
-	site := testConfig()
-	site.Proxies, site.MaxInFlightEntries = 12, 100
-	tr := newScene(t, site, 4)
+	config := testConfig()
+	config.Proxies, config.MaxInFlightEntries = 12, 100
+	tr := newScene(t, config, 4)
 	tr.withholdAcks = true
 	for p := 2; p < 12; p++ {
 		tr.planner.ProxyJoined(tr.now, p, p%2, 1)
@@ -351,9 +351,9 @@
 
 // A channel that is slow for a minute never holds more than its queue takes; a broken stream frees its part.
 func TestQueueStaysBoundedOnSlowChannel(t *testing.T) {
-	site := testConfig()
-	site.MaxInFlightEntries, site.EntriesPerSecond = 60, 30
-	tr := newScene(t, site, 8)
+	config := testConfig()
+	config.MaxInFlightEntries, config.EntriesPerSecond = 60, 30
+	tr := newScene(t, config, 8)
 	tr.withholdAcks = true
 	for k := range 30 {
 		tr.planner.UpdateEndpoints(tr.now, []Endpoint{{Node: 1, StartTime: tr.now, State: EndpointState(1 + k%2)}})
@@ -367,9 +367,9 @@
 
 // What drains leaves all tables before proxies are bound; these come before a table is set anew.
 func TestRemovalsThenBindsThenTables(t *testing.T) {
-	site := testConfig()
-	site.Proxies, site.MaxInFlightEntries = 20, 80
-	tr := newScene(t, site, 12)
+	config := testConfig()
+	config.Proxies, config.MaxInFlightEntries = 20, 80
+	tr := newScene(t, config, 12)
 	tr.run(2)
 	tr.say("-- nodes restart and drain as proxies join")
 	tr.withholdAcks = true
@@ -386,9 +386,9 @@
 // A conductor whose proxies are of its own zone keeps their calls there, as those that it does not see are
 // taken to be where the room is; once its zone is asked for far more than usual, it lends.
 func TestUnseenDemandKeepsRequestsInZone(t *testing.T) {
-	site := testConfig()
-	site.LocalZoneProxies, site.Proxies, site.Controllers = true, 60, 2
-	tr := newScene(t, site, 12)
+	config := testConfig()
+	config.LocalZoneProxies, config.Proxies, config.Controllers = true, 60, 2
+	tr := newScene(t, config, 12)
 	tr.planner.ProxyLeft(tr.now, 1)
 	for p := 2; p < 30; p++ {
 		tr.planner.ProxyJoined(tr.now, p, 0, 10)
@@ -452,11 +452,11 @@
 // Nothing that the list, the streams or the sums may bring ends in a panic or in orders that the queue cannot
 // take.
 func TestUnexpectedEventsKeepQueueBounded(t *testing.T) {
-	site := testConfig()
-	site.Proxies, site.MaxInFlightEntries = 300, 3000
+	config := testConfig()
+	config.Proxies, config.MaxInFlightEntries = 300, 3000
 	tr := &trace{t: t, now: 100, reports: map[uint32]LoadReport{}}
-	tr.planner = New(tr, site, tr.now)
-	steps := []struct {
+	tr.planner = New(tr, config, tr.now)
+	events := []struct {
 		name string
 		do   func()
 	}{
@@ -492,38 +492,38 @@
 			}
 		}},
 	}
-	kept := ""
-	for _, step := range steps {
+	summary := ""
+	for _, step := range events {
 		step.do()
-		least := tr.planner.flow.available(1)
+		leastAvailable := tr.planner.flow.available(1)
 		for range 30 {
 			tr.run(0.1)
-			least = min(least, tr.planner.flow.available(1))
+			leastAvailable = min(leastAvailable, tr.planner.flow.available(1))
 		}
-		lines, bound := 0, 0
+		entries, bound := 0, 0
 		for subset := range tr.planner.subsets {
 			for _, weight := range tr.planner.subsets[subset].table.published {
 				if weight > 0 {
-					lines++
+					entries++
 				}
 			}
 		}
 		for _, subset := range tr.planner.subsets {
 			bound += len(subset.members)
 		}
-		kept += fmt.Sprintf("%s: %d lines, %d proxies bound, %.0f lines free at least\n", step.name, lines,
-			bound, least)
+		summary += fmt.Sprintf("%s: %d lines, %d proxies bound, %.0f lines free at least\n", step.name, entries,
+			bound, leastAvailable)
 	}
 	tr.Reset()
-	tr.WriteString(kept)
+	tr.WriteString(summary)
 	tr.check()
 }
 
 // A node at which calls wait turns some away because it is full: it stays in.
 func TestEndpointWithQueueIsNotEjected(t *testing.T) {
-	site := testConfig()
-	site.QueueLengthIndex = 0
-	tr := newScene(t, site, 6)
+	config := testConfig()
+	config.QueueLengthIndex = 0
+	tr := newScene(t, config, 6)
 	tr.run(2)
 	tr.say("-- node 1 is full and answers quickly what it takes, node 2 fails")
 	tr.reports[1] = LoadReport{Completed: 20, Failed: 12, MeanLatency: 0.4, Values: []float64{6}}
@@ -641,81 +641,81 @@
 // Proxies that stand are told again after a gap in the news: what waits for them still counts, they keep getting
 // their table's lines, and they are bound again only as the channel has room.
 func TestRepeatedJoinReleasesNothing(t *testing.T) {
-	site := testConfig()
-	site.Proxies, site.MaxInFlightEntries = 40, 600
+	config := testConfig()
+	config.Proxies, config.MaxInFlightEntries = 40, 600
 	tr := &trace{t: t, now: 100, withholdAcks: true}
-	tr.planner = New(tr, site, tr.now)
+	tr.planner = New(tr, config, tr.now)
 	tr.planner.ReplaceEndpoints(tr.now, endpointList(6))
 	join := func() {
-		for p := range site.Proxies {
+		for p := range config.Proxies {
 			tr.planner.ProxyJoined(tr.now, p, p%2, 1)
 		}
 	}
-	waits := func(when string) {
+	sayInFlight := func(when string) {
 		bound := len(tr.planner.subsets[0].members) + len(tr.planner.subsets[1].members)
-		tr.say("%s: %.0f of %.0f lines wait, %d bound", when, tr.planner.flow.account.entries, site.MaxInFlightEntries, bound)
+		tr.say("%s: %.0f of %.0f lines wait, %d bound", when, tr.planner.flow.account.entries, config.MaxInFlightEntries, bound)
 	}
 	join()
-	waits("joined")
+	sayInFlight("joined")
 	tr.run(2)
-	waits("later")
+	sayInFlight("later")
 	join()
-	waits("told again")
+	sayInFlight("told again")
 	tr.run(1)
-	waits("later")
+	sayInFlight("later")
 	tr.planner.ProxyLeft(tr.now, 0)
 	tr.planner.ProxyJoined(tr.now, 0, 0, 1)
-	waits("one was renewed")
+	sayInFlight("one was renewed")
 	tr.planner.Acknowledged(tr.now, 1, tr.nonce)
-	waits("the last mark was confirmed")
+	sayInFlight("the last mark was confirmed")
 	tr.check()
 }
 
 // A call that may have been carried out and goes out again counts twice, until a later mark shows that both left.
 func TestRetriedCallCountsTwice(t *testing.T) {
-	site := testConfig()
-	tr := newScene(t, site, 4)
-	waits := func(when string) { tr.say("%s: %.0f lines wait", when, tr.planner.flow.account.entries) }
+	config := testConfig()
+	tr := newScene(t, config, 4)
+	sayInFlight := func(when string) { tr.say("%s: %.0f lines wait", when, tr.planner.flow.account.entries) }
 	tr.run(1)
-	waits("calm")
+	sayInFlight("calm")
 	tr.withholdAcks = true
 	tr.planner.UpdateEndpoints(tr.now, []Endpoint{{Node: 2, Zone: 1, State: Draining}})
-	waits("node 2 drains")
+	sayInFlight("node 2 drains")
 	first := tr.nonce
 	tr.planner.CommandsRetried(tr.now, first, true)
-	waits("repeated")
+	sayInFlight("repeated")
 	tr.planner.CommandsAccepted(tr.now, first)
 	for p := range 2 {
 		tr.planner.Acknowledged(tr.now, p, first)
 	}
-	waits("confirmed, for all one knows the first time")
+	sayInFlight("confirmed, for all one knows the first time")
 	tr.now += 0.1
 	tr.planner.UpdateEndpoints(tr.now, []Endpoint{{Node: 1, State: Draining}})
-	waits("node 1 drains")
+	sayInFlight("node 1 drains")
 	for p := range 2 {
 		tr.planner.Acknowledged(tr.now, p, tr.nonce)
 	}
 	tr.planner.CommandsAccepted(tr.now, tr.nonce)
-	waits("confirmed")
+	sayInFlight("confirmed")
 	tr.check()
 }
 
 // Where the queue holds far more than the channel sends in a while, a crowd is bound as it drains, a level still goes
 // out, and a drain finds little before it.
 func TestLongQueueIsFilledByRate(t *testing.T) {
-	site := testConfig()
-	site.Proxies, site.EntriesPerSecond, site.MaxInFlightEntries = 200, 100, 100000
+	config := testConfig()
+	config.Proxies, config.EntriesPerSecond, config.MaxInFlightEntries = 200, 100, 100000
 	tr := &trace{t: t, now: 100, reports: map[uint32]LoadReport{}, withholdAcks: true}
-	tr.planner = New(tr, site, tr.now)
+	tr.planner = New(tr, config, tr.now)
 	tr.planner.ReplaceEndpoints(tr.now, endpointList(6))
 	tr.planner.CommandsAccepted(tr.now, tr.nonce)
-	for p := range site.Proxies {
+	for p := range config.Proxies {
 		tr.planner.ProxyJoined(tr.now, p, p%2, 1)
 	}
 	var kept []string
 	say := func(when string) {
 		bound := len(tr.planner.subsets[0].members) + len(tr.planner.subsets[1].members)
-		kept = append(kept, fmt.Sprintf("%s: %.1f s of the channel wait, %d bound", when, tr.planner.flow.account.entries/site.EntriesPerSecond, bound))
+		kept = append(kept, fmt.Sprintf("%s: %.1f s of the channel wait, %d bound", when, tr.planner.flow.account.entries/config.EntriesPerSecond, bound))
 	}
 	say("joined")
 	for range 4 {
@@ -725,7 +725,7 @@
 	say("4 s later")
 	before := tr.planner.flow.account.entries
 	tr.planner.UpdateEndpoints(tr.now, []Endpoint{{Node: 2, Zone: 1, State: Draining}})
-	kept = append(kept, fmt.Sprintf("the drain is behind %.1f s", before/site.EntriesPerSecond))
+	kept = append(kept, fmt.Sprintf("the drain is behind %.1f s", before/config.EntriesPerSecond))
 	tr.Reset()
 	for _, line := range kept {
 		tr.say("%s", line)
--- a/planner/trace_test.go
+++ b/planner/trace_test.go
@@ -59,9 +59,9 @@
 }
 
 // newScene starts a conductor with n nodes and a proxy in each zone, all of them content.
-func newScene(t *testing.T, site Config, n int) *trace {
+func newScene(t *testing.T, config Config, n int) *trace {
 	tr := &trace{t: t, now: 100, reports: map[uint32]LoadReport{}, requests: [][]int{{10, 10}, {10, 10}}}
-	tr.planner = New(tr, site, tr.now)
+	tr.planner = New(tr, config, tr.now)
 	tr.planner.ReplaceEndpoints(tr.now, endpointList(n))
 	for p := range tr.requests {
 		tr.planner.ProxyJoined(tr.now, p, p, 40)
