--- a/planner/allocation_test.go
+++ b/planner/allocation_test.go
@@ -118,3 +118,41 @@
 		}
 	}
 }
+
+// Requests that find no room in their own zone would overload one other zone if they all went there. They have to go
+// evenly to the zones that have room, after what these need themselves, until no room is left.
+func TestAllocationSpillsEvenly(t *testing.T) {
+	tr := &trace{t: t}
+	for _, fill := range []struct {
+		name               string
+		demand, capacities []float64
+	}{
+		{"even", []float64{1, 1}, []float64{5, 5}},
+		{"one zone short", []float64{1, 1, 1}, []float64{1, 4, 4}},
+		{"one zone busy", []float64{4, 1, 1}, []float64{2, 2, 2}},
+		{"a zone without nodes", []float64{1, 1, 1}, []float64{0, 3, 3}},
+		{"no traffic", []float64{0, 0}, []float64{3, 3}},
+		{"one zone only", []float64{7}, []float64{3}},
+	} {
+		n := len(fill.capacities)
+		loads := make([]subsetLoad, n)
+		for z := range loads {
+			loads[z] = subsetLoad{zone: z, demand: fill.demand[z], capacity: fill.capacities[z]}
+		}
+		granted := allocate(loads, n, false).granted
+		tr.say("%s: shares %v rooms %v", fill.name, fill.demand, fill.capacities)
+		for from := range n {
+			tr.say("  zone %d gives %.2f", from, granted[from*n:from*n+n])
+		}
+		for to, capacity := range fill.capacities {
+			used := 0.0
+			for from := range n {
+				used += granted[from*n+to]
+			}
+			if used > capacity+1e-9 {
+				t.Errorf("%s: zone %d is used with %v, over its capacity %v", fill.name, to, used, capacity)
+			}
+		}
+	}
+	tr.check()
+}
--- a/planner/bench_test.go
+++ b/planner/bench_test.go
@@ -5,6 +5,7 @@
 	"testing"
 )
 
+// discardHost carries out nothing.
 type discardHost struct{}
 
 func (discardHost) BindProxy(int, int)                              {}
@@ -22,74 +23,77 @@
 	}
 }
 
-// newFleet is a conductor that all proxies have joined and confirmed.
-func newFleet(proxies, nodes int) (c *Planner, now float64) {
+// newFleet returns a planner whose proxies have all joined, been bound and acknowledged, and the time then.
+func newFleet(proxies, nodes int) (p *Planner, now float64) {
 	config := testConfig()
-	config.Proxies, config.MaxInFlightEntries = proxies, float64(proxies)*108
-	c = New(discardHost{}, config, 100)
-	c.ReplaceEndpoints(100, endpointList(nodes))
-	joinAll(c, 100, proxies)
-	for now = 100; len(c.proxies.unbound) > 0 || now < 102; now += 0.1 {
-		answerAll(c, now, proxies)
-		c.Step(now)
+	config.Proxies = proxies
+	config.MaxInFlightEntries = float64(proxies) * 108
+	p = New(discardHost{}, config, 100)
+	p.ReplaceEndpoints(100, endpointList(nodes))
+	joinAll(p, 100, proxies)
+	for now = 100; len(p.proxies.unbound) > 0 || now < 102; now += 0.1 {
+		acknowledgeAll(p, now, proxies)
+		p.Step(now)
 	}
-	return c, now
+	return p, now
 }
 
-func joinAll(c *Planner, now float64, proxies int) {
-	for p := range proxies {
-		c.ProxyJoined(now, p, p%2, 1)
+func joinAll(p *Planner, now float64, proxies int) {
+	for proxy := range proxies {
+		p.ProxyJoined(now, proxy, proxy%2, 1)
 	}
 }
 
-func answerAll(c *Planner, now float64, proxies int) {
-	nonce := c.flow.account.nonces % nonceModulo
-	c.CommandsAccepted(now, nonce)
-	for p := range proxies {
-		c.Acknowledged(now, p, nonce)
+// acknowledgeAll answers the last call, and acknowledges its nonce for all proxies.
+func acknowledgeAll(p *Planner, now float64, proxies int) {
+	nonce := p.flow.account.nonces % nonceModulo
+	p.CommandsAccepted(now, nonce)
+	for proxy := range proxies {
+		p.Acknowledged(now, proxy, nonce)
 	}
 }
 
-func BenchmarkWake(b *testing.B) {
+// A step, with a load report on each endpoint before it.
+func BenchmarkStep(b *testing.B) {
 	runSizes(b, func(b *testing.B, proxies, nodes int) {
-		c, now := newFleet(proxies, nodes)
+		p, now := newFleet(proxies, nodes)
 		for b.Loop() {
 			now += stepInterval
 			for i := range uint32(nodes) {
-				c.AddLoadReport(now, LoadReport{Node: i + 1, Completed: 10, MeanLatency: 0.2, Interval: 0.5})
+				p.AddLoadReport(now, LoadReport{Node: i + 1, Completed: 10, MeanLatency: 0.2, Interval: 0.5})
 			}
-			c.Step(now)
-			answerAll(c, now, proxies)
+			p.Step(now)
+			acknowledgeAll(p, now, proxies)
 		}
 	})
 }
 
-// A crowd that joins at once, and its confirmations.
-func BenchmarkJoin(b *testing.B) {
+// A crowd that joins at once, and its acknowledgements.
+func BenchmarkProxyJoined(b *testing.B) {
 	runSizes(b, func(b *testing.B, proxies, nodes int) {
-		c, now := newFleet(proxies, nodes)
+		p, now := newFleet(proxies, nodes)
 		for b.Loop() {
-			for p := range proxies {
-				c.ProxyLeft(now, p)
+			for proxy := range proxies {
+				p.ProxyLeft(now, proxy)
 			}
-			joinAll(c, now, proxies)
-			for len(c.proxies.unbound) > 0 {
+			joinAll(p, now, proxies)
+			for len(p.proxies.unbound) > 0 {
 				now += stepInterval
-				answerAll(c, now, proxies)
-				c.Step(now)
+				acknowledgeAll(p, now, proxies)
+				p.Step(now)
 			}
 		}
 		b.ReportMetric(float64(b.Elapsed().Microseconds())/float64(b.N*proxies), "us/proxy")
 	})
 }
 
-// One report of a proxy's calls, in pools as large as these fleets have.
-func BenchmarkUsage(b *testing.B) {
+// One demand report, in subsets as large as these fleets have.
+func BenchmarkAddDemandReport(b *testing.B) {
 	runSizes(b, func(b *testing.B, proxies, nodes int) {
-		c, now := newFleet(proxies, nodes)
+		p, now := newFleet(proxies, nodes)
 		for k := 0; b.Loop(); k++ {
 			now += 0.001
-			c.AddDemandReport(now, DemandReport{Proxy: k % proxies, Requests: 3, Interval: 1})
+			p.AddDemandReport(now, DemandReport{Proxy: k % proxies, Requests: 3, Interval: 1})
 		}
 	})
 }
--- /dev/null
+++ b/planner/clientretries_test.go
@@ -0,0 +1,44 @@
+package planner
+
+import "testing"
+
+// Clients repeat what is rejected, and demand grows threefold while nothing waits. Taken for demand, retries would
+// lower the levels further. The levels have to come back at once, and follow when the original requests fall.
+func TestClientRetriesAreNotDemand(t *testing.T) {
+	tr := newScene(t, testConfig(), 4)
+	tr.run(2)
+	tr.say("-- all nodes are full")
+	tr.reportAll(LoadReport{Completed: 10, Failed: 3, MeanLatency: 0.8})
+	tr.run(3)
+	tr.say("-- what was turned away is asked three times, and nothing waits")
+	tr.requests = [][]int{{24, 10}, {24, 10}}
+	tr.reportAll(LoadReport{Completed: 8, MeanLatency: 0.2})
+	tr.run(6)
+	tr.say("-- first tries fall by half")
+	tr.requests = [][]int{{12, 5}, {12, 5}}
+	tr.run(4)
+	tr.check()
+}
+
+// A burst ends while the fleet is throttled, and each rejected request comes again twice. The retries alone kept the
+// fleet throttled. Throttling has to end.
+func TestThrottlingEndsWithBurst(t *testing.T) {
+	tr := newScene(t, testConfig(), 4)
+	tr.run(2)
+	tr.say("-- a burst, and all nodes are full")
+	tr.requests = [][]int{{40, 40}, {40, 40}}
+	tr.reportAll(LoadReport{Completed: 14, Failed: 8, MeanLatency: 0.9})
+	tr.run(4)
+	tr.say("-- it is over; each call that is turned away comes again twice")
+	for range 20 {
+		let := 0.0
+		for r, level := range tr.planner.admission.levels {
+			let += 20 * level / 4
+			tr.requests[0][r] = int(10 + 20*(1-level))
+		}
+		tr.requests[1] = tr.requests[0]
+		tr.reportAll(LoadReport{Completed: int(let), MeanLatency: 0.2})
+		tr.run(0.5)
+	}
+	tr.check()
+}
--- /dev/null
+++ b/planner/flowcontrol_test.go
@@ -0,0 +1,107 @@
+package planner
+
+import (
+	"fmt"
+	"testing"
+)
+
+// The channel delivers nothing for a while, and acknowledgements stay away. Ordinary changes have to wait, while
+// endpoints that drain still leave the tables.
+func TestUrgentChangesPassSlowChannel(t *testing.T) {
+	config := testConfig()
+	config.MaxInFlightEntries = 100
+	config.EntriesPerSecond = 50
+	tr := newScene(t, config, 8)
+	tr.withholdAcks = true
+	tr.say("-- zone 0 is asked for more")
+	tr.requests[0] = []int{30, 30}
+	tr.run(4)
+	tr.say("-- node 2 drains")
+	tr.planner.UpdateEndpoints(tr.now, []Endpoint{{Node: 2, Zone: 1, State: Draining}})
+	tr.check()
+}
+
+// The channel is slow for a minute, while an endpoint drains and comes back again and again. Released by time,
+// entries would overrun the queue. It must never hold more than it takes, and a broken stream has to release its
+// part.
+func TestQueueStaysBoundedOnSlowChannel(t *testing.T) {
+	config := testConfig()
+	config.MaxInFlightEntries = 60
+	config.EntriesPerSecond = 30
+	tr := newScene(t, config, 8)
+	tr.withholdAcks = true
+	for k := range 30 {
+		tr.planner.UpdateEndpoints(tr.now, []Endpoint{{Node: 1, StartTime: tr.now, State: EndpointState(1 + k%2)}})
+		tr.run(2)
+	}
+	tr.say("free %.0f", tr.planner.flow.available(1))
+	tr.planner.ProxyLeft(tr.now, 0)
+	tr.say("free %.0f", tr.planner.flow.available(1))
+	tr.check()
+}
+
+// The outcome of a call is unknown, and it goes out again: its entries may be in flight twice. An acknowledgement of
+// its nonce may be of the first time. Both have to count until a later nonce is acknowledged.
+func TestRetriedCallCountsTwice(t *testing.T) {
+	config := testConfig()
+	tr := newScene(t, config, 4)
+	sayInFlight := func(when string) { tr.say("%s: %.0f lines wait", when, tr.planner.flow.account.entries) }
+	tr.run(1)
+	sayInFlight("calm")
+	tr.withholdAcks = true
+	tr.planner.UpdateEndpoints(tr.now, []Endpoint{{Node: 2, Zone: 1, State: Draining}})
+	sayInFlight("node 2 drains")
+	first := tr.nonce
+	tr.planner.CommandsRetried(tr.now, first, true)
+	sayInFlight("repeated")
+	tr.planner.CommandsAccepted(tr.now, first)
+	for p := range 2 {
+		tr.planner.Acknowledged(tr.now, p, first)
+	}
+	sayInFlight("confirmed, for all one knows the first time")
+	tr.now += 0.1
+	tr.planner.UpdateEndpoints(tr.now, []Endpoint{{Node: 1, State: Draining}})
+	sayInFlight("node 1 drains")
+	for p := range 2 {
+		tr.planner.Acknowledged(tr.now, p, tr.nonce)
+	}
+	tr.planner.CommandsAccepted(tr.now, tr.nonce)
+	sayInFlight("confirmed")
+	tr.check()
+}
+
+// The queue holds far more than the channel delivers in a while. Filled to its share with the tables of a crowd, it
+// would hold up all that follows for half a minute. The crowd has to be bound as the channel drains, levels still
+// have to go out, and a drain finds little before it.
+func TestLongQueueIsFilledByRate(t *testing.T) {
+	config := testConfig()
+	config.Proxies = 200
+	config.EntriesPerSecond = 100
+	config.MaxInFlightEntries = 100000
+	tr := &trace{t: t, now: 100, reports: map[uint32]LoadReport{}, withholdAcks: true}
+	tr.planner = New(tr, config, tr.now)
+	tr.planner.ReplaceEndpoints(tr.now, endpointList(6))
+	tr.planner.CommandsAccepted(tr.now, tr.nonce)
+	for p := range config.Proxies {
+		tr.planner.ProxyJoined(tr.now, p, p%2, 1)
+	}
+	var kept []string
+	say := func(when string) {
+		bound := len(tr.planner.subsets[0].members) + len(tr.planner.subsets[1].members)
+		kept = append(kept, fmt.Sprintf("%s: %.1f s of the channel wait, %d bound", when, tr.planner.flow.account.entries/config.EntriesPerSecond, bound))
+	}
+	say("joined")
+	for range 4 {
+		tr.planner.Acknowledged(tr.now, 0, tr.nonce)
+		tr.run(1)
+	}
+	say("4 s later")
+	before := tr.planner.flow.account.entries
+	tr.planner.UpdateEndpoints(tr.now, []Endpoint{{Node: 2, Zone: 1, State: Draining}})
+	kept = append(kept, fmt.Sprintf("the drain is behind %.1f s", before/config.EntriesPerSecond))
+	tr.Reset()
+	for _, line := range kept {
+		tr.say("%s", line)
+	}
+	tr.check()
+}
--- /dev/null
+++ b/planner/outlier_test.go
@@ -0,0 +1,54 @@
+package planner
+
+import "testing"
+
+// An endpoint takes requests and answers none. It shows as failed attempts when these time out. The endpoint has to
+// be ejected then, and to come back over a probation once it answers.
+func TestSilentEndpointIsEjectedAndComesBack(t *testing.T) {
+	tr := newScene(t, testConfig(), 6)
+	tr.run(3)
+	tr.say("-- node 1 answers none")
+	tr.reports[1] = LoadReport{Completed: 4, Failed: 4}
+	tr.run(8)
+	tr.say("-- node 1 answers again")
+	tr.reports[1] = LoadReport{Completed: 1, MeanLatency: 0.2}
+	tr.run(4)
+	tr.check()
+}
+
+// Load reports of all endpoints stop at once, as the collector stalls. No endpoint is at fault, and none may be
+// ejected.
+func TestMissingReportsEjectNobody(t *testing.T) {
+	tr := newScene(t, testConfig(), 6)
+	tr.run(3)
+	tr.say("-- no sums any more")
+	clear(tr.reports)
+	tr.run(5)
+	tr.check()
+}
+
+// One endpoint fails quickly, another is full and answers slowly. Both fail most attempts. The first has to be
+// ejected, as it draws requests; the second must stay, as ejecting it would only fill the next one.
+func TestFailingEndpointIsEjectedAndFullOneIsNot(t *testing.T) {
+	tr := newScene(t, testConfig(), 6)
+	tr.run(3)
+	tr.say("-- node 1 fails fast, node 2 is full")
+	tr.reports[1] = LoadReport{Completed: 10, Failed: 6, MeanLatency: 0.2}
+	tr.reports[2] = LoadReport{Completed: 20, Failed: 12, MeanLatency: 1.5}
+	tr.run(3)
+	tr.check()
+}
+
+// Two endpoints fail most attempts and answer the rest quickly; at one of them requests wait. That one is full and
+// has to stay in service, the other is at fault and has to be ejected.
+func TestEndpointWithQueueIsNotEjected(t *testing.T) {
+	config := testConfig()
+	config.QueueLengthIndex = 0
+	tr := newScene(t, config, 6)
+	tr.run(2)
+	tr.say("-- node 1 is full and answers quickly what it takes, node 2 fails")
+	tr.reports[1] = LoadReport{Completed: 20, Failed: 12, MeanLatency: 0.4, Values: []float64{6}}
+	tr.reports[2] = LoadReport{Completed: 20, Failed: 12, MeanLatency: 0.4, Values: []float64{0}}
+	tr.run(3)
+	tr.check()
+}
--- a/planner/trace_test.go
+++ b/planner/trace_test.go
@@ -14,17 +14,18 @@
 
 var update = flag.Bool("update", false, "write the traces to testdata")
 
-// trace is a Host that prints what a conductor decides, and the clock and figures of one scene.
+// trace is a Host that prints what a planner commands, in the words of the traces under testdata. It keeps the clock of
+// one scene and what its endpoints and proxies report.
 type trace struct {
 	strings.Builder
 	t            *testing.T
 	planner      *Planner
 	now          float64
 	wakeAt       float64
-	withholdAcks bool // print marks and wakes no more
-	nonce        int
-	reports      map[uint32]LoadReport // what each node's sums say every period
-	requests     [][]int               // calls of each proxy by route, every period
+	withholdAcks bool                  // whether proxies acknowledge nothing
+	nonce        int                   // the last one to acknowledge
+	reports      map[uint32]LoadReport // by node, for each report interval
+	requests     [][]int               // by proxy and route, for each report interval
 }
 
 func (tr *trace) say(format string, args ...any) {
@@ -32,25 +33,47 @@
 }
 
 func (tr *trace) BindProxy(proxy, table int) { tr.say("bind proxy %d to table %d", proxy, table) }
+
 func (tr *trace) SetWeight(table int, node uint32, weight float64) {
 	tr.say("table %d node %d weight %.2f", table, node, weight)
 }
-func (tr *trace) SetAdmission(table int, route RouteID, level float64, tries RetryPolicy) {
-	tr.say("table %d level routes %b %.2f tries %d", table, 1<<route, level, tries)
+
+func (tr *trace) SetAdmission(table int, route RouteID, level float64, retry RetryPolicy) {
+	tr.say("table %d level routes %b %.2f tries %d", table, 1<<route, level, retry)
 }
+
 func (tr *trace) RequestAck(nonce int) { tr.nonce = nonce }
 func (tr *trace) Wake(at float64)      { tr.wakeAt = at }
 func (tr *trace) Subscribe()           { tr.say("subscribe") }
-func (tr *trace) Log(line string)      { tr.say("log %s", line) }
+func (tr *trace) Log(text string)      { tr.say("log %s", text) }
 
 // testConfig is a small deployment with two zones and two routes.
 func testConfig() Config {
-	return Config{Seed: 1, Zones: 2, MachineTypes: 1, Controllers: 1, Proxies: 2, SubscribeTimeout: 10, UtilizationIndex: -1,
-		QueueLengthIndex: -1, Admission: AdmissionFraction, EntriesPerSecond: 1000, MaxInFlightEntries: 2000, MessageOverhead: 5, MessageWindow: 10, ReportInterval: 0.5,
-		SlowStartWindow: 16, OverloadMultiple: 3, Routes: []Route{{LatencyObjective: 1, PriorityWeight: 1}, {LatencyObjective: 1, PriorityWeight: 3}}}
+	return Config{
+		Seed:               1,
+		Zones:              2,
+		MachineTypes:       1,
+		Controllers:        1,
+		Proxies:            2,
+		SubscribeTimeout:   10,
+		UtilizationIndex:   -1,
+		QueueLengthIndex:   -1,
+		Admission:          AdmissionFraction,
+		EntriesPerSecond:   1000,
+		MaxInFlightEntries: 2000,
+		MessageOverhead:    5,
+		MessageWindow:      10,
+		ReportInterval:     0.5,
+		SlowStartWindow:    16,
+		OverloadMultiple:   3,
+		Routes: []Route{
+			{LatencyObjective: 1, PriorityWeight: 1},
+			{LatencyObjective: 1, PriorityWeight: 3},
+		},
+	}
 }
 
-// endpointList lists n nodes, in turn in the site's two zones.
+// endpointList lists endpoints 1 to n, in turn in the two zones of testConfig.
 func endpointList(n int) (list []Endpoint) {
 	for i := range n {
 		list = append(list, Endpoint{Node: uint32(i + 1), Zone: i % 2, State: Ready})
@@ -58,13 +81,14 @@
 	return list
 }
 
-// newScene starts a conductor with n nodes and a proxy in each zone, all of them content.
+// newScene starts a planner with n endpoints and a proxy in each zone. All endpoints answer quickly.
 func newScene(t *testing.T, config Config, n int) *trace {
+	t.Helper()
 	tr := &trace{t: t, now: 100, reports: map[uint32]LoadReport{}, requests: [][]int{{10, 10}, {10, 10}}}
 	tr.planner = New(tr, config, tr.now)
 	tr.planner.ReplaceEndpoints(tr.now, endpointList(n))
-	for p := range tr.requests {
-		tr.planner.ProxyJoined(tr.now, p, p, 40)
+	for proxy := range tr.requests {
+		tr.planner.ProxyJoined(tr.now, proxy, proxy, 40)
 	}
 	for i := range n {
 		tr.reports[uint32(i+1)] = LoadReport{Completed: 10, MeanLatency: 0.2}
@@ -72,44 +96,55 @@
 	return tr
 }
 
-// reportAll sets what every node's sums say.
-func (tr *trace) reportAll(s LoadReport) {
+// reportAll makes all endpoints report alike.
+func (tr *trace) reportAll(report LoadReport) {
 	for node := range tr.reports {
-		tr.reports[node] = s
+		tr.reports[node] = report
 	}
 }
 
-// run lets time pass; every period brings the scene's sums and each mark is confirmed.
+// run lets time pass, with a step whenever the planner asked for it, reports in their interval, and acknowledgements.
 func (tr *trace) run(seconds float64) {
-	next := tr.now + tr.planner.config.ReportInterval
+	nextReport := tr.now + tr.planner.config.ReportInterval
 	for end := tr.now + seconds; tr.now < end; {
 		tr.planner.CommandsAccepted(tr.now, tr.nonce)
 		tr.now = tr.wakeAt
-		if tr.now >= next {
-			next += tr.planner.config.ReportInterval
-			for node := uint32(1); int(node) <= len(tr.planner.endpoints.all); node++ {
-				s := tr.reports[node]
-				s.Node = node
-				if s.Completed > 0 {
-					tr.planner.AddLoadReport(tr.now, s)
-				}
-			}
-			for p, routes := range tr.requests {
-				for r, calls := range routes {
-					tr.planner.AddDemandReport(tr.now, DemandReport{Proxy: p, Route: RouteID(r), Requests: calls, Interval: tr.planner.config.ReportInterval})
-				}
-			}
+		if tr.now >= nextReport {
+			nextReport += tr.planner.config.ReportInterval
+			tr.report()
 		}
 		tr.planner.Step(tr.now)
 		if !tr.withholdAcks && tr.nonce > 0 {
-			for p := range tr.planner.proxies.all {
-				tr.planner.Acknowledged(tr.now, p, tr.nonce)
+			for proxy := range tr.planner.proxies.all {
+				tr.planner.Acknowledged(tr.now, proxy, tr.nonce)
 			}
 		}
 	}
 }
 
-// check compares what was printed with the trace kept under the scene's name.
+// report brings the load and demand reports of an interval.
+func (tr *trace) report() {
+	for node := uint32(1); int(node) <= len(tr.planner.endpoints.all); node++ {
+		report := tr.reports[node]
+		report.Node = node
+		if report.Completed > 0 {
+			tr.planner.AddLoadReport(tr.now, report)
+		}
+	}
+	interval := tr.planner.config.ReportInterval
+	for proxy, routes := range tr.requests {
+		for route, requests := range routes {
+			tr.planner.AddDemandReport(tr.now, DemandReport{
+				Proxy:    proxy,
+				Route:    RouteID(route),
+				Requests: requests,
+				Interval: interval,
+			})
+		}
+	}
+}
+
+// check compares what was printed with the test's trace under testdata.
 func (tr *trace) check() {
 	tr.t.Helper()
 	file := filepath.Join("testdata", snakeCase(strings.TrimPrefix(tr.t.Name(), "Test"))+".txt")
