--- a/planner/outlier.go
+++ b/planner/outlier.go
@@ -1,6 +1,9 @@
 package planner
 
-import "slices"
+import (
+	"fmt"
+	"slices"
+)
 
 const (
 	// ejectFailureRatio is the part of its attempts that an endpoint may fail, above medianFailureMultiple times what
@@ -29,6 +32,7 @@
 	probation        // it gets few requests, to be judged by
 )
 
+// String returns the health's name.
 func (h health) String() string {
 	switch h {
 	case healthy:
@@ -38,7 +42,7 @@
 	case probation:
 		return "probation"
 	}
-	return "unknown"
+	return fmt.Sprintf("health(%d)", uint8(h))
 }
 
 // logWord is the word of Host.Log for a health. It is on the simulator's wire.
--- /dev/null
+++ b/planner/types_test.go
@@ -0,0 +1,34 @@
+package planner
+
+import (
+	"fmt"
+	"testing"
+)
+
+// A value of a later release, or of a wire, has to show as what it is in logs and messages.
+func TestEnumerationsHaveNames(t *testing.T) {
+	for _, c := range []struct {
+		value fmt.Stringer
+		want  string
+	}{
+		{NoRetry, "no retry"},
+		{RetryIfNotSent, "retry if not sent"},
+		{RetryPolicy(7), "RetryPolicy(7)"},
+		{AdmissionOff, "off"},
+		{AdmissionFraction, "fraction"},
+		{AdmissionRate, "rate"},
+		{AdmissionKind(7), "AdmissionKind(7)"},
+		{Removed, "removed"},
+		{Ready, "ready"},
+		{Draining, "draining"},
+		{EndpointState(7), "EndpointState(7)"},
+		{healthy, "healthy"},
+		{ejected, "ejected"},
+		{probation, "probation"},
+		{health(7), "health(7)"},
+	} {
+		if got := c.value.String(); got != c.want {
+			t.Errorf("%T: %q, want %q", c.value, got, c.want)
+		}
+	}
+}
