--- a/planner/admission.go
+++ b/planner/admission.go
@@ -13,12 +13,14 @@
 	// cutIntervalSeconds is the time between two cuts: load reports reach back some seconds, come late and are
 	// averaged, so that a cut shows only then.
 	cutIntervalSeconds = 5.0
-	// budgetGrowth is the part by which the budget grows each second while the fleet is idle: queues fill later than
-	// load reports tell.
-	budgetGrowth = 0.05
-	// budgetRecovery is the part by which it grows besides, for a budget of nothing beside the peak throughput.
-	budgetRecovery = 0.5
-	// minWindowCoverage is the part of loadWindow that has to be covered by reports before they tell the throughput.
+	// budgetGrowthPerSecond is the part by which the budget grows each second while the fleet is idle: queues fill
+	// later than load reports tell.
+	budgetGrowthPerSecond = 0.05
+	// budgetRecoveryPerSecond is the part by which it grows besides, for a budget of nothing beside the peak
+	// throughput.
+	budgetRecoveryPerSecond = 0.5
+	// minWindowCoverage is the part of loadWindowSeconds that has to be covered by reports before they tell the
+	// throughput.
 	minWindowCoverage = 0.5
 	// capacityTarget is the part of what busy endpoints could answer that is admitted: requests arrive at random.
 	capacityTarget = 0.65
@@ -71,7 +73,7 @@
 	baselineRate   float64   // requests a second that the connected proxies usually get
 	fleet          fleetLoad
 	saturation     float64
-	windowCoverage float64 // part of loadWindow that reports cover
+	windowCoverage float64 // part of loadWindowSeconds that reports cover
 	attempts       float64 // attempts a second that completed
 }
 
@@ -100,20 +102,29 @@
 	})
 }
 
-// update decides the levels, every updateInterval. It reports whether throttling has begun or ended.
+// update decides the levels, every updateIntervalSeconds. It reports whether throttling has begun or ended.
 func (a *admissionControl) update(in admissionInput) (throttlingChanged bool) {
 	a.followBaselineRate(in.baselineRate)
-	a.retries.update(in, a)
+	a.retries.update(clientRetryInput{
+		now:                in.now,
+		demand:             in.demand,
+		subsets:            in.subsets,
+		servedBaselineRate: a.servedBaselineRate,
+		throttling:         a.throttling,
+		throttlingSince:    a.throttlingSince,
+		saturation:         in.saturation,
+		attempts:           in.attempts,
+	})
 	asked := a.originalWork()
 	a.scaleBudget(in.fleet.weight * a.servedBaselineRate)
 	if in.windowCoverage > minWindowCoverage {
 		// Before, a few answers would pass for all that the fleet can do, and throttle an idle one.
-		throughput := in.fleet.answers / loadWindow / in.windowCoverage * in.meanObjective
+		throughput := in.fleet.answers / loadWindowSeconds / in.windowCoverage * in.meanObjective
 		a.peakThroughput = max(a.peakThroughput, throughput)
 	}
 	a.moveBudget(in)
 	a.limitByUtilization(in, asked)
-	if a.kind == AdmissionOff || in.saturation < relievedLatency && a.workBudget > unboundBudgetRatio*asked {
+	if a.kind == AdmissionOff || in.saturation < relievedLatencyRatio && a.workBudget > unboundBudgetRatio*asked {
 		a.workBudget = math.Inf(1)
 	}
 	throttling := !math.IsInf(a.workBudget, 1)
@@ -131,7 +142,7 @@
 func (a *admissionControl) followBaselineRate(connected float64) {
 	connected = max(connected, 1e-9)
 	left := a.servedBaselineRate - connected
-	a.servedBaselineRate = max(connected, connected+left*math.Exp(-updateInterval/demandWindow))
+	a.servedBaselineRate = max(connected, connected+left*math.Exp(-updateIntervalSeconds/demandWindowSeconds))
 }
 
 // scaleBudget lets the budget follow the endpoints and our proxies. A zone or a release takes endpoints away and brings
@@ -149,14 +160,14 @@
 // the farther it is under the peak throughput.
 func (a *admissionControl) moveBudget(in admissionInput) {
 	switch {
-	case in.saturation > saturatedLatency && in.now >= a.noCutBefore && a.peakThroughput > 0:
+	case in.saturation > saturatedLatencyRatio && in.now >= a.noCutBefore && a.peakThroughput > 0:
 		a.workBudget = budgetCut * min(a.workBudget, a.peakThroughput)
 		a.noCutBefore = in.now + cutIntervalSeconds
-	case in.saturation < relievedLatency:
+	case in.saturation < relievedLatencyRatio:
 		deficit := max(0, 1-a.workBudget/max(a.peakThroughput, 1e-9))
-		growth := budgetGrowth + budgetRecovery*deficit
-		relief := min(1, (relievedLatency-in.saturation)/(relievedLatency-idleLatency))
-		a.workBudget *= 1 + growth*updateInterval*relief
+		growth := budgetGrowthPerSecond + budgetRecoveryPerSecond*deficit
+		relief := min(1, (relievedLatencyRatio-in.saturation)/(relievedLatencyRatio-idleLatencyRatio))
+		a.workBudget *= 1 + growth*updateIntervalSeconds*relief
 	}
 }
 
--- a/planner/allocation.go
+++ b/planner/allocation.go
@@ -1,8 +1,6 @@
 package planner
 
-import (
-	"math"
-)
+import "math"
 
 // subsetLoad is what the allocation knows of a subset.
 type subsetLoad struct {
@@ -29,13 +27,14 @@
 // In each round every subset sends along its first path that has room left: to its own endpoints; else evenly to all
 // subsets of its zone that have room; else, unless localZoneOnly, evenly to all that have room. All traffic grows in
 // proportion to demand until some subset is full, and the next round begins without it. The fill ends when the traffic
-// of some subset finds no path: all subsets are granted the same part of their demand, and the max-min fair one.
+// of some subset finds no path: all subsets are then granted the same
+// part of their demand, the max-min fair one.
 func allocate(loads []subsetLoad, zones int, localZoneOnly bool) allocation {
 	n := len(loads)
 	fill := waterFill{
 		loads:         loads,
 		localZoneOnly: localZoneOnly,
-		room:          make([]float64, n),
+		remaining:     make([]float64, n),
 		link:          make([]float64, n*n),
 		inbound:       make([]float64, n),
 		granted:       make([]float64, n*n),
@@ -43,10 +42,10 @@
 	}
 	total := 0.0
 	for to, load := range loads {
-		fill.room[to] = load.capacity
+		fill.remaining[to] = load.capacity
 		total += load.capacity
 	}
-	fill.minRoom = minRoomFraction * total
+	fill.minRemaining = minRemainingFraction * total
 	for fill.findPaths() {
 		bottleneck := fill.bottleneck()
 		if math.IsInf(bottleneck, 1) {
@@ -57,15 +56,15 @@
 	return allocation{subsets: n, granted: fill.granted}
 }
 
-// minRoomFraction is the part of all capacity below which a subset counts as full: rounding leaves as much.
-const minRoomFraction = 1e-9
+// minRemainingFraction is the part of all capacity below which a subset counts as full: rounding leaves as much.
+const minRemainingFraction = 1e-9
 
 // waterFill is the state of an allocation between two rounds.
 type waterFill struct {
 	loads         []subsetLoad
 	localZoneOnly bool
-	minRoom       float64   // up to which a subset counts as full
-	room          []float64 // by subset, capacity that is not granted yet
+	minRemaining  float64   // up to which a subset counts as full
+	remaining     []float64 // by subset, capacity that is not granted yet
 	granted       []float64 // by from*n+to
 
 	// Of the round under way.
@@ -85,7 +84,7 @@
 	for from, load := range f.loads {
 		targets := f.openInZone[load.zone]
 		switch {
-		case f.room[from] > f.minRoom:
+		case f.remaining[from] > f.minRemaining:
 			direct[0] = from
 			targets = direct[:]
 		case len(targets) == 0 && !f.localZoneOnly:
@@ -109,8 +108,8 @@
 	for zone := range f.openInZone {
 		f.openInZone[zone] = f.openInZone[zone][:0]
 	}
-	for to, room := range f.room {
-		if room > f.minRoom {
+	for to, room := range f.remaining {
+		if room > f.minRemaining {
 			zone := f.loads[to].zone
 			f.openInZone[zone] = append(f.openInZone[zone], to)
 			f.open = append(f.open, to)
@@ -123,7 +122,7 @@
 	bottleneck := math.Inf(1)
 	for to, inbound := range f.inbound {
 		if inbound > 0 {
-			bottleneck = min(bottleneck, f.room[to]/inbound)
+			bottleneck = min(bottleneck, f.remaining[to]/inbound)
 		}
 	}
 	return bottleneck
@@ -137,7 +136,7 @@
 		for to, weight := range f.link[from*n : from*n+n] {
 			amount := weight * bottleneck
 			row[to] += amount
-			f.room[to] -= amount
+			f.remaining[to] -= amount
 		}
 	}
 }
--- a/planner/bench_test.go
+++ b/planner/bench_test.go
@@ -58,7 +58,7 @@
 	runSizes(b, func(b *testing.B, proxies, nodes int) {
 		p, now := newFleet(proxies, nodes)
 		for b.Loop() {
-			now += stepInterval
+			now += stepIntervalSeconds
 			for i := range uint32(nodes) {
 				p.AddLoadReport(now, LoadReport{Node: i + 1, Completed: 10, MeanLatency: 0.2, Interval: 0.5})
 			}
@@ -78,7 +78,7 @@
 			}
 			joinAll(p, now, proxies)
 			for len(p.proxies.unbound) > 0 {
-				now += stepInterval
+				now += stepIntervalSeconds
 				acknowledgeAll(p, now, proxies)
 				p.Step(now)
 			}
--- a/planner/capacity.go
+++ b/planner/capacity.go
@@ -3,18 +3,20 @@
 import "math"
 
 const (
-	// capacityWindow is the time in s over which answers and busy time are remembered: work varies between requests.
-	capacityWindow = 8.0
-	// capacityPrior is the busy time in s that the capacity of the machine type counts for: a few dozen requests tell as
-	// much.
-	capacityPrior = 1.5
-	// baselineLatencyGrowth is the part by which the best mean latency seen grows each second, as work may change.
-	baselineLatencyGrowth = 0.01
+	// capacityWindowSeconds is the time in s over which answers and busy time are remembered: work varies between
+	// requests.
+	capacityWindowSeconds = 8.0
+	// capacityPriorSeconds is the busy time in s that the capacity of the machine type counts for: a few dozen
+	// requests tell as much.
+	capacityPriorSeconds = 1.5
+	// baselineLatencyGrowthPerSecond is the part by which the best mean latency seen grows each second, as work may
+	// change.
+	baselineLatencyGrowthPerSecond = 0.01
 	// minUtilization is the least utilization that is believed: less tells nothing of capacity.
 	minUtilization = 0.30
 )
 
-// capacityEvidence is what an endpoint's capacity is learned from. It decays over capacityWindow.
+// capacityEvidence is what an endpoint's capacity is learned from. It decays over capacityWindowSeconds.
 type capacityEvidence struct {
 	answered        float64 // requests
 	busySeconds     float64 // s that it was busy meanwhile, times its weight
@@ -38,7 +40,7 @@
 
 // learn adds what healthy, warm endpoints answered since the last update, and averages it by machine type.
 func (c *capacityEstimate) learn(now float64, endpoints []endpoint, start slowStart, meanObjective float64) {
-	keep := math.Exp(-updateInterval / capacityWindow)
+	keep := math.Exp(-updateIntervalSeconds / capacityWindowSeconds)
 	for i := range endpoints {
 		e := &endpoints[i]
 		inService := e.state == Ready && e.health == healthy
@@ -49,8 +51,8 @@
 		if !c.utilizationReported {
 			utilization = e.utilizationByLatency(meanObjective)
 		}
-		e.evidence.answered = e.evidence.answered*keep + e.load.answers()/loadWindow*updateInterval
-		busy := max(utilization, minUtilization) * e.weight * updateInterval
+		e.evidence.answered = e.evidence.answered*keep + e.load.answers()/loadWindowSeconds*updateIntervalSeconds
+		busy := max(utilization, minUtilization) * e.weight * updateIntervalSeconds
 		e.evidence.busySeconds = e.evidence.busySeconds*keep + busy
 	}
 	c.averageByType(endpoints)
@@ -60,10 +62,10 @@
 // baseline latency. A failed attempt counts as having waited for a latency objective.
 func (e *endpoint) utilizationByLatency(meanObjective float64) float64 {
 	if answers := e.load.answers(); answers >= minAttempts {
-		grown := e.evidence.baselineLatency * (1 + baselineLatencyGrowth*updateInterval)
+		grown := e.evidence.baselineLatency * (1 + baselineLatencyGrowthPerSecond*updateIntervalSeconds)
 		e.evidence.baselineLatency = min(grown, e.load.latencySum/answers)
 	}
-	baseline := min(e.evidence.baselineLatency, idleLatency*meanObjective)
+	baseline := min(e.evidence.baselineLatency, idleLatencyRatio*meanObjective)
 	latency := (e.load.latencySum + e.load.failed*meanObjective) / e.load.completed
 	return 1 - baseline/max(baseline, latency)
 }
@@ -82,21 +84,22 @@
 		totalAnswered += e.evidence.answered
 		totalBusySeconds += e.evidence.busySeconds
 	}
-	priorAnswered := capacityPrior * (totalAnswered + 1e-9) / (totalBusySeconds + 1e-9)
+	priorAnswered := capacityPriorSeconds * (totalAnswered + 1e-9) / (totalBusySeconds + 1e-9)
 	for machineType := range c.byType {
-		c.byType[machineType] = (answered[machineType] + priorAnswered) / (busySeconds[machineType] + capacityPrior)
+		withPrior := answered[machineType] + priorAnswered
+		c.byType[machineType] = withPrior / (busySeconds[machineType] + capacityPriorSeconds)
 	}
 }
 
 // learned is the requests a second that an endpoint can answer when warm: its weight times what is learned of it, and
 // of its machine type where that is little.
 func (c *capacityEstimate) learned(e *endpoint) float64 {
-	prior := capacityPrior * e.weight
+	prior := capacityPriorSeconds * e.weight
 	return e.weight * (e.evidence.answered + prior*c.byType[e.machineType]) / (e.evidence.busySeconds + prior)
 }
 
-// availableCapacity is the requests a second that an endpoint is to get at most: what it can answer, less in slow start,
-// while it fails attempts, and on probation.
+// availableCapacity is the requests a second that an endpoint is to get at most: what it can answer, less in slow
+// start, while it fails attempts, and on probation.
 func (p *Planner) availableCapacity(e *endpoint) float64 {
 	if e.state != Ready || e.health == ejected {
 		return 0
--- a/planner/clientretries.go
+++ b/planner/clientretries.go
@@ -1,12 +1,12 @@
 package planner
 
 const (
-	// admissionLag is the time in s over which a level shows in demand: its way to the proxies, the report's way back
-	// and demandWindow.
-	admissionLag = 3.0
-	// clientRetryWindow is the time in s after throttling began in which client retries are told from a change of
-	// demand.
-	clientRetryWindow = 8.0
+	// admissionLagSeconds is the time in s over which a level shows in demand: its way to the proxies, the report's
+	// way back and demandWindowSeconds.
+	admissionLagSeconds = 3.0
+	// clientRetryWindowSeconds is the time in s after throttling began in which client retries are told from a change
+	// of demand.
+	clientRetryWindowSeconds = 8.0
 	// minRejectedDemand is the part of demand that has to be rejected before client retries are estimated.
 	minRejectedDemand = 0.1
 	// maxClientRetries bounds the client retries for each rejected request.
@@ -30,41 +30,55 @@
 	}
 }
 
+// clientRetryInput is what an update of the estimate is made from.
+type clientRetryInput struct {
+	now                float64   // s
+	demand             []float64 // requests a second by route
+	subsets            []subset  // their demand and published levels
+	servedBaselineRate float64   // requests a second
+	throttling         bool
+	throttlingSince    float64 // s
+	saturation         float64
+	attempts           float64 // attempts a second that completed
+}
+
 // update estimates the original requests, and for the next time the retries for each rejected request.
-func (e *clientRetryEstimate) update(in admissionInput, admission *admissionControl) {
-	totalSubsetDemand := 0.0
-	for z := range in.subsets {
-		totalSubsetDemand += in.subsets[z].demand
-	}
-	totalSubsetDemand = max(totalSubsetDemand, 1e-9)
+func (e *clientRetryEstimate) update(in clientRetryInput) {
 	expected := 0.0         // demand as it was before throttling
 	expectedRejected := 0.0 // of that, what is rejected
 	rejectedDemand := 0.0   // of the demand now, what is rejected
+	subsetDemand := max(totalDemand(in.subsets), 1e-9)
 	for r, rate := range in.demand {
-		rejected := 0.0 // mean over the subsets, as the levels were published
-		for z := range in.subsets {
-			s := &in.subsets[z]
-			rejected += (1 - s.admission.levels[r]) * s.demand / totalSubsetDemand
-		}
-		e.rejected[r] += (rejected - e.rejected[r]) * updateInterval / admissionLag
-		if !admission.throttling {
-			e.unthrottledDemand[r] = rate / admission.servedBaselineRate
+		published := publishedRejection(in.subsets, r, subsetDemand)
+		e.rejected[r] += (published - e.rejected[r]) * updateIntervalSeconds / admissionLagSeconds
+		if !in.throttling {
+			e.unthrottledDemand[r] = rate / in.servedBaselineRate
 		}
-		expected += e.unthrottledDemand[r] * admission.servedBaselineRate
-		expectedRejected += e.unthrottledDemand[r] * admission.servedBaselineRate * e.rejected[r]
+		expected += e.unthrottledDemand[r] * in.servedBaselineRate
+		expectedRejected += e.unthrottledDemand[r] * in.servedBaselineRate * e.rejected[r]
 		rejectedDemand += rate * e.rejected[r]
 		e.original[r] = rate / (1 + e.perRejection*e.rejected[r])
 	}
 	demand := sum(in.demand)
-	earlyThrottling := admission.throttling && in.now < admission.throttlingSince+clientRetryWindow
-	if earlyThrottling && expectedRejected > minRejectedDemand*expected {
+	throttlingBegan := in.throttling && in.now < in.throttlingSince+clientRetryWindowSeconds
+	if throttlingBegan && expectedRejected > minRejectedDemand*expected {
 		// So soon, demand beside what the same clients asked before tells how often they retry.
 		seen := min(max((demand-expected)/expectedRejected, 0), maxClientRetries)
-		e.perRejection += (seen - e.perRejection) * updateInterval / admissionLag
+		e.perRejection += (seen - e.perRejection) * updateIntervalSeconds / admissionLagSeconds
 	}
-	if in.saturation < idleLatency && rejectedDemand > 0 {
+	if in.saturation < idleLatencyRatio && rejectedDemand > 0 {
 		// Client retries alone could keep an idle fleet throttled. Where nothing waits, what completed is all that was
 		// admitted, and the rest of demand are retries.
 		e.perRejection = min(max((demand-rejectedDemand)/in.attempts-1, 0)*demand/rejectedDemand, maxClientRetries)
 	}
 }
+
+// publishedRejection is the part of a route's requests that proxies reject, as the levels were published: the mean over
+// the subsets by their demand.
+func publishedRejection(subsets []subset, route int, subsetDemand float64) (rejected float64) {
+	for z := range subsets {
+		s := &subsets[z]
+		rejected += (1 - s.admission.levels[route]) * s.demand / subsetDemand
+	}
+	return rejected
+}
--- a/planner/demand.go
+++ b/planner/demand.go
@@ -2,9 +2,9 @@
 
 import "math"
 
-// demandWindow is the time in s over which a proxy's demand is averaged: long enough for the few requests of one
+// demandWindowSeconds is the time in s over which a proxy's demand is averaged: long enough for the few requests of one
 // proxy, short enough as clients come and go.
-const demandWindow = 3.0
+const demandWindowSeconds = 3.0
 
 // demandEstimate is how many requests arrive at the proxies, as of the last step.
 type demandEstimate struct {
@@ -24,13 +24,13 @@
 	p.decaySubsetDemand(&p.subsets[reporter.subset])
 	// Reports that were held up come all at once. Each counts for the window that is averaged at most: else they would
 	// pass for a burst.
-	reporter.demand[report.Route] += float64(report.Requests) / max(report.Interval, demandWindow)
+	reporter.demand[report.Route] += float64(report.Requests) / max(report.Interval, demandWindowSeconds)
 }
 
 // decaySubsetDemand decays the demand of a subset's members, as one of its proxies reports. A proxy without requests
 // reports nothing: its demand decays as others of the subset report, and stays while none does.
 func (p *Planner) decaySubsetDemand(s *subset) {
-	keep := math.Exp((s.demandReportedAt - p.now) / demandWindow)
+	keep := math.Exp((s.demandReportedAt - p.now) / demandWindowSeconds)
 	s.demandReportedAt = p.now
 	if keep >= 1 {
 		return
@@ -46,7 +46,7 @@
 // update adds the demand up by subset and by route. That of proxies that left decays with each step: a short break of
 // a stream moves neither the subsets' shares nor the admission levels.
 func (d *demandEstimate) update(proxies []proxy, subsets []subset, routes []Route) {
-	keep := math.Exp(-stepInterval / demandWindow)
+	keep := math.Exp(-stepIntervalSeconds / demandWindowSeconds)
 	for z := range subsets {
 		subsets[z].demand = 0
 	}
--- a/planner/demand_test.go
+++ b/planner/demand_test.go
@@ -28,7 +28,7 @@
 	for node := range tr.reports {
 		tr.planner.AddLoadReport(tr.now, LoadReport{Node: node, Completed: 120, MeanLatency: 0.2, Interval: 6})
 	}
-	tr.say("answered: %.0f a second", tr.planner.endpoints.sum(func(e *endpoint) float64 { return e.load.completed })/loadWindow)
+	tr.say("answered: %.0f a second", tr.planner.endpoints.sum(func(e *endpoint) float64 { return e.load.completed })/loadWindowSeconds)
 	tr.check()
 }
 
--- a/planner/endpoints.go
+++ b/planner/endpoints.go
@@ -49,8 +49,12 @@
 	r.indexOf[listed.Node] = i
 	r.dealtByZone[listed.Zone]++
 	e := &r.all[i]
-	e.node, e.machineType, e.subset = listed.Node, listed.MachineType, subset
-	e.state, e.health, e.healthSince = Ready, healthy, 0
+	e.node = listed.Node
+	e.machineType = listed.MachineType
+	e.subset = subset
+	e.state = Ready
+	e.health = healthy
+	e.healthSince = 0
 	e.startTime = -1
 	return i
 }
@@ -73,31 +77,32 @@
 	failures    float64 // since the last update
 }
 
-// initialSubscribeBackoff is the mean time in s from the first failure of the list's watch to the next subscription.
-const initialSubscribeBackoff = 0.2
+// initialBackoffSeconds is the mean time in s from the first failure of the list's watch to the next subscription.
+const initialBackoffSeconds = 0.2
 
-// ReplaceEndpoints handles a full list, or at the start the one last known: endpoints that it lacks are removed.
-func (p *Planner) ReplaceEndpoints(now float64, rows []Endpoint) {
+// ReplaceEndpoints handles a full list, which at the start may be the one last known: endpoints that it lacks are
+// removed.
+func (p *Planner) ReplaceEndpoints(now float64, list []Endpoint) {
 	for i := range p.endpoints.all {
 		p.endpoints.all[i].state = Removed
 	}
-	p.UpdateEndpoints(now, rows)
+	p.UpdateEndpoints(now, list)
 }
 
 // UpdateEndpoints handles endpoints that are new or have changed. Those of a zone or machine type that the Config
 // does not have are ignored.
-func (p *Planner) UpdateEndpoints(now float64, rows []Endpoint) {
+func (p *Planner) UpdateEndpoints(now float64, list []Endpoint) {
 	p.now = now
 	p.watch.failures = 0
 	if len(p.endpoints.all) == 0 {
-		p.makeSubsets(len(rows))
+		p.makeSubsets(len(list))
 		for number := range p.proxies.all {
 			if p.proxies.all[number].connected {
 				p.assignSubset(number, p.proxies.all[number].subset)
 			}
 		}
 	}
-	for _, listed := range rows {
+	for _, listed := range list {
 		if listed.Zone < p.config.Zones && listed.MachineType < p.config.MachineTypes {
 			p.updateEndpoint(listed)
 		}
@@ -106,6 +111,7 @@
 	p.publishUrgent()
 }
 
+// updateEndpoint takes over what the list says of one endpoint.
 func (p *Planner) updateEndpoint(listed Endpoint) {
 	i, known := p.endpoints.indexOf[listed.Node]
 	if !known {
@@ -157,7 +163,7 @@
 		return
 	}
 	// The backoff grows and is random: the service is one for all controllers and rejects crowds.
-	backoff := min(initialSubscribeBackoff*math.Exp2(p.watch.failures), p.config.SubscribeTimeout/4)
+	backoff := min(initialBackoffSeconds*math.Exp2(p.watch.failures), p.config.SubscribeTimeout/4)
 	p.watch.subscribeAt = now + backoff*(0.5+p.random.next())
 	p.watch.failures++
 }
--- a/planner/host.go
+++ b/planner/host.go
@@ -8,8 +8,8 @@
 	BindProxy(proxy, table int)
 	// SetWeight sets an endpoint's weight in a table. Weights count beside each other; 0 removes the entry.
 	SetWeight(table int, node uint32, weight float64)
-	// SetAdmission sets what the proxies of a table admit of a route, in the unit of Config.Admission, and when they try
-	// another endpoint.
+	// SetAdmission sets what the proxies of a table admit of a route, in the unit of Config.Admission, and when they
+	// try another endpoint.
 	SetAdmission(table int, route RouteID, level float64, retry RetryPolicy)
 	// RequestAck asks every proxy that this batch reaches to acknowledge the nonce: see Planner.Acknowledged.
 	RequestAck(nonce int)
--- a/planner/load.go
+++ b/planner/load.go
@@ -3,23 +3,23 @@
 import "math"
 
 const (
-	// loadWindow is the time in s over which the attempts at an endpoint are remembered: a few dozen of them, and a few
-	// reports.
-	loadWindow = 2.5
-	// maxReportDelay is the most that a load report comes late, in s, as the platform's pages tell.
-	maxReportDelay = 1.6
+	// loadWindowSeconds is the time in s over which the attempts at an endpoint are remembered: a few dozen of them,
+	// and a few reports.
+	loadWindowSeconds = 2.5
+	// maxReportDelaySeconds is the most that a load report comes late, in s, as the platform's pages tell.
+	maxReportDelaySeconds = 1.6
 	// minAttempts is how many attempts must have completed before an endpoint, or the fleet, is judged by them.
 	minAttempts = 4.0
 )
 
 // Saturation, the mean latency of attempts as part of the latency objective.
 const (
-	idleLatency      = 0.30 // of an attempt that does not wait, for all that is known
-	relievedLatency  = 0.45 // under which more is admitted
-	saturatedLatency = 0.55 // over which less is admitted
+	idleLatencyRatio      = 0.30 // of an attempt that does not wait, for all that is known
+	relievedLatencyRatio  = 0.45 // under which more is admitted
+	saturatedLatencyRatio = 0.55 // over which less is admitted
 )
 
-// endpointLoad is what load reports tell of an endpoint. The attempts decay over loadWindow.
+// endpointLoad is what load reports tell of an endpoint. The attempts decay over loadWindowSeconds.
 type endpointLoad struct {
 	completed   float64 // attempts
 	failed      float64 // of these
@@ -42,7 +42,7 @@
 type loadStatistics struct {
 	decayedAt      float64 // s
 	successRatio   float64 // part of all attempts that did not fail, 0 while too few completed
-	windowCoverage float64 // part of loadWindow that reports have covered since the planner started
+	windowCoverage float64 // part of loadWindowSeconds that reports have covered since the planner started
 	saturation     float64 // mean latency of attempts as part of the latency objective, as of the last update
 }
 
@@ -54,14 +54,14 @@
 		return
 	}
 	e := &p.endpoints.all[i]
-	if now-report.Interval-maxReportDelay < e.startTime {
+	if now-report.Interval-maxReportDelaySeconds < e.startTime {
 		// The report reaches back to the process before: when a lost zone came back, its new endpoints would be ejected
 		// for the failures of the lost ones.
 		return
 	}
 	// Reports that were held up come all at once. Each counts for the window that is averaged at most: else they would
 	// pass for a throughput that was never reached.
-	part := min(1, loadWindow/max(report.Interval, 1e-9))
+	part := min(1, loadWindowSeconds/max(report.Interval, 1e-9))
 	completed := float64(report.Completed) * part
 	failed := float64(report.Failed) * part
 	e.load.completed += completed
@@ -71,14 +71,14 @@
 		e.load.queueLength = report.Values[k]
 	}
 	if k := p.config.UtilizationIndex; k >= 0 && k < len(report.Values) {
-		weight := 1 - math.Exp(-p.config.ReportInterval/loadWindow)
+		weight := 1 - math.Exp(-p.config.ReportInterval/loadWindowSeconds)
 		e.load.utilization += (report.Values[k] - e.load.utilization) * weight
 	}
 }
 
 // update decays the attempts, but those of endpoints on probation, where few must tell, and sees how many succeed.
 func (s *loadStatistics) update(now float64, endpoints *endpointRegistry) {
-	keep := math.Exp((s.decayedAt - now) / loadWindow)
+	keep := math.Exp((s.decayedAt - now) / loadWindowSeconds)
 	s.decayedAt = now
 	for i := range endpoints.all {
 		if e := &endpoints.all[i]; e.health != probation {
@@ -96,7 +96,7 @@
 
 // fleetLoad is what load reports and the list tell of the endpoints in service.
 type fleetLoad struct {
-	answers  float64 // attempts within loadWindow that did not fail
+	answers  float64 // attempts within loadWindowSeconds that did not fail
 	weight   float64 // listed weight, as far as slow start gives it
 	capacity float64 // requests a second that they can answer
 }
@@ -138,12 +138,12 @@
 	answers := max(e.load.answers(), 1)
 	if in.queueReported {
 		// Requests that wait tell of a queue before those that have waited do.
-		wait := e.load.queueLength * loadWindow / answers / float64(in.controllers) / in.meanObjective
-		return idleLatency + wait
+		wait := e.load.queueLength * loadWindowSeconds / answers / float64(in.controllers) / in.meanObjective
+		return idleLatencyRatio + wait
 	}
 	// A failed attempt counts for an objective where the answers are slow. Where they are quick it tells of no queue,
 	// but of rejected connections or a fault.
 	answerLatency := e.load.latencySum / answers / in.meanObjective
-	slow := min(1, max(0, (answerLatency-idleLatency)/(saturatedLatency-idleLatency)))
+	slow := min(1, max(0, (answerLatency-idleLatencyRatio)/(saturatedLatencyRatio-idleLatencyRatio)))
 	return (e.load.latencySum/in.meanObjective + slow*e.load.failed) / max(e.load.completed, minAttempts)
 }
--- a/planner/outlier.go
+++ b/planner/outlier.go
@@ -14,9 +14,9 @@
 	deadFailureRatio = 0.95
 	// minOverloadQueue is the queue length, where reported, that tells of load rather than of a fault.
 	minOverloadQueue = 1.0
-	// maxEjectedWeight is the part of the listed weight that may be ejected at once if all attempts fail there, and less
-	// in proportion if fewer do.
-	maxEjectedWeight = 0.40
+	// maxEjectedFraction is the part of the listed weight that may be ejected at once if all attempts fail there, and
+	// less in proportion if fewer do.
+	maxEjectedFraction = 0.40
 	// ejectionSeconds is how long an endpoint is ejected before its probation: most faults last longer.
 	ejectionSeconds = 4.0
 	// probationFraction is the part of its capacity that an endpoint gets on probation, as a new one does.
@@ -62,31 +62,18 @@
 	health   health
 }
 
-// outlierDetector ejects endpoints that fail far more attempts than their peers, and tries them again. Outliers that
-// are in service answer quickly with errors, draw requests, and fail them.
+// outlierDetector ejects endpoints that fail far more attempts than their peers, and tries them again. An
+// outlier that stays in service fails its part of all requests until the list says that it is gone.
 type outlierDetector struct {
 	medianFailureRatio float64 // part of its attempts that the median healthy endpoint fails
 }
 
 // judge decides which endpoints change their health. If most endpoints fail at once, the cause is not at one of them
-// (a late report, a network partition): the fleet's median and maxEjectedWeight keep them in service.
+// (a late report, a network partition): the fleet's median and maxEjectedFraction keep them in service.
 func (d *outlierDetector) judge(now float64, endpoints []endpoint, meanObjective float64) []healthChange {
-	totalWeight := 0.0
-	ejectedWeight := 0.0 // of those on probation as well
-	var failureRatios []float64
-	for i := range endpoints {
-		e := &endpoints[i]
-		if e.state != Ready {
-			continue
-		}
-		totalWeight += e.weight
-		if e.health != healthy {
-			ejectedWeight += e.weight
-		} else if e.load.completed >= minAttempts {
-			failureRatios = append(failureRatios, e.load.failed/e.load.completed)
-		}
-	}
-	d.medianFailureRatio = median(failureRatios)
+	survey := surveyHealth(endpoints)
+	d.medianFailureRatio = median(survey.failureRatios)
+	ejectedWeight := survey.unhealthyWeight
 	var changes []healthChange
 	for i := range endpoints {
 		e := &endpoints[i]
@@ -100,7 +87,7 @@
 				changes = append(changes, healthChange{i, probation})
 			}
 		case failing:
-			maxWeight := maxEjectedWeight * totalWeight * e.load.failed / e.load.completed
+			maxWeight := maxEjectedFraction * survey.weight * e.load.failed / e.load.completed
 			if e.health == probation || ejectedWeight+e.weight <= maxWeight {
 				ejectedWeight += e.weight
 				changes = append(changes, healthChange{i, ejected})
@@ -112,6 +99,31 @@
 	return changes
 }
 
+// healthSurvey is what outlier detection compares an endpoint with.
+type healthSurvey struct {
+	weight          float64   // listed, of the endpoints that are ready
+	unhealthyWeight float64   // of these, ejected or on probation
+	failureRatios   []float64 // of the healthy ones with enough attempts
+}
+
+func surveyHealth(endpoints []endpoint) healthSurvey {
+	var survey healthSurvey
+	for i := range endpoints {
+		e := &endpoints[i]
+		if e.state != Ready {
+			continue
+		}
+		survey.weight += e.weight
+		switch {
+		case e.health != healthy:
+			survey.unhealthyWeight += e.weight
+		case e.load.completed >= minAttempts:
+			survey.failureRatios = append(survey.failureRatios, e.load.failed/e.load.completed)
+		}
+	}
+	return survey
+}
+
 // failing reports whether an endpoint fails far more attempts than the median one, and not for being full. A full
 // endpoint rejects requests as well, but those that it answers take long: the weights relieve it, while to eject it
 // would only fill the next one.
@@ -123,8 +135,9 @@
 	if e.load.failed < limit*e.load.completed {
 		return false
 	}
-	quick := e.load.latencySum < saturatedLatency*meanObjective*e.load.answers() && e.load.queueLength < minOverloadQueue
-	return quick || e.load.failed >= deadFailureRatio*e.load.completed
+	answersQuickly := e.load.latencySum < saturatedLatencyRatio*meanObjective*e.load.answers()
+	full := !answersQuickly || e.load.queueLength >= minOverloadQueue
+	return !full || e.load.failed >= deadFailureRatio*e.load.completed
 }
 
 // median sorts values and returns the middle one, of two the greater, and 0 if there is none.
--- a/planner/planner.go
+++ b/planner/planner.go
@@ -6,10 +6,10 @@
 )
 
 const (
-	// stepInterval is the time in s between two steps: short beside every grace and delay of the platform.
-	stepInterval = 0.1
-	// updateInterval is the time in s between two updates of learned capacity and of admission.
-	updateInterval = 0.5
+	// stepIntervalSeconds is the time in s between two steps: short beside every grace and delay of the platform.
+	stepIntervalSeconds = 0.1
+	// updateIntervalSeconds is the time in s between two updates of learned capacity and of admission.
+	updateIntervalSeconds = 0.5
 )
 
 // Planner decides for the proxies that have joined it. It is not safe for concurrent use: the event loop of its
@@ -70,20 +70,20 @@
 	if config.MustSubscribe {
 		host.Subscribe()
 	}
-	host.Wake(now + stepInterval)
+	host.Wake(now + stepIntervalSeconds)
 	return p
 }
 
 // Step decides anew and commands what has changed. It is due when the planner asked for it with Host.Wake.
 func (p *Planner) Step(now float64) {
 	p.now = now
-	p.host.Wake(now + stepInterval)
+	p.host.Wake(now + stepIntervalSeconds)
 	p.resubscribe()
 	p.load.update(now, &p.endpoints)
 	p.demand.update(p.proxies.all, p.subsets, p.config.Routes)
 	p.updateOutliers()
 	if now >= p.nextUpdate {
-		p.nextUpdate = now + updateInterval
+		p.nextUpdate = now + updateIntervalSeconds
 		p.capacity.learn(now, p.endpoints.all, p.slowStart, p.demand.meanObjective)
 		p.updateAdmission()
 	}
@@ -130,7 +130,7 @@
 		fleet:          fleet,
 		saturation:     p.load.saturation,
 		windowCoverage: p.load.windowCoverage,
-		attempts:       completed / loadWindow / p.load.windowCoverage,
+		attempts:       completed / loadWindowSeconds / p.load.windowCoverage,
 	})
 	if throttlingChanged {
 		p.host.Log(fmt.Sprintf("throttling: %t", p.admission.throttling))
--- a/planner/publication.go
+++ b/planner/publication.go
@@ -7,9 +7,9 @@
 )
 
 const (
-	// publishInterval is the time in s between two ordinary changes of tables, and the longest that a stage waits for
-	// acknowledgements (docs/design.md).
-	publishInterval = 1.0
+	// publishIntervalSeconds is the time in s between two ordinary changes of tables, and the longest that a stage
+	// waits for acknowledgements (docs/design.md).
+	publishIntervalSeconds = 1.0
 	// minWeightChange is the part of a weight that has to change before its entry is published (docs/design.md).
 	minWeightChange = 0.10
 	// maxMisplaced is the part of a table's requests that may go elsewhere than desired before it is published at once.
@@ -129,13 +129,13 @@
 	p.planTables()
 	first, second := p.stages()
 	if len(first) > 0 {
-		p.publication.nextAt = p.now + publishInterval
+		p.publication.nextAt = p.now + publishIntervalSeconds
 		p.publishAll(p.changedByTable(first), ordinaryShare)
 	}
 	p.publication.next = publicationStage{
 		tables:   second,
 		nonce:    p.flow.account.nonces,
-		deadline: p.now + publishInterval,
+		deadline: p.now + publishIntervalSeconds,
 	}
 }
 
@@ -188,8 +188,8 @@
 }
 
 // publish sends entries of a table to its members, as far as flow control lets it, and reports whether all were sent.
-// Entries that are not urgent go together, or as many as fit into an idle queue: a message costs entries of its own, and
-// one by one most of the channel would carry nothing else.
+// Entries that are not urgent go together, or as many as fit into an idle queue: a message costs entries of its own,
+// and one by one most of the channel would carry nothing else.
 func (p *Planner) publish(subset int, entries []int, share float64) bool {
 	if len(entries) == 0 {
 		return true
--- a/planner/publishlevels.go
+++ b/planner/publishlevels.go
@@ -46,7 +46,7 @@
 	s := &p.subsets[subset]
 	entriesEach := p.config.MessageOverhead + 1 + float64(len(p.admission.byPriority))
 	entries := float64(len(s.members)*len(p.subsets)) * entriesEach // as though all subsets were as large
-	interval := max(publishInterval, entries/(maxLevelShare*max(p.config.EntriesPerSecond, 1)))
+	interval := max(publishIntervalSeconds, entries/(maxLevelShare*max(p.config.EntriesPerSecond, 1)))
 	if p.now < s.admission.at+interval {
 		return false
 	}
--- a/planner/random.go
+++ b/planner/random.go
@@ -18,11 +18,3 @@
 	fmt.Fprint(h, r.seed, r.draws)
 	return float64(h.Sum64()>>11) / (1 << 53)
 }
-
-// sum adds up values in their order.
-func sum(values []float64) (total float64) {
-	for _, value := range values {
-		total += value
-	}
-	return total
-}
--- a/planner/retrypolicy.go
+++ b/planner/retrypolicy.go
@@ -10,7 +10,7 @@
 
 // update follows the fleet's saturation, with hysteresis.
 func (r *retryControl) update(saturation float64) {
-	r.saturated = saturation > saturatedLatency || r.saturated && saturation > relievedLatency
+	r.saturated = saturation > saturatedLatencyRatio || r.saturated && saturation > relievedLatencyRatio
 }
 
 // policy returns what the proxies are to do.
--- a/planner/slowstart.go
+++ b/planner/slowstart.go
@@ -25,7 +25,7 @@
 		return 1
 	}
 	age := max(0, now-startTime)
-	return min(1, minSlowStartFraction+(1-minSlowStartFraction)*age/max(s.window, stepInterval))
+	return min(1, minSlowStartFraction+(1-minSlowStartFraction)*age/max(s.window, stepIntervalSeconds))
 }
 
 // warmingUp reports whether an endpoint has less than its weight.
@@ -37,7 +37,7 @@
 func (s slowStart) damping(successRatio, saturation float64) float64 {
 	part := minSlowStartFraction
 	if successRatio > 0 {
-		part = successRatio * successRatio * min(1, relievedLatency/saturation)
+		part = successRatio * successRatio * min(1, relievedLatencyRatio/saturation)
 	}
 	return max(minCapacityFraction, min(part, maxSlowStartDamping*s.overloadMultiple))
 }
--- a/planner/subsets.go
+++ b/planner/subsets.go
@@ -2,8 +2,8 @@
 
 import "math"
 
-// maxSubsetEndpoints is the most endpoints of a subset, on average over the zone. At ten, one endpoint is a tenth of the
-// subset's capacity, and each still gets many of a proxy's requests.
+// maxSubsetEndpoints is the most endpoints of a subset, on average over the zone. At ten, one endpoint is a tenth of
+// the subset's capacity, and each still gets many of a proxy's requests.
 const maxSubsetEndpoints = 10.0
 
 // subset is some endpoints and proxies of a zone. These proxies, its members, share one routing table.
@@ -52,3 +52,11 @@
 	}
 	return total
 }
+
+// totalDemand is the demand of all subsets, in requests a second.
+func totalDemand(subsets []subset) (total float64) {
+	for z := range subsets {
+		total += subsets[z].demand
+	}
+	return total
+}
--- /dev/null
+++ b/planner/sum.go
@@ -0,0 +1,9 @@
+package planner
+
+// sum adds up values in their order.
+func sum(values []float64) (total float64) {
+	for _, value := range values {
+		total += value
+	}
+	return total
+}
--- a/planner/tables.go
+++ b/planner/tables.go
@@ -6,7 +6,8 @@
 	"slices"
 )
 
-// maxSpillFraction is the most of an endpoint that requests of other subsets take, unless these need more of its subset.
+// maxSpillFraction is the most of an endpoint that requests of other subsets take, unless these need more of its
+// subset.
 const maxSpillFraction = 0.50
 
 // routingTable is the weights of endpoints for the members of a subset, by the endpoints' indices.
@@ -149,11 +150,11 @@
 func (p *Planner) normalizeTables(capacity []float64, loads []subsetLoad, totalCapacity float64) {
 	for z := range p.subsets {
 		s := &p.subsets[z]
-		whole := sum(s.table.desired)
+		granted := sum(s.table.desired)
 		for i := range s.table.desired {
 			switch {
-			case whole > 0:
-				s.table.desired[i] /= whole
+			case granted > 0:
+				s.table.desired[i] /= granted
 			case totalCapacity == 0 && p.endpoints.all[i].state == Ready:
 				// No endpoint has capacity: the published table stays but for endpoints that drain or were removed.
 				s.table.desired[i] = s.table.published[i]
--- a/planner/unseendemand.go
+++ b/planner/unseendemand.go
@@ -1,7 +1,7 @@
 package planner
 
-// unseenDemandPrior is how many connected proxies tell as much as is assumed of those that are not seen.
-const unseenDemandPrior = 20.0
+// unseenDemandPriorProxies is how many connected proxies tell as much as is assumed of those that are not seen.
+const unseenDemandPriorProxies = 20.0
 
 // addUnseenDemand adds the demand of proxies that other controllers serve, where each proxy joins a controller of its
 // own zone. A controller that allocates with the demand of its own zone alone takes the other zones for empty, and
@@ -27,8 +27,8 @@
 		totalMissing += missing[z]
 	}
 	// The fuller our own endpoints are, the likelier it is that others have capacity left.
-	belief := max(0, min(1, (saturatedLatency-p.load.saturation)/(saturatedLatency-relievedLatency)))
-	unseen := belief * p.baselineRate() / (seen + unseenDemandPrior) * max(0, proxies-seen)
+	belief := max(0, min(1, (saturatedLatencyRatio-p.load.saturation)/(saturatedLatencyRatio-relievedLatencyRatio)))
+	unseen := belief * p.baselineRate() / (seen + unseenDemandPriorProxies) * max(0, proxies-seen)
 	for z := range loads {
 		loads[z].demand += unseen * missing[z] / max(totalMissing, 1e-9)
 	}
