--- a/planner/clientretries.go
+++ b/planner/clientretries.go
@@ -76,8 +76,8 @@
 // publishedRejection is the part of a route's requests that proxies reject, as the levels were published: the mean over
 // the subsets by their demand.
 func publishedRejection(subsets []subset, route int, subsetDemand float64) (rejected float64) {
-	for z := range subsets {
-		s := &subsets[z]
+	for k := range subsets {
+		s := &subsets[k]
 		rejected += (1 - s.admission.levels[route]) * s.demand / subsetDemand
 	}
 	return rejected
--- a/planner/demand.go
+++ b/planner/demand.go
@@ -47,8 +47,8 @@
 // a stream moves neither the subsets' shares nor the admission levels.
 func (d *demandEstimate) update(proxies []proxy, subsets []subset, routes []Route) {
 	keep := math.Exp(-stepIntervalSeconds / demandWindowSeconds)
-	for z := range subsets {
-		subsets[z].demand = 0
+	for k := range subsets {
+		subsets[k].demand = 0
 	}
 	clear(d.byRoute)
 	for k := range proxies {
--- a/planner/endpoints.go
+++ b/planner/endpoints.go
@@ -132,8 +132,8 @@
 func (p *Planner) addEndpoint(listed Endpoint) int {
 	subset := (listed.Zone + p.config.Zones*p.endpoints.dealtByZone[listed.Zone]) % len(p.subsets)
 	i := p.endpoints.add(listed, subset)
-	for t := range p.subsets {
-		p.subsets[t].table.grow(i)
+	for k := range p.subsets {
+		p.subsets[k].table.grow(i)
 	}
 	return i
 }
@@ -145,11 +145,11 @@
 	if !known {
 		return true
 	}
-	for t := range p.subsets {
-		if p.endpoints.all[i].state != Removed || p.subsets[t].table.published[i] > 0 {
+	for k := range p.subsets {
+		if p.endpoints.all[i].state != Removed || p.subsets[k].table.published[i] > 0 {
 			return false
 		}
-		p.subsets[t].table.desired[i] = 0
+		p.subsets[k].table.desired[i] = 0
 	}
 	p.endpoints.all[i].resetStatistics()
 	p.endpoints.release(i)
--- a/planner/flowcontrol.go
+++ b/planner/flowcontrol.go
@@ -2,24 +2,24 @@
 
 import "slices"
 
-// Shares of the channel's queue (Config.MaxInFlightEntries) that commands may fill. The more urgent a command, the more
+// Fractions of the channel's queue (Config.MaxInFlightEntries) that commands may fill. The more urgent a command, the more
 // it may fill, so that what must go always finds room.
 const (
-	idleShare     = 0.10 // up to which the queue counts as empty
-	ordinaryShare = 0.35 // for changes of tables that may wait; the channel can be several times slower than stated
-	bindShare     = 0.60 // for tables of proxies that joined, admission levels and tables that are far off
-	urgentShare   = 0.80 // for endpoints that drain or were removed
-	maxCallShare  = 0.20 // for one call: where answers are lost, it may be in flight several times
+	idleQueueFraction     = 0.10 // up to which the queue counts as empty
+	ordinaryQueueFraction = 0.35 // for changes of tables that may wait; the channel can be several times slower than stated
+	bindQueueFraction     = 0.60 // for tables of proxies that joined, admission levels and tables that are far off
+	urgentQueueFraction   = 0.80 // for endpoints that drain or were removed
+	maxCallFraction       = 0.20 // for one call: where answers are lost, it may be in flight several times
 )
 
 const (
 	// maxQueueSeconds is how much of the channel's rate may be in flight for what is not urgent. What waits longer is
 	// out of date when it arrives, and urgent entries wait behind it.
 	maxQueueSeconds = 2.0
-	// probeSeconds is the time from the last batch to the first probe of what is in flight.
-	probeSeconds = 3.0
-	// maxProbeBackoff bounds the time between two probes, in probeSeconds above the first.
-	maxProbeBackoff = 3.0
+	// channelProbeSeconds is the time from the last batch to the first probe of what is in flight.
+	channelProbeSeconds = 3.0
+	// maxChannelProbeBackoff bounds the time between two probes, in probeSeconds above the first.
+	maxChannelProbeBackoff = 3.0
 )
 
 // flowControl decides which commands may be sent now, by what is in flight to the proxies.
@@ -42,41 +42,41 @@
 	}
 }
 
-// available returns how many entries may be sent until a share of the queue is full. What is in flight is known by
+// available returns how many entries may be sent until a fraction of the queue is full. What is in flight is known by
 // acknowledgements alone: the channel can be far slower than stated, and for long. Where the queue holds far more
-// than the channel delivers in maxQueueSeconds, what is not urgent fills a share of that only.
-func (f *flowControl) available(share float64) float64 {
+// than the channel delivers in maxQueueSeconds, what is not urgent fills a fraction of that only.
+func (f *flowControl) available(fraction float64) float64 {
 	size := f.maxEntries
-	if share < urgentShare && f.entriesPerSecond > 0 {
+	if fraction < urgentQueueFraction && f.entriesPerSecond > 0 {
 		size = min(size, maxQueueSeconds*f.entriesPerSecond)
 	}
-	return share*size - f.account.entries
+	return fraction*size - f.account.entries
 }
 
 // idle reports whether the queue counts as empty.
-func (f *flowControl) idle() bool { return f.available(idleShare) > 0 }
+func (f *flowControl) idle() bool { return f.available(idleQueueFraction) > 0 }
 
-// fits reports whether entries may be sent within a share of the queue and of the next call. If they are more than
-// the share ever has room for, they may be sent while the queue is idle: else they would wait for good.
-func (f *flowControl) fits(entries, share float64) bool {
+// fits reports whether entries may be sent within a fraction of the queue and of the next call. If they are more than
+// the fraction ever has room for, they may be sent while the queue is idle: else they would wait for good.
+func (f *flowControl) fits(entries, fraction float64) bool {
 	unanswered := f.account.unanswered
-	fitsCall := unanswered == 0 || unanswered+entries <= maxCallShare*f.maxEntries
+	fitsCall := unanswered == 0 || unanswered+entries <= maxCallFraction*f.maxEntries
 	if !fitsCall {
 		return false
 	}
-	return entries <= f.available(share) || f.idle() && entries <= f.available(urgentShare)
+	return entries <= f.available(fraction) || f.idle() && entries <= f.available(urgentQueueFraction)
 }
 
-// mayPublish reports whether entries for each member of a subset fit into a share of the queue, and a message to each
-// into a share of the messages that a proxy may get.
-func (f *flowControl) mayPublish(now float64, s *subset, each, share float64) bool {
+// mayPublish reports whether entries for each member of a subset fit into a fraction of the queue, and a message to each
+// into a fraction of the messages that a proxy may get.
+func (f *flowControl) mayPublish(now float64, s *subset, each, fraction float64) bool {
 	s.messageTimes = slices.DeleteFunc(s.messageTimes, func(at float64) bool { return now-at > f.messageWindow })
-	if !f.fits(f.account.cost(now, s.members, each), share) {
+	if !f.fits(f.account.cost(now, s.members, each), fraction) {
 		return false
 	}
 	recent := len(s.messageTimes)
 	needsMessage := recent == 0 || s.messageTimes[recent-1] != now
-	maxRecent := share*float64(f.maxMessages) - 1
+	maxRecent := fraction*float64(f.maxMessages) - 1
 	return !needsMessage || f.maxMessages == 0 || recent == 0 || float64(recent) < maxRecent
 }
 
@@ -86,7 +86,7 @@
 	if len(batches) == 0 {
 		return false
 	}
-	wait := probeSeconds * (1 + min(f.probes, maxProbeBackoff))
+	wait := channelProbeSeconds * (1 + min(f.probes, maxChannelProbeBackoff))
 	return now >= batches[len(batches)-1].at+wait
 }
 
@@ -108,10 +108,10 @@
 	}
 }
 
-// probe binds one connected proxy again when nothing was acknowledged for long. Without it the channel could count as
+// probeChannel binds one connected proxy again when nothing was acknowledged for long. Without it the channel could count as
 // full for good: the proxies that were to acknowledge the last nonce may have been renewed, and as nothing fits,
 // nothing is sent that others could acknowledge. The proxy that is bound acknowledges that all before has left.
-func (p *Planner) probe() {
+func (p *Planner) probeChannel() {
 	if !p.flow.probeDue(p.now) {
 		return
 	}
--- a/planner/outlier.go
+++ b/planner/outlier.go
@@ -45,17 +45,6 @@
 	return fmt.Sprintf("health(%d)", uint8(h))
 }
 
-// logWord is the word of Host.Log for a health. It is on the simulator's wire.
-func (h health) logWord() string {
-	switch h {
-	case ejected:
-		return "out"
-	case probation:
-		return "on trial"
-	}
-	return "well"
-}
-
 // healthChange is a decision on an endpoint, by its index.
 type healthChange struct {
 	endpoint int
--- a/planner/planner.go
+++ b/planner/planner.go
@@ -1,9 +1,6 @@
 package planner
 
-import (
-	"fmt"
-	"math"
-)
+import "math"
 
 const (
 	// stepIntervalSeconds is the time in s between two steps: short beside every grace and delay of the platform.
@@ -89,7 +86,7 @@
 	}
 	p.publishUrgent()
 	p.publishOrdinary()
-	p.probe()
+	p.probeChannel()
 }
 
 // updateOutliers ejects outliers, and gives those that were ejected for long enough their probation.
@@ -106,7 +103,7 @@
 func (p *Planner) setHealth(i int, h health) {
 	e := &p.endpoints.all[i]
 	if e.health != h {
-		p.host.Log(fmt.Sprintf("node %d %s", e.node, h.logWord()))
+		p.host.Log(healthText(e.node, h))
 	}
 	e.health = h
 	e.healthSince = p.now
@@ -133,7 +130,7 @@
 		attempts:       completed / loadWindowSeconds / p.load.windowCoverage,
 	})
 	if throttlingChanged {
-		p.host.Log(fmt.Sprintf("throttling: %t", p.admission.throttling))
+		p.host.Log(throttlingText(p.admission.throttling))
 	}
 }
 
--- a/planner/proxies.go
+++ b/planner/proxies.go
@@ -103,7 +103,7 @@
 func (p *Planner) bindWaiting() {
 	for len(p.proxies.unbound) > 0 && len(p.endpoints.all) > 0 {
 		proxy := p.proxies.unbound[0]
-		if !p.flow.fits(p.bindCost(proxy)+p.config.MessageOverhead+1, bindShare) {
+		if !p.flow.fits(p.bindCost(proxy)+p.config.MessageOverhead+1, bindQueueFraction) {
 			return
 		}
 		p.proxies.unbound = p.proxies.unbound[1:]
--- a/planner/publication.go
+++ b/planner/publication.go
@@ -45,10 +45,10 @@
 	p.bindWaiting()
 	if p.publishLevels() {
 		urgent := make([][]int, len(p.subsets))
-		for z := range p.subsets {
-			urgent[z] = p.urgentEntries(&p.subsets[z].table)
+		for k := range p.subsets {
+			urgent[k] = p.urgentEntries(&p.subsets[k].table)
 		}
-		if !p.publishAll(urgent, bindShare) {
+		if !p.publishAll(urgent, bindQueueFraction) {
 			allPublished = false
 		}
 	} else {
@@ -60,11 +60,11 @@
 // publishRemovals publishes the entries of endpoints that drain or were removed. It reports whether all were sent.
 func (p *Planner) publishRemovals() bool {
 	allPublished := true
-	for z := range p.subsets {
-		removals := slices.DeleteFunc(p.subsets[z].table.changedEntries(0), func(i int) bool {
+	for k := range p.subsets {
+		removals := slices.DeleteFunc(p.subsets[k].table.changedEntries(0), func(i int) bool {
 			return p.endpoints.all[i].state == Ready
 		})
-		if !p.publish(z, removals, urgentShare) {
+		if !p.publish(k, removals, urgentQueueFraction) {
 			allPublished = false
 		}
 	}
@@ -96,21 +96,21 @@
 // table that is all wrong would wait behind large ones that are a little off. If a table does not fit, all that follow
 // wait with it: small changes would always find room before large ones, and a subset that lost most of its endpoints
 // would go on sending all requests to those that are left. It reports whether all were sent.
-func (p *Planner) publishAll(entries [][]int, share float64) bool {
+func (p *Planner) publishAll(entries [][]int, fraction float64) bool {
 	var tables []int
 	urgency := make([]float64, len(entries)) // by table, misplaced requests for each entry in flight
-	for z := range entries {
-		if len(entries[z]) == 0 {
+	for k := range entries {
+		if len(entries[k]) == 0 {
 			continue
 		}
-		tables = append(tables, z)
-		s := &p.subsets[z]
-		cost := p.flow.account.cost(p.now, s.members, float64(len(entries[z])))
-		urgency[z] = p.misplacedRequests(s) / (cost + 1)
-	}
-	slices.SortStableFunc(tables, func(z, y int) int { return cmp.Compare(urgency[y], urgency[z]) })
-	for _, z := range tables {
-		if !p.publish(z, entries[z], share) {
+		tables = append(tables, k)
+		s := &p.subsets[k]
+		cost := p.flow.account.cost(p.now, s.members, float64(len(entries[k])))
+		urgency[k] = p.misplacedRequests(s) / (cost + 1)
+	}
+	slices.SortStableFunc(tables, func(k, j int) int { return cmp.Compare(urgency[j], urgency[k]) })
+	for _, k := range tables {
+		if !p.publish(k, entries[k], fraction) {
 			return false
 		}
 	}
@@ -130,7 +130,7 @@
 	first, second := p.stages()
 	if len(first) > 0 {
 		p.publication.nextAt = p.now + publishIntervalSeconds
-		p.publishAll(p.changedByTable(first), ordinaryShare)
+		p.publishAll(p.changedByTable(first), ordinaryQueueFraction)
 	}
 	p.publication.next = publicationStage{
 		tables:   second,
@@ -144,7 +144,7 @@
 	next := &p.publication.next
 	open, messages := p.flow.account.unacknowledged(next.nonce)
 	if 2*open <= messages || p.now >= next.deadline {
-		p.publishAll(p.changedByTable(next.tables), ordinaryShare)
+		p.publishAll(p.changedByTable(next.tables), ordinaryQueueFraction)
 		next.tables = nil
 	}
 }
@@ -152,14 +152,14 @@
 // stages splits the tables that changed: those that keep requests in their subset first, those that send some to others
 // second. If there are none of the first kind, the others are first.
 func (p *Planner) stages() (first, second []int) {
-	for z := range p.subsets {
-		if len(p.subsets[z].table.changedEntries(minWeightChange)) == 0 {
+	for k := range p.subsets {
+		if len(p.subsets[k].table.changedEntries(minWeightChange)) == 0 {
 			continue
 		}
-		if p.spills(z) {
-			second = append(second, z)
+		if p.spills(k) {
+			second = append(second, k)
 		} else {
-			first = append(first, z)
+			first = append(first, k)
 		}
 	}
 	if len(first) == 0 {
@@ -181,8 +181,8 @@
 // changedByTable lists, by table, the entries of some tables that have changed.
 func (p *Planner) changedByTable(tables []int) [][]int {
 	entries := make([][]int, len(p.subsets))
-	for _, z := range tables {
-		entries[z] = p.subsets[z].table.changedEntries(minWeightChange)
+	for _, k := range tables {
+		entries[k] = p.subsets[k].table.changedEntries(minWeightChange)
 	}
 	return entries
 }
@@ -190,15 +190,15 @@
 // publish sends entries of a table to its members, as far as flow control lets it, and reports whether all were sent.
 // Entries that are not urgent go together, or as many as fit into an idle queue: a message costs entries of its own,
 // and one by one most of the channel would carry nothing else.
-func (p *Planner) publish(subset int, entries []int, share float64) bool {
+func (p *Planner) publish(subset int, entries []int, fraction float64) bool {
 	if len(entries) == 0 {
 		return true
 	}
 	s := &p.subsets[subset]
 	count := len(entries)
-	for count > 0 && !p.flow.mayPublish(p.now, s, float64(count), share) {
+	for count > 0 && !p.flow.mayPublish(p.now, s, float64(count), fraction) {
 		count--
-		if share < urgentShare && !p.flow.idle() {
+		if fraction < urgentQueueFraction && !p.flow.idle() {
 			return false
 		}
 	}
--- a/planner/publication_test.go
+++ b/planner/publication_test.go
@@ -59,6 +59,6 @@
 	tr.planner.subsets[0].table.published[0] *= 5
 	tr.planner.planTables()
 	tr.say("-- table 0 is far off, table 3 has no line")
-	tr.planner.publishAll(tr.planner.changedByTable([]int{0, 1, 2, 3}), bindShare)
+	tr.planner.publishAll(tr.planner.changedByTable([]int{0, 1, 2, 3}), bindQueueFraction)
 	tr.check()
 }
--- a/planner/publishlevels.go
+++ b/planner/publishlevels.go
@@ -5,8 +5,8 @@
 	"slices"
 )
 
-// maxLevelShare is the most of the channel's rate that admission levels take: tables have to move on as well.
-const maxLevelShare = 0.5
+// maxLevelsFraction is the most of the channel's rate that admission levels take: tables have to move on as well.
+const maxLevelsFraction = 0.5
 
 // publishedAdmission is what the members of a subset were last sent.
 type publishedAdmission struct {
@@ -25,17 +25,17 @@
 // overload goes on with all admitted. It reports whether all that were due fit into the queue.
 func (p *Planner) publishLevels() (allFit bool) {
 	allFit = true
-	for z := range p.subsets {
-		if !p.levelsDue(z) {
+	for k := range p.subsets {
+		if !p.levelsDue(k) {
 			continue
 		}
-		s := &p.subsets[z]
+		s := &p.subsets[k]
 		entries := float64(len(p.admission.byPriority))
-		fits := p.flow.fits(p.flow.account.cost(p.now, s.members, entries), bindShare) || p.flow.idle()
+		fits := p.flow.fits(p.flow.account.cost(p.now, s.members, entries), bindQueueFraction) || p.flow.idle()
 		allFit = allFit && fits
 		// A subset whose proxies got all the messages that they may get holds no other back.
-		if fits && p.flow.mayPublish(p.now, s, entries, urgentShare) {
-			p.publishSubsetLevels(z)
+		if fits && p.flow.mayPublish(p.now, s, entries, urgentQueueFraction) {
+			p.publishSubsetLevels(k)
 		}
 	}
 	return allFit
@@ -46,7 +46,7 @@
 	s := &p.subsets[subset]
 	entriesEach := p.config.MessageOverhead + 1 + float64(len(p.admission.byPriority))
 	entries := float64(len(s.members)*len(p.subsets)) * entriesEach // as though all subsets were as large
-	interval := max(publishIntervalSeconds, entries/(maxLevelShare*max(p.config.EntriesPerSecond, 1)))
+	interval := max(publishIntervalSeconds, entries/(maxLevelsFraction*max(p.config.EntriesPerSecond, 1)))
 	if p.now < s.admission.at+interval {
 		return false
 	}
--- a/planner/subsets.go
+++ b/planner/subsets.go
@@ -24,8 +24,8 @@
 func (p *Planner) makeSubsets(endpoints int) {
 	perZone := max(1, int(math.Ceil(float64(endpoints)/float64(p.config.Zones)/maxSubsetEndpoints)))
 	p.subsets = make([]subset, p.config.Zones*perZone)
-	for z := range p.subsets {
-		p.subsets[z] = subset{
+	for k := range p.subsets {
+		p.subsets[k] = subset{
 			demandReportedAt: p.now,
 			admission:        newPublishedAdmission(len(p.config.Routes)),
 		}
@@ -47,16 +47,16 @@
 
 // baselineRate is the requests a second that the connected proxies usually get.
 func (p *Planner) baselineRate() (total float64) {
-	for z := range p.subsets {
-		total += p.subsets[z].baselineRate
+	for k := range p.subsets {
+		total += p.subsets[k].baselineRate
 	}
 	return total
 }
 
 // totalDemand is the demand of all subsets, in requests a second.
 func totalDemand(subsets []subset) (total float64) {
-	for z := range subsets {
-		total += subsets[z].demand
+	for k := range subsets {
+		total += subsets[k].demand
 	}
 	return total
 }
--- a/planner/tables.go
+++ b/planner/tables.go
@@ -96,9 +96,9 @@
 func (p *Planner) planTables() {
 	capacity := make([]float64, len(p.endpoints.all)) // by endpoint
 	loads := make([]subsetLoad, len(p.subsets))
-	for z := range loads {
-		loads[z].zone = z % p.config.Zones
-		loads[z].demand = p.subsets[z].demand
+	for k := range loads {
+		loads[k].zone = k % p.config.Zones
+		loads[k].demand = p.subsets[k].demand
 	}
 	total := 0.0
 	for i := range capacity {
@@ -118,38 +118,38 @@
 func (p *Planner) layOutTables(capacity []float64, loads []subsetLoad, granted *allocation) {
 	n := len(p.subsets)
 	maxSpill := make([]float64, n) // by subset, the part of an endpoint that others may take
-	for z := range p.subsets {
-		maxSpill[z] = max(maxSpillFraction, 1-granted.get(z, z)/max(loads[z].capacity, 1e-9))
-		clear(p.subsets[z].table.desired)
+	for k := range p.subsets {
+		maxSpill[k] = max(maxSpillFraction, 1-granted.get(k, k)/max(loads[k].capacity, 1e-9))
+		clear(p.subsets[k].table.desired)
 	}
 	borrower := make([]int, n) // by subset, how many of the subsets that follow it have what they were granted
 	for i := len(capacity) - 1; i >= 0; i-- {
-		z := p.endpoints.all[i].subset
+		k := p.endpoints.all[i].subset
 		own := capacity[i]
-		spill := maxSpill[z] * capacity[i]
-		for spill > 0 && borrower[z] < n-1 {
-			from := (z + 1 + borrower[z]) % n
-			rest := granted.get(from, z)
+		spill := maxSpill[k] * capacity[i]
+		for spill > 0 && borrower[k] < n-1 {
+			from := (k + 1 + borrower[k]) % n
+			rest := granted.get(from, k)
 			if rest < minWeightChange*capacity[i] {
-				borrower[z]++ // less is not worth an entry
+				borrower[k]++ // less is not worth an entry
 				continue
 			}
 			taken := min(spill, rest)
 			p.subsets[from].table.desired[i] += taken
-			granted.take(from, z, taken)
+			granted.take(from, k, taken)
 			own -= taken
 			spill -= taken
 		}
-		if granted.get(z, z) > 0 {
-			p.subsets[z].table.desired[i] = own
+		if granted.get(k, k) > 0 {
+			p.subsets[k].table.desired[i] = own
 		}
 	}
 }
 
 // normalizeTables makes each table's weights add up to 1, and fills the tables that were granted nothing.
 func (p *Planner) normalizeTables(capacity []float64, loads []subsetLoad, totalCapacity float64) {
-	for z := range p.subsets {
-		s := &p.subsets[z]
+	for k := range p.subsets {
+		s := &p.subsets[k]
 		granted := sum(s.table.desired)
 		for i := range s.table.desired {
 			switch {
@@ -158,7 +158,7 @@
 			case totalCapacity == 0 && p.endpoints.all[i].state == Ready:
 				// No endpoint has capacity: the published table stays but for endpoints that drain or were removed.
 				s.table.desired[i] = s.table.published[i]
-			case p.endpoints.all[i].subset == z || loads[z].capacity == 0:
+			case p.endpoints.all[i].subset == k || loads[k].capacity == 0:
 				// Its own endpoints, or all where it has none: a proxy that joins must find an entry.
 				s.table.desired[i] = capacity[i] / max(totalCapacity, 1e-9)
 			}
--- a/planner/unseendemand.go
+++ b/planner/unseendemand.go
@@ -20,16 +20,16 @@
 	seen := 0.0
 	totalMissing := 0.0
 	missing := make([]float64, len(loads)) // by subset, proxies that its capacity suggests and that are not seen
-	for z := range p.subsets {
-		members := float64(len(p.subsets[z].members))
+	for k := range p.subsets {
+		members := float64(len(p.subsets[k].members))
 		seen += members
-		missing[z] = max(0, proxies*loads[z].capacity/totalCapacity-members)
-		totalMissing += missing[z]
+		missing[k] = max(0, proxies*loads[k].capacity/totalCapacity-members)
+		totalMissing += missing[k]
 	}
 	// The fuller our own endpoints are, the likelier it is that others have capacity left.
 	belief := max(0, min(1, (saturatedLatencyRatio-p.load.saturation)/(saturatedLatencyRatio-relievedLatencyRatio)))
 	unseen := belief * p.baselineRate() / (seen + unseenDemandPriorProxies) * max(0, proxies-seen)
-	for z := range loads {
-		loads[z].demand += unseen * missing[z] / max(totalMissing, 1e-9)
+	for k := range loads {
+		loads[k].demand += unseen * missing[k] / max(totalMissing, 1e-9)
 	}
 }
