--- a/planner/types.go
+++ b/planner/types.go
@@ -55,19 +55,6 @@
 	Draining                      // it is to get no new requests
 )
 
-// String returns the state's name.
-func (s EndpointState) String() string {
-	switch s {
-	case Removed:
-		return "removed"
-	case Ready:
-		return "ready"
-	case Draining:
-		return "draining"
-	}
-	return fmt.Sprintf("EndpointState(%d)", uint8(s))
-}
-
 // RouteID names a route by its index in Config.Routes.
 type RouteID uint16
 
