--- a/planner/admission.go
+++ b/planner/admission.go
@@ -22,8 +22,9 @@
 	// minWindowCoverage is the part of loadWindowSeconds that has to be covered by reports before they tell the
 	// throughput.
 	minWindowCoverage = 0.5
-	// capacityTarget is the part of what busy endpoints could answer that is admitted: requests arrive at random.
-	capacityTarget = 0.65
+	// capacityTargetFraction is the part of what busy endpoints could answer that is admitted: requests arrive at
+	// random.
+	capacityTargetFraction = 0.65
 	// unboundBudgetRatio is the budget, in times of what is asked, from which on it does not bind.
 	unboundBudgetRatio = 1.3
 )
@@ -34,8 +35,8 @@
 	priorityTierRatio = 0.8
 	// minLevel is the lowest admission level: 0 would also stop the requests that a proxy holds.
 	minLevel = 0.02
-	// minLevelChange is the part by which a level has to change before it is published.
-	minLevelChange = 0.05
+	// minLevelChangeFraction is the part by which a level has to change before it is published.
+	minLevelChangeFraction = 0.05
 )
 
 // admissionControl decides how much of each route the proxies admit. It guards against full queues, in which requests
@@ -175,7 +176,7 @@
 // known, and a burst shows in what is asked before any queue tells. Capacity that is learned from latencies is too
 // rough for it.
 func (a *admissionControl) limitByUtilization(in admissionInput, asked float64) {
-	limit := in.fleet.capacity * (capacityTarget * in.meanObjective)
+	limit := in.fleet.capacity * (capacityTargetFraction * in.meanObjective)
 	if a.utilization && asked > limit {
 		a.workBudget = min(a.workBudget, limit)
 	}
@@ -203,7 +204,7 @@
 			left = max(0, left-work)
 		}
 		before := a.levels[r]
-		if math.Abs(level-before) > minLevelChange*before || level == 1 && before < 1 {
+		if math.Abs(level-before) > minLevelChangeFraction*before || level == 1 && before < 1 {
 			a.levels[r] = level
 		}
 	}
--- a/planner/allocation.go
+++ b/planner/allocation.go
@@ -27,8 +27,7 @@
 // In each round every subset sends along its first path that has room left: to its own endpoints; else evenly to all
 // subsets of its zone that have room; else, unless localZoneOnly, evenly to all that have room. All traffic grows in
 // proportion to demand until some subset is full, and the next round begins without it. The fill ends when the traffic
-// of some subset finds no path: all subsets are then granted the same
-// part of their demand, the max-min fair one.
+// of some subset finds no path: all subsets are then granted the same part of their demand, the max-min fair one.
 func allocate(loads []subsetLoad, zones int, localZoneOnly bool) allocation {
 	n := len(loads)
 	fill := waterFill{
--- a/planner/flowcontrol.go
+++ b/planner/flowcontrol.go
@@ -2,8 +2,8 @@
 
 import "slices"
 
-// Fractions of the channel's queue (Config.MaxInFlightEntries) that commands may fill. The more urgent a command, the more
-// it may fill, so that what must go always finds room.
+// Fractions of the channel's queue (Config.MaxInFlightEntries) that commands may fill. The more urgent a command, the
+// more it may fill, so that what must go always finds room.
 const (
 	idleQueueFraction     = 0.10 // up to which the queue counts as empty
 	ordinaryQueueFraction = 0.35 // for changes of tables that may wait; the channel can be several times slower than stated
@@ -18,7 +18,7 @@
 	maxQueueSeconds = 2.0
 	// channelProbeSeconds is the time from the last batch to the first probe of what is in flight.
 	channelProbeSeconds = 3.0
-	// maxChannelProbeBackoff bounds the time between two probes, in probeSeconds above the first.
+	// maxChannelProbeBackoff bounds the time between two probes, in channelProbeSeconds above the first.
 	maxChannelProbeBackoff = 3.0
 )
 
@@ -67,8 +67,8 @@
 	return entries <= f.available(fraction) || f.idle() && entries <= f.available(urgentQueueFraction)
 }
 
-// mayPublish reports whether entries for each member of a subset fit into a fraction of the queue, and a message to each
-// into a fraction of the messages that a proxy may get.
+// mayPublish reports whether entries for each member of a subset fit into a fraction of the queue, and a message to
+// each into a fraction of the messages that a proxy may get.
 func (f *flowControl) mayPublish(now float64, s *subset, each, fraction float64) bool {
 	s.messageTimes = slices.DeleteFunc(s.messageTimes, func(at float64) bool { return now-at > f.messageWindow })
 	if !f.fits(f.account.cost(now, s.members, each), fraction) {
@@ -108,9 +108,9 @@
 	}
 }
 
-// probeChannel binds one connected proxy again when nothing was acknowledged for long. Without it the channel could count as
-// full for good: the proxies that were to acknowledge the last nonce may have been renewed, and as nothing fits,
-// nothing is sent that others could acknowledge. The proxy that is bound acknowledges that all before has left.
+// probeChannel binds one connected proxy again when nothing was acknowledged for long. Without it the channel could
+// count as full for good: the proxies that were to acknowledge the last nonce may have been renewed, and as nothing
+// fits, nothing is sent that others could acknowledge. The proxy that is bound acknowledges that all before has left.
 func (p *Planner) probeChannel() {
 	if !p.flow.probeDue(p.now) {
 		return
--- a/planner/planner.go
+++ b/planner/planner.go
@@ -37,7 +37,7 @@
 }
 
 // New returns a planner that knows nothing of its fleet yet. It asks host for its first step, and for the list's
-// changes if config says that a controller has to. Where tables are sharded, the planner commands nothing by itself.
+// changes if config says that a controller has to. Where tables are sharded, it asks for no step and binds no proxy.
 func New(host Host, config Config, now float64) *Planner {
 	p := &Planner{
 		host:        host,
--- a/planner/publication.go
+++ b/planner/publication.go
@@ -10,10 +10,12 @@
 	// publishIntervalSeconds is the time in s between two ordinary changes of tables, and the longest that a stage
 	// waits for acknowledgements (docs/design.md).
 	publishIntervalSeconds = 1.0
-	// minWeightChange is the part of a weight that has to change before its entry is published (docs/design.md).
-	minWeightChange = 0.10
-	// maxMisplaced is the part of a table's requests that may go elsewhere than desired before it is published at once.
-	maxMisplaced = 0.25
+	// minWeightChangeFraction is the part of a weight that has to change before its entry is published
+	// (docs/design.md).
+	minWeightChangeFraction = 0.10
+	// maxMisplacedFraction is the part of a table's requests that may go elsewhere than desired before it is
+	// published at once.
+	maxMisplacedFraction = 0.25
 )
 
 // publication is the state of the routing tables on their way to the proxies.
@@ -76,8 +78,8 @@
 func (p *Planner) urgentEntries(table *routingTable) []int {
 	part, staying := table.misplaced()
 	warmingUp := func(i int) bool { return p.slowStart.warmingUp(p.now, p.endpoints.all[i].startTime) }
-	if staying == 0 || part > maxMisplaced || table.overloads(staying, warmingUp) {
-		return table.changedEntries(minWeightChange)
+	if staying == 0 || part > maxMisplacedFraction || table.overloads(staying, warmingUp) {
+		return table.changedEntries(minWeightChangeFraction)
 	}
 	return nil
 }
@@ -153,7 +155,7 @@
 // second. If there are none of the first kind, the others are first.
 func (p *Planner) stages() (first, second []int) {
 	for k := range p.subsets {
-		if len(p.subsets[k].table.changedEntries(minWeightChange)) == 0 {
+		if len(p.subsets[k].table.changedEntries(minWeightChangeFraction)) == 0 {
 			continue
 		}
 		if p.spills(k) {
@@ -182,7 +184,7 @@
 func (p *Planner) changedByTable(tables []int) [][]int {
 	entries := make([][]int, len(p.subsets))
 	for _, k := range tables {
-		entries[k] = p.subsets[k].table.changedEntries(minWeightChange)
+		entries[k] = p.subsets[k].table.changedEntries(minWeightChangeFraction)
 	}
 	return entries
 }
--- a/planner/tables.go
+++ b/planner/tables.go
@@ -130,7 +130,7 @@
 		for spill > 0 && borrower[k] < n-1 {
 			from := (k + 1 + borrower[k]) % n
 			rest := granted.get(from, k)
-			if rest < minWeightChange*capacity[i] {
+			if rest < minWeightChangeFraction*capacity[i] {
 				borrower[k]++ // less is not worth an entry
 				continue
 			}
