--- a/planner/proxies_test.go
+++ b/planner/proxies_test.go
@@ -15,30 +15,38 @@
 // Proxies join before the endpoint list has come, or after an empty one. Bound to an empty table they would lose what
 // they hold. They have to be bound once a list has come, to subsets of the number that its size asks for.
 func TestProxiesWaitForFirstList(t *testing.T) {
-	for _, empty := range []bool{false, true} {
-		tr := &trace{t: t, now: 100, reports: map[uint32]LoadReport{}}
-		tr.planner = New(tr, testConfig(), tr.now)
-		if empty {
-			tr.planner.ReplaceEndpoints(tr.now, nil)
-		}
-		for p := range 12 {
-			tr.planner.ProxyJoined(tr.now, p, p%2, 10)
-		}
-		tr.run(1)
-		if strings.Contains(tr.String(), "bind") {
-			t.Errorf("ordered without a node:\n%s", tr)
-		}
-		tr.planner.ReplaceEndpoints(tr.now, endpointList(40))
-		tr.run(2)
-		for pool := range tr.planner.subsets {
-			members := tr.planner.subsets[pool].members
-			if len(members) != 3 {
-				t.Errorf("pool %d of %d has %d proxies", pool, len(tr.planner.subsets), len(members))
+	for _, c := range []struct {
+		name  string
+		empty bool // whether an empty list comes first
+	}{
+		{"no list", false},
+		{"an empty list", true},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			tr := &trace{t: t, now: 100, reports: map[uint32]LoadReport{}}
+			tr.planner = New(tr, testConfig(), tr.now)
+			if c.empty {
+				tr.planner.ReplaceEndpoints(tr.now, nil)
 			}
-			if total := sum(tr.planner.subsets[pool].table.published); total == 0 {
-				t.Errorf("pool %d has weights of %.2f", pool, total)
+			for proxy := range 12 {
+				tr.planner.ProxyJoined(tr.now, proxy, proxy%2, 10)
 			}
-		}
+			tr.run(1)
+			if strings.Contains(tr.String(), "bind") {
+				t.Errorf("bound without an endpoint:\n%s", tr)
+			}
+			tr.planner.ReplaceEndpoints(tr.now, endpointList(40))
+			tr.run(2)
+			for k := range tr.planner.subsets {
+				s := &tr.planner.subsets[k]
+				if len(s.members) != 3 {
+					t.Errorf("subset %d of %d has %d members", k, len(tr.planner.subsets), len(s.members))
+				}
+				if total := sum(s.table.published); total == 0 {
+					t.Errorf("the table of subset %d has no weight", k)
+				}
+			}
+		})
 	}
 }
 
