--- a/planner/bench_test.go
+++ b/planner/bench_test.go
@@ -5,91 +5,95 @@
 	"testing"
 )
 
-type silent struct{}
+// discardHost carries out nothing.
+type discardHost struct{}
 
-func (silent) BindProxy(int, int)                              {}
-func (silent) SetWeight(int, uint32, float64)                  {}
-func (silent) SetAdmission(int, RouteID, float64, RetryPolicy) {}
-func (silent) RequestAck(int)                                  {}
-func (silent) Wake(float64)                                    {}
-func (silent) Subscribe()                                      {}
-func (silent) Log(string)                                      {}
+func (discardHost) BindProxy(int, int)                              {}
+func (discardHost) SetWeight(int, uint32, float64)                  {}
+func (discardHost) SetAdmission(int, RouteID, float64, RetryPolicy) {}
+func (discardHost) RequestAck(int)                                  {}
+func (discardHost) Wake(float64)                                    {}
+func (discardHost) Subscribe()                                      {}
+func (discardHost) Log(string)                                      {}
 
-// sizes runs a benchmark at fleets of growing size.
-func sizes(b *testing.B, run func(b *testing.B, proxies, nodes int)) {
+// runSizes runs a benchmark at fleets of growing size.
+func runSizes(b *testing.B, run func(b *testing.B, proxies, nodes int)) {
 	for _, size := range [][2]int{{110, 3200}, {300, 60}, {1200, 200}, {2400, 200}, {2400, 800}} {
 		b.Run(fmt.Sprintf("proxies=%d/nodes=%d", size[0], size[1]), func(b *testing.B) { run(b, size[0], size[1]) })
 	}
 }
 
-// fleet is a conductor that all proxies have joined and confirmed.
-func fleet(proxies, nodes int) (c *Planner, now float64) {
-	site := testSite()
-	site.Proxies, site.MaxInFlightEntries = proxies, float64(proxies)*108
-	c = New(silent{}, site, 100)
-	c.ReplaceEndpoints(100, rows(nodes))
-	joinAll(c, 100, proxies)
-	for now = 100; len(c.unbound) > 0 || now < 102; now += 0.1 {
-		answerAll(c, now, proxies)
-		c.Step(now)
+// newFleet returns a planner whose proxies have all joined, been bound and acknowledged, and the time then.
+func newFleet(proxies, nodes int) (p *Planner, now float64) {
+	config := testConfig()
+	config.Proxies = proxies
+	config.MaxInFlightEntries = float64(proxies) * 108
+	p = New(discardHost{}, config, 100)
+	p.ReplaceEndpoints(100, endpointList(nodes))
+	joinAll(p, 100, proxies)
+	for now = 100; len(p.proxies.unbound) > 0 || now < 102; now += 0.1 {
+		acknowledgeAll(p, now, proxies)
+		p.Step(now)
 	}
-	return c, now
+	return p, now
 }
 
-func joinAll(c *Planner, now float64, proxies int) {
-	for p := range proxies {
-		c.ProxyJoined(now, p, p%2, 1)
+func joinAll(p *Planner, now float64, proxies int) {
+	for proxy := range proxies {
+		p.ProxyJoined(now, proxy, proxy%2, 1)
 	}
 }
 
-func answerAll(c *Planner, now float64, proxies int) {
-	mark := c.channel.nonces % nonceModulo
-	c.CommandsAccepted(now, mark)
-	for p := range proxies {
-		c.Acknowledged(now, p, mark)
+// acknowledgeAll answers the last call, and acknowledges its nonce for all proxies.
+func acknowledgeAll(p *Planner, now float64, proxies int) {
+	nonce := p.flow.account.nonces % nonceModulo
+	p.CommandsAccepted(now, nonce)
+	for proxy := range proxies {
+		p.Acknowledged(now, proxy, nonce)
 	}
 }
 
-func BenchmarkWake(b *testing.B) {
-	sizes(b, func(b *testing.B, proxies, nodes int) {
-		c, now := fleet(proxies, nodes)
+// A step, with a load report on each endpoint before it.
+func BenchmarkStep(b *testing.B) {
+	runSizes(b, func(b *testing.B, proxies, nodes int) {
+		p, now := newFleet(proxies, nodes)
 		for b.Loop() {
-			now += wakeEvery
+			now += stepIntervalSeconds
 			for i := range uint32(nodes) {
-				c.AddLoadReport(now, LoadReport{Node: i + 1, Completed: 10, MeanLatency: 0.2, Interval: 0.5})
+				p.AddLoadReport(now, LoadReport{Node: i + 1, Completed: 10, MeanLatency: 0.2, Interval: 0.5})
 			}
-			c.Step(now)
-			answerAll(c, now, proxies)
+			p.Step(now)
+			acknowledgeAll(p, now, proxies)
 		}
 	})
 }
 
-// A crowd that joins at once, and its confirmations.
-func BenchmarkJoin(b *testing.B) {
-	sizes(b, func(b *testing.B, proxies, nodes int) {
-		c, now := fleet(proxies, nodes)
+// A crowd that joins at once, and its acknowledgements.
+func BenchmarkProxyJoined(b *testing.B) {
+	runSizes(b, func(b *testing.B, proxies, nodes int) {
+		p, now := newFleet(proxies, nodes)
 		for b.Loop() {
-			for p := range proxies {
-				c.ProxyLeft(now, p)
+			for proxy := range proxies {
+				p.ProxyLeft(now, proxy)
 			}
-			joinAll(c, now, proxies)
-			for len(c.unbound) > 0 {
-				now += wakeEvery
-				answerAll(c, now, proxies)
-				c.Step(now)
+			joinAll(p, now, proxies)
+			for len(p.proxies.unbound) > 0 {
+				now += stepIntervalSeconds
+				acknowledgeAll(p, now, proxies)
+				p.Step(now)
 			}
 		}
 		b.ReportMetric(float64(b.Elapsed().Microseconds())/float64(b.N*proxies), "us/proxy")
 	})
 }
 
-// One report of a proxy's calls, in pools as large as these fleets have.
-func BenchmarkUsage(b *testing.B) {
-	sizes(b, func(b *testing.B, proxies, nodes int) {
-		c, now := fleet(proxies, nodes)
+// One demand report, in subsets as large as these fleets have.
+func BenchmarkAddDemandReport(b *testing.B) {
+	runSizes(b, func(b *testing.B, proxies, nodes int) {
+		p, now := newFleet(proxies, nodes)
 		for k := 0; b.Loop(); k++ {
 			now += 0.001
-			c.AddDemandReport(now, DemandReport{Proxy: k % proxies, Requests: 3, Interval: 1})
+			p.AddDemandReport(now, DemandReport{Proxy: k % proxies, Requests: 3, Interval: 1})
 		}
 	})
 }
--- a/planner/load.go
+++ b/planner/load.go
@@ -2,144 +2,148 @@
 
 import "math"
 
-// What proxies met at nodes, what is asked of them, and how full the fleet is.
 const (
-	usageWindow  = 3.0  // s over which a proxy's usage is averaged: long enough for its few calls, callers drift
-	viewWindow   = 2.5  // s that what was met at a node is remembered: a few dozen calls, a few reports
-	maxSumsDelay = 1.6  // s that sums come late at most, as the platform's pages tell
-	tightTime    = 0.55 // part of the SLO time that the fleet's mean time may take before less is let in
-	slackTime    = 0.45 // part under which more is let in again
-	levelWindow  = 3.0  // s over which a level shows in what is asked: its way, the report's and the mean's
-	repeatWindow = 8.0  // s of throttling in which repeats are told from a change of callers
-	minRepeats   = 0.1  // part of the calls that must be turned away for that
-	maxRepeats   = 3.0  // repeats of a call that are believed
+	// loadWindowSeconds is the time in s over which the attempts at an endpoint are remembered: a few dozen of them,
+	// and a few reports.
+	loadWindowSeconds = 2.5
+	// maxReportDelaySeconds is the most that a load report comes late, in s, as the platform's pages tell.
+	maxReportDelaySeconds = 1.6
+	// minAttempts is how many attempts must have completed before an endpoint, or the fleet, is judged by them.
+	minAttempts = 4.0
 )
 
-// AddLoadReport brings what the proxies of a zone met at a node.
-func (c *Planner) AddLoadReport(now float64, s LoadReport) {
-	c.now = now
-	i, known := c.index[s.Node]
-	if !known || now-s.Interval-maxSumsDelay < c.started[i] {
-		return // it tells of the process before: a zone's new nodes were put out for what the lost ones had lost
-	}
-	// What was held up and comes all at once must not pass for a rate of answers that was never reached.
-	part := min(1, viewWindow/max(s.Interval, 1e-9))
-	ended, lost := float64(s.Completed)*part, float64(s.Failed)*part
-	c.ended[i], c.lost[i], c.spent[i] = c.ended[i]+ended, c.lost[i]+lost, c.spent[i]+(ended-lost)*s.MeanLatency
-	if k := c.site.QueueLengthIndex; k >= 0 && k < len(s.Values) {
-		c.queue[i] = s.Values[k]
-	}
-	if k := c.site.UtilizationIndex; k >= 0 && k < len(s.Values) {
-		c.use[i] += (s.Values[k] - c.use[i]) * (1 - math.Exp(-c.site.ReportInterval/viewWindow))
-	}
+// Saturation, the mean latency of attempts as part of the latency objective.
+const (
+	idleLatencyRatio      = 0.30 // of an attempt that does not wait, for all that is known
+	relievedLatencyRatio  = 0.45 // under which more is admitted
+	saturatedLatencyRatio = 0.55 // over which less is admitted
+)
+
+// endpointLoad is what load reports tell of an endpoint. The attempts decay over loadWindowSeconds.
+type endpointLoad struct {
+	completed   float64 // attempts
+	failed      float64 // of these
+	latencySum  float64 // s, of those that did not fail
+	queueLength float64 // requests that wait, as last reported
+	utilization float64 // busy part of its cores, as reported, averaged
 }
 
-// AddDemandReport brings how many calls of a route came to a proxy.
-func (c *Planner) AddDemandReport(now float64, u DemandReport) {
-	c.now = now
-	if u.Proxy >= len(c.joined) || c.usage[u.Proxy] == nil || int(u.Route) >= len(c.site.Routes) || u.Interval <= 0 {
+// answers are the attempts that did not fail.
+func (l *endpointLoad) answers() float64 { return l.completed - l.failed }
+
+// decay takes a factor of the attempts off.
+func (l *endpointLoad) decay(keep float64) {
+	l.completed *= keep
+	l.failed *= keep
+	l.latencySum *= keep
+}
+
+// loadStatistics is what load reports tell of the fleet.
+type loadStatistics struct {
+	decayedAt      float64 // s
+	successRatio   float64 // part of all attempts that did not fail, 0 while too few completed
+	windowCoverage float64 // part of loadWindowSeconds that reports have covered since the planner started
+	saturation     float64 // mean latency of attempts as part of the latency objective, as of the last update
+}
+
+// AddLoadReport handles what the proxies of a zone got from an endpoint. Reports on unknown endpoints are ignored.
+func (p *Planner) AddLoadReport(now float64, report LoadReport) {
+	p.now = now
+	i, known := p.endpoints.indexOf[report.Node]
+	if !known {
 		return
 	}
-	// A proxy without calls says nothing: what was counted fades as others of its pool report, and stays while
-	// none does. Reports that were held up come all at once: each tells of the time that is averaged at most.
-	pool := c.home[u.Proxy]
-	if keep := math.Exp((c.heardAt[pool] - now) / usageWindow); keep < 1 {
-		for _, p := range c.members[pool] {
-			for r := range c.usage[p] {
-				c.usage[p][r] *= keep
-			}
-		}
+	e := &p.endpoints.all[i]
+	if now-report.Interval-maxReportDelaySeconds < e.startTime {
+		// The report reaches back to the process before: when a lost zone came back, its new endpoints would be ejected
+		// for the failures of the lost ones.
+		return
 	}
-	c.heardAt[pool] = now
-	c.usage[u.Proxy][u.Route] += float64(u.Requests) / max(u.Interval, usageWindow)
-}
-
-// updateDemand lets what was met age, but on trial, where few calls must tell, and sums up what is asked.
-func (c *Planner) updateDemand() {
-	keep := math.Exp((c.fadedAt - c.now) / viewWindow)
-	c.fadedAt = c.now
-	for i := range c.node {
-		if c.health[i] != onTrial {
-			c.ended[i], c.lost[i], c.spent[i] = keep*c.ended[i], keep*c.lost[i], keep*c.spent[i]
-		}
+	// Reports that were held up come all at once. Each counts for the window that is averaged at most: else they would
+	// pass for a throughput that was never reached.
+	part := min(1, loadWindowSeconds/max(report.Interval, 1e-9))
+	completed := float64(report.Completed) * part
+	failed := float64(report.Failed) * part
+	e.load.completed += completed
+	e.load.failed += failed
+	e.load.latencySum += (completed - failed) * report.MeanLatency
+	if k := p.config.QueueLengthIndex; k >= 0 && k < len(report.Values) {
+		e.load.queueLength = report.Values[k]
 	}
-	c.answering = 0
-	if ended := sum(c.ended); ended >= minTries {
-		c.answering = 1 - sum(c.lost)/ended
-		c.filled += (1 - c.filled) * (1 - keep)
+	if k := p.config.UtilizationIndex; k >= 0 && k < len(report.Values) {
+		weight := 1 - math.Exp(-p.config.ReportInterval/loadWindowSeconds)
+		e.load.utilization += (report.Values[k] - e.load.utilization) * weight
 	}
-	clear(c.poolCalls)
-	clear(c.asked)
-	for p, here := range c.joined {
-		for r, rate := range c.usage[p] {
-			c.poolCalls[c.home[p]] += rate
-			c.asked[r] += rate
-			if !here {
-				c.usage[p][r] *= math.Exp(-wakeEvery / usageWindow)
-			}
+}
+
+// update decays the attempts, but those of endpoints on probation, where few must tell, and sees how many succeed.
+func (s *loadStatistics) update(now float64, endpoints *endpointRegistry) {
+	keep := math.Exp((s.decayedAt - now) / loadWindowSeconds)
+	s.decayedAt = now
+	for i := range endpoints.all {
+		if e := &endpoints.all[i]; e.health != probation {
+			e.load.decay(keep)
 		}
 	}
-	c.slo = 0
-	for r, rate := range c.asked {
-		c.slo += c.site.Routes[r].LatencyObjective * rate / max(sum(c.asked), 1e-9)
+	s.successRatio = 0
+	completed := endpoints.sum(func(e *endpoint) float64 { return e.load.completed })
+	if completed >= minAttempts {
+		failed := endpoints.sum(func(e *endpoint) float64 { return e.load.failed })
+		s.successRatio = 1 - failed/completed
+		s.windowCoverage += (1 - s.windowCoverage) * (1 - keep)
 	}
 }
 
-func (c *Planner) forget(i int) {
-	c.ended[i], c.lost[i], c.spent[i], c.done[i], c.busy[i] = 0, 0, 0, 0, 0
-	c.use[i], c.queue[i], c.quick[i] = 0, 0, math.Inf(1)
+// fleetLoad is what load reports and the list tell of the endpoints in service.
+type fleetLoad struct {
+	answers  float64 // attempts within loadWindowSeconds that did not fail
+	weight   float64 // listed weight, as far as slow start gives it
+	capacity float64 // requests a second that they can answer
+}
+
+// fleetInput is what the fleet's load is measured by.
+type fleetInput struct {
+	now           float64
+	endpoints     []endpoint
+	capacity      *capacityEstimate
+	slowStart     slowStart
+	meanObjective float64 // s
+	queueReported bool    // whether endpoints report the requests that wait
+	controllers   int     // whose requests wait there
 }
 
-// measureLoad sees how full the fleet is; it gives what was answered, the nodes' weight, and what they could
-// answer. A few full nodes are for the weights to relieve: each counts for its answers, and bounded.
-func (c *Planner) measureLoad() (good, fleet, able float64) {
-	c.load = 0
-	for i, tries := range c.ended {
-		if c.condition[i] != Ready || c.health[i] == ejected {
+// measureFleet measures the load of the endpoints in service and their saturation. A few full endpoints are for the
+// weights to relieve: each counts with its answers, and for a latency objective at most.
+func (s *loadStatistics) measureFleet(in fleetInput) fleetLoad {
+	var fleet fleetLoad
+	latency := 0.0 // in latency objectives
+	for i := range in.endpoints {
+		e := &in.endpoints[i]
+		if e.state != Ready || e.health == ejected {
 			continue
 		}
-		fleet, able = fleet+c.listed[i]*c.warmth(i), able+c.speed(i)*c.warmth(i)
-		answers := tries - c.lost[i]
-		good += answers
-		// Tries lost where the others are quick are no load: connections refused, or a node that fails.
-		slow := min(1, max(0, (c.spent[i]/max(answers, 1)/c.slo-easyTime)/(tightTime-easyTime)))
-		part := (c.spent[i]/c.slo + slow*c.lost[i]) / max(tries, minTries)
-		if c.site.QueueLengthIndex >= 0 {
-			// Calls that wait tell of a queue before those that waited do.
-			part = easyTime + c.queue[i]*viewWindow/max(answers, 1)/float64(c.site.Controllers)/c.slo
-		}
-		c.load += answers * min(part, 1)
+		fraction := in.slowStart.fraction(in.now, e.startTime)
+		answers := e.load.answers()
+		fleet.weight += e.weight * fraction
+		fleet.capacity += in.capacity.learned(e) * fraction
+		fleet.answers += answers
+		latency += answers * min(in.endpointLatency(e), 1)
 	}
-	c.load /= max(good, 1)
-	return good, fleet, able
+	s.saturation = latency / max(fleet.answers, 1)
+	return fleet
 }
 
-// countFirstTries tells first tries from what is asked, in SLO times a second. Clients repeat what is turned away,
-// and that is turned away again; how often shows early in throttling, beside what as many asked before.
-func (c *Planner) countFirstTries() (asked float64) {
-	all, was, hidden, turned := sum(c.asked), 0.0, 0.0, 0.0
-	calls := max(sum(c.poolCalls), 1e-9)
-	for r, rate := range c.asked {
-		shut := 0.0
-		for z, sent := range c.sentLevels {
-			shut += (1 - sent[r]) * c.poolCalls[z] / calls
-		}
-		c.turnedAway[r] += (shut - c.turnedAway[r]) * learnEvery / levelWindow
-		if !c.throttling {
-			c.askedBefore[r] = rate / c.calling
-		}
-		was, hidden = was+c.askedBefore[r]*c.calling, hidden+c.askedBefore[r]*c.calling*c.turnedAway[r]
-		turned += rate * c.turnedAway[r]
-		c.firstTries[r] = rate / (1 + c.repeats*c.turnedAway[r])
-		asked += c.firstTries[r] * c.site.Routes[r].LatencyObjective
-	}
-	if c.throttling && c.now < c.throttledAt+repeatWindow && hidden > minRepeats*was {
-		seen := min(max((all-was)/hidden, 0), maxRepeats)
-		c.repeats += (seen - c.repeats) * learnEvery / levelWindow
-	}
-	if tries := sum(c.ended) / viewWindow / c.filled; c.load < easyTime && turned > 0 {
-		// Repeats alone could keep an idle fleet throttled: where nothing waits, what ended was let in.
-		c.repeats = min(max((all-turned)/tries-1, 0)*all/turned, maxRepeats)
+// endpointLatency is the mean latency of attempts at an endpoint as part of the latency objective.
+func (in *fleetInput) endpointLatency(e *endpoint) float64 {
+	answers := max(e.load.answers(), 1)
+	if in.queueReported {
+		// Requests that wait tell of a queue before those that have waited do.
+		wait := e.load.queueLength * loadWindowSeconds / answers / float64(in.controllers) / in.meanObjective
+		return idleLatencyRatio + wait
 	}
-	return asked
+	// A failed attempt counts for an objective where the answers are slow. Where they are quick it tells of no queue,
+	// but of rejected connections or a fault.
+	answerLatency := e.load.latencySum / answers / in.meanObjective
+	slow := min(1, max(0, (answerLatency-idleLatencyRatio)/(saturatedLatencyRatio-idleLatencyRatio)))
+	return (e.load.latencySum/in.meanObjective + slow*e.load.failed) / max(e.load.completed, minAttempts)
 }
