--- a/controller/order.go
+++ b/controller/commands.go
@@ -27,28 +27,28 @@
 	Retry               planner.RetryPolicy
 }
 
-// host implements brain.Host. The module calls it during a turn only.
-type host struct{ *Controller }
+// plannerHost implements brain.Host. The module calls it during a turn only.
+type plannerHost struct{ *Controller }
 
-func (h host) BindProxy(proxy, table int) {
+func (h plannerHost) BindProxy(proxy, table int) {
 	h.batch = append(h.batch, Command{Kind: BindProxy, Proxy: proxy, Table: table})
 }
 
-func (h host) SetWeight(table int, node uint32, weight float64) {
-	h.batch = append(h.batch, Command{Kind: SetWeight, Table: table, Node: h.name[node], Value: weight})
+func (h plannerHost) SetWeight(table int, node uint32, weight float64) {
+	h.batch = append(h.batch, Command{Kind: SetWeight, Table: table, Node: h.nodeNames[node], Value: weight})
 }
 
-func (h host) SetAdmission(table int, route planner.RouteID, level float64, tries planner.RetryPolicy) {
-	h.batch = append(h.batch, Command{Kind: SetAdmission, Table: table, Route: h.every[route], Value: level, Retry: tries})
+func (h plannerHost) SetAdmission(table int, route planner.RouteID, level float64, tries planner.RetryPolicy) {
+	h.batch = append(h.batch, Command{Kind: SetAdmission, Table: table, Route: h.routeNames[route], Value: level, Retry: tries})
 }
 
-func (h host) RequestAck(nonce int) {
+func (h plannerHost) RequestAck(nonce int) {
 	h.batch = append(h.batch, Command{Kind: RequestAck, Nonce: nonce})
 }
 
-func (h host) Wake(at float64) { h.wakeAt = min(h.wakeAt, at) }
+func (h plannerHost) Wake(at float64) { h.stepAt = min(h.stepAt, at) }
 
 // Subscribe does nothing: the front watches the list all the time, and asking its service costs nothing here.
-func (h host) Subscribe() {}
+func (h plannerHost) Subscribe() {}
 
-func (h host) Log(text string) { h.log.Info(text, zap.String("by", "module")) }
+func (h plannerHost) Log(text string) { h.log.Info(text, zap.String("by", "module")) }
--- a/controller/conductor.go
+++ b/controller/controller.go
@@ -22,15 +22,15 @@
 )
 
 const (
-	inboxSize = 1024 // happenings that may wait: a second of reports and all proxies joining; then fronts wait
-	maxTurn   = 4096 // happenings handled in one turn, so that orders leave under a flood as well
+	maxQueuedEvents       = 1024 // happenings that may wait: a second of reports and all proxies joining; then fronts wait
+	maxEventsPerIteration = 4096 // happenings handled in one turn, so that orders leave under a flood as well
 
 	// s that a node is gone until it is forgotten: sums and a list that swings still name it for a while.
-	forgetAfter = 60
+	releaseDelay = 60
 
 	// A conductor without a list is in use all the same after a while, well within the 10 s that a restart may take:
 	// while the list's service is away, proxies go on by what they hold, and are bound once a list has come.
-	readyWithin = 5 * time.Second
+	readinessTimeout = 5 * time.Second
 )
 
 // CommandSink takes the orders of a turn. It must not block and keeps the order of batches.
@@ -42,40 +42,40 @@
 type Controller struct {
 	Unknown UnknownNames
 
-	inbox   chan func()
-	done    chan struct{}
-	ready   chan struct{} // closed once the module knows the list, or has waited for it for long enough
-	carrier CommandSink
-	log     *zap.Logger
-	tick    time.Duration
+	events      chan func()
+	done        chan struct{}
+	ready       chan struct{} // closed once the module knows the list, or has waited for it for long enough
+	sink        CommandSink
+	log         *zap.Logger
+	minInterval time.Duration
 
 	// All below belongs to Run's goroutine.
-	module      *planner.Planner
-	sums        planner.LoadReport // handed to the module, used again
-	began       time.Time
-	unix        float64 // s; the Unix time of began, taken once
-	wall        func() time.Time
-	now         float64 // of the turn under way
-	wakeAt      float64
-	batch       []Command
-	zones       map[string]int
-	kinds       map[string]int
-	routes      map[string]int
-	reports     []string
-	every       []string // names of all routes, by index
-	id          map[string]uint32
-	name        []string
-	spare       []uint32           // numbers that were given back
-	gone        map[uint32]float64 // nodes that are, since when
-	listedStart []float64          // by number, the node's start as the list has it, by all machines' clock
-	started     []float64          // by number, the same by our clock, which never steps
-	proxies     int
-	joined      map[int]bool
-	unconfirmed map[int]bool // joined before the news came anew and not named since
-	seamless    bool         // nothing was missed before that
-	early       bool         // nor has all come again that the news before told of last
-	usable      bool         // ready is closed
-	turning     atomic.Bool  // the module is being told something
+	planner        *planner.Planner
+	loadReport     planner.LoadReport // handed to the module, used again
+	began          time.Time
+	unix           float64 // s; the Unix time of began, taken once
+	wall           func() time.Time
+	now            float64 // of the turn under way
+	stepAt         float64
+	batch          []Command
+	zones          map[string]int
+	machineTypes   map[string]int
+	routes         map[string]int
+	reportValues   []string
+	routeNames     []string // names of all routes, by index
+	numbers        map[string]uint32
+	nodeNames      []string
+	freeNumbers    []uint32           // numbers that were given back
+	removedAt      map[uint32]float64 // nodes that are, since when
+	reportedStarts []float64          // by number, the node's start as the list has it, by all machines' clock
+	localStarts    []float64          // by number, the same by our clock, which never steps
+	maxProxies     int
+	joined         map[int]bool
+	unconfirmed    map[int]bool // joined before the news came anew and not named since
+	gapless        bool         // nothing was missed before that
+	notYetSynced   bool         // nor has all come again that the news before told of last
+	readyClosed    bool         // ready is closed
+	iterating      atomic.Bool  // the module is being told something
 }
 
 // UnknownNames counts what was told that neither the settings nor the list know.
@@ -87,36 +87,36 @@
 func New(d settings.Deployment, known []Endpoint, carrier CommandSink, log *zap.Logger) *Controller {
 	began := time.Now()
 	c := &Controller{
-		inbox:       make(chan func(), inboxSize),
-		done:        make(chan struct{}),
-		ready:       make(chan struct{}),
-		carrier:     carrier,
-		log:         log,
-		tick:        time.Duration(d.EventInterval * float64(time.Second)),
-		began:       began,
-		unix:        unix(began),
-		wall:        time.Now,
-		wakeAt:      math.Inf(1),
-		zones:       byName(d.Zones),
-		kinds:       byName(d.MachineTypes),
-		routes:      byName(d.Routes),
-		reports:     d.ReportValues,
-		every:       d.Routes,
-		id:          map[string]uint32{},
-		gone:        map[uint32]float64{},
-		proxies:     cmp.Or(d.Planner.Proxies, settings.MaxProxies),
-		joined:      map[int]bool{},
-		unconfirmed: map[int]bool{},
+		events:       make(chan func(), maxQueuedEvents),
+		done:         make(chan struct{}),
+		ready:        make(chan struct{}),
+		sink:         carrier,
+		log:          log,
+		minInterval:  time.Duration(d.EventInterval * float64(time.Second)),
+		began:        began,
+		unix:         unixSeconds(began),
+		wall:         time.Now,
+		stepAt:       math.Inf(1),
+		zones:        indexByName(d.Zones),
+		machineTypes: indexByName(d.MachineTypes),
+		routes:       indexByName(d.Routes),
+		reportValues: d.ReportValues,
+		routeNames:   d.Routes,
+		numbers:      map[string]uint32{},
+		removedAt:    map[uint32]float64{},
+		maxProxies:   cmp.Or(d.Planner.Proxies, settings.MaxProxies),
+		joined:       map[int]bool{},
+		unconfirmed:  map[int]bool{},
 	}
 	c.now = c.clock()
-	c.module = planner.New(host{c}, d.Planner, c.now)
+	c.planner = planner.New(plannerHost{c}, d.Planner, c.now)
 	if len(known) > 0 {
-		c.list(known, c.module.ReplaceEndpoints)
+		c.applyEndpoints(known, c.planner.ReplaceEndpoints)
 	}
 	return c
 }
 
-func byName(names []string) map[string]int {
+func indexByName(names []string) map[string]int {
 	m := make(map[string]int, len(names))
 	for k, name := range names {
 		m[name] = k
@@ -124,7 +124,7 @@
 	return m
 }
 
-func unix(t time.Time) float64 { return float64(t.UnixNano()) / float64(time.Second) }
+func unixSeconds(t time.Time) float64 { return float64(t.UnixNano()) / float64(time.Second) }
 
 // clock is Unix time that only moves forward: taken once, then by the monotonic clock.
 func (c *Controller) clock() float64 { return c.unix + time.Since(c.began).Seconds() }
@@ -135,26 +135,26 @@
 	defer close(c.done)
 	timer := time.NewTimer(0)
 	defer timer.Stop()
-	patience := time.NewTimer(readyWithin)
+	patience := time.NewTimer(readinessTimeout)
 	defer patience.Stop()
 	last := c.now
 	c.flush()
 	for {
 		// After a pause of the process the wake-up is late, but there is only one.
-		timer.Reset(c.until(c.wakeAt))
+		timer.Reset(c.untilTime(c.stepAt))
 		var first func()
 		select {
 		case <-ctx.Done():
 			return
-		case first = <-c.inbox:
+		case first = <-c.events:
 		case <-timer.C:
 		case <-patience.C:
-			if !c.usable {
+			if !c.readyClosed {
 				c.log.Warn("no list has come: in use without one")
-				c.setReady()
+				c.markReady()
 			}
 		}
-		if wait := c.tick - time.Duration((c.clock()-last)*float64(time.Second)); wait > 0 {
+		if wait := c.minInterval - time.Duration((c.clock()-last)*float64(time.Second)); wait > 0 {
 			select {
 			case <-ctx.Done():
 				return
@@ -164,34 +164,34 @@
 		c.now = c.clock()
 		invariant.Holds(c.now >= last, "the clock moves forward")
 		last = c.now
-		c.turn(first)
+		c.iterate(first)
 	}
 }
 
-// turn tells the module all that has come in and hands its orders on.
-func (c *Controller) turn(first func()) {
-	invariant.Holds(c.turning.CompareAndSwap(false, true), "one goroutine owns the module")
-	defer c.turning.Store(false)
+// iterate tells the module all that has come in and hands its orders on.
+func (c *Controller) iterate(first func()) {
+	invariant.Holds(c.iterating.CompareAndSwap(false, true), "one goroutine owns the module")
+	defer c.iterating.Store(false)
 	if first != nil {
 		first()
 	}
 drain:
-	for range maxTurn {
+	for range maxEventsPerIteration {
 		select {
-		case f := <-c.inbox:
+		case f := <-c.events:
 			f()
 		default:
 			break drain
 		}
 	}
-	if c.now >= c.wakeAt {
-		c.wakeAt = math.Inf(1)
-		c.module.Step(c.now)
+	if c.now >= c.stepAt {
+		c.stepAt = math.Inf(1)
+		c.planner.Step(c.now)
 	}
 	c.flush()
 }
 
-func (c *Controller) until(at float64) time.Duration {
+func (c *Controller) untilTime(at float64) time.Duration {
 	if math.IsInf(at, 1) {
 		return time.Hour
 	}
@@ -200,15 +200,15 @@
 
 func (c *Controller) flush() {
 	if len(c.batch) > 0 {
-		c.carrier.Enqueue(c.batch)
+		c.sink.Enqueue(c.batch)
 		c.batch = nil // the carrier's now
 	}
 }
 
-// enqueue puts a happening into the inbox. It waits while that is full and gives up when Run has ended.
-func (c *Controller) enqueue(f func()) {
+// post puts a happening into the inbox. It waits while that is full and gives up when Run has ended.
+func (c *Controller) post(f func()) {
 	select {
-	case c.inbox <- f:
+	case c.events <- f:
 	case <-c.done:
 	}
 }
@@ -223,9 +223,9 @@
 // while.
 func (c *Controller) Ready() <-chan struct{} { return c.ready }
 
-func (c *Controller) setReady() {
-	if !c.usable {
-		c.usable = true
+func (c *Controller) markReady() {
+	if !c.readyClosed {
+		c.readyClosed = true
 		close(c.ready)
 	}
 }
@@ -240,103 +240,103 @@
 
 // ReplaceEndpoints brings the complete list.
 func (c *Controller) ReplaceEndpoints(entries []Endpoint) {
-	c.enqueue(func() {
+	c.post(func() {
 		listed := make(map[string]bool, len(entries))
 		for _, e := range entries {
 			listed[e.Node] = true
 		}
-		for node, id := range c.id {
-			if _, already := c.gone[id]; !listed[node] && !already {
-				c.gone[id] = c.now
+		for node, id := range c.numbers {
+			if _, already := c.removedAt[id]; !listed[node] && !already {
+				c.removedAt[id] = c.now
 			}
 		}
-		c.list(entries, c.module.ReplaceEndpoints)
-		c.setReady()
+		c.applyEndpoints(entries, c.planner.ReplaceEndpoints)
+		c.markReady()
 	})
 }
 
 // UpdateEndpoints brings the entries that are new or other than before.
 func (c *Controller) UpdateEndpoints(entries []Endpoint) {
-	c.enqueue(func() { c.list(entries, c.module.UpdateEndpoints) })
+	c.post(func() { c.applyEndpoints(entries, c.planner.UpdateEndpoints) })
 }
 
 // EndpointWatchFailed says that the list's service could not be asked.
-func (c *Controller) EndpointWatchFailed() { c.enqueue(func() { c.module.EndpointWatchFailed(c.now) }) }
+func (c *Controller) EndpointWatchFailed() { c.post(func() { c.planner.EndpointWatchFailed(c.now) }) }
 
-func (c *Controller) list(entries []Endpoint, apply func(float64, []planner.Endpoint)) {
+func (c *Controller) applyEndpoints(entries []Endpoint, apply func(float64, []planner.Endpoint)) {
 	// Machines' clocks may have been set since our start: a node's age counts from what they show when its start is
 	// first told. Its start must not move with them later, or it would pass for another one.
-	step := unix(c.wall()) - c.clock()
+	step := unixSeconds(c.wall()) - c.clock()
 	rows := make([]planner.Endpoint, 0, len(entries))
 	var fresh []string // the module's log lines name nodes by number
 	for _, e := range entries {
 		zone, known := c.zones[e.Zone]
-		kind, listed := c.kinds[e.MachineType]
+		kind, listed := c.machineTypes[e.MachineType]
 		if !known || !listed {
 			c.Unknown.Zones.Add(1)
 			c.log.Warn("node of an unknown zone or type", zap.String("node", e.Node),
 				zap.String("zone", e.Zone), zap.String("type", e.MachineType))
 			continue
 		}
-		id, known := c.id[e.Node]
+		id, known := c.numbers[e.Node]
 		if !known {
-			id = c.number(e.Node)
+			id = c.assignNumber(e.Node)
 			fresh = append(fresh, fmt.Sprintf("%d=%s", id, e.Node))
 		}
 		if e.State != planner.Removed {
-			delete(c.gone, id)
-		} else if _, already := c.gone[id]; !already {
-			c.gone[id] = c.now
+			delete(c.removedAt, id)
+		} else if _, already := c.removedAt[id]; !already {
+			c.removedAt[id] = c.now
 		}
-		if e.StartTime != c.listedStart[id] {
-			c.listedStart[id], c.started[id] = e.StartTime, max(0, e.StartTime-step)
+		if e.StartTime != c.reportedStarts[id] {
+			c.reportedStarts[id], c.localStarts[id] = e.StartTime, max(0, e.StartTime-step)
 		}
 		rows = append(rows, planner.Endpoint{Node: id, MachineType: kind, Zone: zone, Weight: e.Weight,
-			State: e.State, StartTime: c.started[id]})
+			State: e.State, StartTime: c.localStarts[id]})
 	}
 	if len(fresh) > 0 {
 		c.log.Info("nodes listed", zap.Strings("numbers", fresh))
 	}
 	apply(c.now, rows)
-	c.forget()
-	if len(c.name) > 0 {
-		c.setReady()
+	c.releaseRemoved()
+	if len(c.nodeNames) > 0 {
+		c.markReady()
 	}
 }
 
-// number gives a node a number.
-func (c *Controller) number(node string) (id uint32) {
-	if n := len(c.spare); n > 0 {
-		id, c.spare = c.spare[n-1], c.spare[:n-1]
+// assignNumber gives a node a number.
+func (c *Controller) assignNumber(node string) (id uint32) {
+	if n := len(c.freeNumbers); n > 0 {
+		id, c.freeNumbers = c.freeNumbers[n-1], c.freeNumbers[:n-1]
 	} else {
-		id = uint32(len(c.name))
-		c.name, c.listedStart, c.started = append(c.name, ""), append(c.listedStart, 0), append(c.started, 0)
+		id = uint32(len(c.nodeNames))
+		c.nodeNames, c.reportedStarts, c.localStarts = append(c.nodeNames, ""), append(c.reportedStarts, 0), append(c.localStarts, 0)
 	}
-	c.id[node], c.name[id], c.listedStart[id], c.started[id] = id, node, 0, 0
+	c.numbers[node], c.nodeNames[id], c.reportedStarts[id], c.localStarts[id] = id, node, 0, 0
 	return id
 }
 
-// forget gives back the numbers of nodes that have been gone for long and that the module has no lines for.
-func (c *Controller) forget() {
-	for _, id := range slices.Sorted(maps.Keys(c.gone)) {
-		if c.now > c.gone[id]+forgetAfter && c.module.ReleaseEndpoint(id) {
-			delete(c.id, c.name[id])
-			delete(c.gone, id)
-			c.spare = append(c.spare, id)
+// releaseRemoved gives back the numbers of nodes that have been gone for long and that the module has no lines for.
+func (c *Controller) releaseRemoved() {
+	for _, id := range slices.Sorted(maps.Keys(c.removedAt)) {
+		if c.now > c.removedAt[id]+releaseDelay && c.planner.ReleaseEndpoint(id) {
+			delete(c.numbers, c.nodeNames[id])
+			delete(c.removedAt, id)
+			c.freeNumbers = append(c.freeNumbers, id)
 		}
 	}
 }
 
 // ProxyJoined says that a proxy's stream stands.
 func (c *Controller) ProxyJoined(proxy int, zone string, rate float64) {
-	c.enqueue(func() {
+	c.post(func() {
 		z, known := c.zones[zone]
-		if !known || proxy < 0 || proxy >= c.proxies {
+		if !known || proxy < 0 || proxy >= c.maxProxies {
 			c.Unknown.Proxies.Add(1)
 			c.log.Warn("unknown proxy or zone", zap.Int("proxy", proxy), zap.String("zone", zone))
 			return
 		}
-		if c.unconfirmed[proxy] && c.seamless {
+		if c.unconfirmed[proxy] && c.gapless {
 			delete(c.unconfirmed, proxy) // the stream that we know
 			return
 		}
@@ -344,29 +344,29 @@
 		c.batch = append(c.batch, Command{Kind: CancelBind, Proxy: proxy})
 		delete(c.unconfirmed, proxy)
 		c.joined[proxy] = true
-		c.module.ProxyJoined(c.now, proxy, z, rate)
+		c.planner.ProxyJoined(c.now, proxy, z, rate)
 	})
 }
 
 // ProxyLeft says that a proxy's stream broke.
-func (c *Controller) ProxyLeft(proxy int) { c.enqueue(func() { c.left(proxy) }) }
+func (c *Controller) ProxyLeft(proxy int) { c.post(func() { c.removeProxy(proxy) }) }
 
-func (c *Controller) left(proxy int) {
+func (c *Controller) removeProxy(proxy int) {
 	if !c.joined[proxy] {
 		return
 	}
 	c.batch = append(c.batch, Command{Kind: CancelBind, Proxy: proxy})
 	delete(c.joined, proxy)
 	delete(c.unconfirmed, proxy)
-	c.module.ProxyLeft(c.now, proxy)
+	c.planner.ProxyLeft(c.now, proxy)
 }
 
 // ProxyWatchResumed says that news comes anew. Those that stand are told next, by ProxyJoined. After a gap proxies may
 // have left, or left and come back without the table that they were bound to; seamless says that there was none:
 // binding all of them again would fill the channel for seconds.
 func (c *Controller) ProxyWatchResumed(seamless bool) {
-	c.enqueue(func() {
-		c.seamless, c.early = seamless, seamless
+	c.post(func() {
+		c.gapless, c.notYetSynced = seamless, seamless
 		for proxy := range c.joined {
 			c.unconfirmed[proxy] = true
 		}
@@ -377,14 +377,14 @@
 // again at each sign of life. After a gap the others left in it. Where there was none, the news before may have told
 // of proxies that joined since this one began: it tells of them as well, before its next sign of life.
 func (c *Controller) ProxyWatchSynced(standing int) {
-	c.enqueue(func() {
-		if c.early {
-			c.early = false
+	c.post(func() {
+		if c.notYetSynced {
+			c.notYetSynced = false
 			return
 		}
-		for proxy := range c.proxies {
+		for proxy := range c.maxProxies {
 			if c.unconfirmed[proxy] {
-				c.left(proxy)
+				c.removeProxy(proxy)
 			}
 		}
 		invariant.Holds(len(c.unconfirmed) == 0, "no proxy stays in doubt once all that stand were told")
@@ -394,24 +394,24 @@
 
 // Acknowledged says that a proxy applied all up to a nonce.
 func (c *Controller) Acknowledged(proxy, nonce int) {
-	c.enqueue(func() {
+	c.post(func() {
 		if !c.joined[proxy] {
 			c.Unknown.Proxies.Add(1)
 			return
 		}
-		c.module.Acknowledged(c.now, proxy, nonce)
+		c.planner.Acknowledged(c.now, proxy, nonce)
 	})
 }
 
 // CommandsAccepted says that a call with a nonce was answered.
 func (c *Controller) CommandsAccepted(nonce int) {
-	c.enqueue(func() { c.module.CommandsAccepted(c.now, nonce) })
+	c.post(func() { c.planner.CommandsAccepted(c.now, nonce) })
 }
 
 // CommandsRetried says that a call with a nonce goes out again though it, or its first part, may have been carried
 // out.
 func (c *Controller) CommandsRetried(nonce int, whole bool) {
-	c.enqueue(func() { c.module.CommandsRetried(c.now, nonce, whole) })
+	c.post(func() { c.planner.CommandsRetried(c.now, nonce, whole) })
 }
 
 // LoadReport is what the proxies of a zone met at a node.
@@ -424,34 +424,34 @@
 
 // AddLoadReport brings such sums.
 func (c *Controller) AddLoadReport(s LoadReport) {
-	c.enqueue(func() {
-		id, known := c.id[s.Node]
+	c.post(func() {
+		id, known := c.numbers[s.Node]
 		if !known {
 			c.Unknown.Nodes.Add(1)
 			return
 		}
-		c.sums = planner.LoadReport{Node: id, Completed: s.Completed, Failed: s.Failed, MeanLatency: s.MeanLatency, Interval: s.Interval,
-			Values: c.sums.Values[:0]}
-		for _, name := range c.reports {
+		c.loadReport = planner.LoadReport{Node: id, Completed: s.Completed, Failed: s.Failed, MeanLatency: s.MeanLatency, Interval: s.Interval,
+			Values: c.loadReport.Values[:0]}
+		for _, name := range c.reportValues {
 			if figure, told := s.Values[name]; told {
-				c.sums.Values = append(c.sums.Values, figure)
+				c.loadReport.Values = append(c.loadReport.Values, figure)
 			}
 		}
-		if len(c.sums.Values) < len(c.reports) {
-			c.sums.Values = c.sums.Values[:0] // a part of a report has no places
+		if len(c.loadReport.Values) < len(c.reportValues) {
+			c.loadReport.Values = c.loadReport.Values[:0] // a part of a report has no places
 		}
-		c.module.AddLoadReport(c.now, c.sums)
+		c.planner.AddLoadReport(c.now, c.loadReport)
 	})
 }
 
 // AddDemandReport brings how many calls of a route came to a proxy over a span.
 func (c *Controller) AddDemandReport(proxy int, route string, calls int, span float64) {
-	c.enqueue(func() {
+	c.post(func() {
 		r, known := c.routes[route]
-		if !known || proxy < 0 || proxy >= c.proxies {
+		if !known || proxy < 0 || proxy >= c.maxProxies {
 			c.Unknown.Routes.Add(1)
 			return
 		}
-		c.module.AddDemandReport(c.now, planner.DemandReport{Proxy: proxy, Route: planner.RouteID(r), Requests: calls, Interval: span})
+		c.planner.AddDemandReport(c.now, planner.DemandReport{Proxy: proxy, Route: planner.RouteID(r), Requests: calls, Interval: span})
 	})
 }
--- a/controller/conductor_test.go
+++ b/controller/controller_test.go
@@ -14,13 +14,13 @@
 	"harehook.dev/harehook/settings"
 )
 
-// printer is a carrier that prints what it gets.
-type printer struct {
+// recordingSink is a carrier that prints what it gets.
+type recordingSink struct {
 	strings.Builder
-	mark int // the last
+	lastNonce int // the last
 }
 
-func (p *printer) Enqueue(batch []Command) {
+func (p *recordingSink) Enqueue(batch []Command) {
 	for _, o := range batch {
 		switch o.Kind {
 		case BindProxy:
@@ -30,7 +30,7 @@
 		case SetAdmission:
 			fmt.Fprintf(p, "level of %s; ", o.Route)
 		case RequestAck:
-			p.mark = o.Nonce
+			p.lastNonce = o.Nonce
 			fmt.Fprintf(p, "mark %d; ", o.Nonce)
 		case CancelBind:
 			fmt.Fprintf(p, "forget %d; ", o.Proxy)
@@ -39,7 +39,7 @@
 	fmt.Fprintln(p)
 }
 
-func start(t *testing.T) (*Controller, *printer) {
+func newController(t *testing.T) (*Controller, *recordingSink) {
 	d, err := settings.Decode([]byte(`{"zones":["north","south"],"machine-types":["small"],
 "report":{"names":["outstanding","utilization"],"source":"inline"},
 "categories":[{"name":"quote","promise-ns":1000000000,"gain":1}],
@@ -47,25 +47,25 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	out := &printer{}
+	out := &recordingSink{}
 	return New(d, []Endpoint{{Node: "s-1", Zone: "north", MachineType: "small", State: planner.Ready},
 		{Node: "s-2", Zone: "south", MachineType: "small", State: planner.Ready}}, out, zap.NewNop()), out
 }
 
-// joined starts a core with three proxies joined; nothing of that is printed.
-func joined(t *testing.T) (*Controller, *printer) {
-	c, out := start(t)
+// newControllerWithProxies starts a core with three proxies joined; nothing of that is printed.
+func newControllerWithProxies(t *testing.T) (*Controller, *recordingSink) {
+	c, out := newController(t)
 	for proxy := range 3 {
 		c.ProxyJoined(proxy, "north", 10)
 	}
-	c.turn(nil)
+	c.iterate(nil)
 	out.Reset()
 	return c, out
 }
 
 // What comes in between two turns is one batch, in names; what no one knows is refused and counted.
-func TestTurns(t *testing.T) {
-	c, out := start(t)
+func TestIterationSendsOneBatchAndCountsUnknownNames(t *testing.T) {
+	c, out := newController(t)
 	c.flush()
 	c.ProxyJoined(0, "north", 10)
 	c.ProxyJoined(1, "south", 10)
@@ -78,9 +78,9 @@
 	c.AddLoadReport(LoadReport{Node: "s-9", Completed: 1})
 	c.AddLoadReport(LoadReport{Node: "s-1", Completed: 1, Values: map[string]float64{"utilization": 0.5}})
 	c.UpdateEndpoints([]Endpoint{{Node: "s-3", Zone: "nowhere", MachineType: "small"}, {Node: "s-3", Zone: "north", MachineType: "huge"}})
-	c.turn(nil)
+	c.iterate(nil)
 	c.UpdateEndpoints([]Endpoint{{Node: "s-1", Zone: "north", MachineType: "small", State: planner.Draining}})
-	c.turn(nil)
+	c.iterate(nil)
 	want := "level of quote; level of quote; s-1 0.50 in 0; s-2 0.50 in 1; \n" +
 		"forget 0; bind 0 to 0; mark 1; forget 1; bind 1 to 1; \n" +
 		"s-1 0.00 in 0; s-2 1.00 in 0; \n"
@@ -91,20 +91,20 @@
 	if got := fmt.Sprint(r.Proxies.Load(), r.Zones.Load(), r.Routes.Load(), r.Nodes.Load()); got != "3 2 2 1" {
 		t.Errorf("refused %s", got)
 	}
-	if len(c.sums.Values) != 0 {
-		t.Errorf("a part of a report was handed on: %v", c.sums.Values)
+	if len(c.loadReport.Values) != 0 {
+		t.Errorf("a part of a report was handed on: %v", c.loadReport.Values)
 	}
 }
 
 // After a gap in the news, those told again are bound again and the others have left.
-func TestGap(t *testing.T) {
-	c, out := joined(t)
+func TestWatchWithGapBindsAgainAndRemovesUnconfirmed(t *testing.T) {
+	c, out := newControllerWithProxies(t)
 	c.now++
 	c.ProxyWatchResumed(false)
 	c.ProxyJoined(0, "north", 10)
 	c.ProxyLeft(2)
 	c.ProxyWatchSynced(1)
-	c.turn(nil)
+	c.iterate(nil)
 	if diff := cmp.Diff("forget 0; bind 0 to 0; mark 2; forget 2; forget 1; s-2 0.50 in 0; \n", out.String()); diff != "" {
 		t.Errorf("orders (-want +got):\n%s", diff)
 	}
@@ -115,15 +115,15 @@
 
 // While the relay moves, the news before goes on beside the next one: a proxy that it told of since that one began is
 // told of twice and bound once; one that the next never tells of has left.
-func TestSeamless(t *testing.T) {
-	c, out := joined(t)
+func TestGaplessWatchKeepsBindings(t *testing.T) {
+	c, out := newControllerWithProxies(t)
 	c.ProxyWatchResumed(true)
 	c.ProxyJoined(0, "north", 10)
 	c.ProxyWatchSynced(1)
 	c.ProxyJoined(1, "north", 10)
-	c.turn(nil)
+	c.iterate(nil)
 	c.ProxyWatchSynced(2)
-	c.turn(nil)
+	c.iterate(nil)
 	if diff := cmp.Diff("forget 2; \n", out.String()); diff != "" {
 		t.Errorf("orders (-want +got):\n%s", diff)
 	}
@@ -131,10 +131,10 @@
 
 // Releases for days: numbers and what is kept of nodes stay as many as a few releases have nodes; a node that comes back
 // after it was forgotten serves as any other, and what is told of one that is forgotten is refused.
-func TestReleases(t *testing.T) {
+func TestNumbersOfRemovedNodesAreReused(t *testing.T) {
 	const nodes, every = 12, 20.0
 	for _, whole := range []bool{false, true} {
-		c, out := joined(t)
+		c, out := newControllerWithProxies(t)
 		entry := func(n int, condition planner.EndpointState) Endpoint {
 			return Endpoint{Node: fmt.Sprint("s-", n), Zone: "north", MachineType: "small", State: condition}
 		}
@@ -151,24 +151,24 @@
 				c.UpdateEndpoints(append(changes, list...))
 			}
 			for until := c.now + every; c.now < until; c.now += 0.5 {
-				c.turn(nil)
+				c.iterate(nil)
 				for proxy := range 3 {
-					c.CommandsAccepted(out.mark)
-					c.Acknowledged(proxy, out.mark)
+					c.CommandsAccepted(out.lastNonce)
+					c.Acknowledged(proxy, out.lastNonce)
 				}
 			}
-			most = max(most, len(c.name))
+			most = max(most, len(c.nodeNames))
 		}
-		if held := (int(forgetAfter/every)+3)*nodes + 2; most > held {
+		if held := (int(releaseDelay/every)+3)*nodes + 2; most > held {
 			t.Errorf("whole lists %t: %d numbers after 400 releases of %d nodes, %d are enough", whole, most, nodes, held)
 		}
-		if _, known := c.id["s-100"]; known {
+		if _, known := c.numbers["s-100"]; known {
 			t.Errorf("whole lists %t: a node that is long gone is still known", whole)
 		}
 		c.AddLoadReport(LoadReport{Node: "s-100", Completed: 9, Failed: 9, Interval: 1})
 		c.UpdateEndpoints([]Endpoint{entry(100, planner.Ready)})
-		c.turn(nil)
-		if c.Unknown.Nodes.Load() != 1 || c.name[c.id["s-100"]] != "s-100" {
+		c.iterate(nil)
+		if c.Unknown.Nodes.Load() != 1 || c.nodeNames[c.numbers["s-100"]] != "s-100" {
 			t.Errorf("whole lists %t: the node that comes back has no number of its own", whole)
 		}
 	}
@@ -176,40 +176,40 @@
 
 // Machines' clocks are set while we run: a node that starts after that is as old as any other would be, and one that was
 // known before does not start anew.
-func TestClockSteps(t *testing.T) {
+func TestStartTimesSurviveClockSteps(t *testing.T) {
 	for _, step := range []time.Duration{0, time.Hour, -time.Hour} {
-		c, _ := joined(t)
+		c, _ := newControllerWithProxies(t)
 		at := func(node string, wall time.Time) Endpoint {
-			return Endpoint{Node: node, Zone: "north", MachineType: "small", State: planner.Ready, StartTime: unix(wall)}
+			return Endpoint{Node: node, Zone: "north", MachineType: "small", State: planner.Ready, StartTime: unixSeconds(wall)}
 		}
 		old := time.Now().Add(-time.Minute)
 		c.UpdateEndpoints([]Endpoint{at("s-1", old)})
-		c.turn(nil)
-		before := c.started[c.id["s-1"]]
+		c.iterate(nil)
+		before := c.localStarts[c.numbers["s-1"]]
 		c.wall = func() time.Time { return time.Now().Add(step) }
 		c.UpdateEndpoints([]Endpoint{at("s-1", old), at("s-3", c.wall().Add(-time.Second))})
-		c.turn(nil)
-		if after := c.started[c.id["s-1"]]; after != before {
+		c.iterate(nil)
+		if after := c.localStarts[c.numbers["s-1"]]; after != before {
 			t.Errorf("clocks set by %v: a known node starts anew, %g s later", step, after-before)
 		}
-		if age := c.clock() - c.started[c.id["s-3"]]; age < 1 || age > 60 {
+		if age := c.clock() - c.localStarts[c.numbers["s-3"]]; age < 1 || age > 60 {
 			t.Errorf("clocks set by %v: a node that is 1 s old counts for %g s", step, age)
 		}
 	}
 }
 
 // A late wake-up comes once; when Run has ended, no one who tells something waits.
-func TestEnd(t *testing.T) {
-	c, _ := start(t)
-	c.now = c.wakeAt + 10
-	c.turn(nil)
-	if late := c.wakeAt - c.now; late <= 0 {
+func TestLateStepComesOnceAndPostReturnsAfterRun(t *testing.T) {
+	c, _ := newController(t)
+	c.now = c.stepAt + 10
+	c.iterate(nil)
+	if late := c.stepAt - c.now; late <= 0 {
 		t.Errorf("the next wake-up is %g s ahead", late)
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	cancel()
 	c.Run(ctx)
-	for proxy := range 2 * inboxSize {
+	for proxy := range 2 * maxQueuedEvents {
 		c.ProxyLeft(proxy)
 	}
 }
--- a/controller/routes_test.go
+++ b/controller/routes_test.go
@@ -96,7 +96,7 @@
 			}
 		}
 		for step := 0.0; step < period; step += 0.1 {
-			f.core.TurnAt(f.now + step)
+			f.core.IterateAt(f.now + step)
 			f.confirm(f.now + step)
 		}
 	}
@@ -118,7 +118,7 @@
 // turnSometimes handles what has come in at every so many happenings.
 func (f *fleet) turnSometimes(happening int, at float64) {
 	if happening%inboxBatch == 0 {
-		f.core.TurnAt(at)
+		f.core.IterateAt(at)
 	}
 }
 
