--- a/controller/commands.go
+++ b/controller/commands.go
@@ -1,24 +1,43 @@
 package controller
 
 import (
+	"fmt"
+
 	"go.uber.org/zap"
 
 	"harehook.dev/harehook/planner"
 )
 
-// CommandKind says what an order does.
+// CommandKind says what a command does.
 type CommandKind uint8
 
-// The kinds of order.
+// The kinds of command.
 const (
 	BindProxy    CommandKind = iota // put Proxy on Table for all routes
-	SetWeight                       // Node gets Figure as its weight in Table, 0: none
-	SetAdmission                    // Route of Table gets Figure as its level, and Tries
-	RequestAck                      // whom the batch reaches acknowledges Nonce
-	CancelBind                      // Proxy left or joined anew: older orders to bind it are void
+	SetWeight                       // Node gets Value as its weight in Table, 0: its entry is removed
+	SetAdmission                    // Route of Table gets Value as its admission level, and Retry
+	RequestAck                      // proxies that the batch reaches acknowledge Nonce
+	CancelBind                      // Proxy left or joined anew: earlier commands that bind it are void
 )
 
-// Command is one thing that the module ordered, in names.
+// String is the kind's name.
+func (k CommandKind) String() string {
+	switch k {
+	case BindProxy:
+		return "bind proxy"
+	case SetWeight:
+		return "set weight"
+	case SetAdmission:
+		return "set admission"
+	case RequestAck:
+		return "request ack"
+	case CancelBind:
+		return "cancel bind"
+	}
+	return fmt.Sprintf("CommandKind(%d)", uint8(k))
+}
+
+// Command is one command of the planner, in names. Which fields count is said at its kind.
 type Command struct {
 	Kind                CommandKind
 	Proxy, Table, Nonce int
@@ -27,28 +46,48 @@
 	Retry               planner.RetryPolicy
 }
 
-// plannerHost implements brain.Host. The module calls it during a turn only.
-type plannerHost struct{ *Controller }
+// CommandsAccepted says that the call with a nonce was accepted.
+func (c *Controller) CommandsAccepted(nonce int) {
+	c.post(func(l *eventLoop) { l.planner.CommandsAccepted(l.now, nonce) })
+}
+
+// CommandsRetried says that the call with a nonce goes out again though it, or its first part if it was not complete,
+// may have been carried out.
+func (c *Controller) CommandsRetried(nonce int, complete bool) {
+	c.post(func(l *eventLoop) { l.planner.CommandsRetried(l.now, nonce, complete) })
+}
+
+// plannerHost implements planner.Host: what the planner commands during an iteration gathers in the event loop's batch.
+type plannerHost struct{ *eventLoop }
 
+// BindProxy implements planner.Host.
 func (h plannerHost) BindProxy(proxy, table int) {
 	h.batch = append(h.batch, Command{Kind: BindProxy, Proxy: proxy, Table: table})
 }
 
+// SetWeight implements planner.Host.
 func (h plannerHost) SetWeight(table int, node uint32, weight float64) {
-	h.batch = append(h.batch, Command{Kind: SetWeight, Table: table, Node: h.nodeNames[node], Value: weight})
+	name := h.nodes.nodes[node].name
+	h.batch = append(h.batch, Command{Kind: SetWeight, Table: table, Node: name, Value: weight})
 }
 
-func (h plannerHost) SetAdmission(table int, route planner.RouteID, level float64, tries planner.RetryPolicy) {
-	h.batch = append(h.batch, Command{Kind: SetAdmission, Table: table, Route: h.routeNames[route], Value: level, Retry: tries})
+// SetAdmission implements planner.Host.
+func (h plannerHost) SetAdmission(table int, route planner.RouteID, level float64, retry planner.RetryPolicy) {
+	name := h.names.routeNames[route]
+	h.batch = append(h.batch, Command{Kind: SetAdmission, Table: table, Route: name, Value: level, Retry: retry})
 }
 
+// RequestAck implements planner.Host.
 func (h plannerHost) RequestAck(nonce int) {
 	h.batch = append(h.batch, Command{Kind: RequestAck, Nonce: nonce})
 }
 
+// Wake implements planner.Host: the earliest of the times that were asked for counts.
 func (h plannerHost) Wake(at float64) { h.stepAt = min(h.stepAt, at) }
 
-// Subscribe does nothing: the front watches the list all the time, and asking its service costs nothing here.
+// Subscribe implements planner.Host. It does nothing: the transport watches the endpoint list all the time.
 func (h plannerHost) Subscribe() {}
 
-func (h plannerHost) Log(text string) { h.log.Info(text, zap.String("by", "module")) }
+// Log implements planner.Host. The text is the message, not a field: the program's logger thins out equal messages, and
+// with one message for all of them a line that tells of an ejected node could be lost.
+func (h plannerHost) Log(text string) { h.log.Info(text, zap.String("by", "planner")) }
--- /dev/null
+++ b/controller/endpoints_test.go
@@ -0,0 +1,102 @@
+package controller
+
+import (
+	"fmt"
+	"testing"
+	"time"
+
+	"harehook.dev/harehook/planner"
+)
+
+// A site releases for days, and each release replaces all nodes. Numbers, and what is remembered of nodes, have to stay
+// as many as a few releases have nodes. A node that comes back after its number was released serves as any other, and a
+// load report that names it before is refused.
+func TestNumbersOfRemovedNodesAreReused(t *testing.T) {
+	for _, fullLists := range []bool{false, true} {
+		t.Run(fmt.Sprintf("full lists %t", fullLists), func(t *testing.T) { testReleases(t, fullLists) })
+	}
+}
+
+func testReleases(t *testing.T, fullLists bool) {
+	t.Helper()
+	const (
+		nodes        = 12
+		releaseEvery = 20.0 // s
+		releases     = 400
+	)
+	c, sink := newControllerWithProxies(t)
+	loop := c.loop
+	endpoint := func(n int, state planner.EndpointState) Endpoint {
+		return Endpoint{Node: fmt.Sprint("s-", n), Zone: "north", MachineType: "small", State: state}
+	}
+	maxNumbers := 0
+	for release := range releases {
+		var list, changes []Endpoint
+		for k := range nodes {
+			list = append(list, endpoint(100+release*nodes+k, planner.Ready))
+			changes = append(changes, endpoint(100+(release-1)*nodes+k, planner.Removed))
+		}
+		if fullLists {
+			c.ReplaceEndpoints(list)
+		} else {
+			c.UpdateEndpoints(append(changes, list...))
+		}
+		for until := loop.now + releaseEvery; loop.now < until; loop.now += 0.5 {
+			loop.iterate(nil)
+			for proxy := range 3 {
+				c.CommandsAccepted(sink.lastNonce)
+				c.Acknowledged(proxy, sink.lastNonce)
+			}
+		}
+		maxNumbers = max(maxNumbers, len(loop.nodes.nodes))
+	}
+	if enough := (int(releaseDelay/releaseEvery)+3)*nodes + 2; maxNumbers > enough {
+		t.Errorf("%d numbers after %d releases of %d nodes, %d are enough", maxNumbers, releases, nodes, enough)
+	}
+	if _, known := loop.nodes.number("s-100"); known {
+		t.Error("a node that was removed long ago is still known")
+	}
+	c.AddLoadReport(LoadReport{Node: "s-100", Completed: 9, Failed: 9, Interval: 1})
+	c.UpdateEndpoints([]Endpoint{endpoint(100, planner.Ready)})
+	loop.iterate(nil)
+	if c.Unknown.Nodes.Load() != 1 || nodeOf(t, c, "s-100").name != "s-100" {
+		t.Error("the node that comes back has no number of its own")
+	}
+}
+
+// nodeOf gives what the controller remembers of a node.
+func nodeOf(t *testing.T, c *Controller, name string) node {
+	t.Helper()
+	number, known := c.loop.nodes.number(name)
+	if !known {
+		t.Fatalf("node %s has no number", name)
+	}
+	return c.loop.nodes.nodes[number]
+}
+
+// Machines' clocks are set while we run. A node that starts after that is as old as any other would be, and one that
+// was known before doesn't start anew.
+func TestStartTimesSurviveClockSteps(t *testing.T) {
+	for _, step := range []time.Duration{0, time.Hour, -time.Hour} {
+		t.Run(step.String(), func(t *testing.T) {
+			c, _ := newControllerWithProxies(t)
+			startedAt := func(node string, wall time.Time) Endpoint {
+				return Endpoint{Node: node, Zone: "north", MachineType: "small", State: planner.Ready, StartTime: unixSeconds(wall)}
+			}
+			old := time.Now().Add(-time.Minute)
+			c.UpdateEndpoints([]Endpoint{startedAt("s-1", old)})
+			c.loop.iterate(nil)
+			before := nodeOf(t, c, "s-1").localStart
+			steppedClock := func() time.Time { return time.Now().Add(step) }
+			c.loop.clock.wall = steppedClock
+			c.UpdateEndpoints([]Endpoint{startedAt("s-1", old), startedAt("s-3", steppedClock().Add(-time.Second))})
+			c.loop.iterate(nil)
+			if after := nodeOf(t, c, "s-1").localStart; after != before {
+				t.Errorf("a known node starts anew, %g s later", after-before)
+			}
+			if age := c.loop.clock.now() - nodeOf(t, c, "s-3").localStart; age < 1 || age > 60 {
+				t.Errorf("a node that is 1 s old counts for %g s", age)
+			}
+		})
+	}
+}
--- a/controller/export_test.go
+++ b/controller/export_test.go
@@ -1,7 +1,7 @@
 package controller
 
-// IterateAt handles what has come in as of a time in seconds after the core's start.
+// IterateAt handles what has come in, as of so many seconds after the controller's start.
 func (c *Controller) IterateAt(after float64) {
-	c.now = c.unix + after
-	c.iterate(nil)
+	c.loop.now = c.loop.clock.startUnix + after
+	c.loop.iterate(nil)
 }
--- /dev/null
+++ b/controller/loop_test.go
@@ -0,0 +1,97 @@
+package controller
+
+import (
+	"context"
+	"fmt"
+	"testing"
+
+	"go.uber.org/zap"
+
+	"harehook.dev/harehook/planner"
+)
+
+// What comes in between two iterations is one batch, in names; what no one knows is refused and counted.
+func TestIterationSendsOneBatchAndCountsUnknownNames(t *testing.T) {
+	c, sink := newController(t)
+	c.loop.flush()
+	c.ProxyJoined(0, "north", 10)
+	c.ProxyJoined(1, "south", 10)
+	c.ProxyJoined(2, "nowhere", 10)
+	c.ProxyJoined(4, "north", 10)
+	c.ProxyLeft(3)
+	c.Acknowledged(3, 1)
+	c.AddDemandReport(0, "unheard-of", 1, 1)
+	c.AddDemandReport(9, "quote", 1, 1)
+	c.AddLoadReport(LoadReport{Node: "s-9", Completed: 1})
+	c.AddLoadReport(LoadReport{Node: "s-1", Completed: 1, Values: map[string]float64{"utilization": 0.5}})
+	c.UpdateEndpoints([]Endpoint{
+		{Node: "s-3", Zone: "nowhere", MachineType: "small"},
+		{Node: "s-3", Zone: "north", MachineType: "huge"},
+	})
+	c.loop.iterate(nil)
+	c.UpdateEndpoints([]Endpoint{{Node: "s-1", Zone: "north", MachineType: "small", State: planner.Draining}})
+	c.loop.iterate(nil)
+	checkCommands(t, sink, "admission of quote; admission of quote; s-1 0.50 in 0; s-2 0.50 in 1; \n"+
+		"cancel 0; bind 0 to 0; ack 1; cancel 1; bind 1 to 1; \n"+
+		"s-1 0.00 in 0; s-2 1.00 in 0; \n")
+	unknown := &c.Unknown
+	got := fmt.Sprint(unknown.Proxies.Load(), unknown.Zones.Load(), unknown.Routes.Load(), unknown.Nodes.Load())
+	if got != "3 2 2 1" {
+		t.Errorf("unknown proxies, zones, routes, nodes: %s", got)
+	}
+	if len(c.loop.reportValues) != 0 {
+		t.Errorf("a part of a report's values was handed on: %v", c.loop.reportValues)
+	}
+}
+
+// The process was suspended over several steps: there is only one late step. Once Run has ended, whoever tells of
+// something doesn't wait, also with the queue of events full.
+func TestLateStepComesOnceAndPostReturnsAfterRun(t *testing.T) {
+	c, _ := newController(t)
+	c.loop.now = c.loop.stepAt + 10
+	c.loop.iterate(nil)
+	if ahead := c.loop.stepAt - c.loop.now; ahead <= 0 {
+		t.Errorf("the next step is %g s ahead", ahead)
+	}
+	ctx, cancel := context.WithCancel(context.Background())
+	cancel()
+	c.Run(ctx)
+	for proxy := range 2 * maxQueuedEvents {
+		c.ProxyLeft(proxy)
+	}
+}
+
+func TestReady(t *testing.T) {
+	one := []Endpoint{{Node: "s-1", Zone: "north", MachineType: "small", State: planner.Ready}}
+	cases := []struct {
+		name  string
+		known []Endpoint
+		event func(*Controller)
+		want  bool
+	}{
+		{"nothing known", nil, func(*Controller) {}, false},
+		{"nodes known at the start", one, func(*Controller) {}, true},
+		{"full list without nodes", nil, func(c *Controller) { c.ReplaceEndpoints(nil) }, true},
+		{"update with a node", nil, func(c *Controller) { c.UpdateEndpoints(one) }, true},
+		{"update without nodes", nil, func(c *Controller) { c.UpdateEndpoints(nil) }, false},
+		{"discovery fails", nil, func(c *Controller) { c.EndpointWatchFailed() }, false},
+		{"timeout", nil, func(c *Controller) { c.post((*eventLoop).readinessTimedOut) }, true},
+		{"list, then timeout", one, func(c *Controller) { c.post((*eventLoop).readinessTimedOut) }, true},
+	}
+	for _, test := range cases {
+		t.Run(test.name, func(t *testing.T) {
+			c := New(testDeployment(t), test.known, &recordingSink{}, zap.NewNop())
+			test.event(c)
+			c.loop.iterate(nil)
+			ready := false
+			select {
+			case <-c.Ready():
+				ready = true
+			default:
+			}
+			if ready != test.want {
+				t.Errorf("ready %t, want %t", ready, test.want)
+			}
+		})
+	}
+}
--- /dev/null
+++ b/controller/proxies.go
@@ -0,0 +1,147 @@
+package controller
+
+import (
+	"cmp"
+	"maps"
+	"slices"
+
+	"go.uber.org/zap"
+
+	"harehook.dev/harehook/internal/invariant"
+	"harehook.dev/harehook/settings"
+)
+
+// proxySessions is what the proxy watch has told of the proxies' streams.
+//
+// When the watch is opened again, the proxies that are connected are told anew, and until a proxy is it is unconfirmed.
+// After a gap it may have left, or left and come back without the table that it was bound to, so that it has to be
+// bound again. A gapless watch was opened before the one before it ended, and misses nothing; binding all proxies again
+// would fill the channel for seconds.
+type proxySessions struct {
+	limit        int          // proxies have the numbers below it
+	joined       map[int]bool // by number
+	unconfirmed  map[int]bool // those of joined that the present watch has not told of
+	gapless      bool         // of the present watch
+	notYetSynced bool         // the watch before, of a gapless one, may still tell of proxies
+}
+
+func newProxySessions(limit int) proxySessions {
+	return proxySessions{
+		limit:       cmp.Or(limit, settings.MaxProxies),
+		joined:      map[int]bool{},
+		unconfirmed: map[int]bool{},
+	}
+}
+
+// has tells whether there can be a proxy of that number.
+func (s *proxySessions) has(proxy int) bool { return proxy >= 0 && proxy < s.limit }
+
+// continues tells whether a proxy that the watch names is still on the stream that we know.
+func (s *proxySessions) continues(proxy int) bool { return s.gapless && s.unconfirmed[proxy] }
+
+func (s *proxySessions) join(proxy int) {
+	s.joined[proxy] = true
+	delete(s.unconfirmed, proxy)
+}
+
+func (s *proxySessions) leave(proxy int) {
+	delete(s.joined, proxy)
+	delete(s.unconfirmed, proxy)
+}
+
+// watchResumed begins a watch.
+func (s *proxySessions) watchResumed(gapless bool) {
+	s.gapless = gapless
+	s.notYetSynced = gapless
+	for proxy := range s.joined {
+		s.unconfirmed[proxy] = true
+	}
+}
+
+// watchSynced gives the proxies that have left unseen, in order, and whether it is certain yet who has.
+func (s *proxySessions) watchSynced() (left []int, synced bool) {
+	if s.notYetSynced {
+		s.notYetSynced = false
+		return nil, false
+	}
+	return slices.Sorted(maps.Keys(s.unconfirmed)), true
+}
+
+// ProxyJoined says that a proxy's stream is connected, and how many requests a second it expects.
+func (c *Controller) ProxyJoined(proxy int, zone string, rate float64) {
+	c.post(func(l *eventLoop) { l.proxyJoined(proxy, zone, rate) })
+}
+
+// ProxyLeft says that a proxy's stream broke.
+func (c *Controller) ProxyLeft(proxy int) {
+	c.post(func(l *eventLoop) { l.proxyLeft(proxy) })
+}
+
+// ProxyWatchResumed says that a new proxy watch begins. It tells next, by ProxyJoined, of the proxies that are
+// connected. Gapless says that no event was missed since the watch before.
+func (c *Controller) ProxyWatchResumed(gapless bool) {
+	c.post(func(l *eventLoop) { l.proxies.watchResumed(gapless) })
+}
+
+// ProxyWatchSynced says that all proxies that were connected when the watch began have been told, and how many are
+// connected; it is said again at each sign of life. After a gap the others left in it. Of a gapless watch the second one
+// counts: the watch before may have told of proxies that joined since this one began, which tells of them as well, before
+// its next sign of life.
+func (c *Controller) ProxyWatchSynced(connected int) {
+	c.post(func(l *eventLoop) { l.proxyWatchSynced(connected) })
+}
+
+// Acknowledged says that a proxy has applied all commands up to a nonce.
+func (c *Controller) Acknowledged(proxy, nonce int) {
+	c.post(func(l *eventLoop) { l.acknowledged(proxy, nonce) })
+}
+
+func (l *eventLoop) proxyJoined(proxy int, zone string, rate float64) {
+	zoneNumber, zoneKnown := l.names.zones[zone]
+	if !zoneKnown || !l.proxies.has(proxy) {
+		l.unknown.Proxies.Add(1)
+		l.log.Warn("unknown proxy or zone", zap.Int("proxy", proxy), zap.String("zone", zone))
+		return
+	}
+	if l.proxies.continues(proxy) {
+		l.proxies.join(proxy)
+		return
+	}
+	l.cancelBind(proxy)
+	l.proxies.join(proxy)
+	l.planner.ProxyJoined(l.now, proxy, zoneNumber, rate)
+}
+
+func (l *eventLoop) proxyLeft(proxy int) {
+	if !l.proxies.joined[proxy] {
+		return
+	}
+	l.cancelBind(proxy)
+	l.proxies.leave(proxy)
+	l.planner.ProxyLeft(l.now, proxy)
+}
+
+// cancelBind guards against a binding for an earlier stream of a proxy that reaches a later one as though it were new.
+func (l *eventLoop) cancelBind(proxy int) {
+	l.batch = append(l.batch, Command{Kind: CancelBind, Proxy: proxy})
+}
+
+func (l *eventLoop) proxyWatchSynced(connected int) {
+	left, synced := l.proxies.watchSynced()
+	if !synced {
+		return
+	}
+	for _, proxy := range left {
+		l.proxyLeft(proxy)
+	}
+	invariant.Holds(len(l.proxies.unconfirmed) == 0, "no proxy is unconfirmed once the proxy watch has synced")
+	invariant.Holds(len(l.proxies.joined) <= connected, "only proxies that the proxy watch names are joined")
+}
+
+func (l *eventLoop) acknowledged(proxy, nonce int) {
+	if !l.proxies.joined[proxy] {
+		l.unknown.Proxies.Add(1)
+		return
+	}
+	l.planner.Acknowledged(l.now, proxy, nonce)
+}
