--- a/settings/site.go
+++ b/settings/settings.go
@@ -33,7 +33,7 @@
 	if err := json.Unmarshal(conf, &w); err != nil {
 		return Deployment{}, fmt.Errorf("settings: %w", err)
 	}
-	if err := w.check(); err != nil {
+	if err := w.validate(); err != nil {
 		return Deployment{}, fmt.Errorf("settings: %w", err)
 	}
 	d := Deployment{
@@ -126,16 +126,16 @@
 }
 
 const (
-	routesMost = 16 // a level's order names its routes by 16 bits
+	maxRoutes = 16 // a level's order names its routes by 16 bits
 
-	bindLeast = 3 // lines that bind a proxy to a table of one line, beside the levels: the order, the line, the mark
+	minBindEntries = 3 // lines that bind a proxy to a table of one line, beside the levels: the order, the line, the mark
 
 	// MaxProxies is above all numbers of proxies.
 	MaxProxies = 65535
 )
 
-// check tells the first thing by which no conductor can work.
-func (w *rawSettings) check() error {
+// validate tells the first thing by which no conductor can work.
+func (w *rawSettings) validate() error {
 	extra, routes := &w.Extra, make([]string, len(w.Categories))
 	for k, cat := range w.Categories {
 		routes[k] = cat.Name
@@ -163,8 +163,8 @@
 			seen[name] = true
 		}
 	}
-	if len(routes) > routesMost {
-		return fmt.Errorf("categories: %d of them, over %d", len(routes), routesMost)
+	if len(routes) > maxRoutes {
+		return fmt.Errorf("categories: %d of them, over %d", len(routes), maxRoutes)
 	}
 	for k, cat := range w.Categories {
 		switch {
@@ -198,7 +198,7 @@
 	switch {
 	case extra.ProxyCount != math.Trunc(extra.ProxyCount):
 		return fmt.Errorf("extra.proxy-count: %g is no whole number", extra.ProxyCount)
-	case extra.Backlog < 2*(extra.Head+bindLeast+float64(len(routes))):
+	case extra.Backlog < 2*(extra.Head+minBindEntries+float64(len(routes))):
 		return fmt.Errorf("extra.backlog: %g do not hold twice what binds a proxy, with %g lines of extra.head",
 			extra.Backlog, extra.Head)
 	case extra.ReloadsMax > 0 && extra.ReloadsMax < 2:
--- a/settings/site_test.go
+++ b/settings/settings_test.go
@@ -12,21 +12,21 @@
 	"harehook.dev/harehook/planner"
 )
 
-const usual = `{"zones":["north","south"],"machine-types":["small"],"tick-ns":4000000,"peers-total":2,"discovery":"automatic",
+const typicalSettings = `{"zones":["north","south"],"machine-types":["small"],"tick-ns":4000000,"peers-total":2,"discovery":"automatic",
 "report":{"names":["outstanding","utilization","backlog"],"source":"inline"},
 "categories":[{"name":"quote","promise-ns":750000000,"gain":2},{"name":"issue","promise-ns":750000000,"gain":3}],
 "extra":{"backlog":1800,"push-rate":1200,"head":4,"proxy-count":8,"reloads-max":30,"level-kind":"fraction","local-first":false,
 "home-only":[false,true],"shards":0,"counted-over-ns":10000000000,"interval-ns":500000000},
 "rules":{"ramp-time-ns":18000000000,"fall-multiple":4,"ask-within-ns":10000000000}}`
 
-// with is the usual settings with something else at a path, nil: left out.
-func with(t *testing.T, path []string, value any) []byte {
+// settingsWith is the usual settings with something else at a path, nil: left out.
+func settingsWith(t *testing.T, path []string, value any) []byte {
 	t.Helper()
 	var whole map[string]any
-	if err := json.Unmarshal([]byte(usual), &whole); err != nil {
+	if err := json.Unmarshal([]byte(typicalSettings), &whole); err != nil {
 		t.Fatal(err)
 	}
-	set(whole, path, value)
+	setPath(whole, path, value)
 	text, err := json.Marshal(whole)
 	if err != nil {
 		t.Fatal(err)
@@ -34,14 +34,14 @@
 	return text
 }
 
-func set(in any, path []string, value any) {
+func setPath(in any, path []string, value any) {
 	switch in := in.(type) {
 	case []any:
-		set(in[0], path, value)
+		setPath(in[0], path, value)
 	case map[string]any:
 		switch {
 		case len(path) > 1:
-			set(in[path[0]], path[1:], value)
+			setPath(in[path[0]], path[1:], value)
 		case value == nil:
 			delete(in, path[0])
 		default:
@@ -50,62 +50,62 @@
 	}
 }
 
-// paths lists all keys of the usual settings, those of the first route for all.
-func paths(in any, before []string) (all [][]string) {
+// keyPaths lists all keys of the usual settings, those of the first route for all.
+func keyPaths(in any, before []string) (all [][]string) {
 	switch in := in.(type) {
 	case []any:
 		if _, deeper := in[0].(map[string]any); deeper {
-			return paths(in[0], before)
+			return keyPaths(in[0], before)
 		}
 	case map[string]any:
 		for _, key := range slices.Sorted(maps.Keys(in)) {
 			path := append(slices.Clone(before), key)
-			all = append(append(all, path), paths(in[key], path)...)
+			all = append(append(all, path), keyPaths(in[key], path)...)
 		}
 	}
 	return all
 }
 
-// host notes what a conductor orders.
-type host struct {
-	wake  float64
-	mark  int
-	bound int
-	lines map[int]map[uint32]float64
-	wrong string
+// recordingHost notes what a conductor orders.
+type recordingHost struct {
+	stepAt    float64
+	lastNonce int
+	bound     int
+	weights   map[int]map[uint32]float64
+	fault     string
 }
 
-func (h *host) BindProxy(int, int) { h.bound++ }
-func (h *host) SetWeight(table int, node uint32, weight float64) {
-	if h.lines[table] == nil {
-		h.lines[table] = map[uint32]float64{}
+func (h *recordingHost) BindProxy(int, int) { h.bound++ }
+func (h *recordingHost) SetWeight(table int, node uint32, weight float64) {
+	if h.weights[table] == nil {
+		h.weights[table] = map[uint32]float64{}
 	}
-	h.lines[table][node] = weight
+	h.weights[table][node] = weight
 	if !(weight >= 0 && weight < math.MaxFloat32) {
-		h.wrong = fmt.Sprint("weight ", weight)
+		h.fault = fmt.Sprint("weight ", weight)
 	}
 }
-func (h *host) SetAdmission(_ int, _ planner.RouteID, level float64, _ planner.RetryPolicy) {
+func (h *recordingHost) SetAdmission(_ int, _ planner.RouteID, level float64, _ planner.RetryPolicy) {
 	if !(level >= 0 && level <= math.MaxFloat32) {
-		h.wrong = fmt.Sprint("level ", level)
+		h.fault = fmt.Sprint("level ", level)
 	}
 }
-func (h *host) RequestAck(nonce int) { h.mark = nonce }
-func (h *host) Wake(at float64)      { h.wake = at }
-func (h *host) Subscribe()           {}
-func (h *host) Log(string)           {}
+func (h *recordingHost) RequestAck(nonce int) { h.lastNonce = nonce }
+func (h *recordingHost) Wake(at float64)      { h.stepAt = at }
+func (h *recordingHost) Subscribe()           {}
+func (h *recordingHost) Log(string)           {}
 
-// serves plays a minute of a small fleet by some settings and tells what went wrong: two nodes, one of which drains
+// faultOf plays a minute of a small fleet by some settings and tells what went wrong: two nodes, one of which drains
 // half-way, two proxies, and sums of a fleet that is full for a while.
-func serves(d Deployment) string {
-	h := &host{lines: map[int]map[uint32]float64{}}
+func faultOf(d Deployment) string {
+	h := &recordingHost{weights: map[int]map[uint32]float64{}}
 	c := planner.New(h, d.Planner, 100)
 	rows := []planner.Endpoint{{Node: 1, State: planner.Ready}, {Node: 2, Zone: len(d.Zones) - 1, State: planner.Ready, StartTime: 99}}
 	c.ReplaceEndpoints(100, rows)
 	for p := range 2 {
 		c.ProxyJoined(100, p, p%len(d.Zones), 20)
 	}
-	for now := 100.0; now < 160; now = max(h.wake, now+0.1) {
+	for now := 100.0; now < 160; now = max(h.stepAt, now+0.1) {
 		mean := 0.1
 		if now > 110 && now < 130 {
 			mean = 5
@@ -118,39 +118,39 @@
 			c.UpdateEndpoints(now, []planner.Endpoint{{Node: 2, Zone: len(d.Zones) - 1, State: planner.Draining}})
 		}
 		c.Step(now)
-		if c.CommandsAccepted(now, h.mark); h.mark > 0 {
+		if c.CommandsAccepted(now, h.lastNonce); h.lastNonce > 0 {
 			for p := range 2 {
-				c.Acknowledged(now, p, h.mark)
+				c.Acknowledged(now, p, h.lastNonce)
 			}
 		}
 	}
 	if d.Planner.Sharded {
-		return h.wrong // a store hands its tables out
+		return h.fault // a store hands its tables out
 	}
-	for table, lines := range h.lines {
+	for table, lines := range h.weights {
 		if lines[2] > 0 {
 			return fmt.Sprintf("table %d keeps a node that drains", table)
 		}
 	}
-	if h.bound < 2 || len(h.lines) == 0 {
-		return fmt.Sprintf("%d proxies bound, %d tables", h.bound, len(h.lines))
+	if h.bound < 2 || len(h.weights) == 0 {
+		return fmt.Sprintf("%d proxies bound, %d tables", h.bound, len(h.weights))
 	}
-	return h.wrong
+	return h.fault
 }
 
 // Each key absent, zero, at its limits and as another type: settings that are taken serve, all others are refused by
 // one line that names the key.
-func TestKeys(t *testing.T) {
+func TestEachKeyIsAcceptedAndServesOrIsRefusedByName(t *testing.T) {
 	var whole map[string]any
-	if err := json.Unmarshal([]byte(usual), &whole); err != nil {
+	if err := json.Unmarshal([]byte(typicalSettings), &whole); err != nil {
 		t.Fatal(err)
 	}
 	refused := 0
-	for _, path := range paths(whole, nil) {
+	for _, path := range keyPaths(whole, nil) {
 		for _, value := range []any{nil, 0, -1, 1, 2, 3.5, 1e18, 1e300, "", "7", true, []any{}, map[string]any{}, []any{"a", "a"}, []any{7}} {
-			d, err := Decode(with(t, path, value))
+			d, err := Decode(settingsWith(t, path, value))
 			if err == nil {
-				if wrong := serves(d); wrong != "" {
+				if wrong := faultOf(d); wrong != "" {
 					t.Errorf("%v = %v is taken: %s", path, value, wrong)
 				}
 				continue
@@ -167,7 +167,7 @@
 }
 
 // What another customer's settings may hold is taken as it is.
-func TestTaken(t *testing.T) {
+func TestOtherDeploymentsServeOrAreRefused(t *testing.T) {
 	routes := func(n int) (list []any) {
 		for k := range n {
 			list = append(list, map[string]any{"name": fmt.Sprintf("Überfahrt %d", k), "promise-ns": 1e9 * math.Pow(10, float64(k%5-2)), "gain": k % 3})
@@ -194,14 +194,14 @@
 		"too few":    {"extra", map[string]any{"backlog": 17, "head": 4, "push-rate": 1200}, "extra.backlog"},
 		"few lines":  {"extra", map[string]any{"backlog": 60, "push-rate": 10, "reloads-max": 2, "counted-over-ns": 1e10}, ""},
 	} {
-		d, err := Decode(with(t, []string{c.path}, c.value))
+		d, err := Decode(settingsWith(t, []string{c.path}, c.value))
 		switch {
 		case c.want != "" && (err == nil || !strings.Contains(err.Error(), c.want)):
 			t.Errorf("%s: %v", name, err)
 		case c.want == "" && err != nil:
 			t.Errorf("%s: %v", name, err)
 		case c.want == "":
-			if wrong := serves(d); wrong != "" {
+			if wrong := faultOf(d); wrong != "" {
 				t.Errorf("%s: %s", name, wrong)
 			}
 		}
