--- a/settings/refusals_test.go
+++ b/settings/refusals_test.go
@@ -1,12 +1,13 @@
 package settings
 
 import (
+	"errors"
 	"strings"
 	"testing"
 )
 
-// What a refusal says is read by operators: its text stays.
-func TestRefusalTexts(t *testing.T) {
+// What a refusal says is read by operators: its text stays. Code tells the key from its type.
+func TestRefusalsHaveTextAndKey(t *testing.T) {
 	route := func(name string) map[string]any { return map[string]any{"name": name, "promise-ns": 1e9} }
 	var seventeen []any
 	for _, name := range strings.Split("abcdefghijklmnopq", "") {
@@ -48,8 +49,24 @@
 		t.Run(test.want, func(t *testing.T) {
 			_, err := Decode(settingsWith(t, strings.Split(test.path, "/"), test.value))
 			if want := "settings: " + test.want; err == nil || err.Error() != want {
-				t.Errorf("error %v, want %s", err, want)
+				t.Fatalf("error %v, want %s", err, want)
+			}
+			var valueError *ValueError
+			if !errors.As(err, &valueError) {
+				t.Fatalf("error of type %T", errors.Unwrap(err))
+			}
+			if key, _, _ := strings.Cut(test.want, ": "); valueError.Key != key || valueError.Value == nil {
+				t.Errorf("key %s with value %v, want %s", valueError.Key, valueError.Value, key)
 			}
 		})
 	}
 }
+
+func TestTextThatIsNoSettingsIsRefused(t *testing.T) {
+	for _, text := range []string{"", "{", "[]", "7", `{"zones":`} {
+		_, err := Decode([]byte(text))
+		if err == nil || !strings.HasPrefix(err.Error(), "settings: ") || strings.Contains(err.Error(), "\n") {
+			t.Errorf("%q: %v", text, err)
+		}
+	}
+}
--- /dev/null
+++ b/settings/serving_test.go
@@ -0,0 +1,96 @@
+package settings
+
+import (
+	"fmt"
+	"math"
+
+	"harehook.dev/harehook/planner"
+)
+
+// recordingHost notes what a planner commands, and the first weight or admission level that nobody could send.
+type recordingHost struct {
+	stepAt    float64 // s
+	lastNonce int
+	bound     int
+	weights   map[int]map[uint32]float64 // by table and node
+	fault     string
+}
+
+func (h *recordingHost) BindProxy(int, int) { h.bound++ }
+
+func (h *recordingHost) SetWeight(table int, node uint32, weight float64) {
+	if h.weights[table] == nil {
+		h.weights[table] = map[uint32]float64{}
+	}
+	h.weights[table][node] = weight
+	if !(weight >= 0 && weight < math.MaxFloat32) {
+		h.fault = fmt.Sprint("weight ", weight)
+	}
+}
+
+func (h *recordingHost) SetAdmission(_ int, _ planner.RouteID, level float64, _ planner.RetryPolicy) {
+	if !(level >= 0 && level <= math.MaxFloat32) {
+		h.fault = fmt.Sprint("level ", level)
+	}
+}
+
+func (h *recordingHost) RequestAck(nonce int) { h.lastNonce = nonce }
+func (h *recordingHost) Wake(at float64)      { h.stepAt = at }
+func (h *recordingHost) Subscribe()           {}
+func (h *recordingHost) Log(string)           {}
+
+// faultOf runs a planner by some settings for a minute and tells what went wrong, "" if nothing did: two nodes, one of
+// which drains half-way, two proxies, and load reports of a fleet that is saturated for a while.
+func faultOf(deployment Deployment) string {
+	const (
+		start          = 100.0 // s
+		end            = start + 60
+		saturatedFrom  = start + 10
+		saturatedUntil = start + 30
+		reportInterval = 0.5
+	)
+	host := &recordingHost{weights: map[int]map[uint32]float64{}}
+	p := planner.New(host, deployment.Planner, start)
+	lastZone := len(deployment.Zones) - 1
+	lastRoute := planner.RouteID(len(deployment.Routes) - 1)
+	p.ReplaceEndpoints(start, []planner.Endpoint{
+		{Node: 1, State: planner.Ready},
+		{Node: 2, Zone: lastZone, State: planner.Ready, StartTime: start - 1},
+	})
+	for proxy := range 2 {
+		p.ProxyJoined(start, proxy, proxy%len(deployment.Zones), 20)
+	}
+	for now := start; now < end; now = max(host.stepAt, now+0.1) {
+		meanLatency := 0.1
+		if now > saturatedFrom && now < saturatedUntil {
+			meanLatency = 5
+		}
+		for k := range 2 {
+			p.AddLoadReport(now, planner.LoadReport{Node: uint32(k + 1), Completed: 20, Interval: reportInterval,
+				MeanLatency: meanLatency, Values: make([]float64, len(deployment.ReportValues))})
+			p.AddDemandReport(now, planner.DemandReport{Proxy: k, Route: lastRoute, Requests: 20, Interval: reportInterval})
+		}
+		if now > saturatedUntil {
+			p.UpdateEndpoints(now, []planner.Endpoint{{Node: 2, Zone: lastZone, State: planner.Draining}})
+		}
+		p.Step(now)
+		p.CommandsAccepted(now, host.lastNonce)
+		if host.lastNonce > 0 {
+			for proxy := range 2 {
+				p.Acknowledged(now, proxy, host.lastNonce)
+			}
+		}
+	}
+	if deployment.Planner.Sharded {
+		return host.fault // a store hands its tables out
+	}
+	for table, weights := range host.weights {
+		if weights[2] > 0 {
+			return fmt.Sprintf("table %d keeps a node that drains", table)
+		}
+	}
+	if host.bound < 2 || len(host.weights) == 0 {
+		return fmt.Sprintf("%d proxies bound, %d tables", host.bound, len(host.weights))
+	}
+	return host.fault
+}
--- a/settings/settings_test.go
+++ b/settings/settings_test.go
@@ -8,8 +8,6 @@
 	"slices"
 	"strings"
 	"testing"
-
-	"harehook.dev/harehook/planner"
 )
 
 const typicalSettings = `{"zones":["north","south"],"machine-types":["small"],"tick-ns":4000000,"peers-total":2,"discovery":"automatic",
@@ -19,21 +17,28 @@
 "home-only":[false,true],"shards":0,"counted-over-ns":10000000000,"interval-ns":500000000},
 "rules":{"ramp-time-ns":18000000000,"fall-multiple":4,"ask-within-ns":10000000000}}`
 
-// settingsWith is the usual settings with something else at a path, nil: left out.
+// settingsWith is the typical settings with another value at a path, nil: without the key.
 func settingsWith(t *testing.T, path []string, value any) []byte {
 	t.Helper()
-	var whole map[string]any
-	if err := json.Unmarshal([]byte(typicalSettings), &whole); err != nil {
-		t.Fatal(err)
-	}
-	setPath(whole, path, value)
-	text, err := json.Marshal(whole)
+	document := decodeTypical(t)
+	setPath(document, path, value)
+	text, err := json.Marshal(document)
 	if err != nil {
 		t.Fatal(err)
 	}
 	return text
 }
 
+func decodeTypical(t *testing.T) map[string]any {
+	t.Helper()
+	var document map[string]any
+	if err := json.Unmarshal([]byte(typicalSettings), &document); err != nil {
+		t.Fatal(err)
+	}
+	return document
+}
+
+// setPath sets the value at a path, in the first element of each list on the way.
 func setPath(in any, path []string, value any) {
 	switch in := in.(type) {
 	case []any:
@@ -50,7 +55,7 @@
 	}
 }
 
-// keyPaths lists all keys of the usual settings, those of the first route for all.
+// keyPaths lists all keys of a document, in a list those of its first element.
 func keyPaths(in any, before []string) (all [][]string) {
 	switch in := in.(type) {
 	case []any:
@@ -60,150 +65,90 @@
 	case map[string]any:
 		for _, key := range slices.Sorted(maps.Keys(in)) {
 			path := append(slices.Clone(before), key)
-			all = append(append(all, path), keyPaths(in[key], path)...)
+			all = append(all, path)
+			all = append(all, keyPaths(in[key], path)...)
 		}
 	}
 	return all
 }
 
-// recordingHost notes what a conductor orders.
-type recordingHost struct {
-	stepAt    float64
-	lastNonce int
-	bound     int
-	weights   map[int]map[uint32]float64
-	fault     string
-}
-
-func (h *recordingHost) BindProxy(int, int) { h.bound++ }
-func (h *recordingHost) SetWeight(table int, node uint32, weight float64) {
-	if h.weights[table] == nil {
-		h.weights[table] = map[uint32]float64{}
-	}
-	h.weights[table][node] = weight
-	if !(weight >= 0 && weight < math.MaxFloat32) {
-		h.fault = fmt.Sprint("weight ", weight)
-	}
-}
-func (h *recordingHost) SetAdmission(_ int, _ planner.RouteID, level float64, _ planner.RetryPolicy) {
-	if !(level >= 0 && level <= math.MaxFloat32) {
-		h.fault = fmt.Sprint("level ", level)
-	}
-}
-func (h *recordingHost) RequestAck(nonce int) { h.lastNonce = nonce }
-func (h *recordingHost) Wake(at float64)      { h.stepAt = at }
-func (h *recordingHost) Subscribe()           {}
-func (h *recordingHost) Log(string)           {}
-
-// faultOf plays a minute of a small fleet by some settings and tells what went wrong: two nodes, one of which drains
-// half-way, two proxies, and sums of a fleet that is full for a while.
-func faultOf(d Deployment) string {
-	h := &recordingHost{weights: map[int]map[uint32]float64{}}
-	c := planner.New(h, d.Planner, 100)
-	rows := []planner.Endpoint{{Node: 1, State: planner.Ready}, {Node: 2, Zone: len(d.Zones) - 1, State: planner.Ready, StartTime: 99}}
-	c.ReplaceEndpoints(100, rows)
-	for p := range 2 {
-		c.ProxyJoined(100, p, p%len(d.Zones), 20)
-	}
-	for now := 100.0; now < 160; now = max(h.stepAt, now+0.1) {
-		mean := 0.1
-		if now > 110 && now < 130 {
-			mean = 5
-		}
-		for node := range 2 {
-			c.AddLoadReport(now, planner.LoadReport{Node: uint32(node + 1), Completed: 20, Interval: 0.5, MeanLatency: mean, Values: make([]float64, len(d.ReportValues))})
-			c.AddDemandReport(now, planner.DemandReport{Proxy: node, Route: planner.RouteID(len(d.Routes) - 1), Requests: 20, Interval: 0.5})
-		}
-		if now > 130 {
-			c.UpdateEndpoints(now, []planner.Endpoint{{Node: 2, Zone: len(d.Zones) - 1, State: planner.Draining}})
-		}
-		c.Step(now)
-		if c.CommandsAccepted(now, h.lastNonce); h.lastNonce > 0 {
-			for p := range 2 {
-				c.Acknowledged(now, p, h.lastNonce)
-			}
-		}
-	}
-	if d.Planner.Sharded {
-		return h.fault // a store hands its tables out
-	}
-	for table, lines := range h.weights {
-		if lines[2] > 0 {
-			return fmt.Sprintf("table %d keeps a node that drains", table)
-		}
-	}
-	if h.bound < 2 || len(h.weights) == 0 {
-		return fmt.Sprintf("%d proxies bound, %d tables", h.bound, len(h.weights))
-	}
-	return h.fault
-}
-
-// Each key absent, zero, at its limits and as another type: settings that are taken serve, all others are refused by
-// one line that names the key.
+// Each key is absent, zero, at its limits and of another type: settings that are accepted serve, all others are refused
+// by one line that names the key.
 func TestEachKeyIsAcceptedAndServesOrIsRefusedByName(t *testing.T) {
-	var whole map[string]any
-	if err := json.Unmarshal([]byte(typicalSettings), &whole); err != nil {
-		t.Fatal(err)
-	}
+	values := []any{nil, 0, -1, 1, 2, 3.5, 1e18, 1e300, "", "7", true, []any{}, map[string]any{}, []any{"a", "a"}, []any{7}}
 	refused := 0
-	for _, path := range keyPaths(whole, nil) {
-		for _, value := range []any{nil, 0, -1, 1, 2, 3.5, 1e18, 1e300, "", "7", true, []any{}, map[string]any{}, []any{"a", "a"}, []any{7}} {
-			d, err := Decode(settingsWith(t, path, value))
-			if err == nil {
-				if wrong := faultOf(d); wrong != "" {
-					t.Errorf("%v = %v is taken: %s", path, value, wrong)
+	for _, path := range keyPaths(decodeTypical(t), nil) {
+		t.Run(strings.Join(path, "."), func(t *testing.T) {
+			for _, value := range values {
+				deployment, err := Decode(settingsWith(t, path, value))
+				if err == nil {
+					if fault := faultOf(deployment); fault != "" {
+						t.Errorf("%v is accepted: %s", value, fault)
+					}
+					continue
+				}
+				refused++
+				if !strings.Contains(err.Error(), path[len(path)-1]) || strings.Contains(err.Error(), "\n") {
+					t.Errorf("%v: %v", value, err)
 				}
-				continue
-			}
-			refused++
-			if !strings.Contains(err.Error(), path[len(path)-1]) || strings.Contains(err.Error(), "\n") {
-				t.Errorf("%v = %v: %v", path, value, err)
 			}
-		}
+		})
 	}
 	if refused == 0 {
 		t.Error("nothing was refused")
 	}
 }
 
-// What another customer's settings may hold is taken as it is.
+// What another deployment's settings may hold is accepted as it is and serves.
 func TestOtherDeploymentsServeOrAreRefused(t *testing.T) {
 	routes := func(n int) (list []any) {
 		for k := range n {
-			list = append(list, map[string]any{"name": fmt.Sprintf("Überfahrt %d", k), "promise-ns": 1e9 * math.Pow(10, float64(k%5-2)), "gain": k % 3})
+			list = append(list, map[string]any{
+				"name":       fmt.Sprintf("Überfahrt %d", k),
+				"promise-ns": 1e9 * math.Pow(10, float64(k%5-2)),
+				"gain":       k % 3,
+			})
 		}
 		return list
 	}
-	for name, c := range map[string]struct {
-		path  string
-		value any
-		want  string
+	route := func(name string) map[string]any { return map[string]any{"name": name, "promise-ns": 1e9} }
+	cases := []struct {
+		name    string
+		path    string
+		value   any
+		refusal string // a part of its text, "": accepted
 	}{
-		"one route": {"categories", routes(1), ""}, "sixteen": {"categories", routes(16), ""},
-		"seventeen":  {"categories", routes(17), "categories: 17"},
-		"twice":      {"categories", []any{map[string]any{"name": "a", "promise-ns": 1e9}, map[string]any{"name": "a"}}, "categories[1]"},
-		"no name":    {"categories", []any{map[string]any{"promise-ns": 1e9}}, "categories[0]"},
-		"two alike":  {"machine-types", []any{"a", "a", ""}, ""},
-		"a comma":    {"categories", []any{map[string]any{"name": "a,b", "promise-ns": 1e9}}, "categories[0]"},
-		"a star":     {"categories", []any{map[string]any{"name": "*", "promise-ns": 1e9}}, "categories[0]"},
-		"many zones": {"zones", []any{"Ñuñoa", "z 1", "7", "A", "b", "c", "d"}, ""},
-		"one zone":   {"zones", []any{"*"}, ""},
-		"fractions":  {"extra", map[string]any{"backlog": 900.5, "reloads-max": 30.0, "counted-over-ns": 1.0e10, "proxy-count": 8.0}, ""},
-		"no limits":  {"extra", map[string]any{}, ""},
-		"least":      {"extra", map[string]any{"backlog": 18, "head": 4, "push-rate": 1200}, ""},
-		"too few":    {"extra", map[string]any{"backlog": 17, "head": 4, "push-rate": 1200}, "extra.backlog"},
-		"few lines":  {"extra", map[string]any{"backlog": 60, "push-rate": 10, "reloads-max": 2, "counted-over-ns": 1e10}, ""},
-	} {
-		d, err := Decode(settingsWith(t, []string{c.path}, c.value))
-		switch {
-		case c.want != "" && (err == nil || !strings.Contains(err.Error(), c.want)):
-			t.Errorf("%s: %v", name, err)
-		case c.want == "" && err != nil:
-			t.Errorf("%s: %v", name, err)
-		case c.want == "":
-			if wrong := faultOf(d); wrong != "" {
-				t.Errorf("%s: %s", name, wrong)
+		{"one route", "categories", routes(1), ""},
+		{"sixteen routes", "categories", routes(16), ""},
+		{"seventeen routes", "categories", routes(17), "categories: 17"},
+		{"a route twice", "categories", []any{route("a"), map[string]any{"name": "a"}}, "categories[1]"},
+		{"a route without a name", "categories", []any{map[string]any{"promise-ns": 1e9}}, "categories[0]"},
+		{"machine types alike", "machine-types", []any{"a", "a", ""}, ""},
+		{"a comma in a route's name", "categories", []any{route("a,b")}, "categories[0]"},
+		{"a route named by a star", "categories", []any{route("*")}, "categories[0]"},
+		{"many zones", "zones", []any{"Ñuñoa", "z 1", "7", "A", "b", "c", "d"}, ""},
+		{"a zone named by a star", "zones", []any{"*"}, ""},
+		{"numbers with fractions", "extra", map[string]any{"backlog": 900.5, "reloads-max": 30.0, "counted-over-ns": 1.0e10, "proxy-count": 8.0}, ""},
+		{"no limits", "extra", map[string]any{}, ""},
+		{"smallest channel", "extra", map[string]any{"backlog": 18, "head": 4, "push-rate": 1200}, ""},
+		{"channel too small", "extra", map[string]any{"backlog": 17, "head": 4, "push-rate": 1200}, "extra.backlog"},
+		{"slow channel, few messages", "extra", map[string]any{"backlog": 60, "push-rate": 10, "reloads-max": 2, "counted-over-ns": 1e10}, ""},
+	}
+	for _, test := range cases {
+		t.Run(test.name, func(t *testing.T) {
+			deployment, err := Decode(settingsWith(t, []string{test.path}, test.value))
+			if test.refusal != "" {
+				if err == nil || !strings.Contains(err.Error(), test.refusal) {
+					t.Errorf("error %v, want %s", err, test.refusal)
+				}
+				return
 			}
-		}
+			if err != nil {
+				t.Fatal(err)
+			}
+			if fault := faultOf(deployment); fault != "" {
+				t.Error(fault)
+			}
+		})
 	}
 }
