--- a/cmd/simhost/main.go
+++ b/cmd/simhost/main.go
@@ -1,5 +1,5 @@
-// Command simhost hosts conductors on the wire of the bench: batches on standard input, replies on
-// standard output.
+// Command simhost hosts planners on the simulator's wire: batches on standard input, replies on standard output, stacks
+// of panics on standard error. It ends with status 1 and a line on standard error if a batch is malformed.
 package main
 
 import (
