--- a/internal/invariant/invariant.go
+++ b/internal/invariant/invariant.go
@@ -1,5 +1,6 @@
-// Package invariant states what must hold. Under the build tag debug a breach panics; in release builds it is
-// counted and handed to the one who watches.
+// Package invariant states in the code what must hold. A breach is a fault of the program. Built with the tag debug, as
+// CI tests it, the program panics; in release builds the breach is counted and reported, and the program goes
+// on. Any package may call Holds; the programs' main functions set Watch, and their counters show Breaches.
 package invariant
 
 import "sync/atomic"
@@ -9,20 +10,20 @@
 	watcher  atomic.Pointer[func(what string)]
 )
 
-// Holds says that something must be true here, and what.
-func Holds(ok bool, what string) {
-	if ok {
+// Holds checks a condition; what names it as it should be, such as "the clock moves forward".
+func Holds(condition bool, what string) {
+	if condition {
 		return
 	}
 	breaches.Add(1)
-	if tell := watcher.Load(); tell != nil {
-		(*tell)(what)
+	if report := watcher.Load(); report != nil {
+		(*report)(what)
 	}
 	breached(what)
 }
 
-// Watch hands every later breach to tell, from the goroutine that met it.
-func Watch(tell func(what string)) { watcher.Store(&tell) }
+// Watch has report called at each later breach, on the goroutine that met it. It replaces the one that was set before.
+func Watch(report func(what string)) { watcher.Store(&report) }
 
-// Breaches is how many there were.
+// Breaches is the number of breaches since the start.
 func Breaches() uint64 { return breaches.Load() }
--- a/internal/logging/queue.go
+++ b/internal/logging/queue.go
@@ -8,19 +8,22 @@
 )
 
 const (
-	maxQueuedBytes = 256 << 10              // bytes that wait to be written: some thousand lines
-	syncTimeout    = 200 * time.Millisecond // for the last lines at the end; a platform kills 0.7 s after SIGTERM at the least
+	maxQueuedBytes = 256 << 10 // some thousand lines
+
+	// syncTimeout is for the last lines at a program's end, which a platform may kill 0.7 s after SIGTERM.
+	syncTimeout = 200 * time.Millisecond
 )
 
-// lineQueue writes in a goroutine of its own, which ends with the program. What finds no room is counted, and told once
+// lineQueue is a zapcore.WriteSyncer that doesn't block. It writes on a goroutine of its own, which ends with the
+// program; Sync waits for what is queued. A line that finds no room is dropped, and the number of those is written once
 // there is room again.
 type lineQueue struct {
 	out  io.Writer
-	wake chan struct{}
+	wake chan struct{} // holds a value while there may be something to write
 
-	waitingLock sync.Mutex
+	waitingLock sync.Mutex // guards the fields below
 	waiting     []byte
-	dropped     int
+	dropped     int           // lines, not reported yet
 	idle        chan struct{} // closed while nothing waits or is being written
 }
 
@@ -31,7 +34,7 @@
 	return q
 }
 
-// Write implements zapcore.WriteSyncer.
+// Write implements zapcore.WriteSyncer. It queues a line or drops it, and never fails.
 func (q *lineQueue) Write(line []byte) (int, error) {
 	q.waitingLock.Lock()
 	defer q.waitingLock.Unlock()
@@ -39,11 +42,7 @@
 		q.dropped++
 		return len(line), nil
 	}
-	select {
-	case <-q.idle:
-		q.idle = make(chan struct{})
-	default:
-	}
+	q.markBusy()
 	if q.dropped > 0 {
 		q.waiting = fmt.Appendf(q.waiting, "%d lines of the log were lost\n", q.dropped)
 		q.dropped = 0
@@ -51,12 +50,21 @@
 	q.waiting = append(q.waiting, line...)
 	select {
 	case q.wake <- struct{}{}:
-	default:
+	default: // the writer is going to look anyway
 	}
 	return len(line), nil
 }
 
-// Sync waits until all is written, but not for long.
+// markBusy needs waitingLock.
+func (q *lineQueue) markBusy() {
+	select {
+	case <-q.idle:
+		q.idle = make(chan struct{})
+	default:
+	}
+}
+
+// Sync implements zapcore.WriteSyncer. It waits until all is written, but not for longer than syncTimeout.
 func (q *lineQueue) Sync() error {
 	q.waitingLock.Lock()
 	idle := q.idle
@@ -70,16 +78,17 @@
 	return nil
 }
 
+// run writes what waits. Two buffers take turns: one is written while the other one fills.
 func (q *lineQueue) run() {
-	var lines []byte
+	var writing []byte
 	for range q.wake {
 		q.waitingLock.Lock()
-		lines, q.waiting = q.waiting, lines[:0]
+		writing, q.waiting = q.waiting, writing[:0]
 		q.waitingLock.Unlock()
-		if len(lines) == 0 {
-			continue // went out with those before
+		if len(writing) == 0 {
+			continue // went out with the lines before
 		}
-		q.out.Write(lines) // there is no one to tell of a failure
+		q.out.Write(writing) //nolint:errcheck // the log's own output cannot be logged
 		q.waitingLock.Lock()
 		if len(q.waiting) == 0 {
 			close(q.idle)
