--- a/controller/clock.go
+++ b/controller/clock.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// clock tells Unix time that only moves forward: the wall clock is read once, at the start, the monotonic clock from
+// clock is Unix time that only moves forward: the wall clock is read once, at the start, the monotonic clock from
 // then on.
 type clock struct {
 	start     time.Time // with its monotonic reading
--- a/controller/controller.go
+++ b/controller/controller.go
@@ -18,7 +18,7 @@
 	Enqueue(batch []Command)
 }
 
-// Controller runs a planner. It is told by names, from any goroutine, what happens; Run handles it.
+// Controller runs a planner. Any goroutine may report to it what happens, in names; Run handles it.
 type Controller struct {
 	// Unknown counts what was refused because neither the settings nor the endpoint list know it.
 	Unknown UnknownNames
@@ -52,7 +52,7 @@
 // come within the readiness timeout.
 func (c *Controller) Ready() <-chan struct{} { return c.ready }
 
-// KnowsZone tells whether the settings name a zone.
+// KnowsZone reports whether the settings name a zone.
 func (c *Controller) KnowsZone(name string) bool {
 	_, known := c.names.zones[name]
 	return known
--- a/controller/endpoints.go
+++ b/controller/endpoints.go
@@ -36,16 +36,25 @@
 	for _, endpoint := range endpoints {
 		listed[endpoint.Node] = true
 	}
-	l.nodes.markOthersRemoved(listed, l.now)
+	l.nodes.setOthersRemoved(listed, l.now)
 	l.applyEndpoints(endpoints, l.planner.ReplaceEndpoints)
-	l.markReady()
+	l.setReady()
 }
 
 // applyEndpoints hands endpoints to the planner, by one of its methods.
 func (l *eventLoop) applyEndpoints(endpoints []Endpoint, apply func(now float64, endpoints []planner.Endpoint)) {
+	apply(l.now, l.numberEndpoints(endpoints))
+	l.nodes.releaseRemoved(l.now, l.planner.ReleaseEndpoint)
+	if len(l.nodes.nodes) > 0 {
+		l.setReady()
+	}
+}
+
+// numberEndpoints puts endpoints into the planner's numbers, but for those of unknown zones and machine types.
+func (l *eventLoop) numberEndpoints(endpoints []Endpoint) []planner.Endpoint {
 	wallOffset := l.clock.wallOffset()
 	numbered := make([]planner.Endpoint, 0, len(endpoints))
-	var added []string // the planner's log messages name nodes by number
+	var assigned []string // the planner's log messages name nodes by number
 	for _, endpoint := range endpoints {
 		zone, zoneKnown := l.names.zones[endpoint.Zone]
 		machineType, machineTypeKnown := l.names.machineTypes[endpoint.MachineType]
@@ -55,29 +64,18 @@
 				zap.String("zone", endpoint.Zone), zap.String("type", endpoint.MachineType))
 			continue
 		}
-		number, known := l.nodes.number(endpoint.Node)
-		if !known {
-			number = l.nodes.assign(endpoint.Node)
-			added = append(added, fmt.Sprintf("%d=%s", number, endpoint.Node))
+		number, isNew := l.nodes.numberOrAssign(endpoint.Node)
+		if isNew {
+			assigned = append(assigned, fmt.Sprintf("%d=%s", number, endpoint.Node))
 		}
-		if endpoint.State == planner.Removed {
-			l.nodes.markRemoved(number, l.now)
-		} else {
-			l.nodes.markListed(number)
-		}
-		node := &l.nodes.nodes[number]
-		node.updateStart(endpoint.StartTime, wallOffset)
+		updated := l.nodes.update(number, endpoint, l.now, wallOffset)
 		numbered = append(numbered, planner.Endpoint{Node: number, MachineType: machineType, Zone: zone,
-			Weight: endpoint.Weight, State: endpoint.State, StartTime: node.localStart})
-	}
-	if len(added) > 0 {
-		l.log.Info("nodes numbered", zap.Strings("numbers", added))
+			Weight: endpoint.Weight, State: endpoint.State, StartTime: updated.localStart})
 	}
-	apply(l.now, numbered)
-	l.nodes.releaseRemoved(l.now, l.planner.ReleaseEndpoint)
-	if len(l.nodes.nodes) > 0 {
-		l.markReady()
+	if len(assigned) > 0 {
+		l.log.Info("nodes numbered", zap.Strings("numbers", assigned))
 	}
+	return numbered
 }
 
 // updateStart takes over the start time of a node's incarnation as listed, when the machines' clocks are wallOffset
--- a/controller/loop.go
+++ b/controller/loop.go
@@ -32,7 +32,7 @@
 	sink    CommandSink
 	unknown *UnknownNames
 	log     *zap.Logger
-	ready   chan struct{} // closed by markReady
+	ready   chan struct{} // closed by setReady
 
 	planner     *planner.Planner
 	clock       clock
@@ -137,7 +137,7 @@
 	l.batch = nil // the sink's now
 }
 
-// waitForInterval waits until the next iteration may begin. It tells whether that is so: not when ctx has ended first.
+// waitForInterval waits until the next iteration may begin. It reports whether it may: not when ctx has ended first.
 func (l *eventLoop) waitForInterval(ctx context.Context) bool {
 	sinceLast := time.Duration((l.clock.now() - l.now) * float64(time.Second))
 	wait := l.minInterval - sinceLast
@@ -159,16 +159,16 @@
 	return time.Duration(max(0, l.stepAt-l.clock.now()) * float64(time.Second))
 }
 
-// readinessTimedOut guards against a controller that nothing uses while discovery is away.
+// readinessTimedOut guards against a controller that is never used because discovery is away.
 func (l *eventLoop) readinessTimedOut() {
 	if l.readyClosed {
 		return
 	}
 	l.log.Warn("ready without an endpoint list")
-	l.markReady()
+	l.setReady()
 }
 
-func (l *eventLoop) markReady() {
+func (l *eventLoop) setReady() {
 	if l.readyClosed {
 		return
 	}
--- a/controller/names.go
+++ b/controller/names.go
@@ -4,6 +4,7 @@
 	"maps"
 	"slices"
 
+	"harehook.dev/harehook/planner"
 	"harehook.dev/harehook/settings"
 )
 
@@ -72,18 +73,21 @@
 	return nodeRegistry{numbers: map[string]uint32{}, removedAt: map[uint32]float64{}}
 }
 
-// number gives the number of a node that has one.
+// number is the number of a node that has one.
 func (r *nodeRegistry) number(name string) (number uint32, known bool) {
 	number, known = r.numbers[name]
 	return number, known
 }
 
-// assign gives a number to a node that has none.
-func (r *nodeRegistry) assign(name string) uint32 {
-	number := r.takeNumber()
+// numberOrAssign is the number of a node, which gets one if it has none; assigned reports whether it did.
+func (r *nodeRegistry) numberOrAssign(name string) (number uint32, assigned bool) {
+	if number, known := r.numbers[name]; known {
+		return number, false
+	}
+	number = r.takeNumber()
 	r.nodes[number] = node{name: name}
 	r.numbers[name] = number
-	return number
+	return number, true
 }
 
 func (r *nodeRegistry) takeNumber() uint32 {
@@ -97,21 +101,30 @@
 	return uint32(len(r.nodes) - 1)
 }
 
-// markListed says that a node is in the endpoint list.
-func (r *nodeRegistry) markListed(number uint32) { delete(r.removedAt, number) }
+// update notes what the endpoint list says of a node; wallOffset as for updateStart.
+func (r *nodeRegistry) update(number uint32, endpoint Endpoint, now, wallOffset float64) *node {
+	if endpoint.State == planner.Removed {
+		r.setRemoved(number, now)
+	} else {
+		delete(r.removedAt, number)
+	}
+	updated := &r.nodes[number]
+	updated.updateStart(endpoint.StartTime, wallOffset)
+	return updated
+}
 
-// markRemoved says that a node is no longer in the endpoint list. Only the first time counts.
-func (r *nodeRegistry) markRemoved(number uint32, now float64) {
+// setRemoved notes that a node is no longer in the endpoint list. Only the first time counts.
+func (r *nodeRegistry) setRemoved(number uint32, now float64) {
 	if _, already := r.removedAt[number]; !already {
 		r.removedAt[number] = now
 	}
 }
 
-// markOthersRemoved says that no other nodes are in the endpoint list than those that are named.
-func (r *nodeRegistry) markOthersRemoved(listed map[string]bool, now float64) {
+// setOthersRemoved notes that no other nodes are in the endpoint list than those that are named.
+func (r *nodeRegistry) setOthersRemoved(listed map[string]bool, now float64) {
 	for name, number := range r.numbers {
 		if !listed[name] {
-			r.markRemoved(number, now)
+			r.setRemoved(number, now)
 		}
 	}
 }
--- a/controller/proxies.go
+++ b/controller/proxies.go
@@ -11,18 +11,19 @@
 	"harehook.dev/harehook/settings"
 )
 
-// proxySessions is what the proxy watch has told of the proxies' streams.
+// proxySessions is what the proxy watch has reported of the proxies' streams.
 //
-// When the watch is opened again, the proxies that are connected are told anew, and until a proxy is it is unconfirmed.
+// When the watch is opened again it reports anew which proxies are connected. Until it has named a proxy, that one is
+// unconfirmed.
 // After a gap it may have left, or left and come back without the table that it was bound to, so that it has to be
 // bound again. A gapless watch was opened before the one before it ended, and misses nothing; binding all proxies again
 // would fill the channel for seconds.
 type proxySessions struct {
 	limit        int          // proxies have the numbers below it
 	joined       map[int]bool // by number
-	unconfirmed  map[int]bool // those of joined that the present watch has not told of
+	unconfirmed  map[int]bool // those of joined that the present watch has not named
 	gapless      bool         // of the present watch
-	notYetSynced bool         // the watch before, of a gapless one, may still tell of proxies
+	notYetSynced bool         // the watch before a gapless one may still report proxies
 }
 
 func newProxySessions(limit int) proxySessions {
@@ -33,10 +34,10 @@
 	}
 }
 
-// has tells whether there can be a proxy of that number.
+// has reports whether there can be a proxy of that number.
 func (s *proxySessions) has(proxy int) bool { return proxy >= 0 && proxy < s.limit }
 
-// continues tells whether a proxy that the watch names is still on the stream that we know.
+// continues reports whether a proxy that the watch names is still on the stream that we know.
 func (s *proxySessions) continues(proxy int) bool { return s.gapless && s.unconfirmed[proxy] }
 
 func (s *proxySessions) join(proxy int) {
@@ -77,16 +78,16 @@
 	c.post(func(l *eventLoop) { l.proxyLeft(proxy) })
 }
 
-// ProxyWatchResumed says that a new proxy watch begins. It tells next, by ProxyJoined, of the proxies that are
-// connected. Gapless says that no event was missed since the watch before.
+// ProxyWatchResumed says that a new proxy watch begins. It reports next, by ProxyJoined, the proxies that are connected.
+// Gapless says that no event was missed since the watch before.
 func (c *Controller) ProxyWatchResumed(gapless bool) {
 	c.post(func(l *eventLoop) { l.proxies.watchResumed(gapless) })
 }
 
-// ProxyWatchSynced says that all proxies that were connected when the watch began have been told, and how many are
-// connected; it is said again at each sign of life. After a gap the others left in it. Of a gapless watch the second one
-// counts: the watch before may have told of proxies that joined since this one began, which tells of them as well, before
-// its next sign of life.
+// ProxyWatchSynced says that all proxies that were connected when the watch began have been reported, and how many are
+// connected; it is said again at each sign of life. After a gap the others left in it. Of a gapless watch the second call
+// counts: the watch before may have reported proxies that joined since this one began, which reports them as well,
+// before its next sign of life.
 func (c *Controller) ProxyWatchSynced(connected int) {
 	c.post(func(l *eventLoop) { l.proxyWatchSynced(connected) })
 }
--- a/internal/invariant/release.go
+++ b/internal/invariant/release.go
@@ -2,7 +2,7 @@
 
 package invariant
 
-// Debug tells whether a breach panics. Code may also do costly checks only if it is set.
+// Debug reports whether a breach panics. Code may also do costly checks only if it is set.
 const Debug = false
 
 func breached(string) {}
--- a/internal/logging/queue.go
+++ b/internal/logging/queue.go
@@ -42,7 +42,7 @@
 		q.dropped++
 		return len(line), nil
 	}
-	q.markBusy()
+	q.setBusy()
 	if q.dropped > 0 {
 		q.waiting = fmt.Appendf(q.waiting, "%d lines of the log were lost\n", q.dropped)
 		q.dropped = 0
@@ -55,8 +55,8 @@
 	return len(line), nil
 }
 
-// markBusy needs waitingLock.
-func (q *lineQueue) markBusy() {
+// setBusy needs waitingLock.
+func (q *lineQueue) setBusy() {
 	select {
 	case <-q.idle:
 		q.idle = make(chan struct{})
--- a/settings/doc.go
+++ b/settings/doc.go
@@ -6,5 +6,6 @@
 // can work are refused with a *ValueError. The package config makes a Deployment of its own for installations without
 // the platform.
 //
-// The keys and words of the document are the platform's; raw.go alone knows them and maps them to the project's terms.
+// The keys and words of the document are the platform's. raw.go maps them to the project's terms; beside it, validate.go
+// names keys in refusals.
 package settings
--- a/settings/settings.go
+++ b/settings/settings.go
@@ -10,7 +10,7 @@
 // NanosecondsPerSecond is the ratio of the planner's unit of time to the settings' unit.
 const NanosecondsPerSecond = 1e9
 
-// Deployment is what the settings tell: the planner's configuration, and the names behind its numbers, each at the
+// Deployment is what the settings say: the planner's configuration, and the names behind its numbers, each at the
 // number's place.
 type Deployment struct {
 	Planner       planner.Config
