--- a/controller/controller.go
+++ b/controller/controller.go
@@ -8,9 +8,6 @@
 	"harehook.dev/harehook/settings"
 )
 
-// maxQueuedEvents holds a second of reports while all proxies join; whoever posts more waits.
-const maxQueuedEvents = 1024
-
 // CommandSink takes the planner's commands.
 type CommandSink interface {
 	// Enqueue takes the commands of one iteration of the event loop, which are the sink's from then on. It is called
@@ -23,11 +20,13 @@
 	// Unknown counts what was refused because neither the settings nor the endpoint list know it.
 	Unknown UnknownNames
 
+	loop *eventLoop    // belongs to Run's goroutine
+	done chan struct{} // closed once Run has ended
+
+	// What other goroutines may use of the loop; none of it is written after New.
 	events chan<- event
-	done   chan struct{} // closed once Run has ended
-	loop   *eventLoop    // belongs to Run's goroutine
-	names  settingsNames // never written after New
 	ready  <-chan struct{}
+	names  settingsNames
 }
 
 // UnknownNames counts events that name what neither the settings nor the endpoint list know.
@@ -38,10 +37,11 @@
 // New makes a controller whose planner knows the endpoint list as it was last known, which may be empty. Its first
 // commands reach the sink once Run starts.
 func New(deployment settings.Deployment, known []Endpoint, sink CommandSink, log *zap.Logger) *Controller {
-	events := make(chan event, maxQueuedEvents)
-	c := &Controller{events: events, done: make(chan struct{}), names: newSettingsNames(deployment)}
-	c.loop = newEventLoop(deployment, c.names, events, sink, &c.Unknown, log)
+	c := &Controller{done: make(chan struct{})}
+	c.loop = newEventLoop(deployment, sink, &c.Unknown, log)
+	c.events = c.loop.events
 	c.ready = c.loop.ready
+	c.names = c.loop.names
 	if len(known) > 0 {
 		c.loop.applyEndpoints(known, c.loop.planner.ReplaceEndpoints)
 	}
--- a/controller/loop.go
+++ b/controller/loop.go
@@ -14,6 +14,7 @@
 )
 
 const (
+	maxQueuedEvents       = 1024 // a second of reports while all proxies join; whoever posts more waits
 	maxEventsPerIteration = 4096 // so that commands leave under a flood as well
 	maxStepDelay          = time.Hour
 
@@ -28,7 +29,7 @@
 // eventLoop owns the planner and all that it needs. Its fields and methods belong to one goroutine, that of
 // Controller.Run.
 type eventLoop struct {
-	events  <-chan event
+	events  chan event
 	sink    CommandSink
 	unknown *UnknownNames
 	log     *zap.Logger
@@ -41,7 +42,7 @@
 	stepAt      float64       // s; when the planner's next step is due, +Inf: none is
 	batch       []Command     // of this iteration
 	readyClosed bool
-	iterating   atomic.Bool // guards against a second goroutine, in builds with the tag debug
+	iterating   atomic.Bool // guards against a second goroutine, which the invariant would report
 
 	names        settingsNames
 	nodes        nodeRegistry
@@ -49,10 +50,9 @@
 	reportValues []float64 // of the load report at hand, used again
 }
 
-func newEventLoop(deployment settings.Deployment, names settingsNames, events <-chan event, sink CommandSink,
-	unknown *UnknownNames, log *zap.Logger) *eventLoop {
+func newEventLoop(deployment settings.Deployment, sink CommandSink, unknown *UnknownNames, log *zap.Logger) *eventLoop {
 	l := &eventLoop{
-		events:      events,
+		events:      make(chan event, maxQueuedEvents),
 		sink:        sink,
 		unknown:     unknown,
 		log:         log,
@@ -60,7 +60,7 @@
 		clock:       newClock(),
 		minInterval: time.Duration(deployment.EventInterval * float64(time.Second)),
 		stepAt:      math.Inf(1),
-		names:       names,
+		names:       newSettingsNames(deployment),
 		nodes:       newNodeRegistry(),
 		proxies:     newProxySessions(deployment.Planner.Proxies),
 	}
--- a/controller/proxies.go
+++ b/controller/proxies.go
@@ -13,11 +13,10 @@
 
 // proxySessions is what the proxy watch has reported of the proxies' streams.
 //
-// When the watch is opened again it reports anew which proxies are connected. Until it has named a proxy, that one is
-// unconfirmed.
-// After a gap it may have left, or left and come back without the table that it was bound to, so that it has to be
-// bound again. A gapless watch was opened before the one before it ended, and misses nothing; binding all proxies again
-// would fill the channel for seconds.
+// When the watch is opened again it reports anew which proxies are connected; until it has named a proxy, that one is
+// unconfirmed. After a gap the proxy may have left, or left and come back without the table that it was bound to, so
+// that it has to be bound again. A gapless watch was opened before the one before it ended, and misses nothing; binding
+// all proxies again would fill the channel for seconds.
 type proxySessions struct {
 	limit        int          // proxies have the numbers below it
 	joined       map[int]bool // by number
@@ -68,9 +67,9 @@
 	return slices.Sorted(maps.Keys(s.unconfirmed)), true
 }
 
-// ProxyJoined says that a proxy's stream is connected, and how many requests a second it expects.
-func (c *Controller) ProxyJoined(proxy int, zone string, rate float64) {
-	c.post(func(l *eventLoop) { l.proxyJoined(proxy, zone, rate) })
+// ProxyJoined says that a proxy's stream is connected. Its baseline rate is in requests a second.
+func (c *Controller) ProxyJoined(proxy int, zone string, baselineRate float64) {
+	c.post(func(l *eventLoop) { l.proxyJoined(proxy, zone, baselineRate) })
 }
 
 // ProxyLeft says that a proxy's stream broke.
@@ -97,7 +96,7 @@
 	c.post(func(l *eventLoop) { l.acknowledged(proxy, nonce) })
 }
 
-func (l *eventLoop) proxyJoined(proxy int, zone string, rate float64) {
+func (l *eventLoop) proxyJoined(proxy int, zone string, baselineRate float64) {
 	zoneNumber, zoneKnown := l.names.zones[zone]
 	if !zoneKnown || !l.proxies.has(proxy) {
 		l.unknown.Proxies.Add(1)
@@ -110,7 +109,7 @@
 	}
 	l.cancelBind(proxy)
 	l.proxies.join(proxy)
-	l.planner.ProxyJoined(l.now, proxy, zoneNumber, rate)
+	l.planner.ProxyJoined(l.now, proxy, zoneNumber, baselineRate)
 }
 
 func (l *eventLoop) proxyLeft(proxy int) {
