--- /dev/null
+++ b/controller/controller_test.go
@@ -0,0 +1,88 @@
+package controller
+
+import (
+	"fmt"
+	"strings"
+	"testing"
+
+	"github.com/google/go-cmp/cmp"
+	"go.uber.org/zap"
+
+	"harehook.dev/harehook/planner"
+	"harehook.dev/harehook/settings"
+)
+
+// recordingSink writes down the commands that it gets, a line a batch.
+type recordingSink struct {
+	strings.Builder
+	lastNonce int
+}
+
+// Enqueue implements CommandSink.
+func (s *recordingSink) Enqueue(batch []Command) {
+	for _, command := range batch {
+		switch command.Kind {
+		case BindProxy:
+			fmt.Fprintf(s, "bind %d to %d; ", command.Proxy, command.Table)
+		case SetWeight:
+			fmt.Fprintf(s, "%s %.2f in %d; ", command.Node, command.Value, command.Table)
+		case SetAdmission:
+			fmt.Fprintf(s, "admission of %s; ", command.Route)
+		case RequestAck:
+			s.lastNonce = command.Nonce
+			fmt.Fprintf(s, "ack %d; ", command.Nonce)
+		case CancelBind:
+			fmt.Fprintf(s, "cancel %d; ", command.Proxy)
+		}
+	}
+	fmt.Fprintln(s)
+}
+
+// takeRecord gives what was written down and begins anew.
+func (s *recordingSink) takeRecord() string {
+	record := s.String()
+	s.Reset()
+	return record
+}
+
+func testDeployment(t *testing.T) settings.Deployment {
+	t.Helper()
+	deployment, err := settings.Decode([]byte(`{"zones":["north","south"],"machine-types":["small"],
+"report":{"names":["outstanding","utilization"],"source":"inline"},
+"categories":[{"name":"quote","promise-ns":1000000000,"gain":1}],
+"extra":{"proxy-count":4,"backlog":2000,"interval-ns":500000000},"rules":{"ramp-time-ns":1000000000}}`))
+	if err != nil {
+		t.Fatal(err)
+	}
+	return deployment
+}
+
+// newController makes a controller that knows two nodes, s-1 in the north and s-2 in the south.
+func newController(t *testing.T) (*Controller, *recordingSink) {
+	t.Helper()
+	sink := &recordingSink{}
+	known := []Endpoint{
+		{Node: "s-1", Zone: "north", MachineType: "small", State: planner.Ready},
+		{Node: "s-2", Zone: "south", MachineType: "small", State: planner.Ready},
+	}
+	return New(testDeployment(t), known, sink, zap.NewNop()), sink
+}
+
+// newControllerWithProxies makes one with three proxies joined in the north; their commands have left.
+func newControllerWithProxies(t *testing.T) (*Controller, *recordingSink) {
+	t.Helper()
+	c, sink := newController(t)
+	for proxy := range 3 {
+		c.ProxyJoined(proxy, "north", 10)
+	}
+	c.loop.iterate(nil)
+	sink.Reset()
+	return c, sink
+}
+
+func checkCommands(t *testing.T, sink *recordingSink, want string) {
+	t.Helper()
+	if diff := cmp.Diff(want, sink.takeRecord()); diff != "" {
+		t.Errorf("commands (-want +got):\n%s", diff)
+	}
+}
--- a/internal/logging/queue.go
+++ b/internal/logging/queue.go
@@ -8,60 +8,68 @@
 )
 
 const (
-	queueMost  = 256 << 10              // bytes that wait to be written: some thousand lines
-	syncWithin = 200 * time.Millisecond // for the last lines at the end; a platform kills 0.7 s after SIGTERM at the least
+	maxQueuedBytes = 256 << 10 // some thousand lines
+
+	// syncTimeout is for the last lines at a program's end, which a platform may kill 0.7 s after SIGTERM.
+	syncTimeout = 200 * time.Millisecond
 )
 
-// queue writes in a goroutine of its own, which ends with the program. What finds no room is counted, and told once
+// lineQueue is a zapcore.WriteSyncer that doesn't block. It writes on a goroutine of its own, which ends with the
+// program; Sync waits for what is queued. A line that finds no room is dropped, and the number of those is written once
 // there is room again.
-type queue struct {
+type lineQueue struct {
 	out  io.Writer
-	more chan struct{}
+	wake chan struct{} // holds a value while there may be something to write
 
-	lock    sync.Mutex
-	waiting []byte
-	lost    int
-	idle    chan struct{} // closed while nothing waits or is being written
+	waitingLock sync.Mutex // guards the fields below
+	waiting     []byte
+	dropped     int           // lines, not reported yet
+	idle        chan struct{} // closed while nothing waits or is being written
 }
 
-func newQueue(out io.Writer) *queue {
-	q := &queue{out: out, more: make(chan struct{}, 1), idle: make(chan struct{})}
+func newLineQueue(out io.Writer) *lineQueue {
+	q := &lineQueue{out: out, wake: make(chan struct{}, 1), idle: make(chan struct{})}
 	close(q.idle)
-	go q.write()
+	go q.run()
 	return q
 }
 
-// Write implements zapcore.WriteSyncer.
-func (q *queue) Write(line []byte) (int, error) {
-	q.lock.Lock()
-	defer q.lock.Unlock()
-	if len(q.waiting)+len(line) > queueMost {
-		q.lost++
+// Write implements zapcore.WriteSyncer. It queues a line or drops it, and never fails.
+func (q *lineQueue) Write(line []byte) (int, error) {
+	q.waitingLock.Lock()
+	defer q.waitingLock.Unlock()
+	if len(q.waiting)+len(line) > maxQueuedBytes {
+		q.dropped++
 		return len(line), nil
 	}
-	select {
-	case <-q.idle:
-		q.idle = make(chan struct{})
-	default:
-	}
-	if q.lost > 0 {
-		q.waiting = fmt.Appendf(q.waiting, "%d lines of the log were lost\n", q.lost)
-		q.lost = 0
+	q.setBusy()
+	if q.dropped > 0 {
+		q.waiting = fmt.Appendf(q.waiting, "%d lines of the log were lost\n", q.dropped)
+		q.dropped = 0
 	}
 	q.waiting = append(q.waiting, line...)
 	select {
-	case q.more <- struct{}{}:
-	default:
+	case q.wake <- struct{}{}:
+	default: // the writer is going to look anyway
 	}
 	return len(line), nil
 }
 
-// Sync waits until all is written, but not for long.
-func (q *queue) Sync() error {
-	q.lock.Lock()
+// setBusy needs waitingLock.
+func (q *lineQueue) setBusy() {
+	select {
+	case <-q.idle:
+		q.idle = make(chan struct{})
+	default:
+	}
+}
+
+// Sync implements zapcore.WriteSyncer. It waits until all is written, but not for longer than syncTimeout.
+func (q *lineQueue) Sync() error {
+	q.waitingLock.Lock()
 	idle := q.idle
-	q.lock.Unlock()
-	timer := time.NewTimer(syncWithin)
+	q.waitingLock.Unlock()
+	timer := time.NewTimer(syncTimeout)
 	defer timer.Stop()
 	select {
 	case <-idle:
@@ -70,20 +78,21 @@
 	return nil
 }
 
-func (q *queue) write() {
-	var lines []byte
-	for range q.more {
-		q.lock.Lock()
-		lines, q.waiting = q.waiting, lines[:0]
-		q.lock.Unlock()
-		if len(lines) == 0 {
-			continue // went out with those before
+// run writes what waits. Two buffers take turns: one is written while the other one fills.
+func (q *lineQueue) run() {
+	var writing []byte
+	for range q.wake {
+		q.waitingLock.Lock()
+		writing, q.waiting = q.waiting, writing[:0]
+		q.waitingLock.Unlock()
+		if len(writing) == 0 {
+			continue // went out with the lines before
 		}
-		q.out.Write(lines) // there is no one to tell of a failure
-		q.lock.Lock()
+		q.out.Write(writing) //nolint:errcheck // the log's own output cannot be logged
+		q.waitingLock.Lock()
 		if len(q.waiting) == 0 {
 			close(q.idle)
 		}
-		q.lock.Unlock()
+		q.waitingLock.Unlock()
 	}
 }
--- /dev/null
+++ b/settings/settings_test.go
@@ -0,0 +1,154 @@
+package settings
+
+import (
+	"encoding/json"
+	"fmt"
+	"maps"
+	"math"
+	"slices"
+	"strings"
+	"testing"
+)
+
+const typicalSettings = `{"zones":["north","south"],"machine-types":["small"],"tick-ns":4000000,"peers-total":2,"discovery":"automatic",
+"report":{"names":["outstanding","utilization","backlog"],"source":"inline"},
+"categories":[{"name":"quote","promise-ns":750000000,"gain":2},{"name":"issue","promise-ns":750000000,"gain":3}],
+"extra":{"backlog":1800,"push-rate":1200,"head":4,"proxy-count":8,"reloads-max":30,"level-kind":"fraction","local-first":false,
+"home-only":[false,true],"shards":0,"counted-over-ns":10000000000,"interval-ns":500000000},
+"rules":{"ramp-time-ns":18000000000,"fall-multiple":4,"ask-within-ns":10000000000}}`
+
+// settingsWith is the typical settings with another value at a path, nil: without the key.
+func settingsWith(t *testing.T, path []string, value any) []byte {
+	t.Helper()
+	document := decodeTypical(t)
+	setPath(document, path, value)
+	text, err := json.Marshal(document)
+	if err != nil {
+		t.Fatal(err)
+	}
+	return text
+}
+
+func decodeTypical(t *testing.T) map[string]any {
+	t.Helper()
+	var document map[string]any
+	if err := json.Unmarshal([]byte(typicalSettings), &document); err != nil {
+		t.Fatal(err)
+	}
+	return document
+}
+
+// setPath sets the value at a path, in the first element of each list on the way.
+func setPath(in any, path []string, value any) {
+	switch in := in.(type) {
+	case []any:
+		setPath(in[0], path, value)
+	case map[string]any:
+		switch {
+		case len(path) > 1:
+			setPath(in[path[0]], path[1:], value)
+		case value == nil:
+			delete(in, path[0])
+		default:
+			in[path[0]] = value
+		}
+	}
+}
+
+// keyPaths lists all keys of a document, in a list those of its first element.
+func keyPaths(in any, before []string) (all [][]string) {
+	switch in := in.(type) {
+	case []any:
+		if _, deeper := in[0].(map[string]any); deeper {
+			return keyPaths(in[0], before)
+		}
+	case map[string]any:
+		for _, key := range slices.Sorted(maps.Keys(in)) {
+			path := append(slices.Clone(before), key)
+			all = append(all, path)
+			all = append(all, keyPaths(in[key], path)...)
+		}
+	}
+	return all
+}
+
+// Each key is absent, zero, at its limits and of another type: settings that are accepted serve, all others are refused
+// by one line that names the key.
+func TestEachKeyIsAcceptedAndServesOrIsRefusedByName(t *testing.T) {
+	values := []any{nil, 0, -1, 1, 2, 3.5, 1e18, 1e300, "", "7", true, []any{}, map[string]any{}, []any{"a", "a"}, []any{7}}
+	refused := 0
+	for _, path := range keyPaths(decodeTypical(t), nil) {
+		t.Run(strings.Join(path, "."), func(t *testing.T) {
+			for _, value := range values {
+				deployment, err := Decode(settingsWith(t, path, value))
+				if err == nil {
+					if fault := faultOf(deployment); fault != "" {
+						t.Errorf("%v is accepted: %s", value, fault)
+					}
+					continue
+				}
+				refused++
+				if !strings.Contains(err.Error(), path[len(path)-1]) || strings.Contains(err.Error(), "\n") {
+					t.Errorf("%v: %v", value, err)
+				}
+			}
+		})
+	}
+	if refused == 0 {
+		t.Error("nothing was refused")
+	}
+}
+
+// What another deployment's settings may hold is accepted as it is and serves.
+func TestOtherDeploymentsServeOrAreRefused(t *testing.T) {
+	routes := func(n int) (list []any) {
+		for k := range n {
+			list = append(list, map[string]any{
+				"name":       fmt.Sprintf("Überfahrt %d", k),
+				"promise-ns": 1e9 * math.Pow(10, float64(k%5-2)),
+				"gain":       k % 3,
+			})
+		}
+		return list
+	}
+	route := func(name string) map[string]any { return map[string]any{"name": name, "promise-ns": 1e9} }
+	cases := []struct {
+		name    string
+		path    string
+		value   any
+		refusal string // a part of its text, "": accepted
+	}{
+		{"one route", "categories", routes(1), ""},
+		{"sixteen routes", "categories", routes(16), ""},
+		{"seventeen routes", "categories", routes(17), "categories: 17"},
+		{"a route twice", "categories", []any{route("a"), map[string]any{"name": "a"}}, "categories[1]"},
+		{"a route without a name", "categories", []any{map[string]any{"promise-ns": 1e9}}, "categories[0]"},
+		{"machine types alike", "machine-types", []any{"a", "a", ""}, ""},
+		{"a comma in a route's name", "categories", []any{route("a,b")}, "categories[0]"},
+		{"a route named by a star", "categories", []any{route("*")}, "categories[0]"},
+		{"many zones", "zones", []any{"Ñuñoa", "z 1", "7", "A", "b", "c", "d"}, ""},
+		{"a zone named by a star", "zones", []any{"*"}, ""},
+		{"numbers with fractions", "extra", map[string]any{"backlog": 900.5, "reloads-max": 30.0, "counted-over-ns": 1.0e10, "proxy-count": 8.0}, ""},
+		{"no limits", "extra", map[string]any{}, ""},
+		{"smallest channel", "extra", map[string]any{"backlog": 18, "head": 4, "push-rate": 1200}, ""},
+		{"channel too small", "extra", map[string]any{"backlog": 17, "head": 4, "push-rate": 1200}, "extra.backlog"},
+		{"slow channel, few messages", "extra", map[string]any{"backlog": 60, "push-rate": 10, "reloads-max": 2, "counted-over-ns": 1e10}, ""},
+	}
+	for _, test := range cases {
+		t.Run(test.name, func(t *testing.T) {
+			deployment, err := Decode(settingsWith(t, []string{test.path}, test.value))
+			if test.refusal != "" {
+				if err == nil || !strings.Contains(err.Error(), test.refusal) {
+					t.Errorf("error %v, want %s", err, test.refusal)
+				}
+				return
+			}
+			if err != nil {
+				t.Fatal(err)
+			}
+			if fault := faultOf(deployment); fault != "" {
+				t.Error(fault)
+			}
+		})
+	}
+}
