--- a/scaling/report.go
+++ b/scaling/report.go
@@ -86,12 +86,12 @@
 		if err != nil {
 			return taken, err
 		}
-		number, known := numbers[message.Target]
+		number, known := numbers[message.Node]
 		if !known {
 			return taken, errors.New("a report on an unknown node")
 		}
 		f.module.AddLoadReport(f.now, planner.LoadReport{Node: number, Completed: int(*message.Count), Failed: int(*message.Failed),
-			MeanLatency: *message.Mean / wire.MillisecondsPerSecond, Interval: *message.Interval / wire.MillisecondsPerSecond})
+			MeanLatency: *message.MeanLatencyMS / wire.MillisecondsPerSecond, Interval: *message.IntervalMS / wire.MillisecondsPerSecond})
 		taken++
 	}
 }
