--- a/cmd/harehook/main.go
+++ b/cmd/harehook/main.go
@@ -104,7 +104,7 @@
 	core := controller.New(deployment, known.Endpoints, orders, log)
 	serving := transport.Server{Controller: core, Commands: orders, Listener: listener, MaxSockets: told.Limits.Sockets,
 		MaxMemoryBytes: int64(told.Limits.MemoryMB * bytesPerMB), Log: log,
-		Relay: transport.NewEndpoint(told.Store.Address), Discovery: transport.NewEndpoint(told.Discovery)}
+		Relay: transport.NewParty(told.Store.Address), Discovery: transport.NewParty(told.Discovery)}
 	log.Info("started", zap.String("listen", listener.Addr().String()), zap.Int("known", len(known.Endpoints)))
 
 	var parts sync.WaitGroup
