--- a/cmd/harehook/main_test.go
+++ b/cmd/harehook/main_test.go
@@ -576,7 +576,7 @@
 		t.Fatal(err)
 	}
 	r.program.Process.Signal(syscall.SIGTERM)
-	r.logged(`"bad_messages": 4`)
+	r.logged(`"rejected_messages": 4`)
 }
 
 // However much strangers send, memory stays within the limit and a collector gets through.
