--- a/cmd/harehook/crossings_test.go
+++ b/cmd/harehook/crossings_test.go
@@ -35,11 +35,11 @@
 func TestReadyWithin(t *testing.T) {
 	const readyWithin = 10 * time.Second // by the operators' page
 	each(t, map[string]func(r *rig){
-		"silent":       func(r *rig) { r.discovery.Answer(fakeplatform.Silent) },
-		"changes only": func(r *rig) { r.discovery.Answer(fakeplatform.Changes) },
-		"failing":      func(r *rig) { r.discovery.Answer(fakeplatform.Failing) },
+		"silent":       func(r *rig) { r.discovery.SetMode(fakeplatform.NoResponse) },
+		"changes only": func(r *rig) { r.discovery.SetMode(fakeplatform.UpdatesOnly) },
+		"failing":      func(r *rig) { r.discovery.SetMode(fakeplatform.ErrorResponse) },
 		"without nodes": func(r *rig) {
-			for _, n := range r.discovery.Whole().Endpoints {
+			for _, n := range r.discovery.FullList().Endpoints {
 				n.Status = "terminated"
 				r.discovery.Set(n)
 			}
@@ -47,7 +47,7 @@
 	}, func(r *rig, discovery func(r *rig)) {
 		r.again(func() { discovery(r) })
 		began := time.Now()
-		c, err := fakeplatform.Collect(r.address, "north")
+		c, err := fakeplatform.NewCollector(r.address, "north")
 		if err != nil {
 			r.t.Fatal(err)
 		}
@@ -64,7 +64,7 @@
 			r.t.Errorf("bound without a node: %s", calls)
 		}
 		r.relay.Unlock()
-		r.discovery.Answer(fakeplatform.Plain)
+		r.discovery.SetMode(fakeplatform.PlainResponse)
 		r.discovery.Set(node("s-7", "north", "in_service"), node("s-8", "south", "in_service"))
 		r.relayed("bound", bound(0, 1))
 	})
@@ -72,20 +72,20 @@
 
 // A service that answers wrongly at once is not asked without a pause.
 func TestPauses(t *testing.T) {
-	each(t, map[string]fakeplatform.Manner{"changes only": fakeplatform.Changes, "backward": fakeplatform.Backward, "eager": fakeplatform.Eager},
-		func(r *rig, manner fakeplatform.Manner) {
+	each(t, map[string]fakeplatform.ResponseMode{"changes only": fakeplatform.UpdatesOnly, "backward": fakeplatform.DecreasingVersions, "eager": fakeplatform.ImmediateResponse},
+		func(r *rig, manner fakeplatform.ResponseMode) {
 			asked := func() int {
 				r.discovery.Lock()
 				defer r.discovery.Unlock()
-				return r.discovery.Asked
+				return r.discovery.Polls
 			}
-			r.askedAnew(func() { r.again(func() { r.discovery.Answer(manner) }) })
+			r.askedAnew(func() { r.again(func() { r.discovery.SetMode(manner) }) })
 			before := asked()
 			time.Sleep(2 * time.Second) // what is counted is how often it asks meanwhile
 			if n := asked() - before; n > 60 {
 				r.t.Errorf("asked %d times in 2 s", n)
 			}
-			r.discovery.Answer(fakeplatform.Plain)
+			r.discovery.SetMode(fakeplatform.PlainResponse)
 			r.discovery.Set(node("s-1", "north", "terminating"))
 			r.relayed("drained", without("s-1"))
 		})
@@ -97,19 +97,19 @@
 	each(t, map[string]func(r *rig){
 		"a list": func(r *rig) {
 			r.discovery.Lock()
-			asked := r.discovery.Asked
+			asked := r.discovery.Polls
 			r.discovery.Unlock()
-			r.discovery.Answer(fakeplatform.Endless)
-			if err := r.discovery.Await(r.ctx, func() bool { return r.discovery.Asked > asked }); err != nil {
+			r.discovery.SetMode(fakeplatform.EndlessResponse)
+			if err := r.discovery.Await(r.ctx, func() bool { return r.discovery.Polls > asked }); err != nil {
 				r.t.Fatal(err)
 			}
 		},
-		"an answer": func(r *rig) { r.relay.Fail(fakeplatform.EndlessDone) },
+		"an answer": func(r *rig) { r.relay.InjectFaults(fakeplatform.ExecutedEndlessResponse) },
 	}, func(r *rig, begin func(r *rig)) {
 		begin(r)
 		began := time.Now()
 		r.discovery.Set(node("s-1", "north", "terminating"))
-		r.discovery.Answer(fakeplatform.Plain)
+		r.discovery.SetMode(fakeplatform.PlainResponse)
 		r.relayed("drained", without("s-1"))
 		if took := time.Since(began); took > 6*time.Second { // by the page, what is to be told counts as told by then
 			r.t.Errorf("held up for %v", took)
@@ -122,7 +122,7 @@
 func TestSlowList(t *testing.T) {
 	t.Parallel()
 	r := newRig(t, nil)
-	r.again(func() { r.discovery.Answer(fakeplatform.Slow) })
+	r.again(func() { r.discovery.SetMode(fakeplatform.SlowResponse) })
 	r.join(0, 1)
 	r.discovery.Set(node("s-1", "north", "terminating"))
 	r.relayed("drained", without("s-1"))
@@ -133,7 +133,7 @@
 	t.Helper()
 	text, err := json.Marshal(map[string]any{"name": "n0", "listen": listen, "discovery": "127.0.0.1:1", "seed": "1",
 		"store": map[string]any{"address": "127.0.0.1:1"}, "settings": json.RawMessage(settingsJSON),
-		"known": fakeplatform.List{Index: 1, Snapshot: true, Endpoints: []fakeplatform.Node{node("s-1", "north", "in_service")}}})
+		"known": fakeplatform.EndpointList{Version: 1, Full: true, Endpoints: []fakeplatform.Node{node("s-1", "north", "in_service")}}})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -193,7 +193,7 @@
 func answers(t *testing.T, address string) {
 	t.Helper()
 	for within := time.Now().Add(10 * time.Second); ; time.Sleep(time.Millisecond) {
-		c, err := fakeplatform.Collect(address, "north")
+		c, err := fakeplatform.NewCollector(address, "north")
 		if err == nil {
 			err = c.Ping()
 			c.Close()
@@ -289,10 +289,10 @@
 	const limit = 32 // MB, as the platform grants at the least
 	r := newRig(t, func(config map[string]any) { config["limits"].(map[string]any)["memory_mb"] = limit })
 	r.join(0, 1)
-	r.discovery.Answer(fakeplatform.Flood)
+	r.discovery.SetMode(fakeplatform.FloodResponse)
 	r.askedAnew(func() {})
 	r.askedAnew(func() {})
-	r.discovery.Answer(fakeplatform.Plain)
+	r.discovery.SetMode(fakeplatform.PlainResponse)
 	r.discovery.Set(node("s-1", "north", "terminating"))
 	r.relayed("drained", without("s-1"))
 	r.program.Process.Signal(syscall.SIGTERM)
@@ -310,7 +310,7 @@
 func TestHupBeforeList(t *testing.T) {
 	t.Parallel()
 	r := newRig(t, nil)
-	r.again(func() { r.discovery.Answer(fakeplatform.Silent) })
+	r.again(func() { r.discovery.SetMode(fakeplatform.NoResponse) })
 	r.askedAnew(func() {})
 	other, err := fakeplatform.NewDiscovery("127.0.0.1:0", node("s-7", "north", "in_service"), node("s-8", "south", "in_service"))
 	if err != nil {
@@ -352,7 +352,7 @@
 	t.Parallel()
 	r := newRig(t, nil)
 	r.join(0, 1)
-	nodes := r.discovery.Whole().Endpoints
+	nodes := r.discovery.FullList().Endpoints
 	for k := range nodes {
 		nodes[k].Status = "terminated"
 	}
--- a/cmd/harehook/main_test.go
+++ b/cmd/harehook/main_test.go
@@ -83,7 +83,7 @@
 }
 
 func proxy(id int) fakeplatform.Proxy {
-	return fakeplatform.Proxy{ID: id, Zone: []string{"north", "south"}[id%2], Rate: 10, New: true}
+	return fakeplatform.Proxy{ID: id, Zone: []string{"north", "south"}[id%2], Rate: 10, IsNew: true}
 }
 
 // newRig starts the stand-ins and the program; change may change its configuration.
@@ -105,7 +105,7 @@
 	r.config = map[string]any{"name": "n0", "listen": "127.0.0.1:0", "discovery": r.discovery.Address(),
 		"seed": "8c1f30d27a5be964", "store": map[string]any{"address": r.relay.Address()},
 		"limits":   map[string]any{"cores": 1.0, "memory_mb": 192, "sockets": 1024},
-		"known":    r.discovery.Whole(),
+		"known":    r.discovery.FullList(),
 		"settings": json.RawMessage(settingsJSON)}
 	if change != nil {
 		change(r.config)
@@ -240,17 +240,17 @@
 func (r *rig) askedAnew(happen func()) {
 	r.t.Helper()
 	r.discovery.Lock()
-	asked := r.discovery.Asked
+	asked := r.discovery.Polls
 	r.discovery.Unlock()
 	happen()
-	if err := r.discovery.Await(r.ctx, func() bool { return r.discovery.Asked > asked+1 }); err != nil {
+	if err := r.discovery.Await(r.ctx, func() bool { return r.discovery.Polls > asked+1 }); err != nil {
 		r.t.Fatal(err)
 	}
 }
 
 func (r *rig) ping() {
 	r.t.Helper()
-	c, err := fakeplatform.Collect(r.address, "north")
+	c, err := fakeplatform.NewCollector(r.address, "north")
 	if err == nil {
 		defer c.Close()
 		err = c.Ping()
@@ -275,11 +275,11 @@
 // A conductor that knows no node answers no ping until discovery has told it one.
 func TestReady(t *testing.T) {
 	r := newRig(t, func(config map[string]any) { delete(config, "known") })
-	r.discovery.Answer(fakeplatform.Silent)
+	r.discovery.SetMode(fakeplatform.NoResponse)
 	r.program.Process.Kill()
 	<-r.exited
 	r.start()
-	c, err := fakeplatform.Collect(r.address, "north")
+	c, err := fakeplatform.NewCollector(r.address, "north")
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -291,7 +291,7 @@
 		t.Fatalf("answered without a list: %v", err)
 	default:
 	}
-	r.discovery.Answer(fakeplatform.Plain)
+	r.discovery.SetMode(fakeplatform.PlainResponse)
 	if err := <-answered; err != nil {
 		t.Fatal(err)
 	}
@@ -303,8 +303,8 @@
 	r := newRig(t, nil)
 	r.ping()
 	r.join(0, 1, 2)
-	r.relayed("levels", func(relay *fakeplatform.Relay) bool { return relay.Levels["0 quote"] != "" })
-	c, err := fakeplatform.Collect(r.address, "north")
+	r.relayed("levels", func(relay *fakeplatform.Relay) bool { return relay.Admissions["0 quote"] != "" })
+	c, err := fakeplatform.NewCollector(r.address, "north")
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -313,7 +313,7 @@
 		`{"@type":"LOAD","site":"north","target":"s-1","count":20,"fail":0,"mean":41.7,"over":500.0}`,
 		`{"@type":"RATE","id":0,"lane":"quote","count":19,"fail":0,"over":500.0}`,
 	} {
-		if err := c.Say(json.RawMessage(m)); err != nil {
+		if err := c.Send(json.RawMessage(m)); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -331,12 +331,12 @@
 // Whatever becomes of a call, the orders behind it hold in the end.
 func TestCalls(t *testing.T) {
 	each(t, map[string]fakeplatform.Fault{
-		"silent, done": fakeplatform.SilentDone, "silent, undone": fakeplatform.SilentUndone,
-		"broken, done": fakeplatform.BrokenDone, "broken, undone": fakeplatform.BrokenUndone,
-		"garbled": fakeplatform.GarbledDone, "half an answer": fakeplatform.HalfDone, "late": fakeplatform.LateDone,
-		"throttled": fakeplatform.ThrottledFirst, "invalid": fakeplatform.InvalidFirst, "internal": fakeplatform.InternalFirst,
+		"silent, done": fakeplatform.ExecutedWithoutResponse, "silent, undone": fakeplatform.IgnoredWithoutResponse,
+		"broken, done": fakeplatform.ExecutedThenBroken, "broken, undone": fakeplatform.IgnoredThenBroken,
+		"garbled": fakeplatform.ExecutedGarbledResponse, "half an answer": fakeplatform.ExecutedHalfResponse, "late": fakeplatform.ExecutedLateResponse,
+		"throttled": fakeplatform.RejectedNotStarted, "invalid": fakeplatform.RejectedInvalid, "internal": fakeplatform.RejectedInternal,
 	}, func(r *rig, fault fakeplatform.Fault) {
-		r.relay.Fail(fault, fault)
+		r.relay.InjectFaults(fault, fault)
 		r.discovery.Set(node("s-1", "north", "terminating"))
 		r.relayed("drained", without("s-1"))
 		r.discovery.Set(node("s-1", "north", "in_service"))
@@ -347,9 +347,9 @@
 // A call without an answer is not repeated once its mark is confirmed: a repeat costs messages and lines.
 func TestNeedlessRepeat(t *testing.T) {
 	each(t, map[string]fakeplatform.Fault{
-		"silent": fakeplatform.SilentDone, "broken": fakeplatform.BrokenDone, "garbled": fakeplatform.GarbledDone,
+		"silent": fakeplatform.ExecutedWithoutResponse, "broken": fakeplatform.ExecutedThenBroken, "garbled": fakeplatform.ExecutedGarbledResponse,
 	}, func(r *rig, fault fakeplatform.Fault) {
-		r.relay.Fail(fault)
+		r.relay.InjectFaults(fault)
 		r.discovery.Set(node("s-1", "north", "terminating"))
 		r.relayed("drained", without("s-1"))
 		r.discovery.Set(node("s-2", "north", "terminating"))
@@ -365,7 +365,7 @@
 // An order that the relay refuses is dropped; the others of its call hold.
 func TestRefusedOrder(t *testing.T) {
 	r := newRig(t, func(config map[string]any) {
-		list := config["known"].(fakeplatform.List)
+		list := config["known"].(fakeplatform.EndpointList)
 		list.Endpoints = append(list.Endpoints, node("s-0", "north", "in_service")) // discovery never listed it
 		config["known"] = list
 	})
@@ -378,7 +378,7 @@
 func TestNewsCut(t *testing.T) {
 	r := newRig(t, nil)
 	r.join(0, 1, 2)
-	r.relay.CutNews(func() {
+	r.relay.BreakWatches(func() {
 		r.relay.Leave(0, 1)
 		r.relay.Join(proxy(0), proxy(3))
 	})
@@ -401,22 +401,22 @@
 	r.join(0)
 	r.relay.Silence(true)
 	r.relay.Join(proxy(1)) // no one is told
-	r.relayed("asked anew", func(relay *fakeplatform.Relay) bool { return relay.Follows > 1 })
+	r.relayed("asked anew", func(relay *fakeplatform.Relay) bool { return relay.Watches > 1 })
 	r.relay.Silence(false)
 	r.relayed("bound", bound(0, 1))
 }
 
 // However discovery answers, changes come through once it does.
 func TestDiscovery(t *testing.T) {
-	each(t, map[string]fakeplatform.Manner{
-		"chunked": fakeplatform.Chunked, "pieces": fakeplatform.Pieces, "closing": fakeplatform.Closing,
-		"failing": fakeplatform.Failing, "cut": fakeplatform.Cut, "silent": fakeplatform.Silent,
-	}, func(r *rig, manner fakeplatform.Manner) {
-		r.discovery.Answer(manner)
+	each(t, map[string]fakeplatform.ResponseMode{
+		"chunked": fakeplatform.ChunkedResponse, "pieces": fakeplatform.ByteByByteResponse, "closing": fakeplatform.ClosingResponse,
+		"failing": fakeplatform.ErrorResponse, "cut": fakeplatform.TruncatedResponse, "silent": fakeplatform.NoResponse,
+	}, func(r *rig, manner fakeplatform.ResponseMode) {
+		r.discovery.SetMode(manner)
 		r.askedAnew(func() { r.discovery.Set(node("s-2", "north", "terminated")) })
-		r.discovery.Answer(fakeplatform.Plain)
+		r.discovery.SetMode(fakeplatform.PlainResponse)
 		r.relayed("gone", without("s-2"))
-		r.discovery.Renumber()
+		r.discovery.ResetVersions()
 		r.discovery.Set(node("s-2", "north", "in_service"))
 		r.relayed("back", func(relay *fakeplatform.Relay) bool { return relay.Tables[relay.Bound[0]]["s-2"] > 0 })
 	})
@@ -436,11 +436,11 @@
 				name := fmt.Sprintf("s-%d", n)
 				switch chance.IntN(7) {
 				case 0, 1:
-					r.relay.Fail(fakeplatform.Fault(chance.IntN(int(fakeplatform.InternalFirst) + 1)))
+					r.relay.InjectFaults(fakeplatform.Fault(chance.IntN(int(fakeplatform.RejectedInternal) + 1)))
 				case 2:
-					r.discovery.Answer(fakeplatform.Manner(chance.IntN(int(fakeplatform.Silent) + 1)))
+					r.discovery.SetMode(fakeplatform.ResponseMode(chance.IntN(int(fakeplatform.NoResponse) + 1)))
 				case 3:
-					r.relay.CutNews(func() {
+					r.relay.BreakWatches(func() {
 						if stands[id] {
 							r.relay.Leave(id)
 						}
@@ -464,7 +464,7 @@
 				}
 				time.Sleep(time.Duration(chance.IntN(20)) * time.Millisecond) // not waited for: only a pace
 			}
-			r.discovery.Answer(fakeplatform.Plain)
+			r.discovery.SetMode(fakeplatform.PlainResponse)
 			r.discovery.Set(node("s-5", "north", "in_service"), node("s-6", "south", "in_service"))
 			served["s-5"], served["s-6"] = true, true
 			r.relayed("all in order", func(relay *fakeplatform.Relay) bool {
@@ -499,7 +499,7 @@
 // Each kind of bad client is closed within the time that the page gives, hundreds at once, and no collector with them.
 func TestStrangers(t *testing.T) {
 	r := newRig(t, func(config map[string]any) { config["limits"].(map[string]any)["sockets"] = 256 })
-	collector, err := fakeplatform.Collect(r.address, "north")
+	collector, err := fakeplatform.NewCollector(r.address, "north")
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -563,7 +563,7 @@
 // A report of which a figure is wrong costs itself and not its neighbours nor the connection.
 func TestSpoiltReports(t *testing.T) {
 	r := newRig(t, nil)
-	collector, err := fakeplatform.Collect(r.address, "north")
+	collector, err := fakeplatform.NewCollector(r.address, "north")
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -582,7 +582,7 @@
 // However much strangers send, memory stays within the limit and a collector gets through.
 func TestMemory(t *testing.T) {
 	r := newRig(t, nil)
-	collector, err := fakeplatform.Collect(r.address, "north")
+	collector, err := fakeplatform.NewCollector(r.address, "north")
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -595,7 +595,7 @@
 		}
 		defer conn.Close()
 		c := &fakeplatform.Collector{Conn: conn} // by what it says
-		c.Say(json.RawMessage(hello))
+		c.Send(json.RawMessage(hello))
 		c.SetWriteDeadline(time.Now().Add(10 * time.Second))
 		c.Write(long)
 		c.Ping() // the long message has been read then, or was closed as the one that holds most
@@ -665,12 +665,12 @@
 		r.config["discovery"], r.config["store"] = r.discovery.Address(), map[string]any{"address": r.relay.Address()}
 		r.configure()
 		r.relay.Lock()
-		follows := r.relay.Follows
+		follows := r.relay.Watches
 		r.relay.Unlock()
 		for range 1 + round {
 			r.program.Process.Signal(syscall.SIGHUP)
 		}
-		r.relayed("followed", func(relay *fakeplatform.Relay) bool { return relay.Follows > follows })
+		r.relayed("followed", func(relay *fakeplatform.Relay) bool { return relay.Watches > follows })
 		r.relay.Join(proxy(3 + round))
 		r.relayed("bound", bound(3+round))
 		name := fmt.Sprintf("s-%d", 1+round)
--- a/example/toy/platform.go
+++ b/example/toy/platform.go
@@ -82,7 +82,7 @@
 		return nil, err
 	}
 	for id := range nodeCount {
-		p.relay.Join(fakeplatform.Proxy{ID: id, Zone: zones[id%len(zones)], Rate: callsPerSecond, New: true})
+		p.relay.Join(fakeplatform.Proxy{ID: id, Zone: zones[id%len(zones)], Rate: callsPerSecond, IsNew: true})
 	}
 	log.Printf("discovery at %s, relay at %s; node %s is slow", c.Discovery, c.Store.Address, p.nodes[0].Name)
 	return p, nil
@@ -130,7 +130,7 @@
 	if collector := p.collectors[zone]; collector != nil {
 		return collector
 	}
-	collector, err := fakeplatform.Collect(p.config.Listen, zone)
+	collector, err := fakeplatform.NewCollector(p.config.Listen, zone)
 	if err != nil {
 		return nil
 	}
@@ -146,11 +146,11 @@
 	if k == 0 {
 		mean *= slowFactor
 	}
-	err := collector.Say(map[string]any{"@type": "LOAD", "site": p.nodes[k].Zone, "target": p.nodes[k].Name,
+	err := collector.Send(map[string]any{"@type": "LOAD", "site": p.nodes[k].Zone, "target": p.nodes[k].Name,
 		"count": callsPerReport, "fail": 0, "mean": mean, "over": period})
 	if err != nil {
 		return err
 	}
-	return collector.Say(map[string]any{"@type": "RATE", "id": k, "lane": p.config.Settings.Categories[0].Name,
+	return collector.Send(map[string]any{"@type": "RATE", "id": k, "lane": p.config.Settings.Categories[0].Name,
 		"count": callsPerReport, "fail": 0, "over": period})
 }
--- a/internal/daemon/group_followers_test.go
+++ b/internal/daemon/group_followers_test.go
@@ -16,7 +16,7 @@
 type followingConductors struct {
 	*group
 	files []string
-	gates [][]*fakeplatform.Gate // by follower and member
+	gates [][]*fakeplatform.Forwarder // by follower and member
 	stop  []func()
 	tills []string // address of each one's sidecar
 }
@@ -26,10 +26,10 @@
 	for range count {
 		k := len(g.serve)
 		g.serve = append(g.serve, free(g.t))
-		var gates []*fakeplatform.Gate
+		var gates []*fakeplatform.Forwarder
 		var members strings.Builder
 		for member := range g.n {
-			gate, err := fakeplatform.NewGate(g.listen[member])
+			gate, err := fakeplatform.NewForwarder(g.listen[member])
 			if err != nil {
 				g.t.Fatal(err)
 			}
--- a/internal/daemon/group_test.go
+++ b/internal/daemon/group_test.go
@@ -23,7 +23,7 @@
 	n        int
 	serve    []string // where they take sidecars
 	listen   []string // where members and operators reach them
-	gates    map[[2]int]*fakeplatform.Gate
+	gates    map[[2]int]*fakeplatform.Forwarder
 	stops    []func()
 	texts    map[uint64]string // of each agreed version that any sidecar held
 	newest   map[string]uint64 // by sidecar
@@ -32,7 +32,7 @@
 }
 
 func newGroup(t *testing.T, n int) *group {
-	g := &group{installation: setUp(t, "n-1", "n-2", "s-1"), n: n, gates: map[[2]int]*fakeplatform.Gate{}, texts: map[uint64]string{},
+	g := &group{installation: setUp(t, "n-1", "n-2", "s-1"), n: n, gates: map[[2]int]*fakeplatform.Forwarder{}, texts: map[uint64]string{},
 		newest: map[string]uint64{}, stops: make([]func(), n)}
 	for range n {
 		g.serve, g.listen = append(g.serve, free(t)), append(g.listen, free(t))
@@ -40,7 +40,7 @@
 	for a := range n {
 		for b := range n {
 			if a != b {
-				gate, err := fakeplatform.NewGate(g.listen[b])
+				gate, err := fakeplatform.NewForwarder(g.listen[b])
 				if err != nil {
 					t.Fatal(err)
 				}
--- a/internal/daemon/main_test.go
+++ b/internal/daemon/main_test.go
@@ -329,7 +329,7 @@
 	}
 	ran := func() int { return in.nodes["n-2"].Calls("/issue/one") + in.nodes["s-1"].Calls("/issue/one") }
 	for _, n := range in.nodes {
-		n.Fail.Store(-1)
+		n.FailStatus.Store(-1)
 	}
 	for k := range 10 {
 		if _, status := ask(address, "/issue/one", "seat"); status == http.StatusOK {
--- a/internal/fakeplatform/authority.go
+++ b/internal/fakeplatform/authority.go
@@ -12,22 +12,22 @@
 	"time"
 )
 
-// Failer is what a test fails by.
-type Failer interface {
+// TB is what a test fails by.
+type TB interface {
 	Helper()
 	Fatal(args ...any)
 }
 
 // Authority issues certificates for tests.
 type Authority struct {
-	t       Failer
+	t       TB
 	root    *x509.Certificate
 	key     *ecdsa.PrivateKey
 	serials int64
 }
 
 // NewAuthority makes an authority with a root of its own.
-func NewAuthority(t Failer) *Authority {
+func NewAuthority(t TB) *Authority {
 	t.Helper()
 	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
 	if err != nil {
--- a/internal/fakeplatform/channel.go
+++ b/internal/fakeplatform/channel.go
@@ -10,36 +10,36 @@
 // message for each proxy concerned, messages leave one after the other, and lines that wait are counted. It is fed
 // calls and times; it has no socket.
 type Channel struct {
-	Head float64 // lines that a message costs beside its own
-	Pace float64 // lines a second
-
-	joined   map[int]bool
-	bound    map[int]int
-	tables   map[int]map[string]bool
-	levels   map[string]map[string]bool // by table, "*" for all
-	waiting  []message
-	lines    float64
-	credit   float64
-	received map[int][]float64 // by proxy, when messages were written to it
-	now      float64
+	MessageOverhead  float64 // lines that a message costs beside its own
+	EntriesPerSecond float64 // lines a second
+
+	joined         map[int]bool
+	bound          map[int]int
+	tables         map[int]map[string]bool
+	admissions     map[string]map[string]bool // by table, "*" for all
+	messages       []message
+	waitingEntries float64
+	credit         float64
+	received       map[int][]float64 // by proxy, when messages were written to it
+	now            float64
 }
 
 type message struct {
-	proxy, mark int // mark 0: none is asked
-	lines       float64
+	proxy, nonce int // mark 0: none is asked
+	entries      float64
 }
 
-// Confirmation is what a proxy says when it has applied a message with a mark.
-type Confirmation struct{ Proxy, Mark int }
+// Acknowledgement is what a proxy says when it has applied a message with a mark.
+type Acknowledgement struct{ Proxy, Nonce int }
 
 // NewChannel makes one that is empty.
 func NewChannel(head, pace float64) *Channel {
-	return &Channel{Head: head, Pace: pace, joined: map[int]bool{}, bound: map[int]int{},
-		tables: map[int]map[string]bool{}, levels: map[string]map[string]bool{}, received: map[int][]float64{}}
+	return &Channel{MessageOverhead: head, EntriesPerSecond: pace, joined: map[int]bool{}, bound: map[int]int{},
+		tables: map[int]map[string]bool{}, admissions: map[string]map[string]bool{}, received: map[int][]float64{}}
 }
 
-// Waiting is how many lines wait.
-func (c *Channel) Waiting() float64 { return c.lines }
+// WaitingEntries is how many lines wait.
+func (c *Channel) WaitingEntries() float64 { return c.waitingEntries }
 
 // Joined tells whether a proxy's stream stands.
 func (c *Channel) Joined(proxy int) bool { return c.joined[proxy] }
@@ -50,8 +50,8 @@
 	return table, ok
 }
 
-// Holds tells whether a table has a line for a node.
-func (c *Channel) Holds(table int, node string) bool { return c.tables[table][node] }
+// HasEntry tells whether a table has a line for a node.
+func (c *Channel) HasEntry(table int, node string) bool { return c.tables[table][node] }
 
 // Messages is how many messages were written to a proxy since a time.
 func (c *Channel) Messages(proxy int, since float64) (n int) {
@@ -74,28 +74,28 @@
 	delete(c.joined, proxy)
 	delete(c.bound, proxy)
 	delete(c.received, proxy)
-	c.waiting = slices.DeleteFunc(c.waiting, func(m message) bool {
+	c.messages = slices.DeleteFunc(c.messages, func(m message) bool {
 		if m.proxy == proxy {
-			c.lines -= m.lines
+			c.waitingEntries -= m.entries
 		}
 		return m.proxy == proxy
 	})
 }
 
-// Pass lets time go by: messages leave at a part of the usual pace. It gives what proxies confirm.
-func (c *Channel) Pass(now, part float64) (said []Confirmation) {
-	c.credit += (now - c.now) * c.Pace * part
+// Advance lets time go by: messages leave at a part of the usual pace. It gives what proxies confirm.
+func (c *Channel) Advance(now, part float64) (said []Acknowledgement) {
+	c.credit += (now - c.now) * c.EntriesPerSecond * part
 	c.now = now
-	for len(c.waiting) > 0 && c.waiting[0].lines <= c.credit {
-		m := c.waiting[0]
-		c.waiting = c.waiting[1:]
-		c.credit, c.lines = c.credit-m.lines, c.lines-m.lines
-		if m.mark > 0 {
-			said = append(said, Confirmation{m.proxy, m.mark})
+	for len(c.messages) > 0 && c.messages[0].entries <= c.credit {
+		m := c.messages[0]
+		c.messages = c.messages[1:]
+		c.credit, c.waitingEntries = c.credit-m.entries, c.waitingEntries-m.entries
+		if m.nonce > 0 {
+			said = append(said, Acknowledgement{m.proxy, m.nonce})
 		}
 	}
-	if len(c.waiting) == 0 {
-		c.credit, c.lines = 0, 0
+	if len(c.messages) == 0 {
+		c.credit, c.waitingEntries = 0, 0
 	}
 	return said
 }
@@ -107,7 +107,7 @@
 	reach := func(proxy int, lines float64) {
 		if _, has := cost[proxy]; !has {
 			order = append(order, proxy)
-			cost[proxy] = c.Head
+			cost[proxy] = c.MessageOverhead
 		}
 		cost[proxy] += lines
 	}
@@ -123,7 +123,7 @@
 			if c.tables[first][part[2]] = true; part[3] == "0" {
 				delete(c.tables[first], part[2])
 			}
-			for _, proxy := range c.standing(part[1]) {
+			for _, proxy := range c.boundTo(part[1]) {
 				reach(proxy, 1)
 			}
 		case "attach":
@@ -133,13 +133,13 @@
 			}
 			table, _ := strconv.Atoi(part[2])
 			c.bound[first] = table
-			reach(first, 1+float64(len(c.tables[table])+len(c.levels["*"])+len(c.levels[part[2]])))
+			reach(first, 1+float64(len(c.tables[table])+len(c.admissions["*"])+len(c.admissions[part[2]])))
 		case "gate":
-			if c.levels[part[1]] == nil {
-				c.levels[part[1]] = map[string]bool{}
+			if c.admissions[part[1]] == nil {
+				c.admissions[part[1]] = map[string]bool{}
 			}
-			c.levels[part[1]][part[2]] = true
-			for _, proxy := range c.standing(part[1]) {
+			c.admissions[part[1]][part[2]] = true
+			for _, proxy := range c.boundTo(part[1]) {
 				reach(proxy, 1)
 			}
 		case "fence":
@@ -151,8 +151,8 @@
 	return taken
 }
 
-// standing lists the joined proxies on a table, or all.
-func (c *Channel) standing(table string) (proxies []int) {
+// boundTo lists the joined proxies on a table, or all.
+func (c *Channel) boundTo(table string) (proxies []int) {
 	for proxy := range c.joined {
 		if bound, ok := c.bound[proxy]; table == "*" || ok && strconv.Itoa(bound) == table {
 			proxies = append(proxies, proxy)
@@ -164,12 +164,12 @@
 
 func (c *Channel) write(order []int, cost map[int]float64, mark int) {
 	for _, proxy := range order {
-		m := message{proxy: proxy, mark: mark, lines: cost[proxy]}
+		m := message{proxy: proxy, nonce: mark, entries: cost[proxy]}
 		if mark > 0 {
-			m.lines++
+			m.entries++
 		}
-		c.waiting = append(c.waiting, m)
-		c.lines += m.lines
+		c.messages = append(c.messages, m)
+		c.waitingEntries += m.entries
 		c.received[proxy] = append(c.received[proxy], c.now)
 	}
 }
--- a/internal/fakeplatform/collector.go
+++ b/internal/fakeplatform/collector.go
@@ -9,24 +9,24 @@
 	"time"
 )
 
-// answerWithin is how long a ping waits for its answer.
-const answerWithin = 5 * time.Second
+// pingTimeout is how long a ping waits for its answer.
+const pingTimeout = 5 * time.Second
 
 // Collector passes reports on to a conductor.
 type Collector struct{ net.Conn }
 
-// Collect connects and names its zone.
-func Collect(address, zone string) (*Collector, error) {
-	conn, err := net.DialTimeout("tcp", address, answerWithin)
+// NewCollector connects and names its zone.
+func NewCollector(address, zone string) (*Collector, error) {
+	conn, err := net.DialTimeout("tcp", address, pingTimeout)
 	if err != nil {
 		return nil, err
 	}
 	c := &Collector{conn}
-	return c, c.Say(map[string]any{"@type": "SOURCE", "site": zone})
+	return c, c.Send(map[string]any{"@type": "SOURCE", "site": zone})
 }
 
-// Say sends one message.
-func (c *Collector) Say(message any) error {
+// Send sends one message.
+func (c *Collector) Send(message any) error {
 	body, err := json.Marshal(message)
 	if err != nil {
 		return err
@@ -37,10 +37,10 @@
 
 // Ping asks whether the conductor is in use and reads its answer.
 func (c *Collector) Ping() error {
-	if err := c.Say(map[string]string{"@type": "PING"}); err != nil {
+	if err := c.Send(map[string]string{"@type": "PING"}); err != nil {
 		return err
 	}
-	c.SetReadDeadline(time.Now().Add(answerWithin))
+	c.SetReadDeadline(time.Now().Add(pingTimeout))
 	var head [4]byte
 	if _, err := io.ReadFull(c, head[:]); err != nil {
 		return err
--- a/internal/fakeplatform/discovery.go
+++ b/internal/fakeplatform/discovery.go
@@ -25,51 +25,51 @@
 	SinceMS float64 `json:"since_ms"`
 }
 
-// List is discovery's form of the whole list or of changes.
-type List struct {
-	Index     uint64 `json:"index"`
-	Snapshot  bool   `json:"snapshot"`
+// EndpointList is discovery's form of the whole list or of changes.
+type EndpointList struct {
+	Version   uint64 `json:"index"`
+	Full      bool   `json:"snapshot"`
 	Endpoints []Node `json:"endpoints"`
 }
 
-// Manner is how discovery answers.
-type Manner int
+// ResponseMode is how discovery answers.
+type ResponseMode int
 
 // The manners of discovery.
 const (
-	Plain    Manner = iota
-	Chunked         // in chunks
-	Pieces          // byte by byte
-	Slow            // byte by byte, one now and then
-	Closing         // and the connection ends each time
-	Failing         // with an error status
-	Cut             // the connection breaks within the response
-	Silent          // not at all
-	Endless         // a byte now and then, and never the last
-	Flood           // as many bytes as are taken, and never the last
-	Changes         // with changes only, also who asks for the whole list
-	Backward        // each watch with a version before the one that is held
-	Eager           // each watch at once, with nothing new
+	PlainResponse      ResponseMode = iota
+	ChunkedResponse                 // in chunks
+	ByteByByteResponse              // byte by byte
+	SlowResponse                    // byte by byte, one now and then
+	ClosingResponse                 // and the connection ends each time
+	ErrorResponse                   // with an error status
+	TruncatedResponse               // the connection breaks within the response
+	NoResponse                      // not at all
+	EndlessResponse                 // a byte now and then, and never the last
+	FloodResponse                   // as many bytes as are taken, and never the last
+	UpdatesOnly                     // with changes only, also who asks for the whole list
+	DecreasingVersions              // each watch with a version before the one that is held
+	ImmediateResponse               // each watch at once, with nothing new
 )
 
 // Discovery answers with the list of nodes and watches on it.
 type Discovery struct {
-	board
+	observable
 	*server
 
-	Asked int // requests so far, under the lock
+	Polls int // requests so far, under the lock
 
-	index  uint64
-	nodes  map[string]Node
-	at     map[string]uint64 // version of each node's last change
-	manner Manner
-	closed bool
+	version   uint64
+	nodes     map[string]Node
+	changedAt map[string]uint64 // version of each node's last change
+	mode      ResponseMode
+	closed    bool
 }
 
 // NewDiscovery starts one.
 func NewDiscovery(address string, nodes ...Node) (*Discovery, error) {
-	d := &Discovery{board: board{moved: make(chan struct{})}, index: 40, nodes: map[string]Node{},
-		at: map[string]uint64{}}
+	d := &Discovery{observable: observable{changes: make(chan struct{})}, version: 40, nodes: map[string]Node{},
+		changedAt: map[string]uint64{}}
 	d.Set(nodes...)
 	var err error
 	d.server, err = listen(address, d.serve)
@@ -80,37 +80,37 @@
 func (d *Discovery) Set(nodes ...Node) {
 	d.Lock()
 	defer d.Unlock()
-	d.index++
+	d.version++
 	for _, n := range nodes {
-		d.nodes[n.Name], d.at[n.Name] = n, d.index
+		d.nodes[n.Name], d.changedAt[n.Name] = n, d.version
 	}
-	d.changed()
+	d.notifyChanged()
 }
 
-// Answer changes its manner.
-func (d *Discovery) Answer(m Manner) {
+// SetMode changes its manner.
+func (d *Discovery) SetMode(m ResponseMode) {
 	d.Lock()
 	defer d.Unlock()
-	d.manner = m
-	d.changed()
+	d.mode = m
+	d.notifyChanged()
 }
 
-// Renumber starts the versions anew, as a service does that has lost them.
-func (d *Discovery) Renumber() {
+// ResetVersions starts the versions anew, as a service does that has lost them.
+func (d *Discovery) ResetVersions() {
 	d.Lock()
 	defer d.Unlock()
-	d.index = 1
-	for name := range d.at {
-		d.at[name] = 1
+	d.version = 1
+	for name := range d.changedAt {
+		d.changedAt[name] = 1
 	}
-	d.changed()
+	d.notifyChanged()
 }
 
 // Close ends it.
 func (d *Discovery) Close() {
 	d.Lock()
 	d.closed = true // who waits sees it
-	d.changed()
+	d.notifyChanged()
 	d.Unlock()
 	d.server.Close()
 }
@@ -123,18 +123,18 @@
 	return known
 }
 
-// Whole is the whole list.
-func (d *Discovery) Whole() List {
+// FullList is the whole list.
+func (d *Discovery) FullList() EndpointList {
 	d.Lock()
 	defer d.Unlock()
 	return d.list(0, true)
 }
 
 // list is what is newer than a version; the lock is held.
-func (d *Discovery) list(from uint64, whole bool) List {
-	l := List{Index: d.index, Snapshot: whole, Endpoints: []Node{}}
+func (d *Discovery) list(from uint64, whole bool) EndpointList {
+	l := EndpointList{Version: d.version, Full: whole, Endpoints: []Node{}}
 	for _, name := range slices.Sorted(maps.Keys(d.nodes)) {
-		if n := d.nodes[name]; whole && n.Status != "terminated" || !whole && d.at[name] > from {
+		if n := d.nodes[name]; whole && n.Status != "terminated" || !whole && d.changedAt[name] > from {
 			l.Endpoints = append(l.Endpoints, n)
 		}
 	}
@@ -154,10 +154,10 @@
 		hold, _ := strconv.Atoi(query.Get("hold_ms"))
 		until := time.NewTimer(time.Duration(hold) * time.Millisecond)
 		d.Lock()
-		d.Asked++
-		d.changed()
-		for waits := watch && hold > 0 && d.manner != Backward && d.manner != Eager; (waits && d.index == from || d.manner == Silent) && !d.closed; {
-			moved := d.moved
+		d.Polls++
+		d.notifyChanged()
+		for waits := watch && hold > 0 && d.mode != DecreasingVersions && d.mode != ImmediateResponse; (waits && d.version == from || d.mode == NoResponse) && !d.closed; {
+			moved := d.changes
 			d.Unlock()
 			select {
 			case <-moved:
@@ -166,65 +166,65 @@
 			}
 			d.Lock()
 		}
-		if from > d.index {
+		if from > d.version {
 			from = 0 // versions that count anew
 		}
-		list, manner := d.list(from, !watch && d.manner != Changes), d.manner
-		if watch && manner == Backward {
-			list.Index--
+		list, manner := d.list(from, !watch && d.mode != UpdatesOnly), d.mode
+		if watch && manner == DecreasingVersions {
+			list.Version--
 		}
 		d.Unlock()
 		until.Stop()
-		if !answer(conn, list, manner) {
+		if !writeResponse(conn, list, manner) {
 			return
 		}
 	}
 }
 
-// answer writes a response and tells whether another may follow.
-func answer(conn net.Conn, list List, manner Manner) bool {
+// writeResponse writes a response and tells whether another may follow.
+func writeResponse(conn net.Conn, list EndpointList, manner ResponseMode) bool {
 	body, err := json.Marshal(list)
 	if err != nil {
 		panic(err)
 	}
 	status, head := "200 OK", fmt.Sprintf("Content-Length: %d\r\n", len(body))
 	switch manner {
-	case Chunked:
+	case ChunkedResponse:
 		half := len(body) / 2
 		head = "Transfer-Encoding: chunked\r\n"
 		body = fmt.Appendf(nil, "%x\r\n%s\r\n%x\r\n%s\r\n0\r\n\r\n", half, body[:half], len(body)-half, body[half:])
-	case Closing:
+	case ClosingResponse:
 		head += "Connection: close\r\n"
-	case Endless, Flood:
+	case EndlessResponse, FloodResponse:
 		head = "" // it lasts until the connection ends
-	case Failing:
+	case ErrorResponse:
 		status = "503 Service Unavailable"
 	}
 	out := "HTTP/1.1 " + status + "\r\nContent-Type: application/json\r\n" + head + "\r\n" + string(body)
 	switch manner {
-	case Cut:
+	case TruncatedResponse:
 		fmt.Fprint(conn, out[:len(out)/2])
 		return false
-	case Endless:
-		drip(conn, out[:len(out)/2])
+	case EndlessResponse:
+		writeEndless(conn, out[:len(out)/2])
 		return false
-	case Flood:
+	case FloodResponse:
 		for err := error(nil); err == nil; {
 			_, err = fmt.Fprint(conn, out)
 		}
 		return false
-	case Slow:
+	case SlowResponse:
 		for piece := range strings.SplitSeq(out, "") {
 			fmt.Fprint(conn, piece)
-			time.Sleep(dripEvery)
+			time.Sleep(slowByteInterval)
 		}
 		return true
-	case Pieces:
+	case ByteByByteResponse:
 		for piece := range strings.SplitSeq(out, "") {
 			fmt.Fprint(conn, piece)
 		}
 		return true
 	}
 	_, err = fmt.Fprint(conn, out)
-	return err == nil && manner != Closing
+	return err == nil && manner != ClosingResponse
 }
--- a/internal/fakeplatform/gate.go
+++ b/internal/fakeplatform/gate.go
@@ -6,33 +6,33 @@
 	"sync"
 )
 
-// Gate passes connections on to an address until it is cut: then those that stand end and new ones are refused.
-type Gate struct {
-	listener net.Listener
-	target   string
-	lock     sync.Mutex
-	cut      bool
-	conns    map[net.Conn]struct{}
+// Forwarder passes connections on to an address until it is cut: then those that stand end and new ones are refused.
+type Forwarder struct {
+	listener   net.Listener
+	target     string
+	connsMutex sync.Mutex
+	cut        bool
+	conns      map[net.Conn]struct{}
 }
 
-// NewGate starts one on loopback.
-func NewGate(target string) (*Gate, error) {
+// NewForwarder starts one on loopback.
+func NewForwarder(target string) (*Forwarder, error) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return nil, err
 	}
-	g := &Gate{listener: l, target: target, conns: map[net.Conn]struct{}{}}
+	g := &Forwarder{listener: l, target: target, conns: map[net.Conn]struct{}{}}
 	go g.accept()
 	return g, nil
 }
 
 // Address is where it listens.
-func (g *Gate) Address() string { return g.listener.Addr().String() }
+func (g *Forwarder) Address() string { return g.listener.Addr().String() }
 
 // Cut has nothing pass from now on, or lets it again.
-func (g *Gate) Cut(yes bool) {
-	g.lock.Lock()
-	defer g.lock.Unlock()
+func (g *Forwarder) Cut(yes bool) {
+	g.connsMutex.Lock()
+	defer g.connsMutex.Unlock()
 	if g.cut = yes; yes {
 		for conn := range g.conns {
 			conn.Close()
@@ -41,35 +41,35 @@
 }
 
 // Close ends it.
-func (g *Gate) Close() {
+func (g *Forwarder) Close() {
 	g.listener.Close()
 	g.Cut(true)
 }
 
-func (g *Gate) accept() {
+func (g *Forwarder) accept() {
 	for {
 		near, err := g.listener.Accept()
 		if err != nil {
 			return
 		}
-		go g.pass(near)
+		go g.forward(near)
 	}
 }
 
-func (g *Gate) pass(near net.Conn) {
+func (g *Forwarder) forward(near net.Conn) {
 	defer near.Close()
 	far, err := net.Dial("tcp", g.target)
 	if err != nil {
 		return
 	}
 	defer far.Close()
-	g.lock.Lock()
+	g.connsMutex.Lock()
 	if g.cut {
-		g.lock.Unlock()
+		g.connsMutex.Unlock()
 		return
 	}
 	g.conns[near], g.conns[far] = struct{}{}, struct{}{}
-	g.lock.Unlock()
+	g.connsMutex.Unlock()
 	var both sync.WaitGroup
 	for _, way := range [][2]net.Conn{{near, far}, {far, near}} {
 		both.Go(func() {
@@ -79,8 +79,8 @@
 		})
 	}
 	both.Wait()
-	g.lock.Lock()
+	g.connsMutex.Lock()
 	delete(g.conns, near)
 	delete(g.conns, far)
-	g.lock.Unlock()
+	g.connsMutex.Unlock()
 }
--- a/internal/fakeplatform/node.go
+++ b/internal/fakeplatform/node.go
@@ -14,17 +14,17 @@
 // NodeServer is a node that answers HTTP/1.1 calls with its name and counts them by path.
 type NodeServer struct {
 	Name string
-	// Fail, if set, says how a call fails: a status that is answered in its place, or a negative figure, at which the
+	// FailStatus, if set, says how a call fails: a status that is answered in its place, or a negative figure, at which the
 	// connection ends without an answer though the call ran.
-	Fail atomic.Int32
+	FailStatus atomic.Int32
 
-	listener net.Listener
-	lock     sync.Mutex
-	calls    map[string]int
-	bodies   int64
-	closed   bool
-	conns    map[net.Conn]struct{}
-	serving  sync.WaitGroup
+	listener    net.Listener
+	connsMutex  sync.Mutex
+	callsByPath map[string]int
+	bodyBytes   int64
+	closed      bool
+	conns       map[net.Conn]struct{}
+	serving     sync.WaitGroup
 }
 
 // NewNodeServer starts one; an address with the port 0 gets a free one.
@@ -33,7 +33,7 @@
 	if err != nil {
 		return nil, err
 	}
-	n := &NodeServer{Name: name, listener: l, calls: map[string]int{}, conns: map[net.Conn]struct{}{}}
+	n := &NodeServer{Name: name, listener: l, callsByPath: map[string]int{}, conns: map[net.Conn]struct{}{}}
 	go n.accept()
 	return n, nil
 }
@@ -43,27 +43,27 @@
 
 // Calls is how many calls ran on a path.
 func (n *NodeServer) Calls(path string) int {
-	n.lock.Lock()
-	defer n.lock.Unlock()
-	return n.calls[path]
+	n.connsMutex.Lock()
+	defer n.connsMutex.Unlock()
+	return n.callsByPath[path]
 }
 
-// Bodies is how many bytes of bodies came.
-func (n *NodeServer) Bodies() int64 {
-	n.lock.Lock()
-	defer n.lock.Unlock()
-	return n.bodies
+// BodyBytes is how many bytes of bodies came.
+func (n *NodeServer) BodyBytes() int64 {
+	n.connsMutex.Lock()
+	defer n.connsMutex.Unlock()
+	return n.bodyBytes
 }
 
 // Close ends it and all its connections: once it has returned they are gone.
 func (n *NodeServer) Close() {
 	n.listener.Close()
-	n.lock.Lock()
+	n.connsMutex.Lock()
 	for conn := range n.conns {
 		conn.Close()
 	}
 	n.closed = true
-	n.lock.Unlock()
+	n.connsMutex.Unlock()
 	n.serving.Wait()
 }
 
@@ -73,23 +73,23 @@
 		if err != nil {
 			return
 		}
-		n.lock.Lock()
+		n.connsMutex.Lock()
 		if n.closed {
 			conn.Close()
 		} else {
 			n.conns[conn] = struct{}{}
 			n.serving.Go(func() { n.serve(conn) })
 		}
-		n.lock.Unlock()
+		n.connsMutex.Unlock()
 	}
 }
 
 func (n *NodeServer) serve(conn net.Conn) {
 	defer func() {
 		conn.Close()
-		n.lock.Lock()
+		n.connsMutex.Lock()
 		delete(n.conns, conn)
-		n.lock.Unlock()
+		n.connsMutex.Unlock()
 	}()
 	r := bufio.NewReader(conn)
 	for {
@@ -102,12 +102,12 @@
 		if err != nil {
 			return
 		}
-		n.lock.Lock()
-		n.calls[call.URL.Path]++
-		n.bodies += size
-		n.lock.Unlock()
+		n.connsMutex.Lock()
+		n.callsByPath[call.URL.Path]++
+		n.bodyBytes += size
+		n.connsMutex.Unlock()
 		status := http.StatusOK
-		if fail := n.Fail.Load(); fail < 0 {
+		if fail := n.FailStatus.Load(); fail < 0 {
 			return
 		} else if fail > 0 {
 			status = int(fail)
--- a/internal/fakeplatform/relay.go
+++ b/internal/fakeplatform/relay.go
@@ -12,8 +12,8 @@
 )
 
 const (
-	signEvery = time.Second            // between two signs of life to those who follow
-	lateBy    = 150 * time.Millisecond // an answer that is late; others come within 50 ms
+	aliveInterval     = time.Second            // between two signs of life to those who follow
+	lateResponseDelay = 150 * time.Millisecond // an answer that is late; others come within 50 ms
 )
 
 // Fault is what goes wrong with a call.
@@ -21,60 +21,60 @@
 
 // The faults of calls.
 const (
-	Fine           Fault = iota
-	SilentDone           // carried out, no answer
-	SilentUndone         // neither
-	BrokenDone           // carried out, then the connection breaks
-	BrokenUndone         // the connection breaks after the last byte
-	GarbledDone          // carried out, the answer can't be read
-	LateDone             // carried out, the answer comes when no one waits any more
-	HalfDone             // carried out, the connection breaks within the answer
-	ThrottledFirst       // turned away: the run has not begun
-	InvalidFirst         // not taken for a call
-	InternalFirst        // an error of the relay's own
-	EndlessDone          // carried out, the answer comes a byte now and then and never ends
+	NoFault                 Fault = iota
+	ExecutedWithoutResponse       // carried out, no answer
+	IgnoredWithoutResponse        // neither
+	ExecutedThenBroken            // carried out, then the connection breaks
+	IgnoredThenBroken             // the connection breaks after the last byte
+	ExecutedGarbledResponse       // carried out, the answer can't be read
+	ExecutedLateResponse          // carried out, the answer comes when no one waits any more
+	ExecutedHalfResponse          // carried out, the connection breaks within the answer
+	RejectedNotStarted            // turned away: the run has not begun
+	RejectedInvalid               // not taken for a call
+	RejectedInternal              // an error of the relay's own
+	ExecutedEndlessResponse       // carried out, the answer comes a byte now and then and never ends
 )
 
 // Proxy is a proxy that may join.
 type Proxy struct {
-	ID   int
-	Zone string
-	Rate float64
-	New  bool
+	ID    int
+	Zone  string
+	Rate  float64
+	IsNew bool
 }
 
 // Relay takes orders for the proxies that are joined and tells news of them. The exported state is read under
 // its lock, as in Await.
 type Relay struct {
-	board
+	observable
 	*server
 
-	Tables  map[int]map[string]float64 // by table and node
-	Bound   map[int]int                // table by proxy
-	Levels  map[string]string          // by table and route
-	Calls   []string                   // as they came
-	Follows int                        // times that someone asked for news
+	Tables     map[int]map[string]float64 // by table and node
+	Bound      map[int]int                // table by proxy
+	Admissions map[string]string          // by table and route
+	Calls      []string                   // as they came
+	Watches    int                        // times that someone asked for news
 
-	listed    func(node string) bool
-	onCall    func(call, answer string)
-	joined    map[int]Proxy
-	followers map[net.Conn]struct{}
-	faults    []Fault
-	silent    bool
+	isListed func(node string) bool
+	onCall   func(call, answer string)
+	joined   map[int]Proxy
+	watchers map[net.Conn]struct{}
+	faults   []Fault
+	silent   bool
 }
 
 // NewRelay starts a relay that knows the nodes that listed tells; onCall, if any, is told each call.
 func NewRelay(address string, listed func(string) bool, onCall func(call, answer string)) (*Relay, error) {
-	r := &Relay{board: board{moved: make(chan struct{})}, Tables: map[int]map[string]float64{},
-		Bound: map[int]int{}, Levels: map[string]string{}, listed: listed, onCall: onCall,
-		joined: map[int]Proxy{}, followers: map[net.Conn]struct{}{}}
+	r := &Relay{observable: observable{changes: make(chan struct{})}, Tables: map[int]map[string]float64{},
+		Bound: map[int]int{}, Admissions: map[string]string{}, isListed: listed, onCall: onCall,
+		joined: map[int]Proxy{}, watchers: map[net.Conn]struct{}{}}
 	var err error
 	r.server, err = listen(address, r.serve)
 	return r, err
 }
 
-// Fail lets the next calls go wrong, one each.
-func (r *Relay) Fail(faults ...Fault) {
+// InjectFaults lets the next calls go wrong, one each.
+func (r *Relay) InjectFaults(faults ...Fault) {
 	r.Lock()
 	defer r.Unlock()
 	r.faults = append(r.faults, faults...)
@@ -86,7 +86,7 @@
 	defer r.Unlock()
 	for _, p := range proxies {
 		r.joined[p.ID] = p
-		r.tell(subscribe(p))
+		r.notifyWatchers(joinedLine(p))
 	}
 }
 
@@ -97,16 +97,16 @@
 	for _, id := range ids {
 		delete(r.joined, id)
 		delete(r.Bound, id)
-		r.tell(fmt.Sprintf("* CLOSED %d\r\n", id))
+		r.notifyWatchers(fmt.Sprintf("* CLOSED %d\r\n", id))
 	}
 }
 
-// CutNews breaks the connections of all who follow; between happens before anyone can follow again.
-func (r *Relay) CutNews(between func()) {
+// BreakWatches breaks the connections of all who follow; between happens before anyone can follow again.
+func (r *Relay) BreakWatches(between func()) {
 	r.Lock()
-	for conn := range r.followers {
+	for conn := range r.watchers {
 		conn.Close()
-		delete(r.followers, conn)
+		delete(r.watchers, conn)
 	}
 	r.silent = true // nothing is told meanwhile
 	r.Unlock()
@@ -120,7 +120,7 @@
 	r.Lock()
 	defer r.Unlock()
 	r.silent = yes
-	r.changed()
+	r.notifyChanged()
 }
 
 // Close ends it.
@@ -129,27 +129,27 @@
 	r.server.Close()
 }
 
-func subscribe(p Proxy) string {
+func joinedLine(p Proxy) string {
 	fresh := 0
-	if p.New {
+	if p.IsNew {
 		fresh = 1
 	}
 	return fmt.Sprintf("* SUBSCRIBE %d %s %g %d\r\n", p.ID, p.Zone, p.Rate, fresh)
 }
 
-// tell writes a line to all who follow; the lock is held.
-func (r *Relay) tell(line string) {
+// notifyWatchers writes a line to all who follow; the lock is held.
+func (r *Relay) notifyWatchers(line string) {
 	if r.silent {
 		return
 	}
-	for conn := range r.followers {
+	for conn := range r.watchers {
 		write(conn, line)
 	}
 }
 
 // write writes within a sign's time, so that one who never reads holds up no one else for longer.
 func write(conn net.Conn, line string) {
-	conn.SetWriteDeadline(time.Now().Add(signEvery))
+	conn.SetWriteDeadline(time.Now().Add(aliveInterval))
 	fmt.Fprint(conn, line)
 }
 
@@ -158,51 +158,51 @@
 	for lines.Scan() {
 		line := lines.Text()
 		if line == "follow" {
-			r.follow(conn)
+			r.serveWatch(conn)
 			return
 		}
-		answer, last := r.call(conn, line)
+		answer, last := r.handleCall(conn, line)
 		if _, err := fmt.Fprint(conn, answer); err != nil || last {
 			return
 		}
 	}
 }
 
-// follow tells what stands, then signs of life beside the news that others write.
-func (r *Relay) follow(conn net.Conn) {
+// serveWatch tells what stands, then signs of life beside the news that others write.
+func (r *Relay) serveWatch(conn net.Conn) {
 	r.Lock()
-	r.Follows++
-	r.changed()
+	r.Watches++
+	r.notifyChanged()
 	for r.silent {
-		moved := r.moved
+		moved := r.changes
 		r.Unlock()
 		<-moved
 		r.Lock()
 	}
 	write(conn, "OK\r\n")
 	for _, id := range slices.Sorted(maps.Keys(r.joined)) {
-		write(conn, subscribe(r.joined[id]))
+		write(conn, joinedLine(r.joined[id]))
 	}
 	write(conn, "*\r\n")
-	r.followers[conn] = struct{}{}
+	r.watchers[conn] = struct{}{}
 	r.Unlock()
 	gone := make(chan struct{})
 	go func() {
 		conn.Read(make([]byte, 1)) // nothing more is said
 		close(gone)
 	}()
-	sign := time.NewTicker(signEvery)
+	sign := time.NewTicker(aliveInterval)
 	defer sign.Stop()
 	for {
 		select {
 		case <-gone:
 			r.Lock()
-			delete(r.followers, conn)
+			delete(r.watchers, conn)
 			r.Unlock()
 			return
 		case <-sign.C:
 			r.Lock()
-			if _, here := r.followers[conn]; here && !r.silent {
+			if _, here := r.watchers[conn]; here && !r.silent {
 				write(conn, "*\r\n")
 			}
 			r.Unlock()
@@ -210,12 +210,12 @@
 	}
 }
 
-// call answers a call that came by a connection; last says that the connection ends then.
-func (r *Relay) call(conn net.Conn, line string) (answer string, last bool) {
+// handleCall answers a call that came by a connection; last says that the connection ends then.
+func (r *Relay) handleCall(conn net.Conn, line string) (answer string, last bool) {
 	r.Lock()
 	defer r.Unlock()
-	defer r.changed()
-	fault := Fine
+	defer r.notifyChanged()
+	fault := NoFault
 	if len(r.faults) > 0 {
 		fault, r.faults = r.faults[0], r.faults[1:]
 	}
@@ -225,42 +225,42 @@
 	}
 	orders, ok := strings.CutPrefix(line, "txn ")
 	switch {
-	case fault == SilentUndone:
+	case fault == IgnoredWithoutResponse:
 		return "", false
-	case fault == BrokenUndone:
+	case fault == IgnoredThenBroken:
 		return "", true
-	case fault == ThrottledFirst:
+	case fault == RejectedNotStarted:
 		return "ERR throttled\r\n", false
-	case fault == InternalFirst:
+	case fault == RejectedInternal:
 		return "ERR internal\r\n", false
-	case fault == InvalidFirst || !ok:
+	case fault == RejectedInvalid || !ok:
 		return "ERR invalid\r\n", false
 	}
-	answer = fmt.Sprintf("OK %d\r\n", r.carryOut(strings.Split(orders, ";")))
+	answer = fmt.Sprintf("OK %d\r\n", r.execute(strings.Split(orders, ";")))
 	switch fault {
-	case SilentDone:
+	case ExecutedWithoutResponse:
 		return "", false
-	case BrokenDone:
+	case ExecutedThenBroken:
 		return "", true
-	case GarbledDone:
+	case ExecutedGarbledResponse:
 		return "\x00\x01?\r\n", false
-	case LateDone:
+	case ExecutedLateResponse:
 		r.Unlock()
-		time.Sleep(lateBy)
+		time.Sleep(lateResponseDelay)
 		r.Lock()
-	case HalfDone:
+	case ExecutedHalfResponse:
 		return answer[:3], true
-	case EndlessDone:
+	case ExecutedEndlessResponse:
 		r.Unlock()
-		drip(conn, answer[:3])
+		writeEndless(conn, answer[:3])
 		r.Lock()
 		return "", true
 	}
 	return answer, false
 }
 
-// carryOut does orders until one can't be done and tells how many were.
-func (r *Relay) carryOut(orders []string) int {
+// execute does orders until one can't be done and tells how many were.
+func (r *Relay) execute(orders []string) int {
 	reached := map[int]bool{}
 	reach := func(table int) {
 		for proxy, bound := range r.Bound {
@@ -288,7 +288,7 @@
 			}
 		}
 		switch {
-		case part[0] == "put" && figure >= 0 && number(1) >= 0 && r.listed(part[2]):
+		case part[0] == "put" && figure >= 0 && number(1) >= 0 && r.isListed(part[2]):
 			table := r.Tables[number(1)]
 			if table == nil {
 				table = map[string]float64{}
@@ -302,7 +302,7 @@
 			r.Bound[number(1)] = number(2)
 			reached[number(1)] = true
 		case part[0] == "gate" && figure >= 0:
-			r.Levels[part[1]+" "+part[2]] = part[3] + " " + part[4]
+			r.Admissions[part[1]+" "+part[2]] = part[3] + " " + part[4]
 			for id := range r.joined {
 				if table, ok := r.Bound[id]; part[1] == "*" || ok && table == number(1) {
 					reached[id] = true
@@ -311,7 +311,7 @@
 		case part[0] == "fence" && len(part) == 3 && number(1) >= 0:
 			for id := range r.joined {
 				if reached[id] || part[2] == "1" {
-					r.tell(fmt.Sprintf("* ACK %d %d 1.5\r\n", id, number(1)))
+					r.notifyWatchers(fmt.Sprintf("* ACK %d %d 1.5\r\n", id, number(1)))
 				}
 			}
 		default:
--- a/internal/fakeplatform/standin.go
+++ b/internal/fakeplatform/standin.go
@@ -11,23 +11,23 @@
 	"time"
 )
 
-// board lets others wait for what a stand-in has seen.
-type board struct {
+// observable lets others wait for what a stand-in has seen.
+type observable struct {
 	sync.Mutex
-	moved chan struct{}
+	changes chan struct{}
 }
 
-// changed wakes those who wait; the lock is held.
-func (b *board) changed() {
-	close(b.moved)
-	b.moved = make(chan struct{})
+// notifyChanged wakes those who wait; the lock is held.
+func (b *observable) notifyChanged() {
+	close(b.changes)
+	b.changes = make(chan struct{})
 }
 
 // Await waits until ok holds, which is asked under the lock whenever something has changed.
-func (b *board) Await(ctx context.Context, ok func() bool) error {
+func (b *observable) Await(ctx context.Context, ok func() bool) error {
 	for {
 		b.Lock()
-		done, moved := ok(), b.moved
+		done, moved := ok(), b.changes
 		b.Unlock()
 		if done {
 			return nil
@@ -40,22 +40,22 @@
 	}
 }
 
-const dripEvery = time.Millisecond // between the bytes of one who never ends
+const slowByteInterval = time.Millisecond // between the bytes of one who never ends
 
-// drip writes a beginning and then a byte now and then until the other side has gone.
-func drip(conn net.Conn, begun string) {
-	for _, err := fmt.Fprint(conn, begun); err == nil; time.Sleep(dripEvery) {
+// writeEndless writes a beginning and then a byte now and then until the other side has gone.
+func writeEndless(conn net.Conn, begun string) {
+	for _, err := fmt.Fprint(conn, begun); err == nil; time.Sleep(slowByteInterval) {
 		_, err = fmt.Fprint(conn, "0")
 	}
 }
 
 // server accepts connections and closes them all at its end.
 type server struct {
-	serve    func(net.Conn)
-	lock     sync.Mutex
-	listener net.Listener
-	open     map[net.Conn]struct{}
-	serving  sync.WaitGroup
+	serve     func(net.Conn)
+	openMutex sync.Mutex
+	listener  net.Listener
+	open      map[net.Conn]struct{}
+	serving   sync.WaitGroup
 }
 
 func listen(address string, serve func(net.Conn)) (*server, error) {
@@ -68,8 +68,8 @@
 	if err != nil {
 		return err
 	}
-	s.lock.Lock()
-	defer s.lock.Unlock()
+	s.openMutex.Lock()
+	defer s.openMutex.Unlock()
 	s.listener = listener
 	s.serving.Go(func() {
 		for {
@@ -77,15 +77,15 @@
 			if err != nil {
 				return
 			}
-			s.lock.Lock()
+			s.openMutex.Lock()
 			s.open[conn] = struct{}{}
-			s.lock.Unlock()
+			s.openMutex.Unlock()
 			s.serving.Go(func() {
 				defer func() {
 					conn.Close()
-					s.lock.Lock()
+					s.openMutex.Lock()
 					delete(s.open, conn)
-					s.lock.Unlock()
+					s.openMutex.Unlock()
 				}()
 				s.serve(conn)
 			})
@@ -96,26 +96,26 @@
 
 // Move listens at another address and no longer at this one, where connections stay open.
 func (s *server) Move(address string) error {
-	old := s.where()
+	old := s.currentListener()
 	if err := s.listen(address); err != nil {
 		return err
 	}
 	return old.Close()
 }
 
-func (s *server) where() net.Listener {
-	s.lock.Lock()
-	defer s.lock.Unlock()
+func (s *server) currentListener() net.Listener {
+	s.openMutex.Lock()
+	defer s.openMutex.Unlock()
 	return s.listener
 }
 
 // Address is where it listens.
-func (s *server) Address() string { return s.where().Addr().String() }
+func (s *server) Address() string { return s.currentListener().Addr().String() }
 
 // Break breaks all connections.
 func (s *server) Break() {
-	s.lock.Lock()
-	defer s.lock.Unlock()
+	s.openMutex.Lock()
+	defer s.openMutex.Unlock()
 	for conn := range s.open {
 		conn.Close()
 	}
@@ -123,7 +123,7 @@
 
 // Close ends it.
 func (s *server) Close() {
-	s.where().Close()
+	s.currentListener().Close()
 	s.Break()
 	s.serving.Wait()
 }
--- a/sidecar/plane_test.go
+++ b/sidecar/plane_test.go
@@ -103,8 +103,8 @@
 	if want := "[200 200 503shut 404 200 501 200]"; fmt.Sprint(states) != want {
 		t.Errorf("%v, want %s\n%s", states, want, got)
 	}
-	if a.Bodies() != 8 || a.Calls("/q/4") != 1 {
-		t.Errorf("%d bytes of bodies", a.Bodies())
+	if a.BodyBytes() != 8 || a.Calls("/q/4") != 1 {
+		t.Errorf("%d bytes of bodies", a.BodyBytes())
 	}
 	if got := say(t, address, "what\r\n\r\n"); !strings.HasPrefix(got, "HTTP/1.1 400") {
 		t.Errorf("no request: %s", got)
@@ -124,7 +124,7 @@
 func TestFurtherTries(t *testing.T) {
 	gone, silent, good := node(t, "gone"), node(t, "silent"), node(t, "good")
 	gone.Close()
-	silent.Fail.Store(-1)
+	silent.FailStatus.Store(-1)
 	address, p := plane(t, 1, gone, good)
 	for range 30 {
 		if got := say(t, address, call("/q", "Connection: close\r\nContent-Length: 0\r\n")); !strings.HasPrefix(got, "HTTP/1.1 200") {
