--- a/internal/fakeplatform/authority.go
+++ b/internal/fakeplatform/authority.go
@@ -12,7 +12,7 @@
 	"time"
 )
 
-// TB is what a test fails by.
+// TB is what of a testing.TB this package uses: the quick start links it, and package testing adds flags.
 type TB interface {
 	Helper()
 	Fatal(args ...any)
--- /dev/null
+++ b/internal/fakeplatform/channelcall.go
@@ -0,0 +1,109 @@
+package fakeplatform
+
+import (
+	"slices"
+	"strconv"
+	"strings"
+)
+
+// channelCall is a call that a channel carries out.
+type channelCall struct {
+	*Channel
+	proxies []int           // that get a message, in the order in which they were reached
+	entries map[int]float64 // of the message, by proxy
+	nonce   int             // to acknowledge; 0: none
+}
+
+// Call carries out a call's commands until one cannot be, and returns how many were.
+func (c *Channel) Call(text string) (executed int) {
+	call := channelCall{Channel: c, entries: map[int]float64{}}
+	commands := strings.TrimSuffix(strings.TrimPrefix(text, "txn "), "\r\n")
+	for command := range strings.SplitSeq(commands, ";") {
+		if !call.execute(strings.Split(command, ",")) {
+			call.nonce = 0 // the request to acknowledge stands last
+			break
+		}
+		executed++
+	}
+	call.write()
+	return executed
+}
+
+func (c *channelCall) execute(fields []string) bool {
+	first, _ := strconv.Atoi(fields[1])
+	switch fields[0] {
+	case "put":
+		c.setWeight(fields[1], fields[2], fields[3])
+	case "attach":
+		if !c.joined[first] {
+			return false
+		}
+		table, _ := strconv.Atoi(fields[2])
+		c.bound[first] = table
+		entries := len(c.tables[table]) + len(c.admissions["*"]) + len(c.admissions[fields[2]])
+		c.reach(first, 1+float64(entries))
+	case "gate":
+		c.setAdmission(fields[1], fields[2])
+	case "fence":
+		c.nonce = first
+	}
+	return true
+}
+
+func (c *channelCall) setWeight(table, node, weight string) {
+	number, _ := strconv.Atoi(table)
+	if c.tables[number] == nil {
+		c.tables[number] = map[string]bool{}
+	}
+	c.tables[number][node] = true
+	if weight == "0" {
+		delete(c.tables[number], node)
+	}
+	for _, proxy := range c.boundTo(table) {
+		c.reach(proxy, 1)
+	}
+}
+
+func (c *channelCall) setAdmission(table, route string) {
+	if c.admissions[table] == nil {
+		c.admissions[table] = map[string]bool{}
+	}
+	c.admissions[table][route] = true
+	for _, proxy := range c.boundTo(table) {
+		c.reach(proxy, 1)
+	}
+}
+
+// reach adds entries to a proxy's message.
+func (c *channelCall) reach(proxy int, entries float64) {
+	if _, reached := c.entries[proxy]; !reached {
+		c.proxies = append(c.proxies, proxy)
+		c.entries[proxy] = c.MessageOverhead
+	}
+	c.entries[proxy] += entries
+}
+
+// boundTo lists the joined proxies on a table, or all for "*".
+func (c *Channel) boundTo(table string) (proxies []int) {
+	for proxy := range c.joined {
+		bound, ok := c.bound[proxy]
+		if table == "*" || ok && strconv.Itoa(bound) == table {
+			proxies = append(proxies, proxy)
+		}
+	}
+	slices.Sort(proxies)
+	return proxies
+}
+
+// write queues the messages of the call.
+func (c *channelCall) write() {
+	for _, proxy := range c.proxies {
+		m := message{proxy: proxy, nonce: c.nonce, entries: c.entries[proxy]}
+		if m.nonce > 0 {
+			m.entries++
+		}
+		c.messages = append(c.messages, m)
+		c.waitingEntries += m.entries
+		c.received[proxy] = append(c.received[proxy], c.now)
+	}
+}
--- a/internal/fakeplatform/collector.go
+++ b/internal/fakeplatform/collector.go
@@ -9,13 +9,12 @@
 	"time"
 )
 
-// pingTimeout is how long a ping waits for its answer.
-const pingTimeout = 5 * time.Second
+const pingTimeout = 5 * time.Second // for the connection, and for the answer to a ping
 
-// Collector passes reports on to a conductor.
+// Collector sends the reports of a zone to a controller.
 type Collector struct{ net.Conn }
 
-// NewCollector connects and names its zone.
+// NewCollector connects to a controller and names a zone.
 func NewCollector(address, zone string) (*Collector, error) {
 	conn, err := net.DialTimeout("tcp", address, pingTimeout)
 	if err != nil {
@@ -25,27 +24,28 @@
 	return c, c.Send(map[string]any{"@type": "SOURCE", "site": zone})
 }
 
-// Send sends one message.
+// Send sends one message, which is encoded as JSON.
 func (c *Collector) Send(message any) error {
 	body, err := json.Marshal(message)
 	if err != nil {
 		return err
 	}
-	_, err = c.Write(append(binary.LittleEndian.AppendUint32(nil, uint32(len(body))), body...))
+	frame := binary.LittleEndian.AppendUint32(nil, uint32(len(body)))
+	_, err = c.Write(append(frame, body...))
 	return err
 }
 
-// Ping asks whether the conductor is in use and reads its answer.
+// Ping asks whether the controller is ready and reads its answer.
 func (c *Collector) Ping() error {
 	if err := c.Send(map[string]string{"@type": "PING"}); err != nil {
 		return err
 	}
 	c.SetReadDeadline(time.Now().Add(pingTimeout))
-	var head [4]byte
-	if _, err := io.ReadFull(c, head[:]); err != nil {
+	var header [4]byte
+	if _, err := io.ReadFull(c, header[:]); err != nil {
 		return err
 	}
-	body := make([]byte, binary.LittleEndian.Uint32(head[:]))
+	body := make([]byte, binary.LittleEndian.Uint32(header[:]))
 	if _, err := io.ReadFull(c, body); err != nil {
 		return err
 	}
--- a/internal/fakeplatform/discovery.go
+++ b/internal/fakeplatform/discovery.go
@@ -2,62 +2,44 @@
 
 import (
 	"bufio"
-	"encoding/json"
-	"fmt"
 	"maps"
 	"net"
 	"net/http"
 	"slices"
 	"strconv"
-	"strings"
 	"time"
 )
 
-// Node is an entry of discovery's list.
+// Node is an endpoint in discovery's form.
 type Node struct {
 	Name    string  `json:"name"`
 	Address string  `json:"address"`
 	Zone    string  `json:"zone"`
 	Type    string  `json:"type"`
 	Group   int     `json:"group"`
-	Status  string  `json:"status"`
+	Status  string  `json:"status"` // "in_service", "terminating" or "terminated"
 	Weight  float64 `json:"weight"`
 	SinceMS float64 `json:"since_ms"`
 }
 
-// EndpointList is discovery's form of the whole list or of changes.
+// EndpointList is discovery's form of the full list, or of an update.
 type EndpointList struct {
 	Version   uint64 `json:"index"`
 	Full      bool   `json:"snapshot"`
 	Endpoints []Node `json:"endpoints"`
 }
 
-// ResponseMode is how discovery answers.
-type ResponseMode int
-
-// The manners of discovery.
 const (
-	PlainResponse      ResponseMode = iota
-	ChunkedResponse                 // in chunks
-	ByteByByteResponse              // byte by byte
-	SlowResponse                    // byte by byte, one now and then
-	ClosingResponse                 // and the connection ends each time
-	ErrorResponse                   // with an error status
-	TruncatedResponse               // the connection breaks within the response
-	NoResponse                      // not at all
-	EndlessResponse                 // a byte now and then, and never the last
-	FloodResponse                   // as many bytes as are taken, and never the last
-	UpdatesOnly                     // with changes only, also who asks for the whole list
-	DecreasingVersions              // each watch with a version before the one that is held
-	ImmediateResponse               // each watch at once, with nothing new
+	statusTerminated = "terminated"
+	firstVersion     = 40
 )
 
-// Discovery answers with the list of nodes and watches on it.
+// Discovery answers polls for the list of nodes.
 type Discovery struct {
 	observable
 	*server
 
-	Polls int // requests so far, under the lock
+	Polls int // so far, under the mutex
 
 	version   uint64
 	nodes     map[string]Node
@@ -66,36 +48,36 @@
 	closed    bool
 }
 
-// NewDiscovery starts one.
+// NewDiscovery starts a discovery with some nodes; an address with the port 0 gets a free one.
 func NewDiscovery(address string, nodes ...Node) (*Discovery, error) {
-	d := &Discovery{observable: observable{changes: make(chan struct{})}, version: 40, nodes: map[string]Node{},
-		changedAt: map[string]uint64{}}
+	d := &Discovery{observable: newObservable(), version: firstVersion, nodes: map[string]Node{}, changedAt: map[string]uint64{}}
 	d.Set(nodes...)
 	var err error
 	d.server, err = listen(address, d.serve)
 	return d, err
 }
 
-// Set changes nodes; a terminated one leaves the whole list.
+// Set adds or changes nodes; a terminated one leaves the full list.
 func (d *Discovery) Set(nodes ...Node) {
 	d.Lock()
 	defer d.Unlock()
 	d.version++
 	for _, n := range nodes {
-		d.nodes[n.Name], d.changedAt[n.Name] = n, d.version
+		d.nodes[n.Name] = n
+		d.changedAt[n.Name] = d.version
 	}
 	d.notifyChanged()
 }
 
-// SetMode changes its manner.
-func (d *Discovery) SetMode(m ResponseMode) {
+// SetMode changes how polls are answered.
+func (d *Discovery) SetMode(mode ResponseMode) {
 	d.Lock()
 	defer d.Unlock()
-	d.mode = m
+	d.mode = mode
 	d.notifyChanged()
 }
 
-// ResetVersions starts the versions anew, as a service does that has lost them.
+// ResetVersions counts versions from 1 again, as a service does that has lost them.
 func (d *Discovery) ResetVersions() {
 	d.Lock()
 	defer d.Unlock()
@@ -106,10 +88,10 @@
 	d.notifyChanged()
 }
 
-// Close ends it.
+// Close ends the discovery.
 func (d *Discovery) Close() {
 	d.Lock()
-	d.closed = true // who waits sees it
+	d.closed = true // polls that wait see it
 	d.notifyChanged()
 	d.Unlock()
 	d.server.Close()
@@ -119,26 +101,27 @@
 func (d *Discovery) Listed(name string) bool {
 	d.Lock()
 	defer d.Unlock()
-	_, known := d.nodes[name]
-	return known
+	_, listed := d.nodes[name]
+	return listed
 }
 
-// FullList is the whole list.
+// FullList is the full list as it is now.
 func (d *Discovery) FullList() EndpointList {
 	d.Lock()
 	defer d.Unlock()
 	return d.list(0, true)
 }
 
-// list is what is newer than a version; the lock is held.
-func (d *Discovery) list(from uint64, whole bool) EndpointList {
-	l := EndpointList{Version: d.version, Full: whole, Endpoints: []Node{}}
+// list is the full list, or what has changed since a version; the mutex is held.
+func (d *Discovery) list(since uint64, full bool) EndpointList {
+	list := EndpointList{Version: d.version, Full: full, Endpoints: []Node{}}
 	for _, name := range slices.Sorted(maps.Keys(d.nodes)) {
-		if n := d.nodes[name]; whole && n.Status != "terminated" || !whole && d.changedAt[name] > from {
-			l.Endpoints = append(l.Endpoints, n)
+		n := d.nodes[name]
+		if full && n.Status != statusTerminated || !full && d.changedAt[name] > since {
+			list.Endpoints = append(list.Endpoints, n)
 		}
 	}
-	return l
+	return list
 }
 
 func (d *Discovery) serve(conn net.Conn) {
@@ -148,83 +131,59 @@
 		if err != nil {
 			return
 		}
-		query := request.URL.Query()
-		from, err := strconv.ParseUint(query.Get("from"), 10, 64)
-		watch := err == nil
-		hold, _ := strconv.Atoi(query.Get("hold_ms"))
-		until := time.NewTimer(time.Duration(hold) * time.Millisecond)
-		d.Lock()
-		d.Polls++
-		d.notifyChanged()
-		for waits := watch && hold > 0 && d.mode != DecreasingVersions && d.mode != ImmediateResponse; (waits && d.version == from || d.mode == NoResponse) && !d.closed; {
-			moved := d.changes
-			d.Unlock()
-			select {
-			case <-moved:
-			case <-until.C:
-				waits = false
-			}
-			d.Lock()
-		}
-		if from > d.version {
-			from = 0 // versions that count anew
-		}
-		list, manner := d.list(from, !watch && d.mode != UpdatesOnly), d.mode
-		if watch && manner == DecreasingVersions {
-			list.Version--
-		}
-		d.Unlock()
-		until.Stop()
-		if !writeResponse(conn, list, manner) {
+		list, mode := d.poll(parsePoll(request))
+		if !writeResponse(conn, list, mode) {
 			return
 		}
 	}
 }
 
-// writeResponse writes a response and tells whether another may follow.
-func writeResponse(conn net.Conn, list EndpointList, manner ResponseMode) bool {
-	body, err := json.Marshal(list)
-	if err != nil {
-		panic(err)
+// poll is a request for the list.
+type poll struct {
+	update bool   // for what has changed since a version, else for the full list
+	since  uint64 // that version
+	hold   time.Duration
+}
+
+func parsePoll(request *http.Request) poll {
+	query := request.URL.Query()
+	since, err := strconv.ParseUint(query.Get("from"), 10, 64)
+	holdMS, _ := strconv.Atoi(query.Get("hold_ms"))
+	return poll{update: err == nil, since: since, hold: time.Duration(holdMS) * time.Millisecond}
+}
+
+// poll waits as long as the request and the mode say, and returns the list and how it is to be written.
+func (d *Discovery) poll(p poll) (EndpointList, ResponseMode) {
+	d.Lock()
+	defer d.Unlock()
+	d.Polls++
+	d.notifyChanged()
+	d.awaitChange(p)
+	since := p.since
+	if since > d.version {
+		since = 0 // the versions have been reset
 	}
-	status, head := "200 OK", fmt.Sprintf("Content-Length: %d\r\n", len(body))
-	switch manner {
-	case ChunkedResponse:
-		half := len(body) / 2
-		head = "Transfer-Encoding: chunked\r\n"
-		body = fmt.Appendf(nil, "%x\r\n%s\r\n%x\r\n%s\r\n0\r\n\r\n", half, body[:half], len(body)-half, body[half:])
-	case ClosingResponse:
-		head += "Connection: close\r\n"
-	case EndlessResponse, FloodResponse:
-		head = "" // it lasts until the connection ends
-	case ErrorResponse:
-		status = "503 Service Unavailable"
+	list := d.list(since, !p.update && d.mode != UpdatesOnly)
+	if p.update && d.mode == DecreasingVersions {
+		list.Version--
 	}
-	out := "HTTP/1.1 " + status + "\r\nContent-Type: application/json\r\n" + head + "\r\n" + string(body)
-	switch manner {
-	case TruncatedResponse:
-		fmt.Fprint(conn, out[:len(out)/2])
-		return false
-	case EndlessResponse:
-		writeEndless(conn, out[:len(out)/2])
-		return false
-	case FloodResponse:
-		for err := error(nil); err == nil; {
-			_, err = fmt.Fprint(conn, out)
-		}
-		return false
-	case SlowResponse:
-		for piece := range strings.SplitSeq(out, "") {
-			fmt.Fprint(conn, piece)
-			time.Sleep(slowByteInterval)
-		}
-		return true
-	case ByteByByteResponse:
-		for piece := range strings.SplitSeq(out, "") {
-			fmt.Fprint(conn, piece)
+	return list, d.mode
+}
+
+// awaitChange waits until the list is newer than the poll's version, for its hold at most, and as long as there is to be
+// no response. The mutex is held, but not while it waits.
+func (d *Discovery) awaitChange(p poll) {
+	holdEnd := time.NewTimer(p.hold)
+	defer holdEnd.Stop()
+	holds := p.update && p.hold > 0 && d.mode != DecreasingVersions && d.mode != ImmediateResponse
+	for (holds && d.version == p.since || d.mode == NoResponse) && !d.closed {
+		changes := d.changes
+		d.Unlock()
+		select {
+		case <-changes:
+		case <-holdEnd.C:
+			holds = false
 		}
-		return true
+		d.Lock()
 	}
-	_, err = fmt.Fprint(conn, out)
-	return err == nil && manner != ClosingResponse
 }
--- /dev/null
+++ b/internal/fakeplatform/forwarder.go
@@ -0,0 +1,92 @@
+package fakeplatform
+
+import (
+	"context"
+	"io"
+	"net"
+	"sync"
+)
+
+// Forwarder passes connections on to an address until it is cut: then the open ones end and new ones are closed.
+type Forwarder struct {
+	*server
+	target string
+	ctx    context.Context // ends with the forwarder
+	cancel context.CancelFunc
+
+	connsMutex sync.Mutex
+	conns      map[net.Conn]struct{} // both sides of each connection
+	cut        bool
+}
+
+// NewForwarder starts a forwarder on loopback.
+func NewForwarder(target string) (*Forwarder, error) {
+	f := &Forwarder{target: target, conns: map[net.Conn]struct{}{}}
+	f.ctx, f.cancel = context.WithCancel(context.Background())
+	var err error
+	f.server, err = listen("127.0.0.1:0", f.forward)
+	return f, err
+}
+
+// Cut has nothing pass from now on, or lets it again.
+func (f *Forwarder) Cut(cut bool) {
+	f.connsMutex.Lock()
+	defer f.connsMutex.Unlock()
+	f.cut = cut
+	if !cut {
+		return
+	}
+	for conn := range f.conns {
+		conn.Close()
+	}
+}
+
+// Close ends the forwarder.
+func (f *Forwarder) Close() {
+	f.cancel()
+	f.Cut(true)
+	f.server.Close()
+}
+
+func (f *Forwarder) forward(near net.Conn) {
+	var dialer net.Dialer
+	far, err := dialer.DialContext(f.ctx, "tcp", f.target)
+	if err != nil {
+		return
+	}
+	defer far.Close()
+	if !f.addPair(near, far) {
+		return
+	}
+	defer f.removePair(near, far)
+	var both sync.WaitGroup
+	both.Go(func() { copyAndClose(near, far) })
+	both.Go(func() { copyAndClose(far, near) })
+	both.Wait()
+}
+
+// copyAndClose copies until one side ends, and then ends both.
+func copyAndClose(to, from net.Conn) {
+	io.Copy(to, from) //nolint:errcheck // either side may end, or be cut, at any time
+	to.Close()
+	from.Close()
+}
+
+// addPair takes both sides of a connection in; false if the forwarder is cut.
+func (f *Forwarder) addPair(near, far net.Conn) bool {
+	f.connsMutex.Lock()
+	defer f.connsMutex.Unlock()
+	if f.cut {
+		return false
+	}
+	f.conns[near] = struct{}{}
+	f.conns[far] = struct{}{}
+	return true
+}
+
+func (f *Forwarder) removePair(near, far net.Conn) {
+	f.connsMutex.Lock()
+	defer f.connsMutex.Unlock()
+	delete(f.conns, near)
+	delete(f.conns, far)
+}
