--- /dev/null
+++ b/example/toy/config.go
@@ -0,0 +1,47 @@
+package main
+
+import (
+	"encoding/json"
+	"errors"
+	"fmt"
+	"os"
+)
+
+var (
+	errNoZone  = errors.New("the settings name no zone")
+	errNoRoute = errors.New("the settings name no route")
+)
+
+// config is what the toy needs of the controller's configuration.
+type config struct {
+	Listen    string `json:"listen"`
+	Discovery string `json:"discovery"`
+	Store     struct {
+		Address string `json:"address"` // of the relay
+	} `json:"store"`
+	Settings struct {
+		Zones  []string `json:"zones"`
+		Routes []struct {
+			Name string `json:"name"`
+		} `json:"categories"`
+	} `json:"settings"`
+}
+
+// readConfig reads the controller's configuration.
+func readConfig(path string) (*config, error) {
+	text, err := os.ReadFile(path)
+	if err != nil {
+		return nil, err
+	}
+	c := &config{}
+	if err := json.Unmarshal(text, c); err != nil {
+		return nil, fmt.Errorf("%s: %w", path, err)
+	}
+	if len(c.Settings.Zones) == 0 {
+		return nil, fmt.Errorf("%s: %w", path, errNoZone)
+	}
+	if len(c.Settings.Routes) == 0 {
+		return nil, fmt.Errorf("%s: %w", path, errNoRoute)
+	}
+	return c, nil
+}
--- /dev/null
+++ b/example/toy/controller.go
@@ -0,0 +1,59 @@
+package main
+
+import (
+	"context"
+	"errors"
+	"fmt"
+	"os"
+	"os/exec"
+	"path/filepath"
+	"syscall"
+	"time"
+)
+
+const stopTimeout = 5 * time.Second // for the controller to end after SIGTERM; then it is killed
+
+// errStopped says that the controller ended without an error of its own.
+var errStopped = errors.New("it was stopped")
+
+// startController builds the controller and starts it. The channel gets one error once it has ended; it is asked to end
+// when the context does.
+func startController(ctx context.Context, config string) (<-chan error, error) {
+	folder, err := os.MkdirTemp("", "harehook-toy-")
+	if err != nil {
+		return nil, err
+	}
+	program, err := buildController(ctx, folder)
+	if err != nil {
+		return nil, errors.Join(err, os.RemoveAll(folder))
+	}
+	controller := exec.CommandContext(ctx, program)
+	controller.Env = append(os.Environ(), "GW_CONFIG="+config)
+	controller.Stdout = os.Stdout
+	controller.Stderr = os.Stderr
+	controller.Cancel = func() error { return controller.Process.Signal(syscall.SIGTERM) }
+	controller.WaitDelay = stopTimeout
+	if err := controller.Start(); err != nil {
+		return nil, errors.Join(err, os.RemoveAll(folder))
+	}
+	ended := make(chan error, 1)
+	go func() {
+		defer close(ended)
+		err := controller.Wait()
+		if err == nil {
+			err = errStopped
+		}
+		ended <- errors.Join(err, os.RemoveAll(folder))
+	}()
+	return ended, nil
+}
+
+// buildController builds the program into a folder, and returns its path.
+func buildController(ctx context.Context, folder string) (program string, err error) {
+	program = filepath.Join(folder, "harehook")
+	build := exec.CommandContext(ctx, "go", "build", "-o", program, "harehook.dev/harehook/cmd/harehook")
+	if output, err := build.CombinedOutput(); err != nil {
+		return "", fmt.Errorf("go build: %w\n%s", err, output)
+	}
+	return program, nil
+}
--- a/example/toy/main.go
+++ b/example/toy/main.go
@@ -1,7 +1,6 @@
-// Command toy runs a small platform on loopback: a conductor, which it builds and starts, and stand-ins for the rest,
-// that is discovery with six nodes, a relay with six proxies, and a collector of load reports in each zone. One node
-// is slow, and now and then another one drains and comes back. The toy prints each call of orders that the conductor
-// sends.
+// Command toy runs a small platform on loopback: a controller, which it builds and starts, and fakes of the rest, that
+// is discovery with six endpoints, a relay with six proxies, and a collector of load reports in each zone. One endpoint
+// is slow, and now and then another one drains and comes back. The toy prints each call that the controller sends.
 package main
 
 import (
@@ -16,21 +15,30 @@
 )
 
 const (
-	reportPeriod = 500 * time.Millisecond // as in the settings of the example
-	changePeriod = 8 * time.Second        // between two changes of the list of nodes
+	reportInterval = 500 * time.Millisecond // as in the settings of the example
+	changeInterval = 8 * time.Second        // between two changes of the endpoint list
 )
 
 func main() {
-	config := flag.String("config", "example/config.json", "the conductor's configuration")
+	config := flag.String("config", "example/config.json", "the controller's configuration")
 	flag.Parse()
+	if err := runUntilSignal(*config); err != nil {
+		log.Fatal("toy: ", err)
+	}
+}
+
+// runUntilSignal plays the platform until a signal comes, or until the controller ends, which is an error.
+func runUntilSignal(config string) error {
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
 	defer stop()
-	if err := run(ctx, *config); err != nil && ctx.Err() == nil {
-		log.Fatal("toy: ", err)
+	err := run(ctx, config)
+	if ctx.Err() != nil {
+		return nil
 	}
+	return err
 }
 
-// run plays the platform until the context or the conductor ends.
+// run plays the platform until the controller ends, as it does after ctx has ended.
 func run(ctx context.Context, path string) error {
 	config, err := readConfig(path)
 	if err != nil {
@@ -41,19 +49,20 @@
 		return err
 	}
 	defer platform.close()
-	ended, err := startConductor(ctx, path)
+	ended, err := startController(ctx, path)
 	if err != nil {
 		return err
 	}
-	reports, changes := time.NewTicker(reportPeriod), time.NewTicker(changePeriod)
+	reports := time.NewTicker(reportInterval)
 	defer reports.Stop()
+	changes := time.NewTicker(changeInterval)
 	defer changes.Stop()
 	for {
 		select {
 		case err := <-ended:
-			return fmt.Errorf("the conductor ended: %w", err)
+			return fmt.Errorf("the controller ended: %w", err)
 		case <-changes.C:
-			platform.changeNode()
+			platform.changeEndpoint()
 		case <-reports.C:
 			platform.report()
 		}
--- a/internal/fakeplatform/collector.go
+++ b/internal/fakeplatform/collector.go
@@ -21,7 +21,11 @@
 		return nil, err
 	}
 	c := &Collector{conn}
-	return c, c.Send(map[string]any{"@type": "SOURCE", "site": zone})
+	if err := c.Send(map[string]any{"@type": "SOURCE", "site": zone}); err != nil {
+		conn.Close()
+		return nil, err
+	}
+	return c, nil
 }
 
 // Send sends one message, which is encoded as JSON.
