--- a/cmd/harehook/collectors_test.go
+++ b/cmd/harehook/collectors_test.go
@@ -29,6 +29,7 @@
 // Clients by the hundred say nothing, half a message, or what is no message. Each is closed within the time that the
 // platform's page gives, and no collector with them.
 func TestBadClientsAreClosedInTime(t *testing.T) {
+	const clientsOfEachKind = 20
 	r := startProgram(t, func(config map[string]any) { config["limits"].(map[string]any)["sockets"] = 256 })
 	collector, err := fakeplatform.NewCollector(r.address, "north")
 	if err != nil {
@@ -38,51 +39,30 @@
 	if err := collector.Ping(); err != nil { // its zone is known then
 		t.Fatal(err)
 	}
-	kinds := map[string]string{
-		"silence": "", "half a message": "\xc8\x00\x00\x00{", "half a head": "\x10", "too long": "\xff\xff\xff\xff{",
-		"HTTP": "GET / HTTP/1.1\r\nHost: n0\r\n\r\n", "an order": frame(`{"@type":"CONFIG","seq":1}`), "null": frame("null"),
-		"a proxy": frame(`{"@type":"SUBSCRIBE","id":1,"site":"north","rps":3,"new":1}`), "reports first": frame(loadReportMessage),
-		"no such zone": frame(`{"@type":"SOURCE","site":"nowhere"}`), "no JSON": frame("{]"), "a ping": frame(`{"@type":"PING"}`),
-		"long for a stranger": "\x00\x10\x00\x00{", "bytes after joining": frame(zoneMessage) + "\x13\x37\x13\x37",
-		"half a message after joining": frame(zoneMessage) + frame(loadReportMessage)[:50],
-	}
 	var clients sync.WaitGroup
-	client := func(act func(conn net.Conn)) {
-		clients.Go(func() {
-			conn, err := net.Dial("tcp", r.address)
-			if err != nil {
-				t.Error(err)
-				return
-			}
-			defer conn.Close()
-			act(conn)
-		})
-	}
-	for name, say := range kinds {
-		for range 20 {
-			client(func(conn net.Conn) {
-				io.WriteString(conn, say)
-				conn.SetReadDeadline(time.Now().Add(3 * time.Second))
-				if _, err := io.Copy(io.Discard, conn); errors.Is(err, os.ErrDeadlineExceeded) {
-					t.Errorf("%s: not closed", name)
-				}
-			})
+	for name, text := range map[string]string{
+		"silence":                      "",
+		"half a message":               "\xc8\x00\x00\x00{",
+		"half a header":                "\x10",
+		"too long":                     "\xff\xff\xff\xff{",
+		"HTTP":                         "GET / HTTP/1.1\r\nHost: n0\r\n\r\n",
+		"another kind":                 frame(`{"@type":"CONFIG","seq":1}`),
+		"null":                         frame("null"),
+		"a proxy":                      frame(`{"@type":"SUBSCRIBE","id":1,"site":"north","rps":3,"new":1}`),
+		"reports first":                frame(loadReportMessage),
+		"no such zone":                 frame(`{"@type":"SOURCE","site":"nowhere"}`),
+		"no JSON":                      frame("{]"),
+		"a ping":                       frame(`{"@type":"PING"}`),
+		"long before a zone is named":  "\x00\x10\x00\x00{",
+		"bytes after joining":          frame(zoneMessage) + "\x13\x37\x13\x37",
+		"half a message after joining": frame(zoneMessage) + frame(loadReportMessage)[:50],
+	} {
+		for range clientsOfEachKind {
+			clients.Go(func() { r.expectClosedAfter(name, text) })
 		}
 	}
-	for name, say := range map[string][2]string{"pings": {"", frame(`{"@type":"PING"}`)}, "spaces": {"\x00\x04\x00\x00", " "}} {
-		client(func(conn net.Conn) {
-			go io.Copy(io.Discard, conn)
-			io.WriteString(conn, say[0])
-			until := time.Now().Add(6 * time.Second)
-			var err error
-			for ; err == nil && time.Now().Before(until); time.Sleep(time.Millisecond) {
-				_, err = io.WriteString(conn, say[1])
-			}
-			if err == nil {
-				t.Errorf("%s without end: not closed", name)
-			}
-		})
-	}
+	clients.Go(func() { r.expectClosedWithin("pings without end", "", frame(`{"@type":"PING"}`)) })
+	clients.Go(func() { r.expectClosedWithin("spaces without end", "\x00\x04\x00\x00", " ") })
 	clients.Wait()
 	if err := collector.Ping(); err != nil {
 		t.Errorf("the collector was kept out: %v", err)
@@ -91,6 +71,42 @@
 	r.join(0)
 }
 
+// expectClosedAfter sends a text and wants the connection to be closed in the time that the page gives to one who stops.
+func (r *testProgram) expectClosedAfter(name, text string) {
+	conn, err := net.Dial("tcp", r.address)
+	if err != nil {
+		r.t.Error(err)
+		return
+	}
+	defer conn.Close()
+	io.WriteString(conn, text)
+	conn.SetReadDeadline(time.Now().Add(3 * time.Second))
+	if _, err := io.Copy(io.Discard, conn); errors.Is(err, os.ErrDeadlineExceeded) {
+		r.t.Errorf("%s: not closed", name)
+	}
+}
+
+// expectClosedWithin sends a beginning and then a text again and again, and wants the connection to be closed in the time
+// that the page gives to one who goes on.
+func (r *testProgram) expectClosedWithin(name, beginning, text string) {
+	conn, err := net.Dial("tcp", r.address)
+	if err != nil {
+		r.t.Error(err)
+		return
+	}
+	defer conn.Close()
+	go io.Copy(io.Discard, conn)
+	io.WriteString(conn, beginning)
+	until := time.Now().Add(6 * time.Second)
+	for err == nil && time.Now().Before(until) {
+		_, err = io.WriteString(conn, text)
+		time.Sleep(time.Millisecond)
+	}
+	if err == nil {
+		r.t.Errorf("%s: not closed", name)
+	}
+}
+
 // A collector sends reports that lack a figure or are for another zone. They are rejected and counted; neither the
 // reports around them nor the connection suffer.
 func TestSpoiltReportIsRejectedAlone(t *testing.T) {
