--- a/cmd/harehook/configuration.go
+++ b/cmd/harehook/configuration.go
@@ -37,7 +37,7 @@
 	errNoSeed          = errors.New("no seed")
 )
 
-// configuration is what the platform tells a controller at its start.
+// configuration is what the platform configures at the start of a controller.
 type configuration struct {
 	Name      string `json:"name"`
 	Listen    string `json:"listen"`    // host:port, for collectors
@@ -98,7 +98,7 @@
 	}
 }
 
-// check tells whether all addresses and the settings are there. The address to listen on is checked by listening.
+// check reports whether all addresses and the settings are there. The address to listen on is checked by listening.
 func (c *configuration) check() error {
 	switch {
 	case c.Listen == "":
--- a/cmd/harehook/main_test.go
+++ b/cmd/harehook/main_test.go
@@ -32,7 +32,7 @@
 	os.Exit(code)
 }
 
-// withRaceDetector tells whether the tests, and so the program, run with the race detector, which takes much memory.
+// withRaceDetector reports whether the tests, and so the program, run with the race detector, which takes much memory.
 func withRaceDetector() bool {
 	info, ok := debug.ReadBuildInfo()
 	return ok && slices.Contains(info.Settings, debug.BuildSetting{Key: "-race", Value: "true"})
--- a/internal/connprobe/connprobe.go
+++ b/internal/connprobe/connprobe.go
@@ -9,7 +9,7 @@
 	"time"
 )
 
-// IsIdle tells whether a connection is open and has nothing to read. A connection with something to read is of no use
+// IsIdle reports whether a connection is open and has nothing to read. A connection with something to read is of no use
 // for a next request, which would be taken for answered by a late response to the one before.
 //
 // The probe does not block. It clears the read deadline. A connection without a file descriptor counts as idle.
--- a/internal/fakeplatform/channel.go
+++ b/internal/fakeplatform/channel.go
@@ -47,7 +47,7 @@
 // WaitingEntries is how many entries wait.
 func (c *Channel) WaitingEntries() float64 { return c.waitingEntries }
 
-// Joined tells whether a proxy is connected.
+// Joined reports whether a proxy is connected.
 func (c *Channel) Joined(proxy int) bool { return c.joined[proxy] }
 
 // Bound returns the table that a proxy was bound to since it joined.
@@ -56,7 +56,7 @@
 	return table, ok
 }
 
-// HasEntry tells whether a table has an entry for a node.
+// HasEntry reports whether a table has an entry for a node.
 func (c *Channel) HasEntry(table int, node string) bool { return c.tables[table][node] }
 
 // Messages is how many messages were written to a proxy since a time.
--- a/internal/fakeplatform/discovery.go
+++ b/internal/fakeplatform/discovery.go
@@ -97,7 +97,7 @@
 	d.server.Close()
 }
 
-// Listed tells whether a node was ever listed.
+// Listed reports whether a node was ever listed.
 func (d *Discovery) Listed(name string) bool {
 	d.Lock()
 	defer d.Unlock()
--- a/internal/fakeplatform/responsemode.go
+++ b/internal/fakeplatform/responsemode.go
@@ -38,7 +38,7 @@
 	return names[m]
 }
 
-// writeResponse writes a response and tells whether another may follow on the connection.
+// writeResponse writes a response and reports whether another may follow on the connection.
 func writeResponse(conn net.Conn, list EndpointList, mode ResponseMode) (more bool) {
 	text := formatResponse(list, mode)
 	switch mode {
