--- a/internal/fakeplatform/collector.go
+++ b/internal/fakeplatform/collector.go
@@ -9,43 +9,47 @@
 	"time"
 )
 
-// answerWithin is how long a ping waits for its answer.
-const answerWithin = 5 * time.Second
+const pingTimeout = 5 * time.Second // for the connection, and for the answer to a ping
 
-// Collector passes reports on to a conductor.
+// Collector sends the reports of a zone to a controller.
 type Collector struct{ net.Conn }
 
-// Collect connects and names its zone.
-func Collect(address, zone string) (*Collector, error) {
-	conn, err := net.DialTimeout("tcp", address, answerWithin)
+// NewCollector connects to a controller and names a zone.
+func NewCollector(address, zone string) (*Collector, error) {
+	conn, err := net.DialTimeout("tcp", address, pingTimeout)
 	if err != nil {
 		return nil, err
 	}
 	c := &Collector{conn}
-	return c, c.Say(map[string]any{"@type": "SOURCE", "site": zone})
+	if err := c.Send(map[string]any{"@type": "SOURCE", "site": zone}); err != nil {
+		conn.Close()
+		return nil, err
+	}
+	return c, nil
 }
 
-// Say sends one message.
-func (c *Collector) Say(message any) error {
+// Send sends one message, which is encoded as JSON.
+func (c *Collector) Send(message any) error {
 	body, err := json.Marshal(message)
 	if err != nil {
 		return err
 	}
-	_, err = c.Write(append(binary.LittleEndian.AppendUint32(nil, uint32(len(body))), body...))
+	frame := binary.LittleEndian.AppendUint32(nil, uint32(len(body)))
+	_, err = c.Write(append(frame, body...))
 	return err
 }
 
-// Ping asks whether the conductor is in use and reads its answer.
+// Ping asks whether the controller is ready and reads its answer.
 func (c *Collector) Ping() error {
-	if err := c.Say(map[string]string{"@type": "PING"}); err != nil {
+	if err := c.Send(map[string]string{"@type": "PING"}); err != nil {
 		return err
 	}
-	c.SetReadDeadline(time.Now().Add(answerWithin))
-	var head [4]byte
-	if _, err := io.ReadFull(c, head[:]); err != nil {
+	c.SetReadDeadline(time.Now().Add(pingTimeout))
+	var header [4]byte
+	if _, err := io.ReadFull(c, header[:]); err != nil {
 		return err
 	}
-	body := make([]byte, binary.LittleEndian.Uint32(head[:]))
+	body := make([]byte, binary.LittleEndian.Uint32(header[:]))
 	if _, err := io.ReadFull(c, body); err != nil {
 		return err
 	}
--- a/internal/fakeplatform/discovery.go
+++ b/internal/fakeplatform/discovery.go
@@ -2,143 +2,126 @@
 
 import (
 	"bufio"
-	"encoding/json"
-	"fmt"
 	"maps"
 	"net"
 	"net/http"
 	"slices"
 	"strconv"
-	"strings"
 	"time"
 )
 
-// Node is an entry of discovery's list.
+// Node is an endpoint in discovery's form.
 type Node struct {
 	Name    string  `json:"name"`
 	Address string  `json:"address"`
 	Zone    string  `json:"zone"`
 	Type    string  `json:"type"`
 	Group   int     `json:"group"`
-	Status  string  `json:"status"`
+	Status  string  `json:"status"` // "in_service", "terminating" or "terminated"
 	Weight  float64 `json:"weight"`
 	SinceMS float64 `json:"since_ms"`
 }
 
-// List is discovery's form of the whole list or of changes.
-type List struct {
-	Index     uint64 `json:"index"`
-	Snapshot  bool   `json:"snapshot"`
+// EndpointList is discovery's form of the full list, or of an update.
+type EndpointList struct {
+	Version   uint64 `json:"index"`
+	Full      bool   `json:"snapshot"`
 	Endpoints []Node `json:"endpoints"`
 }
 
-// Manner is how discovery answers.
-type Manner int
-
-// The manners of discovery.
 const (
-	Plain    Manner = iota
-	Chunked         // in chunks
-	Pieces          // byte by byte
-	Slow            // byte by byte, one now and then
-	Closing         // and the connection ends each time
-	Failing         // with an error status
-	Cut             // the connection breaks within the response
-	Silent          // not at all
-	Endless         // a byte now and then, and never the last
-	Flood           // as many bytes as are taken, and never the last
-	Changes         // with changes only, also who asks for the whole list
-	Backward        // each watch with a version before the one that is held
-	Eager           // each watch at once, with nothing new
+	statusTerminated = "terminated"
+	firstVersion     = 40
 )
 
-// Discovery answers with the list of nodes and watches on it.
+// Discovery answers polls for the list of nodes.
 type Discovery struct {
-	board
+	observable
 	*server
 
-	Asked int // requests so far, under the lock
+	Polls int // so far, under the mutex
 
-	index  uint64
-	nodes  map[string]Node
-	at     map[string]uint64 // version of each node's last change
-	manner Manner
-	closed bool
+	version   uint64
+	nodes     map[string]Node
+	changedAt map[string]uint64 // version of each node's last change
+	mode      ResponseMode
+	closed    bool
 }
 
-// NewDiscovery starts one.
+// NewDiscovery starts a discovery with some nodes; an address with the port 0 gets a free one.
 func NewDiscovery(address string, nodes ...Node) (*Discovery, error) {
-	d := &Discovery{board: board{moved: make(chan struct{})}, index: 40, nodes: map[string]Node{},
-		at: map[string]uint64{}}
+	d := &Discovery{observable: newObservable(), version: firstVersion, nodes: map[string]Node{}, changedAt: map[string]uint64{}}
 	d.Set(nodes...)
 	var err error
 	d.server, err = listen(address, d.serve)
 	return d, err
 }
 
-// Set changes nodes; a terminated one leaves the whole list.
+// Set adds or changes nodes; a terminated one leaves the full list.
 func (d *Discovery) Set(nodes ...Node) {
 	d.Lock()
 	defer d.Unlock()
-	d.index++
+	d.version++
 	for _, n := range nodes {
-		d.nodes[n.Name], d.at[n.Name] = n, d.index
+		d.nodes[n.Name] = n
+		d.changedAt[n.Name] = d.version
 	}
-	d.changed()
+	d.notifyChanged()
 }
 
-// Answer changes its manner.
-func (d *Discovery) Answer(m Manner) {
+// SetMode changes how polls are answered.
+func (d *Discovery) SetMode(mode ResponseMode) {
 	d.Lock()
 	defer d.Unlock()
-	d.manner = m
-	d.changed()
+	d.mode = mode
+	d.notifyChanged()
 }
 
-// Renumber starts the versions anew, as a service does that has lost them.
-func (d *Discovery) Renumber() {
+// ResetVersions counts versions from 1 again, as a service does that has lost them.
+func (d *Discovery) ResetVersions() {
 	d.Lock()
 	defer d.Unlock()
-	d.index = 1
-	for name := range d.at {
-		d.at[name] = 1
+	d.version = 1
+	for name := range d.changedAt {
+		d.changedAt[name] = 1
 	}
-	d.changed()
+	d.notifyChanged()
 }
 
-// Close ends it.
+// Close ends the discovery.
 func (d *Discovery) Close() {
 	d.Lock()
-	d.closed = true // who waits sees it
-	d.changed()
+	d.closed = true // polls that wait see it
+	d.notifyChanged()
 	d.Unlock()
 	d.server.Close()
 }
 
-// Listed tells whether a node was ever listed.
+// Listed reports whether a node was ever listed.
 func (d *Discovery) Listed(name string) bool {
 	d.Lock()
 	defer d.Unlock()
-	_, known := d.nodes[name]
-	return known
+	_, listed := d.nodes[name]
+	return listed
 }
 
-// Whole is the whole list.
-func (d *Discovery) Whole() List {
+// FullList is the full list as it is now.
+func (d *Discovery) FullList() EndpointList {
 	d.Lock()
 	defer d.Unlock()
 	return d.list(0, true)
 }
 
-// list is what is newer than a version; the lock is held.
-func (d *Discovery) list(from uint64, whole bool) List {
-	l := List{Index: d.index, Snapshot: whole, Endpoints: []Node{}}
+// list is the full list, or what has changed since a version; the mutex is held.
+func (d *Discovery) list(since uint64, full bool) EndpointList {
+	list := EndpointList{Version: d.version, Full: full, Endpoints: []Node{}}
 	for _, name := range slices.Sorted(maps.Keys(d.nodes)) {
-		if n := d.nodes[name]; whole && n.Status != "terminated" || !whole && d.at[name] > from {
-			l.Endpoints = append(l.Endpoints, n)
+		n := d.nodes[name]
+		if full && n.Status != statusTerminated || !full && d.changedAt[name] > since {
+			list.Endpoints = append(list.Endpoints, n)
 		}
 	}
-	return l
+	return list
 }
 
 func (d *Discovery) serve(conn net.Conn) {
@@ -148,83 +131,59 @@
 		if err != nil {
 			return
 		}
-		query := request.URL.Query()
-		from, err := strconv.ParseUint(query.Get("from"), 10, 64)
-		watch := err == nil
-		hold, _ := strconv.Atoi(query.Get("hold_ms"))
-		until := time.NewTimer(time.Duration(hold) * time.Millisecond)
-		d.Lock()
-		d.Asked++
-		d.changed()
-		for waits := watch && hold > 0 && d.manner != Backward && d.manner != Eager; (waits && d.index == from || d.manner == Silent) && !d.closed; {
-			moved := d.moved
-			d.Unlock()
-			select {
-			case <-moved:
-			case <-until.C:
-				waits = false
-			}
-			d.Lock()
-		}
-		if from > d.index {
-			from = 0 // versions that count anew
-		}
-		list, manner := d.list(from, !watch && d.manner != Changes), d.manner
-		if watch && manner == Backward {
-			list.Index--
-		}
-		d.Unlock()
-		until.Stop()
-		if !answer(conn, list, manner) {
+		list, mode := d.poll(parsePoll(request))
+		if !writeResponse(conn, list, mode) {
 			return
 		}
 	}
 }
 
-// answer writes a response and tells whether another may follow.
-func answer(conn net.Conn, list List, manner Manner) bool {
-	body, err := json.Marshal(list)
-	if err != nil {
-		panic(err)
+// poll is a request for the list.
+type poll struct {
+	update bool   // for what has changed since a version, else for the full list
+	since  uint64 // that version
+	hold   time.Duration
+}
+
+func parsePoll(request *http.Request) poll {
+	query := request.URL.Query()
+	since, err := strconv.ParseUint(query.Get("from"), 10, 64)
+	holdMS, _ := strconv.Atoi(query.Get("hold_ms"))
+	return poll{update: err == nil, since: since, hold: time.Duration(holdMS) * time.Millisecond}
+}
+
+// poll waits as long as the request and the mode say, and returns the list and how it is to be written.
+func (d *Discovery) poll(p poll) (EndpointList, ResponseMode) {
+	d.Lock()
+	defer d.Unlock()
+	d.Polls++
+	d.notifyChanged()
+	d.awaitChange(p)
+	since := p.since
+	if since > d.version {
+		since = 0 // the versions have been reset
 	}
-	status, head := "200 OK", fmt.Sprintf("Content-Length: %d\r\n", len(body))
-	switch manner {
-	case Chunked:
-		half := len(body) / 2
-		head = "Transfer-Encoding: chunked\r\n"
-		body = fmt.Appendf(nil, "%x\r\n%s\r\n%x\r\n%s\r\n0\r\n\r\n", half, body[:half], len(body)-half, body[half:])
-	case Closing:
-		head += "Connection: close\r\n"
-	case Endless, Flood:
-		head = "" // it lasts until the connection ends
-	case Failing:
-		status = "503 Service Unavailable"
+	list := d.list(since, !p.update && d.mode != UpdatesOnly)
+	if p.update && d.mode == DecreasingVersions {
+		list.Version--
 	}
-	out := "HTTP/1.1 " + status + "\r\nContent-Type: application/json\r\n" + head + "\r\n" + string(body)
-	switch manner {
-	case Cut:
-		fmt.Fprint(conn, out[:len(out)/2])
-		return false
-	case Endless:
-		drip(conn, out[:len(out)/2])
-		return false
-	case Flood:
-		for err := error(nil); err == nil; {
-			_, err = fmt.Fprint(conn, out)
-		}
-		return false
-	case Slow:
-		for piece := range strings.SplitSeq(out, "") {
-			fmt.Fprint(conn, piece)
-			time.Sleep(dripEvery)
-		}
-		return true
-	case Pieces:
-		for piece := range strings.SplitSeq(out, "") {
-			fmt.Fprint(conn, piece)
+	return list, d.mode
+}
+
+// awaitChange waits until the list is newer than the poll's version, for its hold at most, and as long as there is to be
+// no response. The mutex is held, but not while it waits.
+func (d *Discovery) awaitChange(p poll) {
+	holdEnd := time.NewTimer(p.hold)
+	defer holdEnd.Stop()
+	holds := p.update && p.hold > 0 && d.mode != DecreasingVersions && d.mode != ImmediateResponse
+	for (holds && d.version == p.since || d.mode == NoResponse) && !d.closed {
+		changes := d.changes
+		d.Unlock()
+		select {
+		case <-changes:
+		case <-holdEnd.C:
+			holds = false
 		}
-		return true
+		d.Lock()
 	}
-	_, err = fmt.Fprint(conn, out)
-	return err == nil && manner != Closing
 }
