--- a/cluster/member.go
+++ b/cluster/member.go
@@ -120,7 +120,7 @@
 func (m *Member) load(saved *raftlog.SavedState) error {
 	if !raft.IsEmptySnap(saved.Snapshot) {
 		if err := m.restore(saved.Snapshot); err != nil {
-			return raftlog.UnusableError{Reason: fmt.Sprint("its snapshot: ", err)}
+			return &raftlog.UnusableError{Reason: "its snapshot", Err: err}
 		}
 	}
 	if err := m.append(saved.Entries); err != nil {
--- a/cluster/node.go
+++ b/cluster/node.go
@@ -111,7 +111,7 @@
 			(<-n.inbox)()
 		}
 		if n.member.DiskReplaced {
-			err := raftlog.UnusableError{Reason: fmt.Sprintf("the group knows member %d by another disk: remove it and add this one under a new number", n.member.ID)}
+			err := &raftlog.UnusableError{Reason: fmt.Sprintf("the group knows member %d by another disk: remove it and add this one under a new number", n.member.ID)}
 			n.Log.Error("this member stops", zap.Error(err))
 			return err
 		}
--- /dev/null
+++ b/raftlog/database.go
@@ -0,0 +1,60 @@
+package raftlog
+
+import (
+	"crypto/rand"
+	"encoding/binary"
+	"encoding/hex"
+	"errors"
+
+	"go.etcd.io/bbolt"
+)
+
+const (
+	formatVersion = 2 // of the files; version 1 had no witness
+	identityBytes = 12
+	indexBytes    = 8 // of an entry's key
+)
+
+// The buckets of the database, and the keys of the bucket meta.
+var (
+	metaBucket    = []byte("meta")
+	entriesBucket = []byte("entries")
+
+	formatKey    = []byte("format")
+	identityKey  = []byte("identity")
+	hardStateKey = []byte("hard")
+	snapshotKey  = []byte("snapshot")
+	lastBatchKey = []byte("count")
+)
+
+// errNoBuckets says that the database was made but not filled: a crash came between, before the first Save.
+var errNoBuckets = errors.New("it has no buckets: its making was cut short, and nothing was promised yet; take the folder away")
+
+// createBuckets fills a new database.
+func createBuckets(tx *bbolt.Tx) error {
+	meta, err := tx.CreateBucket(metaBucket)
+	if err != nil {
+		return err
+	}
+	if _, err := tx.CreateBucket(entriesBucket); err != nil {
+		return err
+	}
+	identity := make([]byte, identityBytes)
+	if _, err := rand.Read(identity); err != nil {
+		return err
+	}
+	if err := meta.Put(formatKey, seal([]byte{formatVersion})); err != nil {
+		return err
+	}
+	if err := meta.Put(identityKey, seal([]byte(hex.EncodeToString(identity)))); err != nil {
+		return err
+	}
+	return putLastBatch(meta, 0)
+}
+
+// entryKey is the key of an entry: big-endian, so that bbolt's order of keys is the order of indexes.
+func entryKey(index uint64) []byte { return binary.BigEndian.AppendUint64(nil, index) }
+
+func putLastBatch(meta *bbolt.Bucket, number uint64) error {
+	return meta.Put(lastBatchKey, seal(binary.BigEndian.AppendUint64(nil, number)))
+}
--- /dev/null
+++ b/raftlog/log.go
@@ -0,0 +1,181 @@
+package raftlog
+
+import (
+	"errors"
+	"fmt"
+	"os"
+	"path/filepath"
+	"runtime/debug"
+	"time"
+
+	"go.etcd.io/bbolt"
+)
+
+const (
+	databaseName = "raft.db"
+	witnessName  = "witness"
+	lockTimeout  = 2 * time.Second // for another process that has the database open
+)
+
+// Log is the disk of one member: a database, and a witness of its last batch. It is used by one goroutine.
+type Log struct {
+	folder    string
+	db        *bbolt.DB
+	witness   *witness
+	lastBatch uint64 // number of the last batch that Save began
+	failure   error  // of the first Save that failed; every later one returns it
+}
+
+// Open opens the log in a folder and reads it, or makes an empty one where the folder has none. It waits 2 s at most for
+// another process that has the log open. The error is an *UnusableError if the files are there but must not be used.
+func Open(folder string) (*Log, *SavedState, error) {
+	if err := os.MkdirAll(folder, 0o700); err != nil {
+		return nil, nil, err
+	}
+	defer debug.SetPanicOnFault(debug.SetPanicOnFault(true))
+	log := &Log{folder: folder}
+	saved, err := log.open()
+	if err != nil {
+		return nil, nil, errors.Join(err, log.Close())
+	}
+	return log, saved, nil
+}
+
+// open opens both files and reads them.
+//
+// It guards against damaged pages: bbolt panics at a page that cannot be, or follows it out of the mapped file, a fault
+// that Open has the runtime turn into a panic. All pages are read here, so that none of it is met later.
+func (l *Log) open() (saved *SavedState, err error) {
+	defer func() {
+		if fault := recover(); fault != nil {
+			saved = nil
+			err = &UnusableError{Path: l.databasePath(), Err: fmt.Errorf("damaged page: %v", fault)}
+		}
+	}()
+	isNew, err := l.openFiles()
+	if err != nil {
+		return nil, err
+	}
+	if isNew {
+		if err := l.create(); err != nil {
+			return nil, err
+		}
+	}
+	return l.load()
+}
+
+// openFiles opens the database and the witness, or makes both. One of them alone is refused: the other was lost.
+func (l *Log) openFiles() (isNew bool, err error) {
+	hasDatabase, err := fileExists(l.databasePath())
+	if err != nil {
+		return false, err
+	}
+	if hasDatabase {
+		if err := checkPages(l.databasePath()); err != nil {
+			return false, err
+		}
+	}
+	l.db, err = bbolt.Open(l.databasePath(), 0o600, &bbolt.Options{Timeout: lockTimeout})
+	if err != nil {
+		return false, &UnusableError{Path: l.databasePath(), Err: err}
+	}
+	hasWitness, err := fileExists(l.witnessPath())
+	if err != nil {
+		return false, err
+	}
+	l.witness, err = openWitness(l.witnessPath())
+	if err != nil {
+		return false, err
+	}
+	if hasWitness && !hasDatabase {
+		return false, &UnusableError{Path: l.databasePath(), Reason: "it is gone, its witness is there"}
+	}
+	if hasDatabase && !hasWitness {
+		return false, &UnusableError{Path: l.witnessPath(), Reason: "it is gone, the log is there"}
+	}
+	return !hasDatabase, nil
+}
+
+// load reads the database and compares it with the witness.
+func (l *Log) load() (*SavedState, error) {
+	saved, lastBatch, err := readDatabase(l.db)
+	if err != nil {
+		return nil, &UnusableError{Path: l.databasePath(), Err: err}
+	}
+	witnessed, err := l.witness.LastBatch()
+	if err != nil {
+		return nil, err
+	}
+	if lastBatch < witnessed {
+		reason := fmt.Sprintf("it ends at batch %d, and batch %d was promised", lastBatch, witnessed)
+		return nil, &UnusableError{Path: l.databasePath(), Reason: reason}
+	}
+	if err := saved.checkInvariants(); err != nil {
+		return nil, &UnusableError{Path: l.databasePath(), Err: err}
+	}
+	l.lastBatch = lastBatch
+	return saved, nil
+}
+
+// create fills a new database and witness, and syncs the folder so that the files themselves survive a crash.
+func (l *Log) create() error {
+	if err := l.db.Update(createBuckets); err != nil {
+		return err
+	}
+	if err := l.witness.Record(0); err != nil {
+		return err
+	}
+	folder, err := os.Open(l.folder)
+	if err != nil {
+		return err
+	}
+	return errors.Join(folder.Sync(), folder.Close())
+}
+
+// Save persists a batch: once it has returned nil, the batch survives a crash. An empty batch does nothing.
+//
+// After an error every later Save returns the same one: once a sync has failed, nobody knows what the disk holds, and
+// what it would be asked to hold next must not be promised either.
+func (l *Log) Save(batch Batch) error {
+	if l.failure != nil || batch.Empty() {
+		return l.failure
+	}
+	l.lastBatch++
+	l.failure = l.write(batch)
+	return l.failure
+}
+
+// write commits a batch to the database, and only then to the witness: a crash between the two leaves the database
+// ahead, which has all that was promised.
+func (l *Log) write(batch Batch) error {
+	commit := func(tx *bbolt.Tx) error { return writeBatch(tx, batch, l.lastBatch) }
+	if err := l.db.Update(commit); err != nil {
+		return err
+	}
+	return l.witness.Record(l.lastBatch)
+}
+
+// Close closes the files.
+func (l *Log) Close() error {
+	var errs []error
+	if l.db != nil {
+		errs = append(errs, l.db.Close())
+	}
+	if l.witness != nil {
+		errs = append(errs, l.witness.Close())
+	}
+	return errors.Join(errs...)
+}
+
+func (l *Log) databasePath() string { return filepath.Join(l.folder, databaseName) }
+
+func (l *Log) witnessPath() string { return filepath.Join(l.folder, witnessName) }
+
+// fileExists reports whether there is a file. The error is that of looking.
+func fileExists(path string) (bool, error) {
+	_, err := os.Stat(path)
+	if errors.Is(err, os.ErrNotExist) {
+		return false, nil
+	}
+	return err == nil, err
+}
--- /dev/null
+++ b/raftlog/log_test.go
@@ -0,0 +1,156 @@
+package raftlog
+
+import (
+	"errors"
+	"fmt"
+	"math/rand/v2"
+	"testing"
+
+	"github.com/google/go-cmp/cmp"
+	"go.etcd.io/raft/v3/raftpb"
+	"google.golang.org/protobuf/proto"
+)
+
+func hardState(term, vote, commit uint64) *raftpb.HardState {
+	return &raftpb.HardState{Term: &term, Vote: &vote, Commit: &commit}
+}
+
+func newEntry(index, term uint64, data string) *raftpb.Entry {
+	return &raftpb.Entry{Index: &index, Term: &term, Data: []byte(data)}
+}
+
+func newSnapshot(index, term uint64) *raftpb.Snapshot {
+	metadata := &raftpb.SnapshotMetadata{Index: &index, Term: &term, ConfState: &raftpb.ConfState{Voters: []uint64{1, 2, 3}}}
+	return &raftpb.Snapshot{Data: []byte("state"), Metadata: metadata}
+}
+
+// describe gives what a member has to find again: hard state, the snapshot's index, and the entries.
+func describe(s *SavedState) string {
+	text := fmt.Sprint(s.HardState.GetTerm(), " ", s.HardState.GetVote(), " ", s.HardState.GetCommit(), " after ", s.Snapshot.GetMetadata().GetIndex())
+	for _, entry := range s.Entries {
+		text += fmt.Sprintf(" %d.%d:%s", entry.GetTerm(), entry.GetIndex(), entry.GetData())
+	}
+	return text
+}
+
+// randomBatches is a run of batches, and the description of what is saved after each.
+func randomBatches(seed uint64, count int) (batches []Batch, descriptions []string) {
+	random := rand.New(rand.NewPCG(seed, 5))
+	saved := &SavedState{HardState: hardState(1, 0, 0), Snapshot: &raftpb.Snapshot{}}
+	lastIndex := func() uint64 { return saved.Snapshot.GetMetadata().GetIndex() + uint64(len(saved.Entries)) }
+	term, commit := uint64(1), uint64(0)
+	for range count {
+		var b Batch
+		first := saved.Snapshot.GetMetadata().GetIndex()
+		switch random.IntN(5) {
+		case 0, 1:
+			for range 1 + random.IntN(3) {
+				b.Entries = append(b.Entries, newEntry(lastIndex()+uint64(len(b.Entries))+1, term, fmt.Sprint(random.IntN(1000))))
+			}
+		case 2: // a new term overwrites what was not committed
+			term++
+			b.Entries = append(b.Entries, newEntry(max(commit, first)+1, term, "over"))
+		case 3:
+			commit = max(commit, first+uint64(random.IntN(len(saved.Entries)+1)))
+		case 4:
+			if commit > first {
+				b.Snapshot = newSnapshot(commit, saved.Entries[commit-first-1].GetTerm())
+			}
+		}
+		b.HardState = hardState(term, term%3, commit)
+		if len(b.Entries) > 0 {
+			retained := b.Entries[0].GetIndex() - first - 1
+			saved.Entries = append(saved.Entries[:retained:retained], b.Entries...)
+		}
+		if b.Snapshot != nil {
+			saved.Entries = saved.Entries[b.Snapshot.GetMetadata().GetIndex()-first:]
+			saved.Snapshot = b.Snapshot
+		}
+		saved.HardState = b.HardState
+		batches = append(batches, b)
+		descriptions = append(descriptions, describe(saved))
+	}
+	return batches, descriptions
+}
+
+// What was saved is there after each batch and a new start, under the same identity.
+func TestSavedBatchesAreReadBack(t *testing.T) {
+	for seed := range uint64(4) {
+		t.Run(fmt.Sprint("seed=", seed), func(t *testing.T) {
+			folder := t.TempDir()
+			batches, descriptions := randomBatches(seed, 40)
+			identity := ""
+			for k, batch := range batches {
+				log, saved, err := Open(folder)
+				if err != nil {
+					t.Fatalf("batch %d: %v", k, err)
+				}
+				if k == 0 {
+					identity = saved.Identity
+				}
+				if saved.Identity != identity || identity == "" {
+					t.Errorf("identity %q, then %q", identity, saved.Identity)
+				}
+				if k > 0 {
+					if diff := cmp.Diff(descriptions[k-1], describe(saved)); diff != "" {
+						t.Fatalf("batch %d:\n%s", k, diff)
+					}
+				}
+				if err := log.Save(batch); err != nil {
+					t.Fatal(err)
+				}
+				log.Close()
+			}
+		})
+	}
+}
+
+// A sync fails, and nobody knows what the disk holds. A member that went on would promise what it may not know after a
+// crash. So every later Save has to fail as well, and the next start finds the state before or after the failed batch.
+func TestSaveFailsForGoodAfterAFailedWrite(t *testing.T) {
+	folder := t.TempDir()
+	log, _, err := Open(folder)
+	if err != nil {
+		t.Fatal(err)
+	}
+	if err := log.Save(Batch{HardState: hardState(2, 1, 0)}); err != nil {
+		t.Fatal(err)
+	}
+	log.witness.Close() // as a disk that fails to sync
+	first := log.Save(Batch{HardState: hardState(3, 2, 0)})
+	second := log.Save(Batch{HardState: hardState(4, 2, 0)})
+	if first == nil || !errors.Is(second, first) {
+		t.Errorf("a failed write was promised: %v, then %v", first, second)
+	}
+	log.db.Close()
+	log, saved, err := Open(folder)
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer log.Close()
+	if term := saved.HardState.GetTerm(); term != 2 && term != 3 {
+		t.Errorf("term %d", term)
+	}
+	if !proto.Equal(saved.Snapshot, &raftpb.Snapshot{}) {
+		t.Error("a snapshot from nowhere")
+	}
+}
+
+func BenchmarkSave(b *testing.B) {
+	for _, size := range []int{100, 10000} {
+		b.Run(fmt.Sprint("bytes=", size), func(b *testing.B) {
+			log, _, err := Open(b.TempDir())
+			if err != nil {
+				b.Fatal(err)
+			}
+			defer log.Close()
+			data := string(make([]byte, size))
+			for n := uint64(1); b.Loop(); n++ {
+				batch := Batch{HardState: hardState(1, 1, n-1), Entries: []*raftpb.Entry{newEntry(n, 1, data)}}
+				if err := log.Save(batch); err != nil {
+					b.Fatal(err)
+				}
+			}
+		})
+	}
+}
--- /dev/null
+++ b/raftlog/read.go
@@ -0,0 +1,116 @@
+package raftlog
+
+import (
+	"encoding/binary"
+	"fmt"
+
+	"go.etcd.io/bbolt"
+	"go.etcd.io/raft/v3/raftpb"
+	"google.golang.org/protobuf/proto"
+)
+
+// readDatabase gives all that a database holds, and the number of its last batch.
+func readDatabase(db *bbolt.DB) (saved *SavedState, lastBatch uint64, err error) {
+	saved = &SavedState{HardState: &raftpb.HardState{}, Snapshot: &raftpb.Snapshot{}}
+	read := func(tx *bbolt.Tx) (err error) {
+		meta := tx.Bucket(metaBucket)
+		entries := tx.Bucket(entriesBucket)
+		if meta == nil || entries == nil {
+			return errNoBuckets
+		}
+		lastBatch, err = readMeta(meta, saved)
+		if err != nil {
+			return err
+		}
+		saved.Entries, err = readEntries(entries)
+		return err
+	}
+	if err := db.View(read); err != nil {
+		return nil, 0, err
+	}
+	return saved, lastBatch, nil
+}
+
+// readMeta reads all but the entries into a state.
+func readMeta(meta *bbolt.Bucket, saved *SavedState) (lastBatch uint64, err error) {
+	format, err := getValue(meta, formatKey)
+	if err != nil {
+		return 0, err
+	}
+	if len(format) != 1 || format[0] != formatVersion {
+		return 0, fmt.Errorf("its format is %v, this program knows %d", format, formatVersion)
+	}
+	identity, err := getValue(meta, identityKey)
+	if err != nil {
+		return 0, err
+	}
+	saved.Identity = string(identity)
+	if err := getMessage(meta, hardStateKey, saved.HardState); err != nil {
+		return 0, err
+	}
+	if err := getMessage(meta, snapshotKey, saved.Snapshot); err != nil {
+		return 0, err
+	}
+	number, err := getValue(meta, lastBatchKey)
+	if err != nil {
+		return 0, err
+	}
+	if len(number) != batchNumberBytes {
+		return 0, fmt.Errorf("the number of its last batch has %d bytes, not %d", len(number), batchNumberBytes)
+	}
+	return binary.BigEndian.Uint64(number), nil
+}
+
+func readEntries(bucket *bbolt.Bucket) ([]*raftpb.Entry, error) {
+	var entries []*raftpb.Entry
+	err := bucket.ForEach(func(key, sealed []byte) error {
+		entry, err := readEntry(key, sealed)
+		if err != nil {
+			return fmt.Errorf("entry %x: %w", key, err)
+		}
+		entries = append(entries, entry)
+		return nil
+	})
+	return entries, err
+}
+
+// readEntry reads an entry, whose key has to be that of its index.
+func readEntry(key, sealed []byte) (*raftpb.Entry, error) {
+	data, err := unseal(sealed)
+	if err != nil {
+		return nil, err
+	}
+	entry := &raftpb.Entry{}
+	if err := proto.Unmarshal(data, entry); err != nil {
+		return nil, err
+	}
+	if len(key) != indexBytes || entry.GetIndex() != binary.BigEndian.Uint64(key) {
+		return nil, fmt.Errorf("it is stored under another entry's key, its index is %d", entry.GetIndex())
+	}
+	return entry, nil
+}
+
+// getMessage reads a message. One that was never put is left as it is.
+func getMessage(meta *bbolt.Bucket, key []byte, into proto.Message) error {
+	data, err := getValue(meta, key)
+	if err != nil {
+		return err
+	}
+	if err := proto.Unmarshal(data, into); err != nil {
+		return fmt.Errorf("%s: %w", key, err)
+	}
+	return nil
+}
+
+// getValue reads a value, nil if it was never put.
+func getValue(meta *bbolt.Bucket, key []byte) ([]byte, error) {
+	sealed := meta.Get(key)
+	if sealed == nil {
+		return nil, nil
+	}
+	value, err := unseal(sealed)
+	if err != nil {
+		return nil, fmt.Errorf("%s: %w", key, err)
+	}
+	return value, nil
+}
--- /dev/null
+++ b/raftlog/witness.go
@@ -0,0 +1,80 @@
+package raftlog
+
+import (
+	"encoding/binary"
+	"errors"
+	"os"
+)
+
+// slotBytes is the size of a slot of the witness: a batch number, its checksum, and unused bytes.
+const slotBytes = 16
+
+// batchNumberBytes is the size of a batch number on disk.
+const batchNumberBytes = 8
+
+// errNoSlot says that neither slot of a witness can be read.
+var errNoSlot = errors.New("neither of its slots can be read")
+
+// witness is a file that holds the number of the last batch beside the database.
+//
+// It guards against a database that went back: where bbolt's newest root page is damaged, bbolt opens the state of the
+// transaction before without an error, and a vote or an entry that was promised would be forgotten. The database's batch
+// number is then lower than the witness's.
+//
+// There are two slots, which batches use in turn: a crash in the middle of a write leaves the slot of the batch before.
+type witness struct {
+	file *os.File
+}
+
+// openWitness opens the file, or makes an empty one.
+func openWitness(path string) (*witness, error) {
+	file, err := os.OpenFile(path, os.O_RDWR|os.O_CREATE, 0o600)
+	if err != nil {
+		return nil, err
+	}
+	return &witness{file: file}, nil
+}
+
+// Record syncs the number of a batch that the database has.
+func (w *witness) Record(batch uint64) error {
+	slot := make([]byte, slotBytes)
+	binary.BigEndian.PutUint64(slot, batch)
+	binary.BigEndian.PutUint32(slot[batchNumberBytes:], checksum(slot[:batchNumberBytes]))
+	offset := int64(batch%2) * slotBytes
+	if _, err := w.file.WriteAt(slot, offset); err != nil {
+		return err
+	}
+	return w.file.Sync()
+}
+
+// LastBatch is the highest batch number that was recorded. The error is an *UnusableError if no slot can be read.
+func (w *witness) LastBatch() (uint64, error) {
+	last := uint64(0)
+	found := false
+	for _, offset := range []int64{0, slotBytes} {
+		batch, readable := w.readSlot(offset)
+		if readable {
+			last = max(last, batch)
+			found = true
+		}
+	}
+	if !found {
+		return 0, &UnusableError{Path: w.file.Name(), Reason: "the witness is damaged", Err: errNoSlot}
+	}
+	return last, nil
+}
+
+// readSlot gives the batch number of a slot, if the slot is there and not damaged.
+func (w *witness) readSlot(offset int64) (batch uint64, readable bool) {
+	slot := make([]byte, slotBytes)
+	if _, err := w.file.ReadAt(slot, offset); err != nil {
+		return 0, false
+	}
+	if binary.BigEndian.Uint32(slot[batchNumberBytes:]) != checksum(slot[:batchNumberBytes]) {
+		return 0, false
+	}
+	return binary.BigEndian.Uint64(slot), true
+}
+
+// Close closes the file.
+func (w *witness) Close() error { return w.file.Close() }
