--- a/cluster/turn.go
+++ b/cluster/advance.go
@@ -14,32 +14,32 @@
 // Advance does all that is due. What is to be kept is handed to save, and only once that has returned do the messages
 // that promise it leave. After an error of save the member must not go on.
 func (m *Member) Advance(save func(raftlog.Batch) error) (out []*raftpb.Message, done []AppliedCommand, reads []ReadState, err error) {
-	for m.raw.HasReady() {
-		ready := m.raw.Ready()
-		if err := m.keep(ready, save); err != nil {
+	for m.rawNode.HasReady() {
+		ready := m.rawNode.Ready()
+		if err := m.persist(ready, save); err != nil {
 			return nil, nil, nil, err
 		}
 		out = append(out, ready.Messages...)
-		m.noteSnapshots(ready.Messages)
+		m.trackSnapshots(ready.Messages)
 		for _, entry := range ready.CommittedEntries {
 			if err := m.apply(entry); err != nil {
 				return nil, nil, nil, err
 			}
 		}
-		m.noteReads(ready.ReadStates)
-		m.raw.Advance(ready)
+		m.confirmReads(ready.ReadStates)
+		m.rawNode.Advance(ready)
 	}
 	if err := m.compact(save); err != nil {
 		return nil, nil, nil, err
 	}
-	done, m.done = m.done, nil
-	return out, done, m.freshReads(), nil
+	done, m.appliedCommands = m.appliedCommands, nil
+	return out, done, m.takeReadyReads(), nil
 }
 
-// keep has what is new saved, and takes it into the log in memory and the state.
-func (m *Member) keep(ready raft.Ready, save func(raftlog.Batch) error) error {
+// persist has what is new saved, and takes it into the log in memory and the state.
+func (m *Member) persist(ready raft.Ready, save func(raftlog.Batch) error) error {
 	if ready.SoftState != nil {
-		m.lead, m.role = ready.SoftState.Lead, ready.SoftState.RaftState
+		m.leader, m.role = ready.SoftState.Lead, ready.SoftState.RaftState
 	}
 	batch := raftlog.Batch{Entries: ready.Entries}
 	if !raft.IsEmptyHardState(ready.HardState) {
@@ -58,62 +58,62 @@
 			return err
 		}
 	}
-	if err := m.append(ready.Entries); err != nil {
+	if err := m.appendEntries(ready.Entries); err != nil {
 		return err
 	}
 	if batch.HardState != nil {
-		return m.store.SetHardState(batch.HardState)
+		return m.storage.SetHardState(batch.HardState)
 	}
 	return nil
 }
 
 // restore takes a snapshot in place of the log in memory and of the state.
 func (m *Member) restore(snapshot *raftpb.Snapshot) error {
-	if err := m.store.ApplySnapshot(snapshot); err != nil {
+	if err := m.storage.ApplySnapshot(snapshot); err != nil {
 		return err
 	}
 	if err := m.State.Restore(snapshot.GetData()); err != nil {
 		return err
 	}
-	m.voters, m.applied = snapshot.GetMetadata().GetConfState(), snapshot.GetMetadata().GetIndex()
-	m.logBytes, m.snapshotBytes, m.changed = 0, len(snapshot.GetData()), false
+	m.confState, m.appliedIndex = snapshot.GetMetadata().GetConfState(), snapshot.GetMetadata().GetIndex()
+	m.logBytes, m.snapshotBytes, m.membersChanged = 0, len(snapshot.GetData()), false
 	return nil
 }
 
-// append takes entries into the log in memory.
-func (m *Member) append(entries []*raftpb.Entry) error {
+// appendEntries takes entries into the log in memory.
+func (m *Member) appendEntries(entries []*raftpb.Entry) error {
 	for _, entry := range entries {
 		m.logBytes += len(entry.GetData())
 	}
-	return m.store.Append(entries)
+	return m.storage.Append(entries)
 }
 
-// noteSnapshots notes the snapshots that leave, which may be lost on their way.
-func (m *Member) noteSnapshots(messages []*raftpb.Message) {
+// trackSnapshots notes the snapshots that leave, which may be lost on their way.
+func (m *Member) trackSnapshots(messages []*raftpb.Message) {
 	for _, message := range messages {
 		if message.GetType() == raftpb.MsgSnap {
-			m.sent[message.GetTo()] = snapshotElections * m.timing.ElectionTicks
+			m.snapshotsInFlight[message.GetTo()] = snapshotTimeoutElections * m.timing.ElectionTicks
 		}
 	}
 }
 
-// noteReads takes the answers to this member's requests for what is fresh.
-func (m *Member) noteReads(states []raft.ReadState) {
+// confirmReads takes the answers to this member's requests for what is fresh.
+func (m *Member) confirmReads(states []raft.ReadState) {
 	for _, state := range states {
 		var id, read uint64
-		if _, err := fmt.Sscanf(string(state.RequestCtx), "%d-%d", &id, &read); err == nil && id == m.ID && m.waiting[read] {
-			m.ready = append(m.ready, ReadState{read, state.Index})
+		if _, err := fmt.Sscanf(string(state.RequestCtx), "%d-%d", &id, &read); err == nil && id == m.ID && m.pendingReads[read] {
+			m.confirmedReads = append(m.confirmedReads, ReadState{read, state.Index})
 		}
 	}
 }
 
-// freshReads gives the reads whose answer the state has by now.
-func (m *Member) freshReads() (reads []ReadState) {
-	m.ready = slices.DeleteFunc(m.ready, func(r ReadState) bool {
-		if r.Index > m.applied {
+// takeReadyReads gives the reads whose answer the state has by now.
+func (m *Member) takeReadyReads() (reads []ReadState) {
+	m.confirmedReads = slices.DeleteFunc(m.confirmedReads, func(r ReadState) bool {
+		if r.Index > m.appliedIndex {
 			return false
 		}
-		delete(m.waiting, r.ID)
+		delete(m.pendingReads, r.ID)
 		reads = append(reads, r)
 		return true
 	})
@@ -121,20 +121,20 @@
 }
 
 func (m *Member) apply(entry *raftpb.Entry) error {
-	m.applied = entry.GetIndex()
+	m.appliedIndex = entry.GetIndex()
 	switch entry.GetType() {
 	case raftpb.EntryConfChange:
 		change := &raftpb.ConfChange{}
 		if err := proto.Unmarshal(entry.GetData(), change); err != nil {
 			return err
 		}
-		m.voters, m.changed = m.raw.ApplyConfChange(change), true
+		m.confState, m.membersChanged = m.rawNode.ApplyConfChange(change), true
 	case raftpb.EntryConfChangeV2:
 		change := &raftpb.ConfChangeV2{}
 		if err := proto.Unmarshal(entry.GetData(), change); err != nil {
 			return err
 		}
-		m.voters, m.changed = m.raw.ApplyConfChange(change), true
+		m.confState, m.membersChanged = m.rawNode.ApplyConfChange(change), true
 		for _, one := range change.GetChanges() {
 			if one.GetType() == raftpb.ConfChangeRemoveNode {
 				delete(m.State.Identities, one.GetNodeId())
@@ -145,7 +145,7 @@
 			return nil // a new leader's first
 		}
 		c, r := m.State.Apply(entry.GetIndex(), entry.GetTerm(), entry.GetData())
-		m.done = append(m.done, AppliedCommand{c, r, entry.GetIndex()})
+		m.appliedCommands = append(m.appliedCommands, AppliedCommand{c, r, entry.GetIndex()})
 	}
 	return nil
 }
--- a/cluster/command.go
+++ b/cluster/command.go
@@ -50,7 +50,7 @@
 
 // Validate says why a command would be refused whatever the state is; who proposes asks it first.
 func (s *State) Validate(c Command) error {
-	if err := validNames(c); err != nil {
+	if err := checkSizes(c); err != nil {
 		return err
 	}
 	switch c.Kind {
@@ -63,7 +63,7 @@
 	return nil
 }
 
-func validNames(c Command) error {
+func checkSizes(c Command) error {
 	switch {
 	case len(c.Client) == 0 || len(c.Client) > maxNameBytes || len(c.By) > maxNameBytes || len(c.Why) > maxReasonBytes || len(c.Identity) > maxNameBytes:
 		return fmt.Errorf("a name is missing or over %d bytes", maxNameBytes)
--- a/cluster/golden_test.go
+++ b/cluster/golden_test.go
@@ -156,7 +156,7 @@
 // of an earlier release.
 func TestGoldenTransport(t *testing.T) {
 	var out strings.Builder
-	fmt.Fprintln(&out, path, identityKey, knownKey)
+	fmt.Fprintln(&out, methodPrefix, identityKey, knownIdentityKey)
 	for _, method := range service.Methods {
 		fmt.Fprintln(&out, service.ServiceName, method.MethodName)
 	}
--- a/cluster/member.go
+++ b/cluster/member.go
@@ -18,11 +18,11 @@
 )
 
 const (
-	maxMessageBytes = 1 << 20 // of entries in one message
-	maxInflight     = 64      // messages to one member without an answer
-	maxReads        = 1024    // that wait to be told they are fresh
+	maxMessageBytes     = 1 << 20 // of entries in one message
+	maxInflightMessages = 64      // messages to one member without an answer
+	maxPendingReads     = 1024    // that wait to be told they are fresh
 
-	snapshotElections = 4 // election times after which a snapshot under way counts as lost
+	snapshotTimeoutElections = 4 // election times after which a snapshot under way counts as lost
 )
 
 // ErrNoLeader says that no leader is known to take a proposal or to tell what is fresh: a majority is not in reach.
@@ -46,23 +46,23 @@
 	RejectedMessages uint64 // messages of another disk under a known name
 	DiskReplaced     bool   // the group knows another disk under this name: this one must not go on
 
-	timing  Timing
-	raw     *raft.RawNode
-	store   *raft.MemoryStorage
-	voters  *raftpb.ConfState
-	applied uint64
-	seed    uint64
-	draws   uint64
-	quiet   int // ticks since the leader was heard or a vote given
-	timeout int
-	lead    uint64
-	role    raft.StateType
-	reads   uint64
-	waiting map[uint64]bool
-	ready   []ReadState
-	done    []AppliedCommand
-	changed bool           // who is in the group, since the last snapshot
-	sent    map[uint64]int // snapshots under way: ticks until one counts as lost
+	timing            Timing
+	rawNode           *raft.RawNode
+	storage           *raft.MemoryStorage
+	confState         *raftpb.ConfState
+	appliedIndex      uint64
+	electionSeed      uint64
+	electionDraws     uint64
+	electionElapsed   int // ticks since the leader was heard or a vote given
+	electionTimeout   int
+	leader            uint64
+	role              raft.StateType
+	lastReadID        uint64
+	pendingReads      map[uint64]bool
+	confirmedReads    []ReadState
+	appliedCommands   []AppliedCommand
+	membersChanged    bool           // who is in the group, since the last snapshot
+	snapshotsInFlight map[uint64]int // snapshots under way: ticks until one counts as lost
 
 	logBytes      int // of entries since the last snapshot
 	snapshotBytes int // of the last snapshot
@@ -83,29 +83,29 @@
 
 // Start makes a member of what its disk has. A disk that is new joins the voters that it is told, or waits to be added.
 func Start(id uint64, saved *raftlog.SavedState, voters []uint64, state *State, timing Timing, seed uint64) (*Member, raftlog.Batch, error) {
-	m := &Member{ID: id, Identity: saved.Identity, State: state, timing: timing, store: raft.NewMemoryStorage(), seed: seed,
-		waiting: map[uint64]bool{}, sent: map[uint64]int{}}
+	m := &Member{ID: id, Identity: saved.Identity, State: state, timing: timing, storage: raft.NewMemoryStorage(), electionSeed: seed,
+		pendingReads: map[uint64]bool{}, snapshotsInFlight: map[uint64]int{}}
 	var first raftlog.Batch
 	if raft.IsEmptyHardState(saved.HardState) && raft.IsEmptySnap(saved.Snapshot) && len(saved.Entries) == 0 && len(voters) > 0 {
 		var err error
-		if first, err = firstBatch(state, voters); err != nil {
+		if first, err = bootstrapBatch(state, voters); err != nil {
 			return nil, first, err
 		}
 		saved.Snapshot, saved.HardState = first.Snapshot, first.HardState
 	}
-	if err := m.load(saved); err != nil {
+	if err := m.loadSaved(saved); err != nil {
 		return nil, first, err
 	}
 	var err error
-	m.raw, err = raft.NewRawNode(&raft.Config{ID: id, ElectionTick: timing.ElectionTicks, HeartbeatTick: timing.HeartbeatTicks, Storage: m.store,
-		Applied: m.applied, MaxSizePerMsg: maxMessageBytes, MaxInflightMsgs: maxInflight, CheckQuorum: true, PreVote: true, StepDownOnRemoval: true,
+	m.rawNode, err = raft.NewRawNode(&raft.Config{ID: id, ElectionTick: timing.ElectionTicks, HeartbeatTick: timing.HeartbeatTicks, Storage: m.storage,
+		Applied: m.appliedIndex, MaxSizePerMsg: maxMessageBytes, MaxInflightMsgs: maxInflightMessages, CheckQuorum: true, PreVote: true, StepDownOnRemoval: true,
 		MaxUncommittedEntriesSize: 16 * maxMessageBytes, Logger: &raft.DefaultLogger{Logger: log.New(io.Discard, "", 0)}})
-	m.draw()
+	m.drawElectionTimeout()
 	return m, first, err
 }
 
-// firstBatch is what a new disk keeps: all voters begin with the same snapshot, in which they stand.
-func firstBatch(state *State, voters []uint64) (first raftlog.Batch, err error) {
+// bootstrapBatch is what a new disk keeps: all voters begin with the same snapshot, in which they stand.
+func bootstrapBatch(state *State, voters []uint64) (first raftlog.Batch, err error) {
 	data, err := state.Snapshot()
 	if err != nil {
 		return first, err
@@ -116,48 +116,48 @@
 	return first, nil
 }
 
-// load takes what the disk has into the state and the log in memory.
-func (m *Member) load(saved *raftlog.SavedState) error {
+// loadSaved takes what the disk has into the state and the log in memory.
+func (m *Member) loadSaved(saved *raftlog.SavedState) error {
 	if !raft.IsEmptySnap(saved.Snapshot) {
 		if err := m.restore(saved.Snapshot); err != nil {
 			return &raftlog.UnusableError{Reason: "its snapshot", Err: err}
 		}
 	}
-	if err := m.append(saved.Entries); err != nil {
+	if err := m.appendEntries(saved.Entries); err != nil {
 		return err
 	}
-	return m.store.SetHardState(saved.HardState)
+	return m.storage.SetHardState(saved.HardState)
 }
 
-// draw sets the time without a leader after which this member stands for election.
-func (m *Member) draw() {
-	m.draws++
+// drawElectionTimeout sets the time without a leader after which this member stands for election.
+func (m *Member) drawElectionTimeout() {
+	m.electionDraws++
 	h := fnv.New64a()
-	fmt.Fprint(h, m.seed, " ", m.draws, " ", m.ID)
+	fmt.Fprint(h, m.electionSeed, " ", m.electionDraws, " ", m.ID)
 	x := h.Sum64()
 	x = (x ^ x>>30) * 0xbf58476d1ce4e5b9
-	m.timeout = m.timing.ElectionTicks + int((x^x>>27)%uint64(m.timing.ElectionTicks))
+	m.electionTimeout = m.timing.ElectionTicks + int((x^x>>27)%uint64(m.timing.ElectionTicks))
 }
 
 // Tick lets a unit of time pass.
 func (m *Member) Tick() {
 	if m.role == raft.StateLeader {
-		m.raw.Tick() // a leader without a majority for an election's time steps down
-		for _, to := range slices.Sorted(maps.Keys(m.sent)) {
+		m.rawNode.Tick() // a leader without a majority for an election's time steps down
+		for _, to := range slices.Sorted(maps.Keys(m.snapshotsInFlight)) {
 			// A member that is sent a snapshot gets nothing else until that is known to have come: one that was lost
 			// on the way left it behind for good.
-			if m.sent[to]--; m.sent[to] <= 0 {
-				delete(m.sent, to)
-				m.raw.ReportSnapshot(to, raft.SnapshotFailure)
+			if m.snapshotsInFlight[to]--; m.snapshotsInFlight[to] <= 0 {
+				delete(m.snapshotsInFlight, to)
+				m.rawNode.ReportSnapshot(to, raft.SnapshotFailure)
 			}
 		}
 		return
 	}
-	m.raw.TickQuiesced()
-	if m.quiet++; m.quiet >= m.timeout {
-		m.quiet = 0
-		m.draw()
-		m.raw.Campaign() // asks first whether others would vote (pre-vote): one that was cut off disturbs no one
+	m.rawNode.TickQuiesced()
+	if m.electionElapsed++; m.electionElapsed >= m.electionTimeout {
+		m.electionElapsed = 0
+		m.drawElectionTimeout()
+		m.rawNode.Campaign() // asks first whether others would vote (pre-vote): one that was cut off disturbs no one
 	}
 }
 
@@ -173,14 +173,14 @@
 	}
 	switch message.GetType() {
 	case raftpb.MsgHeartbeat, raftpb.MsgApp, raftpb.MsgSnap:
-		if message.GetTerm() >= m.raw.BasicStatus().HardState.GetTerm() {
-			m.quiet = 0
+		if message.GetTerm() >= m.rawNode.BasicStatus().HardState.GetTerm() {
+			m.electionElapsed = 0
 		}
 	}
-	vote := m.raw.BasicStatus().HardState.GetVote()
-	m.raw.Step(message) // an error is a message that is of no use, as one of a member that was removed
-	if after := m.raw.BasicStatus().HardState.GetVote(); after != vote && after != 0 {
-		m.quiet = 0
+	vote := m.rawNode.BasicStatus().HardState.GetVote()
+	m.rawNode.Step(message) // an error is a message that is of no use, as one of a member that was removed
+	if after := m.rawNode.BasicStatus().HardState.GetVote(); after != vote && after != 0 {
+		m.electionElapsed = 0
 	}
 }
 
@@ -193,28 +193,28 @@
 	if err != nil {
 		return err
 	}
-	if m.lead == raft.None {
+	if m.leader == raft.None {
 		return ErrNoLeader
 	}
-	return m.raw.Propose(data)
+	return m.rawNode.Propose(data)
 }
 
 // RequestReadIndex asks for a time from which on the state is fresh; Turn gives the number back.
 func (m *Member) RequestReadIndex() (uint64, error) {
-	if m.lead == raft.None {
+	if m.leader == raft.None {
 		return 0, ErrNoLeader
 	}
-	if len(m.waiting) >= maxReads {
+	if len(m.pendingReads) >= maxPendingReads {
 		return 0, errors.New("too many reads wait")
 	}
-	m.reads++
-	m.waiting[m.reads] = true
-	m.raw.ReadIndex(fmt.Appendf(nil, "%d-%d", m.ID, m.reads))
-	return m.reads, nil
+	m.lastReadID++
+	m.pendingReads[m.lastReadID] = true
+	m.rawNode.ReadIndex(fmt.Appendf(nil, "%d-%d", m.ID, m.lastReadID))
+	return m.lastReadID, nil
 }
 
 // CancelRead forgets a read that waits: the leader that was asked may be gone.
-func (m *Member) CancelRead(id uint64) { delete(m.waiting, id) }
+func (m *Member) CancelRead(id uint64) { delete(m.pendingReads, id) }
 
 // MembershipChange is a change of who is in the group.
 type MembershipChange struct {
@@ -226,7 +226,7 @@
 // ChangeMembers proposes a change; of several members by joint consensus.
 func (m *Member) ChangeMembers(c MembershipChange) error {
 	if m.role != raft.StateLeader {
-		return fmt.Errorf("members are changed at the leader, which is %d", m.lead)
+		return fmt.Errorf("members are changed at the leader, which is %d", m.leader)
 	}
 	cc := &raftpb.ConfChangeV2{}
 	for kind, ids := range map[raftpb.ConfChangeType][]uint64{raftpb.ConfChangeAddNode: c.Add, raftpb.ConfChangeAddLearnerNode: c.Learn,
@@ -236,17 +236,17 @@
 		}
 	}
 	slices.SortFunc(cc.Changes, func(a, b *raftpb.ConfChangeSingle) int { return int(a.GetNodeId()) - int(b.GetNodeId()) })
-	return m.raw.ProposeConfChange(cc)
+	return m.rawNode.ProposeConfChange(cc)
 }
 
 // TransferLeadership has another member lead.
 func (m *Member) TransferLeadership(to uint64) error {
 	if m.role != raft.StateLeader {
-		return fmt.Errorf("leadership is handed over at the leader, which is %d", m.lead)
+		return fmt.Errorf("leadership is handed over at the leader, which is %d", m.leader)
 	}
-	m.raw.TransferLeader(to)
+	m.rawNode.TransferLeader(to)
 	return nil
 }
 
 // ReportUnreachable says that messages to a member are lost.
-func (m *Member) ReportUnreachable(id uint64) { m.raw.ReportUnreachable(id) }
+func (m *Member) ReportUnreachable(id uint64) { m.rawNode.ReportUnreachable(id) }
--- a/cluster/node.go
+++ b/cluster/node.go
@@ -18,16 +18,16 @@
 )
 
 const (
-	tickEvery      = 50 * time.Millisecond
-	electionTicks  = 10 // half a second to one without a leader
-	heartbeatTicks = 2
-	compactAfter   = 1000        // entries
-	inboxQueue     = 256         // requests that wait for the node's goroutine; more wait where they are made
-	setupEvery     = time.Second // between two proposals of a member for itself that were not agreed yet
+	tickInterval        = 50 * time.Millisecond
+	electionTicks       = 10 // half a second to one without a leader
+	heartbeatTicks      = 2
+	compactAfterEntries = 1000        // entries
+	requestQueueSize    = 256         // requests that wait for the node's goroutine; more wait where they are made
+	setupInterval       = time.Second // between two proposals of a member for itself that were not agreed yet
 )
 
 // DefaultTiming are the timings of nodes.
-var DefaultTiming = Timing{ElectionTicks: electionTicks, HeartbeatTicks: heartbeatTicks, CompactAfterEntries: compactAfter}
+var DefaultTiming = Timing{ElectionTicks: electionTicks, HeartbeatTicks: heartbeatTicks, CompactAfterEntries: compactAfterEntries}
 
 // Storage is what a node keeps its promises in.
 type Storage interface {
@@ -47,18 +47,18 @@
 	Log      *zap.Logger
 	Changed  chan struct{} // poked when another version is in force
 
-	member    *Member
-	disk      Storage
-	addresses map[uint64]string // as configured; what was agreed counts more
-	inbox     chan func()
-	done      chan struct{}
-	waiting   map[string][]chan Result // by proposal: one may be made again while it still waits
-	reads     map[uint64]chan Version
-	peers     map[uint64]chan *raftpb.Message // what waits for each
-
-	leader    uint64    // that was logged last
-	version   uint64    // that was logged last
-	setupTime time.Time // of the last proposal of this member for itself
+	member          *Member
+	storage         Storage
+	addresses       map[uint64]string // as configured; what was agreed counts more
+	requests        chan func()
+	stopped         chan struct{}
+	proposalWaiters map[string][]chan Result // by proposal: one may be made again while it still waits
+	readWaiters     map[uint64]chan Version
+	peerQueues      map[uint64]chan *raftpb.Message // what waits for each
+
+	loggedLeader  uint64    // that was logged last
+	loggedVersion uint64    // that was logged last
+	lastSetup     time.Time // of the last proposal of this member for itself
 }
 
 // NewNode makes a node of what its disk has. Voters are those that begin the group; a member that is added later has
@@ -76,9 +76,9 @@
 		return nil, err
 	}
 	return &Node{
-		member: member, disk: disk, addresses: addresses, Log: log, Changed: make(chan struct{}, 1),
-		inbox: make(chan func(), inboxQueue), done: make(chan struct{}),
-		waiting: map[string][]chan Result{}, reads: map[uint64]chan Version{}, peers: map[uint64]chan *raftpb.Message{},
+		member: member, storage: disk, addresses: addresses, Log: log, Changed: make(chan struct{}, 1),
+		requests: make(chan func(), requestQueueSize), stopped: make(chan struct{}),
+		proposalWaiters: map[string][]chan Result{}, readWaiters: map[uint64]chan Version{}, peerQueues: map[uint64]chan *raftpb.Message{},
 	}, nil
 }
 
@@ -91,12 +91,12 @@
 // Run drives the member until ctx ends or its disk fails: what can't be kept must not be promised.
 func (n *Node) Run(ctx context.Context) error {
 	n.member.State.OnCommit = n.OnCommit
-	tick := time.NewTicker(tickEvery)
+	tick := time.NewTicker(tickInterval)
 	defer tick.Stop()
 	ctx, cancel := context.WithCancel(ctx)
 	var sending sync.WaitGroup
 	defer sending.Wait()
-	defer close(n.done) // before the wait: who carries a message may wait for an answer of this loop
+	defer close(n.stopped) // before the wait: who carries a message may wait for an answer of this loop
 	defer cancel()
 	for {
 		select {
@@ -104,78 +104,78 @@
 			return nil
 		case <-tick.C:
 			n.member.Tick()
-		case do := <-n.inbox:
+		case do := <-n.requests:
 			do()
 		}
-		for range len(n.inbox) {
-			(<-n.inbox)()
+		for range len(n.requests) {
+			(<-n.requests)()
 		}
 		if n.member.DiskReplaced {
 			err := &raftlog.UnusableError{Reason: fmt.Sprintf("the group knows member %d by another disk: remove it and add this one under a new number", n.member.ID)}
 			n.Log.Error("this member stops", zap.Error(err))
 			return err
 		}
-		out, done, reads, err := n.member.Advance(n.disk.Save)
+		out, done, reads, err := n.member.Advance(n.storage.Save)
 		if err != nil {
 			n.Log.Error("this member stops: what it promises can't be kept", zap.Error(err))
 			return err
 		}
 		for _, message := range out {
-			n.send(ctx, &sending, message)
+			n.enqueue(ctx, &sending, message)
 		}
-		n.answer(done, reads)
-		n.setUp()
-		n.announce()
+		n.notifyWaiters(done, reads)
+		n.proposeSetup()
+		n.logChanges()
 	}
 }
 
-// answer tells results to who proposed and versions to who reads.
-func (n *Node) answer(done []AppliedCommand, reads []ReadState) {
+// notifyWaiters tells results to who proposed and versions to who reads.
+func (n *Node) notifyWaiters(done []AppliedCommand, reads []ReadState) {
 	for _, d := range done {
 		key := proposalKey(d.Command)
-		for _, answer := range n.waiting[key] {
+		for _, answer := range n.proposalWaiters[key] {
 			select {
 			case answer <- d.Result:
 			default: // it has one that it has not read, and may never
 			}
 		}
-		delete(n.waiting, key)
+		delete(n.proposalWaiters, key)
 	}
 	for _, r := range reads {
-		if answer := n.reads[r.ID]; answer != nil {
-			delete(n.reads, r.ID)
+		if answer := n.readWaiters[r.ID]; answer != nil {
+			delete(n.readWaiters, r.ID)
 			answer <- n.member.State.Latest()
 		}
 	}
 }
 
-// setUp proposes what a member has the group know by itself: its disk, and as the leader of a group that began with
+// proposeSetup proposes what a member has the group know by itself: its disk, and as the leader of a group that began with
 // whole texts, that revisions of records count from now on.
-func (n *Node) setUp() {
-	if n.member.Leader() == 0 || time.Since(n.setupTime) < setupEvery {
+func (n *Node) proposeSetup() {
+	if n.member.Leader() == 0 || time.Since(n.lastSetup) < setupInterval {
 		return
 	}
 	switch {
 	case !n.member.Registered():
-		n.setupTime = time.Now()
+		n.lastSetup = time.Now()
 		n.member.Propose(n.member.RegisterCommand())
 	case n.member.State.WholeTexts && n.member.IsLeader():
-		n.setupTime = time.Now()
+		n.lastSetup = time.Now()
 		n.member.Propose(n.member.FormatCommand())
 	}
 }
 
-// announce logs another leader or version, and pokes who waits for a version.
-func (n *Node) announce() {
-	if now := n.member.Leader(); now != n.leader {
-		n.leader = now
+// logChanges logs another leader or version, and pokes who waits for a version.
+func (n *Node) logChanges() {
+	if now := n.member.Leader(); now != n.loggedLeader {
+		n.loggedLeader = now
 		n.Log.Info("leader", zap.Uint64("member", now), zap.Uint64("term", n.member.Status().Term))
 	}
 	v := n.member.State.Latest()
-	if v.Number == n.version {
+	if v.Number == n.loggedVersion {
 		return
 	}
-	n.version = v.Number
+	n.loggedVersion = v.Number
 	n.Log.Info("version in force", zap.Uint64("number", v.Number), zap.String("by", v.By), zap.String("why", v.Why))
 	select {
 	case n.Changed <- struct{}{}:
--- a/cluster/node_test.go
+++ b/cluster/node_test.go
@@ -11,23 +11,23 @@
 	"harehook.dev/harehook/raftlog"
 )
 
-// memory is a log that a test lets a node keep its promises in.
-type memory struct{}
+// discardStorage is a log that a test lets a node keep its promises in.
+type discardStorage struct{}
 
-func (memory) Save(raftlog.Batch) error { return nil }
-func (memory) Close() error             { return nil }
+func (discardStorage) Save(raftlog.Batch) error { return nil }
+func (discardStorage) Close() error             { return nil }
 
-// alone starts a group of one and waits until it leads.
-func alone(t *testing.T) *Node { return started(t, func(*Node) {}) }
+// newLeader starts a group of one and waits until it leads.
+func newLeader(t *testing.T) *Node { return newLeaderWith(t, func(*Node) {}) }
 
-// started is alone with a node that is prepared before it runs.
-func started(t *testing.T, prepare func(*Node)) *Node {
-	return startedFrom(t, &raftlog.SavedState{Identity: "disk"}, NewState(plainText{}), prepare)
+// newLeaderWith is alone with a node that is prepared before it runs.
+func newLeaderWith(t *testing.T, prepare func(*Node)) *Node {
+	return newLeaderFrom(t, &raftlog.SavedState{Identity: "disk"}, NewState(plainText{}), prepare)
 }
 
-// startedFrom is started on what a disk has saved.
-func startedFrom(t *testing.T, saved *raftlog.SavedState, state *State, prepare func(*Node)) *Node {
-	n, err := NewNode(1, memory{}, saved, []uint64{1}, nil, state, zap.NewNop())
+// newLeaderFrom is started on what a disk has saved.
+func newLeaderFrom(t *testing.T, saved *raftlog.SavedState, state *State, prepare func(*Node)) *Node {
+	n, err := NewNode(1, discardStorage{}, saved, []uint64{1}, nil, state, zap.NewNop())
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -43,7 +43,7 @@
 			t.Error("the node does not end")
 		}
 	})
-	for until := time.Now().Add(20 * time.Second); ; time.Sleep(tickEvery) {
+	for until := time.Now().Add(20 * time.Second); ; time.Sleep(tickInterval) {
 		if r, err := n.Status(t.Context()); err == nil && r.Status.Leader == 1 {
 			return n
 		}
@@ -54,10 +54,10 @@
 }
 
 // A proposal that is made again while it still waits is answered to both who made it, in one go.
-func TestProposedTwice(t *testing.T) {
-	n := alone(t)
+func TestRepeatedProposalAnswersBothCallers(t *testing.T) {
+	n := newLeader(t)
 	hold := make(chan struct{})
-	n.inbox <- func() { <-hold } // both come in before the next turn
+	n.requests <- func() { <-hold } // both come in before the next turn
 	var both sync.WaitGroup
 	for range 2 {
 		both.Go(func() {
@@ -65,12 +65,12 @@
 			if r, err := n.Propose(t.Context(), put("operator", 1, 0, "text")); err != nil || r.Rejected != "" {
 				t.Errorf("%v, %v", r, err)
 			}
-			if took := time.Since(began); took > repeatEvery {
+			if took := time.Since(began); took > retryInterval {
 				t.Errorf("answered after %v", took)
 			}
 		})
 	}
-	for len(n.inbox) < 2 {
+	for len(n.requests) < 2 {
 		time.Sleep(time.Millisecond)
 	}
 	close(hold)
@@ -79,20 +79,20 @@
 
 // One who has an answer and does not read it, as its time is up, holds no one else up when the same proposal is carried
 // out again.
-func TestAnswerNotRead(t *testing.T) {
-	n := alone(t)
+func TestUnreadAnswerDoesNotBlockTheNode(t *testing.T) {
+	n := newLeader(t)
 	full, hold := make(chan Result, 1), make(chan struct{})
 	full <- Result{}
-	n.inbox <- func() { <-hold }
+	n.requests <- func() { <-hold }
 	answered := make(chan error, 1)
 	go func() {
 		_, err := n.Propose(context.Background(), put("operator", 1, 0, "text"))
 		answered <- err
 	}()
-	for len(n.inbox) < 1 {
+	for len(n.requests) < 1 {
 		time.Sleep(time.Millisecond)
 	}
-	n.inbox <- func() { n.await("operator 1", full) } // told of in the same turn as the proposal
+	n.requests <- func() { n.addWaiter("operator 1", full) } // told of in the same turn as the proposal
 	close(hold)
 	select {
 	case err := <-answered:
--- a/cluster/operators.go
+++ b/cluster/operators.go
@@ -54,7 +54,7 @@
 	Service string        `json:"service,omitempty"` // empty: all
 }
 
-func (in RecordsRequest) kinds() []records.Kind {
+func (in RecordsRequest) wantedKinds() []records.Kind {
 	if in.Kind != 0 {
 		return []records.Kind{in.Kind}
 	}
@@ -80,29 +80,29 @@
 }
 
 const (
-	// maxReadingBytes bounds the texts in one answer to an operator: half of a message.
-	maxReadingBytes = maxDeliverBytes / 2
+	// maxReadTextBytes bounds the texts in one answer to an operator: half of a message.
+	maxReadTextBytes = maxCallBytes / 2
 	// maxRecordsRead bounds the records in one answer, at some 150 bytes each, to a message.
 	maxRecordsRead = 300000
 )
 
-// path begins the names of the group's calls on the wire. Bodies are bytes: a raft message, or JSON for operators.
-const path = "/harehook.cluster.v1.Group/"
+// methodPrefix begins the names of the group's calls on the wire. Bodies are bytes: a raft message, or JSON for operators.
+const methodPrefix = "/harehook.cluster.v1.Group/"
 
-type group interface{ group() }
+type groupServer interface{ group() }
 
 func (n *Node) group() {}
 
-var service = grpc.ServiceDesc{ServiceName: "harehook.cluster.v1.Group", HandlerType: (*group)(nil), Methods: []grpc.MethodDesc{
-	method("Deliver", (*Node).deliver),
-	method("Propose", asked((*Node).propose)),
-	method("Read", asked((*Node).read)),
-	method("Records", asked((*Node).readRecords)),
-	method("Status", asked(func(n *Node, ctx context.Context, _ struct{}) (StatusReport, error) { return n.Status(ctx) })),
-	method("Members", asked((*Node).members)),
+var service = grpc.ServiceDesc{ServiceName: "harehook.cluster.v1.Group", HandlerType: (*groupServer)(nil), Methods: []grpc.MethodDesc{
+	unaryMethod("Deliver", (*Node).handleDeliver),
+	unaryMethod("Propose", jsonMethod((*Node).handlePropose)),
+	unaryMethod("Read", jsonMethod((*Node).handleRead)),
+	unaryMethod("Records", jsonMethod((*Node).handleRecords)),
+	unaryMethod("Status", jsonMethod(func(n *Node, ctx context.Context, _ struct{}) (StatusReport, error) { return n.Status(ctx) })),
+	unaryMethod("Members", jsonMethod((*Node).handleMembers)),
 }}
 
-func method(name string, do func(n *Node, ctx context.Context, body []byte) ([]byte, error)) grpc.MethodDesc {
+func unaryMethod(name string, do func(n *Node, ctx context.Context, body []byte) ([]byte, error)) grpc.MethodDesc {
 	return grpc.MethodDesc{MethodName: name, Handler: func(srv any, ctx context.Context, decode func(any) error, _ grpc.UnaryServerInterceptor) (any, error) {
 		var in wrapperspb.BytesValue
 		if err := decode(&in); err != nil {
@@ -123,8 +123,8 @@
 	}}
 }
 
-// asked is a call whose bodies are JSON.
-func asked[In, Out any](do func(n *Node, ctx context.Context, in In) (Out, error)) func(n *Node, ctx context.Context, body []byte) ([]byte, error) {
+// jsonMethod is a call whose bodies are JSON.
+func jsonMethod[In, Out any](do func(n *Node, ctx context.Context, in In) (Out, error)) func(n *Node, ctx context.Context, body []byte) ([]byte, error) {
 	return func(n *Node, ctx context.Context, body []byte) ([]byte, error) {
 		var in In
 		if err := json.Unmarshal(body, &in); err != nil {
@@ -145,15 +145,15 @@
 		return out, err
 	}
 	var got wrapperspb.BytesValue
-	if err := conn.Invoke(ctx, path+name, wrapperspb.Bytes(body), &got); err != nil {
+	if err := conn.Invoke(ctx, methodPrefix+name, wrapperspb.Bytes(body), &got); err != nil {
 		return out, err
 	}
 	return out, json.Unmarshal(got.GetValue(), &out)
 }
 
-// propose is an operator's proposal. What this conductor knows of its nodes and routes is asked here, before it goes
+// handlePropose is an operator's proposal. What this conductor knows of its nodes and routes is asked here, before it goes
 // into the log: there only the proposal itself counts.
-func (n *Node) propose(ctx context.Context, c Command) (r Result, err error) {
+func (n *Node) handlePropose(ctx context.Context, c Command) (r Result, err error) {
 	if c.Kind != CommandPut && c.Kind != CommandRollBack && c.Kind != CommandRecords {
 		return r, status.Error(codes.InvalidArgument, "operators put, change records or roll back")
 	}
@@ -161,17 +161,17 @@
 		return r, status.Error(codes.InvalidArgument, err.Error())
 	}
 	if n.CheckProposal != nil {
-		if err := n.checkBefore(ctx, c); err != nil {
+		if err := n.checkProposal(ctx, c); err != nil {
 			return r, err
 		}
 	}
 	return n.Propose(ctx, c)
 }
 
-// checkBefore asks Before about the records that a command would lead to, tenants left out.
-func (n *Node) checkBefore(ctx context.Context, c Command) error {
+// checkProposal asks Before about the records that a command would lead to, tenants left out.
+func (n *Node) checkProposal(ctx context.Context, c Command) error {
 	wholeTexts := false
-	if err := n.ask(ctx, func() { wholeTexts = n.member.State.WholeTexts }); err != nil {
+	if err := n.runOnLoop(ctx, func() { wholeTexts = n.member.State.WholeTexts }); err != nil {
 		return err
 	}
 	transaction, err := n.member.State.transaction(c, wholeTexts)
@@ -179,7 +179,7 @@
 		return nil // as a version that is not kept: the group refuses it and says so
 	}
 	held := n.member.State.Store().OfKinds(records.KindRoute, records.KindService, records.KindOverride).Records
-	proposed, err := overlay(held, transaction.Writes)
+	proposed, err := recordsAfter(held, transaction.Writes)
 	if err == nil {
 		err = n.CheckProposal(proposed)
 	}
@@ -189,8 +189,8 @@
 	return nil
 }
 
-// overlay gives records as they would be after writes, ordered by key and without tenants.
-func overlay(held []*records.Record, writes []records.Write) ([]*records.Record, error) {
+// recordsAfter gives records as they would be after writes, ordered by key and without tenants.
+func recordsAfter(held []*records.Record, writes []records.Write) ([]*records.Record, error) {
 	byKey := make(map[records.Key]*records.Record, len(held))
 	for _, record := range held {
 		byKey[record.Key] = record
@@ -209,15 +209,15 @@
 	return slices.SortedFunc(maps.Values(byKey), func(a, b *records.Record) int { return a.Key.Compare(b.Key) }), nil
 }
 
-func (n *Node) read(ctx context.Context, in ReadRequest) (out ReadResponse, err error) {
+func (n *Node) handleRead(ctx context.Context, in ReadRequest) (out ReadResponse, err error) {
 	var current Version
 	var kept []Version
 	if in.Linearizable {
-		if current, err = n.fresh(ctx); err != nil {
+		if current, err = n.confirmRead(ctx); err != nil {
 			return out, err
 		}
 	}
-	if err := n.ask(ctx, func() {
+	if err := n.runOnLoop(ctx, func() {
 		if !in.Linearizable {
 			current = n.member.State.Latest()
 		}
@@ -240,7 +240,7 @@
 // withTexts gives versions their texts, the newest first, as long as the answer has room. If only some are wanted, the
 // others get none; a version that lacks its text though it is wanted had no room or is not kept whole any more.
 func (n *Node) withTexts(versions []Version, only []uint64) []Version {
-	room := maxReadingBytes
+	room := maxReadTextBytes
 	for at := len(versions) - 1; at >= 0 && room > 0; at-- {
 		if only != nil && !slices.Contains(only, versions[at].Number) {
 			continue
@@ -253,9 +253,9 @@
 	return versions
 }
 
-// readRecords gives the records that an operator asks for, fresh.
-func (n *Node) readRecords(ctx context.Context, in RecordsRequest) (out RecordsResponse, err error) {
-	if _, err := n.fresh(ctx); err != nil {
+// handleRecords gives the records that an operator asks for, fresh.
+func (n *Node) handleRecords(ctx context.Context, in RecordsRequest) (out RecordsResponse, err error) {
+	if _, err := n.confirmRead(ctx); err != nil {
 		return out, err
 	}
 	store := n.member.State.Store()
@@ -268,7 +268,7 @@
 		out.Revision = store.Revision()
 		return out, nil
 	}
-	view := store.OfKinds(in.kinds()...)
+	view := store.OfKinds(in.wantedKinds()...)
 	out.Revision = view.Revision
 	for _, record := range view.Records {
 		if in.Service != "" && record.Service != in.Service {
@@ -285,7 +285,7 @@
 
 // Status tells what this member knows.
 func (n *Node) Status(ctx context.Context) (r StatusReport, err error) {
-	err = n.ask(ctx, func() {
+	err = n.runOnLoop(ctx, func() {
 		r = StatusReport{Status: n.member.Status(), Addresses: maps.Clone(n.addresses), Identities: maps.Clone(n.member.State.Identities),
 			RejectedMessages: n.member.RejectedMessages}
 		if r.Addresses == nil {
@@ -296,13 +296,13 @@
 	return r, err
 }
 
-// members changes who is in the group. One that is added is a learner first; promoting it is a change of its own.
-func (n *Node) members(ctx context.Context, in MembershipRequest) (r StatusReport, err error) {
-	if err := n.placeAdded(ctx, in); err != nil {
+// handleMembers changes who is in the group. One that is added is a learner first; promoting it is a change of its own.
+func (n *Node) handleMembers(ctx context.Context, in MembershipRequest) (r StatusReport, err error) {
+	if err := n.setAddedAddresses(ctx, in); err != nil {
 		return r, err
 	}
 	var fault error
-	if err := n.ask(ctx, func() {
+	if err := n.runOnLoop(ctx, func() {
 		if in.Lead != 0 {
 			fault = n.member.TransferLeadership(in.Lead)
 		} else if len(in.Change.Add)+len(in.Change.Learn)+len(in.Change.Remove) > 0 {
@@ -317,15 +317,15 @@
 	// What comes of it shows in the status.
 	end := time.Now().Add(requestTimeout / 2)
 	for {
-		if r, err = n.Status(ctx); err != nil || settled(r.Status, in) || time.Now().After(end) {
+		if r, err = n.Status(ctx); err != nil || membershipSettled(r.Status, in) || time.Now().After(end) {
 			return r, err
 		}
-		time.Sleep(tickEvery)
+		time.Sleep(tickInterval)
 	}
 }
 
-// placeAdded has the group know the address of those that are added.
-func (n *Node) placeAdded(ctx context.Context, in MembershipRequest) error {
+// setAddedAddresses has the group know the address of those that are added.
+func (n *Node) setAddedAddresses(ctx context.Context, in MembershipRequest) error {
 	if in.Address == "" {
 		return nil
 	}
@@ -341,8 +341,8 @@
 	return nil
 }
 
-// settled tells whether a change of members shows.
-func settled(s Status, in MembershipRequest) bool {
+// membershipSettled tells whether a change of members shows.
+func membershipSettled(s Status, in MembershipRequest) bool {
 	for _, id := range in.Change.Add {
 		if !slices.Contains(s.Voters, id) {
 			return false
--- a/cluster/requests.go
+++ b/cluster/proposals.go
@@ -14,15 +14,15 @@
 
 const (
 	requestTimeout = 10 * time.Second
-	repeatEvery    = time.Second // a proposal or a read that got no answer
+	retryInterval  = time.Second // a proposal or a read that got no answer
 )
 
-// ask has the member's goroutine do something and waits for it.
-func (n *Node) ask(ctx context.Context, do func()) error {
+// runOnLoop has the member's goroutine do something and waits for it.
+func (n *Node) runOnLoop(ctx context.Context, do func()) error {
 	ready := make(chan struct{})
 	select {
-	case n.inbox <- func() { do(); close(ready) }:
-	case <-n.done:
+	case n.requests <- func() { do(); close(ready) }:
+	case <-n.stopped:
 		return status.Error(codes.Unavailable, "the member has stopped")
 	case <-ctx.Done():
 		return ctx.Err()
@@ -30,7 +30,7 @@
 	select {
 	case <-ready:
 		return nil
-	case <-n.done:
+	case <-n.stopped:
 		return status.Error(codes.Unavailable, "the member has stopped")
 	}
 }
@@ -41,14 +41,14 @@
 	defer cancel()
 	key, answer := proposalKey(c), make(chan Result, 1)
 	var fault error
-	if err := n.ask(ctx, func() {
+	if err := n.runOnLoop(ctx, func() {
 		if fault = n.member.Propose(c); fault == nil {
-			n.await(key, answer)
+			n.addWaiter(key, answer)
 		}
 	}); err != nil {
 		return Result{}, err
 	}
-	again := time.NewTicker(repeatEvery)
+	again := time.NewTicker(retryInterval)
 	defer again.Stop()
 	for open := true; open; {
 		if fault != nil && !errors.Is(fault, ErrNoLeader) && !errors.Is(fault, raft.ErrProposalDropped) {
@@ -57,18 +57,18 @@
 		select {
 		case r := <-answer:
 			return r, nil
-		case <-n.done:
+		case <-n.stopped:
 			open = false
 		case <-ctx.Done():
 			open = false
 		case <-again.C:
 			// The leader may have gone with it: the same proposal again, which is carried out once at most.
-			if err := n.ask(ctx, func() { fault = n.member.Propose(c); n.await(key, answer) }); err != nil {
+			if err := n.runOnLoop(ctx, func() { fault = n.member.Propose(c); n.addWaiter(key, answer) }); err != nil {
 				open = false
 			}
 		}
 	}
-	n.ask(context.Background(), func() { n.giveUp(key, answer) })
+	n.runOnLoop(context.Background(), func() { n.removeWaiter(key, answer) })
 	if fault != nil {
 		return Result{}, fault // it never left this member
 	}
@@ -78,39 +78,39 @@
 // proposalKey names a proposal: a repeat has the same.
 func proposalKey(c Command) string { return fmt.Sprint(c.Client, " ", c.Seq) }
 
-// giveUp has no result told any more to one who proposed.
-func (n *Node) giveUp(key string, answer chan Result) {
-	n.waiting[key] = slices.DeleteFunc(n.waiting[key], func(other chan Result) bool { return other == answer })
-	if len(n.waiting[key]) == 0 {
-		delete(n.waiting, key)
+// removeWaiter has no result told any more to one who proposed.
+func (n *Node) removeWaiter(key string, answer chan Result) {
+	n.proposalWaiters[key] = slices.DeleteFunc(n.proposalWaiters[key], func(other chan Result) bool { return other == answer })
+	if len(n.proposalWaiters[key]) == 0 {
+		delete(n.proposalWaiters, key)
 	}
 }
 
-// await has a result told to one more who proposed it.
-func (n *Node) await(key string, answer chan Result) {
-	if !slices.Contains(n.waiting[key], answer) {
-		n.waiting[key] = append(n.waiting[key], answer)
+// addWaiter has a result told to one more who proposed it.
+func (n *Node) addWaiter(key string, answer chan Result) {
+	if !slices.Contains(n.proposalWaiters[key], answer) {
+		n.proposalWaiters[key] = append(n.proposalWaiters[key], answer)
 	}
 }
 
 // ReadLinearizable gives the version in force, with its text, once this member has all that was agreed when it was asked.
 func (n *Node) ReadLinearizable(ctx context.Context) (Version, error) {
-	v, err := n.fresh(ctx)
+	v, err := n.confirmRead(ctx)
 	if err != nil {
 		return Version{}, err
 	}
 	return n.withText(v)
 }
 
-// fresh is Fresh without the text.
-func (n *Node) fresh(ctx context.Context) (Version, error) {
+// confirmRead is Fresh without the text.
+func (n *Node) confirmRead(ctx context.Context) (Version, error) {
 	ctx, cancel := context.WithTimeout(ctx, requestTimeout)
 	defer cancel()
 	for {
 		answer, id := make(chan Version, 1), uint64(0)
-		if err := n.ask(ctx, func() {
+		if err := n.runOnLoop(ctx, func() {
 			if asked, err := n.member.RequestReadIndex(); err == nil {
-				id, n.reads[asked] = asked, answer
+				id, n.readWaiters[asked] = asked, answer
 			}
 		}); err != nil {
 			return Version{}, err
@@ -118,14 +118,14 @@
 		select {
 		case v := <-answer:
 			return v, nil
-		case <-n.done:
+		case <-n.stopped:
 			return Version{}, ErrNoLeader
-		case <-time.After(repeatEvery):
+		case <-time.After(retryInterval):
 		case <-ctx.Done():
 		}
 		if id != 0 {
-			if err := n.ask(context.Background(), func() {
-				delete(n.reads, id)
+			if err := n.runOnLoop(context.Background(), func() {
+				delete(n.readWaiters, id)
 				n.member.CancelRead(id)
 			}); err != nil {
 				return Version{}, err
@@ -139,7 +139,7 @@
 
 // ReadLocal is the version in force here with its text, fresh or not.
 func (n *Node) ReadLocal(ctx context.Context) (v Version, err error) {
-	if err := n.ask(ctx, func() { v = n.member.State.Latest() }); err != nil {
+	if err := n.runOnLoop(ctx, func() { v = n.member.State.Latest() }); err != nil {
 		return v, err
 	}
 	return n.withText(v)
--- a/cluster/snapshot.go
+++ b/cluster/snapshot.go
@@ -11,24 +11,24 @@
 )
 
 const (
-	// stateMagic begins a snapshot. Those of the first format are JSON, which begins otherwise.
-	stateMagic = "harehook group state\n"
-	// stateFormat is the version of a snapshot's encoding: the magic, this number, the length of the head, the head as
+	// snapshotMagic begins a snapshot. Those of the first format are JSON, which begins otherwise.
+	snapshotMagic = "harehook group state\n"
+	// snapshotFormat is the version of a snapshot's encoding: the magic, this number, the length of the head, the head as
 	// JSON, and the snapshot of the records. Format 1 had whole texts.
-	stateFormat = 2
+	snapshotFormat = 2
 )
 
-// savedHead is what a snapshot has beside the records. Maps are encoded with their keys in order.
-type savedHead struct {
+// snapshotHeader is what a snapshot has beside the records. Maps are encoded with their keys in order.
+type snapshotHeader struct {
 	WholeTexts bool                `json:"whole_texts,omitempty"`
-	Versions   []savedVersion      `json:"versions"`
+	Versions   []snapshotVersion   `json:"versions"`
 	Clients    map[string]*session `json:"clients"`
 	Identities map[uint64]string   `json:"identities"`
 	Addresses  map[uint64]string   `json:"addresses"`
 }
 
-// savedVersion is a version without its text.
-type savedVersion struct {
+// snapshotVersion is a version without its text.
+type snapshotVersion struct {
 	Number uint64 `json:"number"`
 	Term   uint64 `json:"term"`
 	By     string `json:"by,omitempty"`
@@ -38,18 +38,18 @@
 
 // Snapshot is the state as bytes; equal states give equal ones. It costs by the size of the state.
 func (s *State) Snapshot() ([]byte, error) {
-	head := savedHead{WholeTexts: s.WholeTexts, Clients: s.sessions.byClient, Identities: s.Identities, Addresses: s.Addresses}
+	head := snapshotHeader{WholeTexts: s.WholeTexts, Clients: s.sessions.byClient, Identities: s.Identities, Addresses: s.Addresses}
 	for _, v := range s.Versions {
-		head.Versions = append(head.Versions, savedVersion{Number: v.Number, Term: v.Term, By: v.By, Why: v.Why, At: v.At})
+		head.Versions = append(head.Versions, snapshotVersion{Number: v.Number, Term: v.Term, By: v.By, Why: v.Why, At: v.At})
 	}
 	text, err := json.Marshal(head)
 	if err != nil {
 		return nil, err
 	}
 	held := s.store.Snapshot()
-	out := make([]byte, 0, len(stateMagic)+2*binary.MaxVarintLen64+len(text)+len(held))
-	out = append(out, stateMagic...)
-	out = binary.AppendUvarint(out, stateFormat)
+	out := make([]byte, 0, len(snapshotMagic)+2*binary.MaxVarintLen64+len(text)+len(held))
+	out = append(out, snapshotMagic...)
+	out = binary.AppendUvarint(out, snapshotFormat)
 	out = binary.AppendUvarint(out, uint64(len(text)))
 	out = append(out, text...)
 	return append(out, held...), nil
@@ -59,7 +59,7 @@
 func (s *State) Restore(data []byte) error {
 	next := NewState(s.format)
 	var err error
-	if held, is := bytes.CutPrefix(data, []byte(stateMagic)); is {
+	if held, is := bytes.CutPrefix(data, []byte(snapshotMagic)); is {
 		err = next.decode(held)
 	} else {
 		err = next.decodeWholeTexts(data)
@@ -77,8 +77,8 @@
 
 func (s *State) decode(data []byte) error {
 	format, size := binary.Uvarint(data)
-	if size <= 0 || format != stateFormat {
-		return fmt.Errorf("the state's format is %d, %d and older ones are known", format, stateFormat)
+	if size <= 0 || format != snapshotFormat {
+		return fmt.Errorf("the state's format is %d, %d and older ones are known", format, snapshotFormat)
 	}
 	data = data[size:]
 	length, size := binary.Uvarint(data)
@@ -86,20 +86,20 @@
 		return errors.New("the state is cut short")
 	}
 	data = data[size:]
-	var head savedHead
+	var head snapshotHeader
 	if err := json.Unmarshal(data[:length], &head); err != nil {
 		return fmt.Errorf("the state's head: %w", err)
 	}
 	for _, v := range head.Versions {
 		s.Versions = append(s.Versions, Version{Number: v.Number, Term: v.Term, By: v.By, Why: v.Why, At: v.At})
 	}
-	s.takeHead(head)
+	s.restoreHeader(head)
 	return s.store.Restore(data[length:])
 }
 
-// takeHead takes what both formats have beside the configuration.
-func (s *State) takeHead(head savedHead) {
-	s.WholeTexts, s.sessions = head.WholeTexts, restored(head.Clients)
+// restoreHeader takes what both formats have beside the configuration.
+func (s *State) restoreHeader(head snapshotHeader) {
+	s.WholeTexts, s.sessions = head.WholeTexts, restoreSessions(head.Clients)
 	if head.Identities != nil {
 		s.Identities = head.Identities
 	}
@@ -120,10 +120,10 @@
 	if err := json.Unmarshal(data, &saved); err != nil {
 		return err
 	}
-	s.takeHead(savedHead{WholeTexts: true, Clients: saved.Clients, Identities: saved.Identities, Addresses: saved.Addresses})
+	s.restoreHeader(snapshotHeader{WholeTexts: true, Clients: saved.Clients, Identities: saved.Identities, Addresses: saved.Addresses})
 	var fault error
 	for _, v := range saved.Versions {
-		if fault = s.convert(v); fault != nil {
+		if fault = s.addWholeText(v); fault != nil {
 			s.Versions, s.store = nil, records.NewStore()
 			continue
 		}
@@ -137,8 +137,8 @@
 	return nil
 }
 
-// convert takes a version of the first format in as records.
-func (s *State) convert(v Version) error {
+// addWholeText takes a version of the first format in as records.
+func (s *State) addWholeText(v Version) error {
 	transaction, err := s.transaction(Command{Kind: CommandPut, Text: v.Text}, s.WholeTexts)
 	if err != nil {
 		return err
--- a/cluster/state.go
+++ b/cluster/state.go
@@ -91,7 +91,7 @@
 		if c.Seq < last.Seq {
 			return c, Result{s.Latest().Number, "a later proposal of this client came first"}
 		}
-		s.sessions.use(last, index)
+		s.sessions.touch(last, index)
 		return c, last.Result
 	}
 	number, err := s.apply(index, term, c)
@@ -100,8 +100,8 @@
 	} else {
 		r = Result{Version: number}
 	}
-	if validNames(Command{Client: c.Client}) == nil {
-		s.sessions.remember(c.Client, c.Seq, r, index)
+	if checkSizes(Command{Client: c.Client}) == nil {
+		s.sessions.record(c.Client, c.Seq, r, index)
 	}
 	return c, r
 }
@@ -113,11 +113,11 @@
 	}
 	switch c.Kind {
 	case CommandPut, CommandRollBack, CommandRecords:
-		return index, s.configure(index, term, c)
+		return index, s.applyConfiguration(index, term, c)
 	case CommandRegister:
 		err = s.register(c)
 	case CommandSetAddress:
-		err = s.place(c)
+		err = s.setAddress(c)
 	case CommandSetFormat:
 		s.WholeTexts = false
 	default:
@@ -134,7 +134,7 @@
 	return nil
 }
 
-func (s *State) place(c Command) error {
+func (s *State) setAddress(c Command) error {
 	if c.Member == 0 || c.Text == "" || len(c.Text) > maxNameBytes {
 		return fmt.Errorf("a member's number and address are needed")
 	}
@@ -142,9 +142,9 @@
 	return nil
 }
 
-// configure changes the records by a command, as a new version.
-func (s *State) configure(index, term uint64, c Command) error {
-	if err := s.configurable(c); err != nil {
+// applyConfiguration changes the records by a command, as a new version.
+func (s *State) applyConfiguration(index, term uint64, c Command) error {
+	if err := s.checkPreconditions(c); err != nil {
 		return err
 	}
 	transaction, err := s.transaction(c, s.WholeTexts)
@@ -165,8 +165,8 @@
 	return nil
 }
 
-// configurable says why a command can't change the version in force.
-func (s *State) configurable(c Command) error {
+// checkPreconditions says why a command can't change the version in force.
+func (s *State) checkPreconditions(c Command) error {
 	now := s.Latest().Number
 	if c.Kind == CommandRecords {
 		if s.WholeTexts {
--- a/cluster/state_test.go
+++ b/cluster/state_test.go
@@ -12,16 +12,16 @@
 	"harehook.dev/harehook/records"
 )
 
-// script applies commands one after the other and notes what became of each.
-type script struct {
-	t     *testing.T
-	state *State
-	index uint64
-	said  []string
+// commandScript applies commands one after the other and notes what became of each.
+type commandScript struct {
+	t       *testing.T
+	state   *State
+	index   uint64
+	results []string
 }
 
-func newScript(t *testing.T) *script {
-	return &script{t: t, index: 10, state: NewState(plainText{})}
+func newCommandScript(t *testing.T) *commandScript {
+	return &commandScript{t: t, index: 10, state: NewState(plainText{})}
 }
 
 // plainText is a format in which every text is a configuration of one route, unless it says that it is bad.
@@ -44,14 +44,14 @@
 	return text
 }
 
-func (l *script) do(c Command) Result {
+func (l *commandScript) apply(c Command) Result {
 	data, err := json.Marshal(c)
 	if err != nil {
 		l.t.Fatal(err)
 	}
 	l.index++
 	_, r := l.state.Apply(l.index, 3, data)
-	l.said = append(l.said, fmt.Sprint(r.Version, " ", r.Rejected))
+	l.results = append(l.results, fmt.Sprint(r.Version, " ", r.Rejected))
 	return r
 }
 
@@ -59,29 +59,29 @@
 	return Command{Kind: CommandPut, Client: client, Seq: seq, Base: base, Text: text}
 }
 
-func TestState(t *testing.T) {
-	l := newScript(t)
-	l.do(put("a", 1, 0, "one"))
-	l.do(put("b", 1, 0, "other")) // did not see it
-	l.do(put("a", 1, 0, "one"))   // its answer was lost
-	l.do(put("a", 2, 11, "bad"))
-	l.do(put("a", 3, 11, "two"))
-	l.do(put("a", 2, 11, "late"))
-	l.do(Command{Kind: CommandRollBack, Client: "a", Seq: 4, Base: 15, To: 11})
-	l.do(Command{Kind: CommandRollBack, Client: "a", Seq: 5, Base: 17, To: 99})
-	l.do(Command{Kind: CommandRegister, Client: "m", Seq: 1, Member: 2, Identity: "x"})
-	l.do(Command{Kind: CommandRegister, Client: "n", Seq: 1, Member: 2, Identity: "y"})
-	l.do(Command{Kind: "dance", Client: "a", Seq: 6})
-	l.do(put("", 1, 17, "nobody's"))
-	l.do(put("a", 7, 17, strings.Repeat("x", maxTextBytes+1)))
+func TestCommandsAndTheirResults(t *testing.T) {
+	l := newCommandScript(t)
+	l.apply(put("a", 1, 0, "one"))
+	l.apply(put("b", 1, 0, "other")) // did not see it
+	l.apply(put("a", 1, 0, "one"))   // its answer was lost
+	l.apply(put("a", 2, 11, "bad"))
+	l.apply(put("a", 3, 11, "two"))
+	l.apply(put("a", 2, 11, "late"))
+	l.apply(Command{Kind: CommandRollBack, Client: "a", Seq: 4, Base: 15, To: 11})
+	l.apply(Command{Kind: CommandRollBack, Client: "a", Seq: 5, Base: 17, To: 99})
+	l.apply(Command{Kind: CommandRegister, Client: "m", Seq: 1, Member: 2, Identity: "x"})
+	l.apply(Command{Kind: CommandRegister, Client: "n", Seq: 1, Member: 2, Identity: "y"})
+	l.apply(Command{Kind: "dance", Client: "a", Seq: 6})
+	l.apply(put("", 1, 17, "nobody's"))
+	l.apply(put("a", 7, 17, strings.Repeat("x", maxTextBytes+1)))
 	_, r := l.state.Apply(99, 3, []byte("{"))
-	l.said = append(l.said, fmt.Sprint(r.Version, " ", r.Rejected))
+	l.results = append(l.results, fmt.Sprint(r.Version, " ", r.Rejected))
 	if diff := cmp.Diff([]string{
 		"11 ", "11 it changes version 0, and version 11 is in force: look at what came between", "11 ", "11 it is bad", "15 ",
 		"15 a later proposal of this client came first", "17 ", "17 version 99 is not kept", "17 ",
 		"17 member 2 is known by another disk: remove it and add it under a new number", "17 a command \"dance\" is not known",
 		"17 a name is missing or over 200 bytes", "17 a text of 262145 bytes, 262144 at most", "17 it can't be read",
-	}, l.said); diff != "" {
+	}, l.results); diff != "" {
 		t.Error(diff)
 	}
 	if v := l.state.Current(); v.Text != "one" || v.Number != 17 || v.Term != 3 {
@@ -90,10 +90,10 @@
 }
 
 // A state that was restored from a snapshot goes on as the one that it was taken of.
-func TestSnapshot(t *testing.T) {
-	l := newScript(t)
+func TestRestoredStateGoesOnAsTheOriginal(t *testing.T) {
+	l := newCommandScript(t)
 	for n := range uint64(maxClients + maxVersions + 5) {
-		l.do(put(fmt.Sprint("client-", n), 1, l.state.Current().Number, fmt.Sprint("text ", n)))
+		l.apply(put(fmt.Sprint("client-", n), 1, l.state.Current().Number, fmt.Sprint("text ", n)))
 	}
 	if len(l.state.Versions) != maxVersions || len(l.state.sessions.byClient) != maxClients {
 		t.Errorf("%d versions and %d clients are kept", len(l.state.Versions), len(l.state.sessions.byClient))
@@ -102,7 +102,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	other := newScript(t)
+	other := newCommandScript(t)
 	if err := other.state.Restore(data); err != nil {
 		t.Fatal(err)
 	}
@@ -112,7 +112,7 @@
 	}
 	other.index = l.index
 	for k, c := range []Command{put("x", 1, 0, "late"), put("client-1000", 1, 5, "again"), put("x", 2, l.state.Current().Number, "next")} {
-		if a, b := l.do(c), other.do(c); a != b {
+		if a, b := l.apply(c), other.apply(c); a != b {
 			t.Errorf("command %d: %+v and %+v", k, a, b)
 		}
 	}
--- a/cluster/shutdown_test.go
+++ b/cluster/stop_test.go
@@ -17,10 +17,10 @@
 
 // A node that ends while a message is on its way ends all the same: who carries the message has asked for the address,
 // and the loop that would answer is over.
-func TestEndWhileCarrying(t *testing.T) {
+func TestNodeStopsWhileAMessageWaits(t *testing.T) {
 	ended := make(chan error, shutdownRounds)
 	for range shutdownRounds {
-		go func() { ended <- endWhileCarrying() }()
+		go func() { ended <- stopWhileAMessageWaits() }()
 	}
 	limit := time.After(30 * time.Second)
 	for k := range shutdownRounds {
@@ -35,9 +35,9 @@
 	}
 }
 
-// endWhileCarrying starts a node whose two fellow members are away, and ends it while a message waits to be carried.
-func endWhileCarrying() error {
-	node, err := NewNode(1, memory{}, &raftlog.SavedState{Identity: "disk"}, []uint64{1, 2, 3}, nil, NewState(plainText{}), zap.NewNop())
+// stopWhileAMessageWaits starts a node whose two fellow members are away, and ends it while a message waits to be carried.
+func stopWhileAMessageWaits() error {
+	node, err := NewNode(1, discardStorage{}, &raftlog.SavedState{Identity: "disk"}, []uint64{1, 2, 3}, nil, NewState(plainText{}), zap.NewNop())
 	if err != nil {
 		return err
 	}
@@ -45,16 +45,16 @@
 	defer cancel()
 	result := make(chan error, 1)
 	go func() { result <- node.Run(ctx) }()
-	for carried := false; !carried; time.Sleep(tickEvery) {
-		if err := node.ask(ctx, func() { carried = node.peers[2] != nil }); err != nil {
+	for carried := false; !carried; time.Sleep(tickInterval) {
+		if err := node.runOnLoop(ctx, func() { carried = node.peerQueues[2] != nil }); err != nil {
 			return err
 		}
 	}
 	hold := make(chan struct{})
-	node.inbox <- func() { <-hold }
-	node.inbox <- func() { // the last one that the loop takes in this turn: what it causes waits for the next
-		node.peers[2] <- &raftpb.Message{To: proto.Uint64(2)}
-		for len(node.inbox) == 0 {
+	node.requests <- func() { <-hold }
+	node.requests <- func() { // the last one that the loop takes in this turn: what it causes waits for the next
+		node.peerQueues[2] <- &raftpb.Message{To: proto.Uint64(2)}
+		for len(node.requests) == 0 {
 			time.Sleep(time.Millisecond)
 		}
 		cancel()
--- a/cluster/text.go
+++ b/cluster/texts.go
@@ -28,14 +28,14 @@
 		if err != nil {
 			return records.Transaction{}, err
 		}
-		return s.replacing(parsed, wholeTexts)
+		return s.replacement(parsed, wholeTexts)
 	case CommandRollBack:
 		if wholeTexts {
 			held, kept := s.store.At(c.To)
 			if !kept {
 				return records.Transaction{}, errNotKept(c.To)
 			}
-			return s.replacing(held, wholeTexts)
+			return s.replacement(held, wholeTexts)
 		}
 		transaction, kept := s.store.Reversal(c.To)
 		if !kept {
@@ -51,9 +51,9 @@
 	return fmt.Errorf("the changes since version %d are not kept", number)
 }
 
-// replacing is the transaction after which the records are those of a whole text. Services and tenants stay as they are
+// replacement is the transaction after which the records are those of a whole text. Services and tenants stay as they are
 // if the text names none: a text of routes and overrides alone, as written before there were others, leaves them be.
-func (s *State) replacing(parsed []*records.Record, wholeTexts bool) (records.Transaction, error) {
+func (s *State) replacement(parsed []*records.Record, wholeTexts bool) (records.Transaction, error) {
 	transaction := records.Transaction{Restamp: wholeTexts}
 	named := make(map[records.Key]bool, len(parsed))
 	replaced := map[records.Kind]bool{records.KindRoute: true, records.KindOverride: true}
--- a/cluster/records_test.go
+++ b/cluster/transactions_test.go
@@ -28,15 +28,15 @@
 	return Command{Kind: CommandRecords, Client: client, Seq: 1, Writes: writes, By: "operator", Why: "why"}
 }
 
-// TestTransactions changes records beside whole texts: conflicts are named, a transaction counts as a version, and going
+// TestTransactionsBesideWholeTexts changes records beside whole texts: conflicts are named, a transaction counts as a version, and going
 // back reverses it.
-func TestTransactions(t *testing.T) {
-	l := newScript(t)
+func TestTransactionsBesideWholeTexts(t *testing.T) {
+	l := newCommandScript(t)
 	var changes []records.Change
 	l.state.OnCommit = func(c records.Change) { changes = append(changes, c) }
 	refused := func(c Command, want string) {
 		t.Helper()
-		if r := l.do(c); want == "" && r.Rejected != "" || !strings.Contains(r.Rejected, want) {
+		if r := l.apply(c); want == "" && r.Rejected != "" || !strings.Contains(r.Rejected, want) {
 			t.Errorf("%q, want %q", r.Rejected, want)
 		}
 	}
@@ -79,27 +79,27 @@
 	}
 }
 
-// TestBackToForgotten goes back to a version whose changes are not kept any more, which is refused and changes nothing.
-func TestBackToForgotten(t *testing.T) {
-	l := newScript(t)
-	l.do(put("a", 1, 0, "one"))
-	l.do(put("b", 1, 11, "two"))
+// TestRollBackToForgottenVersionIsRejected goes back to a version whose changes are not kept any more, which is refused and changes nothing.
+func TestRollBackToForgottenVersionIsRejected(t *testing.T) {
+	l := newCommandScript(t)
+	l.apply(put("a", 1, 0, "one"))
+	l.apply(put("b", 1, 11, "two"))
 	l.state.Store().Forget()
-	if r := l.do(Command{Kind: CommandRollBack, Client: "c", Seq: 1, Base: 12, To: 11}); r.Rejected != "the changes since version 11 are not kept" || r.Version != 12 {
+	if r := l.apply(Command{Kind: CommandRollBack, Client: "c", Seq: 1, Base: 12, To: 11}); r.Rejected != "the changes since version 11 are not kept" || r.Version != 12 {
 		t.Errorf("%+v", r)
 	}
 }
 
-// TestOldestClientIsForgotten compares the sessions with a search for the oldest at each command.
-func TestOldestClientIsForgotten(t *testing.T) {
+// TestLeastRecentlyUsedClientIsForgotten compares the sessions with a search for the oldest at each command.
+func TestLeastRecentlyUsedClientIsForgotten(t *testing.T) {
 	random := rand.New(rand.NewPCG(1, 1))
 	s, plain := newSessions(), map[string]uint64{}
 	for index := range uint64(20000) {
 		client := fmt.Sprint(random.IntN(3 * maxClients))
 		if one := s.byClient[client]; one != nil && random.IntN(2) == 0 {
-			s.use(one, index)
+			s.touch(one, index)
 		} else {
-			s.remember(client, index, Result{}, index)
+			s.record(client, index, Result{}, index)
 		}
 		plain[client] = index
 		if len(plain) > maxClients {
@@ -112,14 +112,14 @@
 			delete(plain, oldest)
 		}
 		if index == 10000 {
-			s = restored(s.byClient)
+			s = restoreSessions(s.byClient)
 		}
 	}
-	if len(plain) != len(s.byClient) || s.recent.Len() != len(plain) {
-		t.Fatalf("%d, %d and %d clients", len(plain), len(s.byClient), s.recent.Len())
+	if len(plain) != len(s.byClient) || s.byLastIndex.Len() != len(plain) {
+		t.Fatalf("%d, %d and %d clients", len(plain), len(s.byClient), s.byLastIndex.Len())
 	}
 	for client, used := range plain {
-		if one := s.byClient[client]; one == nil || one.Used != used {
+		if one := s.byClient[client]; one == nil || one.LastIndex != used {
 			t.Fatalf("client %s: %+v, used at %d", client, one, used)
 		}
 	}
@@ -209,7 +209,7 @@
 	return cost
 }
 
-func (small entryCost) grownTooMuch(large entryCost) string {
+func (small entryCost) growthFault(large entryCost) string {
 	const most = 1.2
 	if large.allocations > most*small.allocations || large.bytes > most*small.bytes || large.logBytes > most*small.logBytes {
 		return fmt.Sprintf("%+v at a tenth, %+v at the whole", small, large)
@@ -217,34 +217,34 @@
 	return ""
 }
 
-// TestEntryCostsByItsChange compares the entry of one change, its application and the memory that takes at a tenth of
+// TestEntryCostDoesNotGrowWithTheState compares the entry of one change, its application and the memory that takes at a tenth of
 // the expected size and at the whole: counts and bytes, not times.
-func TestEntryCostsByItsChange(t *testing.T) {
+func TestEntryCostDoesNotGrowWithTheState(t *testing.T) {
 	small, large := costOfEntry(t, 0.1, nil), costOfEntry(t, 1, nil)
 	t.Logf("a tenth: %+v; the whole: %+v", small, large)
-	if fault := small.grownTooMuch(large); fault != "" {
+	if fault := small.growthFault(large); fault != "" {
 		t.Error(fault)
 	}
 	planted := func(s *State) { s.Store().OfKinds(records.KindTenant) } // as one who looks at all records at each change
 	smallPlanted, largePlanted := costOfEntry(t, 0.01, planted), costOfEntry(t, 0.1, planted)
-	if smallPlanted.grownTooMuch(largePlanted) == "" {
+	if smallPlanted.growthFault(largePlanted) == "" {
 		t.Errorf("a planted look at all is not caught: %+v and %+v", smallPlanted, largePlanted)
 	}
 }
 
-// counted is a log in memory that counts the snapshots it is given.
-type counted struct{ snapshots int }
+// snapshotCounter is a log in memory that counts the snapshots it is given.
+type snapshotCounter struct{ snapshots int }
 
-func (c *counted) save(b raftlog.Batch) error {
+func (c *snapshotCounter) save(b raftlog.Batch) error {
 	if b.Snapshot != nil {
 		c.snapshots++
 	}
 	return nil
 }
 
-// TestLargeSnapshotsWait counts the snapshots that 100 entries lead to: a small state is cut every 21 entries, a large
+// TestLargeSnapshotsWaitForALongerLog counts the snapshots that 100 entries lead to: a small state is cut every 21 entries, a large
 // one only once the log has an eighth of its size.
-func TestLargeSnapshotsWait(t *testing.T) {
+func TestLargeSnapshotsWaitForALongerLog(t *testing.T) {
 	for name, c := range map[string]struct {
 		size float64
 		want int
@@ -255,7 +255,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		var disk counted
+		var disk snapshotCounter
 		turn := func() {
 			t.Helper()
 			if _, _, _, err := m.Advance(disk.save); err != nil {
@@ -277,7 +277,7 @@
 			t.Errorf("%s (%d bytes): %d snapshots, want %d", name, m.snapshotBytes, disk.snapshots, c.want)
 		}
 		for range 120 { // ten times the entries are the most that a snapshot waits for
-			m.Propose(Command{Kind: CommandRegister, Client: "m", Seq: m.applied + 1, Member: 7, Identity: "x"})
+			m.Propose(Command{Kind: CommandRegister, Client: "m", Seq: m.appliedIndex + 1, Member: 7, Identity: "x"})
 			turn()
 		}
 		if disk.snapshots == 0 {
@@ -286,11 +286,11 @@
 	}
 }
 
-// TestNodeTellsOfRecords has a node agree on a transaction: Records gives it, Committed told of it, and a proposal that
+// TestNodeReportsCommittedRecords has a node agree on a transaction: Records gives it, Committed told of it, and a proposal that
 // Before does not want is not made.
-func TestNodeTellsOfRecords(t *testing.T) {
+func TestNodeReportsCommittedRecords(t *testing.T) {
 	committed := make(chan records.Change, 10)
-	n := started(t, func(n *Node) {
+	n := newLeaderWith(t, func(n *Node) {
 		n.OnCommit = func(c records.Change) { committed <- c }
 		n.CheckProposal = func(proposed []*records.Record) error {
 			for _, record := range proposed {
@@ -307,7 +307,7 @@
 	source := n.Records()
 	pay := recordWrite(records.KindService, "pay", 0, records.ServiceSpec{})
 	tenant := recordWrite(records.KindTenant, "x", 0, records.TenantSpec{Service: "pay", Share: 1})
-	r, err := n.propose(t.Context(), transaction("a", pay, tenant))
+	r, err := n.handlePropose(t.Context(), transaction("a", pay, tenant))
 	if err != nil || r.Rejected != "" {
 		t.Fatalf("%+v, %v", r, err)
 	}
@@ -317,13 +317,13 @@
 	if view := source.InScope(records.Scope{Services: []string{"pay"}}); len(view.Records) != 2 || view.Revision != r.Version {
 		t.Errorf("%d records as of %d", len(view.Records), view.Revision)
 	}
-	if _, err := n.propose(t.Context(), transaction("b", recordWrite(records.KindService, "unwanted", 0, records.ServiceSpec{}))); err == nil || !strings.Contains(err.Error(), "it does not fit") {
+	if _, err := n.handlePropose(t.Context(), transaction("b", recordWrite(records.KindService, "unwanted", 0, records.ServiceSpec{}))); err == nil || !strings.Contains(err.Error(), "it does not fit") {
 		t.Errorf("%v", err)
 	}
-	if _, err := n.propose(t.Context(), Command{Kind: CommandRegister, Client: "c", Seq: 1}); err == nil {
+	if _, err := n.handlePropose(t.Context(), Command{Kind: CommandRegister, Client: "c", Seq: 1}); err == nil {
 		t.Error("an operator registered a member")
 	}
-	reading, err := n.readRecords(t.Context(), RecordsRequest{Service: "pay", Kind: records.KindTenant})
+	reading, err := n.handleRecords(t.Context(), RecordsRequest{Service: "pay", Kind: records.KindTenant})
 	if err != nil || len(reading.Records) != 1 || reading.Records[0].Key != tenant.Key || reading.Records[0].Revision != r.Version {
 		t.Errorf("%+v, %v", reading, err)
 	}
--- a/cluster/transport.go
+++ b/cluster/transport.go
@@ -21,26 +21,26 @@
 )
 
 const (
-	deliverTimeout  = 2 * time.Second
-	maxDeliverBytes = 64 << 20 // of a message: snapshots come whole
-	peerQueue       = 256      // messages that wait for one member; more are lost, as raft allows
-	pingAfter       = 5 * time.Second
-	pingTimeout     = 2 * time.Second
-	identityKey     = "harehook-identity" // of the sender's disk
-	knownKey        = "harehook-known"    // the disk that the sender knows the receiver by
+	deliverTimeout   = 2 * time.Second
+	maxCallBytes     = 64 << 20 // of a message: snapshots come whole
+	peerQueueSize    = 256      // messages that wait for one member; more are lost, as raft allows
+	keepaliveTime    = 5 * time.Second
+	keepaliveTimeout = 2 * time.Second
+	identityKey      = "harehook-identity" // of the sender's disk
+	knownIdentityKey = "harehook-known"    // the disk that the sender knows the receiver by
 )
 
-// redial are the pauses before a member that is gone is dialled again: it may be back within a second.
-var redial = backoff.Config{BaseDelay: 100 * time.Millisecond, Multiplier: 1.6, Jitter: 0.3, MaxDelay: time.Second}
+// dialBackoff are the pauses before a member that is gone is dialled again: it may be back within a second.
+var dialBackoff = backoff.Config{BaseDelay: 100 * time.Millisecond, Multiplier: 1.6, Jitter: 0.3, MaxDelay: time.Second}
 
-// send puts a message into its member's queue; what does not fit is lost.
-func (n *Node) send(ctx context.Context, sending *sync.WaitGroup, m *raftpb.Message) {
+// enqueue puts a message into its member's queue; what does not fit is lost.
+func (n *Node) enqueue(ctx context.Context, sending *sync.WaitGroup, m *raftpb.Message) {
 	to := m.GetTo()
-	queue := n.peers[to]
+	queue := n.peerQueues[to]
 	if queue == nil {
-		queue = make(chan *raftpb.Message, peerQueue)
-		n.peers[to] = queue
-		sending.Go(func() { n.carry(ctx, to, queue) })
+		queue = make(chan *raftpb.Message, peerQueueSize)
+		n.peerQueues[to] = queue
+		sending.Go(func() { n.runPeer(ctx, to, queue) })
 	}
 	select {
 	case queue <- m:
@@ -49,9 +49,9 @@
 	}
 }
 
-// carry sends what waits for a member until ctx ends. Its address may change.
-func (n *Node) carry(ctx context.Context, to uint64, queue <-chan *raftpb.Message) {
-	link := &link{node: n, to: to}
+// runPeer sends what waits for a member until ctx ends. Its address may change.
+func (n *Node) runPeer(ctx context.Context, to uint64, queue <-chan *raftpb.Message) {
+	link := &peer{node: n, to: to}
 	defer link.close()
 	for {
 		var message *raftpb.Message
@@ -61,31 +61,31 @@
 		case message = <-queue:
 		}
 		address, known := "", ""
-		if n.ask(ctx, func() { address, known = n.address(to), n.member.State.Identities[to] }) != nil {
+		if n.runOnLoop(ctx, func() { address, known = n.address(to), n.member.State.Identities[to] }) != nil {
 			return
 		}
 		if !link.dial(address) {
 			continue
 		}
-		if err := link.deliver(ctx, known, message); err != nil && ctx.Err() == nil {
+		if err := link.send(ctx, known, message); err != nil && ctx.Err() == nil {
 			select {
-			case n.inbox <- func() { n.member.ReportUnreachable(to) }:
+			case n.requests <- func() { n.member.ReportUnreachable(to) }:
 			case <-ctx.Done():
-			case <-n.done:
+			case <-n.stopped:
 			}
 		}
 	}
 }
 
-// link is the connection to a member.
-type link struct {
+// peer is the connection to a member.
+type peer struct {
 	node    *Node
 	to      uint64
 	address string // that conn goes to
 	conn    *grpc.ClientConn
 }
 
-func (l *link) close() {
+func (l *peer) close() {
 	if l.conn != nil {
 		l.conn.Close()
 		l.conn = nil
@@ -93,7 +93,7 @@
 }
 
 // dial has the connection go to an address and tells whether there is one.
-func (l *link) dial(address string) bool {
+func (l *peer) dial(address string) bool {
 	if address != l.address {
 		l.close()
 		l.address = address
@@ -110,16 +110,16 @@
 	return l.conn != nil
 }
 
-// deliver sends a message, with this disk's identity and the one that the receiver is known by.
-func (l *link) deliver(ctx context.Context, known string, message *raftpb.Message) error {
+// send sends a message, with this disk's identity and the one that the receiver is known by.
+func (l *peer) send(ctx context.Context, known string, message *raftpb.Message) error {
 	data, err := proto.Marshal(message)
 	if err != nil {
 		return nil // it is of no use to anyone
 	}
 	ctx, cancel := context.WithTimeout(ctx, deliverTimeout)
 	defer cancel()
-	ctx = metadata.AppendToOutgoingContext(ctx, identityKey, l.node.member.Identity, knownKey, known)
-	return l.conn.Invoke(ctx, path+"Deliver", wrapperspb.Bytes(data), &wrapperspb.BytesValue{})
+	ctx = metadata.AppendToOutgoingContext(ctx, identityKey, l.node.member.Identity, knownIdentityKey, known)
+	return l.conn.Invoke(ctx, methodPrefix+"Deliver", wrapperspb.Bytes(data), &wrapperspb.BytesValue{})
 }
 
 func (n *Node) address(id uint64) string {
@@ -136,28 +136,28 @@
 		how = credentials.NewTLS(secure())
 	}
 	return grpc.NewClient("passthrough:///"+address, grpc.WithTransportCredentials(how),
-		grpc.WithKeepaliveParams(keepalive.ClientParameters{Time: pingAfter * 2, Timeout: pingTimeout}),
-		grpc.WithConnectParams(grpc.ConnectParams{MinConnectTimeout: deliverTimeout, Backoff: redial}),
-		grpc.WithDefaultCallOptions(grpc.MaxCallRecvMsgSize(maxDeliverBytes), grpc.MaxCallSendMsgSize(maxDeliverBytes)))
+		grpc.WithKeepaliveParams(keepalive.ClientParameters{Time: keepaliveTime * 2, Timeout: keepaliveTimeout}),
+		grpc.WithConnectParams(grpc.ConnectParams{MinConnectTimeout: deliverTimeout, Backoff: dialBackoff}),
+		grpc.WithDefaultCallOptions(grpc.MaxCallRecvMsgSize(maxCallBytes), grpc.MaxCallSendMsgSize(maxCallBytes)))
 }
 
 // NewServer makes a gRPC server for members and operators.
 func NewServer(secure *tls.Config) *grpc.Server {
-	options := []grpc.ServerOption{grpc.MaxRecvMsgSize(maxDeliverBytes), grpc.KeepaliveParams(keepalive.ServerParameters{Time: pingAfter, Timeout: pingTimeout}),
-		grpc.KeepaliveEnforcementPolicy(keepalive.EnforcementPolicy{MinTime: pingAfter, PermitWithoutStream: true})}
+	options := []grpc.ServerOption{grpc.MaxRecvMsgSize(maxCallBytes), grpc.KeepaliveParams(keepalive.ServerParameters{Time: keepaliveTime, Timeout: keepaliveTimeout}),
+		grpc.KeepaliveEnforcementPolicy(keepalive.EnforcementPolicy{MinTime: keepaliveTime, PermitWithoutStream: true})}
 	if secure != nil {
 		options = append(options, grpc.Creds(credentials.NewTLS(secure)))
 	}
 	return grpc.NewServer(options...)
 }
 
-// deliver takes a message of another member.
-func (n *Node) deliver(ctx context.Context, body []byte) ([]byte, error) {
+// handleDeliver takes a message of another member.
+func (n *Node) handleDeliver(ctx context.Context, body []byte) ([]byte, error) {
 	m := &raftpb.Message{}
 	if err := proto.Unmarshal(body, m); err != nil || m.GetTo() != n.member.ID || m.GetFrom() == 0 {
 		return nil, status.Error(codes.InvalidArgument, "not a message for this member")
 	}
 	told, _ := metadata.FromIncomingContext(ctx)
 	first := func(key string) string { return append(told.Get(key), "")[0] }
-	return nil, n.ask(ctx, func() { n.member.Step(first(identityKey), first(knownKey), m) })
+	return nil, n.runOnLoop(ctx, func() { n.member.Step(first(identityKey), first(knownIdentityKey), m) })
 }
--- a/cluster/upgrade_test.go
+++ b/cluster/wholetext_test.go
@@ -52,8 +52,8 @@
 	return s
 }
 
-// TestWholeTextsAreRead restores a snapshot of the first format: each version has the configuration that its text had.
-func TestWholeTextsAreRead(t *testing.T) {
+// TestWholeTextSnapshotIsRead restores a snapshot of the first format: each version has the configuration that its text had.
+func TestWholeTextSnapshotIsRead(t *testing.T) {
 	saved := readWholeTexts(t)
 	s := restoredState(t, saved.Late)
 	var old struct {
@@ -100,10 +100,10 @@
 	return lines
 }
 
-// TestMembersTakeUpRecordsAnywhere has one member read the state at an early place of the log and carry the rest out,
+// TestMembersAgreeWhereverTheyConvertWholeTexts has one member read the state at an early place of the log and carry the rest out,
 // and another read it at a late place. They agree on all that decides what becomes of later commands: the revisions of
 // records, the versions that are kept and their records.
-func TestMembersTakeUpRecordsAnywhere(t *testing.T) {
+func TestMembersAgreeWhereverTheyConvertWholeTexts(t *testing.T) {
 	saved := readWholeTexts(t)
 	early, late := restoredState(t, saved.Early), restoredState(t, saved.Late)
 	index := uint64(0)
@@ -149,17 +149,17 @@
 	}
 }
 
-// TestFormatsThatAreNotKnown are refused, and leave the state as it is.
-func TestFormatsThatAreNotKnown(t *testing.T) {
-	l := newScript(t)
-	l.do(put("a", 1, 0, "one"))
+// TestUnreadableSnapshotsAreRefused are refused, and leave the state as it is.
+func TestUnreadableSnapshotsAreRefused(t *testing.T) {
+	l := newCommandScript(t)
+	l.apply(put("a", 1, 0, "one"))
 	good, err := l.state.Snapshot()
 	if err != nil {
 		t.Fatal(err)
 	}
 	newer := append([]byte{}, good...)
-	newer[len(stateMagic)]++
-	for name, data := range map[string][]byte{"newer": newer, "cut short": good[:len(good)-1], "no head": []byte(stateMagic), "bad text in force": []byte(`{"versions":[{"number":9,"text":"bad"}]}`)} {
+	newer[len(snapshotMagic)]++
+	for name, data := range map[string][]byte{"newer": newer, "cut short": good[:len(good)-1], "no head": []byte(snapshotMagic), "bad text in force": []byte(`{"versions":[{"number":9,"text":"bad"}]}`)} {
 		if err := l.state.Restore(data); err == nil {
 			t.Errorf("%s: it was taken", name)
 		}
@@ -169,19 +169,19 @@
 	}
 }
 
-// TestLeaderEndsWholeTexts starts a node on a disk of the first format: as its leader it has revisions count without
+// TestLeaderProposesTheRecordsFormat starts a node on a disk of the first format: as its leader it has revisions count without
 // anyone asking, and then takes transactions.
-func TestLeaderEndsWholeTexts(t *testing.T) {
+func TestLeaderProposesTheRecordsFormat(t *testing.T) {
 	saved := readWholeTexts(t)
 	meta := &raftpb.SnapshotMetadata{Index: proto.Uint64(110), Term: proto.Uint64(2), ConfState: &raftpb.ConfState{Voters: []uint64{1}}}
 	disk := &raftlog.SavedState{
 		Identity: "disk-1", Snapshot: &raftpb.Snapshot{Data: saved.Late, Metadata: meta},
 		HardState: &raftpb.HardState{Term: proto.Uint64(2), Vote: proto.Uint64(1), Commit: proto.Uint64(110)},
 	}
-	n := startedFrom(t, disk, NewState(config.TextFormat{}), func(*Node) {})
+	n := newLeaderFrom(t, disk, NewState(config.TextFormat{}), func(*Node) {})
 	write := transaction("a", recordWrite(records.KindService, "pay", 0, records.ServiceSpec{}))
-	for until := time.Now().Add(20 * time.Second); ; time.Sleep(tickEvery) {
-		r, err := n.propose(t.Context(), write)
+	for until := time.Now().Add(20 * time.Second); ; time.Sleep(tickInterval) {
+		r, err := n.handlePropose(t.Context(), write)
 		if err != nil {
 			t.Fatal(err)
 		}
