--- /dev/null
+++ b/cluster/commands.go
@@ -0,0 +1,45 @@
+package cluster
+
+import (
+	"fmt"
+
+	"harehook.dev/harehook/records"
+)
+
+// The bounds of a command.
+const (
+	maxTextBytes   = 1 << 18 // of a whole text in one entry
+	maxNameBytes   = 200     // of a client, an operator, a disk's identity or an address
+	maxReasonBytes = 5 * maxNameBytes
+)
+
+// Validate says why a command would be rejected whatever the state is; who proposes calls it first. The error is a
+// *NameSizeError, a *TextSizeError, a *records.InvalidError, or what the TextFormat says of a whole text. It may be
+// called from any goroutine.
+func (s *State) Validate(c Command) error {
+	if err := checkSizes(c); err != nil {
+		return err
+	}
+	switch c.Kind {
+	case CommandPut:
+		_, err := s.parseText(c.Text)
+		return err
+	case CommandRecords:
+		return records.Transaction{Writes: c.Writes}.Validate()
+	}
+	return nil
+}
+
+func checkSizes(c Command) error {
+	tooLong := len(c.Client) > maxNameBytes || len(c.By) > maxNameBytes || len(c.Why) > maxReasonBytes || len(c.Identity) > maxNameBytes
+	if c.Client == "" || tooLong {
+		return &NameSizeError{LimitBytes: maxNameBytes}
+	}
+	if len(c.Text) > maxTextBytes {
+		return &TextSizeError{Bytes: len(c.Text), LimitBytes: maxTextBytes}
+	}
+	return nil
+}
+
+// proposalKey names a proposal: a repeated one has the same.
+func proposalKey(c Command) string { return fmt.Sprint(c.Client, " ", c.Seq) }
--- /dev/null
+++ b/cluster/handle_propose.go
@@ -0,0 +1,71 @@
+package cluster
+
+import (
+	"context"
+	"maps"
+	"slices"
+
+	"google.golang.org/grpc/codes"
+	"google.golang.org/grpc/status"
+
+	"harehook.dev/harehook/records"
+)
+
+// handlePropose is an operator's proposal. What depends on this controller's own endpoints and routes is checked here,
+// before the command goes into the log: there only the command itself and the state count, which all members have.
+func (n *Node) handlePropose(ctx context.Context, c Command) (Result, error) {
+	if c.Kind != CommandPut && c.Kind != CommandRollBack && c.Kind != CommandRecords {
+		return Result{}, status.Error(codes.InvalidArgument, "operators put, change records or roll back")
+	}
+	if err := n.member.State.Validate(c); err != nil {
+		return Result{}, status.Error(codes.InvalidArgument, err.Error())
+	}
+	if n.CheckProposal != nil {
+		if err := n.checkProposal(ctx, c); err != nil {
+			return Result{}, err
+		}
+	}
+	return n.Propose(ctx, c)
+}
+
+// checkProposal calls CheckProposal with the records that a command would lead to, tenants left out.
+func (n *Node) checkProposal(ctx context.Context, c Command) error {
+	state := n.member.State
+	wholeTexts := false
+	if err := n.runOnLoop(ctx, func() { wholeTexts = state.WholeTexts }); err != nil {
+		return err
+	}
+	transaction, err := state.transaction(c, wholeTexts)
+	if err != nil {
+		return nil // as a version that is not retained: the group rejects it and says so
+	}
+	held := state.Store().OfKinds(records.KindRoute, records.KindService, records.KindOverride).Records
+	proposed, err := recordsAfter(held, transaction.Writes)
+	if err != nil {
+		return status.Error(codes.InvalidArgument, err.Error())
+	}
+	if err := n.CheckProposal(proposed); err != nil {
+		return status.Error(codes.InvalidArgument, err.Error())
+	}
+	return nil
+}
+
+// recordsAfter gives records as they would be after writes, ordered by key and without tenants.
+func recordsAfter(held []*records.Record, writes []records.Write) ([]*records.Record, error) {
+	byKey := make(map[records.Key]*records.Record, len(held))
+	for _, record := range held {
+		byKey[record.Key] = record
+	}
+	for _, write := range writes {
+		delete(byKey, write.Key)
+		if len(write.Body) == 0 || write.Key.Kind == records.KindTenant {
+			continue
+		}
+		record, err := records.Parse(write.Key, write.Body)
+		if err != nil {
+			return nil, err
+		}
+		byKey[write.Key] = record
+	}
+	return slices.SortedFunc(maps.Values(byKey), func(a, b *records.Record) int { return a.Compare(b.Key) }), nil
+}
--- a/cluster/node.go
+++ b/cluster/node.go
@@ -5,7 +5,6 @@
 	"crypto/rand"
 	"crypto/tls"
 	"encoding/binary"
-	"fmt"
 	"sync"
 	"time"
 
@@ -21,48 +20,55 @@
 	tickInterval        = 50 * time.Millisecond
 	electionTicks       = 10 // half a second to one without a leader
 	heartbeatTicks      = 2
-	compactAfterEntries = 1000        // entries
-	requestQueueSize    = 256         // requests that wait for the node's goroutine; more wait where they are made
-	setupInterval       = time.Second // between two proposals of a member for itself that were not agreed yet
+	compactAfterEntries = 1000
+	requestQueueSize    = 256 // requests that wait for the loop; more wait where they are made
 )
 
 // DefaultTiming are the timings of nodes.
 var DefaultTiming = Timing{ElectionTicks: electionTicks, HeartbeatTicks: heartbeatTicks, CompactAfterEntries: compactAfterEntries}
 
-// Storage is what a node keeps its promises in.
+// Storage is where a node saves what its member promises. Save returns once the batch survives a crash. *raftlog.Log is
+// the one in service.
 type Storage interface {
 	Save(raftlog.Batch) error
 	Close() error
 }
 
-// Node drives a member: its clock, its disk and its connections. Exported fields are set before Run.
+// Node drives a member: its clock, its storage and its connections. Exported fields are set before Run.
+//
+// The member is touched on the goroutine of Run alone, its loop: other goroutines have the loop run a function
+// (runOnLoop). ID and Identity of the member never change, and its State says what may be used from any goroutine.
 type Node struct {
-	TLSConfig func() *tls.Config // what other members are dialled with; nil: plain
-	// CheckProposal says why records that an operator's proposal leads to can't be used here: routes, services and overrides,
-	// ordered by key. Such a proposal is not made. Nil: nothing is asked.
+	TLSConfig func() *tls.Config // what other members are dialled with; nil: without TLS
+	// CheckProposal says why the records that an operator's proposal leads to can't be used here: routes, services and
+	// overrides, ordered by key. Such a proposal is rejected. It is called on any goroutine. Nil: nothing is checked.
 	CheckProposal func(proposed []*records.Record) error
-	// OnCommit is called on the node's goroutine with each change of the records once Records has it, and with Reset
-	// when a snapshot took the place of all. It must not wait. Nil: no one is told.
+	// OnCommit is called on the loop with each change of the records once Records has it, and with Reset when a snapshot
+	// replaced all of them. It must not block. Nil: no one is notified.
 	OnCommit func(records.Change)
 	Log      *zap.Logger
-	Changed  chan struct{} // poked when another version is in force
+	Changed  chan struct{} // has a value when another version took effect since it was last received from
 
+	storage   Storage
+	addresses map[uint64]string // as configured, by member; those that were agreed on come first
+	requests  chan func()       // to run on the loop
+	stopped   chan struct{}     // closed when the loop has ended
+
+	// Of the loop alone.
 	member          *Member
-	storage         Storage
-	addresses       map[uint64]string // as configured; what was agreed counts more
-	requests        chan func()
-	stopped         chan struct{}
-	proposalWaiters map[string][]chan Result // by proposal: one may be made again while it still waits
-	readWaiters     map[uint64]chan Version
-	peerQueues      map[uint64]chan *raftpb.Message // what waits for each
-
-	loggedLeader  uint64    // that was logged last
-	loggedVersion uint64    // that was logged last
-	lastSetup     time.Time // of the last proposal of this member for itself
+	proposalWaiters map[string][]chan Result // by proposalKey; a proposal may be made again while it still waits
+	readWaiters     map[uint64]chan Version  // by ReadState.ID
+	peerQueues      map[uint64]chan *raftpb.Message
+	loggedLeader    uint64
+	loggedVersion   uint64
+	lastSetup       time.Time // of the last proposal of this member for itself
+
+	senders sync.WaitGroup // the goroutines of the peer queues; Run waits for them
 }
 
-// NewNode makes a node of what its disk has. Voters are those that begin the group; a member that is added later has
-// none.
+// NewNode makes a node of what its disk has, and saves what a new disk begins with. Voters are those that begin the
+// group; a member that is added later has none. The error is a *raftlog.UnusableError if the snapshot cannot be read, or
+// the storage's.
 func NewNode(id uint64, disk Storage, saved *raftlog.SavedState, voters []uint64, addresses map[uint64]string, state *State, log *zap.Logger) (*Node, error) {
 	var seed [8]byte
 	if _, err := rand.Read(seed[:]); err != nil {
@@ -76,9 +82,16 @@
 		return nil, err
 	}
 	return &Node{
-		member: member, storage: disk, addresses: addresses, Log: log, Changed: make(chan struct{}, 1),
-		requests: make(chan func(), requestQueueSize), stopped: make(chan struct{}),
-		proposalWaiters: map[string][]chan Result{}, readWaiters: map[uint64]chan Version{}, peerQueues: map[uint64]chan *raftpb.Message{},
+		Log:             log,
+		Changed:         make(chan struct{}, 1),
+		storage:         disk,
+		addresses:       addresses,
+		requests:        make(chan func(), requestQueueSize),
+		stopped:         make(chan struct{}),
+		member:          member,
+		proposalWaiters: map[string][]chan Result{},
+		readWaiters:     map[uint64]chan Version{},
+		peerQueues:      map[uint64]chan *raftpb.Message{},
 	}, nil
 }
 
@@ -88,95 +101,84 @@
 // Records is where the agreed records are read. It stays the same one while the node lives.
 func (n *Node) Records() records.Source { return n.member.State.Store() }
 
-// Run drives the member until ctx ends or its disk fails: what can't be kept must not be promised.
+// Run drives the member until ctx ends, and then returns nil. It returns a *DiskReplacedError if the group knows another
+// disk under this member's number, and the storage's error if a batch could not be saved: what is not persisted must not
+// be promised. It is called once, and has ended all its goroutines when it returns; the storage stays open.
 func (n *Node) Run(ctx context.Context) error {
 	n.member.State.OnCommit = n.OnCommit
-	tick := time.NewTicker(tickInterval)
-	defer tick.Stop()
+	ticker := time.NewTicker(tickInterval)
+	defer ticker.Stop()
 	ctx, cancel := context.WithCancel(ctx)
-	var sending sync.WaitGroup
-	defer sending.Wait()
-	defer close(n.stopped) // before the wait: who carries a message may wait for an answer of this loop
+	defer n.senders.Wait()
+	defer close(n.stopped) // before the wait: a sender may wait for an answer of this loop
 	defer cancel()
-	for {
-		select {
-		case <-ctx.Done():
-			return nil
-		case <-tick.C:
-			n.member.Tick()
-		case do := <-n.requests:
-			do()
-		}
-		for range len(n.requests) {
-			(<-n.requests)()
-		}
-		if n.member.DiskReplaced {
-			err := &raftlog.UnusableError{Reason: fmt.Sprintf("the group knows member %d by another disk: remove it and add this one under a new number", n.member.ID)}
-			n.Log.Error("this member stops", zap.Error(err))
-			return err
-		}
-		out, done, reads, err := n.member.Advance(n.storage.Save)
-		if err != nil {
-			n.Log.Error("this member stops: what it promises can't be kept", zap.Error(err))
+	for n.waitForWork(ctx, ticker.C) {
+		if err := n.advance(ctx); err != nil {
 			return err
 		}
-		for _, message := range out {
-			n.enqueue(ctx, &sending, message)
-		}
-		n.notifyWaiters(done, reads)
-		n.proposeSetup()
-		n.logChanges()
 	}
+	return nil
 }
 
-// notifyWaiters tells results to who proposed and versions to who reads.
-func (n *Node) notifyWaiters(done []AppliedCommand, reads []ReadState) {
-	for _, d := range done {
-		key := proposalKey(d.Command)
-		for _, answer := range n.proposalWaiters[key] {
-			select {
-			case answer <- d.Result:
-			default: // it has one that it has not read, and may never
-			}
-		}
-		delete(n.proposalWaiters, key)
+// waitForWork waits for a tick or a request, and hands the member all that has come. It returns false once ctx has
+// ended.
+func (n *Node) waitForWork(ctx context.Context, ticks <-chan time.Time) (running bool) {
+	select {
+	case <-ctx.Done():
+		return false
+	case <-ticks:
+		n.member.Tick()
+	case request := <-n.requests:
+		request()
 	}
-	for _, r := range reads {
-		if answer := n.readWaiters[r.ID]; answer != nil {
-			delete(n.readWaiters, r.ID)
-			answer <- n.member.State.Latest()
-		}
+	for range len(n.requests) {
+		request := <-n.requests
+		request()
 	}
+	return true
 }
 
-// proposeSetup proposes what a member has the group know by itself: its disk, and as the leader of a group that began with
-// whole texts, that revisions of records count from now on.
-func (n *Node) proposeSetup() {
-	if n.member.Leader() == 0 || time.Since(n.lastSetup) < setupInterval {
-		return
+// advance has the member act, and passes on what it gives.
+func (n *Node) advance(ctx context.Context) error {
+	if n.member.DiskReplaced {
+		err := &DiskReplacedError{Member: n.member.ID}
+		n.Log.Error("this member stops", zap.Error(err))
+		return err
+	}
+	messages, applied, reads, err := n.member.Advance(n.storage.Save)
+	if err != nil {
+		n.Log.Error("this member stops: what it promises can't be kept", zap.Error(err))
+		return err
 	}
-	switch {
-	case !n.member.Registered():
-		n.lastSetup = time.Now()
-		n.member.Propose(n.member.RegisterCommand())
-	case n.member.State.WholeTexts && n.member.IsLeader():
-		n.lastSetup = time.Now()
-		n.member.Propose(n.member.FormatCommand())
+	for _, message := range messages {
+		n.enqueue(ctx, message)
 	}
+	n.notifyProposers(applied)
+	n.notifyReaders(reads)
+	n.proposeSetup()
+	n.logLeader()
+	n.announceVersion()
+	return nil
 }
 
-// logChanges logs another leader or version, and pokes who waits for a version.
-func (n *Node) logChanges() {
-	if now := n.member.Leader(); now != n.loggedLeader {
-		n.loggedLeader = now
-		n.Log.Info("leader", zap.Uint64("member", now), zap.Uint64("term", n.member.Status().Term))
+// logLeader logs a new leader.
+func (n *Node) logLeader() {
+	leader := n.member.Leader()
+	if leader == n.loggedLeader {
+		return
 	}
-	v := n.member.State.Latest()
-	if v.Number == n.loggedVersion {
+	n.loggedLeader = leader
+	n.Log.Info("leader changed", zap.Uint64("member", leader), zap.Uint64("term", n.member.Status().Term))
+}
+
+// announceVersion logs a new version and notifies who receives from Changed.
+func (n *Node) announceVersion() {
+	version := n.member.State.Latest()
+	if version.Number == n.loggedVersion {
 		return
 	}
-	n.loggedVersion = v.Number
-	n.Log.Info("version in force", zap.Uint64("number", v.Number), zap.String("by", v.By), zap.String("why", v.Why))
+	n.loggedVersion = version.Number
+	n.Log.Info("version in effect", zap.Uint64("number", version.Number), zap.String("by", version.By), zap.String("why", version.Why))
 	select {
 	case n.Changed <- struct{}{}:
 	default:
--- a/cluster/node_test.go
+++ b/cluster/node_test.go
@@ -92,7 +92,7 @@
 	for len(n.requests) < 1 {
 		time.Sleep(time.Millisecond)
 	}
-	n.requests <- func() { n.addWaiter("operator 1", full) } // told of in the same turn as the proposal
+	n.requests <- func() { n.addWaiter(&pendingProposal{key: "operator 1", result: full}) } // told of in the same turn as the proposal
 	close(hold)
 	select {
 	case err := <-answered:
--- a/cluster/proposals.go
+++ b/cluster/proposals.go
@@ -3,154 +3,132 @@
 import (
 	"context"
 	"errors"
-	"fmt"
 	"slices"
 	"time"
 
 	"go.etcd.io/raft/v3"
-	"google.golang.org/grpc/codes"
-	"google.golang.org/grpc/status"
 )
 
-const (
-	requestTimeout = 10 * time.Second
-	retryInterval  = time.Second // a proposal or a read that got no answer
-)
+// setupInterval is the time between two proposals of a member for itself that were not agreed on yet.
+const setupInterval = time.Second
 
-// runOnLoop has the member's goroutine do something and waits for it.
-func (n *Node) runOnLoop(ctx context.Context, do func()) error {
-	ready := make(chan struct{})
-	select {
-	case n.requests <- func() { do(); close(ready) }:
-	case <-n.stopped:
-		return status.Error(codes.Unavailable, "the member has stopped")
-	case <-ctx.Done():
-		return ctx.Err()
-	}
-	select {
-	case <-ready:
-		return nil
-	case <-n.stopped:
-		return status.Error(codes.Unavailable, "the member has stopped")
-	}
+// pendingProposal is a proposal that waits for its result.
+type pendingProposal struct {
+	command Command
+	key     string
+	result  chan Result // has room for one
 }
 
-// Propose has a command agreed on. An error leaves open whether it was; the same command may be proposed again.
+// Propose has a command agreed on, and proposes it again each second until there is a result; it is carried out once at
+// most. It waits 10 s at most.
+//
+// An error leaves open whether the command was agreed on, and the same command may be proposed again, unless the error
+// says that it never left this member: that of State.Validate, ErrNoLeader or raft.ErrProposalDropped. The others are
+// ErrUnknownOutcome, ErrStopped and ctx's.
 func (n *Node) Propose(ctx context.Context, c Command) (Result, error) {
 	ctx, cancel := context.WithTimeout(ctx, requestTimeout)
 	defer cancel()
-	key, answer := proposalKey(c), make(chan Result, 1)
-	var fault error
-	if err := n.runOnLoop(ctx, func() {
-		if fault = n.member.Propose(c); fault == nil {
-			n.addWaiter(key, answer)
-		}
-	}); err != nil {
+	pending := &pendingProposal{command: c, key: proposalKey(c), result: make(chan Result, 1)}
+	var proposeErr error
+	if err := n.runOnLoop(ctx, func() { proposeErr = n.submit(pending) }); err != nil {
 		return Result{}, err
 	}
-	again := time.NewTicker(retryInterval)
-	defer again.Stop()
-	for open := true; open; {
-		if fault != nil && !errors.Is(fault, ErrNoLeader) && !errors.Is(fault, raft.ErrProposalDropped) {
-			return Result{}, fault
+	retry := time.NewTicker(retryInterval)
+	defer retry.Stop()
+	for {
+		if proposeErr != nil && !mayRetry(proposeErr) {
+			return Result{}, proposeErr
 		}
 		select {
-		case r := <-answer:
-			return r, nil
+		case result := <-pending.result:
+			return result, nil
+		case <-retry.C:
+			if err := n.runOnLoop(ctx, func() { proposeErr = n.resubmit(pending) }); err != nil {
+				return Result{}, n.abandon(pending, proposeErr)
+			}
 		case <-n.stopped:
-			open = false
+			return Result{}, n.abandon(pending, proposeErr)
 		case <-ctx.Done():
-			open = false
-		case <-again.C:
-			// The leader may have gone with it: the same proposal again, which is carried out once at most.
-			if err := n.runOnLoop(ctx, func() { fault = n.member.Propose(c); n.addWaiter(key, answer) }); err != nil {
-				open = false
-			}
+			return Result{}, n.abandon(pending, proposeErr)
 		}
 	}
-	n.runOnLoop(context.Background(), func() { n.removeWaiter(key, answer) })
-	if fault != nil {
-		return Result{}, fault // it never left this member
+}
+
+// mayRetry reports whether a proposal that the member refused may succeed later.
+func mayRetry(err error) bool {
+	return errors.Is(err, ErrNoLeader) || errors.Is(err, raft.ErrProposalDropped)
+}
+
+// submit proposes a command for the first time. It runs on the loop.
+func (n *Node) submit(p *pendingProposal) error {
+	if err := n.member.Propose(p.command); err != nil {
+		return err
 	}
-	return Result{}, status.Error(codes.DeadlineExceeded, "no answer: it may or may not have been agreed; the same proposal may be repeated")
+	n.addWaiter(p)
+	return nil
 }
 
-// proposalKey names a proposal: a repeat has the same.
-func proposalKey(c Command) string { return fmt.Sprint(c.Client, " ", c.Seq) }
+// resubmit proposes a command again: the leader may have gone with it. It waits for the result also if the member could
+// not hand the command on, since the first attempt may have been agreed on. It runs on the loop.
+func (n *Node) resubmit(p *pendingProposal) error {
+	err := n.member.Propose(p.command)
+	n.addWaiter(p)
+	return err
+}
 
-// removeWaiter has no result told any more to one who proposed.
-func (n *Node) removeWaiter(key string, answer chan Result) {
-	n.proposalWaiters[key] = slices.DeleteFunc(n.proposalWaiters[key], func(other chan Result) bool { return other == answer })
-	if len(n.proposalWaiters[key]) == 0 {
-		delete(n.proposalWaiters, key)
+// abandon gives up waiting and says what is known of the outcome. ProposeErr is that of the last attempt.
+func (n *Node) abandon(p *pendingProposal, proposeErr error) error {
+	// An error says that the loop has ended, and with it all waiting.
+	ignoreError(n.runOnLoop(context.Background(), func() { n.removeWaiter(p) }))
+	if proposeErr != nil {
+		return proposeErr
 	}
+	return ErrUnknownOutcome
 }
 
-// addWaiter has a result told to one more who proposed it.
-func (n *Node) addWaiter(key string, answer chan Result) {
-	if !slices.Contains(n.proposalWaiters[key], answer) {
-		n.proposalWaiters[key] = append(n.proposalWaiters[key], answer)
+// addWaiter has the result of a proposal sent to one more caller.
+func (n *Node) addWaiter(p *pendingProposal) {
+	if !slices.Contains(n.proposalWaiters[p.key], p.result) {
+		n.proposalWaiters[p.key] = append(n.proposalWaiters[p.key], p.result)
 	}
 }
 
-// ReadLinearizable gives the version in force, with its text, once this member has all that was agreed when it was asked.
-func (n *Node) ReadLinearizable(ctx context.Context) (Version, error) {
-	v, err := n.confirmRead(ctx)
-	if err != nil {
-		return Version{}, err
+// removeWaiter has no result sent to a caller any more.
+func (n *Node) removeWaiter(p *pendingProposal) {
+	n.proposalWaiters[p.key] = slices.DeleteFunc(n.proposalWaiters[p.key], func(other chan Result) bool { return other == p.result })
+	if len(n.proposalWaiters[p.key]) == 0 {
+		delete(n.proposalWaiters, p.key)
 	}
-	return n.withText(v)
 }
 
-// confirmRead is Fresh without the text.
-func (n *Node) confirmRead(ctx context.Context) (Version, error) {
-	ctx, cancel := context.WithTimeout(ctx, requestTimeout)
-	defer cancel()
-	for {
-		answer, id := make(chan Version, 1), uint64(0)
-		if err := n.runOnLoop(ctx, func() {
-			if asked, err := n.member.RequestReadIndex(); err == nil {
-				id, n.readWaiters[asked] = asked, answer
+// notifyProposers sends results to the callers of Propose.
+//
+// A caller may have a result that it has not received, and may never receive it, as its time is up: sending it another
+// one would block the loop for good. So a result for which there is no room is dropped.
+func (n *Node) notifyProposers(applied []AppliedCommand) {
+	for _, a := range applied {
+		key := proposalKey(a.Command)
+		for _, waiter := range n.proposalWaiters[key] {
+			select {
+			case waiter <- a.Result:
+			default:
 			}
-		}); err != nil {
-			return Version{}, err
-		}
-		select {
-		case v := <-answer:
-			return v, nil
-		case <-n.stopped:
-			return Version{}, ErrNoLeader
-		case <-time.After(retryInterval):
-		case <-ctx.Done():
-		}
-		if id != 0 {
-			if err := n.runOnLoop(context.Background(), func() {
-				delete(n.readWaiters, id)
-				n.member.CancelRead(id)
-			}); err != nil {
-				return Version{}, err
-			}
-		}
-		if ctx.Err() != nil {
-			return Version{}, ErrNoLeader
 		}
+		delete(n.proposalWaiters, key)
 	}
 }
 
-// ReadLocal is the version in force here with its text, fresh or not.
-func (n *Node) ReadLocal(ctx context.Context) (v Version, err error) {
-	if err := n.runOnLoop(ctx, func() { v = n.member.State.Latest() }); err != nil {
-		return v, err
+// proposeSetup proposes what a member has the group know by itself (see registration.go).
+func (n *Node) proposeSetup() {
+	if n.member.Leader() == 0 || time.Since(n.lastSetup) < setupInterval {
+		return
 	}
-	return n.withText(v)
-}
-
-// withText gives a version its text, on the caller's goroutine: it costs by the whole configuration.
-func (n *Node) withText(v Version) (Version, error) {
-	text, kept := n.member.State.TextOf(v.Number)
-	if !kept {
-		return v, status.Error(codes.NotFound, fmt.Sprintf("the text of version %d is not kept", v.Number))
+	switch {
+	case !n.member.Registered():
+		n.lastSetup = time.Now()
+		ignoreError(n.member.Propose(n.member.RegisterCommand())) // it is proposed again until it shows in the state
+	case n.member.State.WholeTexts && n.member.IsLeader():
+		n.lastSetup = time.Now()
+		ignoreError(n.member.Propose(n.member.FormatCommand())) // as above
 	}
-	v.Text = text
-	return v, nil
 }
--- a/cluster/transport.go
+++ b/cluster/transport.go
@@ -3,11 +3,9 @@
 import (
 	"context"
 	"crypto/tls"
-	"sync"
 	"time"
 
 	"go.etcd.io/raft/v3/raftpb"
-	"go.uber.org/zap"
 	"google.golang.org/grpc"
 	"google.golang.org/grpc/backoff"
 	"google.golang.org/grpc/codes"
@@ -21,143 +19,74 @@
 )
 
 const (
-	deliverTimeout   = 2 * time.Second
-	maxCallBytes     = 64 << 20 // of a message: snapshots come whole
-	peerQueueSize    = 256      // messages that wait for one member; more are lost, as raft allows
-	keepaliveTime    = 5 * time.Second
-	keepaliveTimeout = 2 * time.Second
-	identityKey      = "harehook-identity" // of the sender's disk
-	knownIdentityKey = "harehook-known"    // the disk that the sender knows the receiver by
+	deliverTimeout   = 2 * time.Second // of one message, and of a dial
+	maxCallBytes     = 64 << 20        // of a message: a snapshot is one
+	keepaliveTime    = 5 * time.Second // without traffic until a server pings; a client waits twice as long
+	keepaliveTimeout = 2 * time.Second // for the answer to a ping
+
+	identityKey      = "harehook-identity" // metadata: the disk of the sender
+	knownIdentityKey = "harehook-known"    // metadata: the disk that the sender knows the receiver by
 )
 
-// dialBackoff are the pauses before a member that is gone is dialled again: it may be back within a second.
+// dialBackoff are the delays before a member that is gone is dialled again: it may be back within a second.
 var dialBackoff = backoff.Config{BaseDelay: 100 * time.Millisecond, Multiplier: 1.6, Jitter: 0.3, MaxDelay: time.Second}
 
-// enqueue puts a message into its member's queue; what does not fit is lost.
-func (n *Node) enqueue(ctx context.Context, sending *sync.WaitGroup, m *raftpb.Message) {
-	to := m.GetTo()
-	queue := n.peerQueues[to]
-	if queue == nil {
-		queue = make(chan *raftpb.Message, peerQueueSize)
-		n.peerQueues[to] = queue
-		sending.Go(func() { n.runPeer(ctx, to, queue) })
-	}
-	select {
-	case queue <- m:
-	default:
-		n.member.ReportUnreachable(to)
-	}
-}
-
-// runPeer sends what waits for a member until ctx ends. Its address may change.
-func (n *Node) runPeer(ctx context.Context, to uint64, queue <-chan *raftpb.Message) {
-	link := &peer{node: n, to: to}
-	defer link.close()
-	for {
-		var message *raftpb.Message
-		select {
-		case <-ctx.Done():
-			return
-		case message = <-queue:
-		}
-		address, known := "", ""
-		if n.runOnLoop(ctx, func() { address, known = n.address(to), n.member.State.Identities[to] }) != nil {
-			return
-		}
-		if !link.dial(address) {
-			continue
-		}
-		if err := link.send(ctx, known, message); err != nil && ctx.Err() == nil {
-			select {
-			case n.requests <- func() { n.member.ReportUnreachable(to) }:
-			case <-ctx.Done():
-			case <-n.stopped:
-			}
-		}
-	}
-}
-
-// peer is the connection to a member.
-type peer struct {
-	node    *Node
-	to      uint64
-	address string // that conn goes to
-	conn    *grpc.ClientConn
-}
-
-func (l *peer) close() {
-	if l.conn != nil {
-		l.conn.Close()
-		l.conn = nil
+// Dial prepares a connection to a member, which is made at the first call. TLSConfig gives the certificates; nil:
+// without TLS.
+func Dial(address string, tlsConfig func() *tls.Config) (*grpc.ClientConn, error) {
+	transport := insecure.NewCredentials()
+	if tlsConfig != nil {
+		transport = credentials.NewTLS(tlsConfig())
 	}
+	return grpc.NewClient("passthrough:///"+address,
+		grpc.WithTransportCredentials(transport),
+		grpc.WithKeepaliveParams(keepalive.ClientParameters{Time: 2 * keepaliveTime, Timeout: keepaliveTimeout}),
+		grpc.WithConnectParams(grpc.ConnectParams{MinConnectTimeout: deliverTimeout, Backoff: dialBackoff}),
+		grpc.WithDefaultCallOptions(grpc.MaxCallRecvMsgSize(maxCallBytes), grpc.MaxCallSendMsgSize(maxCallBytes)))
 }
 
-// dial has the connection go to an address and tells whether there is one.
-func (l *peer) dial(address string) bool {
-	if address != l.address {
-		l.close()
-		l.address = address
+// NewServer makes a gRPC server for members and operators. TLSConfig nil: without TLS.
+func NewServer(tlsConfig *tls.Config) *grpc.Server {
+	options := []grpc.ServerOption{
+		grpc.MaxRecvMsgSize(maxCallBytes),
+		grpc.KeepaliveParams(keepalive.ServerParameters{Time: keepaliveTime, Timeout: keepaliveTimeout}),
+		grpc.KeepaliveEnforcementPolicy(keepalive.EnforcementPolicy{MinTime: keepaliveTime, PermitWithoutStream: true}),
 	}
-	if l.conn == nil && address != "" {
-		conn, err := Dial(address, l.node.TLSConfig)
-		if err != nil {
-			l.node.Log.Error("member's address", zap.Uint64("member", l.to), zap.Error(err))
-			l.address = ""
-			return false
-		}
-		l.conn = conn
+	if tlsConfig != nil {
+		options = append(options, grpc.Creds(credentials.NewTLS(tlsConfig)))
 	}
-	return l.conn != nil
+	return grpc.NewServer(options...)
 }
 
-// send sends a message, with this disk's identity and the one that the receiver is known by.
-func (l *peer) send(ctx context.Context, known string, message *raftpb.Message) error {
-	data, err := proto.Marshal(message)
+// deliver sends a message of Raft's, with the sender's disk and the one that it knows the receiver by.
+func deliver(ctx context.Context, conn *grpc.ClientConn, identity, known string, message *raftpb.Message) error {
+	body, err := proto.Marshal(message)
 	if err != nil {
-		return nil // it is of no use to anyone
+		return nil // nobody can use it, and the receiver is not at fault
 	}
 	ctx, cancel := context.WithTimeout(ctx, deliverTimeout)
 	defer cancel()
-	ctx = metadata.AppendToOutgoingContext(ctx, identityKey, l.node.member.Identity, knownIdentityKey, known)
-	return l.conn.Invoke(ctx, methodPrefix+"Deliver", wrapperspb.Bytes(data), &wrapperspb.BytesValue{})
-}
-
-func (n *Node) address(id uint64) string {
-	if a := n.member.State.Addresses[id]; a != "" {
-		return a
-	}
-	return n.addresses[id]
-}
-
-// Dial prepares a connection to a member.
-func Dial(address string, secure func() *tls.Config) (*grpc.ClientConn, error) {
-	how := insecure.NewCredentials()
-	if secure != nil {
-		how = credentials.NewTLS(secure())
-	}
-	return grpc.NewClient("passthrough:///"+address, grpc.WithTransportCredentials(how),
-		grpc.WithKeepaliveParams(keepalive.ClientParameters{Time: keepaliveTime * 2, Timeout: keepaliveTimeout}),
-		grpc.WithConnectParams(grpc.ConnectParams{MinConnectTimeout: deliverTimeout, Backoff: dialBackoff}),
-		grpc.WithDefaultCallOptions(grpc.MaxCallRecvMsgSize(maxCallBytes), grpc.MaxCallSendMsgSize(maxCallBytes)))
-}
-
-// NewServer makes a gRPC server for members and operators.
-func NewServer(secure *tls.Config) *grpc.Server {
-	options := []grpc.ServerOption{grpc.MaxRecvMsgSize(maxCallBytes), grpc.KeepaliveParams(keepalive.ServerParameters{Time: keepaliveTime, Timeout: keepaliveTimeout}),
-		grpc.KeepaliveEnforcementPolicy(keepalive.EnforcementPolicy{MinTime: keepaliveTime, PermitWithoutStream: true})}
-	if secure != nil {
-		options = append(options, grpc.Creds(credentials.NewTLS(secure)))
-	}
-	return grpc.NewServer(options...)
+	ctx = metadata.AppendToOutgoingContext(ctx, identityKey, identity, knownIdentityKey, known)
+	return conn.Invoke(ctx, methodPrefix+"Deliver", wrapperspb.Bytes(body), &wrapperspb.BytesValue{})
 }
 
 // handleDeliver takes a message of another member.
 func (n *Node) handleDeliver(ctx context.Context, body []byte) ([]byte, error) {
-	m := &raftpb.Message{}
-	if err := proto.Unmarshal(body, m); err != nil || m.GetTo() != n.member.ID || m.GetFrom() == 0 {
+	message := &raftpb.Message{}
+	if err := proto.Unmarshal(body, message); err != nil || message.GetTo() != n.member.ID || message.GetFrom() == 0 {
 		return nil, status.Error(codes.InvalidArgument, "not a message for this member")
 	}
-	told, _ := metadata.FromIncomingContext(ctx)
-	first := func(key string) string { return append(told.Get(key), "")[0] }
-	return nil, n.runOnLoop(ctx, func() { n.member.Step(first(identityKey), first(knownIdentityKey), m) })
+	received, _ := metadata.FromIncomingContext(ctx)
+	identity := firstValue(received, identityKey)
+	known := firstValue(received, knownIdentityKey)
+	return nil, n.runOnLoop(ctx, func() { n.member.Step(identity, known, message) })
+}
+
+// firstValue is the first value of a key, empty if there is none.
+func firstValue(received metadata.MD, key string) string {
+	values := received.Get(key)
+	if len(values) == 0 {
+		return ""
+	}
+	return values[0]
 }
