--- /dev/null
+++ b/cluster/errors_test.go
@@ -0,0 +1,132 @@
+package cluster
+
+import (
+	"encoding/json"
+	"errors"
+	"reflect"
+	"testing"
+
+	"harehook.dev/harehook/raftlog"
+	"harehook.dev/harehook/records"
+)
+
+// twoVersions has the versions 11 and 12.
+func twoVersions(t *testing.T) *commandScript {
+	t.Helper()
+	script := newCommandScript(t)
+	script.apply(putCommand("a", 1, 0, "one"))
+	script.apply(putCommand("a", 2, 11, "two"))
+	return script
+}
+
+// TestRejectionsAreTyped has each command rejected for a cause of its own, told apart by errors.As and with its values.
+func TestRejectionsAreTyped(t *testing.T) {
+	longText := string(make([]byte, maxTextBytes+1))
+	register := Command{Kind: CommandRegister, Client: "m", Seq: 1, Member: 2, Identity: "first disk"}
+	cases := map[string]struct {
+		command Command
+		want    error
+	}{
+		"no client":         {putCommand("", 1, 12, "three"), &NameSizeError{LimitBytes: maxNameBytes}},
+		"long text":         {putCommand("b", 1, 12, longText), &TextSizeError{Bytes: maxTextBytes + 1, LimitBytes: maxTextBytes}},
+		"unknown kind":      {Command{Kind: "dance", Client: "b", Seq: 1}, &UnknownCommandError{Kind: "dance"}},
+		"older base":        {putCommand("b", 1, 11, "three"), &StaleBaseError{Base: 11, InEffect: 12}},
+		"unknown version":   {Command{Kind: CommandRollBack, Client: "b", Seq: 1, Base: 12, To: 9}, &VersionForgottenError{Version: 9}},
+		"forgotten changes": {Command{Kind: CommandRollBack, Client: "b", Seq: 1, Base: 12, To: 11}, &ChangesForgottenError{Version: 11}},
+		"another disk":      {Command{Kind: CommandRegister, Client: "n", Seq: 1, Member: 2, Identity: "second disk"}, &KnownDiskError{Member: 2}},
+		"no address":        {Command{Kind: CommandSetAddress, Client: "b", Seq: 1, Member: 2}, ErrNoAddress},
+	}
+	for name, c := range cases {
+		t.Run(name, func(t *testing.T) {
+			script := twoVersions(t)
+			script.apply(register)
+			script.state.Store().Forget()
+			err := script.state.execute(99, 3, c.command)
+			if !reflect.DeepEqual(err, c.want) {
+				t.Errorf("%#v, want %#v", err, c.want)
+			}
+			if version := script.state.Latest().Number; version != 12 {
+				t.Errorf("version %d is in effect, want 12", version)
+			}
+		})
+	}
+}
+
+// TestRollBackErrorKeepsTheRule rolls back to a version that the rules do not allow any more.
+func TestRollBackErrorKeepsTheRule(t *testing.T) {
+	script := newCommandScript(t)
+	script.apply(recordsCommand("a", recordWrite(records.KindService, "pay", 0, records.ServiceSpec{})))
+	script.apply(putCommand("b", 1, 11, "one"))
+	err := script.state.execute(13, 3, Command{Kind: CommandRollBack, Client: "c", Seq: 1, Base: 12, To: 11})
+	var rollBack *RollBackError
+	if !errors.As(err, &rollBack) || rollBack.Version != 11 {
+		t.Fatalf("%v, want a RollBackError of version 11", err)
+	}
+	var broken *records.CheckError
+	if !errors.As(err, &broken) {
+		t.Errorf("%v does not wrap the rule", err)
+	}
+}
+
+func TestRecordsWaitUntilRevisionsCount(t *testing.T) {
+	state := NewState(nil)
+	state.WholeTexts = true
+	command := recordsCommand("a", recordWrite(records.KindService, "pay", 0, records.ServiceSpec{}))
+	if err := state.execute(1, 1, command); !errors.Is(err, ErrRevisionsNotCounted) {
+		t.Errorf("%v", err)
+	}
+	if err := state.execute(2, 1, putCommand("a", 1, 0, "text")); !errors.Is(err, ErrNoTextFormat) {
+		t.Errorf("a text without a format: %v", err)
+	}
+}
+
+// A member that does not lead names the one to ask.
+func TestMembershipIsChangedAtTheLeader(t *testing.T) {
+	member, _, err := Start(1, &raftlog.SavedState{Identity: "disk"}, []uint64{1, 2}, NewState(nil), DefaultTiming, 1)
+	if err != nil {
+		t.Fatal(err)
+	}
+	var notLeader *NotLeaderError
+	if err := member.ChangeMembers(MembershipChange{Remove: []uint64{2}}); !errors.As(err, &notLeader) || notLeader.Leader != 0 {
+		t.Errorf("change of members: %v", err)
+	}
+	if err := member.TransferLeadership(2); !errors.As(err, &notLeader) {
+		t.Errorf("transfer of leadership: %v", err)
+	}
+	if _, err := member.RequestReadIndex(); !errors.Is(err, ErrNoLeader) {
+		t.Errorf("read: %v", err)
+	}
+}
+
+// The group knows another disk under a member's number. A member that went on might vote twice in a term.
+func TestNodeStopsWhenItsDiskWasReplaced(t *testing.T) {
+	n, ended := runningNode(t)
+	if err := n.runOnLoop(t.Context(), func() { n.member.Step("other", "another disk", nil) }); err != nil {
+		t.Fatal(err)
+	}
+	var replaced *DiskReplacedError
+	if err := <-ended; !errors.As(err, &replaced) || replaced.Member != 1 {
+		t.Errorf("%v, want a DiskReplacedError of member 1", err)
+	}
+	if err := n.runOnLoop(t.Context(), func() {}); !errors.Is(err, ErrStopped) {
+		t.Errorf("a request after the end: %v", err)
+	}
+}
+
+// TestUnreadableEntryIsRejected has an entry that is not JSON rejected by all members alike.
+func TestUnreadableEntryIsRejected(t *testing.T) {
+	state := NewState(nil)
+	if _, result := state.Apply(1, 1, []byte("{")); result.Rejected != ErrUnreadableCommand.Error() {
+		t.Errorf("%+v", result)
+	}
+	for _, seq := range []uint64{2, 1} {
+		data, err := json.Marshal(Command{Kind: CommandSetFormat, Client: "a", Seq: seq})
+		if err != nil {
+			t.Fatal(err)
+		}
+		_, result := state.Apply(2, 1, data)
+		if older := result.Rejected == ErrOlderProposal.Error(); older != (seq == 1) {
+			t.Errorf("proposal %d: %+v", seq, result)
+		}
+	}
+}
--- a/cluster/state.go
+++ b/cluster/state.go
@@ -45,49 +45,50 @@
 func (s *State) Apply(index, term uint64, data []byte) (Command, Result) {
 	var command Command
 	if err := json.Unmarshal(data, &command); err != nil {
-		return command, s.rejection(ErrUnreadableCommand)
+		return command, s.result(ErrUnreadableCommand)
 	}
 	if last := s.sessions.byClient[command.Client]; last != nil && command.Seq <= last.Seq {
 		if command.Seq < last.Seq {
-			return command, s.rejection(ErrOlderProposal)
+			return command, s.result(ErrOlderProposal)
 		}
 		s.sessions.touch(last, index)
 		return command, last.Result
 	}
-	result := s.execute(index, term, command)
+	result := s.result(s.execute(index, term, command))
 	if checkSizes(Command{Client: command.Client}) == nil {
 		s.sessions.record(command.Client, command.Seq, result, index)
 	}
 	return command, result
 }
 
-// execute carries out a command that was not carried out before.
-func (s *State) execute(index, term uint64, c Command) Result {
+// execute carries out a command that was not carried out before, or says why it is rejected; then nothing has changed.
+// The causes are in errors.go, and those of records.Store.Apply.
+func (s *State) execute(index, term uint64, c Command) error {
 	if err := s.Validate(c); err != nil {
-		return s.rejection(err)
+		return err
 	}
-	var err error
 	switch c.Kind {
 	case CommandPut, CommandRollBack, CommandRecords:
-		err = s.applyConfiguration(index, term, c)
+		return s.applyConfiguration(index, term, c)
 	case CommandRegister:
-		err = s.register(c)
+		return s.register(c)
 	case CommandSetAddress:
-		err = s.setAddress(c)
+		return s.setAddress(c)
 	case CommandSetFormat:
 		s.WholeTexts = false
+		return nil
 	default:
-		err = &UnknownCommandError{Kind: c.Kind}
+		return &UnknownCommandError{Kind: c.Kind}
 	}
-	if err != nil {
-		return s.rejection(err)
-	}
-	return Result{Version: s.Latest().Number}
 }
 
-// rejection is the result of a command that changes nothing.
-func (s *State) rejection(cause error) Result {
-	return Result{Version: s.Latest().Number, Rejected: cause.Error()}
+// result tells the version in effect, and why a command was rejected. Nil: it was carried out.
+func (s *State) result(rejection error) Result {
+	result := Result{Version: s.Latest().Number}
+	if rejection != nil {
+		result.Rejected = rejection.Error()
+	}
+	return result
 }
 
 func (s *State) register(c Command) error {
--- a/cluster/state_test.go
+++ b/cluster/state_test.go
@@ -44,61 +44,61 @@
 	return text
 }
 
-func (l *commandScript) apply(c Command) Result {
+func (script *commandScript) apply(c Command) Result {
 	data, err := json.Marshal(c)
 	if err != nil {
-		l.t.Fatal(err)
+		script.t.Fatal(err)
 	}
-	l.index++
-	_, r := l.state.Apply(l.index, 3, data)
-	l.results = append(l.results, fmt.Sprint(r.Version, " ", r.Rejected))
+	script.index++
+	_, r := script.state.Apply(script.index, 3, data)
+	script.results = append(script.results, fmt.Sprint(r.Version, " ", r.Rejected))
 	return r
 }
 
-func put(client string, seq, base uint64, text string) Command {
+func putCommand(client string, seq, base uint64, text string) Command {
 	return Command{Kind: CommandPut, Client: client, Seq: seq, Base: base, Text: text}
 }
 
 func TestCommandsAndTheirResults(t *testing.T) {
-	l := newCommandScript(t)
-	l.apply(put("a", 1, 0, "one"))
-	l.apply(put("b", 1, 0, "other")) // did not see it
-	l.apply(put("a", 1, 0, "one"))   // its answer was lost
-	l.apply(put("a", 2, 11, "bad"))
-	l.apply(put("a", 3, 11, "two"))
-	l.apply(put("a", 2, 11, "late"))
-	l.apply(Command{Kind: CommandRollBack, Client: "a", Seq: 4, Base: 15, To: 11})
-	l.apply(Command{Kind: CommandRollBack, Client: "a", Seq: 5, Base: 17, To: 99})
-	l.apply(Command{Kind: CommandRegister, Client: "m", Seq: 1, Member: 2, Identity: "x"})
-	l.apply(Command{Kind: CommandRegister, Client: "n", Seq: 1, Member: 2, Identity: "y"})
-	l.apply(Command{Kind: "dance", Client: "a", Seq: 6})
-	l.apply(put("", 1, 17, "nobody's"))
-	l.apply(put("a", 7, 17, strings.Repeat("x", maxTextBytes+1)))
-	_, r := l.state.Apply(99, 3, []byte("{"))
-	l.results = append(l.results, fmt.Sprint(r.Version, " ", r.Rejected))
+	script := newCommandScript(t)
+	script.apply(putCommand("a", 1, 0, "one"))
+	script.apply(putCommand("b", 1, 0, "other")) // did not see it
+	script.apply(putCommand("a", 1, 0, "one"))   // its answer was lost
+	script.apply(putCommand("a", 2, 11, "bad"))
+	script.apply(putCommand("a", 3, 11, "two"))
+	script.apply(putCommand("a", 2, 11, "late"))
+	script.apply(Command{Kind: CommandRollBack, Client: "a", Seq: 4, Base: 15, To: 11})
+	script.apply(Command{Kind: CommandRollBack, Client: "a", Seq: 5, Base: 17, To: 99})
+	script.apply(Command{Kind: CommandRegister, Client: "m", Seq: 1, Member: 2, Identity: "x"})
+	script.apply(Command{Kind: CommandRegister, Client: "n", Seq: 1, Member: 2, Identity: "y"})
+	script.apply(Command{Kind: "dance", Client: "a", Seq: 6})
+	script.apply(putCommand("", 1, 17, "nobody's"))
+	script.apply(putCommand("a", 7, 17, strings.Repeat("x", maxTextBytes+1)))
+	_, r := script.state.Apply(99, 3, []byte("{"))
+	script.results = append(script.results, fmt.Sprint(r.Version, " ", r.Rejected))
 	if diff := cmp.Diff([]string{
 		"11 ", "11 it changes version 0, and version 11 is in force: look at what came between", "11 ", "11 it is bad", "15 ",
 		"15 a later proposal of this client came first", "17 ", "17 version 99 is not kept", "17 ",
 		"17 member 2 is known by another disk: remove it and add it under a new number", "17 a command \"dance\" is not known",
 		"17 a name is missing or over 200 bytes", "17 a text of 262145 bytes, 262144 at most", "17 it can't be read",
-	}, l.results); diff != "" {
+	}, script.results); diff != "" {
 		t.Error(diff)
 	}
-	if v := l.state.Current(); v.Text != "one" || v.Number != 17 || v.Term != 3 {
+	if v := script.state.Current(); v.Text != "one" || v.Number != 17 || v.Term != 3 {
 		t.Errorf("%+v", v)
 	}
 }
 
 // A state that was restored from a snapshot goes on as the one that it was taken of.
 func TestRestoredStateGoesOnAsTheOriginal(t *testing.T) {
-	l := newCommandScript(t)
+	script := newCommandScript(t)
 	for n := range uint64(maxClients + maxVersions + 5) {
-		l.apply(put(fmt.Sprint("client-", n), 1, l.state.Current().Number, fmt.Sprint("text ", n)))
+		script.apply(putCommand(fmt.Sprint("client-", n), 1, script.state.Current().Number, fmt.Sprint("text ", n)))
 	}
-	if len(l.state.Versions) != maxVersions || len(l.state.sessions.byClient) != maxClients {
-		t.Errorf("%d versions and %d clients are kept", len(l.state.Versions), len(l.state.sessions.byClient))
+	if len(script.state.Versions) != maxVersions || len(script.state.sessions.byClient) != maxClients {
+		t.Errorf("%d versions and %d clients are kept", len(script.state.Versions), len(script.state.sessions.byClient))
 	}
-	data, err := l.state.Snapshot()
+	data, err := script.state.Snapshot()
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -110,9 +110,9 @@
 	if string(again) != string(data) {
 		t.Error("a restored state gives another snapshot")
 	}
-	other.index = l.index
-	for k, c := range []Command{put("x", 1, 0, "late"), put("client-1000", 1, 5, "again"), put("x", 2, l.state.Current().Number, "next")} {
-		if a, b := l.apply(c), other.apply(c); a != b {
+	other.index = script.index
+	for k, c := range []Command{putCommand("x", 1, 0, "late"), putCommand("client-1000", 1, 5, "again"), putCommand("x", 2, script.state.Current().Number, "next")} {
+		if a, b := script.apply(c), other.apply(c); a != b {
 			t.Errorf("command %d: %+v and %+v", k, a, b)
 		}
 	}
--- a/cluster/stop_test.go
+++ b/cluster/stop_test.go
@@ -12,11 +12,11 @@
 	"harehook.dev/harehook/raftlog"
 )
 
-// shutdownRounds is how many nodes end in the test of their end: whether one meets the fault is left to chance, one in two.
+// shutdownRounds is how many nodes the test ends: whether one meets the fault is left to chance, one in two.
 const shutdownRounds = 16
 
-// A node that ends while a message is on its way ends all the same: who carries the message has asked for the address,
-// and the loop that would answer is over.
+// A node is ended while a message waits to be sent: its sender has the loop look up the address, and the loop is over.
+// The sender waited for good, and Run with it, so that the process did not end. Run has to return.
 func TestNodeStopsWhileAMessageWaits(t *testing.T) {
 	ended := make(chan error, shutdownRounds)
 	for range shutdownRounds {
@@ -35,7 +35,7 @@
 	}
 }
 
-// stopWhileAMessageWaits starts a node whose two fellow members are away, and ends it while a message waits to be carried.
+// stopWhileAMessageWaits starts a node whose two fellow members are away, and ends it while a message waits to be sent.
 func stopWhileAMessageWaits() error {
 	node, err := NewNode(1, discardStorage{}, &raftlog.SavedState{Identity: "disk"}, []uint64{1, 2, 3}, nil, NewState(plainText{}), zap.NewNop())
 	if err != nil {
@@ -45,14 +45,14 @@
 	defer cancel()
 	result := make(chan error, 1)
 	go func() { result <- node.Run(ctx) }()
-	for carried := false; !carried; time.Sleep(tickInterval) {
-		if err := node.runOnLoop(ctx, func() { carried = node.peerQueues[2] != nil }); err != nil {
+	for started := false; !started; time.Sleep(tickInterval) {
+		if err := node.runOnLoop(ctx, func() { started = node.peerQueues[2] != nil }); err != nil {
 			return err
 		}
 	}
 	hold := make(chan struct{})
 	node.requests <- func() { <-hold }
-	node.requests <- func() { // the last one that the loop takes in this turn: what it causes waits for the next
+	node.requests <- func() { // the last one of this iteration of the loop: what it causes waits for the next
 		node.peerQueues[2] <- &raftpb.Message{To: proto.Uint64(2)}
 		for len(node.requests) == 0 {
 			time.Sleep(time.Millisecond)
--- a/cluster/wholetext_test.go
+++ b/cluster/wholetext_test.go
@@ -17,10 +17,10 @@
 	"harehook.dev/harehook/records"
 )
 
-// wholeTexts is what a group that held whole texts wrote: one member's snapshot of the first format after 50 entries,
+// wholeTextGroup is what a group that held whole texts wrote: one member's snapshot of the first format after 50 entries,
 // the entries after that with what became of them, and another member's snapshot after all of them. The program of
 // commit 08d62a0 wrote it.
-type wholeTexts struct {
+type wholeTextGroup struct {
 	Early   json.RawMessage `json:"early"`
 	Late    json.RawMessage `json:"late"`
 	Entries []struct {
@@ -31,7 +31,7 @@
 	} `json:"entries"`
 }
 
-func readWholeTexts(t *testing.T) (saved wholeTexts) {
+func readWholeTextGroup(t *testing.T) (saved wholeTextGroup) {
 	t.Helper()
 	data, err := os.ReadFile("testdata/whole-texts.json")
 	if err != nil {
@@ -54,7 +54,7 @@
 
 // TestWholeTextSnapshotIsRead restores a snapshot of the first format: each version has the configuration that its text had.
 func TestWholeTextSnapshotIsRead(t *testing.T) {
-	saved := readWholeTexts(t)
+	saved := readWholeTextGroup(t)
 	s := restoredState(t, saved.Late)
 	var old struct {
 		Versions   []Version
@@ -104,7 +104,7 @@
 // and another read it at a late place. They agree on all that decides what becomes of later commands: the revisions of
 // records, the versions that are kept and their records.
 func TestMembersAgreeWhereverTheyConvertWholeTexts(t *testing.T) {
-	saved := readWholeTexts(t)
+	saved := readWholeTextGroup(t)
 	early, late := restoredState(t, saved.Early), restoredState(t, saved.Late)
 	index := uint64(0)
 	for _, e := range saved.Entries {
@@ -151,20 +151,20 @@
 
 // TestUnreadableSnapshotsAreRefused are refused, and leave the state as it is.
 func TestUnreadableSnapshotsAreRefused(t *testing.T) {
-	l := newCommandScript(t)
-	l.apply(put("a", 1, 0, "one"))
-	good, err := l.state.Snapshot()
+	script := newCommandScript(t)
+	script.apply(putCommand("a", 1, 0, "one"))
+	good, err := script.state.Snapshot()
 	if err != nil {
 		t.Fatal(err)
 	}
 	newer := append([]byte{}, good...)
 	newer[len(snapshotMagic)]++
 	for name, data := range map[string][]byte{"newer": newer, "cut short": good[:len(good)-1], "no head": []byte(snapshotMagic), "bad text in force": []byte(`{"versions":[{"number":9,"text":"bad"}]}`)} {
-		if err := l.state.Restore(data); err == nil {
+		if err := script.state.Restore(data); err == nil {
 			t.Errorf("%s: it was taken", name)
 		}
 	}
-	if again, _ := l.state.Snapshot(); string(again) != string(good) {
+	if again, _ := script.state.Snapshot(); string(again) != string(good) {
 		t.Error("a refused snapshot changed the state")
 	}
 }
@@ -172,14 +172,14 @@
 // TestLeaderProposesTheRecordsFormat starts a node on a disk of the first format: as its leader it has revisions count without
 // anyone asking, and then takes transactions.
 func TestLeaderProposesTheRecordsFormat(t *testing.T) {
-	saved := readWholeTexts(t)
+	saved := readWholeTextGroup(t)
 	meta := &raftpb.SnapshotMetadata{Index: proto.Uint64(110), Term: proto.Uint64(2), ConfState: &raftpb.ConfState{Voters: []uint64{1}}}
 	disk := &raftlog.SavedState{
 		Identity: "disk-1", Snapshot: &raftpb.Snapshot{Data: saved.Late, Metadata: meta},
 		HardState: &raftpb.HardState{Term: proto.Uint64(2), Vote: proto.Uint64(1), Commit: proto.Uint64(110)},
 	}
 	n := newLeaderFrom(t, disk, NewState(config.TextFormat{}), func(*Node) {})
-	write := transaction("a", recordWrite(records.KindService, "pay", 0, records.ServiceSpec{}))
+	write := recordsCommand("a", recordWrite(records.KindService, "pay", 0, records.ServiceSpec{}))
 	for until := time.Now().Add(20 * time.Second); ; time.Sleep(tickInterval) {
 		r, err := n.handlePropose(t.Context(), write)
 		if err != nil {
