--- a/cluster/commands.go
+++ b/cluster/commands.go
@@ -8,13 +8,13 @@
 
 // The bounds of a command.
 const (
-	maxTextBytes   = 1 << 18 // of a whole text in one entry
+	maxTextBytes   = 1 << 18 // of a full text in one entry
 	maxNameBytes   = 200     // of a client, an operator, a disk's identity or an address
 	maxReasonBytes = 5 * maxNameBytes
 )
 
 // Validate says why a command would be rejected whatever the state is; who proposes calls it first. The error is a
-// *NameSizeError, a *TextSizeError, a *records.InvalidError, or what the TextFormat says of a whole text. It may be
+// *NameSizeError, a *TextSizeError, a *records.InvalidError, or what the TextFormat says of a full text. It may be
 // called from any goroutine.
 func (s *State) Validate(c Command) error {
 	if err := checkSizes(c); err != nil {
--- a/cluster/configuration.go
+++ b/cluster/configuration.go
@@ -2,7 +2,7 @@
 
 import "harehook.dev/harehook/records"
 
-// maxTextWrites bounds the records that one whole text changes. A text of maxTextBytes names fewer, and replaces one
+// maxTextWrites bounds the records that one full text changes. A text of maxTextBytes names fewer, and replaces one
 // that did.
 const maxTextWrites = 32768
 
@@ -11,7 +11,7 @@
 	if err := s.checkPreconditions(c); err != nil {
 		return err
 	}
-	transaction, err := s.transaction(c, s.WholeTexts)
+	transaction, err := s.transaction(c, s.FullTexts)
 	if err != nil {
 		return err
 	}
@@ -33,7 +33,7 @@
 // *VersionForgottenError or a *StaleBaseError.
 func (s *State) checkPreconditions(c Command) error {
 	if c.Kind == CommandRecords {
-		if s.WholeTexts {
+		if s.FullTexts {
 			return ErrRevisionsNotCounted
 		}
 		return nil // each write names the revision that it changes
@@ -47,31 +47,31 @@
 	return nil
 }
 
-// transaction is what a command does to the records that are held. It may be called from any goroutine; wholeTexts is
+// transaction is what a command does to the records that are held. It may be called from any goroutine; fullTexts is
 // the state's.
-func (s *State) transaction(c Command, wholeTexts bool) (records.Transaction, error) {
+func (s *State) transaction(c Command, fullTexts bool) (records.Transaction, error) {
 	switch c.Kind {
 	case CommandPut:
 		parsed, err := s.parseText(c.Text)
 		if err != nil {
 			return records.Transaction{}, err
 		}
-		return s.replacement(parsed, wholeTexts)
+		return s.replacement(parsed, fullTexts)
 	case CommandRollBack:
-		return s.reversal(c.To, wholeTexts)
+		return s.reversal(c.To, fullTexts)
 	default:
 		return records.Transaction{Writes: c.Writes}, nil
 	}
 }
 
 // reversal is the transaction after which the records are those of an earlier version.
-func (s *State) reversal(version uint64, wholeTexts bool) (records.Transaction, error) {
-	if wholeTexts {
+func (s *State) reversal(version uint64, fullTexts bool) (records.Transaction, error) {
+	if fullTexts {
 		earlier, retained := s.store.At(version)
 		if !retained {
 			return records.Transaction{}, &ChangesForgottenError{Version: version}
 		}
-		return s.replacement(earlier, wholeTexts)
+		return s.replacement(earlier, fullTexts)
 	}
 	transaction, retained := s.store.Reversal(version)
 	if !retained {
@@ -80,17 +80,17 @@
 	return transaction, nil
 }
 
-// replacement is the transaction after which the records are those of a whole text. Services and tenants stay as they
+// replacement is the transaction after which the records are those of a full text. Services and tenants stay as they
 // are if the text names none: a text of routes and overrides alone, as written before there were others, leaves them be.
-func (s *State) replacement(parsed []*records.Record, wholeTexts bool) (records.Transaction, error) {
-	transaction := records.Transaction{Restamp: wholeTexts}
+func (s *State) replacement(parsed []*records.Record, fullTexts bool) (records.Transaction, error) {
+	transaction := records.Transaction{Restamp: fullTexts}
 	named := make(map[records.Key]bool, len(parsed))
 	replaced := map[records.Kind]bool{records.KindRoute: true, records.KindOverride: true}
 	for _, record := range parsed {
 		named[record.Key] = true
 		replaced[record.Kind] = true
 		held := s.store.Get(record.Key)
-		if wholeTexts || held == nil || !held.SameContent(record) {
+		if fullTexts || held == nil || !held.SameContent(record) {
 			transaction.Writes = append(transaction.Writes, records.Write{Key: record.Key, Body: record.Body, AnyRevision: true})
 		}
 	}
--- a/cluster/doc.go
+++ b/cluster/doc.go
@@ -13,6 +13,9 @@
 //     gRPC service that operators call. All of the member is touched on the goroutine of Node.Run alone.
 //   - Command is one entry of the log, Result what became of it.
 //
+// A configuration can be changed by single records (CommandRecords) or by a full text, which is one document that names
+// all of it (CommandPut). The first release held full texts and no records; its snapshots are read (snapshot_fulltexts.go).
+//
 // # Use
 //
 // The daemon opens its log, makes a node, registers it on a gRPC server and runs it:
--- a/cluster/election.go
+++ b/cluster/election.go
@@ -29,16 +29,16 @@
 		return
 	}
 	m.electionElapsed = 0
-	m.drawElectionTimeout()
+	m.resetElectionTimeout()
 	ignoreError(m.rawNode.Campaign()) // a member that may not campaign, as a learner, goes on waiting
 }
 
-// drawElectionTimeout sets the time without a leader after which this member campaigns: between one and two times
+// resetElectionTimeout sets the time without a leader after which this member campaigns: between one and two times
 // Timing.ElectionTicks, so that members seldom campaign at once.
-func (m *Member) drawElectionTimeout() {
-	m.electionDraws++
+func (m *Member) resetElectionTimeout() {
+	m.randomCounter++
 	hash := fnv.New64a()
-	fmt.Fprint(hash, m.electionSeed, " ", m.electionDraws, " ", m.ID)
+	fmt.Fprint(hash, m.electionSeed, " ", m.randomCounter, " ", m.ID)
 	random := mixBits(hash.Sum64())
 	m.electionTimeout = m.timing.ElectionTicks + int(random%uint64(m.timing.ElectionTicks))
 }
--- a/cluster/errors.go
+++ b/cluster/errors.go
@@ -26,11 +26,11 @@
 	ErrUnreadableCommand = errors.New("it can't be read")
 	// ErrOlderProposal says that a later proposal of the same client was carried out before.
 	ErrOlderProposal = errors.New("a later proposal of this client came first")
-	// ErrNoTextFormat says that a whole text was proposed to a state that was made without a TextFormat.
+	// ErrNoTextFormat says that a full text was proposed to a state that was made without a TextFormat.
 	ErrNoTextFormat = errors.New("no format of texts is known here")
 	// ErrNoAddress says that a CommandSetAddress lacks the member or its address, or that the address is too long.
 	ErrNoAddress = errors.New("a member's number and address are needed")
-	// ErrRevisionsNotCounted says that a group which began with whole texts has not had CommandSetFormat yet.
+	// ErrRevisionsNotCounted says that a group which began with full texts has not had CommandSetFormat yet.
 	ErrRevisionsNotCounted = errors.New("the group does not count revisions of records yet: its leader has it do so within seconds, try again")
 )
 
@@ -42,7 +42,7 @@
 	return fmt.Sprintf("a name is missing or over %d bytes", e.LimitBytes)
 }
 
-// TextSizeError says that a whole text is too long.
+// TextSizeError says that a full text is too long.
 type TextSizeError struct{ Bytes, LimitBytes int }
 
 // Error tells the size and the bound.
@@ -50,7 +50,7 @@
 	return fmt.Sprintf("a text of %d bytes, %d at most", e.Bytes, e.LimitBytes)
 }
 
-// TextChangesError says that a whole text changes too many records.
+// TextChangesError says that a full text changes too many records.
 type TextChangesError struct{ Records, Limit int }
 
 // Error tells the number and the bound.
--- a/cluster/errors_test.go
+++ b/cluster/errors_test.go
@@ -70,7 +70,7 @@
 
 func TestRecordsWaitUntilRevisionsCount(t *testing.T) {
 	state := NewState(nil)
-	state.WholeTexts = true
+	state.FullTexts = true
 	command := recordsCommand("a", recordWrite(records.KindService, "pay", 0, records.ServiceSpec{}))
 	if err := state.execute(1, 1, command); !errors.Is(err, ErrRevisionsNotCounted) {
 		t.Errorf("%v", err)
--- a/cluster/wholetext_test.go
+++ b/cluster/fulltext_test.go
@@ -17,10 +17,10 @@
 	"harehook.dev/harehook/records"
 )
 
-// wholeTextGroup is what a group that held whole texts wrote: one member's snapshot of the first format after 50 entries,
+// fullTextGroup is what a group that held full texts wrote: one member's snapshot of the first format after 50 entries,
 // the entries after that with what became of them, and another member's snapshot after all of them. The program of
 // commit 08d62a0 wrote it.
-type wholeTextGroup struct {
+type fullTextGroup struct {
 	Early   json.RawMessage `json:"early"`
 	Late    json.RawMessage `json:"late"`
 	Entries []struct {
@@ -31,7 +31,7 @@
 	} `json:"entries"`
 }
 
-func readWholeTextGroup(t *testing.T) (saved wholeTextGroup) {
+func readFullTextGroup(t *testing.T) (saved fullTextGroup) {
 	t.Helper()
 	data, err := os.ReadFile("testdata/whole-texts.json")
 	if err != nil {
@@ -52,9 +52,9 @@
 	return s
 }
 
-// TestWholeTextSnapshotIsRead restores a snapshot of the first format: each version has the configuration that its text had.
-func TestWholeTextSnapshotIsRead(t *testing.T) {
-	saved := readWholeTextGroup(t)
+// TestFullTextSnapshotIsRead restores a snapshot of the first format: each version has the configuration that its text had.
+func TestFullTextSnapshotIsRead(t *testing.T) {
+	saved := readFullTextGroup(t)
 	s := restoredState(t, saved.Late)
 	var old struct {
 		Versions   []Version
@@ -65,7 +65,7 @@
 	if err := json.Unmarshal(saved.Late, &old); err != nil {
 		t.Fatal(err)
 	}
-	if len(old.Versions) != maxWholeTextVersions || len(s.Versions) != len(old.Versions) || len(s.sessions.byClient) != len(old.Clients) {
+	if len(old.Versions) != maxFullTextVersions || len(s.Versions) != len(old.Versions) || len(s.sessions.byClient) != len(old.Clients) {
 		t.Fatalf("%d versions of %d, %d clients of %d", len(s.Versions), len(old.Versions), len(s.sessions.byClient), len(old.Clients))
 	}
 	for k, was := range old.Versions {
@@ -100,11 +100,11 @@
 	return lines
 }
 
-// TestMembersAgreeWhereverTheyConvertWholeTexts has one member read the state at an early place of the log and carry the rest out,
+// TestMembersAgreeWhereverTheyConvertFullTexts has one member read the state at an early place of the log and carry the rest out,
 // and another read it at a late place. They agree on all that decides what becomes of later commands: the revisions of
 // records, the versions that are kept and their records.
-func TestMembersAgreeWhereverTheyConvertWholeTexts(t *testing.T) {
-	saved := readWholeTextGroup(t)
+func TestMembersAgreeWhereverTheyConvertFullTexts(t *testing.T) {
+	saved := readFullTextGroup(t)
 	early, late := restoredState(t, saved.Early), restoredState(t, saved.Late)
 	index := uint64(0)
 	for _, e := range saved.Entries {
@@ -172,7 +172,7 @@
 // TestLeaderProposesTheRecordsFormat starts a node on a disk of the first format: as its leader it has revisions count without
 // anyone asking, and then takes transactions.
 func TestLeaderProposesTheRecordsFormat(t *testing.T) {
-	saved := readWholeTextGroup(t)
+	saved := readFullTextGroup(t)
 	meta := &raftpb.SnapshotMetadata{Index: proto.Uint64(110), Term: proto.Uint64(2), ConfState: &raftpb.ConfState{Voters: []uint64{1}}}
 	disk := &raftlog.SavedState{
 		Identity: "disk-1", Snapshot: &raftpb.Snapshot{Data: saved.Late, Metadata: meta},
--- a/cluster/handle_propose.go
+++ b/cluster/handle_propose.go
@@ -31,11 +31,11 @@
 // checkProposal calls CheckProposal with the records that a command would lead to, tenants left out.
 func (n *Node) checkProposal(ctx context.Context, c Command) error {
 	state := n.member.State
-	wholeTexts := false
-	if err := n.runOnLoop(ctx, func() { wholeTexts = state.WholeTexts }); err != nil {
+	fullTexts := false
+	if err := n.runOnLoop(ctx, func() { fullTexts = state.FullTexts }); err != nil {
 		return err
 	}
-	transaction, err := state.transaction(c, wholeTexts)
+	transaction, err := state.transaction(c, fullTexts)
 	if err != nil {
 		return nil // as a version that is not retained: the group rejects it and says so
 	}
--- a/cluster/member.go
+++ b/cluster/member.go
@@ -54,7 +54,7 @@
 	leader          uint64 // 0: none is known
 	role            raft.StateType
 	electionSeed    uint64
-	electionDraws   uint64
+	randomCounter   uint64
 	electionElapsed int // ticks since the leader was heard or a vote was given
 	electionTimeout int // ticks of electionElapsed at which this member campaigns
 
@@ -103,7 +103,7 @@
 		return nil, first, err
 	}
 	m.rawNode = rawNode
-	m.drawElectionTimeout()
+	m.resetElectionTimeout()
 	return m, first, nil
 }
 
--- a/cluster/messages.go
+++ b/cluster/messages.go
@@ -19,7 +19,7 @@
 	CommandRecords    CommandKind = "records"  // Writes are carried out, if their records have the revisions that they expect
 	CommandRegister   CommandKind = "register" // the disk of Member is the one with Identity
 	CommandSetAddress CommandKind = "place"    // Member is reached at the address that Text is
-	CommandSetFormat  CommandKind = "format"   // revisions of records count from now on, in a group that began with whole texts
+	CommandSetFormat  CommandKind = "format"   // revisions of records count from now on, in a group that began with full texts
 )
 
 // Command is one entry of the log.
--- a/cluster/proposals.go
+++ b/cluster/proposals.go
@@ -127,7 +127,7 @@
 	case !n.member.Registered():
 		n.lastSetup = time.Now()
 		ignoreError(n.member.Propose(n.member.RegisterCommand())) // it is proposed again until it shows in the state
-	case n.member.State.WholeTexts && n.member.IsLeader():
+	case n.member.State.FullTexts && n.member.IsLeader():
 		n.lastSetup = time.Now()
 		ignoreError(n.member.Propose(n.member.FormatCommand())) // as above
 	}
--- a/cluster/registration.go
+++ b/cluster/registration.go
@@ -3,7 +3,7 @@
 import "fmt"
 
 // A member has the group know two things by itself: the disk that it runs on, and, as the leader of a group that began
-// with whole texts, that revisions of records count from now on.
+// with full texts, that revisions of records count from now on.
 
 // Registered reports whether the group knows this member's disk.
 func (m *Member) Registered() bool { return m.State.Identities[m.ID] == m.Identity }
@@ -19,7 +19,7 @@
 	}
 }
 
-// FormatCommand has revisions of records count in a group that began with whole texts.
+// FormatCommand has revisions of records count in a group that began with full texts.
 func (m *Member) FormatCommand() Command {
 	return Command{
 		Kind:   CommandSetFormat,
--- a/cluster/snapshot.go
+++ b/cluster/snapshot.go
@@ -14,7 +14,7 @@
 	// snapshotMagic begins a snapshot. Those of the first format are JSON, which begins otherwise.
 	snapshotMagic = "harehook group state\n"
 	// snapshotFormat is the version of a snapshot's encoding: the magic, this number, the length of the header, the
-	// header as JSON, and the snapshot of the records. Numbers are varints. Format 1 had whole texts.
+	// header as JSON, and the snapshot of the records. Numbers are varints. Format 1 had full texts.
 	snapshotFormat = 2
 )
 
@@ -23,7 +23,7 @@
 
 // snapshotHeader is what a snapshot has beside the records. Maps are encoded with their keys in order.
 type snapshotHeader struct {
-	WholeTexts bool                `json:"whole_texts,omitempty"`
+	FullTexts  bool                `json:"whole_texts,omitempty"`
 	Versions   []snapshotVersion   `json:"versions"`
 	Clients    map[string]*session `json:"clients"`
 	Identities map[uint64]string   `json:"identities"`
@@ -56,7 +56,7 @@
 
 func (s *State) header() snapshotHeader {
 	header := snapshotHeader{
-		WholeTexts: s.WholeTexts,
+		FullTexts:  s.FullTexts,
 		Clients:    s.sessions.byClient,
 		Identities: s.Identities,
 		Addresses:  s.Addresses,
@@ -75,7 +75,7 @@
 	if body, found := bytes.CutPrefix(data, []byte(snapshotMagic)); found {
 		err = next.decodeSnapshot(body)
 	} else {
-		err = next.decodeWholeTexts(data)
+		err = next.decodeFullTexts(data)
 	}
 	if err != nil {
 		return err
@@ -83,7 +83,7 @@
 	s.Versions = next.Versions
 	s.Identities = next.Identities
 	s.Addresses = next.Addresses
-	s.WholeTexts = next.WholeTexts
+	s.FullTexts = next.FullTexts
 	s.sessions = next.sessions
 	s.store.Replace(next.store)
 	if s.OnCommit != nil {
@@ -117,7 +117,7 @@
 
 // restoreHeader takes what both formats have beside the configuration.
 func (s *State) restoreHeader(header snapshotHeader) {
-	s.WholeTexts = header.WholeTexts
+	s.FullTexts = header.FullTexts
 	s.sessions = restoreSessions(header.Clients)
 	if header.Identities != nil {
 		s.Identities = header.Identities
--- a/cluster/snapshot_wholetexts.go
+++ b/cluster/snapshot_fulltexts.go
@@ -7,25 +7,25 @@
 	"harehook.dev/harehook/records"
 )
 
-// wholeTextSnapshot is the first format of a snapshot, in which each version had its whole text.
-type wholeTextSnapshot struct {
+// fullTextSnapshot is the first format of a snapshot, in which each version had its full text.
+type fullTextSnapshot struct {
 	Versions   []Version           `json:"versions"`
 	Clients    map[string]*session `json:"clients"`
 	Identities map[uint64]string   `json:"identities"`
 	Addresses  map[uint64]string   `json:"addresses"`
 }
 
-// decodeWholeTexts reads the first format into a new state. The records of the texts become the history. A version whose
+// decodeFullTexts reads the first format into a new state. The records of the texts become the history. A version whose
 // text cannot be read any more is dropped with those before it, unless it is the one in effect.
-func (s *State) decodeWholeTexts(data []byte) error {
-	var saved wholeTextSnapshot
+func (s *State) decodeFullTexts(data []byte) error {
+	var saved fullTextSnapshot
 	if err := json.Unmarshal(data, &saved); err != nil {
 		return err
 	}
-	s.restoreHeader(snapshotHeader{WholeTexts: true, Clients: saved.Clients, Identities: saved.Identities, Addresses: saved.Addresses})
+	s.restoreHeader(snapshotHeader{FullTexts: true, Clients: saved.Clients, Identities: saved.Identities, Addresses: saved.Addresses})
 	var lastError error
 	for _, version := range saved.Versions {
-		lastError = s.addWholeText(version)
+		lastError = s.addFullText(version)
 		if lastError != nil {
 			s.Versions = nil
 			s.store = records.NewStore()
@@ -41,9 +41,9 @@
 	return nil
 }
 
-// addWholeText adds a version of the first format as records.
-func (s *State) addWholeText(version Version) error {
-	transaction, err := s.transaction(Command{Kind: CommandPut, Text: version.Text}, s.WholeTexts)
+// addFullText adds a version of the first format as records.
+func (s *State) addFullText(version Version) error {
+	transaction, err := s.transaction(Command{Kind: CommandPut, Text: version.Text}, s.FullTexts)
 	if err != nil {
 		return err
 	}
--- a/cluster/state.go
+++ b/cluster/state.go
@@ -16,17 +16,17 @@
 	Versions   []Version         // retained ones without texts, by rising number; the last one is in effect
 	Identities map[uint64]string // of the members' disks, by member
 	Addresses  map[uint64]string // that members are reached at, by member
-	// WholeTexts is set in a group that began with whole texts, until CommandSetFormat. Until then a whole text sets the
+	// FullTexts is set in a group that began with full texts, until CommandSetFormat. Until then a full text sets the
 	// revision of each of its records: members that read the state at different indexes of the log have to hold the same
-	// revisions, and of a whole text all know only the index of the last one.
-	WholeTexts bool
+	// revisions, and of a full text all know only the index of the last one.
+	FullTexts bool
 
 	sessions sessions
 	store    *records.Store
-	format   TextFormat // nil: whole texts are rejected
+	format   TextFormat // nil: full texts are rejected
 }
 
-// NewState is one in which nothing was agreed. Without a format whole texts are rejected.
+// NewState is one in which nothing was agreed. Without a format full texts are rejected.
 func NewState(format TextFormat) *State {
 	return &State{
 		Identities: map[uint64]string{},
@@ -75,7 +75,7 @@
 	case CommandSetAddress:
 		return s.setAddress(c)
 	case CommandSetFormat:
-		s.WholeTexts = false
+		s.FullTexts = false
 		return nil
 	default:
 		return &UnknownCommandError{Kind: c.Kind}
--- a/cluster/texts.go
+++ b/cluster/texts.go
@@ -2,8 +2,8 @@
 
 import "harehook.dev/harehook/records"
 
-// TextFormat turns a whole configuration as operators write it into records, and records into such a text. Both must
-// depend on their argument alone: all members have to come to the same answer.
+// TextFormat turns a full text, which is a configuration as operators write it in one document, into records, and records
+// into such a text. Both must depend on their argument alone: all members have to come to the same answer.
 type TextFormat interface {
 	// Parse gives the records of a text, each key once, or says why it can't be a configuration.
 	Parse(text string) ([]*records.Record, error)
@@ -11,7 +11,7 @@
 	Format(list []*records.Record) string
 }
 
-// parseText gives the records of a whole text. The error is ErrNoTextFormat or the format's.
+// parseText gives the records of a full text. The error is ErrNoTextFormat or the format's.
 func (s *State) parseText(text string) ([]*records.Record, error) {
 	if s.format == nil {
 		return nil, ErrNoTextFormat
--- a/cluster/transactions_test.go
+++ b/cluster/transactions_test.go
@@ -21,9 +21,9 @@
 	return Command{Kind: CommandRecords, Client: client, Seq: 1, Writes: writes, By: "operator", Why: "why"}
 }
 
-// TestTransactionsBesideWholeTexts changes records beside whole texts: conflicts are named, a transaction counts as a
+// TestTransactionsBesideFullTexts changes records beside full texts: conflicts are named, a transaction counts as a
 // version, and a roll-back reverses it.
-func TestTransactionsBesideWholeTexts(t *testing.T) {
+func TestTransactionsBesideFullTexts(t *testing.T) {
 	script := newCommandScript(t)
 	var changes []records.Change
 	script.state.OnCommit = func(c records.Change) { changes = append(changes, c) }
--- a/cluster/versions.go
+++ b/cluster/versions.go
@@ -6,10 +6,10 @@
 	// maxVersions is how many versions are retained to roll back to, at most some 1.3 KB each: three hours of the
 	// expected 7,800 changes a day. Older changes may still be in the history of records.
 	maxVersions = 1024
-	// maxWholeTextVersions is how many were retained with their whole texts. Members of a group that began with those
+	// maxFullTextVersions is how many were retained with their full texts. Members of a group that began with those
 	// convert them at different indexes of the log, and have no more versions than these in common until
 	// CommandSetFormat.
-	maxWholeTextVersions = 64
+	maxFullTextVersions = 64
 )
 
 // Latest is the version in effect without its text; its number is 0 if there is none.
@@ -40,8 +40,8 @@
 func (s *State) addVersion(version Version) {
 	s.Versions = append(s.Versions, version)
 	limit := maxVersions
-	if s.WholeTexts {
-		limit = maxWholeTextVersions
+	if s.FullTexts {
+		limit = maxFullTextVersions
 	}
 	for len(s.Versions) > limit {
 		s.Versions[0] = Version{} // lets its strings go before the slice moves
