--- a/cluster/errors_test.go
+++ b/cluster/errors_test.go
@@ -5,6 +5,7 @@
 	"errors"
 	"reflect"
 	"testing"
+	"time"
 
 	"harehook.dev/harehook/raftlog"
 	"harehook.dev/harehook/records"
@@ -105,8 +106,13 @@
 		t.Fatal(err)
 	}
 	var replaced *DiskReplacedError
-	if err := <-ended; !errors.As(err, &replaced) || replaced.Member != 1 {
-		t.Errorf("%v, want a DiskReplacedError of member 1", err)
+	select {
+	case err := <-ended:
+		if !errors.As(err, &replaced) || replaced.Member != 1 {
+			t.Errorf("%v, want a DiskReplacedError of member 1", err)
+		}
+	case <-time.After(10 * time.Second):
+		t.Fatal("the node goes on")
 	}
 	if err := n.runOnLoop(t.Context(), func() {}); !errors.Is(err, ErrStopped) {
 		t.Errorf("a request after the end: %v", err)
