--- a/records/growth_test.go
+++ b/records/cost_test.go
@@ -13,8 +13,8 @@
 	expectedTenants  = 140000
 )
 
-// filled makes a store of a part of the expected size: size 1 is the whole, 0.1 a tenth of services, routes and tenants.
-func filled(t testing.TB, size float64) *Store {
+// filledStore makes a store of a part of the expected size: size 1 is the whole, 0.1 a tenth of services, routes and tenants.
+func filledStore(t testing.TB, size float64) *Store {
 	t.Helper()
 	s := NewStore()
 	services, routes, tenants := int(expectedServices*size), int(expectedRoutes*size), int(expectedTenants*size)
@@ -46,17 +46,17 @@
 	return write(KindTenant, fmt.Sprintf("tenant-%06d", i), TenantSpec{Service: serviceName(i % services), Share: share})
 }
 
-// cost is what one change takes.
-type cost struct {
+// changeCost is what one change takes.
+type changeCost struct {
 	allocations, bytes float64 // of memory, for the change and for telling it to a scope
 	history            float64 // bytes that it adds to the history as encoded
 }
 
 // costOfChange measures the mean of many changes of one tenant each, on a store of a size. After each change more is
 // done, nil for nothing.
-func costOfChange(t testing.TB, size float64, more func(*Store)) cost {
+func costOfChange(t testing.TB, size float64, more func(*Store)) changeCost {
 	t.Helper()
-	s := filled(t, size)
+	s := filledStore(t, size)
 	const changes = 1000
 	services, tenants := int(expectedServices*size), int(expectedTenants*size)
 	scope := Scope{Services: []string{serviceName(1), serviceName(2)}, Zones: []string{"zone-01"}}
@@ -64,7 +64,7 @@
 	for i := range transactions {
 		transactions[i].Writes = []Write{tenantWrite(i*7919%tenants, services, 0.002+float64(i)*1e-6)}
 	}
-	s.history = history{maxBytes: maxHistoryBytes, floor: s.revision}
+	s.history = history{maxBytes: maxHistoryBytes, compactRevision: s.revision}
 	var before, after runtime.MemStats
 	runtime.GC()
 	runtime.ReadMemStats(&before)
@@ -79,52 +79,52 @@
 		}
 	}
 	runtime.ReadMemStats(&after)
-	return cost{
+	return changeCost{
 		allocations: float64(after.Mallocs-before.Mallocs) / changes, bytes: float64(after.TotalAlloc-before.TotalAlloc) / changes,
 		history: float64(s.history.bytes) / changes,
 	}
 }
 
-// mostGrowth is the bound on what a change costs more at ten times the size.
-const mostGrowth = 1.2
+// maxGrowth is the bound on what a change costs more at ten times the size.
+const maxGrowth = 1.2
 
-// grownTooMuch tells what of a change's cost grows over the bound, empty if nothing.
-func grownTooMuch(small, large cost) string {
+// growthFault tells what of a change's cost grows over the bound, empty if nothing.
+func growthFault(small, large changeCost) string {
 	switch {
-	case large.allocations > mostGrowth*small.allocations:
+	case large.allocations > maxGrowth*small.allocations:
 		return fmt.Sprintf("allocations: %.1f and %.1f", small.allocations, large.allocations)
-	case large.bytes > mostGrowth*small.bytes:
+	case large.bytes > maxGrowth*small.bytes:
 		return fmt.Sprintf("bytes: %.0f and %.0f", small.bytes, large.bytes)
-	case large.history > mostGrowth*small.history:
+	case large.history > maxGrowth*small.history:
 		return fmt.Sprintf("bytes of history: %.0f and %.0f", small.history, large.history)
 	}
 	return ""
 }
 
-// TestChangeCostsByItsSize compares one change at a tenth of the expected size and at the whole. Counts and bytes are
+// TestChangeCostDoesNotGrowWithTheStore compares one change at a tenth of the expected size and at the whole. Counts and bytes are
 // compared, not times.
-func TestChangeCostsByItsSize(t *testing.T) {
+func TestChangeCostDoesNotGrowWithTheStore(t *testing.T) {
 	small, large := costOfChange(t, 0.1, nil), costOfChange(t, 1, nil)
 	t.Logf("a tenth: %+v; the whole: %+v", small, large)
-	if fault := grownTooMuch(small, large); fault != "" {
+	if fault := growthFault(small, large); fault != "" {
 		t.Error(fault)
 	}
 }
 
-// TestGrowthIsCaught plants what the bound is there for: a copy of a whole index, and the whole state in the history, at
+// TestPlantedGrowthOfChangeCostIsCaught plants what the bound is there for: a copy of a whole index, and the whole state in the history, at
 // each change.
-func TestGrowthIsCaught(t *testing.T) {
+func TestPlantedGrowthOfChangeCostIsCaught(t *testing.T) {
 	for name, planted := range map[string]func(*Store){
 		"index copied": func(s *Store) {
-			copied := make(map[string]usage, len(s.usages))
-			for service, use := range s.usages {
+			copied := make(map[string]serviceUsage, len(s.usageByService))
+			for service, use := range s.usageByService {
 				copied[service] = use
 			}
-			s.usages = copied
+			s.usageByService = copied
 		},
 		"state kept in the history": func(s *Store) { s.history.bytes += s.bytes / 1000 },
 	} {
-		if fault := grownTooMuch(costOfChange(t, 0.1, planted), costOfChange(t, 1, planted)); fault == "" {
+		if fault := growthFault(costOfChange(t, 0.1, planted), costOfChange(t, 1, planted)); fault == "" {
 			t.Errorf("%s: not caught", name)
 		} else {
 			t.Logf("%s: %s", name, fault)
@@ -132,13 +132,13 @@
 	}
 }
 
-// TestRoomForTwice fills a store with twice the expected size, restores its snapshot and states what that takes.
-func TestRoomForTwice(t *testing.T) {
+// TestTwiceTheExpectedSizeFits fills a store with twice the expected size, restores its snapshot and states what that takes.
+func TestTwiceTheExpectedSizeFits(t *testing.T) {
 	var before, after runtime.MemStats
 	runtime.GC()
 	runtime.ReadMemStats(&before)
-	s := filled(t, 2)
-	s.history = history{maxBytes: maxHistoryBytes, floor: s.revision}
+	s := filledStore(t, 2)
+	s.history = history{maxBytes: maxHistoryBytes, compactRevision: s.revision}
 	runtime.GC()
 	runtime.ReadMemStats(&after)
 	records := s.Count(KindRoute) + s.Count(KindService) + s.Count(KindTenant)
@@ -149,8 +149,8 @@
 	if s.Count(KindRoute) != 2*expectedRoutes || s.Count(KindTenant) != 2*expectedTenants {
 		t.Error("not all records are held")
 	}
-	if perRecord > mostMemoryPerRecord {
-		t.Errorf("%.0f bytes of memory a record, %d at most", perRecord, mostMemoryPerRecord)
+	if perRecord > maxMemoryPerRecord {
+		t.Errorf("%.0f bytes of memory a record, %d at most", perRecord, maxMemoryPerRecord)
 	}
 	const largestMessage = 64 << 20 // between members
 	if len(snapshot)+maxHistoryBytes > largestMessage/2 {
@@ -161,13 +161,13 @@
 	}
 }
 
-// mostMemoryPerRecord bounds the memory of a record of the expected kinds with its places in the indexes.
-const mostMemoryPerRecord = 350
+// maxMemoryPerRecord bounds the memory of a record of the expected kinds with its places in the indexes.
+const maxMemoryPerRecord = 350
 
 func BenchmarkApply(b *testing.B) {
 	for _, size := range []float64{0.1, 1, 2} {
 		b.Run(fmt.Sprintf("size=%g", size), func(b *testing.B) {
-			s := filled(b, size)
+			s := filledStore(b, size)
 			services, tenants := int(expectedServices*size), int(expectedTenants*size)
 			transactions := make([]Transaction, 4096)
 			for i := range transactions {
@@ -189,7 +189,7 @@
 func BenchmarkInScopeOfSixServices(b *testing.B) {
 	for _, size := range []float64{0.1, 1} {
 		b.Run(fmt.Sprintf("size=%g", size), func(b *testing.B) {
-			s := filled(b, size)
+			s := filledStore(b, size)
 			scope := Scope{Zones: []string{"zone-01"}}
 			for i := range 6 {
 				scope.Services = append(scope.Services, serviceName(i))
@@ -203,7 +203,7 @@
 }
 
 func BenchmarkSinceOneChange(b *testing.B) {
-	s := filled(b, 1)
+	s := filledStore(b, 1)
 	apply(b, s, tenantWrite(1, expectedServices, 0.002))
 	scope := Scope{Services: []string{serviceName(1)}}
 	b.ReportAllocs()
@@ -215,11 +215,11 @@
 func BenchmarkSnapshot(b *testing.B) {
 	for _, size := range []float64{1, 2} {
 		b.Run(fmt.Sprintf("size=%g", size), func(b *testing.B) {
-			s := filled(b, size)
-			s.history = history{maxBytes: maxHistoryBytes, floor: s.revision}
+			s := filledStore(b, size)
+			s.history = history{maxBytes: maxHistoryBytes, compactRevision: s.revision}
 			b.ReportAllocs()
 			for b.Loop() {
-				s.order.forget() // the first one sorts all
+				s.sorted.forget() // the first one sorts all
 				b.SetBytes(int64(len(s.Snapshot())))
 			}
 		})
@@ -230,8 +230,8 @@
 func BenchmarkNextSnapshot(b *testing.B) {
 	for _, size := range []float64{1, 2} {
 		b.Run(fmt.Sprintf("size=%g", size), func(b *testing.B) {
-			s := filled(b, size)
-			s.history = history{maxBytes: maxHistoryBytes, floor: s.revision}
+			s := filledStore(b, size)
+			s.history = history{maxBytes: maxHistoryBytes, compactRevision: s.revision}
 			s.Snapshot()
 			share := 0.002
 			for b.Loop() {
@@ -246,7 +246,7 @@
 }
 
 func BenchmarkRestore(b *testing.B) {
-	snapshot := filled(b, 1).Snapshot()
+	snapshot := filledStore(b, 1).Snapshot()
 	b.ReportAllocs()
 	for b.Loop() {
 		if err := NewStore().Restore(snapshot); err != nil {
--- a/records/history.go
+++ b/records/history.go
@@ -15,10 +15,10 @@
 
 // history is the changes of late. Those dropped stay in the slice's dead front until append moves it.
 type history struct {
-	changes  []Change
-	floor    uint64 // changes up to this revision are no longer known
-	bytes    int
-	maxBytes int
+	changes         []Change
+	compactRevision uint64 // changes up to this revision are no longer known
+	bytes           int
+	maxBytes        int
 }
 
 // add takes a change in and drops the oldest over the bound.
@@ -28,14 +28,14 @@
 	for h.bytes > h.maxBytes && len(h.changes) > 0 {
 		oldest := h.changes[0]
 		h.bytes -= changeSize(oldest)
-		h.floor = oldest.Revision
+		h.compactRevision = oldest.Revision
 		h.changes[0] = Change{} // lets its records go before the slice moves
 		h.changes = h.changes[1:]
 	}
 }
 
-// after gives the changes after a revision.
-func (h *history) after(revision uint64) []Change {
+// since gives the changes after a revision.
+func (h *history) since(revision uint64) []Change {
 	at, found := slices.BinarySearchFunc(h.changes, revision, func(c Change, r uint64) int { return cmp.Compare(c.Revision, r) })
 	if found {
 		at++
@@ -62,13 +62,13 @@
 	if !scope.All {
 		scope = scope.Normalized()
 	}
-	s.lock.RLock()
-	defer s.lock.RUnlock()
-	delta := Delta{Revision: s.revision, RoutingRevision: s.routing.of(scope), Available: revision >= s.history.floor}
+	s.contentMutex.RLock()
+	defer s.contentMutex.RUnlock()
+	delta := Delta{Revision: s.revision, RoutingRevision: s.routing.inScope(scope), Available: revision >= s.history.compactRevision}
 	if revision >= s.revision || !delta.Available {
 		return delta
 	}
-	for _, update := range merge(s.history.after(revision)) {
+	for _, update := range mergeChanges(s.history.since(revision)) {
 		if scope.Touches(update) {
 			delta.Updates = append(delta.Updates, update)
 		}
@@ -76,9 +76,9 @@
 	return delta
 }
 
-// merge gives what several changes do together, one update a record and ordered by key. A record that was created and
+// mergeChanges gives what several changes do together, one update a record and ordered by key. A record that was created and
 // removed within them has none.
-func merge(changes []Change) []Update {
+func mergeChanges(changes []Change) []Update {
 	if len(changes) == 1 {
 		return changes[0].Updates
 	}
@@ -106,21 +106,21 @@
 
 // Forget drops the history: what was before the last change is not known any more.
 func (s *Store) Forget() {
-	s.lock.Lock()
-	defer s.lock.Unlock()
-	s.history = history{maxBytes: s.history.maxBytes, floor: s.revision}
+	s.contentMutex.Lock()
+	defer s.contentMutex.Unlock()
+	s.history = history{maxBytes: s.history.maxBytes, compactRevision: s.revision}
 }
 
 // At gives all records as they were at a revision, ordered by key. Kept is false if the changes since are no longer
 // known or the revision is not yet there.
 func (s *Store) At(revision uint64) (held []*Record, kept bool) {
-	s.lock.RLock()
-	if revision < s.history.floor || revision > s.revision {
-		s.lock.RUnlock()
+	s.contentMutex.RLock()
+	if revision < s.history.compactRevision || revision > s.revision {
+		s.contentMutex.RUnlock()
 		return nil, false
 	}
 	undone := map[Key]*Record{}
-	for _, update := range merge(s.history.after(revision)) {
+	for _, update := range mergeChanges(s.history.since(revision)) {
 		undone[update.Key()] = update.Before
 	}
 	for _, list := range s.byKind {
@@ -130,7 +130,7 @@
 			}
 		}
 	}
-	s.lock.RUnlock()
+	s.contentMutex.RUnlock()
 	for _, record := range undone {
 		if record != nil {
 			held = append(held, record)
@@ -143,12 +143,12 @@
 // Reversal is the transaction that brings the records back to what they were at a revision, whatever else is written
 // meanwhile. Kept is as for At.
 func (s *Store) Reversal(revision uint64) (transaction Transaction, kept bool) {
-	s.lock.RLock()
-	defer s.lock.RUnlock()
-	if revision < s.history.floor || revision > s.revision {
+	s.contentMutex.RLock()
+	defer s.contentMutex.RUnlock()
+	if revision < s.history.compactRevision || revision > s.revision {
 		return Transaction{}, false
 	}
-	for _, update := range merge(s.history.after(revision)) {
+	for _, update := range mergeChanges(s.history.since(revision)) {
 		write := Write{Key: update.Key(), AnyRevision: true}
 		if update.Before != nil {
 			write.Body = update.Before.Body
--- a/records/model_test.go
+++ b/records/model_test.go
@@ -62,11 +62,11 @@
 		record.Revision = revision
 		next[write.Key] = record
 	}
-	if !wholeStateHolds(m.last(), next) {
+	if !keepsAllRules(m.last(), next) {
 		return "check"
 	}
 	m.revisions = append(m.revisions, revision)
-	m.routes = append(m.routes, Change{Revision: revision, Updates: routesOf(since(m.last(), next, Scope{All: true}))})
+	m.routes = append(m.routes, Change{Revision: revision, Updates: routesOf(updatesBetween(m.last(), next, Scope{All: true}))})
 	m.states = append(m.states, next)
 	return ""
 }
@@ -85,8 +85,8 @@
 	return 0
 }
 
-// wholeStateHolds checks every rule on every record.
-func wholeStateHolds(before, state map[Key]*Record) bool {
+// keepsAllRules checks every rule on every record.
+func keepsAllRules(before, state map[Key]*Record) bool {
 	prefixes, shares := map[string]bool{}, map[string]int64{}
 	for _, record := range state {
 		if record.Service != "" && state[Key{KindService, record.Service}] == nil {
@@ -121,8 +121,8 @@
 	return count
 }
 
-// inScope is the naive InScope of a state.
-func inScope(state map[Key]*Record, scope Scope) (held []*Record) {
+// recordsInScope is the naive InScope of a state.
+func recordsInScope(state map[Key]*Record, scope Scope) (held []*Record) {
 	for _, record := range state {
 		if scope.Normalized().Contains(record) {
 			held = append(held, record)
@@ -132,8 +132,8 @@
 	return held
 }
 
-// since is the naive Since: it compares two whole states.
-func since(from, to map[Key]*Record, scope Scope) (updates []Update) {
+// updatesBetween is the naive Since: it compares two whole states.
+func updatesBetween(from, to map[Key]*Record, scope Scope) (updates []Update) {
 	keys := map[Key]bool{}
 	for key := range from {
 		keys[key] = true
@@ -180,7 +180,7 @@
 
 // randomWrite draws from few names, so that records meet and rules are broken often.
 func randomWrite(random *rand.Rand, state map[Key]*Record) Write {
-	kind := allKinds[random.IntN(len(allKinds))]
+	kind := kindsInOrder[random.IntN(len(kindsInOrder))]
 	key := Key{Kind: kind, Name: fmt.Sprintf("%c%d", "rsto"[kind-1], random.IntN(4))}
 	write := Write{Key: key, AnyRevision: random.IntN(4) == 0}
 	if held := state[key]; held != nil {
@@ -204,7 +204,7 @@
 	case KindOverride:
 		spec = OverrideSpec{Service: service, Zone: someZones[random.IntN(len(someZones))], State: StateDraining}
 	}
-	write.Body = mustJSON(spec)
+	write.Body = mustMarshal(spec)
 	return write
 }
 
@@ -274,7 +274,7 @@
 			outcomes[want]++
 			if want == "" {
 				previous := plain.states[len(plain.states)-2]
-				if a, b := describeUpdates(change.Updates), describeUpdates(since(previous, plain.last(), Scope{All: true})); !slices.Equal(a, b) {
+				if a, b := describeUpdates(change.Updates), describeUpdates(updatesBetween(previous, plain.last(), Scope{All: true})); !slices.Equal(a, b) {
 					t.Fatalf("seed %d, revision %d: change %q, want %q", seed, revision, a, b)
 				}
 			}
@@ -298,7 +298,7 @@
 	t.Helper()
 	scope := randomScope(random)
 	view := store.InScope(scope)
-	if a, b := describeAll(view.Records), describeAll(inScope(plain.last(), scope)); !slices.Equal(a, b) {
+	if a, b := describeAll(view.Records), describeAll(recordsInScope(plain.last(), scope)); !slices.Equal(a, b) {
 		t.Errorf("in scope %+v: %q, want %q", scope, a, b)
 	}
 	newest := plain.revisions[len(plain.revisions)-1]
@@ -307,20 +307,20 @@
 	}
 	from := uint64(random.IntN(int(newest) + 3))
 	delta := store.Since(from, scope)
-	if want := from >= store.history.floor; delta.Available != want || delta.Revision != newest {
-		t.Errorf("since %d: kept %v as of %d, floor %d, newest %d", from, delta.Available, delta.Revision, store.history.floor, newest)
+	if want := from >= store.history.compactRevision; delta.Available != want || delta.Revision != newest {
+		t.Errorf("since %d: kept %v as of %d, floor %d, newest %d", from, delta.Available, delta.Revision, store.history.compactRevision, newest)
 	}
 	if want := plain.routing(scope); view.RoutingRevision != want || delta.RoutingRevision != want {
 		t.Errorf("routes of %+v changed at revision %d, since %d at %d, want %d", scope, view.RoutingRevision, from, delta.RoutingRevision, want)
 	}
-	if a, b := describeUpdates(delta.Updates), describeUpdates(since(plain.at(from), plain.last(), scope)); delta.Available && !slices.Equal(a, b) {
+	if a, b := describeUpdates(delta.Updates), describeUpdates(updatesBetween(plain.at(from), plain.last(), scope)); delta.Available && !slices.Equal(a, b) {
 		t.Errorf("since %d in %+v: %q, want %q", from, scope, a, b)
 	}
 	old, kept := store.At(from)
-	if want := from >= store.history.floor && from <= newest; kept != want {
+	if want := from >= store.history.compactRevision && from <= newest; kept != want {
 		t.Errorf("at %d: kept %v", from, kept)
 	}
-	if a, b := describeAll(old), describeAll(inScope(plain.at(from), Scope{All: true})); kept && !slices.Equal(a, b) {
+	if a, b := describeAll(old), describeAll(recordsInScope(plain.at(from), Scope{All: true})); kept && !slices.Equal(a, b) {
 		t.Errorf("at %d: %q, want %q", from, a, b)
 	}
 }
@@ -346,8 +346,8 @@
 	}
 }
 
-// TestReversal brings random states back to an earlier one: the content is that one, under a new revision.
-func TestReversal(t *testing.T) {
+// TestReversalRestoresAnEarlierContent brings random states back to an earlier one: the content is that one, under a new revision.
+func TestReversalRestoresAnEarlierContent(t *testing.T) {
 	reversed := 0
 	for seed := range uint64(30) {
 		random := rand.New(rand.NewPCG(seed, 2))
@@ -373,7 +373,7 @@
 		}
 		reversed++
 		now := store.InScope(Scope{All: true}).Records
-		want := inScope(plain.at(target), Scope{All: true})
+		want := recordsInScope(plain.at(target), Scope{All: true})
 		if !slices.EqualFunc(now, want, (*Record).SameContent) {
 			t.Fatalf("seed %d: %q, want %q", seed, describeAll(now), describeAll(want))
 		}
@@ -383,9 +383,9 @@
 	}
 }
 
-// TestSnapshotRestores plays random transactions, restores a snapshot elsewhere and goes on with both: they stay equal to
+// TestRestoredStoreGoesOnAsTheOriginal plays random transactions, restores a snapshot elsewhere and goes on with both: they stay equal to
 // the byte, and a reader of the restored store sees it without asking for another.
-func TestSnapshotRestores(t *testing.T) {
+func TestRestoredStoreGoesOnAsTheOriginal(t *testing.T) {
 	for seed := range uint64(20) {
 		random := rand.New(rand.NewPCG(seed, 3))
 		store, plain, other := NewStore(), newModel(), NewStore()
--- a/records/record.go
+++ b/records/record.go
@@ -14,8 +14,8 @@
 	"strings"
 )
 
-// maxName is the longest name of a record, service or zone in bytes.
-const maxName = 200
+// maxNameBytes is the longest name of a record, service or zone in bytes.
+const maxNameBytes = 200
 
 // Kind is a type of record.
 type Kind uint8
@@ -53,7 +53,7 @@
 	if !found {
 		return Key{}, fmt.Errorf("%q is no key: expected kind/name", text)
 	}
-	if err := checkName("name", name); err != nil {
+	if err := checkNameSize("name", name); err != nil {
 		return Key{}, err
 	}
 	for kind, known := range kindNames {
@@ -134,7 +134,7 @@
 }
 
 // Parse makes a record of a spec's JSON, which is checked on its own and brought into canonical form.
-func Parse(key Key, body []byte) (*Record, error) { return parseWith(decode, key, body) }
+func Parse(key Key, body []byte) (*Record, error) { return parseWith(decodeStrictly, key, body) }
 
 // parseCanonical makes a record of a spec that has to be in canonical form already, as one in a snapshot is.
 func parseCanonical(key Key, body []byte) (*Record, error) {
@@ -145,8 +145,8 @@
 	return record, err
 }
 
-func parseWith(decode decodeFunc, key Key, body []byte) (*Record, error) {
-	if err := checkName("name", key.Name); err != nil {
+func parseWith(decode specDecoder, key Key, body []byte) (*Record, error) {
+	if err := checkNameSize("name", key.Name); err != nil {
 		return nil, err
 	}
 	record := &Record{Key: key}
@@ -169,33 +169,33 @@
 	return record, nil
 }
 
-func (r *Record) parseRoute(decode decodeFunc, body []byte) error {
+func (r *Record) parseRoute(decode specDecoder, body []byte) error {
 	var spec RouteSpec
 	if err := decode(body, &spec); err != nil {
 		return err
 	}
 	switch {
-	case !strings.HasPrefix(spec.Prefix, "/") || len(spec.Prefix) > maxName:
-		return fmt.Errorf("its prefix has to begin with a slash and be at most %d bytes long", maxName)
+	case !strings.HasPrefix(spec.Prefix, "/") || len(spec.Prefix) > maxNameBytes:
+		return fmt.Errorf("its prefix has to begin with a slash and be at most %d bytes long", maxNameBytes)
 	case !(spec.TimeLimitMS >= 1 && spec.TimeLimitMS <= 600000):
 		return errors.New("its time limit has to be between 1 and 600000 ms")
 	case !(spec.MaxAdmitted >= 0 && spec.MaxAdmitted <= 1):
 		return errors.New("the part that it admits has to be between 0 and 1")
 	}
-	if err := checkOptionalName("service", spec.Service); err != nil {
+	if err := checkOptionalNameSize("service", spec.Service); err != nil {
 		return err
 	}
 	r.Service = spec.Service
 	return r.encode(spec)
 }
 
-func (r *Record) parseService(decode decodeFunc, body []byte) error {
+func (r *Record) parseService(decode specDecoder, body []byte) error {
 	var spec ServiceSpec
 	if err := decode(body, &spec); err != nil {
 		return err
 	}
 	for _, zone := range spec.Zones {
-		if err := checkName("zone", zone); err != nil {
+		if err := checkNameSize("zone", zone); err != nil {
 			return err
 		}
 	}
@@ -205,12 +205,12 @@
 	return r.encode(spec)
 }
 
-func (r *Record) parseTenant(decode decodeFunc, body []byte) error {
+func (r *Record) parseTenant(decode specDecoder, body []byte) error {
 	var spec TenantSpec
 	if err := decode(body, &spec); err != nil {
 		return err
 	}
-	if err := checkName("service", spec.Service); err != nil {
+	if err := checkNameSize("service", spec.Service); err != nil {
 		return err
 	}
 	if !(spec.Share > 0 && spec.Share <= 1) {
@@ -220,7 +220,7 @@
 	return r.encode(spec)
 }
 
-func (r *Record) parseOverride(decode decodeFunc, body []byte) error {
+func (r *Record) parseOverride(decode specDecoder, body []byte) error {
 	var spec OverrideSpec
 	if err := decode(body, &spec); err != nil {
 		return err
@@ -228,10 +228,10 @@
 	if spec.State != StateDraining && spec.State != StateGone {
 		return fmt.Errorf("its state has to be %q or %q", StateDraining, StateGone)
 	}
-	if err := checkOptionalName("service", spec.Service); err != nil {
+	if err := checkOptionalNameSize("service", spec.Service); err != nil {
 		return err
 	}
-	if err := checkOptionalName("zone", spec.Zone); err != nil {
+	if err := checkOptionalNameSize("zone", spec.Zone); err != nil {
 		return err
 	}
 	r.Service, r.Zone = spec.Service, spec.Zone
@@ -273,11 +273,11 @@
 	return r.Key == other.Key && bytes.Equal(r.Body, other.Body)
 }
 
-// decodeFunc reads a spec's JSON.
-type decodeFunc func(body []byte, into any) error
+// specDecoder reads a spec's JSON.
+type specDecoder func(body []byte, into any) error
 
-// decode refuses fields that are not known.
-func decode(body []byte, into any) error {
+// decodeStrictly refuses fields that are not known.
+func decodeStrictly(body []byte, into any) error {
 	decoder := json.NewDecoder(bytes.NewReader(body))
 	decoder.DisallowUnknownFields()
 	if err := decoder.Decode(into); err != nil {
@@ -289,16 +289,16 @@
 	return nil
 }
 
-func checkName(what, name string) error {
-	if name == "" || len(name) > maxName || strings.ContainsAny(name, "\r\n\x00") {
-		return fmt.Errorf("a %s has to be 1 to %d bytes on one line", what, maxName)
+func checkNameSize(what, name string) error {
+	if name == "" || len(name) > maxNameBytes || strings.ContainsAny(name, "\r\n\x00") {
+		return fmt.Errorf("a %s has to be 1 to %d bytes on one line", what, maxNameBytes)
 	}
 	return nil
 }
 
-func checkOptionalName(what, name string) error {
+func checkOptionalNameSize(what, name string) error {
 	if name == "" {
 		return nil
 	}
-	return checkName(what, name)
+	return checkNameSize(what, name)
 }
--- /dev/null
+++ b/records/routingrevisions.go
@@ -0,0 +1,140 @@
+package records
+
+import (
+	"encoding/binary"
+	"errors"
+	"fmt"
+	"maps"
+	"slices"
+)
+
+// maxRoutingServices bounds the services that a routing revision is kept for, of which some may be gone: over a hundred
+// times the expected 570, and some 2 MB of a snapshot.
+const maxRoutingServices = 1 << 16
+
+// routingRevisions keeps, for each service, the revision at which one of its routes was last created, changed, removed or moved to
+// or from another service. Unlike the highest revision of the routes that are held, it does not go down when the newest
+// one is removed. Routes without a service are kept under the empty name.
+//
+// Overrides do not count: sidecars are not told of them in their routes, and they are of zones, so that conductors of
+// different zones would number the same routes differently.
+type routingRevisions struct {
+	byService map[string]uint64 // each over the floor
+	floor     uint64            // that of all services that are not in the map
+	highest   uint64            // the highest of all
+
+	maxServices int
+}
+
+func newRouting() routingRevisions {
+	return routingRevisions{byService: map[string]uint64{}, maxServices: maxRoutingServices}
+}
+
+// inScope is the revision of the last change of a route in a scope.
+func (r *routingRevisions) inScope(scope Scope) uint64 {
+	if scope.All {
+		return r.highest
+	}
+	highest := max(r.floor, r.byService[""])
+	for _, service := range scope.Services {
+		highest = max(highest, r.byService[service])
+	}
+	return highest
+}
+
+// recordChange takes an applied change in.
+func (r *routingRevisions) recordChange(revision uint64, updates []Update) {
+	for _, update := range updates {
+		if update.Key().Kind != KindRoute {
+			continue
+		}
+		for _, record := range []*Record{update.Before, update.After} {
+			if record != nil {
+				r.raiseService(record.Service, revision)
+			}
+		}
+	}
+	r.limitServices()
+}
+
+// raiseService raises the revision of a service.
+func (r *routingRevisions) raiseService(service string, revision uint64) {
+	if revision > max(r.floor, r.byService[service]) {
+		r.byService[service] = revision
+	}
+	r.highest = max(r.highest, revision)
+}
+
+// raiseAll gives all services at least a revision.
+func (r *routingRevisions) raiseAll(floor uint64) {
+	r.floor = max(r.floor, floor)
+	r.highest = max(r.highest, floor)
+	maps.DeleteFunc(r.byService, func(_ string, revision uint64) bool { return revision <= r.floor })
+}
+
+// limitServices raises the floor to the revisions of the older half of the services where there are too many of them: then no
+// revision goes down, and the next bound is far.
+func (r *routingRevisions) limitServices() {
+	if len(r.byService) <= r.maxServices {
+		return
+	}
+	revisions := slices.Sorted(maps.Values(r.byService))
+	r.raiseAll(revisions[len(revisions)/2])
+}
+
+// derive makes the revisions of a state whose snapshot has none: from the routes that are held and the changes that are
+// known. They are exact but for removals of before the known changes.
+func (r *routingRevisions) derive(routes map[string]*Record, changes []Change) {
+	for _, route := range routes {
+		r.raiseService(route.Service, route.Revision)
+	}
+	for _, change := range changes {
+		r.recordChange(change.Revision, change.Updates)
+	}
+	r.limitServices()
+}
+
+// check says why the revisions can't be those of a state.
+func (r *routingRevisions) check(revision uint64, routes map[string]*Record) error {
+	if r.highest > revision {
+		return fmt.Errorf("its routes changed at revision %d, over the last one, %d", r.highest, revision)
+	}
+	for _, route := range routes {
+		if route.Revision > max(r.floor, r.byService[route.Service]) {
+			return fmt.Errorf("%s has revision %d, over that of its service's routes", route.Key, route.Revision)
+		}
+	}
+	return nil
+}
+
+// errRoutingOrder says that a snapshot is not the one that its state gives.
+var errRoutingOrder = errors.New("the revisions of its services' routes are out of order")
+
+// appendTo encodes the floor and the services by name.
+func (r *routingRevisions) appendTo(out []byte) []byte {
+	out = binary.AppendUvarint(out, r.floor)
+	out = binary.AppendUvarint(out, uint64(len(r.byService)))
+	for _, service := range slices.Sorted(maps.Keys(r.byService)) {
+		out = appendBytes(out, service)
+		out = binary.AppendUvarint(out, r.byService[service])
+	}
+	return out
+}
+
+// decode reads what append encoded.
+func (r *routingRevisions) decode(in *decoder) error {
+	r.raiseAll(in.number())
+	before := ""
+	for at := range in.number() {
+		service, revision := string(in.bytes()), in.number()
+		if in.err != nil {
+			return in.err
+		}
+		if at > 0 && service <= before || revision <= r.floor {
+			return errRoutingOrder
+		}
+		r.raiseService(service, revision)
+		before = service
+	}
+	return in.err
+}
--- a/records/routing_test.go
+++ b/records/routingrevisions_test.go
@@ -28,8 +28,8 @@
 	}
 }
 
-// storeWithoutTheNewest has routes of three services, of which the newest was removed and one has moved.
-func storeWithoutTheNewest(t *testing.T) *Store {
+// storeWithRemovedRoute has routes of three services, of which the newest was removed and one has moved.
+func storeWithRemovedRoute(t *testing.T) *Store {
 	s := NewStore()
 	apply(t, s, write(KindService, "a", ServiceSpec{}), write(KindService, "b", ServiceSpec{}), write(KindService, "c", ServiceSpec{}),
 		routeOf("a1", "a", 1), routeOf("b1", "b", 1))
@@ -42,8 +42,8 @@
 }
 
 // The revision of a scope's routes is that of their last change, be it that the newest of them goes or that one moves.
-func TestRoutingRevision(t *testing.T) {
-	s := storeWithoutTheNewest(t)
+func TestRoutingRevisionIsThatOfTheLastRouteChange(t *testing.T) {
+	s := storeWithRemovedRoute(t)
 	expectRouting(t, s, map[string]uint64{"": 2, "a": 4, "b": 6, "c": 6, "a b": 6, "none": 2, "all": 6})
 	apply(t, s, removal(KindOverride, "n"), removal(KindTenant, "t"))
 	apply(t, s, routeOf("b1", "c", 1)) // is there already
@@ -56,8 +56,8 @@
 }
 
 // A snapshot has the revisions of routes that are gone.
-func TestRoutingRevisionRestored(t *testing.T) {
-	s, again := storeWithoutTheNewest(t), NewStore()
+func TestRoutingRevisionsAreInTheSnapshot(t *testing.T) {
+	s, again := storeWithRemovedRoute(t), NewStore()
 	s.Forget()
 	snapshot := s.Snapshot()
 	if err := again.Restore(snapshot); err != nil {
@@ -73,12 +73,12 @@
 func withoutRouting(s *Store) []byte {
 	snapshot := s.Snapshot()
 	snapshot[0] = formatWithoutRouting
-	return snapshot[:len(snapshot)-len(s.routing.append(nil))]
+	return snapshot[:len(snapshot)-len(s.routing.appendTo(nil))]
 }
 
 // Of an older snapshot the revisions are derived: exactly where the changes are known, else from the routes held.
-func TestRoutingRevisionOfOlderSnapshot(t *testing.T) {
-	s, again := storeWithoutTheNewest(t), NewStore()
+func TestRoutingRevisionsAreDerivedFromAnOlderSnapshot(t *testing.T) {
+	s, again := storeWithRemovedRoute(t), NewStore()
 	if err := again.Restore(withoutRouting(s)); err != nil {
 		t.Fatal(err)
 	}
@@ -94,8 +94,8 @@
 }
 
 // A snapshot whose routing revisions can't be those of its records is refused.
-func TestDamagedRoutingRevisions(t *testing.T) {
-	s := storeWithoutTheNewest(t)
+func TestDamagedRoutingRevisionsAreRejected(t *testing.T) {
+	s := storeWithRemovedRoute(t)
 	base := withoutRouting(s)
 	base[0] = snapshotFormat
 	encoded := func(floor uint64, entries ...any) []byte {
@@ -127,7 +127,7 @@
 
 // A restamp, as of whole texts, leaves equal bytes whatever services were known of before.
 func TestRestampLeavesOneRoutingRevision(t *testing.T) {
-	s := storeWithoutTheNewest(t)
+	s := storeWithRemovedRoute(t)
 	s.Forget()
 	derived := NewStore()
 	if err := derived.Restore(withoutRouting(s)); err != nil {
@@ -155,7 +155,7 @@
 		apply(t, s, write(KindService, service, ServiceSpec{}), routeOf(name, service, 1))
 		apply(t, s, removal(KindRoute, name), removal(KindService, service))
 		last[service] = s.Revision()
-		if kept := len(s.routing.services); kept > 10 {
+		if kept := len(s.routing.byService); kept > 10 {
 			t.Fatalf("%d services are kept", kept)
 		}
 		for known, before := range last {
--- a/records/checks.go
+++ b/records/rules.go
@@ -6,12 +6,12 @@
 // sum does not depend on the order of changes. A share is rounded down, so that six tenants of a sixth each fit.
 const shareUnit = 1_000_000_000
 
-// check says which rules over several records the state breaks once the updates are in it. It looks only at what was
+// checkRules says which rules over several records the state breaks once the updates are in it. It looks only at what was
 // updated and at what refers to that: all else kept the rules before and keeps them now.
-func (s *Store) check(updates []Update, routesBefore int) error {
+func (s *Store) checkRules(updates []Update, routesBefore int) error {
 	var violations []Violation
 	for _, update := range updates {
-		if reason := s.broken(update); reason != "" {
+		if reason := s.brokenRule(update); reason != "" {
 			violations = append(violations, Violation{Key: update.Key(), Reason: reason})
 		}
 	}
@@ -27,11 +27,11 @@
 	return nil
 }
 
-// broken gives the first rule that one update breaks, empty if none.
-func (s *Store) broken(update Update) string {
+// brokenRule gives the first rule that one update breaks, empty if none.
+func (s *Store) brokenRule(update Update) string {
 	after := update.After
 	if after == nil {
-		return s.brokenByRemoval(update.Before)
+		return s.ruleBrokenByRemoval(update.Before)
 	}
 	if after.Kind == KindService {
 		return ""
@@ -41,24 +41,24 @@
 	}
 	switch after.Kind {
 	case KindRoute:
-		for _, other := range s.prefixes[prefixOf(after)] {
+		for _, other := range s.routesByPrefix[routePrefix(after)] {
 			if other != after {
-				return fmt.Sprintf("%s has the same prefix %q", other.Key, prefixOf(after))
+				return fmt.Sprintf("%s has the same prefix %q", other.Key, routePrefix(after))
 			}
 		}
 	case KindTenant:
-		if sum := s.usages[after.Service].shares; sum > shareUnit {
+		if sum := s.usageByService[after.Service].shareSum; sum > shareUnit {
 			return fmt.Sprintf("the shares of service %q sum to %g, over 1", after.Service, float64(sum)/shareUnit)
 		}
 	}
 	return ""
 }
 
-func (s *Store) brokenByRemoval(record *Record) string {
+func (s *Store) ruleBrokenByRemoval(record *Record) string {
 	if record.Kind != KindService {
 		return ""
 	}
-	if references := s.usages[record.Name].references; references > 0 {
+	if references := s.usageByService[record.Name].referenceCount; references > 0 {
 		return fmt.Sprintf("%d records refer to this service: remove or move them in the same transaction or before", references)
 	}
 	return ""
@@ -73,8 +73,8 @@
 	return key
 }
 
-// prefixOf is a route's prefix. Records are parsed before they are stored, so that their bodies can be read.
-func prefixOf(record *Record) string {
+// routePrefix is a route's prefix. Records are parsed before they are stored, so that their bodies can be read.
+func routePrefix(record *Record) string {
 	spec, err := record.Route()
 	if err != nil {
 		return ""
--- a/records/scope.go
+++ b/records/scope.go
@@ -46,14 +46,14 @@
 	if s.All {
 		return true
 	}
-	return holdsName(s.Services, r.Service) && holdsName(s.Zones, r.Zone)
+	return matchesName(s.Services, r.Service) && matchesName(s.Zones, r.Zone)
 }
 
 // Touches tells whether an update changes what the scope holds.
 func (s Scope) Touches(u Update) bool { return s.Contains(u.Before) || s.Contains(u.After) }
 
-// holdsName tells whether a sorted list names something; what has no name concerns all.
-func holdsName(sorted []string, name string) bool {
+// matchesName tells whether a sorted list names something; what has no name concerns all.
+func matchesName(sorted []string, name string) bool {
 	if name == "" {
 		return true
 	}
--- a/records/snapshot.go
+++ b/records/snapshot.go
@@ -15,8 +15,8 @@
 
 // The marks before an update of a snapshot's history.
 const (
-	markBefore = 1 << iota // the record before follows
-	markAfter              // the record after follows
+	updateHasBefore = 1 << iota // the record before follows
+	updateHasAfter              // the record after follows
 )
 
 // Snapshot encodes the records and the history. Equal stores give equal bytes. It costs by the size of the state, but
@@ -25,9 +25,9 @@
 // The encoding is a format number, the store's revision, the records by key, the revision up to which changes are not
 // known, the changes, and the revisions of services' routes. Numbers are varints, names and bodies have their length before them.
 func (s *Store) Snapshot() []byte {
-	s.lock.RLock()
-	defer s.lock.RUnlock()
-	held := s.order.of(s)
+	s.contentMutex.RLock()
+	defer s.contentMutex.RUnlock()
+	held := s.sorted.all(s)
 	out := make([]byte, 0, s.bytes+s.history.bytes+64)
 	out = binary.AppendUvarint(out, snapshotFormat)
 	out = binary.AppendUvarint(out, s.revision)
@@ -35,7 +35,7 @@
 	for _, record := range held {
 		out = appendRecord(out, record)
 	}
-	out = binary.AppendUvarint(out, s.history.floor)
+	out = binary.AppendUvarint(out, s.history.compactRevision)
 	out = binary.AppendUvarint(out, uint64(len(s.history.changes)))
 	for _, change := range s.history.changes {
 		out = binary.AppendUvarint(out, change.Revision)
@@ -44,7 +44,7 @@
 			out = appendUpdate(out, update)
 		}
 	}
-	return s.routing.append(out)
+	return s.routing.appendTo(out)
 }
 
 func appendRecord(out []byte, record *Record) []byte {
@@ -57,10 +57,10 @@
 func appendUpdate(out []byte, update Update) []byte {
 	mark := byte(0)
 	if update.Before != nil {
-		mark |= markBefore
+		mark |= updateHasBefore
 	}
 	if update.After != nil {
-		mark |= markAfter
+		mark |= updateHasAfter
 	}
 	out = append(out, mark)
 	if update.Before != nil {
@@ -91,17 +91,17 @@
 
 // Replace replaces the content by that of another store, which must not be used any more.
 func (s *Store) Replace(next *Store) {
-	s.lock.Lock()
-	defer s.lock.Unlock()
+	s.contentMutex.Lock()
+	defer s.contentMutex.Unlock()
 	s.revision, s.bytes = next.revision, next.bytes
-	s.byKind, s.byPlace, s.prefixes, s.usages = next.byKind, next.byPlace, next.prefixes, next.usages
+	s.byKind, s.byServiceZone, s.routesByPrefix, s.usageByService = next.byKind, next.byServiceZone, next.routesByPrefix, next.usageByService
 	s.routing, s.history = next.routing, next.history
-	s.order.sorted, s.order.fresh, s.order.gone = next.order.sorted, next.order.fresh, next.order.gone
-	s.changed, s.restored = map[Kind]uint64{}, next.revision
+	s.sorted.records, s.sorted.added, s.sorted.removed = next.sorted.records, next.sorted.added, next.sorted.removed
+	s.lastChangeByKind, s.restoredRevision = map[Kind]uint64{}, next.revision
 }
 
 func (s *Store) decode(data []byte) error {
-	in := &decoder{left: data}
+	in := &decoder{remaining: data}
 	format := in.number()
 	if in.err == nil && format != snapshotFormat && format != formatWithoutRouting {
 		return fmt.Errorf("its format is %d, %d and %d are known", format, formatWithoutRouting, snapshotFormat)
@@ -116,7 +116,7 @@
 	if err := s.decodeRouting(in, format); err != nil {
 		return err
 	}
-	if len(in.left) > 0 {
+	if len(in.remaining) > 0 {
 		return errors.New("it goes on after its end")
 	}
 	return nil
@@ -149,7 +149,7 @@
 		if record.Revision > s.revision {
 			return fmt.Errorf("%s has revision %d, over the last one, %d", record.Key, record.Revision, s.revision)
 		}
-		s.shareNames(record, nil)
+		s.reuseStrings(record, nil)
 		s.insert(record)
 		sorted = append(sorted, record)
 		updates = append(updates, Update{After: record})
@@ -157,13 +157,13 @@
 	if in.err != nil {
 		return in.err
 	}
-	s.order.sorted, s.order.gone = sorted, map[*Record]struct{}{}
-	return s.check(updates, 0)
+	s.sorted.records, s.sorted.removed = sorted, map[*Record]struct{}{}
+	return s.checkRules(updates, 0)
 }
 
 func (s *Store) decodeHistory(in *decoder) error {
-	s.history.floor = in.number()
-	last := s.history.floor
+	s.history.compactRevision = in.number()
+	last := s.history.compactRevision
 	for range in.number() {
 		change := Change{Revision: in.number()}
 		for range in.number() {
@@ -171,7 +171,7 @@
 			if in.err != nil {
 				return in.err
 			}
-			change.Updates = append(change.Updates, s.shareRecords(update))
+			change.Updates = append(change.Updates, s.reuseRecord(update))
 		}
 		if in.err != nil {
 			return in.err
@@ -190,7 +190,7 @@
 
 // checkHistory tells whether the changes lead to the records that are held.
 func (s *Store) checkHistory() error {
-	for _, update := range merge(s.history.changes) {
+	for _, update := range mergeChanges(s.history.changes) {
 		held := s.get(update.Key())
 		if update.After != held {
 			return fmt.Errorf("its changes and its records do not agree on %s", update.Key())
@@ -199,8 +199,8 @@
 	return nil
 }
 
-// shareRecords has an update of the history use the record that the state holds, if it is that one.
-func (s *Store) shareRecords(update Update) Update {
+// reuseRecord has an update of the history use the record that the state holds, if it is that one.
+func (s *Store) reuseRecord(update Update) Update {
 	if update.After == nil {
 		return update
 	}
@@ -213,45 +213,45 @@
 
 // decoder reads a snapshot; after its first error it gives zeros.
 type decoder struct {
-	left []byte
-	err  error
+	remaining []byte
+	err       error
 }
 
-func (d *decoder) fail() {
+func (d *decoder) failDamaged() {
 	if d.err == nil {
 		d.err = errors.New("it is cut short or damaged")
 	}
-	d.left = nil
+	d.remaining = nil
 }
 
 func (d *decoder) number() uint64 {
-	value, size := binary.Uvarint(d.left)
+	value, size := binary.Uvarint(d.remaining)
 	if size <= 0 {
-		d.fail()
+		d.failDamaged()
 		return 0
 	}
-	d.left = d.left[size:]
+	d.remaining = d.remaining[size:]
 	return value
 }
 
 func (d *decoder) byte() byte {
-	if len(d.left) == 0 {
-		d.fail()
+	if len(d.remaining) == 0 {
+		d.failDamaged()
 		return 0
 	}
-	first := d.left[0]
-	d.left = d.left[1:]
+	first := d.remaining[0]
+	d.remaining = d.remaining[1:]
 	return first
 }
 
 func (d *decoder) bytes() []byte {
 	size := d.number()
-	if size > uint64(len(d.left)) {
-		d.fail()
+	if size > uint64(len(d.remaining)) {
+		d.failDamaged()
 		return nil
 	}
-	text := d.left[:size]
-	d.left = d.left[size:]
+	text := d.remaining[:size]
+	d.remaining = d.remaining[size:]
 	return text
 }
 
@@ -273,14 +273,14 @@
 
 func (d *decoder) update() (update Update) {
 	mark := d.byte()
-	if mark&markBefore != 0 {
+	if mark&updateHasBefore != 0 {
 		update.Before = d.record()
 	}
-	if mark&markAfter != 0 {
+	if mark&updateHasAfter != 0 {
 		update.After = d.record()
 	}
 	if d.err == nil && update.Before == nil && update.After == nil {
-		d.fail()
+		d.failDamaged()
 	}
 	return update
 }
--- a/records/store.go
+++ b/records/store.go
@@ -14,34 +14,34 @@
 	recordOverhead = 16
 )
 
-var allKinds = []Kind{KindRoute, KindService, KindTenant, KindOverride}
+var kindsInOrder = []Kind{KindRoute, KindService, KindTenant, KindOverride}
 
-// place is where a record is found by scope: an empty name concerns all services or all zones.
-type place struct {
+// serviceZone is where a record is found by scope: an empty name concerns all services or all zones.
+type serviceZone struct {
 	service, zone string
 }
 
-// usage is what refers to a service.
-type usage struct {
-	references int   // routes, tenants and overrides that name it
-	shares     int64 // sum of its tenants' shares, in parts of shareUnit
+// serviceUsage is what refers to a service.
+type serviceUsage struct {
+	referenceCount int   // routes, tenants and overrides that name it
+	shareSum       int64 // sum of its tenants' shares, in parts of shareUnit
 }
 
 // Store holds the records, indexes over them and the changes of late. One goroutine applies transactions; any number
 // may read at the same time. An applied transaction costs by its own size, not by that of the state.
 type Store struct {
-	lock     sync.RWMutex
-	revision uint64
-	bytes    int // of all records as encoded
-	byKind   map[Kind]map[string]*Record
-	byPlace  map[place]map[*Record]struct{}
-	prefixes map[string][]*Record // routes by prefix; more than one only while a transaction is checked
-	usages   map[string]usage     // by service
-	changed  map[Kind]uint64      // the revision of the last change of each kind, since the last snapshot was restored
-	restored uint64               // the revision as of the last snapshot that was restored
-	routing  routing              // when routes last changed, by service
-	history  history
-	order    order
+	contentMutex     sync.RWMutex
+	revision         uint64
+	bytes            int // of all records as encoded
+	byKind           map[Kind]map[string]*Record
+	byServiceZone    map[serviceZone]map[*Record]struct{}
+	routesByPrefix   map[string][]*Record    // routes by prefix; more than one only while a transaction is checked
+	usageByService   map[string]serviceUsage // by service
+	lastChangeByKind map[Kind]uint64         // the revision of the last change of each kind, since the last snapshot was restored
+	restoredRevision uint64                  // the revision as of the last snapshot that was restored
+	routing          routingRevisions        // when routes last changed, by service
+	history          history
+	sorted           sortedRecords
 
 	maxBytes int
 }
@@ -51,59 +51,59 @@
 // NewStore makes a store without records.
 func NewStore() *Store {
 	s := &Store{maxBytes: maxStateBytes, history: history{maxBytes: maxHistoryBytes}}
-	s.clear()
+	s.reset()
 	return s
 }
 
-func (s *Store) clear() {
+func (s *Store) reset() {
 	s.revision, s.bytes = 0, 0
 	s.byKind = map[Kind]map[string]*Record{KindRoute: {}, KindService: {}, KindTenant: {}, KindOverride: {}}
-	s.byPlace = map[place]map[*Record]struct{}{}
-	s.prefixes = map[string][]*Record{}
-	s.usages = map[string]usage{}
-	s.changed, s.restored = map[Kind]uint64{}, 0
+	s.byServiceZone = map[serviceZone]map[*Record]struct{}{}
+	s.routesByPrefix = map[string][]*Record{}
+	s.usageByService = map[string]serviceUsage{}
+	s.lastChangeByKind, s.restoredRevision = map[Kind]uint64{}, 0
 	s.routing = newRouting()
 	s.history = history{maxBytes: s.history.maxBytes}
-	s.order.forget()
+	s.sorted.forget()
 }
 
 // Revision is that of the last change.
 func (s *Store) Revision() uint64 {
-	s.lock.RLock()
-	defer s.lock.RUnlock()
+	s.contentMutex.RLock()
+	defer s.contentMutex.RUnlock()
 	return s.revision
 }
 
 // Count is how many records of a kind there are.
 func (s *Store) Count(kind Kind) int {
-	s.lock.RLock()
-	defer s.lock.RUnlock()
+	s.contentMutex.RLock()
+	defer s.contentMutex.RUnlock()
 	return len(s.byKind[kind])
 }
 
 // Size is how many bytes the records take, and how many they may take.
 func (s *Store) Size() (bytes, limit int) {
-	s.lock.RLock()
-	defer s.lock.RUnlock()
+	s.contentMutex.RLock()
+	defer s.contentMutex.RUnlock()
 	return s.bytes, s.maxBytes
 }
 
 // LastChange is the revision at which records of some kinds last changed, so that who needs only those need not look
 // after each change. After a snapshot was restored it is at least the snapshot's.
 func (s *Store) LastChange(kinds ...Kind) uint64 {
-	s.lock.RLock()
-	defer s.lock.RUnlock()
-	last := s.restored
+	s.contentMutex.RLock()
+	defer s.contentMutex.RUnlock()
+	last := s.restoredRevision
 	for _, kind := range kinds {
-		last = max(last, s.changed[kind])
+		last = max(last, s.lastChangeByKind[kind])
 	}
 	return last
 }
 
 // Get gives a record, nil if there is none of that key.
 func (s *Store) Get(key Key) *Record {
-	s.lock.RLock()
-	defer s.lock.RUnlock()
+	s.contentMutex.RLock()
+	defer s.contentMutex.RUnlock()
 	return s.get(key)
 }
 
@@ -111,9 +111,9 @@
 
 // OfKinds gives all records of some kinds. Its routing revision is that of all routes.
 func (s *Store) OfKinds(kinds ...Kind) View {
-	s.lock.RLock()
-	view := View{Records: s.ofKinds(kinds), Revision: s.revision, RoutingRevision: s.routing.last}
-	s.lock.RUnlock()
+	s.contentMutex.RLock()
+	view := View{Records: s.ofKinds(kinds), Revision: s.revision, RoutingRevision: s.routing.highest}
+	s.contentMutex.RUnlock()
 	sortByKey(view.Records)
 	return view
 }
@@ -136,19 +136,19 @@
 // InScope gives all records of a scope. It costs by what the scope holds, but for a scope of all.
 func (s *Store) InScope(scope Scope) View {
 	if scope.All {
-		return s.OfKinds(allKinds...)
+		return s.OfKinds(kindsInOrder...)
 	}
 	scope = scope.Normalized()
-	s.lock.RLock()
-	view := View{Revision: s.revision, RoutingRevision: s.routing.of(scope)}
+	s.contentMutex.RLock()
+	view := View{Revision: s.revision, RoutingRevision: s.routing.inScope(scope)}
 	for _, service := range withUnnamed(scope.Services) {
 		for _, zone := range withUnnamed(scope.Zones) {
-			for record := range s.byPlace[place{service, zone}] {
+			for record := range s.byServiceZone[serviceZone{service, zone}] {
 				view.Records = append(view.Records, record)
 			}
 		}
 	}
-	s.lock.RUnlock()
+	s.contentMutex.RUnlock()
 	sortByKey(view.Records)
 	return view
 }
@@ -173,41 +173,41 @@
 	if err != nil {
 		return Change{}, err
 	}
-	s.lock.Lock()
-	defer s.lock.Unlock()
+	s.contentMutex.Lock()
+	defer s.contentMutex.Unlock()
 	if revision <= s.revision {
 		return Change{}, fmt.Errorf("revision %d is not over the last one, %d", revision, s.revision)
 	}
-	if err := s.conflicts(transaction); err != nil {
+	if err := s.checkRevisions(transaction); err != nil {
 		return Change{}, err
 	}
-	updates := s.updates(revision, transaction, written)
+	updates := s.stampUpdates(revision, transaction, written)
 	routesBefore := len(s.byKind[KindRoute])
 	for _, update := range updates {
-		s.replace(update.Before, update.After)
+		s.replaceRecord(update.Before, update.After)
 	}
-	if err := s.check(updates, routesBefore); err != nil {
+	if err := s.checkRules(updates, routesBefore); err != nil {
 		for _, update := range updates {
-			s.replace(update.After, update.Before)
+			s.replaceRecord(update.After, update.Before)
 		}
 		return Change{}, err
 	}
 	s.revision = revision
 	for _, update := range updates {
-		s.changed[update.Key().Kind] = revision
+		s.lastChangeByKind[update.Key().Kind] = revision
 	}
-	s.routing.note(revision, updates)
+	s.routing.recordChange(revision, updates)
 	if transaction.Restamp {
 		// Members that come to this state from different snapshots of whole texts know of different changes before it.
-		s.routing.raise(revision)
+		s.routing.raiseAll(revision)
 	}
 	change := Change{Revision: revision, Updates: updates}
 	s.history.add(change)
 	return change, nil
 }
 
-// conflicts names the writes that expect another revision than their record has.
-func (s *Store) conflicts(transaction Transaction) error {
+// checkRevisions names the writes that expect another revision than their record has.
+func (s *Store) checkRevisions(transaction Transaction) error {
 	var conflicts []Conflict
 	for _, write := range transaction.Writes {
 		held := uint64(0)
@@ -224,8 +224,8 @@
 	return nil
 }
 
-// updates gives what writes change, ordered by key. The written records are stamped with the revision.
-func (s *Store) updates(revision uint64, transaction Transaction, written []*Record) []Update {
+// stampUpdates gives what writes change, ordered by key. The written records are stamped with the revision.
+func (s *Store) stampUpdates(revision uint64, transaction Transaction, written []*Record) []Update {
 	updates := make([]Update, 0, len(written))
 	for i, after := range written {
 		before := s.get(transaction.Writes[i].Key)
@@ -234,7 +234,7 @@
 		}
 		if after != nil {
 			after.Revision = revision
-			s.shareNames(after, before)
+			s.reuseStrings(after, before)
 		}
 		updates = append(updates, Update{Before: before, After: after})
 	}
@@ -242,9 +242,9 @@
 	return updates
 }
 
-// shareNames has a record use the strings that the state holds already, which a tenant in two services would otherwise
+// reuseStrings has a record use the strings that the state holds already, which a tenant in two services would otherwise
 // hold a copy of each.
-func (s *Store) shareNames(record, before *Record) {
+func (s *Store) reuseStrings(record, before *Record) {
 	if before != nil {
 		record.Name = before.Name
 	}
@@ -253,8 +253,8 @@
 	}
 }
 
-// replace takes a record out of the state and puts another one in; either may be nil.
-func (s *Store) replace(before, after *Record) {
+// replaceRecord takes a record out of the state and puts another one in; either may be nil.
+func (s *Store) replaceRecord(before, after *Record) {
 	if before != nil {
 		s.remove(before)
 	}
@@ -265,59 +265,59 @@
 
 func (s *Store) insert(record *Record) {
 	s.byKind[record.Kind][record.Name] = record
-	s.order.add(record)
+	s.sorted.add(record)
 	s.bytes += encodedSize(record)
-	at := place{record.Service, record.Zone}
-	if s.byPlace[at] == nil {
-		s.byPlace[at] = map[*Record]struct{}{}
+	at := serviceZone{record.Service, record.Zone}
+	if s.byServiceZone[at] == nil {
+		s.byServiceZone[at] = map[*Record]struct{}{}
 	}
-	s.byPlace[at][record] = struct{}{}
+	s.byServiceZone[at][record] = struct{}{}
 	if record.Kind == KindRoute {
-		prefix := prefixOf(record)
-		s.prefixes[prefix] = append(s.prefixes[prefix], record)
+		prefix := routePrefix(record)
+		s.routesByPrefix[prefix] = append(s.routesByPrefix[prefix], record)
 	}
-	s.count(record, 1)
+	s.countReference(record, 1)
 }
 
 func (s *Store) remove(record *Record) {
 	if s.byKind[record.Kind][record.Name] == record {
 		delete(s.byKind[record.Kind], record.Name)
 	}
-	s.order.remove(record)
+	s.sorted.remove(record)
 	s.bytes -= encodedSize(record)
-	at := place{record.Service, record.Zone}
-	if delete(s.byPlace[at], record); len(s.byPlace[at]) == 0 {
-		delete(s.byPlace, at)
+	at := serviceZone{record.Service, record.Zone}
+	if delete(s.byServiceZone[at], record); len(s.byServiceZone[at]) == 0 {
+		delete(s.byServiceZone, at)
 	}
 	if record.Kind == KindRoute {
 		s.removePrefix(record)
 	}
-	s.count(record, -1)
+	s.countReference(record, -1)
 }
 
 func (s *Store) removePrefix(record *Record) {
-	prefix := prefixOf(record)
-	left := slices.DeleteFunc(s.prefixes[prefix], func(other *Record) bool { return other == record })
+	prefix := routePrefix(record)
+	left := slices.DeleteFunc(s.routesByPrefix[prefix], func(other *Record) bool { return other == record })
 	if len(left) == 0 {
-		delete(s.prefixes, prefix)
+		delete(s.routesByPrefix, prefix)
 		return
 	}
-	s.prefixes[prefix] = left
+	s.routesByPrefix[prefix] = left
 }
 
-// count notes that a record refers to its service, or (sign -1) no longer does.
-func (s *Store) count(record *Record, sign int) {
+// countReference notes that a record refers to its service, or (sign -1) no longer does.
+func (s *Store) countReference(record *Record, sign int) {
 	if record.Service == "" || record.Kind == KindService {
 		return
 	}
-	use := s.usages[record.Service]
-	use.references += sign
-	use.shares += int64(sign) * record.share
-	if use == (usage{}) {
-		delete(s.usages, record.Service)
+	use := s.usageByService[record.Service]
+	use.referenceCount += sign
+	use.shareSum += int64(sign) * record.share
+	if use == (serviceUsage{}) {
+		delete(s.usageByService, record.Service)
 		return
 	}
-	s.usages[record.Service] = use
+	s.usageByService[record.Service] = use
 }
 
 // encodedSize is what a record counts for in the bounds of the state and of the history.
--- a/records/store_test.go
+++ b/records/store_test.go
@@ -10,7 +10,7 @@
 	"testing"
 )
 
-func mustJSON(value any) []byte {
+func mustMarshal(value any) []byte {
 	text, err := json.Marshal(value)
 	if err != nil {
 		panic(err)
@@ -19,7 +19,7 @@
 }
 
 func write(kind Kind, name string, spec any) Write {
-	return Write{Key: Key{kind, name}, Body: mustJSON(spec), AnyRevision: true}
+	return Write{Key: Key{kind, name}, Body: mustMarshal(spec), AnyRevision: true}
 }
 
 func removal(kind Kind, name string) Write { return Write{Key: Key{kind, name}, AnyRevision: true} }
@@ -34,7 +34,7 @@
 	return change
 }
 
-func TestRulesOverRecords(t *testing.T) {
+func TestRulesOverSeveralRecords(t *testing.T) {
 	begin := []Write{
 		write(KindService, "pay", ServiceSpec{}), write(KindService, "ship", ServiceSpec{}),
 		write(KindRoute, "quote", RouteSpec{Service: "pay", Prefix: "/quote", TimeLimitMS: 10}),
@@ -93,7 +93,7 @@
 	}
 }
 
-func TestBoundsOfTransactions(t *testing.T) {
+func TestTransactionsAreBounded(t *testing.T) {
 	many := Transaction{}
 	for i := range MaxTransactionWrites + 1 {
 		many.Writes = append(many.Writes, removal(KindTenant, fmt.Sprint(i)))
@@ -115,7 +115,7 @@
 	}
 }
 
-func TestFullStoreRefuses(t *testing.T) {
+func TestFullStoreRejectsMoreBytes(t *testing.T) {
 	s := NewStore()
 	apply(t, s, write(KindService, "a", ServiceSpec{}))
 	s.maxBytes, _ = s.Size()
@@ -126,8 +126,8 @@
 	apply(t, s, removal(KindService, "a"), write(KindService, "b", ServiceSpec{}))
 }
 
-// TestScopeMoves moves a tenant from one service to another: it leaves one scope and enters the other.
-func TestScopeMoves(t *testing.T) {
+// TestMovedTenantLeavesOneScopeAndEntersTheOther moves a tenant from one service to another: it leaves one scope and enters the other.
+func TestMovedTenantLeavesOneScopeAndEntersTheOther(t *testing.T) {
 	s := NewStore()
 	apply(t, s, write(KindService, "pay", ServiceSpec{}), write(KindService, "ship", ServiceSpec{}), write(KindTenant, "x", TenantSpec{Service: "pay", Share: 1}))
 	held := s.Revision()
@@ -158,7 +158,7 @@
 	}
 }
 
-func TestLastChangeOfKinds(t *testing.T) {
+func TestLastChangeIsKeptByKind(t *testing.T) {
 	s := NewStore()
 	expect := func(want uint64, kinds ...Kind) {
 		t.Helper()
@@ -183,7 +183,7 @@
 	expect(3, KindOverride) // it may have changed: what was there before is not known
 }
 
-func TestDamagedSnapshots(t *testing.T) {
+func TestDamagedSnapshotsAreRejected(t *testing.T) {
 	s := NewStore()
 	apply(t, s, write(KindService, "pay", ServiceSpec{}), write(KindRoute, "a", RouteSpec{Service: "pay", Prefix: "/a", TimeLimitMS: 1}))
 	apply(t, s, write(KindRoute, "a", RouteSpec{Service: "pay", Prefix: "/b", TimeLimitMS: 1}))
@@ -208,9 +208,9 @@
 	}
 }
 
-// TestReadersBesideWriter reads while changes are applied; the race detector looks at it. Each reading is of one
+// TestReadersSeeOneRevision reads while changes are applied; the race detector looks at it. Each reading is of one
 // revision: the two records that are always written together agree.
-func TestReadersBesideWriter(t *testing.T) {
+func TestReadersSeeOneRevision(t *testing.T) {
 	s := NewStore()
 	both := func(limit float64) []Write {
 		return []Write{write(KindRoute, "a", RouteSpec{Prefix: "/a", TimeLimitMS: limit}), write(KindRoute, "b", RouteSpec{Prefix: "/b", TimeLimitMS: limit})}
@@ -254,7 +254,7 @@
 	readers.Wait()
 }
 
-func TestSpecsAreRead(t *testing.T) {
+func TestSpecsAreReadBack(t *testing.T) {
 	route, err := New(Key{KindRoute, "a"}, RouteSpec{Service: "s", Prefix: "/a", TimeLimitMS: 5, Mutating: true, MaxAdmitted: 0.5})
 	if err != nil {
 		t.Fatal(err)
