--- a/records/cost_test.go
+++ b/records/cost_test.go
@@ -64,7 +64,7 @@
 	for i := range transactions {
 		transactions[i].Writes = []Write{tenantWrite(i*7919%tenants, services, 0.002+float64(i)*1e-6)}
 	}
-	s.history = history{maxBytes: maxHistoryBytes, compactRevision: s.revision}
+	s.Forget()
 	var before, after runtime.MemStats
 	runtime.GC()
 	runtime.ReadMemStats(&before)
@@ -116,13 +116,13 @@
 func TestPlantedGrowthOfChangeCostIsCaught(t *testing.T) {
 	for name, planted := range map[string]func(*Store){
 		"index copied": func(s *Store) {
-			copied := make(map[string]serviceUsage, len(s.usageByService))
-			for service, use := range s.usageByService {
-				copied[service] = use
+			copied := make(map[string]serviceUsage, len(s.index.usageByService))
+			for service, usage := range s.index.usageByService {
+				copied[service] = usage
 			}
-			s.usageByService = copied
+			s.index.usageByService = copied
 		},
-		"state kept in the history": func(s *Store) { s.history.bytes += s.bytes / 1000 },
+		"state kept in the history": func(s *Store) { s.history.bytes += s.index.bytes / 1000 },
 	} {
 		if fault := growthFault(costOfChange(t, 0.1, planted), costOfChange(t, 1, planted)); fault == "" {
 			t.Errorf("%s: not caught", name)
@@ -138,7 +138,7 @@
 	runtime.GC()
 	runtime.ReadMemStats(&before)
 	s := filledStore(t, 2)
-	s.history = history{maxBytes: maxHistoryBytes, compactRevision: s.revision}
+	s.Forget()
 	runtime.GC()
 	runtime.ReadMemStats(&after)
 	records := s.Count(KindRoute) + s.Count(KindService) + s.Count(KindTenant)
@@ -216,7 +216,7 @@
 	for _, size := range []float64{1, 2} {
 		b.Run(fmt.Sprintf("size=%g", size), func(b *testing.B) {
 			s := filledStore(b, size)
-			s.history = history{maxBytes: maxHistoryBytes, compactRevision: s.revision}
+			s.Forget()
 			b.ReportAllocs()
 			for b.Loop() {
 				s.sorted.forget() // the first one sorts all
@@ -231,7 +231,7 @@
 	for _, size := range []float64{1, 2} {
 		b.Run(fmt.Sprintf("size=%g", size), func(b *testing.B) {
 			s := filledStore(b, size)
-			s.history = history{maxBytes: maxHistoryBytes, compactRevision: s.revision}
+			s.Forget()
 			s.Snapshot()
 			share := 0.002
 			for b.Loop() {
--- /dev/null
+++ b/records/index.go
@@ -0,0 +1,131 @@
+package records
+
+import "slices"
+
+// index holds the records by key, by service and zone, and by what the rules ask for.
+//
+// Each record is in byKind and in byServiceZone, each route in routesByPrefix, and each that names a service counts in
+// usageByService; bytes is the sum of all encodedSize.
+type index struct {
+	byKind         map[Kind]map[string]*Record // by kind and name
+	byServiceZone  map[serviceZone]map[*Record]struct{}
+	routesByPrefix map[string][]*Record // several of one prefix only while a transaction is checked
+	usageByService map[string]serviceUsage
+	bytes          int
+}
+
+// serviceZone is where a record is found by scope: an empty name concerns all services or all zones.
+type serviceZone struct {
+	service, zone string
+}
+
+// serviceUsage is what refers to a service.
+type serviceUsage struct {
+	referenceCount int   // routes, tenants and overrides that name it
+	shareSum       int64 // of its tenants' shares, in parts of shareUnit
+}
+
+func newIndex() index {
+	return index{
+		byKind:         map[Kind]map[string]*Record{KindRoute: {}, KindService: {}, KindTenant: {}, KindOverride: {}},
+		byServiceZone:  map[serviceZone]map[*Record]struct{}{},
+		routesByPrefix: map[string][]*Record{},
+		usageByService: map[string]serviceUsage{},
+	}
+}
+
+// get gives a record, nil if there is none of that key.
+func (x *index) get(key Key) *Record { return x.byKind[key.Kind][key.Name] }
+
+// ofKinds gives all records of some kinds in no order.
+func (x *index) ofKinds(kinds []Kind) []*Record {
+	count := 0
+	for _, kind := range kinds {
+		count += len(x.byKind[kind])
+	}
+	held := make([]*Record, 0, count)
+	for _, kind := range kinds {
+		for _, record := range x.byKind[kind] {
+			held = append(held, record)
+		}
+	}
+	return held
+}
+
+// inScope gives all records of a normalized scope in no order.
+func (x *index) inScope(scope Scope) []*Record {
+	var held []*Record
+	for _, service := range withUnnamed(scope.Services) {
+		for _, zone := range withUnnamed(scope.Zones) {
+			for record := range x.byServiceZone[serviceZone{service, zone}] {
+				held = append(held, record)
+			}
+		}
+	}
+	return held
+}
+
+func (x *index) insert(record *Record) {
+	x.byKind[record.Kind][record.Name] = record
+	x.bytes += encodedSize(record)
+	at := serviceZone{record.Service, record.Zone}
+	if x.byServiceZone[at] == nil {
+		x.byServiceZone[at] = map[*Record]struct{}{}
+	}
+	x.byServiceZone[at][record] = struct{}{}
+	if record.Kind == KindRoute {
+		prefix := routePrefix(record)
+		x.routesByPrefix[prefix] = append(x.routesByPrefix[prefix], record)
+	}
+	x.countReference(record, 1)
+}
+
+func (x *index) remove(record *Record) {
+	if x.byKind[record.Kind][record.Name] == record {
+		delete(x.byKind[record.Kind], record.Name)
+	}
+	x.bytes -= encodedSize(record)
+	at := serviceZone{record.Service, record.Zone}
+	delete(x.byServiceZone[at], record)
+	if len(x.byServiceZone[at]) == 0 {
+		delete(x.byServiceZone, at)
+	}
+	if record.Kind == KindRoute {
+		x.removePrefix(record)
+	}
+	x.countReference(record, -1)
+}
+
+func (x *index) removePrefix(route *Record) {
+	prefix := routePrefix(route)
+	left := slices.DeleteFunc(x.routesByPrefix[prefix], func(other *Record) bool { return other == route })
+	if len(left) == 0 {
+		delete(x.routesByPrefix, prefix)
+		return
+	}
+	x.routesByPrefix[prefix] = left
+}
+
+// countReference notes that a record refers to its service, or (sign -1) no longer does.
+func (x *index) countReference(record *Record, sign int) {
+	if record.Service == "" || record.Kind == KindService {
+		return
+	}
+	usage := x.usageByService[record.Service]
+	usage.referenceCount += sign
+	usage.shareSum += int64(sign) * record.share
+	if usage == (serviceUsage{}) {
+		delete(x.usageByService, record.Service)
+		return
+	}
+	x.usageByService[record.Service] = usage
+}
+
+// routePrefix is a route's prefix. Records are parsed before they are stored, so that their bodies can be read.
+func routePrefix(record *Record) string {
+	spec, err := record.Route()
+	if err != nil {
+		return ""
+	}
+	return spec.Prefix
+}
--- a/records/routingrevisions.go
+++ b/records/routingrevisions.go
@@ -2,21 +2,22 @@
 
 import (
 	"encoding/binary"
-	"errors"
 	"fmt"
 	"maps"
 	"slices"
 )
 
-// maxRoutingServices bounds the services that a routing revision is kept for, of which some may be gone: over a hundred
-// times the expected 570, and some 2 MB of a snapshot.
+// maxRoutingServices bounds the services that a routing revision is retained for, of which some may be removed: over a
+// hundred times the expected 570, and some 2 MB of a snapshot.
 const maxRoutingServices = 1 << 16
 
-// routingRevisions keeps, for each service, the revision at which one of its routes was last created, changed, removed or moved to
-// or from another service. Unlike the highest revision of the routes that are held, it does not go down when the newest
-// one is removed. Routes without a service are kept under the empty name.
+// routingRevisions has, for each service, the revision at which one of its routes was last created, changed, removed or
+// moved to or from another service. Routes without a service count under the empty name.
 //
-// Overrides do not count: sidecars are not told of them in their routes, and they are of zones, so that conductors of
+// It guards against a number that goes down. Sidecars refuse routes with a lower number than they hold, and the highest
+// revision of the routes that are held goes down when the newest route is removed.
+//
+// Overrides do not count: sidecars are not told of them in their routes, and they are of zones, so that controllers of
 // different zones would number the same routes differently.
 type routingRevisions struct {
 	byService map[string]uint64 // each over the floor
@@ -26,7 +27,7 @@
 	maxServices int
 }
 
-func newRouting() routingRevisions {
+func newRoutingRevisions() routingRevisions {
 	return routingRevisions{byService: map[string]uint64{}, maxServices: maxRoutingServices}
 }
 
@@ -42,7 +43,7 @@
 	return highest
 }
 
-// recordChange takes an applied change in.
+// recordChange notes an applied change.
 func (r *routingRevisions) recordChange(revision uint64, updates []Update) {
 	for _, update := range updates {
 		if update.Key().Kind != KindRoute {
@@ -72,8 +73,8 @@
 	maps.DeleteFunc(r.byService, func(_ string, revision uint64) bool { return revision <= r.floor })
 }
 
-// limitServices raises the floor to the revisions of the older half of the services where there are too many of them: then no
-// revision goes down, and the next bound is far.
+// limitServices raises the floor to the revisions of the older half of the services where there are too many of them: no
+// revision goes down, and it is long until there are too many again.
 func (r *routingRevisions) limitServices() {
 	if len(r.byService) <= r.maxServices {
 		return
@@ -107,9 +108,6 @@
 	return nil
 }
 
-// errRoutingOrder says that a snapshot is not the one that its state gives.
-var errRoutingOrder = errors.New("the revisions of its services' routes are out of order")
-
 // appendTo encodes the floor and the services by name.
 func (r *routingRevisions) appendTo(out []byte) []byte {
 	out = binary.AppendUvarint(out, r.floor)
@@ -121,20 +119,22 @@
 	return out
 }
 
-// decode reads what append encoded.
+// decode reads what appendTo encoded.
 func (r *routingRevisions) decode(in *decoder) error {
 	r.raiseAll(in.number())
-	before := ""
-	for at := range in.number() {
-		service, revision := string(in.bytes()), in.number()
+	previous := ""
+	for i := range in.number() {
+		service := string(in.bytes())
+		revision := in.number()
 		if in.err != nil {
 			return in.err
 		}
-		if at > 0 && service <= before || revision <= r.floor {
+		inOrder := i == 0 || service > previous
+		if !inOrder || revision <= r.floor {
 			return errRoutingOrder
 		}
 		r.raiseService(service, revision)
-		before = service
+		previous = service
 	}
 	return in.err
 }
--- a/records/rules.go
+++ b/records/rules.go
@@ -2,69 +2,82 @@
 
 import "fmt"
 
-// shareUnit is what a service's whole capacity counts as when its tenants' shares are summed: whole numbers, so that the
-// sum does not depend on the order of changes. A share is rounded down, so that six tenants of a sixth each fit.
-const shareUnit = 1_000_000_000
-
 // checkRules says which rules over several records the state breaks once the updates are in it. It looks only at what was
-// updated and at what refers to that: all else kept the rules before and keeps them now.
+// updated and at what refers to that: all else kept the rules before and keeps them now. The error is a *CheckError or a
+// *FullError.
 func (s *Store) checkRules(updates []Update, routesBefore int) error {
 	var violations []Violation
 	for _, update := range updates {
-		if reason := s.brokenRule(update); reason != "" {
+		if reason := s.index.brokenRule(update); reason != "" {
 			violations = append(violations, Violation{Key: update.Key(), Reason: reason})
 		}
 	}
-	if routesBefore > 0 && len(s.byKind[KindRoute]) == 0 {
+	if routesBefore > 0 && len(s.index.byKind[KindRoute]) == 0 {
 		violations = append(violations, Violation{Key: lastRemovedRoute(updates), Reason: "no route would be left: no call would be carried"})
 	}
 	if len(violations) > 0 {
 		return &CheckError{Violations: violations}
 	}
-	if s.bytes > s.maxBytes {
-		return &FullError{Bytes: s.bytes, Limit: s.maxBytes}
+	if s.index.bytes > s.maxBytes {
+		return &FullError{Bytes: s.index.bytes, Limit: s.maxBytes}
 	}
 	return nil
 }
 
 // brokenRule gives the first rule that one update breaks, empty if none.
-func (s *Store) brokenRule(update Update) string {
+func (x *index) brokenRule(update Update) string {
 	after := update.After
 	if after == nil {
-		return s.ruleBrokenByRemoval(update.Before)
+		return x.ruleBrokenByRemoval(update.Before)
 	}
 	if after.Kind == KindService {
 		return ""
 	}
-	if after.Service != "" && s.byKind[KindService][after.Service] == nil {
+	if after.Service != "" && x.byKind[KindService][after.Service] == nil {
 		return fmt.Sprintf("service %q does not exist: add it in the same transaction or before", after.Service)
 	}
 	switch after.Kind {
 	case KindRoute:
-		for _, other := range s.routesByPrefix[routePrefix(after)] {
-			if other != after {
-				return fmt.Sprintf("%s has the same prefix %q", other.Key, routePrefix(after))
-			}
-		}
+		return x.ruleBrokenByRoute(after)
 	case KindTenant:
-		if sum := s.usageByService[after.Service].shareSum; sum > shareUnit {
-			return fmt.Sprintf("the shares of service %q sum to %g, over 1", after.Service, float64(sum)/shareUnit)
+		return x.ruleBrokenByTenant(after)
+	}
+	return ""
+}
+
+// ruleBrokenByRoute: no two routes have the same prefix.
+func (x *index) ruleBrokenByRoute(route *Record) string {
+	prefix := routePrefix(route)
+	for _, other := range x.routesByPrefix[prefix] {
+		if other != route {
+			return fmt.Sprintf("%s has the same prefix %q", other.Key, prefix)
 		}
 	}
 	return ""
 }
 
-func (s *Store) ruleBrokenByRemoval(record *Record) string {
+// ruleBrokenByTenant: the shares of a service's tenants sum to 1 at most.
+func (x *index) ruleBrokenByTenant(tenant *Record) string {
+	sum := x.usageByService[tenant.Service].shareSum
+	if sum > shareUnit {
+		return fmt.Sprintf("the shares of service %q sum to %g, over 1", tenant.Service, float64(sum)/shareUnit)
+	}
+	return ""
+}
+
+// ruleBrokenByRemoval: a service is not removed while a record names it.
+func (x *index) ruleBrokenByRemoval(record *Record) string {
 	if record.Kind != KindService {
 		return ""
 	}
-	if references := s.usageByService[record.Name].referenceCount; references > 0 {
+	if references := x.usageByService[record.Name].referenceCount; references > 0 {
 		return fmt.Sprintf("%d records refer to this service: remove or move them in the same transaction or before", references)
 	}
 	return ""
 }
 
-func lastRemovedRoute(updates []Update) (key Key) {
+func lastRemovedRoute(updates []Update) Key {
+	var key Key
 	for _, update := range updates {
 		if update.After == nil && update.Before.Kind == KindRoute {
 			key = update.Before.Key
@@ -72,12 +85,3 @@
 	}
 	return key
 }
-
-// routePrefix is a route's prefix. Records are parsed before they are stored, so that their bodies can be read.
-func routePrefix(record *Record) string {
-	spec, err := record.Route()
-	if err != nil {
-		return ""
-	}
-	return spec.Prefix
-}
--- a/records/sorted.go
+++ b/records/sorted.go
@@ -1,21 +1,25 @@
 package records
 
-import "sync"
+import (
+	"slices"
+	"sync"
+)
 
-// unsortedLimitRatio is the part of the sorted records that may come or go before all are sorted again.
+// unsortedLimitRatio is the part (one in so many) of the sorted records that may come or go before all are sorted again.
 const unsortedLimitRatio = 4
 
-// sortedRecords remembers the records by key as of the last snapshot, and those that came and went since, so that the next
-// snapshot need not sort all. Its own lock is there for snapshots that are made at the same time; records are added and
-// removed under the store's lock.
+// sortedRecords remembers the records by key as of the last snapshot, and those that came and went since, so that the
+// next snapshot need not sort all.
 type sortedRecords struct {
-	mutex   sync.Mutex
-	records []*Record            // nil: no snapshot was made, or too much changed since
-	added   []*Record            // that came since
-	removed map[*Record]struct{} // of both
+	// recordsMutex guards all below among snapshots that are made at the same time, which hold the store's lock for
+	// reading. Records are added and removed with the store's lock held for writing.
+	recordsMutex sync.Mutex
+	records      []*Record            // nil: no snapshot was made, or too much changed since
+	added        []*Record            // since the last snapshot
+	removed      map[*Record]struct{} // of both
 }
 
-// add takes a record in. One that went and is back, as after a refused transaction, has its place already.
+// add adds a record. One that was removed and is back, as after a rejected transaction, has its place already.
 func (o *sortedRecords) add(record *Record) {
 	if o.records == nil {
 		return
@@ -43,29 +47,40 @@
 }
 
 // forget has the next snapshot sort all.
-func (o *sortedRecords) forget() { o.records, o.added, o.removed = nil, nil, nil }
+func (o *sortedRecords) forget() {
+	o.records = nil
+	o.added = nil
+	o.removed = nil
+}
+
+// set has records that are sorted by key count as those of the last snapshot.
+func (o *sortedRecords) set(sorted []*Record) {
+	o.records = sorted
+	o.added = nil
+	o.removed = map[*Record]struct{}{}
+}
 
-// all gives all records of the store by key. The store's lock has to be held for reading.
-func (o *sortedRecords) all(s *Store) []*Record {
-	o.mutex.Lock()
-	defer o.mutex.Unlock()
+// all gives all records of an index by key. The store's lock has to be held for reading.
+func (o *sortedRecords) all(held *index) []*Record {
+	o.recordsMutex.Lock()
+	defer o.recordsMutex.Unlock()
 	if o.records == nil {
-		o.records = s.ofKinds(kindsInOrder)
-		sortByKey(o.records)
-	} else {
-		fresh := o.withoutRemoved(o.added)
-		sortByKey(fresh)
-		o.records = mergeByKey(o.withoutRemoved(o.records), fresh)
+		records := held.ofKinds(kindsInOrder)
+		sortByKey(records)
+		o.set(records)
+		return o.records
 	}
-	o.added, o.removed = nil, map[*Record]struct{}{}
+	added := o.withoutRemoved(o.added)
+	sortByKey(added)
+	o.set(mergeByKey(o.withoutRemoved(o.records), added))
 	return o.records
 }
 
-// withoutRemoved gives the records of a list that are not gone.
+// withoutRemoved gives the records of a list that were not removed.
 func (o *sortedRecords) withoutRemoved(list []*Record) []*Record {
 	held := make([]*Record, 0, len(list))
 	for _, record := range list {
-		if _, gone := o.removed[record]; !gone {
+		if _, removed := o.removed[record]; !removed {
 			held = append(held, record)
 		}
 	}
@@ -79,11 +94,19 @@
 	}
 	merged := make([]*Record, 0, len(a)+len(b))
 	for len(a) > 0 && len(b) > 0 {
-		if a[0].Key.Compare(b[0].Key) < 0 {
-			merged, a = append(merged, a[0]), a[1:]
+		if compareRecords(a[0], b[0]) < 0 {
+			merged = append(merged, a[0])
+			a = a[1:]
 		} else {
-			merged, b = append(merged, b[0]), b[1:]
+			merged = append(merged, b[0])
+			b = b[1:]
 		}
 	}
-	return append(append(merged, a...), b...)
+	merged = append(merged, a...)
+	return append(merged, b...)
 }
+
+func sortByKey(list []*Record) { slices.SortFunc(list, compareRecords) }
+
+// compareRecords orders records by key.
+func compareRecords(a, b *Record) int { return a.Compare(b.Key) }
--- /dev/null
+++ b/records/specs.go
@@ -0,0 +1,167 @@
+package records
+
+import (
+	"bytes"
+	"encoding/json"
+	"fmt"
+	"slices"
+	"strings"
+)
+
+const (
+	minTimeLimitMS = 1
+	maxTimeLimitMS = 600000
+)
+
+// shareUnit is what a service's whole capacity counts as when its tenants' shares are summed: whole numbers, so that the
+// sum does not depend on the order of changes. A share is rounded down, so that six tenants of a sixth each fit.
+const shareUnit = 1_000_000_000
+
+// RouteSpec is the content of a route.
+type RouteSpec struct {
+	Service     string  `json:"service,omitempty"`
+	Prefix      string  `json:"prefix"`        // of the paths that it matches, with a slash at its begin
+	TimeLimitMS float64 `json:"time_limit_ms"` // latency objective
+	Mutating    bool    `json:"mutating,omitempty"`
+	MaxAdmitted float64 `json:"admit,omitempty"` // fraction of its requests that is admitted at most; 0: no limit
+}
+
+// ServiceSpec is the content of a service.
+type ServiceSpec struct {
+	Zones []string `json:"zones,omitempty"` // where it runs
+}
+
+// TenantSpec is the content of a tenant.
+type TenantSpec struct {
+	Service string  `json:"service"`
+	Share   float64 `json:"share"` // fraction of the service's capacity that it may use
+}
+
+// The states that an override gives a node, as they are written on the wire.
+const (
+	StateDraining = "draining" // it gets no new requests
+	StateGone     = "gone"     // it counts as removed
+)
+
+// OverrideSpec is what operators say of a node; it counts over the endpoint list.
+type OverrideSpec struct {
+	Service string `json:"service,omitempty"`
+	Zone    string `json:"zone,omitempty"`
+	State   string `json:"state"`
+}
+
+// Route is the content of a record of that kind. The error is that of its JSON.
+func (r *Record) Route() (RouteSpec, error) { return specOf[RouteSpec](r) }
+
+// ServiceSpec is the content of a record of that kind. The error is that of its JSON.
+func (r *Record) ServiceSpec() (ServiceSpec, error) { return specOf[ServiceSpec](r) }
+
+// Tenant is the content of a record of that kind. The error is that of its JSON.
+func (r *Record) Tenant() (TenantSpec, error) { return specOf[TenantSpec](r) }
+
+// Override is the content of a record of that kind. The error is that of its JSON.
+func (r *Record) Override() (OverrideSpec, error) { return specOf[OverrideSpec](r) }
+
+func specOf[Spec any](r *Record) (Spec, error) {
+	var spec Spec
+	err := json.Unmarshal(r.Body, &spec)
+	return spec, err
+}
+
+// specDecoder reads a spec's JSON.
+type specDecoder func(body []byte, into any) error
+
+// decodeStrictly rejects fields that are not known, as operators misspell them.
+func decodeStrictly(body []byte, into any) error {
+	decoder := json.NewDecoder(bytes.NewReader(body))
+	decoder.DisallowUnknownFields()
+	if err := decoder.Decode(into); err != nil {
+		return err
+	}
+	if decoder.More() {
+		return errSeveralValues
+	}
+	return nil
+}
+
+func (r *Record) parseRoute(decode specDecoder, body []byte) error {
+	var spec RouteSpec
+	if err := decode(body, &spec); err != nil {
+		return err
+	}
+	if !strings.HasPrefix(spec.Prefix, "/") || len(spec.Prefix) > maxNameBytes {
+		return &FieldError{Field: "its prefix", Want: fmt.Sprintf("begin with a slash and be at most %d bytes long", maxNameBytes)}
+	}
+	if !isBetween(spec.TimeLimitMS, minTimeLimitMS, maxTimeLimitMS) {
+		return &FieldError{Field: "its time limit", Want: fmt.Sprintf("be between %d and %d ms", minTimeLimitMS, maxTimeLimitMS)}
+	}
+	if !isBetween(spec.MaxAdmitted, 0, 1) {
+		return &FieldError{Field: "the part that it admits", Want: "be between 0 and 1"}
+	}
+	if err := checkOptionalName("service", spec.Service); err != nil {
+		return err
+	}
+	r.Service = spec.Service
+	return r.encodeBody(spec)
+}
+
+func (r *Record) parseService(decode specDecoder, body []byte) error {
+	var spec ServiceSpec
+	if err := decode(body, &spec); err != nil {
+		return err
+	}
+	for _, zone := range spec.Zones {
+		if err := checkName("zone", zone); err != nil {
+			return err
+		}
+	}
+	slices.Sort(spec.Zones)
+	spec.Zones = slices.Compact(spec.Zones)
+	r.Service = r.Name
+	return r.encodeBody(spec)
+}
+
+func (r *Record) parseTenant(decode specDecoder, body []byte) error {
+	var spec TenantSpec
+	if err := decode(body, &spec); err != nil {
+		return err
+	}
+	if err := checkName("service", spec.Service); err != nil {
+		return err
+	}
+	if spec.Share == 0 || !isBetween(spec.Share, 0, 1) {
+		return &FieldError{Field: "its share", Want: "be over 0 and at most 1"}
+	}
+	r.Service = spec.Service
+	r.share = int64(spec.Share * shareUnit)
+	return r.encodeBody(spec)
+}
+
+func (r *Record) parseOverride(decode specDecoder, body []byte) error {
+	var spec OverrideSpec
+	if err := decode(body, &spec); err != nil {
+		return err
+	}
+	if spec.State != StateDraining && spec.State != StateGone {
+		return &FieldError{Field: "its state", Want: fmt.Sprintf("be %q or %q", StateDraining, StateGone)}
+	}
+	if err := checkOptionalName("service", spec.Service); err != nil {
+		return err
+	}
+	if err := checkOptionalName("zone", spec.Zone); err != nil {
+		return err
+	}
+	r.Service = spec.Service
+	r.Zone = spec.Zone
+	return r.encodeBody(spec)
+}
+
+// encodeBody sets the body to a spec's canonical form.
+func (r *Record) encodeBody(spec any) error {
+	body, err := json.Marshal(spec)
+	r.Body = body
+	return err
+}
+
+// isBetween reports whether a value is in a range, ends included. What is not a number is in none.
+func isBetween(value, low, high float64) bool { return value >= low && value <= high }
