--- /dev/null
+++ b/records/earlier_test.go
@@ -0,0 +1,44 @@
+package records
+
+import (
+	"math/rand/v2"
+	"slices"
+	"testing"
+)
+
+// TestReversalRestoresAnEarlierContent brings random states back to an earlier one: the content is that one, under a new revision.
+func TestReversalRestoresAnEarlierContent(t *testing.T) {
+	reversed := 0
+	for seed := range uint64(30) {
+		random := rand.New(rand.NewPCG(seed, 2))
+		store, plain := NewStore(), newModel()
+		for revision := uint64(1); revision < 80; revision++ {
+			transaction := randomTransaction(random, plain.last())
+			if plain.apply(revision, transaction) == "" {
+				if _, err := store.Apply(revision, transaction); err != nil {
+					t.Fatal(err)
+				}
+			}
+		}
+		target := uint64(random.IntN(int(store.Revision())))
+		if countRoutes(plain.at(target)) == 0 {
+			continue // a state without a route can't come back
+		}
+		transaction, retained := store.Reversal(target)
+		if !retained {
+			t.Fatal("not retained")
+		}
+		if _, err := store.Apply(100, transaction); err != nil {
+			t.Fatalf("seed %d: %v", seed, err)
+		}
+		reversed++
+		now := store.InScope(Scope{All: true}).Records
+		want := recordsInScope(plain.at(target), Scope{All: true})
+		if !slices.EqualFunc(now, want, (*Record).SameContent) {
+			t.Fatalf("seed %d: %q, want %q", seed, describeAll(now), describeAll(want))
+		}
+	}
+	if reversed < 10 {
+		t.Errorf("only %d reversals", reversed)
+	}
+}
--- /dev/null
+++ b/records/scope_test.go
@@ -0,0 +1,25 @@
+package records
+
+import (
+	"testing"
+)
+
+// TestMovedTenantLeavesOneScopeAndEntersTheOther moves a tenant from one service to another: it leaves one scope and enters the other.
+func TestMovedTenantLeavesOneScopeAndEntersTheOther(t *testing.T) {
+	s := NewStore()
+	apply(t, s, write(KindService, "pay", ServiceSpec{}), write(KindService, "ship", ServiceSpec{}), write(KindTenant, "x", TenantSpec{Service: "pay", Share: 1}))
+	held := s.Revision()
+	apply(t, s, write(KindTenant, "x", TenantSpec{Service: "ship", Share: 0.5}))
+	pay, ship, other := Scope{Services: []string{"pay"}}, Scope{Services: []string{"ship"}}, Scope{Services: []string{"z"}}
+	left := s.Since(held, pay).Updates
+	entered := s.Since(held, ship).Updates
+	if len(left) != 1 || !pay.Contains(left[0].Before) || pay.Contains(left[0].After) {
+		t.Errorf("left: %q", describeUpdates(left))
+	}
+	if len(entered) != 1 || ship.Contains(entered[0].Before) || !ship.Contains(entered[0].After) {
+		t.Errorf("entered: %q", describeUpdates(entered))
+	}
+	if none := s.Since(held, other); len(none.Updates) > 0 || none.Revision != 2 || !none.Available {
+		t.Errorf("others: %q, %d, %v", describeUpdates(none.Updates), none.Revision, none.Available)
+	}
+}
