--- a/cluster/compaction.go
+++ b/cluster/compaction.go
@@ -44,7 +44,7 @@
 // compactionDue reports whether the log from an index on is to be cut.
 //
 // It is cut after each change of members whatever its length. This guards against a new member that never catches up:
-// a snapshot of before the change does not name it, so that it refuses the snapshot and is sent the same one again.
+// a snapshot of before the change does not name it, so that it ignores the snapshot and is sent the same one again.
 func (m *Member) compactionDue(first uint64) bool {
 	if m.membersChanged {
 		return true
--- a/cluster/compaction_test.go
+++ b/cluster/compaction_test.go
@@ -81,7 +81,7 @@
 	}
 }
 
-// A member that was added gets a snapshot from before, which does not name it; it refuses the snapshot and is sent the
+// A member that was added gets a snapshot from before, which does not name it; it ignores the snapshot and is sent the
 // same one again, for good. So the log has to be cut after each change of members, and the snapshot has to name them.
 func TestLogIsCutAfterAChangeOfMembers(t *testing.T) {
 	disk := &snapshotCounter{}
--- a/cluster/cost_test.go
+++ b/cluster/cost_test.go
@@ -15,7 +15,7 @@
 	expectedTenants  = 140000
 )
 
-// filledState makes a state of a part of the expected size, and gives its next place of the log.
+// filledState makes a state of a part of the expected size, and gives its next index.
 func filledState(t testing.TB, size float64) (s *State, index uint64) {
 	t.Helper()
 	s = NewState(nil)
@@ -101,8 +101,8 @@
 	return ""
 }
 
-// TestEntryCostDoesNotGrowWithTheState compares the entry of one change, its application and the memory that takes at a tenth of
-// the expected size and at the whole: counts and bytes, not times.
+// TestEntryCostDoesNotGrowWithTheState compares the entry of one change, its application and the memory that takes at a
+// tenth of the expected size and at the whole: counts and bytes, not times.
 func TestEntryCostDoesNotGrowWithTheState(t *testing.T) {
 	small, large := costOfEntry(t, 0.1, nil), costOfEntry(t, 1, nil)
 	t.Logf("a tenth: %+v; the whole: %+v", small, large)
--- a/cluster/errors.go
+++ b/cluster/errors.go
@@ -37,7 +37,7 @@
 // NameSizeError says that a command has no client, or a client, operator, reason or identity that is too long.
 type NameSizeError struct{ LimitBytes int }
 
-// Error tells the bound of names.
+// Error states the bound of names.
 func (e *NameSizeError) Error() string {
 	return fmt.Sprintf("a name is missing or over %d bytes", e.LimitBytes)
 }
@@ -45,7 +45,7 @@
 // TextSizeError says that a full text is too long.
 type TextSizeError struct{ Bytes, LimitBytes int }
 
-// Error tells the size and the bound.
+// Error states the size and the bound.
 func (e *TextSizeError) Error() string {
 	return fmt.Sprintf("a text of %d bytes, %d at most", e.Bytes, e.LimitBytes)
 }
@@ -53,7 +53,7 @@
 // TextChangesError says that a full text changes too many records.
 type TextChangesError struct{ Records, Limit int }
 
-// Error tells the number and the bound.
+// Error states the number and the bound.
 func (e *TextChangesError) Error() string {
 	return fmt.Sprintf("the text changes %d records, %d at most: change records by transactions", e.Records, e.Limit)
 }
@@ -61,7 +61,7 @@
 // UnknownCommandError says that this program does not know a kind of command.
 type UnknownCommandError struct{ Kind CommandKind }
 
-// Error tells the kind.
+// Error states the kind.
 func (e *UnknownCommandError) Error() string {
 	return fmt.Sprintf("a command %q is not known", e.Kind)
 }
@@ -69,7 +69,7 @@
 // StaleBaseError says that a command was written for another version than the one in effect.
 type StaleBaseError struct{ Base, InEffect uint64 }
 
-// Error tells both versions.
+// Error states both versions.
 func (e *StaleBaseError) Error() string {
 	return fmt.Sprintf("it changes version %d, and version %d is in force: look at what came between", e.Base, e.InEffect)
 }
@@ -77,7 +77,7 @@
 // VersionForgottenError says that a version to roll back to is not in the list of versions.
 type VersionForgottenError struct{ Version uint64 }
 
-// Error tells the version.
+// Error states the version.
 func (e *VersionForgottenError) Error() string {
 	return fmt.Sprintf("version %d is not kept", e.Version)
 }
@@ -85,7 +85,7 @@
 // ChangesForgottenError says that the changes since a version are no longer in the history of records.
 type ChangesForgottenError struct{ Version uint64 }
 
-// Error tells the version.
+// Error states the version.
 func (e *ChangesForgottenError) Error() string {
 	return fmt.Sprintf("the changes since version %d are not kept", e.Version)
 }
@@ -96,7 +96,7 @@
 	Err     error // an error of records.Store.Apply
 }
 
-// Error tells the version and the rule.
+// Error states the version and the rule.
 func (e *RollBackError) Error() string {
 	return fmt.Sprintf("version %d can't be used any more: %v", e.Version, e.Err)
 }
@@ -107,7 +107,7 @@
 // KnownDiskError says that a member registers a disk while the group knows another one under its number.
 type KnownDiskError struct{ Member uint64 }
 
-// Error tells the member and what to do.
+// Error states the member and what to do.
 func (e *KnownDiskError) Error() string {
 	return fmt.Sprintf("member %d is known by another disk: remove it and add it under a new number", e.Member)
 }
@@ -118,7 +118,7 @@
 	Leader  uint64 // 0: none is known
 }
 
-// Error tells the request and the leader.
+// Error states the request and the leader.
 func (e *NotLeaderError) Error() string {
 	return fmt.Sprintf("%s at the leader, which is %d", e.Request, e.Leader)
 }
@@ -127,7 +127,7 @@
 // has promised. The disk was lost and made anew, or is a copy.
 type DiskReplacedError struct{ Member uint64 }
 
-// Error tells the member and what to do.
+// Error states the member and what to do.
 func (e *DiskReplacedError) Error() string {
 	return fmt.Sprintf("the group knows member %d by another disk: remove it and add this one under a new number", e.Member)
 }
--- a/cluster/fulltext_test.go
+++ b/cluster/fulltext_test.go
@@ -52,7 +52,8 @@
 	return s
 }
 
-// TestFullTextSnapshotIsRead restores a snapshot of the first format: each version has the configuration that its text had.
+// TestFullTextSnapshotIsRead restores a snapshot of the first format: each version has the configuration that its text
+// had.
 func TestFullTextSnapshotIsRead(t *testing.T) {
 	saved := readFullTextGroup(t)
 	s := restoredState(t, saved.Late)
@@ -69,13 +70,13 @@
 		t.Fatalf("%d versions of %d, %d clients of %d", len(s.Versions), len(old.Versions), len(s.sessions.byClient), len(old.Clients))
 	}
 	for k, was := range old.Versions {
-		text, kept := s.TextOf(was.Number)
+		text, retained := s.TextOf(was.Number)
 		parsed, err := config.TextFormat{}.Parse(was.Text)
 		if err != nil {
 			t.Fatal(err)
 		}
-		if want := (config.TextFormat{}).Format(parsed); !kept || text != want {
-			t.Errorf("version %d, kept %v:\n%s\nwant\n%s", was.Number, kept, text, want)
+		if want := (config.TextFormat{}).Format(parsed); !retained || text != want {
+			t.Errorf("version %d, retained %v:\n%s\nwant\n%s", was.Number, retained, text, want)
 		}
 		was.Text = ""
 		if s.Versions[k] != was {
@@ -100,9 +101,10 @@
 	return lines
 }
 
-// TestMembersAgreeWhereverTheyConvertFullTexts has one member read the state at an early place of the log and carry the rest out,
-// and another read it at a late place. They agree on all that decides what becomes of later commands: the revisions of
-// records, the versions that are kept and their records.
+// Members of a group that began with full texts convert them at different indexes of the log: one restores an early
+// snapshot and applies the entries behind it, another restores a late one. If they held different revisions, the same
+// transaction would conflict at one and be applied at the other. They have to agree on all that decides the result of
+// later commands: the revisions of records, the versions that are retained and their records.
 func TestMembersAgreeWhereverTheyConvertFullTexts(t *testing.T) {
 	saved := readFullTextGroup(t)
 	early, late := restoredState(t, saved.Early), restoredState(t, saved.Late)
@@ -135,7 +137,7 @@
 	}
 	write := records.Write{Key: records.Key{Kind: records.KindService, Name: "pay"}, Body: []byte(`{}`)}
 	if r := both(Command{Kind: CommandRecords, Client: "a", Seq: 1, Writes: []records.Write{write}}); r.Rejected == "" {
-		t.Error("a transaction was taken before revisions count")
+		t.Error("a transaction was accepted before revisions count")
 	}
 	both(Command{Kind: CommandRollBack, Client: "a", Seq: 2, Base: early.Latest().Number, To: early.Versions[3].Number})
 	both(Command{Kind: CommandSetFormat, Client: "a", Seq: 3})
@@ -149,7 +151,7 @@
 	}
 }
 
-// TestUnreadableSnapshotsAreRefused are refused, and leave the state as it is.
+// TestUnreadableSnapshotsAreRefused has a state of one version, which each unreadable snapshot has to leave as it is.
 func TestUnreadableSnapshotsAreRefused(t *testing.T) {
 	script := newCommandScript(t)
 	script.apply(putCommand("a", 1, 0, "one"))
@@ -159,9 +161,15 @@
 	}
 	newer := append([]byte{}, good...)
 	newer[len(snapshotMagic)]++
-	for name, data := range map[string][]byte{"newer": newer, "cut short": good[:len(good)-1], "no head": []byte(snapshotMagic), "bad text in force": []byte(`{"versions":[{"number":9,"text":"bad"}]}`)} {
+	cases := map[string][]byte{
+		"newer format":       newer,
+		"cut short":          good[:len(good)-1],
+		"no header":          []byte(snapshotMagic),
+		"bad text in effect": []byte(`{"versions":[{"number":9,"text":"bad"}]}`),
+	}
+	for name, data := range cases {
 		if err := script.state.Restore(data); err == nil {
-			t.Errorf("%s: it was taken", name)
+			t.Errorf("%s: it was accepted", name)
 		}
 	}
 	if again, _ := script.state.Snapshot(); string(again) != string(good) {
@@ -169,8 +177,8 @@
 	}
 }
 
-// TestLeaderProposesTheRecordsFormat starts a node on a disk of the first format: as its leader it has revisions count without
-// anyone asking, and then takes transactions.
+// TestLeaderProposesTheRecordsFormat starts a node on a disk of the first format: as its leader it has revisions count
+// without anyone asking, and then takes transactions.
 func TestLeaderProposesTheRecordsFormat(t *testing.T) {
 	saved := readFullTextGroup(t)
 	meta := &raftpb.SnapshotMetadata{Index: proto.Uint64(110), Term: proto.Uint64(2), ConfState: &raftpb.ConfState{Voters: []uint64{1}}}
--- a/cluster/messages.go
+++ b/cluster/messages.go
@@ -120,7 +120,7 @@
 	Lag            map[uint64]uint64 `json:"Behind"`  // at the leader: entries that a member lacks, by member
 }
 
-// StatusReport is what an operator is told of a member.
+// StatusReport is what a member reports to an operator.
 type StatusReport struct {
 	Status           Status            `json:"standing"`
 	Addresses        map[uint64]string `json:"addresses"`
--- a/cluster/peer.go
+++ b/cluster/peer.go
@@ -73,7 +73,7 @@
 	return nil
 }
 
-// reportUnreachable tells the member that messages to this peer are lost.
+// reportUnreachable reports to the member that messages to this peer are lost.
 func (p *peer) reportUnreachable(ctx context.Context) {
 	report := func() { p.node.member.ReportUnreachable(p.id) }
 	select {
--- a/cluster/proposals.go
+++ b/cluster/proposals.go
@@ -54,7 +54,7 @@
 	}
 }
 
-// mayRetry reports whether a proposal that the member refused may succeed later.
+// mayRetry reports whether a proposal that the member did not accept may succeed later.
 func mayRetry(err error) bool {
 	return errors.Is(err, ErrNoLeader) || errors.Is(err, raft.ErrProposalDropped)
 }
--- a/cluster/state_test.go
+++ b/cluster/state_test.go
@@ -89,14 +89,14 @@
 	}
 }
 
-// A state that was restored from a snapshot goes on as the one that it was taken of.
+// A state that was restored from a snapshot comes to the same results as the one that the snapshot is of.
 func TestRestoredStateGoesOnAsTheOriginal(t *testing.T) {
 	script := newCommandScript(t)
 	for n := range uint64(maxClients + maxVersions + 5) {
 		script.apply(putCommand(fmt.Sprint("client-", n), 1, script.state.Current().Number, fmt.Sprint("text ", n)))
 	}
 	if len(script.state.Versions) != maxVersions || len(script.state.sessions.byClient) != maxClients {
-		t.Errorf("%d versions and %d clients are kept", len(script.state.Versions), len(script.state.sessions.byClient))
+		t.Errorf("%d versions and %d clients are retained", len(script.state.Versions), len(script.state.sessions.byClient))
 	}
 	data, err := script.state.Snapshot()
 	if err != nil {
--- a/records/cost_test.go
+++ b/records/cost_test.go
@@ -13,7 +13,8 @@
 	expectedTenants  = 140000
 )
 
-// filledStore makes a store of a part of the expected size: size 1 is the whole, 0.1 a tenth of services, routes and tenants.
+// filledStore makes a store of a part of the expected size: size 1 is the whole, 0.1 a tenth of services, routes and
+// tenants.
 func filledStore(t testing.TB, size float64) *Store {
 	t.Helper()
 	s := NewStore()
@@ -88,7 +89,7 @@
 // maxGrowth is the bound on what a change costs more at ten times the size.
 const maxGrowth = 1.2
 
-// growthFault tells what of a change's cost grows over the bound, empty if nothing.
+// growthFault says which part of a change's cost grows over the bound, empty if none.
 func growthFault(small, large changeCost) string {
 	switch {
 	case large.allocations > maxGrowth*small.allocations:
@@ -101,8 +102,8 @@
 	return ""
 }
 
-// TestChangeCostDoesNotGrowWithTheStore compares one change at a tenth of the expected size and at the whole. Counts and bytes are
-// compared, not times.
+// TestChangeCostDoesNotGrowWithTheStore compares one change at a tenth of the expected size and at the whole. Counts
+// and bytes are compared, not times.
 func TestChangeCostDoesNotGrowWithTheStore(t *testing.T) {
 	small, large := costOfChange(t, 0.1, nil), costOfChange(t, 1, nil)
 	t.Logf("a tenth: %+v; the whole: %+v", small, large)
@@ -111,8 +112,8 @@
 	}
 }
 
-// TestPlantedGrowthOfChangeCostIsCaught plants what the bound is there for: a copy of a whole index, and the whole state in the history, at
-// each change.
+// TestPlantedGrowthOfChangeCostIsCaught plants what the bound is there for: a copy of a whole index, and the whole
+// state in the history, at each change.
 func TestPlantedGrowthOfChangeCostIsCaught(t *testing.T) {
 	cases := map[string]func(*Store){
 		"index copied": func(s *Store) {
@@ -135,7 +136,8 @@
 	}
 }
 
-// TestTwiceTheExpectedSizeFits fills a store with twice the expected size, restores its snapshot and states what that takes.
+// TestTwiceTheExpectedSizeFits fills a store with twice the expected size, restores its snapshot and states what that
+// takes.
 func TestTwiceTheExpectedSizeFits(t *testing.T) {
 	var before, after runtime.MemStats
 	runtime.GC()
@@ -164,5 +166,5 @@
 	}
 }
 
-// maxMemoryPerRecord bounds the memory of a record of the expected kinds with its places in the indexes.
+// maxMemoryPerRecord bounds the memory of a record of the expected kinds with its entries in the indexes.
 const maxMemoryPerRecord = 350
--- a/records/earlier_test.go
+++ b/records/earlier_test.go
@@ -6,7 +6,8 @@
 	"testing"
 )
 
-// TestReversalRestoresAnEarlierContent brings random states back to an earlier one: the content is that one, under a new revision.
+// TestReversalRestoresAnEarlierContent brings random states back to an earlier one: the content is that one, under a
+// new revision.
 func TestReversalRestoresAnEarlierContent(t *testing.T) {
 	reversed := 0
 	for seed := range uint64(30) {
--- a/records/errors.go
+++ b/records/errors.go
@@ -9,13 +9,13 @@
 // KeyError says that a text is no key.
 type KeyError struct{ Text string }
 
-// Error tells the text.
+// Error states the text.
 func (e *KeyError) Error() string { return fmt.Sprintf("%q is no key: expected kind/name", e.Text) }
 
 // KindError says that a name is not that of a kind of record.
 type KindError struct{ Name string }
 
-// Error tells the name.
+// Error states the name.
 func (e *KindError) Error() string { return fmt.Sprintf("record kind %q is not known", e.Name) }
 
 // NameError says that a name is missing, too long, or not on one line.
@@ -24,7 +24,7 @@
 	LimitBytes int
 }
 
-// Error tells what the name is for, and its bound.
+// Error states what the name is for, and its bound.
 func (e *NameError) Error() string {
 	return fmt.Sprintf("a %s has to be 1 to %d bytes on one line", e.What, e.LimitBytes)
 }
@@ -35,7 +35,7 @@
 	Err error // a *NameError, a *FieldError, one of encoding/json, or another
 }
 
-// Error tells the key and the cause.
+// Error states the key and the cause.
 func (e *SpecError) Error() string { return e.Key.String() + ": " + e.Err.Error() }
 
 // Unwrap gives the cause.
@@ -47,7 +47,7 @@
 	Want  string // what it has to be
 }
 
-// Error tells the field and what it has to be.
+// Error states the field and what it has to be.
 func (e *FieldError) Error() string { return e.Field + " has to " + e.Want }
 
 // What is wrong with the JSON or the kind of a spec.
@@ -64,7 +64,7 @@
 	Err    error // a *SpecError where one write is at fault; else nil
 }
 
-// Error tells the reason.
+// Error states the reason.
 func (e *InvalidError) Error() string { return e.Reason }
 
 // Unwrap gives what is wrong with the write.
@@ -73,7 +73,7 @@
 // RevisionError says that a transaction has a revision that is not over that of the last change.
 type RevisionError struct{ Revision, Last uint64 }
 
-// Error tells both revisions.
+// Error states both revisions.
 func (e *RevisionError) Error() string {
 	return fmt.Sprintf("revision %d is not over the last one, %d", e.Revision, e.Last)
 }
@@ -85,7 +85,7 @@
 	Actual   uint64 `json:"held"`     // 0: it does not exist
 }
 
-// String tells the key and both revisions.
+// String states the key and both revisions.
 func (c Conflict) String() string {
 	switch {
 	case c.Expected == 0:
@@ -102,7 +102,7 @@
 	Conflicts []Conflict // in the order of the writes
 }
 
-// Error tells each conflict.
+// Error states each conflict.
 func (e *ConflictError) Error() string {
 	parts := make([]string, len(e.Conflicts))
 	for i, conflict := range e.Conflicts {
@@ -122,7 +122,7 @@
 	Violations []Violation // by key
 }
 
-// Error tells each violation.
+// Error states each violation.
 func (e *CheckError) Error() string {
 	parts := make([]string, len(e.Violations))
 	for i, violation := range e.Violations {
@@ -136,7 +136,7 @@
 	Bytes, Limit int
 }
 
-// Error tells the size and the bound.
+// Error states the size and the bound.
 func (e *FullError) Error() string {
 	return fmt.Sprintf("the records would take %d bytes, %d at most: remove some first", e.Bytes, e.Limit)
 }
@@ -144,13 +144,13 @@
 // SnapshotError says why bytes can't be a snapshot of a Store.
 type SnapshotError struct{ Err error }
 
-// Error tells the cause.
+// Error states the cause.
 func (e *SnapshotError) Error() string { return "snapshot of records: " + e.Err.Error() }
 
 // Unwrap gives the cause.
 func (e *SnapshotError) Unwrap() error { return e.Err }
 
-// What is wrong with a snapshot, where no value has to be told.
+// What is wrong with a snapshot, where no value has to be named.
 var (
 	errDamaged      = errors.New("it is cut short or damaged")
 	errTrailing     = errors.New("it goes on after its end")
--- a/records/fuzz_test.go
+++ b/records/fuzz_test.go
@@ -6,8 +6,8 @@
 	"testing"
 )
 
-// FuzzRestore restores any bytes: they are rejected and change nothing, or give a store whose own snapshot restores to the
-// same bytes.
+// FuzzRestore restores any bytes: they are rejected and change nothing, or give a store whose own snapshot restores to
+// the same bytes.
 func FuzzRestore(f *testing.F) {
 	random := rand.New(rand.NewPCG(1, 4))
 	store, plain := NewStore(), newModel()
--- a/records/key.go
+++ b/records/key.go
@@ -87,7 +87,7 @@
 	return strings.Compare(k.Name, other.Name)
 }
 
-// checkName says why a text can't be a name; what it names is told in the error.
+// checkName says why a text can't be a name; what it names is stated in the error.
 func checkName(what, name string) error {
 	if name == "" || len(name) > maxNameBytes || strings.ContainsAny(name, "\r\n\x00") {
 		return &NameError{What: what, LimitBytes: maxNameBytes}
--- a/records/model_helpers_test.go
+++ b/records/model_helpers_test.go
@@ -6,7 +6,7 @@
 	"slices"
 )
 
-// model is the plain way to do what a Store does: it keeps every state whole and checks all of it each time.
+// model is the plain way to do what a Store does: it keeps a copy of every state and checks all of it each time.
 type model struct {
 	revisions []uint64
 	states    []map[Key]*Record // as of each revision
--- a/records/model_test.go
+++ b/records/model_test.go
@@ -7,7 +7,7 @@
 	"testing"
 )
 
-// TestStoreAgreesWithModel plays random transactions on a store and on the model: the same are refused for the same
+// TestStoreAgreesWithModel plays random transactions on a store and on the model: the same are rejected for the same
 // reason, and every reading of the store is that of the model.
 func TestStoreAgreesWithModel(t *testing.T) {
 	outcomes := map[string]int{}
--- a/records/routingrevisions.go
+++ b/records/routingrevisions.go
@@ -14,10 +14,10 @@
 // routingRevisions has, for each service, the revision at which one of its routes was last created, changed, removed or
 // moved to or from another service. Routes without a service count under the empty name.
 //
-// It guards against a number that goes down. Sidecars refuse routes with a lower number than they hold, and the highest
+// It guards against a number that goes down. Sidecars reject routes with a lower number than they have, and the highest
 // revision of the routes that are held goes down when the newest route is removed.
 //
-// Overrides do not count: sidecars are not told of them in their routes, and they are of zones, so that controllers of
+// Overrides do not count: they are no part of the routes that sidecars get, and they are of zones, so that controllers of
 // different zones would number the same routes differently.
 type routingRevisions struct {
 	byService map[string]uint64 // each over the floor
--- a/records/routingrevisions_test.go
+++ b/records/routingrevisions_test.go
@@ -93,7 +93,7 @@
 	expectRouting(t, again, map[string]uint64{"": 2, "a": 2, "b": 2, "c": 6, "all": 6})
 }
 
-// A snapshot whose routing revisions can't be those of its records is refused.
+// A snapshot whose routing revisions can't be those of its records is rejected.
 func TestDamagedRoutingRevisionsAreRejected(t *testing.T) {
 	s := storeWithRemovedRoute(t)
 	base := withoutRouting(s)
@@ -120,7 +120,7 @@
 		"a service missing":       encoded(0, "", 2, "a", 4, "b", 6),
 	} {
 		if err := NewStore().Restore(data); err == nil {
-			t.Errorf("%s: it was taken", name)
+			t.Errorf("%s: it was accepted", name)
 		}
 	}
 }
@@ -144,7 +144,7 @@
 	}
 }
 
-// However many services have had routes, a bounded number is kept, and no scope's revision goes down.
+// However many services have had routes, a bounded number is retained, and no scope's revision goes down.
 func TestRoutingRevisionsAreBounded(t *testing.T) {
 	s := NewStore()
 	s.routing.maxServices = 10
@@ -155,8 +155,8 @@
 		apply(t, s, write(KindService, service, ServiceSpec{}), routeOf(name, service, 1))
 		apply(t, s, removal(KindRoute, name), removal(KindService, service))
 		last[service] = s.Revision()
-		if kept := len(s.routing.byService); kept > 10 {
-			t.Fatalf("%d services are kept", kept)
+		if retained := len(s.routing.byService); retained > 10 {
+			t.Fatalf("%d services are retained", retained)
 		}
 		for known, before := range last {
 			now := s.InScope(scopeOf(known)).RoutingRevision
--- a/records/scope_test.go
+++ b/records/scope_test.go
@@ -4,7 +4,8 @@
 	"testing"
 )
 
-// TestMovedTenantLeavesOneScopeAndEntersTheOther moves a tenant from one service to another: it leaves one scope and enters the other.
+// TestMovedTenantLeavesOneScopeAndEntersTheOther moves a tenant from one service to another: it leaves one scope and
+// enters the other.
 func TestMovedTenantLeavesOneScopeAndEntersTheOther(t *testing.T) {
 	s := NewStore()
 	apply(t, s, write(KindService, "pay", ServiceSpec{}), write(KindService, "ship", ServiceSpec{}), write(KindTenant, "x", TenantSpec{Service: "pay", Share: 1}))
--- a/records/snapshot_test.go
+++ b/records/snapshot_test.go
@@ -8,8 +8,8 @@
 	"testing"
 )
 
-// A snapshot comes over the network or from a disk. One that is cut short, or does not keep the rules, would have members
-// hold different records under one revision. It is rejected, and the store stays as it was.
+// A snapshot comes over the network or from a disk. One that is cut short, or does not keep the rules, would have
+// members hold different records under one revision. It is rejected, and the store stays as it was.
 func TestDamagedSnapshotsAreRejected(t *testing.T) {
 	s := NewStore()
 	apply(t, s, write(KindService, "pay", ServiceSpec{}), write(KindRoute, "a", RouteSpec{Service: "pay", Prefix: "/a", TimeLimitMS: 1}))
--- a/records/sorted.go
+++ b/records/sorted.go
@@ -19,7 +19,7 @@
 	removed      map[*Record]struct{} // of both
 }
 
-// add adds a record. One that was removed and is back, as after a rejected transaction, has its place already.
+// add adds a record. One that was removed and is back, as after a rejected transaction, is in its place already.
 func (o *sortedRecords) add(record *Record) {
 	if o.records == nil {
 		return
