--- /dev/null
+++ b/cluster/handle_members_test.go
@@ -0,0 +1,34 @@
+package cluster
+
+import "testing"
+
+func TestMembershipSettled(t *testing.T) {
+	status := Status{Leader: 1, Voters: []uint64{1, 2, 3}, Learners: []uint64{4}}
+	joint := status
+	joint.JointConsensus = true
+	cases := map[string]struct {
+		status  Status
+		request MembershipRequest
+		want    bool
+	}{
+		"nothing requested":      {status, MembershipRequest{}, true},
+		"added":                  {status, MembershipRequest{Change: MembershipChange{Add: []uint64{2, 3}}}, true},
+		"still a learner":        {status, MembershipRequest{Change: MembershipChange{Add: []uint64{2, 4}}}, false},
+		"learns":                 {status, MembershipRequest{Change: MembershipChange{Learn: []uint64{4}}}, true},
+		"does not learn yet":     {status, MembershipRequest{Change: MembershipChange{Learn: []uint64{4, 5}}}, false},
+		"removed":                {status, MembershipRequest{Change: MembershipChange{Remove: []uint64{5}}}, true},
+		"voter not removed yet":  {status, MembershipRequest{Change: MembershipChange{Remove: []uint64{3}}}, false},
+		"learner not removed":    {status, MembershipRequest{Change: MembershipChange{Remove: []uint64{4}}}, false},
+		"change under way":       {joint, MembershipRequest{Change: MembershipChange{Add: []uint64{2}}}, false},
+		"leads":                  {status, MembershipRequest{Lead: 1}, true},
+		"does not lead yet":      {status, MembershipRequest{Lead: 2}, false},
+		"leads, member is there": {status, MembershipRequest{Lead: 1, Change: MembershipChange{Remove: []uint64{2}}}, false},
+	}
+	for name, c := range cases {
+		t.Run(name, func(t *testing.T) {
+			if got := membershipSettled(c.status, c.request); got != c.want {
+				t.Errorf("%v, want %v", got, c.want)
+			}
+		})
+	}
+}
