--- a/cluster/upgrade_test.go
+++ b/cluster/fulltext_test.go
@@ -17,10 +17,10 @@
 	"harehook.dev/harehook/records"
 )
 
-// wholeTexts is what a group that held whole texts wrote: one member's snapshot of the first format after 50 entries,
+// fullTextGroup is what a group that held full texts wrote: one member's snapshot of the first format after 50 entries,
 // the entries after that with what became of them, and another member's snapshot after all of them. The program of
 // commit 08d62a0 wrote it.
-type wholeTexts struct {
+type fullTextGroup struct {
 	Early   json.RawMessage `json:"early"`
 	Late    json.RawMessage `json:"late"`
 	Entries []struct {
@@ -31,7 +31,7 @@
 	} `json:"entries"`
 }
 
-func readWholeTexts(t *testing.T) (saved wholeTexts) {
+func readFullTextGroup(t *testing.T) (saved fullTextGroup) {
 	t.Helper()
 	data, err := os.ReadFile("testdata/whole-texts.json")
 	if err != nil {
@@ -52,9 +52,10 @@
 	return s
 }
 
-// TestWholeTextsAreRead restores a snapshot of the first format: each version has the configuration that its text had.
-func TestWholeTextsAreRead(t *testing.T) {
-	saved := readWholeTexts(t)
+// TestFullTextSnapshotIsRead restores a snapshot of the first format: each version has the configuration that its text
+// had.
+func TestFullTextSnapshotIsRead(t *testing.T) {
+	saved := readFullTextGroup(t)
 	s := restoredState(t, saved.Late)
 	var old struct {
 		Versions   []Version
@@ -65,17 +66,17 @@
 	if err := json.Unmarshal(saved.Late, &old); err != nil {
 		t.Fatal(err)
 	}
-	if len(old.Versions) != maxWholeTextVersions || len(s.Versions) != len(old.Versions) || len(s.sessions.byClient) != len(old.Clients) {
+	if len(old.Versions) != maxFullTextVersions || len(s.Versions) != len(old.Versions) || len(s.sessions.byClient) != len(old.Clients) {
 		t.Fatalf("%d versions of %d, %d clients of %d", len(s.Versions), len(old.Versions), len(s.sessions.byClient), len(old.Clients))
 	}
 	for k, was := range old.Versions {
-		text, kept := s.TextOf(was.Number)
+		text, retained := s.TextOf(was.Number)
 		parsed, err := config.TextFormat{}.Parse(was.Text)
 		if err != nil {
 			t.Fatal(err)
 		}
-		if want := (config.TextFormat{}).Format(parsed); !kept || text != want {
-			t.Errorf("version %d, kept %v:\n%s\nwant\n%s", was.Number, kept, text, want)
+		if want := (config.TextFormat{}).Format(parsed); !retained || text != want {
+			t.Errorf("version %d, retained %v:\n%s\nwant\n%s", was.Number, retained, text, want)
 		}
 		was.Text = ""
 		if s.Versions[k] != was {
@@ -100,11 +101,12 @@
 	return lines
 }
 
-// TestMembersTakeUpRecordsAnywhere has one member read the state at an early place of the log and carry the rest out,
-// and another read it at a late place. They agree on all that decides what becomes of later commands: the revisions of
-// records, the versions that are kept and their records.
-func TestMembersTakeUpRecordsAnywhere(t *testing.T) {
-	saved := readWholeTexts(t)
+// Members of a group that began with full texts convert them at different indexes of the log: one restores an early
+// snapshot and applies the entries behind it, another restores a late one. If they held different revisions, the same
+// transaction would conflict at one and be applied at the other. They have to agree on all that decides the result of
+// later commands: the revisions of records, the versions that are retained and their records.
+func TestMembersAgreeWhereverTheyConvertFullTexts(t *testing.T) {
+	saved := readFullTextGroup(t)
 	early, late := restoredState(t, saved.Early), restoredState(t, saved.Late)
 	index := uint64(0)
 	for _, e := range saved.Entries {
@@ -135,7 +137,7 @@
 	}
 	write := records.Write{Key: records.Key{Kind: records.KindService, Name: "pay"}, Body: []byte(`{}`)}
 	if r := both(Command{Kind: CommandRecords, Client: "a", Seq: 1, Writes: []records.Write{write}}); r.Rejected == "" {
-		t.Error("a transaction was taken before revisions count")
+		t.Error("a transaction was accepted before revisions count")
 	}
 	both(Command{Kind: CommandRollBack, Client: "a", Seq: 2, Base: early.Latest().Number, To: early.Versions[3].Number})
 	both(Command{Kind: CommandSetFormat, Client: "a", Seq: 3})
@@ -149,39 +151,45 @@
 	}
 }
 
-// TestFormatsThatAreNotKnown are refused, and leave the state as it is.
-func TestFormatsThatAreNotKnown(t *testing.T) {
-	l := newScript(t)
-	l.do(put("a", 1, 0, "one"))
-	good, err := l.state.Snapshot()
+// TestUnreadableSnapshotsAreRefused has a state of one version, which each unreadable snapshot has to leave as it is.
+func TestUnreadableSnapshotsAreRefused(t *testing.T) {
+	script := newCommandScript(t)
+	script.apply(putCommand("a", 1, 0, "one"))
+	good, err := script.state.Snapshot()
 	if err != nil {
 		t.Fatal(err)
 	}
 	newer := append([]byte{}, good...)
-	newer[len(stateMagic)]++
-	for name, data := range map[string][]byte{"newer": newer, "cut short": good[:len(good)-1], "no head": []byte(stateMagic), "bad text in force": []byte(`{"versions":[{"number":9,"text":"bad"}]}`)} {
-		if err := l.state.Restore(data); err == nil {
-			t.Errorf("%s: it was taken", name)
+	newer[len(snapshotMagic)]++
+	cases := map[string][]byte{
+		"newer format":       newer,
+		"cut short":          good[:len(good)-1],
+		"no header":          []byte(snapshotMagic),
+		"bad text in effect": []byte(`{"versions":[{"number":9,"text":"bad"}]}`),
+	}
+	for name, data := range cases {
+		if err := script.state.Restore(data); err == nil {
+			t.Errorf("%s: it was accepted", name)
 		}
 	}
-	if again, _ := l.state.Snapshot(); string(again) != string(good) {
+	if again, _ := script.state.Snapshot(); string(again) != string(good) {
 		t.Error("a refused snapshot changed the state")
 	}
 }
 
-// TestLeaderEndsWholeTexts starts a node on a disk of the first format: as its leader it has revisions count without
-// anyone asking, and then takes transactions.
-func TestLeaderEndsWholeTexts(t *testing.T) {
-	saved := readWholeTexts(t)
+// TestLeaderProposesTheRecordsFormat starts a node on a disk of the first format: as its leader it has revisions count
+// without anyone asking, and then takes transactions.
+func TestLeaderProposesTheRecordsFormat(t *testing.T) {
+	saved := readFullTextGroup(t)
 	meta := &raftpb.SnapshotMetadata{Index: proto.Uint64(110), Term: proto.Uint64(2), ConfState: &raftpb.ConfState{Voters: []uint64{1}}}
 	disk := &raftlog.SavedState{
 		Identity: "disk-1", Snapshot: &raftpb.Snapshot{Data: saved.Late, Metadata: meta},
 		HardState: &raftpb.HardState{Term: proto.Uint64(2), Vote: proto.Uint64(1), Commit: proto.Uint64(110)},
 	}
-	n := startedFrom(t, disk, NewState(config.TextFormat{}), func(*Node) {})
-	write := transaction("a", recordWrite(records.KindService, "pay", 0, records.ServiceSpec{}))
-	for until := time.Now().Add(20 * time.Second); ; time.Sleep(tickEvery) {
-		r, err := n.propose(t.Context(), write)
+	n := newLeaderFrom(t, disk, NewState(config.TextFormat{}), func(*Node) {})
+	write := recordsCommand("a", recordWrite(records.KindService, "pay", 0, records.ServiceSpec{}))
+	for until := time.Now().Add(20 * time.Second); ; time.Sleep(tickInterval) {
+		r, err := n.handlePropose(t.Context(), write)
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/cluster/state_test.go
+++ b/cluster/state_test.go
@@ -12,16 +12,16 @@
 	"harehook.dev/harehook/records"
 )
 
-// script applies commands one after the other and notes what became of each.
-type script struct {
-	t     *testing.T
-	state *State
-	index uint64
-	said  []string
+// commandScript applies commands one after the other and notes what became of each.
+type commandScript struct {
+	t       *testing.T
+	state   *State
+	index   uint64
+	results []string
 }
 
-func newScript(t *testing.T) *script {
-	return &script{t: t, index: 10, state: NewState(plainText{})}
+func newCommandScript(t *testing.T) *commandScript {
+	return &commandScript{t: t, index: 10, state: NewState(plainText{})}
 }
 
 // plainText is a format in which every text is a configuration of one route, unless it says that it is bad.
@@ -44,65 +44,65 @@
 	return text
 }
 
-func (l *script) do(c Command) Result {
+func (script *commandScript) apply(c Command) Result {
 	data, err := json.Marshal(c)
 	if err != nil {
-		l.t.Fatal(err)
+		script.t.Fatal(err)
 	}
-	l.index++
-	_, r := l.state.Apply(l.index, 3, data)
-	l.said = append(l.said, fmt.Sprint(r.Version, " ", r.Rejected))
+	script.index++
+	_, r := script.state.Apply(script.index, 3, data)
+	script.results = append(script.results, fmt.Sprint(r.Version, " ", r.Rejected))
 	return r
 }
 
-func put(client string, seq, base uint64, text string) Command {
+func putCommand(client string, seq, base uint64, text string) Command {
 	return Command{Kind: CommandPut, Client: client, Seq: seq, Base: base, Text: text}
 }
 
-func TestState(t *testing.T) {
-	l := newScript(t)
-	l.do(put("a", 1, 0, "one"))
-	l.do(put("b", 1, 0, "other")) // did not see it
-	l.do(put("a", 1, 0, "one"))   // its answer was lost
-	l.do(put("a", 2, 11, "bad"))
-	l.do(put("a", 3, 11, "two"))
-	l.do(put("a", 2, 11, "late"))
-	l.do(Command{Kind: CommandRollBack, Client: "a", Seq: 4, Base: 15, To: 11})
-	l.do(Command{Kind: CommandRollBack, Client: "a", Seq: 5, Base: 17, To: 99})
-	l.do(Command{Kind: CommandRegister, Client: "m", Seq: 1, Member: 2, Identity: "x"})
-	l.do(Command{Kind: CommandRegister, Client: "n", Seq: 1, Member: 2, Identity: "y"})
-	l.do(Command{Kind: "dance", Client: "a", Seq: 6})
-	l.do(put("", 1, 17, "nobody's"))
-	l.do(put("a", 7, 17, strings.Repeat("x", maxTextBytes+1)))
-	_, r := l.state.Apply(99, 3, []byte("{"))
-	l.said = append(l.said, fmt.Sprint(r.Version, " ", r.Rejected))
+func TestCommandsAndTheirResults(t *testing.T) {
+	script := newCommandScript(t)
+	script.apply(putCommand("a", 1, 0, "one"))
+	script.apply(putCommand("b", 1, 0, "other")) // did not see it
+	script.apply(putCommand("a", 1, 0, "one"))   // its answer was lost
+	script.apply(putCommand("a", 2, 11, "bad"))
+	script.apply(putCommand("a", 3, 11, "two"))
+	script.apply(putCommand("a", 2, 11, "late"))
+	script.apply(Command{Kind: CommandRollBack, Client: "a", Seq: 4, Base: 15, To: 11})
+	script.apply(Command{Kind: CommandRollBack, Client: "a", Seq: 5, Base: 17, To: 99})
+	script.apply(Command{Kind: CommandRegister, Client: "m", Seq: 1, Member: 2, Identity: "x"})
+	script.apply(Command{Kind: CommandRegister, Client: "n", Seq: 1, Member: 2, Identity: "y"})
+	script.apply(Command{Kind: "dance", Client: "a", Seq: 6})
+	script.apply(putCommand("", 1, 17, "nobody's"))
+	script.apply(putCommand("a", 7, 17, strings.Repeat("x", maxTextBytes+1)))
+	_, r := script.state.Apply(99, 3, []byte("{"))
+	script.results = append(script.results, fmt.Sprint(r.Version, " ", r.Rejected))
 	if diff := cmp.Diff([]string{
 		"11 ", "11 it changes version 0, and version 11 is in force: look at what came between", "11 ", "11 it is bad", "15 ",
 		"15 a later proposal of this client came first", "17 ", "17 version 99 is not kept", "17 ",
 		"17 member 2 is known by another disk: remove it and add it under a new number", "17 a command \"dance\" is not known",
 		"17 a name is missing or over 200 bytes", "17 a text of 262145 bytes, 262144 at most", "17 it can't be read",
-	}, l.said); diff != "" {
+	}, script.results); diff != "" {
 		t.Error(diff)
 	}
-	if v := l.state.Current(); v.Text != "one" || v.Number != 17 || v.Term != 3 {
+	if v := script.state.Current(); v.Text != "one" || v.Number != 17 || v.Term != 3 {
 		t.Errorf("%+v", v)
 	}
 }
 
-// A state that was restored from a snapshot goes on as the one that it was taken of.
-func TestSnapshot(t *testing.T) {
-	l := newScript(t)
+// A state that was restored from a snapshot comes to the same results as the one that the snapshot is of.
+func TestRestoredStateGoesOnAsTheOriginal(t *testing.T) {
+	script := newCommandScript(t)
 	for n := range uint64(maxClients + maxVersions + 5) {
-		l.do(put(fmt.Sprint("client-", n), 1, l.state.Current().Number, fmt.Sprint("text ", n)))
+		script.apply(putCommand(fmt.Sprint("client-", n), 1, script.state.Current().Number, fmt.Sprint("text ", n)))
 	}
-	if len(l.state.Versions) != maxVersions || len(l.state.sessions.byClient) != maxClients {
-		t.Errorf("%d versions and %d clients are kept", len(l.state.Versions), len(l.state.sessions.byClient))
+	if len(script.state.Versions) != maxVersions || len(script.state.sessions.byClient) != maxClients {
+		t.Errorf("%d versions and %d clients are retained", len(script.state.Versions), len(script.state.sessions.byClient))
 	}
-	data, err := l.state.Snapshot()
+	data, err := script.state.Snapshot()
 	if err != nil {
 		t.Fatal(err)
 	}
-	other := newScript(t)
+	other := newCommandScript(t)
 	if err := other.state.Restore(data); err != nil {
 		t.Fatal(err)
 	}
@@ -110,9 +110,9 @@
 	if string(again) != string(data) {
 		t.Error("a restored state gives another snapshot")
 	}
-	other.index = l.index
-	for k, c := range []Command{put("x", 1, 0, "late"), put("client-1000", 1, 5, "again"), put("x", 2, l.state.Current().Number, "next")} {
-		if a, b := l.do(c), other.do(c); a != b {
+	other.index = script.index
+	for k, c := range []Command{putCommand("x", 1, 0, "late"), putCommand("client-1000", 1, 5, "again"), putCommand("x", 2, script.state.Current().Number, "next")} {
+		if a, b := script.apply(c), other.apply(c); a != b {
 			t.Errorf("command %d: %+v and %+v", k, a, b)
 		}
 	}
--- /dev/null
+++ b/cluster/transactions_test.go
@@ -0,0 +1,86 @@
+package cluster
+
+import (
+	"encoding/json"
+	"fmt"
+	"strings"
+	"testing"
+
+	"harehook.dev/harehook/records"
+)
+
+func recordWrite(kind records.Kind, name string, expect uint64, spec any) records.Write {
+	body, err := json.Marshal(spec)
+	if err != nil {
+		panic(err)
+	}
+	return records.Write{Key: records.Key{Kind: kind, Name: name}, Body: body, ExpectedRevision: expect}
+}
+
+func recordsCommand(client string, writes ...records.Write) Command {
+	return Command{Kind: CommandRecords, Client: client, Seq: 1, Writes: writes, By: "operator", Why: "why"}
+}
+
+// TestTransactionsBesideFullTexts changes records beside full texts: conflicts are named, a transaction counts as a
+// version, and a roll-back reverses it.
+func TestTransactionsBesideFullTexts(t *testing.T) {
+	script := newCommandScript(t)
+	var changes []records.Change
+	script.state.OnCommit = func(c records.Change) { changes = append(changes, c) }
+	expectRejection := func(c Command, want string) { // empty: it is carried out
+		t.Helper()
+		if r := script.apply(c); want == "" && r.Rejected != "" || !strings.Contains(r.Rejected, want) {
+			t.Errorf("%q, want %q", r.Rejected, want)
+		}
+	}
+	expectRejection(putCommand("a", 1, 0, "one"), "") // version 11
+	pay := recordWrite(records.KindService, "pay", 0, records.ServiceSpec{})
+	tenant := recordWrite(records.KindTenant, "x", 0, records.TenantSpec{Service: "pay", Share: 0.5})
+	expectRejection(recordsCommand("b", pay, tenant), "")                                                                                  // 12
+	expectRejection(recordsCommand("c", pay), "changed since it was read: service/pay exists with revision 12")                            // 13
+	expectRejection(recordsCommand("d", recordWrite(records.KindTenant, "x", 12, records.TenantSpec{Service: "pay", Share: 1})), "")       // 14
+	expectRejection(recordsCommand("e", recordWrite(records.KindTenant, "x", 12, records.TenantSpec{Service: "pay", Share: 1})), "has re") // 15
+	expectRejection(recordsCommand("f"), "at least one record")
+	expectRejection(putCommand("g", 1, 14, "two"), "") // 17: names no service and no tenant, and leaves them
+	if held := script.state.Store().Get(tenant.Key); held == nil || held.Revision != 14 {
+		t.Errorf("the tenant after a text of routes: %+v", held)
+	}
+	if v := script.state.Current(); v.Text != "two" || v.Number != 17 {
+		t.Errorf("%+v", v)
+	}
+	expectRejection(Command{Kind: CommandRollBack, Client: "h", Seq: 1, Base: 17, To: 12}, "") // 18
+	if spec, err := script.state.Store().Get(tenant.Key).Tenant(); err != nil || spec.Share != 0.5 || script.state.Current().Text != "one" {
+		t.Errorf("after the roll-back: %+v, %v, %q", spec, err, script.state.Current().Text)
+	}
+	expectRejection(Command{Kind: CommandRollBack, Client: "i", Seq: 1, Base: 18, To: 18}, "")
+	var notified []string
+	for _, change := range changes {
+		notified = append(notified, fmt.Sprint(change.Revision, ":", len(change.Updates)))
+	}
+	if got := strings.Join(notified, " "); got != "11:1 12:2 14:1 17:1 18:2 19:0" {
+		t.Error(got)
+	}
+	snapshot, err := script.state.Snapshot()
+	if err != nil {
+		t.Fatal(err)
+	}
+	store := script.state.Store()
+	if err := script.state.Restore(snapshot); err != nil {
+		t.Fatal(err)
+	}
+	if last := changes[len(changes)-1]; !last.Reset || last.Revision != 19 || script.state.Store() != store {
+		t.Errorf("after a snapshot: %+v, another store: %v", last, script.state.Store() != store)
+	}
+}
+
+// TestRollBackToForgottenVersionIsRejected rolls back to a version whose changes are not retained any more, which is
+// rejected and changes nothing.
+func TestRollBackToForgottenVersionIsRejected(t *testing.T) {
+	script := newCommandScript(t)
+	script.apply(putCommand("a", 1, 0, "one"))
+	script.apply(putCommand("b", 1, 11, "two"))
+	script.state.Store().Forget()
+	if r := script.apply(Command{Kind: CommandRollBack, Client: "c", Seq: 1, Base: 12, To: 11}); r.Rejected != "the changes since version 11 are not kept" || r.Version != 12 {
+		t.Errorf("%+v", r)
+	}
+}
--- /dev/null
+++ b/records/rules.go
@@ -0,0 +1,87 @@
+package records
+
+import "fmt"
+
+// checkRules says which rules over several records the state breaks once the updates are in it. It looks only at what was
+// updated and at what refers to that: all else kept the rules before and keeps them now. The error is a *CheckError or a
+// *FullError.
+func (s *Store) checkRules(updates []Update, routesBefore int) error {
+	var violations []Violation
+	for _, update := range updates {
+		if reason := s.index.brokenRule(update); reason != "" {
+			violations = append(violations, Violation{Key: update.Key(), Reason: reason})
+		}
+	}
+	if routesBefore > 0 && len(s.index.byKind[KindRoute]) == 0 {
+		violations = append(violations, Violation{Key: lastRemovedRoute(updates), Reason: "no route would be left: no call would be carried"})
+	}
+	if len(violations) > 0 {
+		return &CheckError{Violations: violations}
+	}
+	if s.index.bytes > s.maxBytes {
+		return &FullError{Bytes: s.index.bytes, Limit: s.maxBytes}
+	}
+	return nil
+}
+
+// brokenRule gives the first rule that one update breaks, empty if none.
+func (x *index) brokenRule(update Update) string {
+	after := update.After
+	if after == nil {
+		return x.ruleBrokenByRemoval(update.Before)
+	}
+	if after.Kind == KindService {
+		return ""
+	}
+	if after.Service != "" && x.byKind[KindService][after.Service] == nil {
+		return fmt.Sprintf("service %q does not exist: add it in the same transaction or before", after.Service)
+	}
+	switch after.Kind {
+	case KindRoute:
+		return x.ruleBrokenByRoute(after)
+	case KindTenant:
+		return x.ruleBrokenByTenant(after)
+	}
+	return ""
+}
+
+// ruleBrokenByRoute: no two routes have the same prefix.
+func (x *index) ruleBrokenByRoute(route *Record) string {
+	prefix := routePrefix(route)
+	for _, other := range x.routesByPrefix[prefix] {
+		if other != route {
+			return fmt.Sprintf("%s has the same prefix %q", other.Key, prefix)
+		}
+	}
+	return ""
+}
+
+// ruleBrokenByTenant: the shares of a service's tenants sum to 1 at most.
+func (x *index) ruleBrokenByTenant(tenant *Record) string {
+	sum := x.usageByService[tenant.Service].shareSum
+	if sum > shareUnit {
+		return fmt.Sprintf("the shares of service %q sum to %g, over 1", tenant.Service, float64(sum)/shareUnit)
+	}
+	return ""
+}
+
+// ruleBrokenByRemoval: a service is not removed while a record names it.
+func (x *index) ruleBrokenByRemoval(record *Record) string {
+	if record.Kind != KindService {
+		return ""
+	}
+	if references := x.usageByService[record.Name].referenceCount; references > 0 {
+		return fmt.Sprintf("%d records refer to this service: remove or move them in the same transaction or before", references)
+	}
+	return ""
+}
+
+func lastRemovedRoute(updates []Update) Key {
+	var key Key
+	for _, update := range updates {
+		if update.After == nil && update.Before.Kind == KindRoute {
+			key = update.Before.Key
+		}
+	}
+	return key
+}
--- /dev/null
+++ b/records/sorted.go
@@ -0,0 +1,112 @@
+package records
+
+import (
+	"slices"
+	"sync"
+)
+
+// unsortedLimitRatio is the part (one in so many) of the sorted records that may come or go before all are sorted again.
+const unsortedLimitRatio = 4
+
+// sortedRecords remembers the records by key as of the last snapshot, and those that came and went since, so that the
+// next snapshot need not sort all.
+type sortedRecords struct {
+	// recordsMutex guards all below among snapshots that are made at the same time, which hold the store's lock for
+	// reading. Records are added and removed with the store's lock held for writing.
+	recordsMutex sync.Mutex
+	records      []*Record            // nil: no snapshot was made, or too much changed since
+	added        []*Record            // since the last snapshot
+	removed      map[*Record]struct{} // of both
+}
+
+// add adds a record. One that was removed and is back, as after a rejected transaction, is in its place already.
+func (o *sortedRecords) add(record *Record) {
+	if o.records == nil {
+		return
+	}
+	if _, back := o.removed[record]; back {
+		delete(o.removed, record)
+		return
+	}
+	o.added = append(o.added, record)
+	o.limitUnsorted()
+}
+
+func (o *sortedRecords) remove(record *Record) {
+	if o.records == nil {
+		return
+	}
+	o.removed[record] = struct{}{}
+	o.limitUnsorted()
+}
+
+func (o *sortedRecords) limitUnsorted() {
+	if max(len(o.added), len(o.removed)) > len(o.records)/unsortedLimitRatio {
+		o.forget()
+	}
+}
+
+// forget has the next snapshot sort all.
+func (o *sortedRecords) forget() {
+	o.records = nil
+	o.added = nil
+	o.removed = nil
+}
+
+// set has records that are sorted by key count as those of the last snapshot.
+func (o *sortedRecords) set(sorted []*Record) {
+	o.records = sorted
+	o.added = nil
+	o.removed = map[*Record]struct{}{}
+}
+
+// all gives all records of an index by key. The store's lock has to be held for reading.
+func (o *sortedRecords) all(held *index) []*Record {
+	o.recordsMutex.Lock()
+	defer o.recordsMutex.Unlock()
+	if o.records == nil {
+		records := held.ofKinds(kindsInOrder)
+		sortByKey(records)
+		o.set(records)
+		return o.records
+	}
+	added := o.withoutRemoved(o.added)
+	sortByKey(added)
+	o.set(mergeByKey(o.withoutRemoved(o.records), added))
+	return o.records
+}
+
+// withoutRemoved gives the records of a list that were not removed.
+func (o *sortedRecords) withoutRemoved(list []*Record) []*Record {
+	held := make([]*Record, 0, len(list))
+	for _, record := range list {
+		if _, removed := o.removed[record]; !removed {
+			held = append(held, record)
+		}
+	}
+	return held
+}
+
+// mergeByKey makes one sorted list of two without common keys.
+func mergeByKey(a, b []*Record) []*Record {
+	if len(b) == 0 {
+		return a
+	}
+	merged := make([]*Record, 0, len(a)+len(b))
+	for len(a) > 0 && len(b) > 0 {
+		if compareRecords(a[0], b[0]) < 0 {
+			merged = append(merged, a[0])
+			a = a[1:]
+		} else {
+			merged = append(merged, b[0])
+			b = b[1:]
+		}
+	}
+	merged = append(merged, a...)
+	return append(merged, b...)
+}
+
+func sortByKey(list []*Record) { slices.SortFunc(list, compareRecords) }
+
+// compareRecords orders records by key.
+func compareRecords(a, b *Record) int { return a.Compare(b.Key) }
