--- a/configsync/transport/client.go
+++ b/configsync/transport/client.go
@@ -13,7 +13,7 @@
 	"google.golang.org/grpc"
 	"google.golang.org/grpc/credentials"
 
-	machine "harehook.dev/harehook/configsync"
+	"harehook.dev/harehook/configsync"
 	"harehook.dev/harehook/records"
 )
 
@@ -29,7 +29,7 @@
 	Seed    uint64        // of the order in which members are asked and of the pauses between
 
 	// Check says why records can't be used: they are refused then.
-	Check machine.Validator
+	Check configsync.Validator
 	// Accepted is told each revision that was accepted, from Run's goroutine and in order. The map must not be changed,
 	// and not be kept after the call: the next change is made in it.
 	Accepted func(revision uint64, held map[records.Key]*records.Record)
@@ -45,7 +45,7 @@
 type Client struct {
 	config  Config
 	log     *zap.Logger
-	backoff *machine.Backoff
+	backoff *configsync.Backoff
 
 	// Traffic is what went over the wire since the client was made.
 	Traffic Traffic
@@ -53,7 +53,7 @@
 	mutex    sync.Mutex
 	running  bool
 	expiry   *time.Timer // of the lease
-	follower *machine.Follower
+	follower *configsync.Follower
 	member   string
 	stale    bool
 	moves    uint64
@@ -81,8 +81,8 @@
 	}
 	return &Client{
 		config: config, log: log,
-		backoff:  machine.NewBackoff(config.Members, config.Seed),
-		follower: machine.NewFollower(config.Name, config.Scope, config.Lease, config.Check),
+		backoff:  configsync.NewBackoff(config.Members, config.Seed),
+		follower: configsync.NewFollower(config.Name, config.Scope, config.Lease, config.Check),
 		stale:    true,
 	}, nil
 }
--- a/configsync/transport/client_test.go
+++ b/configsync/transport/client_test.go
@@ -6,7 +6,7 @@
 	"slices"
 	"testing"
 
-	machine "harehook.dev/harehook/configsync"
+	"harehook.dev/harehook/configsync"
 	"harehook.dev/harehook/records"
 )
 
@@ -200,10 +200,10 @@
 	for _, c := range others {
 		c.awaitHolds(log)
 	}
-	var refused machine.LeaseStatus
+	var refused configsync.LeaseStatus
 	until(t, "the refusal is known", func() bool {
 		leases := m.service.Status().Leases
-		at := slices.IndexFunc(leases, func(one machine.LeaseStatus) bool { return one.Name == "wary" })
+		at := slices.IndexFunc(leases, func(one configsync.LeaseStatus) bool { return one.Name == "wary" })
 		if at < 0 || leases[at].RejectedRevision == 0 {
 			return false
 		}
--- a/configsync/transport/dial.go
+++ b/configsync/transport/dial.go
@@ -10,7 +10,7 @@
 	"google.golang.org/grpc/credentials"
 	"google.golang.org/grpc/credentials/insecure"
 
-	machine "harehook.dev/harehook/configsync"
+	"harehook.dev/harehook/configsync"
 )
 
 const (
@@ -69,6 +69,6 @@
 		grpc.WithInitialWindowSize(windowBytes),
 		grpc.WithInitialConnWindowSize(windowBytes),
 		grpc.WithDisableServiceConfig(),
-		grpc.WithDefaultCallOptions(grpc.MaxCallRecvMsgSize(machine.MaxMessage)),
+		grpc.WithDefaultCallOptions(grpc.MaxCallRecvMsgSize(configsync.MaxMessage)),
 	}
 }
--- a/configsync/transport/fixture_test.go
+++ b/configsync/transport/fixture_test.go
@@ -15,7 +15,7 @@
 	"google.golang.org/grpc"
 
 	"harehook.dev/harehook/cluster"
-	machine "harehook.dev/harehook/configsync"
+	"harehook.dev/harehook/configsync"
 	"harehook.dev/harehook/records"
 )
 
@@ -128,20 +128,20 @@
 type member struct {
 	t       testing.TB
 	log     *log
-	limits  machine.Limits
+	limits  configsync.Limits
 	address string
 	service *Service
 	server  *grpc.Server
 	ended   chan struct{}
 }
 
-func testLimits() machine.Limits {
-	limits := machine.DefaultLimits
+func testLimits() configsync.Limits {
+	limits := configsync.DefaultLimits
 	limits.Lease = testLease
 	return limits
 }
 
-func newMember(t testing.TB, log *log, limits machine.Limits) *member {
+func newMember(t testing.TB, log *log, limits configsync.Limits) *member {
 	m := &member{t: t, log: log, limits: limits, address: "127.0.0.1:0"}
 	m.start()
 	t.Cleanup(m.stop)
--- a/configsync/transport/service.go
+++ b/configsync/transport/service.go
@@ -14,7 +14,7 @@
 	"google.golang.org/grpc/codes"
 	"google.golang.org/grpc/status"
 
-	machine "harehook.dev/harehook/configsync"
+	"harehook.dev/harehook/configsync"
 	"harehook.dev/harehook/records"
 )
 
@@ -33,7 +33,7 @@
 	lease time.Duration
 
 	machineMutex sync.Mutex // guards the machine and its streams; never held while something is sent
-	machine      *machine.Server
+	machine      *configsync.Server
 
 	// The group's goroutine takes only this lock, which is never held for longer than it takes to poke each stream.
 	pendingMutex sync.Mutex
@@ -49,10 +49,10 @@
 }
 
 // NewService makes the part of a member whose records are those of a source.
-func NewService(member string, source records.Source, limits machine.Limits, log *zap.Logger) *Service {
+func NewService(member string, source records.Source, limits configsync.Limits, log *zap.Logger) *Service {
 	return &Service{
 		log: log, lease: limits.Lease,
-		machine: machine.NewServer(member, source, limits, time.Now()),
+		machine: configsync.NewServer(member, source, limits, time.Now()),
 		streams: map[*stream]struct{}{},
 	}
 }
@@ -114,13 +114,13 @@
 }
 
 // Status tells what the followers of this member hold.
-func (s *Service) Status() (out machine.MemberStatus) {
+func (s *Service) Status() (out configsync.MemberStatus) {
 	s.locked(func(now time.Time) { out = s.machine.Status(now) })
 	return out
 }
 
 // Counts tells what was sent since the service was made.
-func (s *Service) Counts() (out machine.Counts) {
+func (s *Service) Counts() (out configsync.Counts) {
 	s.locked(func(time.Time) { out = s.machine.Counts })
 	return out
 }
--- a/configsync/transport/service_test.go
+++ b/configsync/transport/service_test.go
@@ -15,7 +15,7 @@
 	"google.golang.org/grpc/credentials/insecure"
 	"google.golang.org/grpc/status"
 
-	machine "harehook.dev/harehook/configsync"
+	"harehook.dev/harehook/configsync"
 	"harehook.dev/harehook/records"
 )
 
@@ -57,7 +57,7 @@
 	c := newConductor(t, Config{Scope: records.Scope{Services: []string{"other"}}, Members: []string{m.address}})
 	c.awaitHolds(log)
 	stuck := rawStream(t, m)
-	follower := machine.NewFollower("stuck", shop, testLease, nil)
+	follower := configsync.NewFollower("stuck", shop, testLease, nil)
 	if err := stuck.Send(follower.Begin(time.Now())); err != nil {
 		t.Fatal(err)
 	}
@@ -211,13 +211,13 @@
 			t.Errorf("%s: ended with %v, want %v: %s", name, err, code, reason)
 		}
 	}
-	follower := machine.NewFollower("raw", shop, testLease, nil)
+	follower := configsync.NewFollower("raw", shop, testLease, nil)
 	begin := follower.Begin(time.Now())
 	end("no request", codes.DeadlineExceeded, errNoRequest.Error())
 	end("another type", codes.InvalidArgument, "is not served here", &discoveryv3.DeltaDiscoveryRequest{TypeUrl: "type.googleapis.com/other"})
-	end("no name", codes.InvalidArgument, "a name has to be", machine.NewFollower("", shop, testLease, nil).Begin(time.Now()))
-	end("an answer to nothing", codes.InvalidArgument, "answers nothing that was sent", begin, &discoveryv3.DeltaDiscoveryRequest{TypeUrl: machine.TypeURL, ResponseNonce: "77"})
-	end("silence", codes.DeadlineExceeded, machine.ErrSilent.Error(), begin)
+	end("no name", codes.InvalidArgument, "a name has to be", configsync.NewFollower("", shop, testLease, nil).Begin(time.Now()))
+	end("an answer to nothing", codes.InvalidArgument, "answers nothing that was sent", begin, &discoveryv3.DeltaDiscoveryRequest{TypeUrl: configsync.TypeURL, ResponseNonce: "77"})
+	end("silence", codes.DeadlineExceeded, configsync.ErrSilent.Error(), begin)
 
 	first := rawStream(t, m)
 	if err := first.Send(begin); err != nil {
@@ -241,7 +241,7 @@
 // A follower that opens a second stream leaves the first one behind.
 func TestReplacedStream(t *testing.T) {
 	m := newMember(t, newLog(100), testLimits())
-	begin := machine.NewFollower("raw", shop, testLease, nil).Begin(time.Now())
+	begin := configsync.NewFollower("raw", shop, testLease, nil).Begin(time.Now())
 	first := rawStream(t, m)
 	for _, wire := range []discoveryv3.AggregatedDiscoveryService_DeltaAggregatedResourcesClient{first, rawStream(t, m)} {
 		if err := wire.Send(begin); err != nil {
@@ -251,7 +251,7 @@
 			t.Fatal(err)
 		}
 	}
-	first.Send(&discoveryv3.DeltaDiscoveryRequest{TypeUrl: machine.TypeURL}) // wakes it
+	first.Send(&discoveryv3.DeltaDiscoveryRequest{TypeUrl: configsync.TypeURL}) // wakes it
 	if _, err := first.Recv(); status.Code(err) != codes.Aborted {
 		t.Errorf("the first stream: %v", err)
 	}
--- a/configsync/transport/status.go
+++ b/configsync/transport/status.go
@@ -7,7 +7,7 @@
 	"google.golang.org/grpc"
 	"google.golang.org/protobuf/types/known/wrapperspb"
 
-	machine "harehook.dev/harehook/configsync"
+	"harehook.dev/harehook/configsync"
 )
 
 // The operators' calls on the wire. Their bodies are bytes: an empty request, and JSON.
@@ -67,8 +67,8 @@
 }
 
 // FetchMemberStatus asks a member what its followers hold.
-func FetchMemberStatus(ctx context.Context, conn grpc.ClientConnInterface) (machine.MemberStatus, error) {
-	return ask[machine.MemberStatus](ctx, conn, followersService)
+func FetchMemberStatus(ctx context.Context, conn grpc.ClientConnInterface) (configsync.MemberStatus, error) {
+	return ask[configsync.MemberStatus](ctx, conn, followersService)
 }
 
 // FetchFollowerReport asks a conductor that follows how it is doing.
--- a/configsync/transport/stream.go
+++ b/configsync/transport/stream.go
@@ -9,7 +9,7 @@
 	"google.golang.org/grpc/codes"
 	"google.golang.org/grpc/status"
 
-	machine "harehook.dev/harehook/configsync"
+	"harehook.dev/harehook/configsync"
 )
 
 // Why a member ends a stream, beside the machine's reasons.
@@ -28,8 +28,8 @@
 type stream struct {
 	poke chan struct{} // something may have to be sent
 
-	machine *machine.Stream // under Service.machineMutex
-	closed  bool            // likewise: what is still received counts no more
+	machine *configsync.Stream // under Service.machineMutex
+	closed  bool               // likewise: what is still received counts no more
 }
 
 // wake has the stream's supervisor ask the machine.
@@ -187,11 +187,11 @@
 	code := codes.Unavailable
 	var invalid invalidRequest
 	switch {
-	case errors.Is(err, machine.ErrTooManyStreams), errors.Is(err, machine.ErrTooLarge):
+	case errors.Is(err, configsync.ErrTooManyStreams), errors.Is(err, configsync.ErrTooLarge):
 		code = codes.ResourceExhausted
-	case errors.Is(err, machine.ErrReplaced):
+	case errors.Is(err, configsync.ErrReplaced):
 		code = codes.Aborted
-	case errors.Is(err, machine.ErrSilent), errors.Is(err, errNoRequest), errors.Is(err, errNotReading):
+	case errors.Is(err, configsync.ErrSilent), errors.Is(err, errNoRequest), errors.Is(err, errNotReading):
 		code = codes.DeadlineExceeded
 	case errors.As(err, &invalid):
 		code = codes.InvalidArgument
--- a/xds/transport/bench_test.go
+++ b/xds/transport/bench_test.go
@@ -20,12 +20,12 @@
 	"harehook.dev/harehook/planner"
 	"harehook.dev/harehook/settings"
 	"harehook.dev/harehook/sidecar"
-	machine "harehook.dev/harehook/xds"
+	"harehook.dev/harehook/xds"
 )
 
 // serve starts a front over loopback whose core decides nothing by itself.
 func serve(tb testing.TB, most int) (f *Server, address string) {
-	compiler := machine.NewCompiler([]machine.Route{{Name: "quote", Prefix: "/quote", TimeLimit: time.Second}}, time.Second)
+	compiler := xds.NewCompiler([]xds.Route{{Name: "quote", Prefix: "/quote", TimeLimit: time.Second}}, time.Second)
 	f = New(compiler, most, zap.NewNop())
 	f.Controller = controller.New(settings.Deployment{Planner: planner.Config{Zones: 1, MachineTypes: 1, Proxies: most, Sharded: true, Routes: []planner.Route{{}}},
 		Zones: []string{"north"}, MachineTypes: []string{"node"}, Routes: []string{"quote"}, EventInterval: 0.004}, nil, f, zap.NewNop())
@@ -101,7 +101,7 @@
 				batch := []controller.Command{{Kind: controller.SetAdmission, Table: planner.AllTables, Route: "quote", Value: 1}}
 				for n := range nodes {
 					name := fmt.Sprint("node-", n)
-					f.SetAddresses([]Node{{Name: name, Zone: "north", Address: machine.Address{Host: "10.0.0.1", Port: uint32(1000 + n)}}})
+					f.SetAddresses([]Node{{Name: name, Zone: "north", Address: xds.Address{Host: "10.0.0.1", Port: uint32(1000 + n)}}})
 					batch = append(batch, controller.Command{Kind: controller.SetWeight, Node: name, Value: 1})
 				}
 				held := func() (n int) {
--- a/xds/transport/endpoint_watcher.go
+++ b/xds/transport/endpoint_watcher.go
@@ -19,7 +19,7 @@
 	"google.golang.org/protobuf/proto"
 
 	"harehook.dev/harehook/planner"
-	machine "harehook.dev/harehook/xds"
+	"harehook.dev/harehook/xds"
 )
 
 const (
@@ -83,7 +83,7 @@
 	if err != nil {
 		return err
 	}
-	ask := &discoveryv3.DiscoveryRequest{Node: &corev3.Node{Id: m.Name, UserAgentName: "harehookd"}, TypeUrl: machine.Endpoints.URL(),
+	ask := &discoveryv3.DiscoveryRequest{Node: &corev3.Node{Id: m.Name, UserAgentName: "harehookd"}, TypeUrl: xds.Endpoints.URL(),
 		ResourceNames: []string{m.Cluster}, VersionInfo: *version}
 	for {
 		if err := s.Send(ask); err != nil {
@@ -94,7 +94,7 @@
 			return err
 		}
 		nodes, fault := m.read(r)
-		ask = &discoveryv3.DiscoveryRequest{TypeUrl: machine.Endpoints.URL(), ResourceNames: []string{m.Cluster}, ResponseNonce: r.GetNonce()}
+		ask = &discoveryv3.DiscoveryRequest{TypeUrl: xds.Endpoints.URL(), ResourceNames: []string{m.Cluster}, ResponseNonce: r.GetNonce()}
 		if fault == nil {
 			*version = r.GetVersionInfo()
 			m.Accepted(*version, nodes)
@@ -108,14 +108,14 @@
 
 // read takes a version as a whole, or not at all: half a list would let nodes go that are there.
 func (m *EndpointWatcher) read(r *discoveryv3.DiscoveryResponse) (nodes []Endpoint, err error) {
-	if r.GetTypeUrl() != machine.Endpoints.URL() || len(r.GetResources()) != 1 {
+	if r.GetTypeUrl() != xds.Endpoints.URL() || len(r.GetResources()) != 1 {
 		return nil, fmt.Errorf("%d resources of type %q, asked for was one cluster's endpoints", len(r.GetResources()), r.GetTypeUrl())
 	}
 	var list endpointv3.ClusterLoadAssignment
 	if err := proto.Unmarshal(r.GetResources()[0].GetValue(), &list); err != nil || list.GetClusterName() != m.Cluster {
 		return nil, fmt.Errorf("not the endpoints of %q", m.Cluster)
 	}
-	names, addresses := map[string]bool{}, map[machine.Address]bool{}
+	names, addresses := map[string]bool{}, map[xds.Address]bool{}
 	ready := 0
 	for _, local := range list.GetEndpoints() {
 		zone := local.GetLocality().GetZone()
@@ -124,7 +124,7 @@
 		}
 		for _, e := range local.GetLbEndpoints() {
 			one := Endpoint{Weight: 1, State: planner.Ready, Node: Node{Name: e.GetEndpoint().GetHostname(), Zone: zone,
-				Address: machine.AddressOf(e.GetEndpoint().GetAddress())}}
+				Address: xds.AddressOf(e.GetEndpoint().GetAddress())}}
 			if one.Name == "" {
 				one.Name = fmt.Sprintf("%s:%d", one.Address.Host, one.Address.Port)
 			}
--- a/xds/transport/endpoint_watcher_test.go
+++ b/xds/transport/endpoint_watcher_test.go
@@ -16,7 +16,7 @@
 	"google.golang.org/protobuf/types/known/anypb"
 
 	"harehook.dev/harehook/planner"
-	machine "harehook.dev/harehook/xds"
+	"harehook.dev/harehook/xds"
 )
 
 // lister is a service that keeps a list; it sends scripted versions and notes the answers.
@@ -57,10 +57,10 @@
 	for _, n := range nodes {
 		list.Endpoints = append(list.Endpoints, &endpointv3.LocalityLbEndpoints{Locality: &corev3.Locality{Zone: n.zone},
 			LbEndpoints: []*endpointv3.LbEndpoint{{HealthStatus: n.health, HostIdentifier: &endpointv3.LbEndpoint_Endpoint{Endpoint: &endpointv3.Endpoint{
-				Hostname: n.name, Address: machine.Address{Host: "127.0.0.1", Port: n.port}.Message()}}}}})
+				Hostname: n.name, Address: xds.Address{Host: "127.0.0.1", Port: n.port}.Message()}}}}})
 	}
 	body, _ := anypb.New(list)
-	return &discoveryv3.DiscoveryResponse{TypeUrl: machine.Endpoints.URL(), VersionInfo: fmt.Sprint("v", number), Nonce: fmt.Sprint("n", number),
+	return &discoveryv3.DiscoveryResponse{TypeUrl: xds.Endpoints.URL(), VersionInfo: fmt.Sprint("v", number), Nonce: fmt.Sprint("n", number),
 		Resources: []*anypb.Any{body}}
 }
 
--- a/xds/transport/rejection_test.go
+++ b/xds/transport/rejection_test.go
@@ -16,7 +16,7 @@
 
 	"harehook.dev/harehook/controller"
 	"harehook.dev/harehook/sidecar"
-	machine "harehook.dev/harehook/xds"
+	"harehook.dev/harehook/xds"
 )
 
 // picky is a sidecar that turns some contents down and whose routing is checked after each response.
@@ -32,7 +32,7 @@
 	p.got++
 	for kind, versions := range p.Table().Versions {
 		for name, version := range versions {
-			if p.refused[fmt.Sprint(machine.Kind(kind), name, version)] {
+			if p.refused[fmt.Sprint(xds.Kind(kind), name, version)] {
 				p.faults = append(p.faults, fmt.Sprintf("%s routes by %s of %s, which it refused", p.ID, version, name))
 			}
 		}
@@ -82,7 +82,7 @@
 	for k := range all {
 		p := &picky{refused: map[string]bool{}}
 		p.ResourceCache = &sidecar.ResourceCache{ID: fmt.Sprint("till-", k), Zone: "north", Delta: k%2 == 0,
-			ExtraCheck: func(_ machine.Kind, _ string, body *anypb.Any) error {
+			ExtraCheck: func(_ xds.Kind, _ string, body *anypb.Any) error {
 				sum := fnv.New32a()
 				sum.Write(body.GetValue())
 				fmt.Fprint(sum, k)
--- a/xds/transport/server.go
+++ b/xds/transport/server.go
@@ -23,7 +23,7 @@
 	"google.golang.org/grpc/status"
 
 	"harehook.dev/harehook/controller"
-	machine "harehook.dev/harehook/xds"
+	"harehook.dev/harehook/xds"
 )
 
 const (
@@ -33,14 +33,14 @@
 	idleMost    = 5 * time.Minute // that a connection without a stream stays
 	messageMost = 1 << 20         // bytes of a request
 	inboxSize   = 1024            // happenings that may wait; then streams wait
-	outSize     = 2*int(machine.Kinds) + 2
+	outSize     = 2*int(xds.Kinds) + 2
 	perClient   = 16 // streams of one connection
 )
 
 // Server serves sidecars. It is the core's carrier.
 type Server struct {
 	Controller     *controller.Controller
-	Streams        *machine.Server
+	Streams        *xds.Server
 	Credentials    credentials.TransportCredentials // nil: none
 	ReportInterval time.Duration                    // between two load reports of a sidecar
 
@@ -69,10 +69,10 @@
 }
 
 // New makes a front that serves nothing yet. The core is set before Run.
-func New(compiler *machine.Compiler, most int, log *zap.Logger) *Server {
+func New(compiler *xds.Compiler, most int, log *zap.Logger) *Server {
 	f := &Server{Log: log, inbox: make(chan func(), inboxSize), done: make(chan struct{}), began: time.Now(),
 		streams: map[uint64]*stream{}, more: make(chan struct{}, 1), ReportInterval: time.Second}
-	f.Streams = machine.NewServer(compiler, outward{f}, most)
+	f.Streams = xds.NewServer(compiler, outward{f}, most)
 	return f
 }
 
@@ -197,7 +197,7 @@
 func (o outward) Joined(proxy int, zone string) { o.f.Controller.ProxyJoined(proxy, zone, usualRate) }
 func (o outward) Left(proxy int)                { o.f.Controller.ProxyLeft(proxy) }
 func (o outward) Acknowledged(proxy, mark int)  { o.f.Controller.Acknowledged(proxy, mark) }
-func (o outward) Rejected(id string, kind machine.Kind, why string) {
+func (o outward) Rejected(id string, kind xds.Kind, why string) {
 	o.f.Log.Warn("version refused", zap.String("sidecar", id), zap.Stringer("kind", kind), zap.String("why", why))
 }
 
@@ -211,7 +211,7 @@
 }
 
 // SetAgreedRoutes has the routes of an agreed version reach all sidecars.
-func (f *Server) SetAgreedRoutes(version uint64, routes []machine.Route) {
+func (f *Server) SetAgreedRoutes(version uint64, routes []xds.Route) {
 	f.ask(func() {
 		if err := f.Streams.SetAgreedRoutes(f.now(), version, routes); err != nil {
 			f.Log.Error("routes that make no resources", zap.Error(err))
@@ -222,7 +222,7 @@
 // Node is a node and where it takes calls.
 type Node struct {
 	Name, Zone string
-	Address    machine.Address
+	Address    xds.Address
 }
 
 // ads serves the aggregated discovery service.
@@ -237,7 +237,7 @@
 		if err != nil {
 			return opener{}, nil, err
 		}
-		id, zone := machine.NodeOf(r.GetNode())
+		id, zone := xds.NodeOf(r.GetNode())
 		return opener{id, zone}, func(stream uint64) error { return a.f.Streams.HandleStateOfTheWorld(a.f.now(), stream, r) }, nil
 	}, func(m any) error { return wire.Send(m.(*discoveryv3.DiscoveryResponse)) })
 }
@@ -248,7 +248,7 @@
 		if err != nil {
 			return opener{}, nil, err
 		}
-		id, zone := machine.NodeOf(r.GetNode())
+		id, zone := xds.NodeOf(r.GetNode())
 		return opener{id, zone}, func(stream uint64) error { return a.f.Streams.HandleDelta(a.f.now(), stream, r) }, nil
 	}, func(m any) error { return wire.Send(m.(*discoveryv3.DeltaDiscoveryResponse)) })
 }
@@ -347,7 +347,7 @@
 	if err != nil {
 		return err
 	}
-	id, _ := machine.NodeOf(r.GetNode())
+	id, _ := xds.NodeOf(r.GetNode())
 	if err := wire.Send(&loadv3.LoadStatsResponse{SendAllClusters: true, LoadReportingInterval: duration(f.ReportInterval),
 		ReportEndpointGranularity: true}); err != nil {
 		return err
@@ -372,7 +372,7 @@
 		span  float64
 	}
 	var usages []usage
-	var addresses []machine.Address
+	var addresses []xds.Address
 	for _, c := range r.GetClusterStats() {
 		span := c.GetLoadReportInterval().AsDuration().Seconds()
 		if !(span > 0) || span > spanMost {
@@ -387,7 +387,7 @@
 				}
 				s := controller.LoadReport{Completed: count(e.GetTotalIssuedRequests()), Failed: count(e.GetTotalErrorRequests()), Interval: span}
 				for _, m := range e.GetLoadMetricStats() {
-					if n := m.GetNumRequestsFinishedWithMetric(); m.GetMetricName() == machine.LatencySumMetric && n > 0 {
+					if n := m.GetNumRequestsFinishedWithMetric(); m.GetMetricName() == xds.LatencySumMetric && n > 0 {
 						s.MeanLatency = m.GetTotalMetricValue() / float64(n)
 					}
 				}
@@ -395,10 +395,10 @@
 					f.Malformed.Add(1)
 					continue
 				}
-				sums, addresses = append(sums, s), append(addresses, machine.AddressOf(e.GetAddress()))
+				sums, addresses = append(sums, s), append(addresses, xds.AddressOf(e.GetAddress()))
 			}
 			for _, m := range local.GetLoadMetricStats() {
-				if route, is := strings.CutPrefix(m.GetMetricName(), machine.RouteMetric); is {
+				if route, is := strings.CutPrefix(m.GetMetricName(), xds.RouteMetric); is {
 					usages = append(usages, usage{route, count(m.GetNumRequestsFinishedWithMetric()), span})
 				}
 			}
--- a/xds/transport/server_test.go
+++ b/xds/transport/server_test.go
@@ -22,7 +22,7 @@
 	"harehook.dev/harehook/controller"
 	"harehook.dev/harehook/planner"
 	"harehook.dev/harehook/sidecar"
-	machine "harehook.dev/harehook/xds"
+	"harehook.dev/harehook/xds"
 )
 
 const within = 20 * time.Second // for what takes a moment on an idle machine
@@ -49,7 +49,7 @@
 func settled(f *Server) (n int) {
 	f.ask(func() {
 		for _, s := range f.Streams.Sidecars(f.now()) {
-			all := s.Joined && s.Bound && s.Unconfirmed == 0 && len(s.Resources) >= int(machine.Kinds)
+			all := s.Joined && s.Bound && s.Unconfirmed == 0 && len(s.Resources) >= int(xds.Kinds)
 			for _, st := range s.Resources {
 				all = all && st.Accepted == st.Target
 			}
@@ -83,7 +83,7 @@
 	batch := []controller.Command{{Kind: controller.SetAdmission, Table: planner.AllTables, Route: "quote", Value: 1}}
 	for n := range nodes {
 		name := fmt.Sprint("node-", n)
-		f.SetAddresses([]Node{{Name: name, Zone: "north", Address: machine.Address{Host: "127.0.0.1", Port: uint32(1000 + n)}}})
+		f.SetAddresses([]Node{{Name: name, Zone: "north", Address: xds.Address{Host: "127.0.0.1", Port: uint32(1000 + n)}}})
 		batch = append(batch, controller.Command{Kind: controller.SetWeight, Node: name, Value: 1})
 	}
 	f.Enqueue(batch)
@@ -159,10 +159,10 @@
 		code codes.Code
 		why  string
 	}{
-		"no node id":   {[]*discoveryv3.DiscoveryRequest{{Node: node("", "north"), TypeUrl: machine.Clusters.URL()}}, codes.InvalidArgument, "no node id"},
-		"unknown zone": {[]*discoveryv3.DiscoveryRequest{{Node: node("x", "moon"), TypeUrl: machine.Clusters.URL()}}, codes.InvalidArgument, `zone "moon"`},
+		"no node id":   {[]*discoveryv3.DiscoveryRequest{{Node: node("", "north"), TypeUrl: xds.Clusters.URL()}}, codes.InvalidArgument, "no node id"},
+		"unknown zone": {[]*discoveryv3.DiscoveryRequest{{Node: node("x", "moon"), TypeUrl: xds.Clusters.URL()}}, codes.InvalidArgument, `zone "moon"`},
 		"unknown type": {[]*discoveryv3.DiscoveryRequest{{Node: node("x", "north"), TypeUrl: "type.googleapis.com/what"}}, codes.InvalidArgument, "is not served"},
-		"too many names": {[]*discoveryv3.DiscoveryRequest{{Node: node("x", "north"), TypeUrl: machine.Endpoints.URL(),
+		"too many names": {[]*discoveryv3.DiscoveryRequest{{Node: node("x", "north"), TypeUrl: xds.Endpoints.URL(),
 			ResourceNames: make([]string, 5000)}}, codes.InvalidArgument, "4096 at most"},
 		"too large": {[]*discoveryv3.DiscoveryRequest{{Node: node("x", "north"), TypeUrl: strings.Repeat("x", messageMost+1)}}, codes.ResourceExhausted, "larger than max"},
 		"silent":    {nil, codes.DeadlineExceeded, "no first request"},
@@ -180,11 +180,11 @@
 	}
 	for _, id := range []string{"x", "y", "z"} {
 		s, _ := client.StreamAggregatedResources(ctx)
-		s.Send(&discoveryv3.DiscoveryRequest{Node: node(id, "north"), TypeUrl: machine.Clusters.URL()})
+		s.Send(&discoveryv3.DiscoveryRequest{Node: node(id, "north"), TypeUrl: xds.Clusters.URL()})
 	}
 	until(t, "three are known", func() bool { return known(f) == 3 })
 	s, _ := client.StreamAggregatedResources(ctx)
-	s.Send(&discoveryv3.DiscoveryRequest{Node: node("one too many", "north"), TypeUrl: machine.Clusters.URL()})
+	s.Send(&discoveryv3.DiscoveryRequest{Node: node("one too many", "north"), TypeUrl: xds.Clusters.URL()})
 	if _, err := s.Recv(); status.Code(err) != codes.InvalidArgument || !strings.Contains(err.Error(), "no more may join") {
 		t.Errorf("too many: %v", err)
 	}
@@ -205,7 +205,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		s.Send(&discoveryv3.DiscoveryRequest{Node: &corev3.Node{Id: "till", Locality: &corev3.Locality{Zone: "north"}}, TypeUrl: machine.Clusters.URL()})
+		s.Send(&discoveryv3.DiscoveryRequest{Node: &corev3.Node{Id: "till", Locality: &corev3.Locality{Zone: "north"}}, TypeUrl: xds.Clusters.URL()})
 		return s
 	}
 	first := open()
@@ -239,7 +239,7 @@
 	}
 	line := func(port uint32, issued, errors uint64) *endpointv3.UpstreamEndpointStats {
 		return &endpointv3.UpstreamEndpointStats{TotalIssuedRequests: issued, TotalErrorRequests: errors,
-			Address: machine.Address{Host: "127.0.0.1", Port: port}.Message()}
+			Address: xds.Address{Host: "127.0.0.1", Port: port}.Message()}
 	}
 	report := func(span time.Duration, lines ...*endpointv3.UpstreamEndpointStats) {
 		s.Send(&loadv3.LoadStatsRequest{ClusterStats: []*endpointv3.ClusterStats{{ClusterName: "pool-0", LoadReportInterval: durationpb.New(span),
--- a/xds/transport/status.go
+++ b/xds/transport/status.go
@@ -14,7 +14,7 @@
 	"google.golang.org/protobuf/types/known/structpb"
 	"google.golang.org/protobuf/types/known/timestamppb"
 
-	machine "harehook.dev/harehook/xds"
+	"harehook.dev/harehook/xds"
 )
 
 func duration(d time.Duration) *durationpb.Duration { return durationpb.New(d) }
@@ -76,7 +76,7 @@
 	StatusUnconfirmed         = "unconfirmed"
 )
 
-func clientConfig(s machine.Sidecar, now float64, bare bool) *statusv3.ClientConfig {
+func clientConfig(s xds.Sidecar, now float64, bare bool) *statusv3.ClientConfig {
 	table, variant := "", "state"
 	if s.Bound {
 		table = fmt.Sprint(s.Table)
