--- a/cmd/harehook-sidecar/main.go
+++ b/cmd/harehook-sidecar/main.go
@@ -20,8 +20,8 @@
 )
 
 const (
-	lookEvery = time.Second      // for changed keys
-	countEach = 10 * time.Second // between two lines of counters
+	reloadInterval  = time.Second      // for changed keys
+	counterInterval = 10 * time.Second // between two lines of counters
 )
 
 func main() {
@@ -39,11 +39,11 @@
 	if err != nil {
 		return err
 	}
-	report := sidecar.NewReport(time.Now())
-	link := &sidecar.Client{Controllers: told.Controllers, Report: report, Log: log,
-		Cache: &sidecar.ResourceCache{ID: told.Name, Zone: told.Zone, Delta: told.Delta, Mutating: told.Mutating,
+	report := sidecar.NewLoadRecorder(time.Now())
+	link := &sidecar.Client{Controllers: told.Controllers, Load: report, Log: log,
+		Cache: &sidecar.ResourceCache{ID: told.Name, Zone: told.Zone, Delta: told.Delta, MutatingRoutes: told.MutatingRoutes,
 			OnReject: func(r sidecar.RejectedResource) {
-				log.Warn("version refused", zap.Stringer("kind", r.Kind), zap.String("name", r.Name), zap.String("why", r.Reason))
+				log.Warn("version refused", zap.Stringer("kind", r.Type), zap.String("name", r.Name), zap.String("why", r.Reason))
 			}}}
 	if told.StorePath != "" {
 		link.Store = &sidecar.Store{Path: told.StorePath}
@@ -53,25 +53,25 @@
 		return err
 	}
 	if held != nil {
-		link.Credentials = credentials.NewTLS(held.Client("conductor"))
+		link.Credentials = credentials.NewTLS(held.ClientConfig("conductor"))
 	}
 	seed := fnv.New64a()
 	fmt.Fprint(seed, told.Name, time.Now().UnixNano())
 	plane := &sidecar.Proxy{Listener: listener, Table: link.Table, ConnectTimeout: told.ConnectTimeout, MaxConnections: told.MaxConnections, Seed: seed.Sum64(),
-		Log: log, Report: report}
+		Log: log, Load: report}
 	log.Info("started", zap.Stringer("listen", listener.Addr()), zap.Strings("conductors", told.Controllers))
 	var parts sync.WaitGroup
 	parts.Go(func() { link.Run(ctx) })
 	parts.Go(func() { plane.Run(ctx) })
-	parts.Go(func() { look(ctx, link, report, held, log) })
+	parts.Go(func() { maintain(ctx, link, report, held, log) })
 	parts.Wait()
 	log.Info("stopped")
 	return nil
 }
 
-// look logs counters and takes changed keys over until ctx ends.
-func look(ctx context.Context, link *sidecar.Client, report *sidecar.LoadRecorder, held *certs.Store, log *zap.Logger) {
-	tick := time.NewTicker(lookEvery)
+// maintain logs counters and takes changed keys over until ctx ends.
+func maintain(ctx context.Context, link *sidecar.Client, report *sidecar.LoadRecorder, held *certs.Store, log *zap.Logger) {
+	tick := time.NewTicker(reloadInterval)
 	defer tick.Stop()
 	last := time.Now()
 	for {
@@ -81,7 +81,7 @@
 		case <-tick.C:
 		}
 		held.ReloadIfChanged(log)
-		if time.Since(last) >= countEach {
+		if time.Since(last) >= counterInterval {
 			last = time.Now()
 			log.Info("counters", zap.Bool("connected", link.Connected.Load()), zap.Uint64("streams", link.Streams.Load()),
 				zap.String("held", link.Describe()), zap.Uint64("answered", report.Completed.Load()),
--- a/cmd/harehookctl/following.go
+++ b/cmd/harehookctl/following.go
@@ -53,7 +53,7 @@
 		member = "none"
 	}
 	fmt.Fprintf(out, "%s: revision %d, follows %s, accepted %d, refused %d, moved %d times\n", report.Name, report.Revision, member,
-		report.Accepted, report.Rejected, report.Moves)
+		report.Accepted, report.Rejected, report.Failovers)
 	if report.LastError != "" {
 		fmt.Fprintf(out, "left a member last because: %s\n", report.LastError)
 	}
--- a/cmd/harehookctl/main.go
+++ b/cmd/harehookctl/main.go
@@ -100,7 +100,7 @@
 		return nil, fault(err)
 	}
 	if held != nil {
-		secure = credentials.NewTLS(held.Client("conductor"))
+		secure = credentials.NewTLS(held.ClientConfig("conductor"))
 	}
 	return grpc.NewClient("passthrough:///"+address, grpc.WithTransportCredentials(secure),
 		grpc.WithDefaultCallOptions(grpc.MaxCallRecvMsgSize(messageMost)))
--- a/cmd/harehookctl/show.go
+++ b/cmd/harehookctl/show.go
@@ -146,7 +146,7 @@
 		Joined: about[front.StatusJoined].GetBoolValue(), AwayS: about[front.StatusDisconnectedSeconds].GetNumberValue(),
 		Unconfirmed: int(about[front.StatusUnconfirmed].GetNumberValue())}
 	for _, g := range c.GetGenericXdsConfigs() {
-		kind, _ := xds.KindOf(g.GetTypeUrl())
+		kind, _ := xds.ParseTypeURL(g.GetTypeUrl())
 		r.Versions = append(r.Versions, version{kind.String(), g.GetName(), g.GetVersionInfo(), strings.ToLower(g.GetConfigStatus().String()),
 			g.GetErrorState().GetVersionInfo(), g.GetErrorState().GetDetails()})
 	}
@@ -266,7 +266,7 @@
 		}
 		seen[table] = true
 		for _, g := range c.GetGenericXdsConfigs() {
-			switch kind, _ := xds.KindOf(g.GetTypeUrl()); {
+			switch kind, _ := xds.ParseTypeURL(g.GetTypeUrl()); {
 			case g.GetXdsConfig() == nil:
 			case kind == xds.Endpoints:
 				var m endpointv3.ClusterLoadAssignment
--- a/config/agreed.go
+++ b/config/agreed.go
@@ -23,7 +23,7 @@
 	if err != nil {
 		return nil, err
 	}
-	r := &recordReader{reader: &reader{}, lines: map[records.Key]int{}}
+	r := &recordReader{reader: &reader{}, lineOf: map[records.Key]int{}}
 	top := r.topNode(nodes, "agreed")
 	if top == nil {
 		return nil, r.faults.Err()
@@ -31,10 +31,10 @@
 	r.checkShape(top, 0)
 	var routes []xds.Route
 	r.readChildren(top, nil, nodeReaders{
-		"route":    func(n *kdl.Node) { routes = append(routes, r.route(n, routes)) },
-		"service":  r.service,
-		"tenant":   r.tenant,
-		"override": r.override,
+		"route":    func(n *kdl.Node) { routes = append(routes, r.readRouteRecord(n, routes)) },
+		"service":  r.readServiceRecord,
+		"tenant":   r.readTenantRecord,
+		"override": r.readOverrideRecord,
 	})
 	if len(routes) == 0 {
 		r.faults.Add(top.Line, "it has no route: no call would be carried")
@@ -42,8 +42,8 @@
 	if err := r.faults.Err(); err != nil {
 		return nil, err
 	}
-	slices.SortFunc(r.list, func(a, b *records.Record) int { return a.Key.Compare(b.Key) })
-	return AgreedFrom(r.list)
+	slices.SortFunc(r.records, func(a, b *records.Record) int { return a.Key.Compare(b.Key) })
+	return AgreedFromRecords(r.records)
 }
 
 // ValidateAgreed is ParseAgreed for those who only want to know.
@@ -52,12 +52,12 @@
 	return err
 }
 
-// CheckAgreed says why an agreed configuration can't be used with what this conductor knows: routes that its module does not
+// ValidateProposal says why an agreed configuration can't be used with what this conductor knows: routes that its module does not
 // decide for, or overrides that leave a zone, or all, without a node. It is asked before a proposal, not after.
-func (c *Controller) CheckAgreed(a *Agreed, nodes []Node) error {
+func (c *Controller) ValidateProposal(a *Agreed, nodes []Node) error {
 	faults := c.routeFaults(a.Routes)
-	if !a.leavesNode(nodes) {
-		faults = append(faults, faultNoNode)
+	if !a.leavesReadyNode(nodes) {
+		faults = append(faults, noReadyNode)
 	}
 	listed := map[string]bool{}
 	for _, n := range nodes {
--- a/config/agreed_text.go
+++ b/config/agreed_text.go
@@ -32,7 +32,7 @@
 		return ""
 	}
 	byKind := map[records.Kind][]string{}
-	for _, record := range sortedForText(list) {
+	for _, record := range sortForText(list) {
 		byKind[record.Kind] = append(byKind[record.Kind], FormatRecord(record))
 	}
 	var out strings.Builder
@@ -46,8 +46,8 @@
 	return out.String()
 }
 
-// sortedForText orders routes by their prefixes, longer ones first, and leaves all else by key.
-func sortedForText(list []*records.Record) []*records.Record {
+// sortForText orders routes by their prefixes, longer ones first, and leaves all else by key.
+func sortForText(list []*records.Record) []*records.Record {
 	prefixes := map[*records.Record]string{}
 	for _, record := range list {
 		if spec, err := record.Route(); err == nil && record.Kind == records.KindRoute {
@@ -119,8 +119,8 @@
 // recordReader reads the nodes that stand for records.
 type recordReader struct {
 	*reader
-	lines map[records.Key]int // where each was read
-	list  []*records.Record
+	lineOf  map[records.Key]int // where each was read
+	records []*records.Record
 }
 
 // add takes a record in; what can't be one is a fault of its line.
@@ -128,22 +128,22 @@
 	if key.Name == "" {
 		return // a fault was noted
 	}
-	if _, twice := r.lines[key]; twice {
+	if _, twice := r.lineOf[key]; twice {
 		r.faults.Add(n.Line, "%s %q is there twice", key.Kind, key.Name)
 		return
 	}
-	r.lines[key] = n.Line
+	r.lineOf[key] = n.Line
 	record, err := records.New(key, spec)
 	if err != nil {
 		r.faults.Add(n.Line, "%v", err)
 		return
 	}
-	r.list = append(r.list, record)
+	r.records = append(r.records, record)
 }
 
-// route reads a route that follows others, whose prefixes must not cover its own.
-func (r *recordReader) route(n *kdl.Node, before []xds.Route) xds.Route {
-	service := r.takeName(n, "service")
+// readRouteRecord reads a route that follows others, whose prefixes must not cover its own.
+func (r *recordReader) readRouteRecord(n *kdl.Node, before []xds.Route) xds.Route {
+	service := r.extractName(n, "service")
 	faults := len(r.faults)
 	route := r.readRoute(n, before, routeReaders{
 		"most": func(n *kdl.Node, route *xds.Route) { route.MaxAdmitted = r.onlyNumber(n, 0.0001, 1) },
@@ -152,29 +152,29 @@
 	if len(r.faults) == faults && !tooMany {
 		r.add(n, records.Key{Kind: records.KindRoute, Name: route.Name}, records.RouteSpec{
 			Service: service, Prefix: route.Prefix, Mutating: route.Mutating, MaxAdmitted: route.MaxAdmitted,
-			TimeLimitMS: writtenLimit(n),
+			TimeLimitMS: statedTimeLimitMS(n),
 		})
 	}
 	return route
 }
 
-// writtenLimit is a route's time limit in ms just as it is written: a record's text has to be read as the same record.
-func writtenLimit(route *kdl.Node) (limit float64) {
+// statedTimeLimitMS is a route's time limit in ms just as it is written: a record's text has to be read as the same record.
+func statedTimeLimitMS(route *kdl.Node) (limit float64) {
 	for _, child := range route.Children {
-		if child.Name == "limit-ms" && len(child.Args) == 1 {
-			limit, _ = child.Args[0].V.(float64)
+		if child.Name == "limit-ms" && len(child.Arguments) == 1 {
+			limit, _ = child.Arguments[0].Data.(float64)
 		}
 	}
 	return limit
 }
 
-func (r *recordReader) service(n *kdl.Node) {
+func (r *recordReader) readServiceRecord(n *kdl.Node) {
 	r.checkShape(n, 1)
 	spec := records.ServiceSpec{}
 	r.readChildren(n, nodeReaders{
 		"zones": func(n *kdl.Node) {
-			r.checkShape(n, len(n.Args))
-			for at := range n.Args {
+			r.checkShape(n, len(n.Arguments))
+			for at := range n.Arguments {
 				spec.Zones = append(spec.Zones, r.stringArgument(n, at))
 			}
 		},
@@ -182,18 +182,18 @@
 	r.add(n, records.Key{Kind: records.KindService, Name: r.stringArgument(n, 0)}, spec)
 }
 
-func (r *recordReader) tenant(n *kdl.Node) {
+func (r *recordReader) readTenantRecord(n *kdl.Node) {
 	r.checkShape(n, 1, "service", "share")
 	spec := records.TenantSpec{Service: r.optionalName(n, "service")}
-	if share, told := n.Props["share"]; told {
+	if share, told := n.Properties["share"]; told {
 		spec.Share = r.numberValue(n, share, 0, 1)
 	}
 	r.add(n, records.Key{Kind: records.KindTenant, Name: r.stringArgument(n, 0)}, spec)
 }
 
-func (r *recordReader) override(n *kdl.Node) {
+func (r *recordReader) readOverrideRecord(n *kdl.Node) {
 	r.checkShape(n, 1, "state", "service", "zone")
-	state, _ := n.Props["state"].V.(string)
+	state, _ := n.Properties["state"].Data.(string)
 	if state != records.StateDraining && state != records.StateGone {
 		r.faults.Add(n.Line, "the state of an override is \"draining\" or \"gone\"")
 		return
@@ -204,27 +204,27 @@
 
 // optionalName reads a property that names something, empty if it is not there.
 func (r *recordReader) optionalName(n *kdl.Node, property string) string {
-	value, told := n.Props[property]
+	value, told := n.Properties[property]
 	if !told {
 		return ""
 	}
 	return r.stringValue(n, value)
 }
 
-// takeName reads a property that names something and takes it off the node, whose other reader does not know it.
-func (r *recordReader) takeName(n *kdl.Node, property string) string {
+// extractName reads a property that names something and takes it off the node, whose other reader does not know it.
+func (r *recordReader) extractName(n *kdl.Node, property string) string {
 	name := r.optionalName(n, property)
-	delete(n.Props, property)
+	delete(n.Properties, property)
 	return name
 }
 
-// takeRevision reads the revision that a write expects and takes it off the node.
-func (r *recordReader) takeRevision(n *kdl.Node) (revision uint64, stated bool) {
-	value, stated := n.Props["revision"]
+// extractRevision reads the revision that a write expects and takes it off the node.
+func (r *recordReader) extractRevision(n *kdl.Node) (revision uint64, stated bool) {
+	value, stated := n.Properties["revision"]
 	if !stated {
 		return 0, false
 	}
-	delete(n.Props, "revision")
+	delete(n.Properties, "revision")
 	number := r.numberValue(n, value, 0, maxRevision)
 	if number != math.Trunc(number) {
 		r.faults.Add(n.Line, "a revision is a whole number")
@@ -248,27 +248,27 @@
 	if err != nil {
 		return nil, err
 	}
-	r := &recordReader{reader: &reader{}, lines: map[records.Key]int{}}
+	r := &recordReader{reader: &reader{}, lineOf: map[records.Key]int{}}
 	for _, n := range nodes {
-		revision, stated := r.takeRevision(n)
+		revision, stated := r.extractRevision(n)
 		write := RecordWrite{HasRevision: stated}
-		before := len(r.list)
+		before := len(r.records)
 		switch n.Name {
 		case "route":
-			r.route(n, nil)
+			r.readRouteRecord(n, nil)
 		case "service":
-			r.service(n)
+			r.readServiceRecord(n)
 		case "tenant":
-			r.tenant(n)
+			r.readTenantRecord(n)
 		case "override":
-			r.override(n)
+			r.readOverrideRecord(n)
 		case "remove":
-			write.Key = r.removed(n)
+			write.Key = r.readRemoval(n)
 		default:
 			r.faults.Add(n.Line, "%q is not known: a file of records has route, service, tenant, override and remove", n.Name)
 		}
-		if len(r.list) > before {
-			record := r.list[before]
+		if len(r.records) > before {
+			record := r.records[before]
 			write.Key, write.Body = record.Key, record.Body
 		}
 		write.ExpectedRevision = revision
@@ -280,7 +280,7 @@
 	return writes, r.faults.Err()
 }
 
-func (r *recordReader) removed(n *kdl.Node) records.Key {
+func (r *recordReader) readRemoval(n *kdl.Node) records.Key {
 	r.checkShape(n, 1)
 	text := r.stringArgument(n, 0)
 	if text == "" {
@@ -291,17 +291,17 @@
 		r.faults.Add(n.Line, "%v", err)
 		return key
 	}
-	if _, twice := r.lines[key]; twice {
+	if _, twice := r.lineOf[key]; twice {
 		r.faults.Add(n.Line, "%s is there twice", key)
 	}
-	r.lines[key] = n.Line
+	r.lineOf[key] = n.Line
 	return key
 }
 
-// AgreedFrom makes the routes and overrides of records that were agreed on. Routes with a longer prefix come first.
-func AgreedFrom(list []*records.Record) (*Agreed, error) {
+// AgreedFromRecords makes the routes and overrides of records that were agreed on. Routes with a longer prefix come first.
+func AgreedFromRecords(list []*records.Record) (*Agreed, error) {
 	a := &Agreed{Records: list, Overrides: map[string]planner.EndpointState{}}
-	for _, record := range sortedForText(list) {
+	for _, record := range sortForText(list) {
 		switch record.Kind {
 		case records.KindRoute:
 			spec, err := record.Route()
@@ -315,11 +315,11 @@
 			if err != nil {
 				return nil, fmt.Errorf("%s: %w", record.Key, err)
 			}
-			a.Overrides[record.Name] = overrideConditions[spec.State]
+			a.Overrides[record.Name] = overrideStates[spec.State]
 		}
 	}
 	return a, nil
 }
 
-// overrideConditions are the conditions that the states of overrides stand for.
-var overrideConditions = map[string]planner.EndpointState{records.StateDraining: planner.Draining, records.StateGone: planner.Removed}
+// overrideStates are the conditions that the states of overrides stand for.
+var overrideStates = map[string]planner.EndpointState{records.StateDraining: planner.Draining, records.StateGone: planner.Removed}
--- a/config/follower.go
+++ b/config/follower.go
@@ -14,11 +14,11 @@
 	"harehook.dev/harehook/xds"
 )
 
-// minFollowLease is the shortest lease that a follower may ask of itself: it has to outlast a pause of the process.
-const minFollowLease = 300 * time.Millisecond
+// minFollowerLease is the shortest lease that a follower may ask of itself: it has to outlast a pause of the process.
+const minFollowerLease = 300 * time.Millisecond
 
-// Follow is the part of a conductor that follows a group without being a member.
-type Follow struct {
+// Follower is the part of a conductor that follows a group without being a member.
+type Follower struct {
 	Members []string // addresses of the group's members
 	Scope   records.Scope
 	// Lease is the time without a word of a member after which the conductor counts as stale. It is at most the
@@ -26,18 +26,18 @@
 	Lease time.Duration
 }
 
-// readFollow reads a conductor's part as a follower.
-func (r *reader) readFollow(n *kdl.Node) *Follow {
+// readFollower reads a conductor's part as a follower.
+func (r *reader) readFollower(n *kdl.Node) *Follower {
 	r.checkShape(n, 0)
-	f := &Follow{Lease: configsync.DefaultLimits.Lease}
+	f := &Follower{Lease: configsync.DefaultLimits.Lease}
 	members, services, zones := map[string]bool{}, map[string]bool{}, map[string]bool{}
 	r.readChildren(n, nodeReaders{
 		"everything": func(n *kdl.Node) { f.Scope.All = r.flag(n) },
 		"lease-ms": func(n *kdl.Node) {
-			f.Lease = r.onlyMilliseconds(n, milliseconds(minFollowLease), milliseconds(configsync.DefaultLimits.Lease))
+			f.Lease = r.onlyMilliseconds(n, milliseconds(minFollowerLease), milliseconds(configsync.DefaultLimits.Lease))
 		},
 	}, nodeReaders{
-		"member":  func(n *kdl.Node) { r.readFollowMember(n, f, members) },
+		"member":  func(n *kdl.Node) { r.readFollowerMember(n, f, members) },
 		"service": func(n *kdl.Node) { r.readUniqueName(n, &f.Scope.Services, services) },
 		"zone":    func(n *kdl.Node) { r.readUniqueName(n, &f.Scope.Zones, zones) },
 	})
@@ -48,8 +48,8 @@
 	return f
 }
 
-// readFollowMember reads the address of a member to follow.
-func (r *reader) readFollowMember(n *kdl.Node, f *Follow, seen map[string]bool) {
+// readFollowerMember reads the address of a member to follow.
+func (r *reader) readFollowerMember(n *kdl.Node, f *Follower, seen map[string]bool) {
 	address := ""
 	r.onlyAddress(n, &address)
 	if seen[address] && address != "" {
@@ -65,21 +65,21 @@
 // checkRole notes a conductor that would be both a member of a group and a follower, and gives a follower that states
 // no zones those of its nodes.
 func (r *reader) checkRole(top *kdl.Node, c *Controller) {
-	if c.Follow == nil {
+	if c.Follower == nil {
 		return
 	}
 	if c.Group != nil {
 		at := slices.IndexFunc(top.Children, func(n *kdl.Node) bool { return n.Name == "follow" })
 		r.faults.Add(top.Children[at].Line, "a conductor is either a member of a group (%q) or follows one (%q)", "group", "follow")
 	}
-	if !c.Follow.Scope.All && len(c.Follow.Scope.Zones) == 0 {
-		c.Follow.Scope.Zones = slices.Clone(c.Deployment.Zones)
+	if !c.Follower.Scope.All && len(c.Follower.Scope.Zones) == 0 {
+		c.Follower.Scope.Zones = slices.Clone(c.Deployment.Zones)
 	}
 }
 
-// AgreedOf makes the routes and overrides of the records that a follower holds. Most of them may be tenants, which are
+// AgreedFromFollower makes the routes and overrides of the records that a follower holds. Most of them may be tenants, which are
 // passed over before anything is sorted.
-func AgreedOf(held map[records.Key]*records.Record) (*Agreed, error) {
+func AgreedFromFollower(held map[records.Key]*records.Record) (*Agreed, error) {
 	var list []*records.Record
 	for key, record := range held {
 		if key.Kind == records.KindRoute || key.Kind == records.KindOverride {
@@ -87,7 +87,7 @@
 		}
 	}
 	slices.SortFunc(list, func(a, b *records.Record) int { return a.Key.Compare(b.Key) })
-	agreed, err := AgreedFrom(list)
+	agreed, err := AgreedFromRecords(list)
 	if err != nil {
 		return nil, err
 	}
@@ -104,21 +104,21 @@
 	return nil
 }
 
-// CheckChange says why a follower can't use agreed records with what it knows. Records without a route are usable as long as
+// ValidateUpdate says why a follower can't use agreed records with what it knows. Records without a route are usable as long as
 // no routes were agreed on before (was is nil or has none): conductors go by their own files until then. An override of
 // a node that is not listed is no fault here: lists change, and such an override does nothing.
-func (c *Controller) CheckChange(agreed, was *Agreed, nodes []Node) error {
+func (c *Controller) ValidateUpdate(agreed, was *Agreed, nodes []Node) error {
 	var faults []string
 	if len(agreed.Routes) > 0 || was != nil && len(was.Routes) > 0 {
 		faults = c.routeFaults(agreed.Routes)
 	}
-	if len(nodes) > 0 && !agreed.leavesNode(nodes) { // an empty list has not come yet
-		faults = append(faults, faultNoNode)
+	if len(nodes) > 0 && !agreed.leavesReadyNode(nodes) { // an empty list has not come yet
+		faults = append(faults, noReadyNode)
 	}
 	return joinFaults(faults)
 }
 
-const faultNoNode = "it leaves no node that takes calls"
+const noReadyNode = "it leaves no node that takes calls"
 
 // routeFaults lists what would become of calls of this conductor's routes.
 func (c *Controller) routeFaults(routes []xds.Route) (faults []string) {
@@ -141,8 +141,8 @@
 	return faults
 }
 
-// leavesNode tells whether a listed node still takes calls under the overrides.
-func (a *Agreed) leavesNode(nodes []Node) bool {
+// leavesReadyNode tells whether a listed node still takes calls under the overrides.
+func (a *Agreed) leavesReadyNode(nodes []Node) bool {
 	return slices.ContainsFunc(nodes, func(n Node) bool {
 		_, over := a.Overrides[n.Node]
 		return !over && n.State == planner.Ready
--- a/config/follower_test.go
+++ b/config/follower_test.go
@@ -32,17 +32,17 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	f := c.Follow
+	f := c.Follower
 	if !slices.Equal(f.Members, []string{"127.0.0.1:2", "127.0.0.1:3"}) || !slices.Equal(f.Scope.Services, []string{"quotes", "issues"}) ||
 		!slices.Equal(f.Scope.Zones, []string{"north"}) || f.Scope.All || f.Lease != 1500*time.Millisecond {
 		t.Errorf("%+v", f)
 	}
-	if c, err = readFollower(t, `follow { member "127.0.0.1:2"; }`); err != nil || c.Follow.Lease != 3*time.Second ||
-		!slices.Equal(c.Follow.Scope.Zones, []string{"north", "south"}) {
-		t.Errorf("%+v, %v", c.Follow, err)
+	if c, err = readFollower(t, `follow { member "127.0.0.1:2"; }`); err != nil || c.Follower.Lease != 3*time.Second ||
+		!slices.Equal(c.Follower.Scope.Zones, []string{"north", "south"}) {
+		t.Errorf("%+v, %v", c.Follower, err)
 	}
-	if c, err = readFollower(t, `follow { member "127.0.0.1:2"; everything; }`); err != nil || !c.Follow.Scope.All || len(c.Follow.Scope.Zones) > 0 {
-		t.Errorf("%+v, %v", c.Follow, err)
+	if c, err = readFollower(t, `follow { member "127.0.0.1:2"; everything; }`); err != nil || !c.Follower.Scope.All || len(c.Follower.Scope.Zones) > 0 {
+		t.Errorf("%+v, %v", c.Follower, err)
 	}
 	for lines, want := range map[string]string{
 		`follow { service "quotes"; }`:                                   `line 6: "follow" lacks "member"`,
@@ -83,7 +83,7 @@
 func overrideKey(name string) records.Key { return records.Key{Kind: records.KindOverride, Name: name} }
 
 func TestAgreedOf(t *testing.T) {
-	agreed, err := AgreedOf(held(t, map[records.Key]any{
+	agreed, err := AgreedFromFollower(held(t, map[records.Key]any{
 		routeKey("all"):   records.RouteSpec{Prefix: "/", TimeLimitMS: 100},
 		routeKey("a"):     records.RouteSpec{Prefix: "/a", TimeLimitMS: 1500, MaxAdmitted: 0.5},
 		routeKey("a-one"): records.RouteSpec{Prefix: "/a/one", TimeLimitMS: 100, Mutating: true},
@@ -104,7 +104,7 @@
 	if len(agreed.Overrides) != 2 || agreed.Overrides["n-1"] != planner.Draining || agreed.Overrides["n-2"] != planner.Removed {
 		t.Errorf("overrides %v", agreed.Overrides)
 	}
-	_, err = AgreedOf(held(t, map[records.Key]any{
+	_, err = AgreedFromFollower(held(t, map[records.Key]any{
 		routeKey("a"): records.RouteSpec{Prefix: "/a", TimeLimitMS: 100},
 		routeKey("b"): records.RouteSpec{Prefix: "/a", TimeLimitMS: 100},
 	}))
@@ -142,15 +142,15 @@
 		"override of an unlisted node":   {specs: with(overrideKey("n-9"), gone), nodes: nodes},
 		"override of a node that drains": {specs: with(overrideKey("n-2"), gone), nodes: nodes},
 	} {
-		agreed, err := AgreedOf(held(t, one.specs))
+		agreed, err := AgreedFromFollower(held(t, one.specs))
 		if err != nil {
 			t.Fatal(err)
 		}
-		was, err := AgreedOf(held(t, one.was))
+		was, err := AgreedFromFollower(held(t, one.was))
 		if err != nil {
 			t.Fatal(err)
 		}
-		if err := c.CheckChange(agreed, was, one.nodes); one.want == "" && err != nil || one.want != "" && (err == nil || !strings.Contains(err.Error(), one.want)) {
+		if err := c.ValidateUpdate(agreed, was, one.nodes); one.want == "" && err != nil || one.want != "" && (err == nil || !strings.Contains(err.Error(), one.want)) {
 			t.Errorf("%s: %v, want %q", name, err, one.want)
 		}
 	}
@@ -164,7 +164,7 @@
 			specs[records.Key{Kind: records.KindTenant, Name: strconv.Itoa(k)}] = records.TenantSpec{Service: "s", Share: 0.1}
 		}
 		all := held(t, specs)
-		return testing.AllocsPerRun(10, func() { AgreedOf(all) })
+		return testing.AllocsPerRun(10, func() { AgreedFromFollower(all) })
 	}
 	if few, many := allocations(100), allocations(1000); many > few {
 		t.Errorf("%v allocations with 100 tenants, %v with 1,000", few, many)
--- a/config/group.go
+++ b/config/group.go
@@ -43,13 +43,13 @@
 // readGroupMember reads the number and the address of a member.
 func (r *reader) readGroupMember(n *kdl.Node, g *Group) {
 	r.checkShape(n, 2)
-	if len(n.Args) != 2 {
+	if len(n.Arguments) != 2 {
 		return
 	}
-	id := uint64(r.numberValue(n, n.Args[0], 1, maxMemberID))
+	id := uint64(r.numberValue(n, n.Arguments[0], 1, maxMemberID))
 	if g.Addresses[id] != "" {
 		r.faults.Add(n.Line, "member %d is there twice", id)
 	}
-	g.Addresses[id] = r.addressValue(n, n.Args[1])
+	g.Addresses[id] = r.addressValue(n, n.Arguments[1])
 	g.Voters = append(g.Voters, id)
 }
--- a/config/nodes.go
+++ b/config/nodes.go
@@ -16,10 +16,10 @@
 	Address xds.Address
 }
 
-// nodeList is a list of nodes that is being read.
-type nodeList struct {
+// endpointListReader is a list of nodes that is being read.
+type endpointListReader struct {
 	*reader
-	conductor   *Controller
+	controller  *Controller
 	nodes       []Node
 	nameLine    map[string]int      // where each name came first
 	addressLine map[xds.Address]int // where each address came first
@@ -32,7 +32,7 @@
 	}
 	var nodes []Node
 	err := read(c.NodesFile, func(r *reader, tops []*kdl.Node) {
-		list := nodeList{reader: r, conductor: c, nameLine: map[string]int{}, addressLine: map[xds.Address]int{}}
+		list := endpointListReader{reader: r, controller: c, nameLine: map[string]int{}, addressLine: map[xds.Address]int{}}
 		for _, n := range tops {
 			list.readNode(n)
 		}
@@ -42,7 +42,7 @@
 }
 
 // readNode reads one node of the list.
-func (l *nodeList) readNode(n *kdl.Node) {
+func (l *endpointListReader) readNode(n *kdl.Node) {
 	if n.Name != "node" {
 		l.faults.Add(n.Line, "%q has no place here, only \"node\"", n.Name)
 		return
@@ -50,7 +50,7 @@
 	l.checkShape(n, 1, "zone", "kind", "address", "weight", "state", "started-ms")
 	node := Node{Endpoint: controller.Endpoint{
 		Node:        l.stringArgument(n, 0),
-		MachineType: l.conductor.Deployment.MachineTypes[0],
+		MachineType: l.controller.Deployment.MachineTypes[0],
 		Weight:      1,
 		State:       planner.Ready,
 	}}
@@ -59,12 +59,12 @@
 	}
 	l.nameLine[node.Node] = n.Line
 	l.readZone(n, &node)
-	l.readKind(n, &node)
+	l.readMachineType(n, &node)
 	l.readAddress(n, &node)
-	if v, present := n.Props["weight"]; present {
+	if v, present := n.Properties["weight"]; present {
 		node.Weight = l.numberValue(n, v, 0.001, 1e6)
 	}
-	if v, present := n.Props["started-ms"]; present {
+	if v, present := n.Properties["started-ms"]; present {
 		node.StartTime = l.numberValue(n, v, 0, 1e15) / 1000
 	}
 	l.readState(n, &node)
@@ -72,31 +72,31 @@
 }
 
 // readZone reads the zone of a node, which the conductor must know.
-func (l *nodeList) readZone(n *kdl.Node, node *Node) {
-	v, present := n.Props["zone"]
+func (l *endpointListReader) readZone(n *kdl.Node, node *Node) {
+	v, present := n.Properties["zone"]
 	if !present {
 		l.faults.Add(n.Line, "node %q has no zone", node.Node)
 		return
 	}
-	if node.Zone = l.stringValue(n, v); !l.conductor.Zones[node.Zone] {
+	if node.Zone = l.stringValue(n, v); !l.controller.Zones[node.Zone] {
 		l.faults.Add(v.Line, "zone %q of node %q is not known", node.Zone, node.Node)
 	}
 }
 
-// readKind reads the kind of a node, if it has one, which the conductor must know.
-func (l *nodeList) readKind(n *kdl.Node, node *Node) {
-	v, present := n.Props["kind"]
+// readMachineType reads the kind of a node, if it has one, which the conductor must know.
+func (l *endpointListReader) readMachineType(n *kdl.Node, node *Node) {
+	v, present := n.Properties["kind"]
 	if !present {
 		return
 	}
-	if node.MachineType = l.stringValue(n, v); !l.conductor.MachineTypes[node.MachineType] {
+	if node.MachineType = l.stringValue(n, v); !l.controller.MachineTypes[node.MachineType] {
 		l.faults.Add(v.Line, "kind %q of node %q is not known", node.MachineType, node.Node)
 	}
 }
 
 // readAddress reads the address of a node, which no other has.
-func (l *nodeList) readAddress(n *kdl.Node, node *Node) {
-	v, present := n.Props["address"]
+func (l *endpointListReader) readAddress(n *kdl.Node, node *Node) {
+	v, present := n.Properties["address"]
 	if !present {
 		l.faults.Add(n.Line, "node %q has no address", node.Node)
 		return
@@ -115,8 +115,8 @@
 }
 
 // readState reads whether a node takes new calls.
-func (l *nodeList) readState(n *kdl.Node, node *Node) {
-	v, present := n.Props["state"]
+func (l *endpointListReader) readState(n *kdl.Node, node *Node) {
+	v, present := n.Properties["state"]
 	if !present {
 		return
 	}
--- a/config/reader.go
+++ b/config/reader.go
@@ -84,10 +84,10 @@
 
 // checkShape checks that a node has the given number of arguments and no properties but those named.
 func (r *reader) checkShape(n *kdl.Node, arguments int, properties ...string) {
-	if len(n.Args) != arguments {
-		r.faults.Add(n.Line, "%q takes %d values, not %d", n.Name, arguments, len(n.Args))
+	if len(n.Arguments) != arguments {
+		r.faults.Add(n.Line, "%q takes %d values, not %d", n.Name, arguments, len(n.Arguments))
 	}
-	for name, v := range n.Props {
+	for name, v := range n.Properties {
 		known := false
 		for _, property := range properties {
 			known = known || property == name
@@ -121,10 +121,10 @@
 
 // stringArgument returns the argument at an index as a name, or "" if there is none.
 func (r *reader) stringArgument(n *kdl.Node, index int) string {
-	if index >= len(n.Args) {
+	if index >= len(n.Arguments) {
 		return ""
 	}
-	return r.stringValue(n, n.Args[index])
+	return r.stringValue(n, n.Arguments[index])
 }
 
 // onlyString returns the only argument of a node as a name.
@@ -135,9 +135,9 @@
 
 // stringValue returns a value as a name, or "" and a fault.
 func (r *reader) stringValue(n *kdl.Node, v kdl.Value) string {
-	text, ok := v.V.(string)
+	text, ok := v.Data.(string)
 	if !ok || text == "" || len(text) > maxNameBytes || strings.ContainsAny(text, "\r\n\x00") {
-		r.faults.Add(v.Line, "%q takes a name of 1 to %d bytes on one line, not %v", n.Name, maxNameBytes, v.V)
+		r.faults.Add(v.Line, "%q takes a name of 1 to %d bytes on one line, not %v", n.Name, maxNameBytes, v.Data)
 		return ""
 	}
 	return text
@@ -145,9 +145,9 @@
 
 // numberValue returns a value as a number within bounds, or the lower bound and a fault.
 func (r *reader) numberValue(n *kdl.Node, v kdl.Value, lowest, highest float64) float64 {
-	number, ok := v.V.(float64)
+	number, ok := v.Data.(float64)
 	if !ok || !(number >= lowest && number <= highest) {
-		r.faults.Add(v.Line, "%q takes a number from %v to %v, not %v", n.Name, lowest, highest, v.V)
+		r.faults.Add(v.Line, "%q takes a number from %v to %v, not %v", n.Name, lowest, highest, v.Data)
 		return lowest
 	}
 	return number
@@ -156,10 +156,10 @@
 // onlyNumber returns the only argument of a node as a number within bounds.
 func (r *reader) onlyNumber(n *kdl.Node, lowest, highest float64) float64 {
 	r.checkShape(n, 1)
-	if len(n.Args) == 0 {
+	if len(n.Arguments) == 0 {
 		return lowest
 	}
-	return r.numberValue(n, n.Args[0], lowest, highest)
+	return r.numberValue(n, n.Arguments[0], lowest, highest)
 }
 
 // onlyMilliseconds returns the only argument of a node, milliseconds within bounds, as a duration.
@@ -183,8 +183,8 @@
 
 // onlyAddress reads the only argument of a node as an address into the given place, if there is one.
 func (r *reader) onlyAddress(n *kdl.Node, into *string, properties ...string) {
-	if r.checkShape(n, 1, properties...); len(n.Args) == 1 {
-		*into = r.addressValue(n, n.Args[0])
+	if r.checkShape(n, 1, properties...); len(n.Arguments) == 1 {
+		*into = r.addressValue(n, n.Arguments[0])
 	}
 }
 
@@ -201,14 +201,14 @@
 	return filepath.Join(r.folder, path)
 }
 
-// readKeyFiles reads the files of certificate, key and roots.
-func (r *reader) readKeyFiles(n *kdl.Node, into *certs.Files) {
+// readCertificateFiles reads the files of certificate, key and roots.
+func (r *reader) readCertificateFiles(n *kdl.Node, into *certs.Files) {
 	r.checkShape(n, 0, "certificate", "key", "roots")
 	for _, property := range []struct {
 		name string
 		into *string
 	}{{"certificate", &into.Certificate}, {"key", &into.Key}, {"roots", &into.Roots}} {
-		v, present := n.Props[property.name]
+		v, present := n.Properties[property.name]
 		if !present {
 			r.faults.Add(n.Line, "%q lacks %q", n.Name, property.name)
 			continue
--- a/config/route.go
+++ b/config/route.go
@@ -13,8 +13,8 @@
 // routeReaders are functions that read a child node of a route, by the child's name.
 type routeReaders map[string]func(n *kdl.Node, route *xds.Route)
 
-// readConductorRoute reads a route of a conductor's configuration.
-func (r *reader) readConductorRoute(n *kdl.Node, c *Controller) {
+// readControllerRoute reads a route of a conductor's configuration.
+func (r *reader) readControllerRoute(n *kdl.Node, c *Controller) {
 	settings := planner.Route{LatencyObjective: 1, PriorityWeight: 1}
 	route := r.readRoute(n, c.Routes, routeReaders{
 		"slo-ms": func(n *kdl.Node, _ *xds.Route) {
--- a/config/sidecar.go
+++ b/config/sidecar.go
@@ -8,8 +8,8 @@
 )
 
 const (
-	defaultConnections = 256 // connections at once
-	maxConnections     = 65000
+	defaultMaxConnections = 256 // connections at once
+	maxConnections        = 65000
 )
 
 // Sidecar is the configuration of one sidecar.
@@ -18,7 +18,7 @@
 	Controllers        []string
 	Delta              bool
 	StorePath          string // the file of held versions, empty: none
-	Mutating           map[string]bool
+	MutatingRoutes     map[string]bool
 	MaxConnections     int // connections at once
 	ConnectTimeout     time.Duration
 	Certificates       certs.Files
@@ -26,7 +26,7 @@
 
 // ReadSidecar reads a sidecar's configuration.
 func ReadSidecar(path string) (*Sidecar, error) {
-	s := &Sidecar{Delta: true, Mutating: map[string]bool{}, MaxConnections: defaultConnections, ConnectTimeout: defaultConnectTimeout}
+	s := &Sidecar{Delta: true, MutatingRoutes: map[string]bool{}, MaxConnections: defaultMaxConnections, ConnectTimeout: defaultConnectTimeout}
 	err := read(path, func(r *reader, nodes []*kdl.Node) {
 		if top := r.topNode(nodes, "sidecar"); top != nil {
 			r.readSidecar(top, s)
@@ -45,10 +45,10 @@
 		"keep":        func(n *kdl.Node) { s.StorePath = r.onlyPath(n) },
 		"connections": func(n *kdl.Node) { s.MaxConnections = int(r.onlyNumber(n, 1, maxConnections)) },
 		"connect-ms":  func(n *kdl.Node) { s.ConnectTimeout = r.onlyMilliseconds(n, 1, maxMilliseconds) },
-		"keys":        func(n *kdl.Node) { r.readKeyFiles(n, &s.Certificates) },
+		"keys":        func(n *kdl.Node) { r.readCertificateFiles(n, &s.Certificates) },
 	}, nodeReaders{
-		"conductor": func(n *kdl.Node) { r.readSidecarConductor(n, s) },
-		"mutating":  func(n *kdl.Node) { s.Mutating[r.onlyString(n)] = true },
+		"conductor": func(n *kdl.Node) { r.readControllerAddress(n, s) },
+		"mutating":  func(n *kdl.Node) { s.MutatingRoutes[r.onlyString(n)] = true },
 	})
 	r.checkRequired(top,
 		requirement{"zone", s.Zone == ""},
@@ -67,10 +67,10 @@
 	}
 }
 
-// readSidecarConductor reads the address of a conductor that a sidecar may join.
-func (r *reader) readSidecarConductor(n *kdl.Node, s *Sidecar) {
+// readControllerAddress reads the address of a conductor that a sidecar may join.
+func (r *reader) readControllerAddress(n *kdl.Node, s *Sidecar) {
 	r.checkShape(n, 1)
-	if len(n.Args) == 1 {
-		s.Controllers = append(s.Controllers, r.addressValue(n, n.Args[0]))
+	if len(n.Arguments) == 1 {
+		s.Controllers = append(s.Controllers, r.addressValue(n, n.Arguments[0]))
 	}
 }
--- a/configsync/backoff.go
+++ b/configsync/backoff.go
@@ -14,10 +14,10 @@
 
 // Backoff chooses the member that a follower asks next, and the pause before it does.
 type Backoff struct {
-	random   *rand.Rand
-	members  []string
-	next     int
-	failures int
+	random     *rand.Rand
+	members    []string
+	nextMember int
+	failures   int
 }
 
 // NewBackoff makes one that goes through the members, of which there has to be one, in an order of its own.
@@ -31,7 +31,7 @@
 }
 
 // Member is the one to ask now.
-func (b *Backoff) Member() string { return b.members[b.next%len(b.members)] }
+func (b *Backoff) Member() string { return b.members[b.nextMember%len(b.members)] }
 
 // Succeeded notes that a member has answered as it should.
 func (b *Backoff) Succeeded() { b.failures = 0 }
@@ -39,7 +39,7 @@
 // Failed moves on to another member and gives the pause before it is asked. The first try of another member after one
 // that had answered is spread as well: its other followers move at the same time.
 func (b *Backoff) Failed() time.Duration {
-	b.next++
+	b.nextMember++
 	limit := min(backoffMax, backoffBase<<min(b.failures, 10))
 	b.failures++
 	return time.Duration(b.random.Int64N(int64(limit)))
--- a/configsync/convergence.go
+++ b/configsync/convergence.go
@@ -53,7 +53,7 @@
 // not agree.
 func Merge(statuses []MemberStatus, members []string) Convergence {
 	byMember := latestStatuses(statuses)
-	force := Convergence{UnknownMembers: doubts(byMember, members)}
+	force := Convergence{UnknownMembers: unknownMembers(byMember, members)}
 	force.Known = len(force.UnknownMembers) == 0
 	followers := latestLeases(byMember)
 	live := map[string]int{}
@@ -77,7 +77,7 @@
 	for _, name := range slices.Sorted(maps.Keys(followers)) {
 		follower := followers[name]
 		if follower.Accepted < f.Revision {
-			follower.Behind = max(follower.Behind, oldestMissing(follower.Accepted, byMember))
+			follower.Behind = max(follower.Behind, longestLag(follower.Accepted, byMember))
 		}
 		if !follower.Live {
 			f.Stale = append(f.Stale, follower)
@@ -103,8 +103,8 @@
 	return latest
 }
 
-// doubts lists the members whose leases are not all known, by name.
-func doubts(byMember map[string]MemberStatus, members []string) (found []UnknownMember) {
+// unknownMembers lists the members whose leases are not all known, by name.
+func unknownMembers(byMember map[string]MemberStatus, members []string) (found []UnknownMember) {
 	for _, name := range members {
 		if _, answered := byMember[name]; !answered {
 			found = append(found, UnknownMember{Member: name, Reason: ReasonNoAnswer})
@@ -143,8 +143,8 @@
 	return cmp.Or(cmp.Compare(lease.Accepted, other.Accepted), cmp.Compare(member, other.Member)) < 0
 }
 
-// oldestMissing is for how long a revision after one has been committed at some member, as far back as they tell.
-func oldestMissing(accepted uint64, byMember map[string]MemberStatus) (longest time.Duration) {
+// longestLag is for how long a revision after one has been committed at some member, as far back as they tell.
+func longestLag(accepted uint64, byMember map[string]MemberStatus) (longest time.Duration) {
 	for _, status := range byMember {
 		for _, one := range status.Recent {
 			if one.Revision > accepted {
--- a/configsync/follower_test.go
+++ b/configsync/follower_test.go
@@ -137,7 +137,7 @@
 		"record version": func(r *discoveryv3.DeltaDiscoveryResponse) { r.Resources[0].Version = "six" },
 		"removed key":    func(r *discoveryv3.DeltaDiscoveryResponse) { r.RemovedResources = []string{""} },
 		"marked twice": func(r *discoveryv3.DeltaDiscoveryResponse) {
-			mark := &discoveryv3.Resource{Name: wholeScopeName}
+			mark := &discoveryv3.Resource{Name: fullScopeName}
 			r.Resources = append(r.Resources, mark, mark)
 		},
 	} {
--- a/configsync/fullscope_limiter_test.go
+++ b/configsync/fullscope_limiter_test.go
@@ -11,7 +11,7 @@
 // A crowd is served in the order in which it came, all of it, using most of the allowance, whatever a scope's size.
 func TestAllowanceServesACrowd(t *testing.T) {
 	for _, bytes := range []float64{1 << 10, 16 << 10, 300 << 10} {
-		a := newAllowance(1<<20, 64<<10)
+		a := newFullScopeLimiter(1<<20, 64<<10)
 		const crowd = 100
 		streams := make([]*Stream, crowd)
 		askAt := make([]time.Time, crowd)
@@ -29,11 +29,11 @@
 			}
 			now = askAt[next]
 			asked++
-			if wait := a.take(now, streams[next]); wait > 0 {
+			if wait := a.acquire(now, streams[next]); wait > 0 {
 				askAt[next] = now.Add(wait)
 				continue
 			}
-			a.spend(streams[next], bytes)
+			a.charge(streams[next], bytes)
 			served = append(served, next)
 			streams[next] = nil
 		}
@@ -42,7 +42,7 @@
 				t.Errorf("scopes of %v bytes: served as number %d: %d", bytes, n, stream)
 			}
 		}
-		least := (crowd - 1) * bytes / a.rate
+		least := (crowd - 1) * bytes / a.bytesPerSecond
 		if took := now.Sub(at(0)).Seconds(); took > 1.3*least+0.1 {
 			t.Errorf("scopes of %v bytes: %v s, %v s if the allowance was used whole", bytes, took, least)
 		}
@@ -54,50 +54,50 @@
 
 // A stream at the head that does not ask any more, stuck in a write for instance, loses its place.
 func TestAllowanceSkipsTheAbsent(t *testing.T) {
-	a := newAllowance(1000, 1000)
+	a := newFullScopeLimiter(1000, 1000)
 	dead, alive, dying := &Stream{}, &Stream{}, &Stream{}
-	a.take(at(0), &Stream{})
-	a.spend(a.queue[0].stream, 2000)
-	deadAsks := at(0).Add(a.take(at(0), dead))
-	a.take(at(0), dying)
-	if wait := a.take(at(0), alive); wait == 0 {
+	a.acquire(at(0), &Stream{})
+	a.charge(a.queue[0].stream, 2000)
+	deadAsks := at(0).Add(a.acquire(at(0), dead))
+	a.acquire(at(0), dying)
+	if wait := a.acquire(at(0), alive); wait == 0 {
 		t.Fatal("served before its turn")
 	}
-	a.leave(dying)
-	due := deadAsks.Add(absentAfter)
-	if wait := a.take(due, alive); wait == 0 {
+	a.dequeue(dying)
+	due := deadAsks.Add(lateAfter)
+	if wait := a.acquire(due, alive); wait == 0 {
 		t.Error("served before a head that is not too late yet")
 	}
-	if wait := a.take(due.Add(time.Millisecond), alive); wait != 0 {
+	if wait := a.acquire(due.Add(time.Millisecond), alive); wait != 0 {
 		t.Errorf("held up for %v by a head that is gone", wait)
 	}
-	a.spend(alive, 100)
-	if wait := a.take(due.Add(time.Millisecond), dead); wait != 0 {
+	a.charge(alive, 100)
+	if wait := a.acquire(due.Add(time.Millisecond), dead); wait != 0 {
 		t.Errorf("one that lost its place waits for %v with nobody before it", wait)
 	}
 }
 
 // Refilled by the time that passed, to the burst at most; a clock that goes back gives nothing.
 func TestAllowanceRefills(t *testing.T) {
-	a := newAllowance(1000, 500)
+	a := newFullScopeLimiter(1000, 500)
 	stream := &Stream{}
 	spend := func(seconds, bytes float64) {
 		t.Helper()
-		if wait := a.take(at(seconds), stream); wait != 0 {
+		if wait := a.acquire(at(seconds), stream); wait != 0 {
 			t.Fatalf("at %v: wait %v", seconds, wait)
 		}
-		a.spend(stream, bytes)
+		a.charge(stream, bytes)
 	}
 	spend(0, 1500)
-	if wait := a.take(at(0), stream); wait != time.Second {
+	if wait := a.acquire(at(0), stream); wait != time.Second {
 		t.Errorf("wait %v", wait)
 	}
-	if wait := a.take(at(-5), stream); wait != time.Second {
+	if wait := a.acquire(at(-5), stream); wait != time.Second {
 		t.Errorf("wait %v", wait)
 	}
 	spend(6, 0)
-	if a.left != 500 {
-		t.Errorf("left %v", a.left)
+	if a.availableBytes != 500 {
+		t.Errorf("left %v", a.availableBytes)
 	}
 }
 
@@ -130,11 +130,11 @@
 		server.Close(c.stream)
 	}
 	connect(t, server, crowd[10].follower, at(0.2))
-	if got := server.whole.queue[0].stream; got != crowd[11].stream {
+	if got := server.limiter.queue[0].stream; got != crowd[11].stream {
 		t.Errorf("the head is %q", got.Name())
 	}
-	if len(server.whole.queue) != 9 {
-		t.Errorf("%d in the queue", len(server.whole.queue))
+	if len(server.limiter.queue) != 9 {
+		t.Errorf("%d in the queue", len(server.limiter.queue))
 	}
 }
 
--- a/configsync/fuzz_test.go
+++ b/configsync/fuzz_test.go
@@ -82,7 +82,7 @@
 		f.Add(encoded(f, offerOf(f, offer)))
 	}
 	f.Add(encoded(f, &discoveryv3.DeltaDiscoveryResponse{TypeUrl: TypeURL, SystemVersionInfo: "6", Nonce: "2",
-		Resources: []*discoveryv3.Resource{{Name: wholeScopeName}, {Name: wholeScopeName}, {Name: "route/"}, {}}}))
+		Resources: []*discoveryv3.Resource{{Name: fullScopeName}, {Name: fullScopeName}, {Name: "route/"}, {}}}))
 	f.Fuzz(func(t *testing.T, data []byte) {
 		response := &discoveryv3.DeltaDiscoveryResponse{}
 		if proto.Unmarshal(data, response) != nil {
--- a/configsync/lease.go
+++ b/configsync/lease.go
@@ -11,11 +11,11 @@
 
 // lease is what a member knows of a follower. It ends some time after the follower was last heard.
 type lease struct {
-	accepted    uint64
-	expires     time.Time
-	behindSince time.Time // zero: in step
-	refused     uint64    // revision of the last refusal since its last acceptance, 0 if none
-	reason      string
+	accepted         uint64
+	expires          time.Time
+	behindSince      time.Time // zero: in step
+	rejectedRevision uint64    // revision of the last refusal since its last acceptance, 0 if none
+	rejectionReason  string
 }
 
 // LeaseStatus is a lease as operators see it. Followers are told apart by their names alone: two of one name end each
@@ -44,8 +44,8 @@
 
 // commit is a revision and when it came to this member.
 type commit struct {
-	revision uint64
-	at       time.Time
+	revision    uint64
+	committedAt time.Time
 }
 
 // CommitStatus is a revision and how long ago it was committed at a member.
@@ -56,27 +56,27 @@
 
 // leaseTable holds the leases of a member's followers.
 type leaseTable struct {
-	duration time.Duration
-	max      int // leases
-	leases   map[string]*lease
-	commits  []commit // the latest, oldest first; the first one ever is what the member began with
+	duration  time.Duration
+	maxLeases int // leases
+	leases    map[string]*lease
+	commits   []commit // the latest, oldest first; the first one ever is what the member began with
 }
 
 func newLeaseTable(duration time.Duration, maxLeases int, began commit) *leaseTable {
-	return &leaseTable{duration: duration, max: maxLeases, leases: map[string]*lease{}, commits: []commit{began}}
+	return &leaseTable{duration: duration, maxLeases: maxLeases, leases: map[string]*lease{}, commits: []commit{began}}
 }
 
-// newest is the last revision that was committed here.
-func (t *leaseTable) newest() uint64 { return t.commits[len(t.commits)-1].revision }
+// newestRevision is the last revision that was committed here.
+func (t *leaseTable) newestRevision() uint64 { return t.commits[len(t.commits)-1].revision }
 
 // renew notes that a follower was heard and what it holds.
 func (t *leaseTable) renew(now time.Time, name string, accepted uint64) (*lease, error) {
 	held := t.leases[name]
 	if held == nil {
-		if len(t.leases) >= t.max {
+		if len(t.leases) >= t.maxLeases {
 			maps.DeleteFunc(t.leases, func(_ string, old *lease) bool { return !now.Before(old.expires) })
 		}
-		if len(t.leases) >= t.max {
+		if len(t.leases) >= t.maxLeases {
 			return nil, ErrTooManyStreams
 		}
 		held = &lease{}
@@ -90,25 +90,25 @@
 // accept notes the revision that a follower holds.
 func (t *leaseTable) accept(now time.Time, held *lease, accepted uint64) {
 	if accepted > held.accepted {
-		held.refused, held.reason = 0, ""
+		held.rejectedRevision, held.rejectionReason = 0, ""
 	}
 	unchanged := accepted == held.accepted
 	held.accepted = accepted
 	switch {
-	case accepted >= t.newest():
+	case accepted >= t.newestRevision():
 		held.behindSince = time.Time{}
 	case unchanged && !held.behindSince.IsZero():
 		// It is as far behind as it was.
 	case accepted == 0:
 		held.behindSince = now // it has only come
 	default:
-		held.behindSince = t.firstAfter(accepted)
+		held.behindSince = t.commitTimeAfter(accepted)
 	}
 }
 
-// committed notes a revision; whoever was in step is behind from now on.
-func (t *leaseTable) committed(now time.Time, revision uint64) {
-	if revision <= t.newest() {
+// addCommit notes a revision; whoever was in step is behind from now on.
+func (t *leaseTable) addCommit(now time.Time, revision uint64) {
+	if revision <= t.newestRevision() {
 		return
 	}
 	t.commits = append(t.commits, commit{revision, now})
@@ -122,32 +122,32 @@
 	}
 }
 
-// firstAfter is when the first revision after one was committed here. Of a revision from before the member began it is
+// commitTimeAfter is when the first revision after one was committed here. Of a revision from before the member began it is
 // when that began, of one that is forgotten the earliest that is not: both are later than the truth. There has to be a
 // later revision.
-func (t *leaseTable) firstAfter(revision uint64) time.Time {
+func (t *leaseTable) commitTimeAfter(revision uint64) time.Time {
 	place, _ := slices.BinarySearchFunc(t.commits, revision, func(c commit, held uint64) int {
 		if c.revision <= held {
 			return -1
 		}
 		return 1
 	})
-	return t.commits[place].at
+	return t.commits[place].committedAt
 }
 
-// maxRecent is how many revisions a status tells the age of.
-const maxRecent = 64
+// maxRecentCommits is how many revisions a status tells the age of.
+const maxRecentCommits = 64
 
-// recent gives the ages of the latest revisions, oldest first.
-func (t *leaseTable) recent(now time.Time) (recent []CommitStatus) {
-	for _, one := range t.commits[max(0, len(t.commits)-maxRecent):] {
-		recent = append(recent, CommitStatus{one.revision, now.Sub(one.at)})
+// recentCommits gives the ages of the latest revisions, oldest first.
+func (t *leaseTable) recentCommits(now time.Time) (recent []CommitStatus) {
+	for _, one := range t.commits[max(0, len(t.commits)-maxRecentCommits):] {
+		recent = append(recent, CommitStatus{one.revision, now.Sub(one.committedAt)})
 	}
 	return recent
 }
 
-// expire forgets leases that ended long ago: they are shown as ended for as long as they lasted.
-func (t *leaseTable) expire(now time.Time) {
+// removeExpired forgets leases that ended long ago: they are shown as ended for as long as they lasted.
+func (t *leaseTable) removeExpired(now time.Time) {
 	maps.DeleteFunc(t.leases, func(_ string, held *lease) bool { return now.Sub(held.expires) > t.duration })
 }
 
@@ -157,7 +157,7 @@
 	for _, name := range slices.Sorted(maps.Keys(t.leases)) {
 		held := t.leases[name]
 		one := LeaseStatus{Name: name, Accepted: held.accepted, Live: now.Before(held.expires), Expires: held.expires,
-			RejectedRevision: held.refused, Reason: held.reason}
+			RejectedRevision: held.rejectedRevision, Reason: held.rejectionReason}
 		if !held.behindSince.IsZero() && held.accepted < newest {
 			one.Behind = now.Sub(held.behindSince)
 		}
--- a/configsync/routing_revision_test.go
+++ b/configsync/routing_revision_test.go
@@ -81,7 +81,7 @@
 // An offer has to have one routing revision that can be.
 func TestOfferWithoutRoutingRevisionIsRefused(t *testing.T) {
 	mark := func(version string) *discoveryv3.Resource {
-		return &discoveryv3.Resource{Name: routingName, Version: version}
+		return &discoveryv3.Resource{Name: routingRevisionName, Version: version}
 	}
 	for name, marks := range map[string][]*discoveryv3.Resource{
 		"none": nil, "two": {mark("4"), mark("4")}, "no number": {mark("")}, "newer than the offer": {mark("7")},
--- a/configsync/server.go
+++ b/configsync/server.go
@@ -26,9 +26,9 @@
 // and body, so all records of 280,000 tenants fit.
 const MaxMessage = 64 << 20
 
-// leasesPerStream bounds the leases that a member keeps, those that ran out included, by the streams that it serves:
+// maxLeasesPerStream bounds the leases that a member keeps, those that ran out included, by the streams that it serves:
 // their names come from the wire.
-const leasesPerStream = 2
+const maxLeasesPerStream = 2
 
 // DefaultLimits are those of members.
 var DefaultLimits = Limits{
@@ -49,7 +49,7 @@
 	source  records.Source
 	limits  Limits
 	started time.Time
-	whole   allowance
+	limiter fullScopeLimiter
 	leases  *leaseTable
 	streams map[*Stream]bool
 	byName  map[string]*Stream
@@ -69,8 +69,8 @@
 	Rejected       uint64 `json:"Refused"`
 }
 
-// sent books a response.
-func (c *Counts) sent(offer *Update, bytes int) {
+// addSent books a response.
+func (c *Counts) addSent(offer *Update, bytes int) {
 	switch {
 	case offer.FullScope:
 		c.FullScopes++
@@ -90,8 +90,8 @@
 	}
 	return &Server{
 		member: member, source: source, limits: limits, started: now,
-		whole:   newAllowance(limits.FullScopeBytesPerSecond, limits.FullScopeBurstBytes),
-		leases:  newLeaseTable(limits.Lease, leasesPerStream*limits.MaxStreams, commit{source.Revision(), now}),
+		limiter: newFullScopeLimiter(limits.FullScopeBytesPerSecond, limits.FullScopeBurstBytes),
+		leases:  newLeaseTable(limits.Lease, maxLeasesPerStream*limits.MaxStreams, commit{source.Revision(), now}),
 		streams: map[*Stream]bool{}, byName: map[string]*Stream{},
 	}
 }
@@ -101,7 +101,7 @@
 	if len(s.streams) >= s.limits.MaxStreams {
 		return nil, ErrTooManyStreams
 	}
-	stream := &Stream{server: s, heardAt: now}
+	stream := &Stream{server: s, lastRequestAt: now}
 	s.streams[stream] = true
 	return stream, nil
 }
@@ -109,17 +109,17 @@
 // Close ends a stream. Its follower's lease runs on.
 func (s *Server) Close(stream *Stream) {
 	delete(s.streams, stream)
-	s.whole.leave(stream)
-	if s.byName[stream.hello.Name] == stream {
-		delete(s.byName, stream.hello.Name)
+	s.limiter.dequeue(stream)
+	if s.byName[stream.handshake.Name] == stream {
+		delete(s.byName, stream.handshake.Name)
 	}
 }
 
 // Committed notes that the source has changed. The caller then asks Send of every stream. Its work grows with the
 // number of leases, by some tens of nanoseconds each.
 func (s *Server) Committed(now time.Time, change records.Change) {
-	s.leases.committed(now, change.Revision)
-	s.leases.expire(now)
+	s.leases.addCommit(now, change.Revision)
+	s.leases.removeExpired(now)
 }
 
 // Receive takes a request. After an error the stream is to be ended.
@@ -127,32 +127,32 @@
 	if stream.replaced {
 		return ErrReplaced // what it says of the follower is out of date
 	}
-	stream.heardAt = now
-	if !stream.open {
-		return s.begin(now, stream, request)
+	stream.lastRequestAt = now
+	if !stream.handshakeDone {
+		return s.handleHandshake(now, stream, request)
 	}
 	if request.GetTypeUrl() != TypeURL {
 		return fmt.Errorf("type %.100q is not served here", request.GetTypeUrl())
 	}
 	switch {
 	case request.GetResponseNonce() == "":
-		stream.heartbeat = true
-	case request.GetResponseNonce() != stream.nonce || !stream.waiting:
+		stream.heartbeatDue = true
+	case request.GetResponseNonce() != stream.nonce || !stream.awaitingAnswer:
 		return fmt.Errorf("nonce %.100q answers nothing that was sent", request.GetResponseNonce())
 	case request.GetErrorDetail() != nil:
-		return s.refused(now, stream, request.GetErrorDetail().GetMessage())
+		return s.handleNACK(now, stream, request.GetErrorDetail().GetMessage())
 	default:
-		stream.waiting = false
-		stream.held = stream.offered
+		stream.awaitingAnswer = false
+		stream.acceptedRevision = stream.sentRevision
 		s.Counts.Accepted++
 	}
-	_, err := s.leases.renew(now, stream.hello.Name, stream.held)
+	_, err := s.leases.renew(now, stream.handshake.Name, stream.acceptedRevision)
 	return err
 }
 
-// begin takes a stream's first request. A follower that comes again leaves its earlier stream behind.
-func (s *Server) begin(now time.Time, stream *Stream, request *discoveryv3.DeltaDiscoveryRequest) error {
-	hello, err := parseHello(request)
+// handleHandshake takes a stream's first request. A follower that comes again leaves its earlier stream behind.
+func (s *Server) handleHandshake(now time.Time, stream *Stream, request *discoveryv3.DeltaDiscoveryRequest) error {
+	hello, err := parseHandshake(request)
 	if err != nil {
 		return err
 	}
@@ -161,34 +161,34 @@
 	}
 	if earlier := s.byName[hello.Name]; earlier != nil {
 		earlier.replaced = true
-		s.whole.leave(earlier)
+		s.limiter.dequeue(earlier)
 	}
 	s.byName[hello.Name] = stream
-	stream.open, stream.hello, stream.held = true, hello, hello.Revision
-	stream.heartbeat = true // answered at once, so that the follower knows its lease
+	stream.handshakeDone, stream.handshake, stream.acceptedRevision = true, hello, hello.Revision
+	stream.heartbeatDue = true // answered at once, so that the follower knows its lease
 	return nil
 }
 
-// maxReason is how much of a refusal's reason is kept, in bytes.
-const maxReason = 500
+// maxReasonBytes is how much of a refusal's reason is kept, in bytes.
+const maxReasonBytes = 500
 
-func (s *Server) refused(now time.Time, stream *Stream, reason string) error {
-	stream.waiting = false
-	stream.refused, stream.retryAt = stream.offered, now.Add(s.limits.RejectedBackoff)
+func (s *Server) handleNACK(now time.Time, stream *Stream, reason string) error {
+	stream.awaitingAnswer = false
+	stream.rejectedRevision, stream.retryAt = stream.sentRevision, now.Add(s.limits.RejectedBackoff)
 	s.Counts.Rejected++
-	held, err := s.leases.renew(now, stream.hello.Name, stream.held)
+	held, err := s.leases.renew(now, stream.handshake.Name, stream.acceptedRevision)
 	if err != nil {
 		return err
 	}
-	held.refused, held.reason = stream.offered, strings.ToValidUTF8(reason[:min(len(reason), maxReason)], "")
+	held.rejectedRevision, held.rejectionReason = stream.sentRevision, strings.ToValidUTF8(reason[:min(len(reason), maxReasonBytes)], "")
 	return nil
 }
 
 // Status tells what the followers of this member hold.
 func (s *Server) Status(now time.Time) MemberStatus {
-	s.leases.expire(now)
+	s.leases.removeExpired(now)
 	status := MemberStatus{Member: s.member, At: now, Revision: s.source.Revision(), Settled: now.Sub(s.started) >= s.limits.Lease}
-	status.Recent = s.leases.recent(now)
+	status.Recent = s.leases.recentCommits(now)
 	status.ConvergedRevision, status.Live, status.Leases = s.leases.status(now, status.Revision)
 	return status
 }
--- a/configsync/server_test.go
+++ b/configsync/server_test.go
@@ -33,7 +33,7 @@
 	for _, record := range inScope(w.source.last().held, f.scope) {
 		want[record.Key] = record
 	}
-	if f.Revision() != w.source.Revision() || !same(want, f.Records()) {
+	if f.Revision() != w.source.Revision() || !equalRecords(want, f.Records()) {
 		w.t.Errorf("revision %d with %v, want %d with %v", f.Revision(), f.Records(), w.source.Revision(), want)
 	}
 	if routing := w.source.routing(f.scope); f.RoutingRevision() != routing {
@@ -327,7 +327,7 @@
 	if _, wait, err := c.stream.Send(at(1)); err != nil || wait != 2*time.Second {
 		t.Error(wait, err)
 	}
-	if _, _, err := c.stream.Send(at(3)); !errors.Is(err, ErrSilent) {
+	if _, _, err := c.stream.Send(at(3)); !errors.Is(err, ErrFollowerTimeout) {
 		t.Error(err)
 	}
 	if status := w.server.Status(at(3)); status.Live != 0 || len(status.Leases) != 1 {
@@ -341,7 +341,7 @@
 // Names come from the wire. The leases of a member are bounded; those that ran out make place, live ones never do.
 func TestLeasesAreBounded(t *testing.T) {
 	w := newWorld(t)
-	limit := leasesPerStream * testLimits.MaxStreams
+	limit := maxLeasesPerStream * testLimits.MaxStreams
 	open := func(now time.Time, name string) error {
 		stream, err := w.server.Open(now)
 		if err != nil {
@@ -399,8 +399,8 @@
 	if !errors.Is(err, ErrTooLarge) {
 		t.Fatal(err)
 	}
-	if server.whole.left >= limits.FullScopeBurstBytes || len(server.whole.queue) != 0 {
-		t.Errorf("left %v of %v, %d in the queue", server.whole.left, limits.FullScopeBurstBytes, len(server.whole.queue))
+	if server.limiter.availableBytes >= limits.FullScopeBurstBytes || len(server.limiter.queue) != 0 {
+		t.Errorf("left %v of %v, %d in the queue", server.limiter.availableBytes, limits.FullScopeBurstBytes, len(server.limiter.queue))
 	}
 }
 
@@ -409,11 +409,11 @@
 	w := newWorld(t)
 	w.commit(at(0), 1, nil)
 	f := NewFollower("f", services("s1"), testLimits.Lease, func(uint64, map[records.Key]*records.Record) error {
-		return errors.New("x" + strings.Repeat("ü", maxReason))
+		return errors.New("x" + strings.Repeat("ü", maxReasonBytes))
 	})
 	connect(t, w.server, f, at(0)).settle(at(0))
 	reason := w.server.Status(at(0)).Leases[0].Reason
-	if len(reason) != maxReason-1 || strings.Trim(reason, "ü") != "x" {
+	if len(reason) != maxReasonBytes-1 || strings.Trim(reason, "ü") != "x" {
 		t.Errorf("%q", reason)
 	}
 }
@@ -471,7 +471,7 @@
 	if err := w.server.Receive(at(0), stream, repeated.request()); err != nil {
 		t.Fatal(err)
 	}
-	if got := stream.hello.Scope.Services; len(got) != 2 || got[0] != "a" {
+	if got := stream.handshake.Scope.Services; len(got) != 2 || got[0] != "a" {
 		t.Errorf("services %v", got)
 	}
 }
--- a/configsync/transport/client.go
+++ b/configsync/transport/client.go
@@ -17,8 +17,8 @@
 	"harehook.dev/harehook/records"
 )
 
-// errSilent says that a member was not heard for a lease's time.
-var errSilent = errors.New("the member was not heard for a lease's time")
+// errMemberTimeout says that a member was not heard for a lease's time.
+var errMemberTimeout = errors.New("the member was not heard for a lease's time")
 
 // Config is what a client is made of. Name, Scope, Members and Lease are needed.
 type Config struct {
@@ -28,13 +28,13 @@
 	Lease   time.Duration // that of the members
 	Seed    uint64        // of the order in which members are asked and of the pauses between
 
-	// Check says why records can't be used: they are refused then.
-	Check configsync.Validator
+	// Validate says why records can't be used: they are refused then.
+	Validate configsync.Validator
 	// Accepted is told each revision that was accepted, from Run's goroutine and in order. The map must not be changed,
 	// and not be kept after the call: the next change is made in it.
 	Accepted func(revision uint64, held map[records.Key]*records.Record)
-	// Stale is told when the lease has run out (true) and when there is one again (false). It must not block.
-	Stale func(stale bool)
+	// StaleChanged is told when the lease has run out (true) and when there is one again (false). It must not block.
+	StaleChanged func(stale bool)
 
 	Credentials credentials.TransportCredentials // nil: plain
 	DialOptions []grpc.DialOption                // further ones
@@ -50,14 +50,14 @@
 	// Traffic is what went over the wire since the client was made.
 	Traffic Traffic
 
-	mutex    sync.Mutex
-	running  bool
-	expiry   *time.Timer // of the lease
-	follower *configsync.Follower
-	member   string
-	stale    bool
-	moves    uint64
-	lastErr  error
+	stateMutex sync.Mutex
+	running    bool
+	leaseTimer *time.Timer // of the lease
+	follower   *configsync.Follower
+	member     string
+	stale      bool
+	failovers  uint64
+	lastError  error
 }
 
 // ClientStatus is what a client knows of itself.
@@ -66,7 +66,7 @@
 	Revision           uint64
 	Stale              bool
 	Accepted, Rejected uint64 // offers
-	Moves              uint64 // how often a member that answered was left
+	Failovers          uint64 // how often a member that answered was left
 	LastError          error  // for which one was left last
 }
 
@@ -82,44 +82,44 @@
 	return &Client{
 		config: config, log: log,
 		backoff:  configsync.NewBackoff(config.Members, config.Seed),
-		follower: configsync.NewFollower(config.Name, config.Scope, config.Lease, config.Check),
+		follower: configsync.NewFollower(config.Name, config.Scope, config.Lease, config.Validate),
 		stale:    true,
 	}, nil
 }
 
 // Status tells how the client is doing.
 func (c *Client) Status() ClientStatus {
-	c.mutex.Lock()
-	defer c.mutex.Unlock()
+	c.stateMutex.Lock()
+	defer c.stateMutex.Unlock()
 	return ClientStatus{
 		Member: c.member, Revision: c.follower.Revision(), Stale: c.follower.Stale(time.Now()),
 		Accepted: c.follower.Accepted, Rejected: c.follower.Rejected,
-		Moves: c.moves, LastError: c.lastErr,
+		Failovers: c.failovers, LastError: c.lastError,
 	}
 }
 
 // RoutingRevision is the revision at which a route of the scope last changed, as of the revision held. Within Accepted it
 // is that of the revision that was accepted.
 func (c *Client) RoutingRevision() uint64 {
-	c.mutex.Lock()
-	defer c.mutex.Unlock()
+	c.stateMutex.Lock()
+	defer c.stateMutex.Unlock()
 	return c.follower.RoutingRevision()
 }
 
 // Run follows members, one at a time, until ctx ends.
 func (c *Client) Run(ctx context.Context) {
-	c.mutex.Lock()
-	c.expiry, c.running = time.AfterFunc(c.config.Lease, c.leaseEnded), true
-	c.mutex.Unlock()
-	defer c.stopExpiry()
+	c.stateMutex.Lock()
+	c.leaseTimer, c.running = time.AfterFunc(c.config.Lease, c.checkLease), true
+	c.stateMutex.Unlock()
+	defer c.stopLeaseTimer()
 	for ctx.Err() == nil {
 		member := c.backoff.Member()
-		err := c.follow(ctx, member)
+		err := c.followMember(ctx, member)
 		if ctx.Err() != nil {
 			return
 		}
 		pause := c.backoff.Failed()
-		c.left(member, err, pause)
+		c.memberFailed(member, err, pause)
 		select {
 		case <-ctx.Done():
 		case <-time.After(pause):
@@ -127,25 +127,25 @@
 	}
 }
 
-func (c *Client) stopExpiry() {
-	c.mutex.Lock()
-	defer c.mutex.Unlock()
+func (c *Client) stopLeaseTimer() {
+	c.stateMutex.Lock()
+	defer c.stateMutex.Unlock()
 	c.running = false
-	c.expiry.Stop()
+	c.leaseTimer.Stop()
 }
 
-func (c *Client) left(member string, err error, pause time.Duration) {
-	c.mutex.Lock()
+func (c *Client) memberFailed(member string, err error, pause time.Duration) {
+	c.stateMutex.Lock()
 	if c.member != "" {
-		c.moves++
+		c.failovers++
 	}
-	c.member, c.lastErr = "", err
-	c.mutex.Unlock()
+	c.member, c.lastError = "", err
+	c.stateMutex.Unlock()
 	c.log.Info("member left", zap.String("member", member), zap.Error(err), zap.Duration("pause", pause))
 }
 
-// follow is one stream to one member. It gives the reason for which it ended.
-func (c *Client) follow(ctx context.Context, member string) error {
+// followMember is one stream to one member. It gives the reason for which it ended.
+func (c *Client) followMember(ctx context.Context, member string) error {
 	conn, err := grpc.NewClient("passthrough:///"+member, append(dialOptions(c.config.Credentials, &c.Traffic), c.config.DialOptions...)...)
 	if err != nil {
 		return err
@@ -153,69 +153,69 @@
 	defer conn.Close()
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
-	link := &link{client: c, cancel: cancel, responses: make(chan *response)}
+	link := &memberStream{client: c, cancel: cancel, responses: make(chan *response)}
 	opening := link.deadline()
-	link.wire, err = discoveryv3.NewAggregatedDiscoveryServiceClient(conn).DeltaAggregatedResources(ctx)
+	link.grpcStream, err = discoveryv3.NewAggregatedDiscoveryServiceClient(conn).DeltaAggregatedResources(ctx)
 	opening.Stop()
 	if err != nil {
-		return reason(ctx, err)
+		return streamError(ctx, err)
 	}
 	ended := make(chan error, 1)
 	go func() { ended <- link.receive(ctx) }()
-	if err = link.begin(ended); err == nil {
+	if err = link.sendHandshake(ended); err == nil {
 		err = link.run(ctx, member, ended)
 	}
 	cancel(nil)
-	if !link.ended {
+	if !link.receiverDone {
 		<-ended // nothing of this stream goes on beside the next one
 	}
-	return reason(ctx, err)
+	return streamError(ctx, err)
 }
 
-// reason is why a stream ended: its deadline's where that has ended it.
-func reason(ctx context.Context, err error) error {
+// streamError is why a stream ended: its deadline's where that has ended it.
+func streamError(ctx context.Context, err error) error {
 	if cause := context.Cause(ctx); cause != nil && !errors.Is(cause, context.Canceled) {
 		return cause
 	}
 	return err
 }
 
-// link is a stream to a member.
-type link struct {
-	client    *Client
-	wire      discoveryv3.AggregatedDiscoveryService_DeltaAggregatedResourcesClient
-	cancel    context.CancelCauseFunc
-	responses chan *response
-	ended     bool // the receiving goroutine has told its end
+// memberStream is a stream to a member.
+type memberStream struct {
+	client       *Client
+	grpcStream   discoveryv3.AggregatedDiscoveryService_DeltaAggregatedResourcesClient
+	cancel       context.CancelCauseFunc
+	responses    chan *response
+	receiverDone bool // the receiving goroutine has told its end
 }
 
 // deadline ends the stream after a lease's time unless it is stopped.
-func (l *link) deadline() *time.Timer {
-	return time.AfterFunc(l.client.config.Lease, func() { l.cancel(errSilent) })
+func (l *memberStream) deadline() *time.Timer {
+	return time.AfterFunc(l.client.config.Lease, func() { l.cancel(errMemberTimeout) })
 }
 
 // send sends a request; one that blocks for a lease's time ends the stream.
-func (l *link) send(out *request) error {
+func (l *memberStream) send(out *request) error {
 	timer := l.deadline()
 	defer timer.Stop()
-	return l.wire.Send(out)
+	return l.grpcStream.Send(out)
 }
 
-// begin sends the first request.
-func (l *link) begin(ended <-chan error) error {
-	l.client.mutex.Lock()
+// sendHandshake sends the first request.
+func (l *memberStream) sendHandshake(ended <-chan error) error {
+	l.client.stateMutex.Lock()
 	out := l.client.follower.Begin(time.Now())
-	l.client.mutex.Unlock()
+	l.client.stateMutex.Unlock()
 	if err := l.send(out); err != nil {
-		return l.reasonOf(err, ended)
+		return l.sendError(err, ended)
 	}
 	return nil
 }
 
 // receive hands on what comes until the stream ends.
-func (l *link) receive(ctx context.Context) error {
+func (l *memberStream) receive(ctx context.Context) error {
 	for {
-		in, err := l.wire.Recv()
+		in, err := l.grpcStream.Recv()
 		if err != nil {
 			return err
 		}
@@ -228,11 +228,11 @@
 }
 
 // run answers what comes and renews the lease, until the stream ends or the member is silent for a lease's time.
-func (l *link) run(ctx context.Context, member string, ended <-chan error) error {
+func (l *memberStream) run(ctx context.Context, member string, ended <-chan error) error {
 	c := l.client
-	c.mutex.Lock()
-	every := c.follower.RenewEvery()
-	c.mutex.Unlock()
+	c.stateMutex.Lock()
+	every := c.follower.RenewInterval()
+	c.stateMutex.Unlock()
 	renew := time.NewTicker(every)
 	defer renew.Stop()
 	silence := l.deadline()
@@ -241,13 +241,13 @@
 	for {
 		select {
 		case err := <-ended:
-			l.ended = true
+			l.receiverDone = true
 			return fmt.Errorf("stream ended: %w", err)
 		case <-ctx.Done():
 			return ctx.Err()
 		case <-renew.C:
 			if err := l.renew(); err != nil {
-				return l.reasonOf(err, ended)
+				return l.sendError(err, ended)
 			}
 		case in := <-l.responses:
 			silence.Reset(c.config.Lease)
@@ -257,21 +257,21 @@
 			}
 			if !heard {
 				heard = true
-				c.joined(member)
+				c.memberAnswered(member)
 			}
 			if reply == nil {
 				continue
 			}
 			if err := l.send(reply); err != nil {
-				return l.reasonOf(err, ended)
+				return l.sendError(err, ended)
 			}
 		}
 	}
 }
 
-// reasonOf gives the reason for which nothing can be sent: where the member has ended the stream, it is what is
+// sendError gives the reason for which nothing can be sent: where the member has ended the stream, it is what is
 // received last.
-func (l *link) reasonOf(err error, ended <-chan error) error {
+func (l *memberStream) sendError(err error, ended <-chan error) error {
 	if !errors.Is(err, io.EOF) {
 		return err
 	}
@@ -279,31 +279,31 @@
 		select {
 		case <-l.responses: // too late to be answered
 		case err := <-ended:
-			l.ended = true
+			l.receiverDone = true
 			return fmt.Errorf("stream ended: %w", err)
 		}
 	}
 }
 
-func (l *link) renew() error {
-	l.client.mutex.Lock()
+func (l *memberStream) renew() error {
+	l.client.stateMutex.Lock()
 	out := l.client.follower.Renew(time.Now())
-	l.client.mutex.Unlock()
+	l.client.stateMutex.Unlock()
 	return l.send(out)
 }
 
-// joined notes that a member answers.
-func (c *Client) joined(member string) {
+// memberAnswered notes that a member answers.
+func (c *Client) memberAnswered(member string) {
 	c.backoff.Succeeded()
-	c.mutex.Lock()
+	c.stateMutex.Lock()
 	c.member = member
-	c.mutex.Unlock()
+	c.stateMutex.Unlock()
 	c.log.Info("member followed", zap.String("member", member))
 }
 
 // receive hands a response to the machine and tells of what was accepted.
 func (c *Client) receive(in *response) (reply *request, err error) {
-	c.mutex.Lock()
+	c.stateMutex.Lock()
 	now := time.Now()
 	reply, accepted, err := c.follower.Receive(now, in)
 	revision, held := c.follower.Revision(), c.follower.Records()
@@ -311,12 +311,12 @@
 	if fresh {
 		c.stale = false
 	}
-	c.mutex.Unlock()
+	c.stateMutex.Unlock()
 	if in.GetNonce() == "" { // a heartbeat, which renews the lease
-		c.expiry.Reset(c.config.Lease)
+		c.leaseTimer.Reset(c.config.Lease)
 	}
-	if fresh && c.config.Stale != nil {
-		c.config.Stale(false)
+	if fresh && c.config.StaleChanged != nil {
+		c.config.StaleChanged(false)
 	}
 	if accepted && c.config.Accepted != nil {
 		c.config.Accepted(revision, held)
@@ -324,17 +324,17 @@
 	return reply, err
 }
 
-// leaseEnded tells, once, that the lease has run out. It is called when that is due.
-func (c *Client) leaseEnded() {
-	c.mutex.Lock()
+// checkLease tells, once, that the lease has run out. It is called when that is due.
+func (c *Client) checkLease() {
+	c.stateMutex.Lock()
 	ended := c.follower.Stale(time.Now())
 	tell := ended && !c.stale && c.running
 	c.stale = c.stale || ended
 	if !ended && c.running {
-		c.expiry.Reset(c.config.Lease / 10) // it was renewed meanwhile
+		c.leaseTimer.Reset(c.config.Lease / 10) // it was renewed meanwhile
 	}
-	c.mutex.Unlock()
-	if tell && c.config.Stale != nil {
-		c.config.Stale(true)
+	c.stateMutex.Unlock()
+	if tell && c.config.StaleChanged != nil {
+		c.config.StaleChanged(true)
 	}
 }
--- a/configsync/transport/client_test.go
+++ b/configsync/transport/client_test.go
@@ -66,7 +66,7 @@
 	put("buy", 2000)
 	c.awaitHolds(first)
 	status := c.client.Status()
-	if status.Moves == 0 || status.Member != ways[1-followed].address() {
+	if status.Failovers == 0 || status.Member != ways[1-followed].address() {
 		t.Errorf("after the cut: %+v", status)
 	}
 	if last := c.last(); last.revision != 2 || len(last.held) != 1 {
@@ -190,7 +190,7 @@
 		}
 		return nil
 	}
-	wary := newConductor(t, Config{Name: "wary", Scope: shop, Members: []string{m.address}, Check: refuses})
+	wary := newConductor(t, Config{Name: "wary", Scope: shop, Members: []string{m.address}, Validate: refuses})
 	others := []*conductor{newConductor(t, Config{Name: "other-1", Scope: shop, Members: []string{m.address}}),
 		newConductor(t, Config{Name: "other-2", Scope: shop, Members: []string{m.address}})}
 	for _, c := range append(others, wary) {
--- a/configsync/transport/fixture_test.go
+++ b/configsync/transport/fixture_test.go
@@ -197,7 +197,7 @@
 		defer c.mutex.Unlock()
 		c.told = append(c.told, accepted{revision, c.client.RoutingRevision(), maps.Clone(held)})
 	}
-	config.Stale = func(stale bool) {
+	config.StaleChanged = func(stale bool) {
 		c.mutex.Lock()
 		defer c.mutex.Unlock()
 		c.stale = append(c.stale, stale)
--- a/configsync/transport/service.go
+++ b/configsync/transport/service.go
@@ -19,10 +19,10 @@
 )
 
 const (
-	// firstRequestTimeout is how long a stream may be open without a word of its follower.
-	firstRequestTimeout = 2 * time.Second
-	// maxPending is how many commits wait to be noted while no stream is awake: as many as the machine remembers.
-	maxPending = 4096
+	// handshakeTimeout is how long a stream may be open without a word of its follower.
+	handshakeTimeout = 2 * time.Second
+	// maxPendingCommits is how many commits wait to be noted while no stream is awake: as many as the machine remembers.
+	maxPendingCommits = 4096
 )
 
 // Service serves the followers of one member. Its methods may be called from any goroutine.
@@ -32,14 +32,14 @@
 	log   *zap.Logger
 	lease time.Duration
 
-	machineMutex sync.Mutex // guards the machine and its streams; never held while something is sent
-	machine      *configsync.Server
+	serverMutex sync.Mutex // guards the machine and its streams; never held while something is sent
+	server      *configsync.Server
 
 	// The group's goroutine takes only this lock, which is never held for longer than it takes to poke each stream.
-	pendingMutex sync.Mutex
-	pending      []commit
-	streams      map[*stream]struct{}
-	paused       error
+	pendingMutex   sync.Mutex
+	pendingCommits []commit
+	streams        map[*stream]struct{}
+	unavailable    error
 }
 
 // commit is a change that the machine has not been told of yet.
@@ -52,7 +52,7 @@
 func NewService(member string, source records.Source, limits configsync.Limits, log *zap.Logger) *Service {
 	return &Service{
 		log: log, lease: limits.Lease,
-		machine: configsync.NewServer(member, source, limits, time.Now()),
+		server:  configsync.NewServer(member, source, limits, time.Now()),
 		streams: map[*stream]struct{}{},
 	}
 }
@@ -70,21 +70,21 @@
 	now := time.Now()
 	s.pendingMutex.Lock()
 	defer s.pendingMutex.Unlock()
-	if len(s.pending) >= maxPending {
-		s.pending = append(s.pending[:0], s.pending[maxPending/2:]...)
+	if len(s.pendingCommits) >= maxPendingCommits {
+		s.pendingCommits = append(s.pendingCommits[:0], s.pendingCommits[maxPendingCommits/2:]...)
 	}
-	s.pending = append(s.pending, commit{change, now})
+	s.pendingCommits = append(s.pendingCommits, commit{change, now})
 	for one := range s.streams {
 		one.wake()
 	}
 }
 
-// Pause ends all streams and refuses new ones with a reason until it is called with nil: a member that may be out of
+// SetUnavailable ends all streams and refuses new ones with a reason until it is called with nil: a member that may be out of
 // date must not extend leases.
-func (s *Service) Pause(reason error) {
+func (s *Service) SetUnavailable(reason error) {
 	s.pendingMutex.Lock()
 	defer s.pendingMutex.Unlock()
-	s.paused = reason
+	s.unavailable = reason
 	if reason == nil {
 		return
 	}
@@ -93,35 +93,35 @@
 	}
 }
 
-func (s *Service) pausedBy() error {
+func (s *Service) unavailableReason() error {
 	s.pendingMutex.Lock()
 	defer s.pendingMutex.Unlock()
-	return s.paused
+	return s.unavailable
 }
 
-// locked runs something with the machine, which has been told of all commits.
-func (s *Service) locked(do func(now time.Time)) {
-	s.machineMutex.Lock()
-	defer s.machineMutex.Unlock()
+// withServer runs something with the machine, which has been told of all commits.
+func (s *Service) withServer(do func(now time.Time)) {
+	s.serverMutex.Lock()
+	defer s.serverMutex.Unlock()
 	s.pendingMutex.Lock()
-	pending := s.pending
-	s.pending = nil
+	pending := s.pendingCommits
+	s.pendingCommits = nil
 	s.pendingMutex.Unlock()
 	for _, one := range pending {
-		s.machine.Committed(one.at, one.change)
+		s.server.Committed(one.at, one.change)
 	}
 	do(time.Now())
 }
 
 // Status tells what the followers of this member hold.
 func (s *Service) Status() (out configsync.MemberStatus) {
-	s.locked(func(now time.Time) { out = s.machine.Status(now) })
+	s.withServer(func(now time.Time) { out = s.server.Status(now) })
 	return out
 }
 
 // Counts tells what was sent since the service was made.
 func (s *Service) Counts() (out configsync.Counts) {
-	s.locked(func(time.Time) { out = s.machine.Counts })
+	s.withServer(func(time.Time) { out = s.server.Counts })
 	return out
 }
 
@@ -135,7 +135,7 @@
 func (s *Service) DeltaAggregatedResources(wire discoveryv3.AggregatedDiscoveryService_DeltaAggregatedResourcesServer) error {
 	one, err := s.open()
 	if err != nil {
-		return statusOf(err)
+		return grpcStatus(err)
 	}
 	defer s.close(one)
 	ctx, cancel := context.WithCancel(wire.Context())
@@ -144,5 +144,5 @@
 	go func() { received <- s.receive(wire, one) }()
 	sender := &sender{outbox: make(chan *discoveryv3.DeltaDiscoveryResponse), sent: make(chan error, 1)}
 	go sender.run(ctx, wire)
-	return statusOf(s.supervise(ctx, one, received, sender))
+	return grpcStatus(s.supervise(ctx, one, received, sender))
 }
--- a/configsync/transport/service_test.go
+++ b/configsync/transport/service_test.go
@@ -177,7 +177,7 @@
 	until(t, "the streams of those that went are closed", func() bool { return m.openStreams() == 10 })
 	m.stop() // under the others
 	for _, c := range all[10:] {
-		until(t, "it has left the member", func() bool { return c.client.Status().Moves > 0 })
+		until(t, "it has left the member", func() bool { return c.client.Status().Failovers > 0 })
 		c.stop()
 	}
 	until(t, fmt.Sprintf("%d goroutines as before, %d ran", before, running), func() bool { return runtime.NumGoroutine() <= before })
@@ -192,7 +192,7 @@
 	log.put(t, "buy", "shop", 1000)
 	limits := testLimits()
 	limits.MaxStreams = 1
-	limits.Lease = 2 * firstRequestTimeout // so that the two are told apart
+	limits.Lease = 2 * handshakeTimeout // so that the two are told apart
 	m := newMember(t, log, limits)
 	end := func(name string, code codes.Code, reason string, requests ...*discoveryv3.DeltaDiscoveryRequest) {
 		t.Helper()
@@ -213,11 +213,11 @@
 	}
 	follower := configsync.NewFollower("raw", shop, testLease, nil)
 	begin := follower.Begin(time.Now())
-	end("no request", codes.DeadlineExceeded, errNoRequest.Error())
+	end("no request", codes.DeadlineExceeded, errNoHandshake.Error())
 	end("another type", codes.InvalidArgument, "is not served here", &discoveryv3.DeltaDiscoveryRequest{TypeUrl: "type.googleapis.com/other"})
 	end("no name", codes.InvalidArgument, "a name has to be", configsync.NewFollower("", shop, testLease, nil).Begin(time.Now()))
 	end("an answer to nothing", codes.InvalidArgument, "answers nothing that was sent", begin, &discoveryv3.DeltaDiscoveryRequest{TypeUrl: configsync.TypeURL, ResponseNonce: "77"})
-	end("silence", codes.DeadlineExceeded, configsync.ErrSilent.Error(), begin)
+	end("silence", codes.DeadlineExceeded, configsync.ErrFollowerTimeout.Error(), begin)
 
 	first := rawStream(t, m)
 	if err := first.Send(begin); err != nil {
@@ -264,12 +264,12 @@
 	m := newMember(t, log, testLimits())
 	c := newConductor(t, Config{Scope: shop, Members: []string{m.address}})
 	c.awaitHolds(log)
-	m.service.Pause(errors.New("no leader is known"))
+	m.service.SetUnavailable(errors.New("no leader is known"))
 	until(t, "its lease has run out", func() bool { return c.client.Status().Stale })
 	if err := c.client.Status().LastError; status.Code(errors.Unwrap(err)) != codes.Unavailable || !strings.Contains(err.Error(), "no leader is known") {
 		t.Errorf("left with %v", err)
 	}
-	m.service.Pause(nil)
+	m.service.SetUnavailable(nil)
 	log.put(t, "buy", "shop", 2000)
 	c.awaitHolds(log)
 }
--- a/configsync/transport/status.go
+++ b/configsync/transport/status.go
@@ -25,7 +25,7 @@
 	Stale     bool   `json:"stale"`
 	Accepted  uint64 `json:"accepted"` // offers
 	Rejected  uint64 `json:"refused"`
-	Moves     uint64 `json:"moves"` // how often a member that answered was left
+	Failovers uint64 `json:"moves"` // how often a member that answered was left
 	LastError string `json:"last_error,omitempty"`
 }
 
@@ -34,7 +34,7 @@
 	status := c.Status()
 	report := FollowerReport{
 		Name: c.config.Name, Member: status.Member, Revision: status.Revision, Stale: status.Stale,
-		Accepted: status.Accepted, Rejected: status.Rejected, Moves: status.Moves,
+		Accepted: status.Accepted, Rejected: status.Rejected, Failovers: status.Failovers,
 	}
 	if status.LastError != nil {
 		report.LastError = status.LastError.Error()
@@ -68,15 +68,15 @@
 
 // FetchMemberStatus asks a member what its followers hold.
 func FetchMemberStatus(ctx context.Context, conn grpc.ClientConnInterface) (configsync.MemberStatus, error) {
-	return ask[configsync.MemberStatus](ctx, conn, followersService)
+	return fetchStatus[configsync.MemberStatus](ctx, conn, followersService)
 }
 
 // FetchFollowerReport asks a conductor that follows how it is doing.
 func FetchFollowerReport(ctx context.Context, conn grpc.ClientConnInterface) (FollowerReport, error) {
-	return ask[FollowerReport](ctx, conn, followerService)
+	return fetchStatus[FollowerReport](ctx, conn, followerService)
 }
 
-func ask[Out any](ctx context.Context, conn grpc.ClientConnInterface, service string) (out Out, err error) {
+func fetchStatus[Out any](ctx context.Context, conn grpc.ClientConnInterface, service string) (out Out, err error) {
 	var answer wrapperspb.BytesValue
 	if err := conn.Invoke(ctx, "/"+service+"/"+statusMethod, &wrapperspb.BytesValue{}, &answer); err != nil {
 		return out, err
--- a/configsync/transport/stream.go
+++ b/configsync/transport/stream.go
@@ -14,8 +14,8 @@
 
 // Why a member ends a stream, beside the machine's reasons.
 var (
-	errNoRequest  = errors.New("the first request did not come in time")
-	errNotReading = errors.New("the follower did not read for a lease's time")
+	errNoHandshake = errors.New("the first request did not come in time")
+	errNotReading  = errors.New("the follower did not read for a lease's time")
 )
 
 type (
@@ -26,27 +26,27 @@
 
 // stream is the connection of one follower.
 type stream struct {
-	poke chan struct{} // something may have to be sent
+	wakeUp chan struct{} // something may have to be sent
 
-	machine *configsync.Stream // under Service.machineMutex
-	closed  bool               // likewise: what is still received counts no more
+	stream *configsync.Stream // under Service.machineMutex
+	closed bool               // likewise: what is still received counts no more
 }
 
 // wake has the stream's supervisor ask the machine.
 func (st *stream) wake() {
 	select {
-	case st.poke <- struct{}{}:
+	case st.wakeUp <- struct{}{}:
 	default: // it is to ask already
 	}
 }
 
 // open begins a stream unless the member is paused or full.
 func (s *Service) open() (one *stream, err error) {
-	if err := s.pausedBy(); err != nil {
+	if err := s.unavailableReason(); err != nil {
 		return nil, err
 	}
-	one = &stream{poke: make(chan struct{}, 1)}
-	s.locked(func(now time.Time) { one.machine, err = s.machine.Open(now) })
+	one = &stream{wakeUp: make(chan struct{}, 1)}
+	s.withServer(func(now time.Time) { one.stream, err = s.server.Open(now) })
 	if err != nil {
 		return nil, err
 	}
@@ -60,9 +60,9 @@
 	s.pendingMutex.Lock()
 	delete(s.streams, one)
 	s.pendingMutex.Unlock()
-	s.locked(func(time.Time) {
+	s.withServer(func(time.Time) {
 		one.closed = true
-		s.machine.Close(one.machine)
+		s.server.Close(one.stream)
 	})
 }
 
@@ -73,13 +73,13 @@
 		if err != nil {
 			return err
 		}
-		s.locked(func(now time.Time) {
+		s.withServer(func(now time.Time) {
 			if !one.closed {
-				err = s.machine.Receive(now, one.machine, in)
+				err = s.server.Receive(now, one.stream, in)
 			}
 		})
 		if err != nil {
-			return invalidRequest{err}
+			return invalidRequestError{err}
 		}
 		one.wake()
 	}
@@ -87,9 +87,9 @@
 
 // next asks the machine for a message and when to ask again at the latest.
 func (s *Service) next(one *stream) (out *response, wait time.Duration, named bool, err error) {
-	s.locked(func(now time.Time) {
-		out, wait, err = one.machine.Send(now)
-		named = one.machine.Name() != ""
+	s.withServer(func(now time.Time) {
+		out, wait, err = one.stream.Send(now)
+		named = one.stream.Name() != ""
 	})
 	return out, wait, named, err
 }
@@ -97,11 +97,11 @@
 // supervise asks the machine what to send whenever something may have changed. It gives the reason for which the stream
 // ends.
 func (s *Service) supervise(ctx context.Context, one *stream, received <-chan error, sender *sender) error {
-	first := time.Now().Add(firstRequestTimeout)
-	timer := time.NewTimer(firstRequestTimeout)
+	first := time.Now().Add(handshakeTimeout)
+	timer := time.NewTimer(handshakeTimeout)
 	defer timer.Stop()
 	for {
-		if err := s.pausedBy(); err != nil {
+		if err := s.unavailableReason(); err != nil {
 			return err
 		}
 		out, wait, named, err := s.next(one)
@@ -116,7 +116,7 @@
 		}
 		if !named {
 			if wait = time.Until(first); wait <= 0 {
-				return errNoRequest
+				return errNoHandshake
 			}
 		}
 		timer.Reset(wait)
@@ -125,7 +125,7 @@
 			return ctx.Err()
 		case err := <-received:
 			return err
-		case <-one.poke:
+		case <-one.wakeUp:
 		case <-timer.C:
 		}
 	}
@@ -170,14 +170,14 @@
 	}
 }
 
-// invalidRequest is what a follower sent that is against the protocol.
-type invalidRequest struct{ error }
+// invalidRequestError is what a follower sent that is against the protocol.
+type invalidRequestError struct{ error }
 
 // Unwrap gives the machine's reason.
-func (e invalidRequest) Unwrap() error { return e.error }
+func (e invalidRequestError) Unwrap() error { return e.error }
 
-// statusOf gives the end of a stream as grpc tells it.
-func statusOf(err error) error {
+// grpcStatus gives the end of a stream as grpc tells it.
+func grpcStatus(err error) error {
 	if err == nil {
 		return nil
 	}
@@ -185,13 +185,13 @@
 		return err
 	}
 	code := codes.Unavailable
-	var invalid invalidRequest
+	var invalid invalidRequestError
 	switch {
 	case errors.Is(err, configsync.ErrTooManyStreams), errors.Is(err, configsync.ErrTooLarge):
 		code = codes.ResourceExhausted
 	case errors.Is(err, configsync.ErrReplaced):
 		code = codes.Aborted
-	case errors.Is(err, configsync.ErrSilent), errors.Is(err, errNoRequest), errors.Is(err, errNotReading):
+	case errors.Is(err, configsync.ErrFollowerTimeout), errors.Is(err, errNoHandshake), errors.Is(err, errNotReading):
 		code = codes.DeadlineExceeded
 	case errors.As(err, &invalid):
 		code = codes.InvalidArgument
--- a/configsync/wire.go
+++ b/configsync/wire.go
@@ -27,12 +27,12 @@
 // Names in the metadata of a follower's node, and of the resources of a response that are no records: the mark of a whole
 // scope, and the one whose version is the scope's routing revision.
 const (
-	metadataServices = "services"
-	metadataZones    = "zones"
-	metadataAll      = "all"
-	metadataRevision = "revision"
-	wholeScopeName   = "scope/whole"
-	routingName      = "scope/routing"
+	metadataServices    = "services"
+	metadataZones       = "zones"
+	metadataAll         = "all"
+	metadataRevision    = "revision"
+	fullScopeName       = "scope/whole"
+	routingRevisionName = "scope/routing"
 )
 
 const (
@@ -50,8 +50,8 @@
 // request is the first request of a stream.
 func (h Handshake) request() *discoveryv3.DeltaDiscoveryRequest {
 	fields := map[string]*structpb.Value{
-		metadataServices: nameList(h.Scope.Services),
-		metadataZones:    nameList(h.Scope.Zones),
+		metadataServices: encodeNames(h.Scope.Services),
+		metadataZones:    encodeNames(h.Scope.Zones),
 		metadataAll:      structpb.NewBoolValue(h.Scope.All),
 		metadataRevision: structpb.NewStringValue(formatRevision(h.Revision)),
 	}
@@ -61,8 +61,8 @@
 	}
 }
 
-// parseHello reads the first request of a stream.
-func parseHello(request *discoveryv3.DeltaDiscoveryRequest) (hello Handshake, err error) {
+// parseHandshake reads the first request of a stream.
+func parseHandshake(request *discoveryv3.DeltaDiscoveryRequest) (hello Handshake, err error) {
 	if request.GetTypeUrl() != TypeURL {
 		return hello, fmt.Errorf("type %.100q is not served here", request.GetTypeUrl())
 	}
@@ -71,10 +71,10 @@
 		return hello, fmt.Errorf("follower: %w", err)
 	}
 	fields := request.GetNode().GetMetadata().GetFields()
-	if hello.Scope.Services, err = parseNames(fields[metadataServices]); err != nil {
+	if hello.Scope.Services, err = decodeNames(fields[metadataServices]); err != nil {
 		return hello, fmt.Errorf("services: %w", err)
 	}
-	if hello.Scope.Zones, err = parseNames(fields[metadataZones]); err != nil {
+	if hello.Scope.Zones, err = decodeNames(fields[metadataZones]); err != nil {
 		return hello, fmt.Errorf("zones: %w", err)
 	}
 	hello.Scope.All = fields[metadataAll].GetBoolValue()
@@ -85,7 +85,7 @@
 	return hello, nil
 }
 
-func nameList(names []string) *structpb.Value {
+func encodeNames(names []string) *structpb.Value {
 	list := &structpb.ListValue{}
 	for _, name := range names {
 		list.Values = append(list.Values, structpb.NewStringValue(name))
@@ -93,7 +93,7 @@
 	return structpb.NewListValue(list)
 }
 
-func parseNames(value *structpb.Value) (names []string, err error) {
+func decodeNames(value *structpb.Value) (names []string, err error) {
 	list := value.GetListValue().GetValues()
 	if len(list) > maxScopeNames {
 		return nil, fmt.Errorf("%d names, %d at most", len(list), maxScopeNames)
@@ -118,8 +118,8 @@
 
 func formatRevision(revision uint64) string { return strconv.FormatUint(revision, 10) }
 
-// resource is a record on the wire.
-func resource(record *records.Record) (*discoveryv3.Resource, error) {
+// encodeRecord is a record on the wire.
+func encodeRecord(record *records.Record) (*discoveryv3.Resource, error) {
 	body, err := anypb.New(wrapperspb.Bytes(record.Body))
 	if err != nil {
 		return nil, err
@@ -127,8 +127,8 @@
 	return &discoveryv3.Resource{Name: record.Key.String(), Version: formatRevision(record.Revision), Resource: body}, nil
 }
 
-// parseResource reads a record from the wire.
-func parseResource(in *discoveryv3.Resource) (*records.Record, error) {
+// decodeRecord reads a record from the wire.
+func decodeRecord(in *discoveryv3.Resource) (*records.Record, error) {
 	key, err := records.ParseKey(in.GetName())
 	if err != nil {
 		return nil, err
@@ -164,10 +164,10 @@
 func (o Update) response() (*discoveryv3.DeltaDiscoveryResponse, error) {
 	out := &discoveryv3.DeltaDiscoveryResponse{TypeUrl: TypeURL, SystemVersionInfo: formatRevision(o.Revision), Nonce: o.Nonce}
 	if o.FullScope {
-		out.Resources = append(out.Resources, &discoveryv3.Resource{Name: wholeScopeName, Version: formatRevision(o.Revision)})
+		out.Resources = append(out.Resources, &discoveryv3.Resource{Name: fullScopeName, Version: formatRevision(o.Revision)})
 	}
 	for _, record := range o.Records {
-		one, err := resource(record)
+		one, err := encodeRecord(record)
 		if err != nil {
 			return nil, err
 		}
@@ -177,23 +177,23 @@
 		out.RemovedResources = append(out.RemovedResources, key.String())
 	}
 	if o.Nonce != "" {
-		out.Resources = append(out.Resources, &discoveryv3.Resource{Name: routingName, Version: formatRevision(o.RoutingRevision)})
+		out.Resources = append(out.Resources, &discoveryv3.Resource{Name: routingRevisionName, Version: formatRevision(o.RoutingRevision)})
 	}
 	return out, nil
 }
 
 // Why a response is no offer.
 var (
-	errNoRevision   = errors.New("an offer has no revision")
-	errWholeTwice   = errors.New("an offer is marked as a whole scope twice")
-	errWholeRemoves = errors.New("a whole scope removes records")
+	errNoRevision         = errors.New("an offer has no revision")
+	errDuplicateFullScope = errors.New("an offer is marked as a whole scope twice")
+	errFullScopeRemoves   = errors.New("a whole scope removes records")
 	// A routing revision that is missing can't be replaced by that of the newest route held, which goes down when that
 	// route is removed.
-	errNoRouting = errors.New("an offer does not have one routing revision")
+	errNoRoutingRevision = errors.New("an offer does not have one routing revision")
 )
 
-// parseOffer reads a response. One without a nonce is a heartbeat, of which only the revision is read.
-func parseOffer(in *discoveryv3.DeltaDiscoveryResponse) (offer Update, err error) {
+// parseUpdate reads a response. One without a nonce is a heartbeat, of which only the revision is read.
+func parseUpdate(in *discoveryv3.DeltaDiscoveryResponse) (offer Update, err error) {
 	if in.GetTypeUrl() != TypeURL {
 		return offer, fmt.Errorf("type %.100q was not asked for", in.GetTypeUrl())
 	}
@@ -207,7 +207,7 @@
 	if offer.Revision == 0 {
 		return offer, errNoRevision
 	}
-	resources, err := offer.parseMarks(in.GetResources())
+	resources, err := offer.parseMarkers(in.GetResources())
 	if err != nil {
 		return offer, err
 	}
@@ -218,20 +218,20 @@
 	return offer, offer.parseRemoved(in.GetRemovedResources(), named)
 }
 
-// parseMarks reads the resources of an offer that are no records and gives the others.
-func (o *Update) parseMarks(resources []*discoveryv3.Resource) (others []*discoveryv3.Resource, err error) {
+// parseMarkers reads the resources of an offer that are no records and gives the others.
+func (o *Update) parseMarkers(resources []*discoveryv3.Resource) (others []*discoveryv3.Resource, err error) {
 	routings := 0
 	others = make([]*discoveryv3.Resource, 0, len(resources))
 	for _, one := range resources {
 		switch one.GetName() {
-		case wholeScopeName:
+		case fullScopeName:
 			if o.FullScope {
-				return nil, errWholeTwice
+				return nil, errDuplicateFullScope
 			}
 			o.FullScope = true
-		case routingName:
+		case routingRevisionName:
 			if routings++; routings > 1 {
-				return nil, errNoRouting
+				return nil, errNoRoutingRevision
 			}
 			if o.RoutingRevision, err = strconv.ParseUint(one.GetVersion(), 10, 64); err != nil {
 				return nil, fmt.Errorf("routing revision: %w", err)
@@ -242,7 +242,7 @@
 	}
 	switch {
 	case routings == 0:
-		return nil, errNoRouting
+		return nil, errNoRoutingRevision
 	case o.RoutingRevision > o.Revision:
 		return nil, fmt.Errorf("its routing revision %d is over its revision %d", o.RoutingRevision, o.Revision)
 	}
@@ -252,7 +252,7 @@
 // parseRecords reads the records of an offer.
 func (o *Update) parseRecords(resources []*discoveryv3.Resource, named map[records.Key]bool) error {
 	for _, one := range resources {
-		record, err := parseResource(one)
+		record, err := decodeRecord(one)
 		if err != nil {
 			return err
 		}
@@ -271,7 +271,7 @@
 // parseRemoved reads the keys of the records that an offer removes.
 func (o *Update) parseRemoved(names []string, named map[records.Key]bool) error {
 	if o.FullScope && len(names) > 0 {
-		return errWholeRemoves
+		return errFullScopeRemoves
 	}
 	for _, name := range names {
 		key, err := records.ParseKey(name)
@@ -287,8 +287,8 @@
 	return nil
 }
 
-// size is that of a response on the wire, in bytes.
-func size(response *discoveryv3.DeltaDiscoveryResponse) int { return proto.Size(response) }
+// encodedBytes is that of a response on the wire, in bytes.
+func encodedBytes(response *discoveryv3.DeltaDiscoveryResponse) int { return proto.Size(response) }
 
 // Content tells what a response carries, for those who measure or check it.
 type Content struct {
@@ -301,9 +301,9 @@
 	content := Content{Records: len(response.GetRemovedResources())}
 	for _, one := range response.GetResources() {
 		switch one.GetName() {
-		case wholeScopeName:
+		case fullScopeName:
 			content.FullScope = true
-		case routingName:
+		case routingRevisionName:
 		default:
 			content.Records++
 		}
--- a/controller/routes_test.go
+++ b/controller/routes_test.go
@@ -130,8 +130,8 @@
 		f.t.Fatal(err)
 	}
 	holder := &sidecar.ResourceCache{ID: "s", Zone: "north", Delta: true}
-	for kind := range xds.Kinds {
-		response := &discoveryv3.DeltaDiscoveryResponse{TypeUrl: kind.URL(), Nonce: "n"}
+	for kind := range xds.NumResourceTypes {
+		response := &discoveryv3.DeltaDiscoveryResponse{TypeUrl: kind.TypeURL(), Nonce: "n"}
 		for _, one := range snapshot.Sets[kind] {
 			response.Resources = append(response.Resources,
 				&discoveryv3.Resource{Name: one.Name, Version: one.Version, Resource: one.Body})
--- a/internal/certs/store.go
+++ b/internal/certs/store.go
@@ -20,16 +20,16 @@
 
 // Store are what is in use.
 type Store struct {
-	files Files
-	now   func() time.Time
-	used  atomic.Pointer[pair]
-	seen  [3]time.Time // when the files in use were changed
+	files    Files
+	now      func() time.Time
+	active   atomic.Pointer[credentials]
+	modTimes [3]time.Time // when the files in use were changed
 }
 
-type pair struct {
+type credentials struct {
 	certificate tls.Certificate
 	roots       *x509.CertPool
-	until       time.Time
+	expires     time.Time
 }
 
 // Load reads keys; at a start they have to fit. Without files there are none: nil.
@@ -55,19 +55,19 @@
 		}
 		seen[at] = about.ModTime()
 	}
-	if k.used.Load() != nil && seen == k.seen {
+	if k.active.Load() != nil && seen == k.modTimes {
 		return false, nil
 	}
-	next, err := k.read()
+	next, err := k.load()
 	if err != nil {
 		return false, err // looked at again the next time: a pair may be half written
 	}
-	k.seen = seen
-	k.used.Store(next)
+	k.modTimes = seen
+	k.active.Store(next)
 	return true, nil
 }
 
-func (k *Store) read() (*pair, error) {
+func (k *Store) load() (*credentials, error) {
 	certificate, err := tls.LoadX509KeyPair(k.files.Certificate, k.files.Key)
 	if err != nil {
 		return nil, fmt.Errorf("%s and %s: %w", k.files.Certificate, k.files.Key, err)
@@ -87,7 +87,7 @@
 	if !roots.AppendCertsFromPEM(text) {
 		return nil, fmt.Errorf("%s: no certificate in it", k.files.Roots)
 	}
-	return &pair{certificate, roots, leaf.NotAfter}, nil
+	return &credentials{certificate, roots, leaf.NotAfter}, nil
 }
 
 // ReloadIfChanged takes changed files over and logs what came of it; nil keys have none.
@@ -103,25 +103,25 @@
 }
 
 // Expires is when the certificate in use expires.
-func (k *Store) Expires() time.Time { return k.used.Load().until }
+func (k *Store) Expires() time.Time { return k.active.Load().expires }
 
-// Server gives what a server checks clients by and shows them: both sides need a certificate of the roots.
-func (k *Store) Server() *tls.Config {
+// ServerConfig gives what a server checks clients by and shows them: both sides need a certificate of the roots.
+func (k *Store) ServerConfig() *tls.Config {
 	return &tls.Config{MinVersion: tls.VersionTLS13, ClientAuth: tls.RequireAnyClientCert, NextProtos: []string{"h2"},
-		GetCertificate: func(*tls.ClientHelloInfo) (*tls.Certificate, error) { return &k.used.Load().certificate, nil },
+		GetCertificate: func(*tls.ClientHelloInfo) (*tls.Certificate, error) { return &k.active.Load().certificate, nil },
 		VerifyConnection: func(s tls.ConnectionState) error {
 			return k.verify(s, x509.ExtKeyUsageClientAuth, "")
 		},
 	}
 }
 
-// Client gives what a client checks a server by and shows it. The name is what the server's certificate has to be for.
-func (k *Store) Client(name string) *tls.Config {
+// ClientConfig gives what a client checks a server by and shows it. The name is what the server's certificate has to be for.
+func (k *Store) ClientConfig(name string) *tls.Config {
 	return &tls.Config{MinVersion: tls.VersionTLS13, NextProtos: []string{"h2"}, ServerName: name,
 		// The roots are looked up at each connection, so that new ones count at once: VerifyConnection does the check.
 		InsecureSkipVerify: true,
 		GetClientCertificate: func(*tls.CertificateRequestInfo) (*tls.Certificate, error) {
-			return &k.used.Load().certificate, nil
+			return &k.active.Load().certificate, nil
 		},
 		VerifyConnection: func(s tls.ConnectionState) error {
 			return k.verify(s, x509.ExtKeyUsageServerAuth, name)
@@ -137,7 +137,7 @@
 	for _, c := range s.PeerCertificates[1:] {
 		between.AddCert(c)
 	}
-	_, err := s.PeerCertificates[0].Verify(x509.VerifyOptions{Roots: k.used.Load().roots, Intermediates: between, DNSName: name,
+	_, err := s.PeerCertificates[0].Verify(x509.VerifyOptions{Roots: k.active.Load().roots, Intermediates: between, DNSName: name,
 		CurrentTime: k.now(), KeyUsages: []x509.ExtKeyUsage{usage}})
 	return err
 }
--- a/internal/certs/store_test.go
+++ b/internal/certs/store_test.go
@@ -45,7 +45,7 @@
 		}
 		defer conn.Close()
 		conn.SetDeadline(time.Now().Add(5 * time.Second))
-		s := tls.Server(conn, server.Server())
+		s := tls.Server(conn, server.ServerConfig())
 		if err = s.Handshake(); err == nil {
 			_, err = s.Write([]byte{1})
 		}
@@ -57,7 +57,7 @@
 	}
 	defer conn.Close()
 	conn.SetDeadline(time.Now().Add(5 * time.Second))
-	c := tls.Client(conn, client.Client("conductor"))
+	c := tls.Client(conn, client.ClientConfig("conductor"))
 	if err = c.Handshake(); err == nil {
 		_, err = io.ReadFull(c, make([]byte, 1))
 	}
--- a/internal/daemon/follower.go
+++ b/internal/daemon/follower.go
@@ -28,11 +28,11 @@
 func newFollower(told *config.Controller, w *watcher, held *certs.Store, log *zap.Logger) (*follower, error) {
 	f := &follower{watcher: w, log: log.Named("follow")}
 	config := transport.Config{
-		Name: told.Name, Scope: told.Follow.Scope, Members: told.Follow.Members, Lease: told.Follow.Lease, Seed: followSeed(told),
-		Check: f.check, Accepted: f.accepted, Stale: f.stale, Log: f.log,
+		Name: told.Name, Scope: told.Follower.Scope, Members: told.Follower.Members, Lease: told.Follower.Lease, Seed: followSeed(told),
+		Validate: f.check, Accepted: f.accepted, StaleChanged: f.stale, Log: f.log,
 	}
 	if held != nil {
-		config.Credentials = credentials.NewTLS(held.Client("conductor"))
+		config.Credentials = credentials.NewTLS(held.ClientConfig("conductor"))
 	}
 	var err error
 	f.client, err = transport.NewClient(config)
@@ -48,13 +48,13 @@
 }
 
 func (f *follower) run(ctx context.Context) {
-	f.log.Info("follows a group", zap.Strings("members", f.watcher.told.Follow.Members))
+	f.log.Info("follows a group", zap.Strings("members", f.watcher.told.Follower.Members))
 	f.client.Run(ctx)
 }
 
 // check says why records can't be used here. It runs on the client's goroutine, as accepted does.
 func (f *follower) check(revision uint64, held map[records.Key]*records.Record) error {
-	agreed, err := config.AgreedOf(held)
+	agreed, err := config.AgreedFromFollower(held)
 	if err == nil {
 		err = f.watcher.usable(agreed)
 	}
@@ -91,5 +91,5 @@
 func (w *watcher) usable(agreed *config.Agreed) error {
 	w.lock.Lock()
 	defer w.lock.Unlock()
-	return w.told.CheckChange(agreed, w.agreed, w.listed)
+	return w.told.ValidateUpdate(agreed, w.agreed, w.listed)
 }
--- a/internal/daemon/follower_test.go
+++ b/internal/daemon/follower_test.go
@@ -206,7 +206,7 @@
 	if (&sidecar.Store{Path: filepath.Join(in.folder, name+".held")}).Load(holder) != nil {
 		return 0
 	}
-	return holder.Agreed()
+	return holder.AgreedVersion()
 }
 
 // Routes go to sidecars under the revision at which one of them last changed: two conductors that have heard of different
@@ -273,7 +273,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	m := newTestMember(t, held.Server())
+	m := newTestMember(t, held.ServerConfig())
 	m.set(routes("/v1"))
 	settings := fmt.Sprintf("follow { member %q; }", m.address)
 	in.configure(settings)
--- a/internal/daemon/followers.go
+++ b/internal/daemon/followers.go
@@ -64,10 +64,10 @@
 		}
 		if paused = leaderless; paused {
 			f.log.Warn("followers are sent away: no leader is known")
-			f.service.Pause(errNoLeader)
+			f.service.SetUnavailable(errNoLeader)
 		} else {
 			f.log.Info("followers are served again")
-			f.service.Pause(nil)
+			f.service.SetUnavailable(nil)
 		}
 	}
 }
--- a/internal/daemon/main.go
+++ b/internal/daemon/main.go
@@ -98,23 +98,23 @@
 		joined, err := join(told.Group, w, held, log)
 		return joined, nil, err
 	}
-	if told.Follow == nil {
+	if told.Follower == nil {
 		return nil, nil, nil
 	}
 	follows, err := newFollower(told, w, held, log)
 	if err != nil {
 		return nil, nil, err
 	}
-	w.serving.Register = follows.client.Register
+	w.serving.RegisterServices = follows.client.Register
 	return nil, follows, nil
 }
 
 // newFront makes the front that serves sidecars, which knows where the nodes are. Its core is set by the caller.
 func newFront(told *config.Controller, nodes []config.Node, held *certs.Store, log *zap.Logger) *front.Server {
-	serving := front.New(xds.NewCompiler(told.Routes, told.ConnectTimeout), told.Sidecars, log)
+	serving := front.NewServer(xds.NewCompiler(told.Routes, told.ConnectTimeout), told.MaxSidecars, log)
 	serving.ReportInterval = told.ReportInterval
 	if held != nil {
-		serving.Credentials = credentials.NewTLS(held.Server())
+		serving.Credentials = credentials.NewTLS(held.ServerConfig())
 	}
 	for _, n := range nodes {
 		serving.Streams.Compiler.SetAddress(n.Node, n.Zone, n.Address)
@@ -133,7 +133,7 @@
 	if held == nil {
 		return nil
 	}
-	return credentials.NewTLS(held.Client("conductor"))
+	return credentials.NewTLS(held.ClientConfig("conductor"))
 }
 
 func entries(nodes []config.Node) (out []controller.Endpoint) {
@@ -240,25 +240,25 @@
 
 // fits says why records that are proposed can't be used here.
 func (w *watcher) fits(proposed []*records.Record) error {
-	a, err := config.AgreedFrom(proposed)
+	a, err := config.AgreedFromRecords(proposed)
 	if err != nil {
 		return err
 	}
 	w.lock.Lock()
 	defer w.lock.Unlock()
-	return w.told.CheckAgreed(a, w.listed)
+	return w.told.ValidateProposal(a, w.listed)
 }
 
 // take has an agreed version count. What was agreed is in force also where this conductor's own list has changed since
 // so that it no longer fits: it says so and goes on.
 func (w *watcher) take(agreed records.View) {
-	a, err := config.AgreedFrom(agreed.Records)
+	a, err := config.AgreedFromRecords(agreed.Records)
 	if err != nil {
 		w.log.Error("agreed version can't be read", zap.Uint64("number", agreed.Revision), zap.Error(err))
 		return
 	}
 	w.lock.Lock()
-	if err := w.told.CheckAgreed(a, w.listed); err != nil {
+	if err := w.told.ValidateProposal(a, w.listed); err != nil {
 		w.log.Error("agreed version does not fit this conductor", zap.Uint64("number", agreed.Revision), zap.Error(err))
 	}
 	w.lock.Unlock()
--- a/internal/daemon/member.go
+++ b/internal/daemon/member.go
@@ -43,8 +43,8 @@
 	node.CheckProposal = w.fits
 	var secure *tls.Config
 	if held != nil {
-		secure = held.Server()
-		node.TLSConfig = func() *tls.Config { return held.Client("conductor") }
+		secure = held.ServerConfig()
+		node.TLSConfig = func() *tls.Config { return held.ClientConfig("conductor") }
 	}
 	listener, err := net.Listen("tcp", group.Listen)
 	if err != nil {
--- a/internal/kdl/kdl.go
+++ b/internal/kdl/kdl.go
@@ -16,16 +16,16 @@
 
 // Node is a node of a document.
 type Node struct {
-	Name     string
-	Line     int
-	Args     []Value
-	Props    map[string]Value
-	Children []*Node
+	Name       string
+	Line       int
+	Arguments  []Value
+	Properties map[string]Value
+	Children   []*Node
 }
 
 // Value is an argument or a property: a string, a float64, a bool, or nil for null.
 type Value struct {
-	V    any
+	Data any
 	Line int
 }
 
@@ -70,11 +70,11 @@
 }
 
 type node struct {
-	Pos     lexer.Position
-	Out     bool     `parser:"@Slashdash?"`
-	Name    *name    `parser:"@@"`
-	Entries []*entry `parser:"@@*"`
-	Blocks  []*block `parser:"@@* (End | EOF | (?= '}'))"`
+	Pos      lexer.Position
+	Disabled bool     `parser:"@Slashdash?"`
+	Name     *name    `parser:"@@"`
+	Entries  []*entry `parser:"@@*"`
+	Blocks   []*block `parser:"@@* (End | EOF | (?= '}'))"`
 }
 
 type name struct {
@@ -83,10 +83,10 @@
 }
 
 type entry struct {
-	Pos   lexer.Position
-	Out   bool   `parser:"@Slashdash?"`
-	Key   *name  `parser:"( (?= (Ident | String) '=') @@ '=' )?"`
-	Value *value `parser:"@@"`
+	Pos      lexer.Position
+	Disabled bool   `parser:"@Slashdash?"`
+	Key      *name  `parser:"( (?= (Ident | String) '=') @@ '=' )?"`
+	Value    *value `parser:"@@"`
 }
 
 type value struct {
@@ -97,8 +97,8 @@
 }
 
 type block struct {
-	Out   bool    `parser:"@Slashdash?"`
-	Nodes []*node `parser:"'{' End* (@@ End*)* '}'"`
+	Disabled bool    `parser:"@Slashdash?"`
+	Nodes    []*node `parser:"'{' End* (@@ End*)* '}'"`
 }
 
 var grammar = participle.MustBuild[document](
@@ -136,21 +136,21 @@
 
 func convert(from []*node, faults *Faults) (nodes []*Node) {
 	for _, n := range from {
-		if n.Out {
+		if n.Disabled {
 			continue
 		}
-		out := &Node{Name: n.Name.text(n.Pos.Line, faults), Line: n.Pos.Line, Props: map[string]Value{}}
+		out := &Node{Name: n.Name.text(n.Pos.Line, faults), Line: n.Pos.Line, Properties: map[string]Value{}}
 		for _, e := range n.Entries {
 			switch v := e.Value.value(faults); {
-			case e.Out:
+			case e.Disabled:
 			case e.Key != nil:
-				out.Props[e.Key.text(e.Pos.Line, faults)] = v
+				out.Properties[e.Key.text(e.Pos.Line, faults)] = v
 			default:
-				out.Args = append(out.Args, v)
+				out.Arguments = append(out.Arguments, v)
 			}
 		}
 		for _, b := range n.Blocks {
-			if !b.Out {
+			if !b.Disabled {
 				out.Children = append(out.Children, convert(b.Nodes, faults)...)
 			}
 		}
@@ -178,18 +178,18 @@
 	out := Value{Line: v.Pos.Line}
 	switch {
 	case v.Text != nil:
-		out.V = unquote(*v.Text, v.Pos.Line, faults)
+		out.Data = unquote(*v.Text, v.Pos.Line, faults)
 	case v.Number != nil:
 		plain := strings.ReplaceAll(*v.Number, "_", "")
 		if whole, err := strconv.ParseInt(plain, 0, 64); err == nil && strings.ContainsAny(plain, "xob") {
-			out.V = float64(whole)
+			out.Data = float64(whole)
 		} else if figure, err := strconv.ParseFloat(plain, 64); err == nil {
-			out.V = figure
+			out.Data = figure
 		} else {
 			faults.Add(v.Pos.Line, "%s is no number", *v.Number)
 		}
 	case *v.Word != "null":
-		out.V = *v.Word == "true"
+		out.Data = *v.Word == "true"
 	}
 	return out
 }
--- a/internal/kdl/kdl_test.go
+++ b/internal/kdl/kdl_test.go
@@ -11,12 +11,12 @@
 func show(nodes []*Node, indent string, out *strings.Builder) {
 	for _, n := range nodes {
 		fmt.Fprintf(out, "%s%d %s", indent, n.Line, n.Name)
-		for _, a := range n.Args {
-			fmt.Fprintf(out, " %#v", a.V)
+		for _, a := range n.Arguments {
+			fmt.Fprintf(out, " %#v", a.Data)
 		}
 		for _, key := range []string{"a", "b", "c d"} {
-			if v, ok := n.Props[key]; ok {
-				fmt.Fprintf(out, " %s=%#v", key, v.V)
+			if v, ok := n.Properties[key]; ok {
+				fmt.Fprintf(out, " %s=%#v", key, v.Data)
 			}
 		}
 		fmt.Fprintln(out)
--- a/loadtest/conductors.go
+++ b/loadtest/conductors.go
@@ -219,7 +219,7 @@
 	client, err := front.NewClient(front.Config{
 		Name: h.Name, Scope: h.Scope, Members: h.worker.setup.Members, Lease: h.worker.setup.Lease,
 		Seed:        h.worker.setup.Seed<<20 + uint64(h.Index)<<4 + uint64(h.life),
-		Check:       h.check,
+		Validate:    h.check,
 		Accepted:    h.accepted,
 		DialOptions: h.meter.options(),
 	})
--- a/loadtest/experiment.go
+++ b/loadtest/experiment.go
@@ -26,11 +26,11 @@
 		return nil, err
 	}
 	var faults kdl.Faults
-	if len(nodes) != 1 || nodes[0].Name != "experiment" || len(nodes[0].Args) != 1 {
+	if len(nodes) != 1 || nodes[0].Name != "experiment" || len(nodes[0].Arguments) != 1 {
 		faults.Add(1, "the document is one \"experiment\" with a name")
 		return nil, faults.Err()
 	}
-	e := &Experiment{Name: fmt.Sprint(nodes[0].Args[0].V), Plan: OperatorsPlan()}
+	e := &Experiment{Name: fmt.Sprint(nodes[0].Arguments[0].Data), Plan: OperatorsPlan()}
 	for _, node := range nodes[0].Children {
 		if node.Name == "faults" {
 			e.readFaults(node, &faults)
@@ -51,8 +51,8 @@
 }
 
 func (e *Experiment) readFaults(node *kdl.Node, faults *kdl.Faults) {
-	for _, argument := range node.Args {
-		name := Fault(fmt.Sprint(argument.V))
+	for _, argument := range node.Arguments {
+		name := Fault(fmt.Sprint(argument.Data))
 		if !slices.Contains(AllFaults, name) {
 			faults.Add(argument.Line, "fault %q is not known: there are %v", name, AllFaults)
 			continue
@@ -69,10 +69,10 @@
 		return
 	}
 	var values []float64
-	for _, argument := range node.Args {
-		value, is := argument.V.(float64)
+	for _, argument := range node.Arguments {
+		value, is := argument.Data.(float64)
 		if !is || !(value >= 0 && value <= maxValue) {
-			faults.Add(argument.Line, "%q takes numbers from 0 to %.0f, not %v", node.Name, maxValue, argument.V)
+			faults.Add(argument.Line, "%q takes numbers from 0 to %.0f, not %v", node.Name, maxValue, argument.Data)
 			continue
 		}
 		values = append(values, value)
--- a/loadtest/member.go
+++ b/loadtest/member.go
@@ -100,9 +100,9 @@
 			led = time.Now()
 		}
 		if time.Since(led) >= configsync.DefaultLimits.Lease {
-			m.service.Pause(errNoLeader)
+			m.service.SetUnavailable(errNoLeader)
 		} else {
-			m.service.Pause(nil)
+			m.service.SetUnavailable(nil)
 		}
 	}
 }
--- a/scaling/list.go
+++ b/scaling/list.go
@@ -163,8 +163,8 @@
 		list.Endpoints = append(list.Endpoints, locality)
 	}
 	body, err := proto.Marshal(list)
-	return &discoveryv3.DiscoveryResponse{VersionInfo: fmt.Sprint(version), Nonce: fmt.Sprint("n", version), TypeUrl: xds.Endpoints.URL(),
-		Resources: []*anypb.Any{{TypeUrl: xds.Endpoints.URL(), Value: body}}}, err
+	return &discoveryv3.DiscoveryResponse{VersionInfo: fmt.Sprint(version), Nonce: fmt.Sprint("n", version), TypeUrl: xds.Endpoints.TypeURL(),
+		Resources: []*anypb.Any{{TypeUrl: xds.Endpoints.TypeURL(), Value: body}}}, err
 }
 
 // membersSample meters versions of the list over a loopback stream, both ends in this process.
--- a/scaling/push.go
+++ b/scaling/push.go
@@ -44,7 +44,7 @@
 func (p *pushServer) Joined(int, string)    {}
 func (p *pushServer) Left(int)              {}
 func (p *pushServer) Acknowledged(int, int) {}
-func (p *pushServer) Rejected(id string, kind xds.Kind, why string) {
+func (p *pushServer) Rejected(id string, kind xds.ResourceType, why string) {
 	p.refused = fmt.Errorf("%s refused %s: %s", id, kind, why)
 }
 
--- a/scaling/report.go
+++ b/scaling/report.go
@@ -111,7 +111,7 @@
 
 // newReportService starts the front, has it know the nodes, and opens the sidecar's two streams.
 func newReportService(nodes int) (*reportService, error) {
-	front := frontxds.New(xds.NewCompiler(pushRoutes(1), time.Second), 1, zap.NewNop())
+	front := frontxds.NewServer(xds.NewCompiler(pushRoutes(1), time.Second), 1, zap.NewNop())
 	var known []controller.Endpoint
 	var places []frontxds.Node
 	for n := range nodes {
@@ -192,13 +192,13 @@
 	}
 	defer service.end()
 	report := loadStats(nodes)
-	taken := service.front.Unknown.Load()
+	taken := service.front.UnknownReports.Load()
 	if err := repeat(&s, effort, func() error {
 		if err := service.stream.Send(report); err != nil {
 			return err
 		}
 		taken++
-		for begun := time.Now(); service.front.Unknown.Load() < taken; time.Sleep(lookAgain) {
+		for begun := time.Now(); service.front.UnknownReports.Load() < taken; time.Sleep(lookAgain) {
 			if time.Since(begun) > answeredWithin {
 				return errors.New("a report was not taken")
 			}
--- a/scaling/socket.go
+++ b/scaling/socket.go
@@ -96,7 +96,7 @@
 // moves is how often a follower left a member.
 func (m *socketMember) moves() (moves uint64) {
 	for _, client := range m.clients {
-		moves += client.Status().Moves
+		moves += client.Status().Failovers
 	}
 	return moves
 }
--- a/sidecar/client.go
+++ b/sidecar/client.go
@@ -24,13 +24,13 @@
 
 // Timeouts of the link. The conductor that fell silent is left after pingAfter and pingWithin.
 const (
-	dialWithin  = 3 * time.Second
-	pingAfter   = 10 * time.Second
-	pingWithin  = 2 * time.Second
-	backoffMin  = 200 * time.Millisecond // before the next conductor is asked; twice that each time
-	backoffMost = 5 * time.Second
-	messageMost = 8 << 20 // bytes of a response
-	usualReport = time.Second
+	dialTimeout           = 3 * time.Second
+	keepaliveTime         = 10 * time.Second
+	keepaliveTimeout      = 2 * time.Second
+	initialBackoff        = 200 * time.Millisecond // before the next conductor is asked; twice that each time
+	maxBackoff            = 5 * time.Second
+	maxResponseBytes      = 8 << 20 // bytes of a response
+	defaultReportInterval = time.Second
 )
 
 // Client keeps a stream to one of some conductors and has a holder take what it brings.
@@ -38,7 +38,7 @@
 	Cache       *ResourceCache
 	Controllers []string
 	Store       *Store // nil: nothing outlives the process
-	Report      *LoadRecorder
+	Load        *LoadRecorder
 	Credentials credentials.TransportCredentials // nil: none
 	Log         *zap.Logger
 
@@ -67,35 +67,35 @@
 	l.table.Store(l.Cache.Table())
 	h := fnv.New64a()
 	h.Write([]byte(l.Cache.ID))
-	chance, pause := Random{Seed: h.Sum64()}, backoffMin
+	chance, pause := Random{Seed: h.Sum64()}, initialBackoff
 	for next := int(h.Sum64() % uint64(len(l.Controllers))); ctx.Err() == nil; next = (next + 1) % len(l.Controllers) {
 		began := time.Now()
-		err := l.stream(ctx, l.Controllers[next])
+		err := l.runStream(ctx, l.Controllers[next])
 		l.Connected.Store(false)
 		if ctx.Err() != nil {
 			return
 		}
 		l.Log.Warn("stream ended", zap.String("conductor", l.Controllers[next]), zap.Error(err))
-		if time.Since(began) > backoffMost {
-			pause = backoffMin
+		if time.Since(began) > maxBackoff {
+			pause = initialBackoff
 		}
 		select {
 		case <-ctx.Done():
 		case <-time.After(time.Duration((0.5 + chance.Next()) * float64(pause))):
 		}
-		pause = min(2*pause, backoffMost)
+		pause = min(2*pause, maxBackoff)
 	}
 }
 
-func (l *Client) stream(ctx context.Context, address string) error {
+func (l *Client) runStream(ctx context.Context, address string) error {
 	secure := l.Credentials
 	if secure == nil {
 		secure = insecure.NewCredentials()
 	}
 	conn, err := grpc.NewClient("passthrough:///"+address, grpc.WithTransportCredentials(secure),
-		grpc.WithKeepaliveParams(keepalive.ClientParameters{Time: pingAfter, Timeout: pingWithin, PermitWithoutStream: false}),
-		grpc.WithConnectParams(grpc.ConnectParams{MinConnectTimeout: dialWithin}),
-		grpc.WithDefaultCallOptions(grpc.MaxCallRecvMsgSize(messageMost)))
+		grpc.WithKeepaliveParams(keepalive.ClientParameters{Time: keepaliveTime, Timeout: keepaliveTimeout, PermitWithoutStream: false}),
+		grpc.WithConnectParams(grpc.ConnectParams{MinConnectTimeout: dialTimeout}),
+		grpc.WithDefaultCallOptions(grpc.MaxCallRecvMsgSize(maxResponseBytes)))
 	if err != nil {
 		return err
 	}
@@ -110,20 +110,20 @@
 		l.Streams.Add(1)
 		l.Connected.Store(true)
 		l.Log.Info("stream begun", zap.String("conductor", address))
-		reports.Go(func() { l.report(ctx, loadv3.NewLoadReportingServiceClient(conn)) })
+		reports.Go(func() { l.sendLoadReports(ctx, loadv3.NewLoadReportingServiceClient(conn)) })
 	}
 	if l.Cache.Delta {
 		s, err := client.DeltaAggregatedResources(ctx)
 		if err != nil {
 			return err
 		}
-		return Exchange(s, l.Cache.BeginDelta(), begun, l.Cache.HandleDelta, l.accepted)
+		return Exchange(s, l.Cache.BeginDelta(), begun, l.Cache.HandleDelta, l.publishAccepted)
 	}
 	s, err := client.StreamAggregatedResources(ctx)
 	if err != nil {
 		return err
 	}
-	return Exchange(s, l.Cache.BeginState(), begun, l.Cache.HandleStateOfTheWorld, l.accepted)
+	return Exchange(s, l.Cache.BeginStateOfTheWorld(), begun, l.Cache.HandleStateOfTheWorld, l.publishAccepted)
 }
 
 // Transport is a stream of either variant: requests go, responses come.
@@ -157,9 +157,9 @@
 	}
 }
 
-// accepted routes by what is accepted and keeps it, before the conductor is told: what a sidecar acknowledged it still
+// publishAccepted routes by what is accepted and keeps it, before the conductor is told: what a sidecar acknowledged it still
 // holds after a crash.
-func (l *Client) accepted() {
+func (l *Client) publishAccepted() {
 	l.table.Store(l.Cache.Table())
 	if l.Store == nil {
 		return
@@ -170,9 +170,9 @@
 	}
 }
 
-// report sends what was met as load reports until its stream ends.
-func (l *Client) report(ctx context.Context, client loadv3.LoadReportingServiceClient) {
-	if l.Report == nil {
+// sendLoadReports sends what was met as load reports until its stream ends.
+func (l *Client) sendLoadReports(ctx context.Context, client loadv3.LoadReportingServiceClient) {
+	if l.Load == nil {
 		return
 	}
 	s, err := client.StreamLoadStats(ctx)
@@ -182,7 +182,7 @@
 	if err := s.Send(&loadv3.LoadStatsRequest{Node: l.Cache.node()}); err != nil {
 		return
 	}
-	every := usualReport
+	every := defaultReportInterval
 	if got, err := s.Recv(); err != nil {
 		return
 	} else if d := got.GetLoadReportingInterval().AsDuration(); d > 0 {
@@ -196,15 +196,15 @@
 			return
 		case <-tick.C:
 		}
-		nodes, routes, span := l.Report.Take(time.Now())
-		if err := s.Send(&loadv3.LoadStatsRequest{ClusterStats: stats(nodes, routes, span)}); err != nil {
+		nodes, routes, span := l.Load.Take(time.Now())
+		if err := s.Send(&loadv3.LoadStatsRequest{ClusterStats: clusterStats(nodes, routes, span)}); err != nil {
 			return
 		}
 	}
 }
 
-// stats tells what was met, a cluster's nodes by zone; routes are metrics of a cluster of their own.
-func stats(nodes map[NodeKey]*NodeLoad, routes map[string]int, span time.Duration) (out []*endpointv3.ClusterStats) {
+// clusterStats tells what was met, a cluster's nodes by zone; routes are metrics of a cluster of their own.
+func clusterStats(nodes map[NodeKey]*NodeLoad, routes map[string]int, span time.Duration) (out []*endpointv3.ClusterStats) {
 	clusters := map[string]*endpointv3.ClusterStats{}
 	localities := map[string]*endpointv3.UpstreamLocalityStats{}
 	cluster := func(name string) *endpointv3.ClusterStats {
--- a/sidecar/proxy.go
+++ b/sidecar/proxy.go
@@ -21,12 +21,12 @@
 
 // Timeouts of the data plane. HTTP/1.1 names none; these keep sockets from staying for good.
 const (
-	headWithin  = 10 * time.Second // for a request's head once its first byte came
-	idleWithin  = 60 * time.Second // for the next request on a kept connection
-	bodyWithin  = 30 * time.Second // for each part of a body that is copied
-	usualLimit  = 15 * time.Second // where the route states no time limit
-	idlePerNode = 8                // kept connections to one node
-	idleNode    = 5 * time.Second  // that a connection to a node is kept without use: nodes may end it any time
+	requestHeadTimeout  = 10 * time.Second // for a request's head once its first byte came
+	clientIdleTimeout   = 60 * time.Second // for the next request on a kept connection
+	bodyTimeout         = 30 * time.Second // for each part of a body that is copied
+	defaultTimeLimit    = 15 * time.Second // where the route states no time limit
+	maxIdlePerNode      = 8                // kept connections to one node
+	upstreamIdleTimeout = 5 * time.Second  // that a connection to a node is kept without use: nodes may end it any time
 )
 
 // Proxy takes HTTP/1.1 calls on a listener and sends them on by the table of the moment.
@@ -37,26 +37,26 @@
 	MaxConnections int // connections at once
 	Seed           uint64
 	Log            *zap.Logger
-	Report         *LoadRecorder
+	Load           *LoadRecorder
 
-	lock   sync.Mutex
-	chance Random
-	idle   map[xds.Address][]*upstream
-	swept  time.Time // when connections that are kept too long were closed last
+	poolMutex sync.Mutex
+	random    Random
+	idle      map[xds.Address][]*upstream
+	sweptAt   time.Time // when connections that are kept too long were closed last
 }
 
 type upstream struct {
 	net.Conn
-	r    *bufio.Reader
-	used time.Time
+	reader   *bufio.Reader
+	lastUsed time.Time
 }
 
 // LoadRecorder counts what was met since it was last taken.
 type LoadRecorder struct {
-	lock   sync.Mutex
-	nodes  map[NodeKey]*NodeLoad
-	routes map[string]int
-	began  time.Time
+	mutex     sync.Mutex
+	nodes     map[NodeKey]*NodeLoad
+	routes    map[string]int
+	startedAt time.Time
 
 	Completed, Throttled, Failed, Retried atomic.Uint64 // calls over all time, and further tries
 }
@@ -73,14 +73,14 @@
 	LatencySum        time.Duration // of those that were not lost
 }
 
-// NewReport begins one.
-func NewReport(now time.Time) *LoadRecorder {
-	return &LoadRecorder{nodes: map[NodeKey]*NodeLoad{}, routes: map[string]int{}, began: now}
+// NewLoadRecorder begins one.
+func NewLoadRecorder(now time.Time) *LoadRecorder {
+	return &LoadRecorder{nodes: map[NodeKey]*NodeLoad{}, routes: map[string]int{}, startedAt: now}
 }
 
-func (r *LoadRecorder) tried(key NodeKey, lost bool, spent time.Duration) {
-	r.lock.Lock()
-	defer r.lock.Unlock()
+func (r *LoadRecorder) addAttempt(key NodeKey, lost bool, spent time.Duration) {
+	r.mutex.Lock()
+	defer r.mutex.Unlock()
 	sum := r.nodes[key]
 	if sum == nil {
 		sum = &NodeLoad{}
@@ -93,25 +93,25 @@
 	}
 }
 
-func (r *LoadRecorder) came(route string) {
-	r.lock.Lock()
-	defer r.lock.Unlock()
+func (r *LoadRecorder) addRequest(route string) {
+	r.mutex.Lock()
+	defer r.mutex.Unlock()
 	r.routes[route]++
 }
 
 // Take gives what was met since the last time.
 func (r *LoadRecorder) Take(now time.Time) (nodes map[NodeKey]*NodeLoad, routes map[string]int, span time.Duration) {
-	r.lock.Lock()
-	defer r.lock.Unlock()
-	nodes, routes, span = r.nodes, r.routes, now.Sub(r.began)
-	r.nodes, r.routes, r.began = map[NodeKey]*NodeLoad{}, map[string]int{}, now
+	r.mutex.Lock()
+	defer r.mutex.Unlock()
+	nodes, routes, span = r.nodes, r.routes, now.Sub(r.startedAt)
+	r.nodes, r.routes, r.startedAt = map[NodeKey]*NodeLoad{}, map[string]int{}, now
 	return nodes, routes, span
 }
 
 // Run takes calls until ctx ends; then those under way are cut.
 func (p *Proxy) Run(ctx context.Context) {
 	p.idle = map[xds.Address][]*upstream{}
-	p.chance.Seed = p.Seed
+	p.random.Seed = p.Seed
 	stop := context.AfterFunc(ctx, func() { p.Listener.Close() })
 	defer stop()
 	var calls sync.WaitGroup
@@ -134,12 +134,12 @@
 		}
 		calls.Go(func() {
 			defer func() { <-slots }()
-			p.serve(ctx, conn)
+			p.serveConnection(ctx, conn)
 		})
 	}
 	calls.Wait()
-	p.lock.Lock()
-	defer p.lock.Unlock()
+	p.poolMutex.Lock()
+	defer p.poolMutex.Unlock()
 	for _, conns := range p.idle {
 		for _, c := range conns {
 			c.Close()
@@ -147,33 +147,33 @@
 	}
 }
 
-func (p *Proxy) draw() float64 {
-	p.lock.Lock()
-	defer p.lock.Unlock()
-	return p.chance.Next()
+func (p *Proxy) randomFraction() float64 {
+	p.poolMutex.Lock()
+	defer p.poolMutex.Unlock()
+	return p.random.Next()
 }
 
-// serve answers a client's calls, one after the other.
-func (p *Proxy) serve(ctx context.Context, conn net.Conn) {
+// serveConnection answers a client's calls, one after the other.
+func (p *Proxy) serveConnection(ctx context.Context, conn net.Conn) {
 	defer conn.Close()
 	// A deadline set here would be lost where the wait for the next request sets its own in that instant.
 	stop := context.AfterFunc(ctx, func() { conn.Close() })
 	defer stop()
 	r := bufio.NewReader(conn)
 	for ctx.Err() == nil {
-		conn.SetReadDeadline(time.Now().Add(idleWithin))
+		conn.SetReadDeadline(time.Now().Add(clientIdleTimeout))
 		if _, err := r.Peek(1); err != nil {
 			return
 		}
-		conn.SetReadDeadline(time.Now().Add(headWithin))
+		conn.SetReadDeadline(time.Now().Add(requestHeadTimeout))
 		call, err := http.ReadRequest(r)
 		if err != nil {
-			conn.SetWriteDeadline(time.Now().Add(bodyWithin))
+			conn.SetWriteDeadline(time.Now().Add(bodyTimeout))
 			io.WriteString(conn, "HTTP/1.1 400 Bad Request\r\nConnection: close\r\nContent-Length: 0\r\n\r\n")
 			return
 		}
-		conn.SetReadDeadline(time.Now().Add(bodyWithin))
-		if !p.call(ctx, conn, call) || call.Close {
+		conn.SetReadDeadline(time.Now().Add(bodyTimeout))
+		if !p.handleRequest(ctx, conn, call) || call.Close {
 			return
 		}
 		// What was sent on has been read to its end and closed.
@@ -183,12 +183,12 @@
 	}
 }
 
-// call routes one call and writes its answer. It tells whether the connection may be used on.
-func (p *Proxy) call(ctx context.Context, conn net.Conn, call *http.Request) bool {
+// handleRequest routes one call and writes its answer. It tells whether the connection may be used on.
+func (p *Proxy) handleRequest(ctx context.Context, conn net.Conn, call *http.Request) bool {
 	table := p.Table()
-	entry := table.Route(call.URL.Path, p.draw)
+	entry := table.Route(call.URL.Path, p.randomFraction)
 	answer := func(status int, head, why string) bool {
-		conn.SetWriteDeadline(time.Now().Add(bodyWithin))
+		conn.SetWriteDeadline(time.Now().Add(bodyTimeout))
 		_, err := fmt.Fprintf(conn, "HTTP/1.1 %d %s\r\n%sContent-Type: text/plain\r\nContent-Length: %d\r\n\r\n%s", status,
 			http.StatusText(status), head, len(why), why)
 		return err == nil
@@ -197,21 +197,21 @@
 	case call.Method == http.MethodConnect || call.Header.Get("Upgrade") != "":
 		return answer(http.StatusNotImplemented, "", "not carried here\n")
 	case entry == nil:
-		p.Report.Failed.Add(1)
+		p.Load.Failed.Add(1)
 		return answer(http.StatusNotFound, "", "no route\n")
 	case entry.Status != 0:
-		p.Report.Throttled.Add(1)
-		p.Report.came(entry.Name)
+		p.Load.Throttled.Add(1)
+		p.Load.addRequest(entry.Name)
 		return answer(entry.Status, xds.ThrottledHeader+": "+entry.Name+"\r\n", "throttled\n")
 	}
 	limit := entry.TimeLimit
 	if limit <= 0 {
-		limit = usualLimit
+		limit = defaultTimeLimit
 	}
 	deadline, tried := time.Now().Add(limit), []xds.Address(nil)
-	strip(call.Header)
+	removeHopHeaders(call.Header)
 	for {
-		line, ok := table.Pick(entry.Cluster, tried, p.draw)
+		line, ok := table.Pick(entry.Cluster, tried, p.randomFraction)
 		if !ok {
 			break
 		}
@@ -219,32 +219,32 @@
 		up, err := p.connect(ctx, line.Address, deadline)
 		if err != nil {
 			// Nothing was sent: this try never ran, so another one is safe on every route.
-			p.Report.tried(key, true, 0)
+			p.Load.addAttempt(key, true, 0)
 			if tried = append(tried, line.Address); len(tried) <= entry.MaxRetries && time.Now().Before(deadline) {
-				p.Report.Retried.Add(1)
+				p.Load.Retried.Add(1)
 				continue
 			}
 			break
 		}
 		stop := context.AfterFunc(ctx, func() { up.Close() })
-		lost, open := p.carry(conn, call, up, line.Address, deadline)
+		lost, open := p.forward(conn, call, up, line.Address, deadline)
 		stop()
-		p.Report.tried(key, lost, time.Since(began))
-		p.Report.came(entry.Name)
+		p.Load.addAttempt(key, lost, time.Since(began))
+		p.Load.addRequest(entry.Name)
 		if lost {
-			p.Report.Failed.Add(1)
+			p.Load.Failed.Add(1)
 		} else {
-			p.Report.Completed.Add(1)
+			p.Load.Completed.Add(1)
 		}
 		return open
 	}
-	p.Report.Failed.Add(1)
-	p.Report.came(entry.Name)
+	p.Load.Failed.Add(1)
+	p.Load.addRequest(entry.Name)
 	return answer(http.StatusServiceUnavailable, "", "no node took the call\n")
 }
 
-// strip takes off what is meant for one connection only.
-func strip(h http.Header) {
+// removeHopHeaders takes off what is meant for one connection only.
+func removeHopHeaders(h http.Header) {
 	for _, name := range strings.Split(h.Get("Connection"), ",") {
 		h.Del(strings.TrimSpace(name))
 	}
@@ -253,14 +253,14 @@
 	}
 }
 
-// carry sends a call over a connection and brings the answer back. From its first byte on the call may have run, so
+// forward sends a call over a connection and brings the answer back. From its first byte on the call may have run, so
 // it is never sent again, whatever comes.
-func (p *Proxy) carry(conn net.Conn, call *http.Request, up *upstream, address xds.Address, deadline time.Time) (lost, open bool) {
+func (p *Proxy) forward(conn net.Conn, call *http.Request, up *upstream, address xds.Address, deadline time.Time) (lost, open bool) {
 	up.SetDeadline(deadline)
 	fail := func(status string, err error) (bool, bool) {
 		up.Close()
 		p.Log.Warn("no answer", zap.String("node", address.Host), zap.Uint32("port", address.Port), zap.Error(err))
-		conn.SetWriteDeadline(time.Now().Add(bodyWithin))
+		conn.SetWriteDeadline(time.Now().Add(bodyTimeout))
 		fmt.Fprintf(conn, "HTTP/1.1 %s\r\nConnection: close\r\nContent-Length: 0\r\n\r\n", status)
 		return true, false
 	}
@@ -273,9 +273,9 @@
 	if err := call.Write(up); err != nil {
 		return fail("502 Bad Gateway", err)
 	}
-	answer, err := http.ReadResponse(up.r, call)
+	answer, err := http.ReadResponse(up.reader, call)
 	for err == nil && answer.StatusCode >= 100 && answer.StatusCode < 200 {
-		answer, err = http.ReadResponse(up.r, call) // said meanwhile: the answer follows
+		answer, err = http.ReadResponse(up.reader, call) // said meanwhile: the answer follows
 	}
 	if err != nil {
 		var timeout net.Error
@@ -286,15 +286,15 @@
 	}
 	defer answer.Body.Close()
 	keep := !answer.Close
-	strip(answer.Header)
+	removeHopHeaders(answer.Header)
 	answer.Close = closes
-	conn.SetWriteDeadline(time.Now().Add(max(bodyWithin, time.Until(deadline))))
+	conn.SetWriteDeadline(time.Now().Add(max(bodyTimeout, time.Until(deadline))))
 	if err := answer.Write(conn); err != nil {
 		up.Close()
 		return true, false
 	}
 	if keep {
-		p.keep(address, up)
+		p.release(address, up)
 	} else {
 		up.Close()
 	}
@@ -303,45 +303,45 @@
 
 // connect gives a connection to a node: a kept one that has been quiet, or a new one.
 func (p *Proxy) connect(ctx context.Context, address xds.Address, deadline time.Time) (*upstream, error) {
-	p.lock.Lock()
+	p.poolMutex.Lock()
 	conns := p.idle[address]
 	for len(conns) > 0 {
 		up := conns[len(conns)-1]
 		conns = conns[:len(conns)-1]
-		if time.Since(up.used) < idleNode && up.r.Buffered() == 0 && connprobe.IsIdle(up.Conn) {
+		if time.Since(up.lastUsed) < upstreamIdleTimeout && up.reader.Buffered() == 0 && connprobe.IsIdle(up.Conn) {
 			p.idle[address] = conns
-			p.lock.Unlock()
+			p.poolMutex.Unlock()
 			return up, nil
 		}
 		up.Close()
 	}
 	delete(p.idle, address)
-	p.lock.Unlock()
+	p.poolMutex.Unlock()
 	dialer := net.Dialer{Timeout: min(p.ConnectTimeout, time.Until(deadline))}
 	conn, err := dialer.DialContext(ctx, "tcp", net.JoinHostPort(address.Host, fmt.Sprint(address.Port)))
 	if err != nil {
 		return nil, err
 	}
-	return &upstream{Conn: conn, r: bufio.NewReader(conn)}, nil
+	return &upstream{Conn: conn, reader: bufio.NewReader(conn)}, nil
 }
 
-func (p *Proxy) keep(address xds.Address, up *upstream) {
-	p.lock.Lock()
-	defer p.lock.Unlock()
-	if len(p.idle[address]) >= idlePerNode {
+func (p *Proxy) release(address xds.Address, up *upstream) {
+	p.poolMutex.Lock()
+	defer p.poolMutex.Unlock()
+	if len(p.idle[address]) >= maxIdlePerNode {
 		up.Close()
 		return
 	}
-	up.used = time.Now()
+	up.lastUsed = time.Now()
 	p.idle[address] = append(p.idle[address], up)
-	if up.used.Sub(p.swept) < idleNode {
+	if up.lastUsed.Sub(p.sweptAt) < upstreamIdleTimeout {
 		return
 	}
-	p.swept = up.used // nodes that are gone would keep theirs for good
+	p.sweptAt = up.lastUsed // nodes that are gone would keep theirs for good
 	for address, conns := range p.idle {
 		fresh := conns[:0]
 		for _, c := range conns {
-			if up.used.Sub(c.used) < idleNode {
+			if up.lastUsed.Sub(c.lastUsed) < upstreamIdleTimeout {
 				fresh = append(fresh, c)
 			} else {
 				c.Close()
--- a/sidecar/proxy_test.go
+++ b/sidecar/proxy_test.go
@@ -32,7 +32,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	p = &Proxy{Listener: l, Table: func() *RoutingTable { return table }, ConnectTimeout: time.Second, MaxConnections: 64, Seed: 1, Log: zap.NewNop(), Report: NewReport(time.Now())}
+	p = &Proxy{Listener: l, Table: func() *RoutingTable { return table }, ConnectTimeout: time.Second, MaxConnections: 64, Seed: 1, Log: zap.NewNop(), Load: NewLoadRecorder(time.Now())}
 	ctx, stop := context.WithCancel(context.Background())
 	var run sync.WaitGroup
 	run.Go(func() { p.Run(ctx) })
@@ -76,7 +76,7 @@
 			t.Fatalf("call %d: %s", k, got)
 		}
 	}
-	if n := p.Report.Completed.Load(); n != 200 {
+	if n := p.Load.Completed.Load(); n != 200 {
 		t.Errorf("%d answered", n)
 	}
 }
@@ -109,7 +109,7 @@
 	if got := say(t, address, "what\r\n\r\n"); !strings.HasPrefix(got, "HTTP/1.1 400") {
 		t.Errorf("no request: %s", got)
 	}
-	nodes, routes, _ := p.Report.Take(time.Now())
+	nodes, routes, _ := p.Load.Take(time.Now())
 	ended := 0
 	for _, sum := range nodes {
 		ended += sum.Completed
@@ -131,8 +131,8 @@
 			t.Fatal(got)
 		}
 	}
-	if good.Calls("/q") != 30 || p.Report.Retried.Load() == 0 {
-		t.Errorf("%d calls, %d further tries", good.Calls("/q"), p.Report.Retried.Load())
+	if good.Calls("/q") != 30 || p.Load.Retried.Load() == 0 {
+		t.Errorf("%d calls, %d further tries", good.Calls("/q"), p.Load.Retried.Load())
 	}
 	address, _ = plane(t, 1, silent, silent)
 	for range 10 {
--- a/sidecar/resource_cache.go
+++ b/sidecar/resource_cache.go
@@ -26,9 +26,9 @@
 )
 
 const (
-	endpointsMost = 4096                                // of one cluster
-	maxEntries    = xds.EntriesPerRoute * xds.MaxRoutes // of one table
-	retriesMost   = 3
+	maxEndpointsPerCluster = 4096                                // of one cluster
+	maxEntries             = xds.EntriesPerRoute * xds.MaxRoutes // of one table
+	maxRouteRetries        = 3
 )
 
 // CachedResource is a resource that was accepted, as it was sent.
@@ -39,44 +39,44 @@
 
 // RejectedResource is a resource that was not.
 type RejectedResource struct {
-	Kind         xds.Kind
+	Type         xds.ResourceType
 	Name, Reason string
 	Version      string
 }
 
 // ResourceCache accepts and refuses what a conductor sends. It keeps what it accepted over streams and conductors.
 type ResourceCache struct {
-	ID, Zone string
-	Delta    bool
-	Mutating map[string]bool        // routes that this sidecar itself knows for mutating, whatever it is told
-	OnReject func(RejectedResource) // nil: no one is told
+	ID, Zone       string
+	Delta          bool
+	MutatingRoutes map[string]bool        // routes that this sidecar itself knows for mutating, whatever it is told
+	OnReject       func(RejectedResource) // nil: no one is told
 	// ExtraCheck is a further check of this installation's own; nil: none.
-	ExtraCheck func(kind xds.Kind, name string, body *anypb.Any) error
+	ExtraCheck func(kind xds.ResourceType, name string, body *anypb.Any) error
 
-	held  [xds.Kinds]map[string]CachedResource
-	set   [xds.Kinds]string // state of the world: the version of the whole
-	asked [xds.Kinds][]string
-	nonce [xds.Kinds]string
-	table *RoutingTable
+	accepted    [xds.NumResourceTypes]map[string]CachedResource
+	setVersions [xds.NumResourceTypes]string // state of the world: the version of the whole
+	subscribed  [xds.NumResourceTypes][]string
+	nonces      [xds.NumResourceTypes]string
+	table       *RoutingTable
 }
 
 // Clear drops all that is held.
 func (h *ResourceCache) Clear() {
-	h.held, h.set, h.table = [xds.Kinds]map[string]CachedResource{}, [xds.Kinds]string{}, nil
+	h.accepted, h.setVersions, h.table = [xds.NumResourceTypes]map[string]CachedResource{}, [xds.NumResourceTypes]string{}, nil
 }
 
 // versions are those held of a kind, by name.
-func (h *ResourceCache) versions(kind xds.Kind) map[string]string {
+func (h *ResourceCache) versions(kind xds.ResourceType) map[string]string {
 	versions := map[string]string{}
-	for name, held := range h.held[kind] {
+	for name, held := range h.accepted[kind] {
 		versions[name] = held.Version
 	}
 	return versions
 }
 
-// with is what is held of a kind and what came, where that is not told whole.
-func (h *ResourceCache) with(kind xds.Kind, got map[string]CachedResource) map[string]CachedResource {
-	next := maps.Clone(h.held[kind])
+// merge is what is held of a kind and what came, where that is not told whole.
+func (h *ResourceCache) merge(kind xds.ResourceType, got map[string]CachedResource) map[string]CachedResource {
+	next := maps.Clone(h.accepted[kind])
 	if next == nil {
 		next = map[string]CachedResource{}
 	}
@@ -84,16 +84,16 @@
 	return next
 }
 
-// wants are the names to ask for: all clusters, one listener, and what these lead to.
-func (h *ResourceCache) wants(kind xds.Kind) (names []string) {
+// wantedNames are the names to ask for: all clusters, one listener, and what these lead to.
+func (h *ResourceCache) wantedNames(kind xds.ResourceType) (names []string) {
 	switch kind {
 	case xds.Endpoints:
-		names = slices.Sorted(maps.Keys(h.held[xds.Clusters]))
+		names = slices.Sorted(maps.Keys(h.accepted[xds.Clusters]))
 	case xds.Listeners:
 		names = []string{xds.ListenerName}
 	case xds.Routes:
-		for _, held := range h.held[xds.Listeners] {
-			if name, err := routesOf(held.Body); err == nil {
+		for _, held := range h.accepted[xds.Listeners] {
+			if name, err := parseRouteConfigName(held.Body); err == nil {
 				names = append(names, name)
 			}
 		}
@@ -105,71 +105,71 @@
 	return &corev3.Node{Id: h.ID, Locality: &corev3.Locality{Zone: h.Zone}, UserAgentName: "harehook-sidecar"}
 }
 
-// asks tells whether a kind can be asked for: without names endpoints and routes would mean none, and a later request
+// canSubscribe tells whether a kind can be asked for: without names endpoints and routes would mean none, and a later request
 // names them.
-func (h *ResourceCache) asks(kind xds.Kind) bool {
-	return kind == xds.Clusters || kind == xds.Listeners || len(h.wants(kind)) > 0
+func (h *ResourceCache) canSubscribe(kind xds.ResourceType) bool {
+	return kind == xds.Clusters || kind == xds.Listeners || len(h.wantedNames(kind)) > 0
 }
 
-// BeginState gives the first requests of a stream of the state of the world variant: each states the version held.
-func (h *ResourceCache) BeginState() (out []*discoveryv3.DiscoveryRequest) {
-	h.begin()
-	for kind := range xds.Kinds {
-		if !h.asks(kind) {
+// BeginStateOfTheWorld gives the first requests of a stream of the state of the world variant: each states the version held.
+func (h *ResourceCache) BeginStateOfTheWorld() (out []*discoveryv3.DiscoveryRequest) {
+	h.resetStream()
+	for kind := range xds.NumResourceTypes {
+		if !h.canSubscribe(kind) {
 			continue
 		}
-		h.asked[kind] = h.wants(kind)
-		out = append(out, &discoveryv3.DiscoveryRequest{Node: h.node(), TypeUrl: kind.URL(), VersionInfo: h.set[kind],
-			ResourceNames: h.asked[kind]})
+		h.subscribed[kind] = h.wantedNames(kind)
+		out = append(out, &discoveryv3.DiscoveryRequest{Node: h.node(), TypeUrl: kind.TypeURL(), VersionInfo: h.setVersions[kind],
+			ResourceNames: h.subscribed[kind]})
 	}
 	return out
 }
 
 // BeginDelta gives the first requests of a stream of the delta variant: each states the versions held.
 func (h *ResourceCache) BeginDelta() (out []*discoveryv3.DeltaDiscoveryRequest) {
-	h.begin()
-	for kind := range xds.Kinds {
-		if !h.asks(kind) {
+	h.resetStream()
+	for kind := range xds.NumResourceTypes {
+		if !h.canSubscribe(kind) {
 			continue
 		}
-		h.asked[kind] = h.wants(kind)
-		out = append(out, &discoveryv3.DeltaDiscoveryRequest{Node: h.node(), TypeUrl: kind.URL(),
-			ResourceNamesSubscribe: h.asked[kind], InitialResourceVersions: h.versions(kind)})
+		h.subscribed[kind] = h.wantedNames(kind)
+		out = append(out, &discoveryv3.DeltaDiscoveryRequest{Node: h.node(), TypeUrl: kind.TypeURL(),
+			ResourceNamesSubscribe: h.subscribed[kind], InitialResourceVersions: h.versions(kind)})
 	}
 	return out
 }
 
-func (h *ResourceCache) begin() {
-	h.asked, h.nonce = [xds.Kinds][]string{}, [xds.Kinds]string{}
+func (h *ResourceCache) resetStream() {
+	h.subscribed, h.nonces = [xds.NumResourceTypes][]string{}, [xds.NumResourceTypes]string{}
 }
 
 // HandleStateOfTheWorld takes a response and gives the answer, then the requests that what was accepted leads to.
 func (h *ResourceCache) HandleStateOfTheWorld(r *discoveryv3.DiscoveryResponse) (out []*discoveryv3.DiscoveryRequest, err error) {
-	kind, known := xds.KindOf(r.GetTypeUrl())
+	kind, known := xds.ParseTypeURL(r.GetTypeUrl())
 	if !known {
 		return nil, fmt.Errorf("a response of type %q, which was not asked for", r.GetTypeUrl())
 	}
-	answer := &discoveryv3.DiscoveryRequest{TypeUrl: kind.URL(), ResponseNonce: r.GetNonce()}
-	got, fault := h.check(kind, r.GetResources(), nil)
+	answer := &discoveryv3.DiscoveryRequest{TypeUrl: kind.TypeURL(), ResponseNonce: r.GetNonce()}
+	got, fault := h.parseResources(kind, r.GetResources(), nil)
 	if fault == nil {
 		next := got
 		if kind == xds.Endpoints || kind == xds.Routes {
-			next = h.with(kind, got)
+			next = h.merge(kind, got)
 		}
 		h.accept(kind, next)
-		h.set[kind] = r.GetVersionInfo()
+		h.setVersions[kind] = r.GetVersionInfo()
 	} else {
 		answer.ErrorDetail = &status.Status{Code: int32(codes.InvalidArgument), Message: fault.Error()}
 	}
-	h.nonce[kind] = r.GetNonce()
-	answer.VersionInfo, answer.ResourceNames = h.set[kind], h.wants(kind)
-	h.asked[kind] = answer.ResourceNames
+	h.nonces[kind] = r.GetNonce()
+	answer.VersionInfo, answer.ResourceNames = h.setVersions[kind], h.wantedNames(kind)
+	h.subscribed[kind] = answer.ResourceNames
 	out = append(out, answer)
-	for other := range xds.Kinds {
-		if other != kind && h.asks(other) && !slices.Equal(h.wants(other), h.asked[other]) {
-			h.asked[other] = h.wants(other)
-			out = append(out, &discoveryv3.DiscoveryRequest{TypeUrl: other.URL(), VersionInfo: h.set[other],
-				ResponseNonce: h.nonce[other], ResourceNames: h.asked[other]})
+	for other := range xds.NumResourceTypes {
+		if other != kind && h.canSubscribe(other) && !slices.Equal(h.wantedNames(other), h.subscribed[other]) {
+			h.subscribed[other] = h.wantedNames(other)
+			out = append(out, &discoveryv3.DiscoveryRequest{TypeUrl: other.TypeURL(), VersionInfo: h.setVersions[other],
+				ResponseNonce: h.nonces[other], ResourceNames: h.subscribed[other]})
 		}
 	}
 	return out, nil
@@ -177,19 +177,19 @@
 
 // HandleDelta is State for the delta variant.
 func (h *ResourceCache) HandleDelta(r *discoveryv3.DeltaDiscoveryResponse) (out []*discoveryv3.DeltaDiscoveryRequest, err error) {
-	kind, known := xds.KindOf(r.GetTypeUrl())
+	kind, known := xds.ParseTypeURL(r.GetTypeUrl())
 	if !known {
 		return nil, fmt.Errorf("a response of type %q, which was not asked for", r.GetTypeUrl())
 	}
-	answer := &discoveryv3.DeltaDiscoveryRequest{TypeUrl: kind.URL(), ResponseNonce: r.GetNonce()}
+	answer := &discoveryv3.DeltaDiscoveryRequest{TypeUrl: kind.TypeURL(), ResponseNonce: r.GetNonce()}
 	bodies, versions := make([]*anypb.Any, 0, len(r.GetResources())), map[string]string{}
 	for _, one := range r.GetResources() {
 		bodies = append(bodies, one.GetResource())
 		versions[one.GetName()] = one.GetVersion()
 	}
-	got, fault := h.check(kind, bodies, versions)
+	got, fault := h.parseResources(kind, bodies, versions)
 	if fault == nil {
-		next := h.with(kind, got)
+		next := h.merge(kind, got)
 		for _, name := range r.GetRemovedResources() {
 			delete(next, name)
 		}
@@ -198,19 +198,19 @@
 		answer.ErrorDetail = &status.Status{Code: int32(codes.InvalidArgument), Message: fault.Error()}
 	}
 	out = append(out, answer)
-	for other := range xds.Kinds {
-		wants := h.wants(other)
-		if !h.asks(other) && h.asked[other] == nil || slices.Equal(wants, h.asked[other]) {
+	for other := range xds.NumResourceTypes {
+		wants := h.wantedNames(other)
+		if !h.canSubscribe(other) && h.subscribed[other] == nil || slices.Equal(wants, h.subscribed[other]) {
 			continue
 		}
-		request := &discoveryv3.DeltaDiscoveryRequest{TypeUrl: other.URL()}
-		first := h.asked[other] == nil
+		request := &discoveryv3.DeltaDiscoveryRequest{TypeUrl: other.TypeURL()}
+		first := h.subscribed[other] == nil
 		for _, name := range wants {
-			if !slices.Contains(h.asked[other], name) {
+			if !slices.Contains(h.subscribed[other], name) {
 				request.ResourceNamesSubscribe = append(request.ResourceNamesSubscribe, name)
 			}
 		}
-		for _, name := range h.asked[other] {
+		for _, name := range h.subscribed[other] {
 			if !slices.Contains(wants, name) {
 				request.ResourceNamesUnsubscribe = append(request.ResourceNamesUnsubscribe, name)
 			}
@@ -218,7 +218,7 @@
 		if first {
 			request.InitialResourceVersions = h.versions(other)
 		}
-		h.asked[other] = wants
+		h.subscribed[other] = wants
 		out = append(out, request)
 	}
 	return out, nil
@@ -226,35 +226,35 @@
 
 // accept takes a kind's resources over. What accepted routes still send to stays, also if it is no longer told: the
 // routes that replace them have not come or were refused.
-func (h *ResourceCache) accept(kind xds.Kind, next map[string]CachedResource) {
-	for name, held := range h.held[kind] {
-		if _, stays := next[name]; !stays && (kind == xds.Clusters || kind == xds.Endpoints) && h.uses(name) {
+func (h *ResourceCache) accept(kind xds.ResourceType, next map[string]CachedResource) {
+	for name, held := range h.accepted[kind] {
+		if _, stays := next[name]; !stays && (kind == xds.Clusters || kind == xds.Endpoints) && h.routesUse(name) {
 			next[name] = held
 		}
 	}
-	h.held[kind], h.table = next, nil
+	h.accepted[kind], h.table = next, nil
 	if kind == xds.Clusters {
-		for name := range h.held[xds.Endpoints] {
+		for name := range h.accepted[xds.Endpoints] {
 			if _, stays := next[name]; !stays {
-				delete(h.held[xds.Endpoints], name)
+				delete(h.accepted[xds.Endpoints], name)
 			}
 		}
 	}
 }
 
-func (h *ResourceCache) uses(cluster string) bool {
+func (h *ResourceCache) routesUse(cluster string) bool {
 	return slices.ContainsFunc(h.Table().Routes, func(r RouteEntry) bool { return r.Cluster == cluster })
 }
 
-// check reads resources. One fault refuses the response; the reason names the resource.
-func (h *ResourceCache) check(kind xds.Kind, bodies []*anypb.Any, versions map[string]string) (map[string]CachedResource, error) {
+// parseResources reads resources. One fault refuses the response; the reason names the resource.
+func (h *ResourceCache) parseResources(kind xds.ResourceType, bodies []*anypb.Any, versions map[string]string) (map[string]CachedResource, error) {
 	got := map[string]CachedResource{}
 	var faults []error
 	for _, body := range bodies {
 		name, fault := "", error(nil)
-		if body.GetTypeUrl() != kind.URL() {
+		if body.GetTypeUrl() != kind.TypeURL() {
 			fault = fmt.Errorf("a resource of type %q among those of %s", body.GetTypeUrl(), kind)
-		} else if name, fault = h.checkOne(kind, body); fault == nil {
+		} else if name, fault = h.validateResource(kind, body); fault == nil {
 			if _, twice := got[name]; twice {
 				fault = errors.New("is there twice")
 			} else if h.ExtraCheck != nil {
@@ -277,71 +277,71 @@
 	return got, errors.Join(faults...)
 }
 
-func read[M proto.Message](body *anypb.Any, into M) (M, error) {
+func unmarshal[M proto.Message](body *anypb.Any, into M) (M, error) {
 	if err := proto.Unmarshal(body.GetValue(), into); err != nil {
 		return into, errors.New("can't be read")
 	}
 	return into, nil
 }
 
-// checkOne reads one resource and tells its name.
-func (h *ResourceCache) checkOne(kind xds.Kind, body *anypb.Any) (string, error) {
+// validateResource reads one resource and tells its name.
+func (h *ResourceCache) validateResource(kind xds.ResourceType, body *anypb.Any) (string, error) {
 	switch kind {
 	case xds.Clusters:
-		m, err := read(body, &clusterv3.Cluster{})
+		m, err := unmarshal(body, &clusterv3.Cluster{})
 		if err == nil && m.GetType() != clusterv3.Cluster_EDS {
 			err = fmt.Errorf("its type is %s, only EDS is known here", m.GetType())
 		}
-		return m.GetName(), named(m.GetName(), err)
+		return m.GetName(), requireName(m.GetName(), err)
 	case xds.Endpoints:
-		m, err := read(body, &endpointv3.ClusterLoadAssignment{})
+		m, err := unmarshal(body, &endpointv3.ClusterLoadAssignment{})
 		if err == nil {
-			_, err = endpointsOf(m)
+			_, err = parseEndpoints(m)
 		}
-		return m.GetClusterName(), named(m.GetClusterName(), err)
+		return m.GetClusterName(), requireName(m.GetClusterName(), err)
 	case xds.Listeners:
-		m, err := read(body, &listenerv3.Listener{})
+		m, err := unmarshal(body, &listenerv3.Listener{})
 		if err == nil {
-			_, err = routesOf(body)
+			_, err = parseRouteConfigName(body)
 		}
-		return m.GetName(), named(m.GetName(), err)
+		return m.GetName(), requireName(m.GetName(), err)
 	}
-	m, err := read(body, &routev3.RouteConfiguration{})
+	m, err := unmarshal(body, &routev3.RouteConfiguration{})
 	if err == nil {
 		var entries []RouteEntry
-		entries, err = h.entriesOf(m)
-		agreed := h.Agreed()
+		entries, err = h.parseRoutes(m)
+		agreed := h.AgreedVersion()
 		for _, e := range entries {
-			if _, held := h.held[xds.Clusters][e.Cluster]; err == nil && e.Cluster != "" && !held {
+			if _, held := h.accepted[xds.Clusters][e.Cluster]; err == nil && e.Cluster != "" && !held {
 				err = fmt.Errorf("route %q sends to cluster %q, which is not held", e.Name, e.Cluster)
 			}
 			// A conductor that lags, or was cut off, must not take a sidecar back to what was in force before.
-			if err == nil && e.Agreed < agreed {
-				err = fmt.Errorf("it is of the agreed version %d, version %d is held", e.Agreed, agreed)
+			if err == nil && e.AgreedVersion < agreed {
+				err = fmt.Errorf("it is of the agreed version %d, version %d is held", e.AgreedVersion, agreed)
 			}
 		}
 	}
-	return m.GetName(), named(m.GetName(), err)
+	return m.GetName(), requireName(m.GetName(), err)
 }
 
-// Agreed is the newest version of the agreed configuration that is held, 0 if none was told.
-func (h *ResourceCache) Agreed() (version uint64) {
+// AgreedVersion is the newest version of the agreed configuration that is held, 0 if none was told.
+func (h *ResourceCache) AgreedVersion() (version uint64) {
 	for _, e := range h.Table().Routes {
-		version = max(version, e.Agreed)
+		version = max(version, e.AgreedVersion)
 	}
 	return version
 }
 
-func named(name string, err error) error {
+func requireName(name string, err error) error {
 	if err == nil && name == "" {
 		return errors.New("it has no name")
 	}
 	return err
 }
 
-// routesOf is the name of the routes that a listener asks for.
-func routesOf(body *anypb.Any) (string, error) {
-	listener, err := read(body, &listenerv3.Listener{})
+// parseRouteConfigName is the name of the routes that a listener asks for.
+func parseRouteConfigName(body *anypb.Any) (string, error) {
+	listener, err := unmarshal(body, &listenerv3.Listener{})
 	if err != nil {
 		return "", err
 	}
@@ -356,8 +356,8 @@
 	return name, nil
 }
 
-// endpointsOf reads a cluster's lines.
-func endpointsOf(m *endpointv3.ClusterLoadAssignment) (lines []WeightedNode, err error) {
+// parseEndpoints reads a cluster's lines.
+func parseEndpoints(m *endpointv3.ClusterLoadAssignment) (lines []WeightedNode, err error) {
 	seen := map[xds.Address]bool{}
 	for _, locality := range m.GetEndpoints() {
 		for _, e := range locality.GetLbEndpoints() {
@@ -370,8 +370,8 @@
 				return nil, fmt.Errorf("endpoint %s:%d is there twice", address.Host, address.Port)
 			case weight != nil && weight.GetValue() == 0:
 				return nil, fmt.Errorf("endpoint %s:%d has the weight 0", address.Host, address.Port)
-			case len(lines) >= endpointsMost:
-				return nil, fmt.Errorf("over %d endpoints", endpointsMost)
+			case len(lines) >= maxEndpointsPerCluster:
+				return nil, fmt.Errorf("over %d endpoints", maxEndpointsPerCluster)
 			}
 			seen[address] = true
 			line := WeightedNode{Node: e.GetEndpoint().GetHostname(), Address: address, Zone: locality.GetLocality().GetZone(), Weight: 1}
@@ -384,8 +384,8 @@
 	return lines, nil
 }
 
-// entriesOf reads a table of routes. It refuses what would let a call of a mutating route run twice.
-func (h *ResourceCache) entriesOf(m *routev3.RouteConfiguration) (entries []RouteEntry, err error) {
+// parseRoutes reads a table of routes. It refuses what would let a call of a mutating route run twice.
+func (h *ResourceCache) parseRoutes(m *routev3.RouteConfiguration) (entries []RouteEntry, err error) {
 	routes := map[string]bool{}
 	for _, host := range m.GetVirtualHosts() {
 		for _, r := range host.GetRoutes() {
@@ -399,8 +399,8 @@
 			about := r.GetMetadata().GetFilterMetadata()[xds.MetadataKey].GetFields()
 			e := RouteEntry{Name: r.GetName(), Prefix: r.GetMatch().GetPrefix(), Fraction: 1}
 			// A route of which nothing is said is taken for mutating: to repeat it would be the larger harm.
-			e.Mutating = about["mutating"] == nil || about["mutating"].GetBoolValue() || h.Mutating[e.Name]
-			e.Agreed = uint64(about[xds.AgreedKey].GetNumberValue())
+			e.Mutating = about["mutating"] == nil || about["mutating"].GetBoolValue() || h.MutatingRoutes[e.Name]
+			e.AgreedVersion = uint64(about[xds.AgreedKey].GetNumberValue())
 			if !strings.HasPrefix(e.Prefix, "/") {
 				return nil, fmt.Errorf("route %q has no prefix of a path", e.Name)
 			}
@@ -420,7 +420,7 @@
 				if e.Cluster == "" {
 					return nil, fmt.Errorf("route %q sends to no cluster", e.Name)
 				}
-				if err := e.retries(action.Route.GetRetryPolicy()); err != nil {
+				if err := e.setRetries(action.Route.GetRetryPolicy()); err != nil {
 					return nil, err
 				}
 			default:
@@ -435,7 +435,7 @@
 	return entries, nil
 }
 
-func (e *RouteEntry) retries(p *routev3.RetryPolicy) error {
+func (e *RouteEntry) setRetries(p *routev3.RetryPolicy) error {
 	if p == nil || p.GetRetryOn() == "" {
 		return nil
 	}
@@ -443,8 +443,8 @@
 	if p.GetNumRetries() != nil {
 		e.MaxRetries = int(p.GetNumRetries().GetValue())
 	}
-	if e.MaxRetries > retriesMost {
-		return fmt.Errorf("route %q would be tried %d more times, %d at most", e.Name, e.MaxRetries, retriesMost)
+	if e.MaxRetries > maxRouteRetries {
+		return fmt.Errorf("route %q would be tried %d more times, %d at most", e.Name, e.MaxRetries, maxRouteRetries)
 	}
 	for _, on := range strings.Split(p.GetRetryOn(), ",") {
 		if on = strings.TrimSpace(on); !strings.Contains(","+xds.RetryIfNotSent+",", ","+on+",") {
--- a/sidecar/resource_cache_test.go
+++ b/sidecar/resource_cache_test.go
@@ -41,8 +41,8 @@
 
 // fill has a holder accept a snapshot; it gives the first refusal.
 func fill(h *ResourceCache, s *xds.Snapshot) string {
-	for kind := range xds.Kinds {
-		r := &discoveryv3.DeltaDiscoveryResponse{TypeUrl: kind.URL(), Nonce: "n"}
+	for kind := range xds.NumResourceTypes {
+		r := &discoveryv3.DeltaDiscoveryResponse{TypeUrl: kind.TypeURL(), Nonce: "n"}
 		for _, one := range s.Sets[kind] {
 			r.Resources = append(r.Resources, &discoveryv3.Resource{Name: one.Name, Version: one.Version, Resource: one.Body})
 		}
@@ -142,7 +142,7 @@
 	}
 	for entries, want := range map[int]string{xds.EntriesPerRoute * xds.MaxRoutes: "", len(host.Routes): "over 2048 entries"} {
 		table := &routev3.RouteConfiguration{VirtualHosts: []*routev3.VirtualHost{{Routes: host.Routes[:entries]}}}
-		if _, err := (&ResourceCache{}).entriesOf(table); want == "" && err != nil || want != "" && (err == nil || !strings.Contains(err.Error(), want)) {
+		if _, err := (&ResourceCache{}).parseRoutes(table); want == "" && err != nil || want != "" && (err == nil || !strings.Contains(err.Error(), want)) {
 			t.Errorf("%d entries: %v, want %q", entries, err, want)
 		}
 	}
@@ -173,7 +173,7 @@
 		return &m
 	}
 	for name, c := range map[string]struct {
-		kind xds.Kind
+		kind xds.ResourceType
 		m    proto.Message
 		want string
 	}{
@@ -198,8 +198,8 @@
 			h := filled(t, 1)
 			before := h.Table().Versions
 			body, _ := proto.Marshal(c.m)
-			out, err := h.HandleDelta(&discoveryv3.DeltaDiscoveryResponse{TypeUrl: c.kind.URL(), Nonce: "m", Resources: []*discoveryv3.Resource{
-				{Name: "x", Version: "v", Resource: &anypb.Any{TypeUrl: c.kind.URL(), Value: body}}}})
+			out, err := h.HandleDelta(&discoveryv3.DeltaDiscoveryResponse{TypeUrl: c.kind.TypeURL(), Nonce: "m", Resources: []*discoveryv3.Resource{
+				{Name: "x", Version: "v", Resource: &anypb.Any{TypeUrl: c.kind.TypeURL(), Value: body}}}})
 			if err != nil || !strings.Contains(out[0].GetErrorDetail().GetMessage(), c.want) {
 				t.Errorf("%v, %q; want %q", err, out[0].GetErrorDetail().GetMessage(), c.want)
 			}
@@ -291,7 +291,7 @@
 	}
 	var said []string
 	for _, r := range back.BeginDelta() {
-		kind, _ := xds.KindOf(r.GetTypeUrl())
+		kind, _ := xds.ParseTypeURL(r.GetTypeUrl())
 		said = append(said, fmt.Sprintf("%s %d%v", kind, len(r.GetInitialResourceVersions()), r.GetResourceNamesSubscribe()))
 	}
 	want := []string{"cluster 1[]", "endpoints 1[pool-0]", "listener 1[calls]", "routes 1[calls]"}
--- a/sidecar/routing_table.go
+++ b/sidecar/routing_table.go
@@ -21,21 +21,21 @@
 
 // RouteEntry is a route, or the part of it that is turned away.
 type RouteEntry struct {
-	Name, Prefix string
-	Fraction     float64 // that this entry takes of the calls that come to it
-	Status       int     // answered at once with that, 0: sent on
-	Cluster      string
-	TimeLimit    time.Duration
-	MaxRetries   int // further ones, each only after proof that none before ran
-	Mutating     bool
-	Agreed       uint64 // the version of the agreed configuration that it is of, 0: not told
+	Name, Prefix  string
+	Fraction      float64 // that this entry takes of the calls that come to it
+	Status        int     // answered at once with that, 0: sent on
+	Cluster       string
+	TimeLimit     time.Duration
+	MaxRetries    int // further ones, each only after proof that none before ran
+	Mutating      bool
+	AgreedVersion uint64 // the version of the agreed configuration that it is of, 0: not told
 }
 
 // RoutingTable is what accepted versions say of calls. It is never changed once it is made.
 type RoutingTable struct {
 	Routes   []RouteEntry
 	Clusters map[string][]WeightedNode
-	Versions [xds.Kinds]map[string]string
+	Versions [xds.NumResourceTypes]map[string]string
 }
 
 // Table gives what is accepted now.
@@ -44,17 +44,17 @@
 		return h.table
 	}
 	t := &RoutingTable{Clusters: map[string][]WeightedNode{}}
-	for kind := range xds.Kinds {
+	for kind := range xds.NumResourceTypes {
 		t.Versions[kind] = h.versions(kind)
 	}
-	for name, held := range h.held[xds.Endpoints] {
-		if m, err := read(held.Body, &endpointv3.ClusterLoadAssignment{}); err == nil {
-			t.Clusters[name], _ = endpointsOf(m)
+	for name, held := range h.accepted[xds.Endpoints] {
+		if m, err := unmarshal(held.Body, &endpointv3.ClusterLoadAssignment{}); err == nil {
+			t.Clusters[name], _ = parseEndpoints(m)
 		}
 	}
-	for _, held := range h.held[xds.Routes] {
-		if m, err := read(held.Body, &routev3.RouteConfiguration{}); err == nil {
-			entries, _ := h.entriesOf(m)
+	for _, held := range h.accepted[xds.Routes] {
+		if m, err := unmarshal(held.Body, &routev3.RouteConfiguration{}); err == nil {
+			entries, _ := h.parseRoutes(m)
 			t.Routes = append(t.Routes, entries...)
 		}
 	}
--- a/sidecar/shutdown_test.go
+++ b/sidecar/shutdown_test.go
@@ -63,7 +63,7 @@
 			}
 		}
 		p := &Proxy{Listener: held{l, before}, Table: func() *RoutingTable { return table }, ConnectTimeout: time.Second, MaxConnections: 4, Seed: 1,
-			Log: zap.NewNop(), Report: NewReport(time.Now())}
+			Log: zap.NewNop(), Load: NewLoadRecorder(time.Now())}
 		ended := make(chan struct{})
 		go func() { defer close(ended); p.Run(ctx) }()
 		conn, err := net.Dial("tcp", l.Addr().String())
--- a/sidecar/store.go
+++ b/sidecar/store.go
@@ -16,8 +16,8 @@
 	"harehook.dev/harehook/xds"
 )
 
-// storeMagic begins a file of held versions; the digit is the format's.
-const storeMagic = "harehook held 1\n"
+// storeHeader begins a file of held versions; the digit is the format's.
+const storeHeader = "harehook held 1\n"
 
 // Store keeps what a sidecar accepted in one file. A write goes to a file beside it that is synced before it takes the
 // old one's place, so that a crash leaves the old or the new one whole.
@@ -30,13 +30,13 @@
 // Save writes what a holder holds.
 func (s *Store) Save(h *ResourceCache) error {
 	var all discoveryv3.DeltaDiscoveryResponse
-	for kind := range xds.Kinds {
-		for name, held := range h.held[kind] {
+	for kind := range xds.NumResourceTypes {
+		for name, held := range h.accepted[kind] {
 			all.Resources = append(all.Resources, &discoveryv3.Resource{Name: name, Version: held.Version, Resource: held.Body})
 		}
-		if h.set[kind] != "" {
+		if h.setVersions[kind] != "" {
 			// The version of a whole kind, by the kind's name.
-			all.Resources = append(all.Resources, &discoveryv3.Resource{Name: kind.URL(), Version: h.set[kind]})
+			all.Resources = append(all.Resources, &discoveryv3.Resource{Name: kind.TypeURL(), Version: h.setVersions[kind]})
 		}
 	}
 	body, err := proto.MarshalOptions{Deterministic: true}.Marshal(&all)
@@ -44,7 +44,7 @@
 		return err
 	}
 	sum := sha256.Sum256(body)
-	text := append([]byte(storeMagic), binary.LittleEndian.AppendUint64(nil, uint64(len(body)))...)
+	text := append([]byte(storeHeader), binary.LittleEndian.AppendUint64(nil, uint64(len(body)))...)
 	text = append(append(text, sum[:]...), body...)
 	return s.write(text)
 }
@@ -103,11 +103,11 @@
 	} else if err != nil {
 		return err
 	}
-	head := len(storeMagic) + 8 + sha256.Size
-	if !bytes.HasPrefix(text, []byte(storeMagic)) {
+	head := len(storeHeader) + 8 + sha256.Size
+	if !bytes.HasPrefix(text, []byte(storeHeader)) {
 		return fmt.Errorf("%s: not a file of held versions, or of another format", s.Path)
 	}
-	if len(text) < head || binary.LittleEndian.Uint64(text[len(storeMagic):]) != uint64(len(text)-head) {
+	if len(text) < head || binary.LittleEndian.Uint64(text[len(storeHeader):]) != uint64(len(text)-head) {
 		return fmt.Errorf("%s: cut short", s.Path)
 	}
 	body := text[head:]
@@ -118,15 +118,15 @@
 	if err := proto.Unmarshal(body, &all); err != nil {
 		return fmt.Errorf("%s: %w", s.Path, err)
 	}
-	var bodies [xds.Kinds][]*anypb.Any
-	var versions [xds.Kinds]map[string]string
-	var sets [xds.Kinds]string
+	var bodies [xds.NumResourceTypes][]*anypb.Any
+	var versions [xds.NumResourceTypes]map[string]string
+	var sets [xds.NumResourceTypes]string
 	for _, r := range all.GetResources() {
-		if kind, whole := xds.KindOf(r.GetName()); whole && r.GetResource() == nil {
+		if kind, whole := xds.ParseTypeURL(r.GetName()); whole && r.GetResource() == nil {
 			sets[kind] = r.GetVersion()
 			continue
 		}
-		kind, known := xds.KindOf(r.GetResource().GetTypeUrl())
+		kind, known := xds.ParseTypeURL(r.GetResource().GetTypeUrl())
 		if !known {
 			return fmt.Errorf("%s: a resource of type %q", s.Path, r.GetResource().GetTypeUrl())
 		}
@@ -136,13 +136,13 @@
 		bodies[kind] = append(bodies[kind], r.GetResource())
 		versions[kind][r.GetName()] = r.GetVersion()
 	}
-	for kind := range xds.Kinds {
-		held, fault := h.check(kind, bodies[kind], versions[kind])
+	for kind := range xds.NumResourceTypes {
+		held, fault := h.parseResources(kind, bodies[kind], versions[kind])
 		if fault != nil {
 			h.Clear()
 			return fmt.Errorf("%s: %w", s.Path, fault)
 		}
-		h.held[kind], h.set[kind] = held, sets[kind]
+		h.accepted[kind], h.setVersions[kind] = held, sets[kind]
 	}
 	h.table = nil
 	return nil
--- a/simulation/experiment.go
+++ b/simulation/experiment.go
@@ -60,17 +60,17 @@
 	var faults kdl.Faults
 	e := &Experiment{Seeds: 10, Base: Setup{Members: 3, Ticks: 3000, Calm: 600, Timing: cluster.Timing{ElectionTicks: 20, HeartbeatTicks: 4, CompactAfterEntries: 100},
 		MaxDelay: 4, ProposeEvery: 30, Sidecars: 6}}
-	if len(nodes) != 1 || nodes[0].Name != "experiment" || len(nodes[0].Args) != 1 {
+	if len(nodes) != 1 || nodes[0].Name != "experiment" || len(nodes[0].Arguments) != 1 {
 		faults.Add(1, "the document is one \"experiment\" with a name")
 		return nil, faults.Err()
 	}
-	e.Name = fmt.Sprint(nodes[0].Args[0].V)
+	e.Name = fmt.Sprint(nodes[0].Arguments[0].Data)
 	for _, n := range nodes[0].Children {
 		var values []float64
-		for _, a := range n.Args {
-			v, ok := a.V.(float64)
+		for _, a := range n.Arguments {
+			v, ok := a.Data.(float64)
 			if !ok || v < 0 || v > 1e6 {
-				faults.Add(a.Line, "%q takes numbers from 0 to 1000000, not %v", n.Name, a.V)
+				faults.Add(a.Line, "%q takes numbers from 0 to 1000000, not %v", n.Name, a.Data)
 			}
 			values = append(values, v)
 		}
--- a/simulation/followers/node.go
+++ b/simulation/followers/node.go
@@ -155,7 +155,7 @@
 
 // tick renews the lease and notices a member that is not heard any more.
 func (n *node) tick(process int) {
-	n.world.clock.after(n.machine.RenewEvery(), func() {
+	n.world.clock.after(n.machine.RenewInterval(), func() {
 		if n.process != process {
 			return
 		}
--- a/xds/compiler.go
+++ b/xds/compiler.go
@@ -46,11 +46,11 @@
 	// turns the rest away.
 	EntriesPerRoute = 2
 
-	clusterPrefix = "pool-"
-	weightWhole   = 100000  // a table's weights sum to that: integers, a line is told to a thousandth of a hundredth
-	levelWhole    = 1000000 // levels are told in millionths
-	statusShut    = 503
-	priorHosts    = "envoy.retry_host_predicates.previous_hosts"
+	clusterPrefix          = "pool-"
+	totalWeight            = 100000  // a table's weights sum to that: integers, a line is told to a thousandth of a hundredth
+	fractionDenominator    = 1000000 // levels are told in millionths
+	rejectedStatus         = 503
+	previousHostsPredicate = "envoy.retry_host_predicates.previous_hosts"
 )
 
 // Route is a kind of call as other installations configure it.
@@ -64,50 +64,50 @@
 
 // Compiler holds what the module ordered, as tables, and turns it into resources.
 type Compiler struct {
-	routes    []Route
-	agreed    uint64 // the version of the configuration that the routes are of, 0: none was agreed
-	connect   time.Duration
-	addresses map[string]Address
-	nodes     map[Address]string
-	zones     map[string]string
-	tables    map[int]*table
-	levels    map[string]level // by route, of all tables
-	snapshots map[int]*Snapshot
+	routes         []Route
+	agreedVersion  uint64 // the version of the configuration that the routes are of, 0: none was agreed
+	connectTimeout time.Duration
+	addresses      map[string]Address
+	nodesByAddress map[Address]string
+	zones          map[string]string
+	tables         map[int]*routingTable
+	admission      map[string]admissionLevel // by route, of all tables
+	snapshots      map[int]*Snapshot
 }
 
-type table struct {
-	lines  map[string]float64
-	levels map[string]level
+type routingTable struct {
+	weights   map[string]float64
+	admission map[string]admissionLevel
 }
 
-type level struct {
-	part  float64
-	tries planner.RetryPolicy
+type admissionLevel struct {
+	fraction float64
+	retry    planner.RetryPolicy
 }
 
 // NewCompiler makes one for some routes.
 func NewCompiler(routes []Route, connect time.Duration) *Compiler {
-	return &Compiler{routes: routes, connect: connect, addresses: map[string]Address{}, nodes: map[Address]string{},
+	return &Compiler{routes: routes, connectTimeout: connect, addresses: map[string]Address{}, nodesByAddress: map[Address]string{},
 		zones:  map[string]string{},
-		tables: map[int]*table{}, levels: map[string]level{}, snapshots: map[int]*Snapshot{}}
+		tables: map[int]*routingTable{}, admission: map[string]admissionLevel{}, snapshots: map[int]*Snapshot{}}
 }
 
 // SetAgreedRoutes has the routes of an agreed version count; all tables may change by it.
 func (c *Compiler) SetAgreedRoutes(version uint64, routes []Route) {
-	c.routes, c.agreed = routes, version
+	c.routes, c.agreedVersion = routes, version
 }
 
 // SetAddress says where a node takes calls; tables change with the next Take.
 func (c *Compiler) SetAddress(node, zone string, address Address) {
-	if was, known := c.addresses[node]; known && c.nodes[was] == node {
-		delete(c.nodes, was)
+	if was, known := c.addresses[node]; known && c.nodesByAddress[was] == node {
+		delete(c.nodesByAddress, was)
 	}
-	c.addresses[node], c.zones[node], c.nodes[address] = address, zone, node
+	c.addresses[node], c.zones[node], c.nodesByAddress[address] = address, zone, node
 }
 
 // NodeAt finds the node at an address.
 func (c *Compiler) NodeAt(address Address) (node string, ok bool) {
-	node, ok = c.nodes[address]
+	node, ok = c.nodesByAddress[address]
 	return node, ok
 }
 
@@ -118,21 +118,21 @@
 		switch o.Kind {
 		case controller.SetWeight:
 			t := c.table(o.Table)
-			if t.lines[o.Node] = o.Value; o.Value <= 0 {
-				delete(t.lines, o.Node)
+			if t.weights[o.Node] = o.Value; o.Value <= 0 {
+				delete(t.weights, o.Node)
 			}
 			touched[o.Table] = true
 		case controller.SetAdmission:
-			into := c.levels
+			into := c.admission
 			if o.Table != planner.AllTables {
-				into = c.table(o.Table).levels
+				into = c.table(o.Table).admission
 				touched[o.Table] = true
 			} else {
 				for t := range c.tables {
 					touched[t] = true
 				}
 			}
-			into[o.Route] = level{o.Value, o.Retry}
+			into[o.Route] = admissionLevel{o.Value, o.Retry}
 		case controller.BindProxy:
 			c.table(o.Table)
 		}
@@ -140,10 +140,10 @@
 	return touched
 }
 
-func (c *Compiler) table(number int) *table {
+func (c *Compiler) table(number int) *routingTable {
 	t := c.tables[number]
 	if t == nil {
-		t = &table{lines: map[string]float64{}, levels: map[string]level{}}
+		t = &routingTable{weights: map[string]float64{}, admission: map[string]admissionLevel{}}
 		c.tables[number] = t
 	}
 	return t
@@ -152,37 +152,37 @@
 // Snapshot makes what sidecars on a table are to hold: the same as the last one if that has not changed.
 func (c *Compiler) Snapshot(number int) (*Snapshot, error) {
 	t, cluster := c.table(number), fmt.Sprint(clusterPrefix, number)
-	var sets [Kinds]Set
-	for kind, make := range []func(*table, string) (proto.Message, string, []string){
-		c.cluster, c.endpoints, c.listener, c.routeTable} {
+	var sets [NumResourceTypes]ResourceSet
+	for kind, make := range []func(*routingTable, string) (proto.Message, string, []string){
+		c.clusterResource, c.endpointsResource, c.listenerResource, c.routesResource} {
 		m, name, uses := make(t, cluster)
-		r, err := NewResource(Kind(kind), name, m, uses...)
+		r, err := NewResource(ResourceType(kind), name, m, uses...)
 		if err != nil {
 			return nil, err
 		}
-		sets[kind] = Set{name: r}
+		sets[kind] = ResourceSet{name: r}
 	}
 	c.snapshots[number] = c.snapshots[number].next(sets)
 	return c.snapshots[number], nil
 }
 
-func ads() *corev3.ConfigSource {
+func adsConfigSource() *corev3.ConfigSource {
 	return &corev3.ConfigSource{ResourceApiVersion: corev3.ApiVersion_V3,
 		ConfigSourceSpecifier: &corev3.ConfigSource_Ads{Ads: &corev3.AggregatedConfigSource{}}}
 }
 
-func (c *Compiler) cluster(_ *table, name string) (proto.Message, string, []string) {
-	return &clusterv3.Cluster{Name: name, ConnectTimeout: durationpb.New(c.connect),
+func (c *Compiler) clusterResource(_ *routingTable, name string) (proto.Message, string, []string) {
+	return &clusterv3.Cluster{Name: name, ConnectTimeout: durationpb.New(c.connectTimeout),
 		ClusterDiscoveryType: &clusterv3.Cluster_Type{Type: clusterv3.Cluster_EDS},
-		EdsClusterConfig:     &clusterv3.Cluster_EdsClusterConfig{EdsConfig: ads()},
+		EdsClusterConfig:     &clusterv3.Cluster_EdsClusterConfig{EdsConfig: adsConfigSource()},
 		LrsServer:            &corev3.ConfigSource{ConfigSourceSpecifier: &corev3.ConfigSource_Self{Self: &corev3.SelfConfigSource{}}},
 	}, name, nil
 }
 
-// endpoints are a table's lines by zone, with whole weights beside each other.
-func (c *Compiler) endpoints(t *table, name string) (proto.Message, string, []string) {
+// endpointsResource are a table's lines by zone, with whole weights beside each other.
+func (c *Compiler) endpointsResource(t *routingTable, name string) (proto.Message, string, []string) {
 	whole, byZone := 0.0, map[string][]string{}
-	for node, weight := range t.lines {
+	for node, weight := range t.weights {
 		if _, placed := c.addresses[node]; placed {
 			whole += weight
 			byZone[c.zones[node]] = append(byZone[c.zones[node]], node)
@@ -194,7 +194,7 @@
 		slices.Sort(nodes)
 		var lines []*endpointv3.LbEndpoint
 		for _, node := range nodes {
-			weight := max(1, uint32(math.Round(t.lines[node]/whole*weightWhole)))
+			weight := max(1, uint32(math.Round(t.weights[node]/whole*totalWeight)))
 			sum += weight
 			lines = append(lines, &endpointv3.LbEndpoint{
 				HostIdentifier: &endpointv3.LbEndpoint_Endpoint{Endpoint: &endpointv3.Endpoint{
@@ -208,76 +208,76 @@
 	return out, name, nil
 }
 
-func (c *Compiler) listener(*table, string) (proto.Message, string, []string) {
+func (c *Compiler) listenerResource(*routingTable, string) (proto.Message, string, []string) {
 	router, _ := anypb.New(&routerv3.Router{})
 	manager, _ := anypb.New(&hcmv3.HttpConnectionManager{StatPrefix: ListenerName,
-		RouteSpecifier: &hcmv3.HttpConnectionManager_Rds{Rds: &hcmv3.Rds{ConfigSource: ads(), RouteConfigName: RoutesName}},
+		RouteSpecifier: &hcmv3.HttpConnectionManager_Rds{Rds: &hcmv3.Rds{ConfigSource: adsConfigSource(), RouteConfigName: RoutesName}},
 		HttpFilters: []*hcmv3.HttpFilter{{Name: "envoy.filters.http.router",
 			ConfigType: &hcmv3.HttpFilter_TypedConfig{TypedConfig: router}}}})
 	return &listenerv3.Listener{Name: ListenerName, ApiListener: &listenerv3.ApiListener{ApiListener: manager}},
 		ListenerName, nil
 }
 
-// routeTable has, for each route, one entry for the part that is let in and, if that is not all, one that turns the
+// routesResource has, for each route, one entry for the part that is let in and, if that is not all, one that turns the
 // rest away at once.
-func (c *Compiler) routeTable(t *table, cluster string) (proto.Message, string, []string) {
+func (c *Compiler) routesResource(t *routingTable, cluster string) (proto.Message, string, []string) {
 	host := &routev3.VirtualHost{Name: "all", Domains: []string{"*"}}
 	for _, route := range c.routes {
-		lv := c.level(t, route.Name)
+		lv := c.admissionLevel(t, route.Name)
 		if route.MaxAdmitted > 0 {
-			lv.part = min(lv.part, route.MaxAdmitted)
+			lv.fraction = min(lv.fraction, route.MaxAdmitted)
 		}
 		fields := map[string]any{"route": route.Name, "mutating": route.Mutating}
-		if c.agreed > 0 {
-			fields[AgreedKey] = float64(c.agreed)
+		if c.agreedVersion > 0 {
+			fields[AgreedKey] = float64(c.agreedVersion)
 		}
 		about, _ := structpb.NewStruct(fields)
 		metadata := &corev3.Metadata{FilterMetadata: map[string]*structpb.Struct{MetadataKey: about}}
 		match := func() *routev3.RouteMatch {
 			return &routev3.RouteMatch{PathSpecifier: &routev3.RouteMatch_Prefix{Prefix: route.Prefix}}
 		}
-		if lv.part > 0 {
+		if lv.fraction > 0 {
 			entry := &routev3.Route{Name: route.Name, Match: match(), Metadata: metadata,
 				Action: &routev3.Route_Route{Route: &routev3.RouteAction{
 					ClusterSpecifier: &routev3.RouteAction_Cluster{Cluster: cluster},
-					Timeout:          durationpb.New(route.TimeLimit), RetryPolicy: retries(lv.tries)}}}
-			if lv.part < 1 {
+					Timeout:          durationpb.New(route.TimeLimit), RetryPolicy: retryPolicy(lv.retry)}}}
+			if lv.fraction < 1 {
 				entry.Match.RuntimeFraction = &corev3.RuntimeFractionalPercent{DefaultValue: &typev3.FractionalPercent{
-					Numerator: uint32(math.Round(lv.part * levelWhole)), Denominator: typev3.FractionalPercent_MILLION}}
+					Numerator: uint32(math.Round(lv.fraction * fractionDenominator)), Denominator: typev3.FractionalPercent_MILLION}}
 			}
 			host.Routes = append(host.Routes, entry)
 		}
-		if lv.part < 1 {
+		if lv.fraction < 1 {
 			host.Routes = append(host.Routes, &routev3.Route{Name: route.Name, Match: match(), Metadata: metadata,
 				ResponseHeadersToAdd: []*corev3.HeaderValueOption{{Header: &corev3.HeaderValue{Key: ThrottledHeader, Value: route.Name}}},
-				Action:               &routev3.Route_DirectResponse{DirectResponse: &routev3.DirectResponseAction{Status: statusShut}}})
+				Action:               &routev3.Route_DirectResponse{DirectResponse: &routev3.DirectResponseAction{Status: rejectedStatus}}})
 		}
 	}
 	return &routev3.RouteConfiguration{Name: RoutesName, VirtualHosts: []*routev3.VirtualHost{host}}, RoutesName,
 		[]string{cluster}
 }
 
-// level is what a table's own and the common level leave: the lower part, and the table's tries where both are set.
-func (c *Compiler) level(t *table, route string) level {
-	all, common := c.levels[route]
-	own, set := t.levels[route]
+// admissionLevel is what a table's own and the common level leave: the lower part, and the table's tries where both are set.
+func (c *Compiler) admissionLevel(t *routingTable, route string) admissionLevel {
+	all, common := c.admission[route]
+	own, set := t.admission[route]
 	switch {
 	case common && set:
-		return level{min(all.part, own.part), own.tries}
+		return admissionLevel{min(all.fraction, own.fraction), own.retry}
 	case common:
 		return all
 	case set:
 		return own
 	}
-	return level{part: 1, tries: planner.NoRetry}
+	return admissionLevel{fraction: 1, retry: planner.NoRetry}
 }
 
-// retries are the further tries. Only those after proof that the first never ran exist: they are safe on every
+// retryPolicy are the further tries. Only those after proof that the first never ran exist: they are safe on every
 // route, and a mutating one can get no other by construction.
-func retries(tries planner.RetryPolicy) *routev3.RetryPolicy {
+func retryPolicy(tries planner.RetryPolicy) *routev3.RetryPolicy {
 	if tries != planner.RetryIfNotSent {
 		return nil
 	}
 	return &routev3.RetryPolicy{RetryOn: RetryIfNotSent, NumRetries: wrapperspb.UInt32(1),
-		RetryHostPredicate: []*routev3.RetryPolicy_RetryHostPredicate{{Name: priorHosts}}}
+		RetryHostPredicate: []*routev3.RetryPolicy_RetryHostPredicate{{Name: previousHostsPredicate}}}
 }
--- a/xds/equivalence_test.go
+++ b/xds/equivalence_test.go
@@ -84,11 +84,11 @@
 		}
 	})
 }
-func (w *twin) CloseStream(uint64, string)        {}
-func (w *twin) Joined(int, string)                {}
-func (w *twin) Left(int)                          {}
-func (w *twin) Rejected(string, xds.Kind, string) {}
-func (w *twin) Acknowledged(proxy, mark int)      { w.module.Acknowledged(w.now, proxy, mark) }
+func (w *twin) CloseStream(uint64, string)                {}
+func (w *twin) Joined(int, string)                        {}
+func (w *twin) Left(int)                                  {}
+func (w *twin) Rejected(string, xds.ResourceType, string) {}
+func (w *twin) Acknowledged(proxy, mark int)              { w.module.Acknowledged(w.now, proxy, mark) }
 
 // carry hands a turn's orders on, both ways, until nothing is under way.
 func (w *twin) carry() {
@@ -212,7 +212,7 @@
 					w.server.HandleDelta(0, stream, r)
 				}
 			} else {
-				for _, r := range h.BeginState() {
+				for _, r := range h.BeginStateOfTheWorld() {
 					w.server.HandleStateOfTheWorld(0, stream, r)
 				}
 			}
--- a/xds/random_faults_test.go
+++ b/xds/random_faults_test.go
@@ -60,7 +60,7 @@
 		h := &holder{number: k, sent: map[string]bool{}, refused: map[string]bool{}}
 		h.ResourceCache = &sidecar.ResourceCache{ID: fmt.Sprint("till-", k), Zone: "north", Delta: k%2 == 0}
 		// Each sidecar turns down some contents, always the same ones.
-		h.ExtraCheck = func(kind xds.Kind, name string, body *anypb.Any) error {
+		h.ExtraCheck = func(kind xds.ResourceType, name string, body *anypb.Any) error {
 			sum := fnv.New32a()
 			sum.Write(body.GetValue())
 			fmt.Fprint(sum, h.number)
@@ -69,13 +69,13 @@
 			}
 			return nil
 		}
-		h.OnReject = func(r sidecar.RejectedResource) { h.refused[key(r.Kind, r.Name, r.Version)] = true }
+		h.OnReject = func(r sidecar.RejectedResource) { h.refused[key(r.Type, r.Name, r.Version)] = true }
 		w.holders = append(w.holders, h)
 	}
 	return w
 }
 
-func key(kind xds.Kind, name, version string) string {
+func key(kind xds.ResourceType, name, version string) string {
 	return fmt.Sprint(kind, " ", name, " ", version)
 }
 
@@ -114,7 +114,7 @@
 func (w *world) Send(id uint64, r *discoveryv3.DiscoveryResponse) {
 	if s := w.streams[id]; s != nil {
 		s.down = append(s.down, r)
-		kind, _ := xds.KindOf(r.GetTypeUrl())
+		kind, _ := xds.ParseTypeURL(r.GetTypeUrl())
 		for _, body := range r.GetResources() {
 			m, _ := body.UnmarshalNew()
 			name := nameOf(m)
@@ -137,7 +137,7 @@
 func (w *world) SendDelta(id uint64, r *discoveryv3.DeltaDiscoveryResponse) {
 	if s := w.streams[id]; s != nil {
 		s.down = append(s.down, r)
-		kind, _ := xds.KindOf(r.GetTypeUrl())
+		kind, _ := xds.ParseTypeURL(r.GetTypeUrl())
 		for _, one := range r.GetResources() {
 			s.holder.sent[key(kind, one.GetName(), one.GetVersion())] = true
 		}
@@ -184,7 +184,7 @@
 	return false
 }
 
-func (w *world) Rejected(string, xds.Kind, string) {}
+func (w *world) Rejected(string, xds.ResourceType, string) {}
 
 func (w *world) fault(format string, args ...any) {
 	w.faults = append(w.faults, fmt.Sprintf("%.2f: ", w.now)+fmt.Sprintf(format, args...))
@@ -200,7 +200,7 @@
 			s.up = append(s.up, r)
 		}
 	} else {
-		for _, r := range h.BeginState() {
+		for _, r := range h.BeginStateOfTheWorld() {
 			s.up = append(s.up, r)
 		}
 	}
@@ -319,7 +319,7 @@
 	table := h.Table()
 	for kind, versions := range table.Versions {
 		for name, version := range versions {
-			k := key(xds.Kind(kind), name, version)
+			k := key(xds.ResourceType(kind), name, version)
 			if h.refused[k] {
 				w.fault("%s routes by %s, which it refused", h.ID, k)
 			}
@@ -361,9 +361,9 @@
 		case 9:
 			if s := h.stream; s != nil && w.chance.IntN(20) == 0 { // an answer that no one waits for
 				nonce := fmt.Sprint(w.chance.IntN(50), "-", w.chance.IntN(4), "-", w.chance.IntN(50))
-				kind := xds.Kind(w.chance.IntN(int(xds.Kinds)))
+				kind := xds.ResourceType(w.chance.IntN(int(xds.NumResourceTypes)))
 				if h.Delta {
-					s.up = append(s.up, &discoveryv3.DeltaDiscoveryRequest{TypeUrl: kind.URL(), ResponseNonce: nonce})
+					s.up = append(s.up, &discoveryv3.DeltaDiscoveryRequest{TypeUrl: kind.TypeURL(), ResponseNonce: nonce})
 				}
 			}
 		default:
@@ -413,8 +413,8 @@
 		}
 		for _, c := range w.server.Sidecars(w.now) {
 			for _, s := range c.Resources {
-				if s.Accepted != s.Target && s.Rejection == nil && s.Kind != xds.Routes && s.Kind != xds.Listeners && s.Target != "" && !w.blocked(c) {
-					w.fault("%s holds %s of %s %s, not %s", c.ID, s.Accepted, s.Kind, s.Name, s.Target)
+				if s.Accepted != s.Target && s.Rejection == nil && s.Type != xds.Routes && s.Type != xds.Listeners && s.Target != "" && !w.blocked(c) {
+					w.fault("%s holds %s of %s %s, not %s", c.ID, s.Accepted, s.Type, s.Name, s.Target)
 				}
 			}
 		}
@@ -428,7 +428,7 @@
 }
 
 // blocked tells whether a sidecar refused something that others wait for.
-func (w *world) blocked(c xds.Sidecar) bool {
+func (w *world) blocked(c xds.SidecarStatus) bool {
 	for _, s := range c.Resources {
 		if s.Rejection != nil {
 			return true
@@ -442,7 +442,7 @@
 	w := newWorld(t, 1, 4)
 	for _, h := range w.holders {
 		refuse := h.ExtraCheck
-		h.ExtraCheck = func(kind xds.Kind, name string, body *anypb.Any) error {
+		h.ExtraCheck = func(kind xds.ResourceType, name string, body *anypb.Any) error {
 			if err := refuse(kind, name, body); err != nil && kind == xds.Endpoints {
 				m, _ := body.UnmarshalNew()
 				r, _ := xds.NewResource(kind, name, m)
--- a/xds/resource.go
+++ b/xds/resource.go
@@ -17,65 +17,65 @@
 	"google.golang.org/protobuf/types/known/anypb"
 )
 
-// Kind is a type of resource. The order is that in which a new thing is made before an old one is broken.
-type Kind uint8
+// ResourceType is a type of resource. The order is that in which a new thing is made before an old one is broken.
+type ResourceType uint8
 
 // The kinds.
 const (
-	Clusters Kind = iota
+	Clusters ResourceType = iota
 	Endpoints
 	Listeners
 	Routes
-	Kinds // how many there are
+	NumResourceTypes // how many there are
 )
 
 const typePrefix = "type.googleapis.com/envoy.config."
 
-var urls = [Kinds]string{
+var typeURLs = [NumResourceTypes]string{
 	typePrefix + "cluster.v3.Cluster",
 	typePrefix + "endpoint.v3.ClusterLoadAssignment",
 	typePrefix + "listener.v3.Listener",
 	typePrefix + "route.v3.RouteConfiguration",
 }
 
-// URL is the kind's name on the wire.
-func (k Kind) URL() string { return urls[k] }
+// TypeURL is the kind's name on the wire.
+func (k ResourceType) TypeURL() string { return typeURLs[k] }
 
 // String names the kind as operators know it.
-func (k Kind) String() string {
+func (k ResourceType) String() string {
 	return [...]string{"cluster", "endpoints", "listener", "routes", "none"}[k]
 }
 
-// KindOf finds a kind by its name on the wire.
-func KindOf(url string) (Kind, bool) {
-	at := slices.Index(urls[:], url)
-	return Kind(max(at, 0)), at >= 0
+// ParseTypeURL finds a kind by its name on the wire.
+func ParseTypeURL(url string) (ResourceType, bool) {
+	at := slices.Index(typeURLs[:], url)
+	return ResourceType(max(at, 0)), at >= 0
 }
 
 // Resource is one thing that sidecars hold. Its version is that of its content: the same version means the same
 // content on every conductor and after every restart, and other content never has it.
 type Resource struct {
-	Kind    Kind
-	Name    string
-	Version string
-	Body    *anypb.Any
-	Uses    []string // clusters that routes send to
+	Type     ResourceType
+	Name     string
+	Version  string
+	Body     *anypb.Any
+	Clusters []string // clusters that routes send to
 }
 
 const versionBytes = 10 // of a hash: 80 bits, so that versions of other content differ
 
 // NewResource makes a resource of a message.
-func NewResource(kind Kind, name string, m proto.Message, uses ...string) (*Resource, error) {
+func NewResource(kind ResourceType, name string, m proto.Message, uses ...string) (*Resource, error) {
 	body, err := proto.MarshalOptions{Deterministic: true}.Marshal(m)
 	if err != nil {
 		return nil, fmt.Errorf("%s %s: %w", kind, name, err)
 	}
-	return &Resource{Kind: kind, Name: name, Version: VersionOf(kind, name, body), Uses: uses,
-		Body: &anypb.Any{TypeUrl: kind.URL(), Value: body}}, nil
+	return &Resource{Type: kind, Name: name, Version: VersionOf(kind, name, body), Clusters: uses,
+		Body: &anypb.Any{TypeUrl: kind.TypeURL(), Value: body}}, nil
 }
 
 // VersionOf is the version of a content.
-func VersionOf(kind Kind, name string, body []byte) string {
+func VersionOf(kind ResourceType, name string, body []byte) string {
 	h := sha256.New()
 	fmt.Fprintf(h, "%d\x00%s\x00", kind, name)
 	h.Write(body)
@@ -86,20 +86,20 @@
 	return hex.EncodeToString(h.Sum(nil)[:versionBytes])
 }
 
-// Set is resources of one kind by name.
-type Set map[string]*Resource
+// ResourceSet is resources of one kind by name.
+type ResourceSet map[string]*Resource
 
 // Version is that of a set as a whole.
-func (s Set) Version() string {
+func (s ResourceSet) Version() string {
 	h := sha256.New()
-	for _, name := range sortedNames(s) {
+	for _, name := range sortedKeys(s) {
 		io.WriteString(h, name+"\x00"+s[name].Version+"\x00")
 	}
 	return digest(h)
 }
 
 // Equal tells whether two sets hold the same versions of the same names.
-func (s Set) Equal(other Set) bool {
+func (s ResourceSet) Equal(other ResourceSet) bool {
 	if len(s) != len(other) {
 		return false
 	}
@@ -111,23 +111,23 @@
 	return true
 }
 
-func sortedNames[V any](m map[string]V) []string { return slices.Sorted(maps.Keys(m)) }
+func sortedKeys[V any](m map[string]V) []string { return slices.Sorted(maps.Keys(m)) }
 
 // Snapshot is all that the sidecars of one table are to hold. It is never changed once it is made.
 type Snapshot struct {
-	Sets [Kinds]Set
-	seq  [Kinds]uint64 // counts the changes of each kind, on this conductor only
+	Sets     [NumResourceTypes]ResourceSet
+	sequence [NumResourceTypes]uint64 // counts the changes of each kind, on this conductor only
 }
 
 // next is the snapshot that follows one: the same if nothing changed.
-func (s *Snapshot) next(sets [Kinds]Set) *Snapshot {
+func (s *Snapshot) next(sets [NumResourceTypes]ResourceSet) *Snapshot {
 	after, changed := &Snapshot{Sets: sets}, s == nil
 	for k := range sets {
 		if s != nil {
-			after.seq[k] = s.seq[k]
+			after.sequence[k] = s.sequence[k]
 		}
 		if s == nil || !sets[k].Equal(s.Sets[k]) {
-			after.seq[k]++
+			after.sequence[k]++
 			changed = true
 		}
 	}
