--- a/xds/stream.go
+++ b/xds/stream.go
@@ -13,9 +13,9 @@
 )
 
 const (
-	wildcard    = "*"
-	namesMost   = 4096 // names that one subscription may have: more is no sidecar
-	reasonShown = 500  // bytes of a refusal's reason that are kept
+	wildcard           = "*"
+	maxSubscribedNames = 4096 // names that one subscription may have: more is no sidecar
+	maxReasonBytes     = 500  // bytes of a refusal's reason that are kept
 )
 
 // Rejection is a version that a sidecar turned down, and what it said of it.
@@ -31,44 +31,44 @@
 	ID    uint64
 	Delta bool
 
-	target *Snapshot
-	subs   [Kinds]subscription
-	sent   uint64 // responses so far
+	target        *Snapshot
+	subscriptions [NumResourceTypes]subscription
+	responseCount uint64 // responses so far
 
 	Stale, Rejected, Accepted uint64 // answers to what is no longer out, NACKs, ACKs
 }
 
 type subscription struct {
-	open     bool // asked for
-	first    bool // a first answer is owed, even an empty one
-	wild     bool
-	names    map[string]bool
-	owed     map[string]bool // named and not there: delta says so once
-	held     Set             // accepted, or stated when the stream began
-	heldSeq  uint64          // of the target's kind that is held whole
-	stated   string          // the version that the sidecar said it had, if we do not know it
-	out      *offer
-	last     string               // nonce of the newest response that was sent
-	refused  map[string]Rejection // by name: this version is not sent again
-	suspects map[string]bool      // of a response that was refused whole: sent one by one
-	shut     string               // a set that was refused and in which no resource is at fault
+	subscribed         bool // asked for
+	firstResponseDue   bool // a first answer is owed, even an empty one
+	wildcard           bool
+	names              map[string]bool
+	unansweredNames    map[string]bool // named and not there: delta says so once
+	accepted           ResourceSet     // accepted, or stated when the stream began
+	acceptedSequence   uint64          // of the target's kind that is held whole
+	statedVersion      string          // the version that the sidecar said it had, if we do not know it
+	pending            *pendingResponse
+	lastNonce          string               // nonce of the newest response that was sent
+	rejections         map[string]Rejection // by name: this version is not sent again
+	suspects           map[string]bool      // of a response that was refused whole: sent one by one
+	rejectedSetVersion string               // a set that was refused and in which no resource is at fault
 }
 
-// offer is a response that was sent and not answered.
-type offer struct {
-	nonce   string
-	at      float64
-	after   Set // what is held if it is accepted
-	changed []string
-	seq     uint64 // of the target if it is sent whole, else 0
-	set     string
+// pendingResponse is a response that was sent and not answered.
+type pendingResponse struct {
+	nonce      string
+	sentAt     float64
+	after      ResourceSet // what is held if it is accepted
+	changed    []string
+	sequence   uint64 // of the target if it is sent whole, else 0
+	setVersion string
 }
 
 // NewStream begins one.
 func NewStream(id uint64, delta bool) *Stream {
 	s := &Stream{ID: id, Delta: delta}
-	for k := range s.subs {
-		s.subs[k] = subscription{names: map[string]bool{}, owed: map[string]bool{}, held: Set{}, refused: map[string]Rejection{},
+	for k := range s.subscriptions {
+		s.subscriptions[k] = subscription{names: map[string]bool{}, unansweredNames: map[string]bool{}, accepted: ResourceSet{}, rejections: map[string]Rejection{},
 			suspects: map[string]bool{}}
 	}
 	return s
@@ -78,9 +78,9 @@
 func (s *Stream) SetTarget(target *Snapshot, otherTable bool) {
 	s.target = target
 	if otherTable {
-		for k := range s.subs {
-			if s.subs[k].heldSeq = 0; s.subs[k].out != nil {
-				s.subs[k].out.seq = 0
+		for k := range s.subscriptions {
+			if s.subscriptions[k].acceptedSequence = 0; s.subscriptions[k].pending != nil {
+				s.subscriptions[k].pending.sequence = 0
 			}
 		}
 	}
@@ -88,98 +88,98 @@
 
 // HandleStateOfTheWorld takes a request of the state of the world variant.
 func (s *Stream) HandleStateOfTheWorld(now float64, r *discoveryv3.DiscoveryRequest) error {
-	kind, known := KindOf(r.GetTypeUrl())
+	kind, known := ParseTypeURL(r.GetTypeUrl())
 	if !known {
-		return fmt.Errorf("type %q is not served", shorten(r.GetTypeUrl()))
+		return fmt.Errorf("type %q is not served", truncateReason(r.GetTypeUrl()))
 	}
-	if len(r.GetResourceNames()) > namesMost {
-		return fmt.Errorf("%d names, %d at most", len(r.GetResourceNames()), namesMost)
+	if len(r.GetResourceNames()) > maxSubscribedNames {
+		return fmt.Errorf("%d names, %d at most", len(r.GetResourceNames()), maxSubscribedNames)
 	}
-	sub := &s.subs[kind]
-	first := !sub.open
+	sub := &s.subscriptions[kind]
+	first := !sub.subscribed
 	if first {
-		sub.open, sub.first = true, true
-	} else if nonce := r.GetResponseNonce(); nonce != "" && nonce != sub.last {
+		sub.subscribed, sub.firstResponseDue = true, true
+	} else if nonce := r.GetResponseNonce(); nonce != "" && nonce != sub.lastNonce {
 		s.Stale++
 		return nil // of an answer to what is no longer out nothing counts; one to the newest response follows
-	} else if nonce != "" && sub.out != nil {
-		s.answered(now, sub, nonce, r.GetErrorDetail())
+	} else if nonce != "" && sub.pending != nil {
+		s.handleAnswer(now, sub, nonce, r.GetErrorDetail())
 	} // else only what it asks for is other than before
 	names := map[string]bool{}
 	for _, name := range r.GetResourceNames() {
 		names[name] = true
 	}
 	// No names at first stand for all, and for all still until names come; clusters and listeners only.
-	wild := names[wildcard] || len(names) == 0 && (kind == Clusters || kind == Listeners) && (first || sub.wild)
+	wild := names[wildcard] || len(names) == 0 && (kind == Clusters || kind == Listeners) && (first || sub.wildcard)
 	delete(names, wildcard)
-	for name := range sub.held {
+	for name := range sub.accepted {
 		if !wild && !names[name] {
 			sub.drop(name)
 		}
 	}
 	for name := range names {
-		if !sub.names[name] && !first && !sub.wild {
+		if !sub.names[name] && !first && !sub.wildcard {
 			sub.drop(name) // asked for anew: sent again
 		}
 	}
-	sub.wild, sub.names = wild, names
+	sub.wildcard, sub.names = wild, names
 	if first && r.GetVersionInfo() != "" {
-		s.stated(kind, r.GetVersionInfo())
+		s.handleStatedVersion(kind, r.GetVersionInfo())
 	}
 	return nil
 }
 
-// stated takes what a sidecar says it has accepted on an earlier stream: a version of a whole set.
-func (s *Stream) stated(kind Kind, version string) {
-	sub := &s.subs[kind]
+// handleStatedVersion takes what a sidecar says it has accepted on an earlier stream: a version of a whole set.
+func (s *Stream) handleStatedVersion(kind ResourceType, version string) {
+	sub := &s.subscriptions[kind]
 	if s.target == nil {
-		sub.stated = version
+		sub.statedVersion = version
 		return
 	}
 	want := s.wanted(kind)
 	if want.Version() != version {
-		sub.stated = version
+		sub.statedVersion = version
 		return
 	}
-	sub.held, sub.heldSeq, sub.first, sub.stated = want, s.target.seq[kind], false, ""
+	sub.accepted, sub.acceptedSequence, sub.firstResponseDue, sub.statedVersion = want, s.target.sequence[kind], false, ""
 }
 
 // HandleDelta takes a request of the delta variant.
 func (s *Stream) HandleDelta(now float64, r *discoveryv3.DeltaDiscoveryRequest) error {
-	kind, known := KindOf(r.GetTypeUrl())
+	kind, known := ParseTypeURL(r.GetTypeUrl())
 	if !known {
-		return fmt.Errorf("type %q is not served", shorten(r.GetTypeUrl()))
+		return fmt.Errorf("type %q is not served", truncateReason(r.GetTypeUrl()))
 	}
-	sub := &s.subs[kind]
-	if n := len(sub.names) + len(r.GetResourceNamesSubscribe()) + len(r.GetInitialResourceVersions()); n > namesMost {
-		return fmt.Errorf("%d names, %d at most", n, namesMost)
+	sub := &s.subscriptions[kind]
+	if n := len(sub.names) + len(r.GetResourceNamesSubscribe()) + len(r.GetInitialResourceVersions()); n > maxSubscribedNames {
+		return fmt.Errorf("%d names, %d at most", n, maxSubscribedNames)
 	}
-	first := !sub.open
+	first := !sub.subscribed
 	if first {
 		// A sidecar that states what it holds is owed nothing but what changed.
-		sub.open, sub.first = true, len(r.GetInitialResourceVersions()) == 0
-		sub.wild = len(r.GetResourceNamesSubscribe()) == 0
+		sub.subscribed, sub.firstResponseDue = true, len(r.GetInitialResourceVersions()) == 0
+		sub.wildcard = len(r.GetResourceNamesSubscribe()) == 0
 		for name, version := range r.GetInitialResourceVersions() {
-			sub.held[name] = &Resource{Kind: kind, Name: name, Version: version}
+			sub.accepted[name] = &Resource{Type: kind, Name: name, Version: version}
 		}
 	} else if r.GetResponseNonce() != "" {
-		s.answered(now, sub, r.GetResponseNonce(), r.GetErrorDetail())
+		s.handleAnswer(now, sub, r.GetResponseNonce(), r.GetErrorDetail())
 	}
 	// Subscriptions count even where the answer came late.
 	for _, name := range r.GetResourceNamesSubscribe() {
 		if name == wildcard {
-			sub.wild = true
+			sub.wildcard = true
 			continue
 		}
 		if !first {
 			sub.drop(name) // asked for, so sent, whatever it has
 		}
-		sub.names[name], sub.owed[name] = true, true
+		sub.names[name], sub.unansweredNames[name] = true, true
 	}
 	for _, name := range r.GetResourceNamesUnsubscribe() {
 		if name == wildcard {
-			sub.wild = false
-			for held := range sub.held {
+			sub.wildcard = false
+			for held := range sub.accepted {
 				if !sub.names[held] {
 					sub.drop(held)
 				}
@@ -187,8 +187,8 @@
 			continue
 		}
 		delete(sub.names, name)
-		delete(sub.owed, name)
-		if !sub.wild {
+		delete(sub.unansweredNames, name)
+		if !sub.wildcard {
 			sub.drop(name)
 		}
 	}
@@ -198,34 +198,34 @@
 // drop says that a sidecar does not hold a resource, also once it has accepted what is out if that does not bring it:
 // else it would count as held by an answer to what was sent before it was dropped.
 func (sub *subscription) drop(name string) {
-	delete(sub.held, name)
-	if out := sub.out; out != nil && !slices.Contains(out.changed, name) {
+	delete(sub.accepted, name)
+	if out := sub.pending; out != nil && !slices.Contains(out.changed, name) {
 		delete(out.after, name)
 	}
 }
 
-// answered takes the answer to a response, if that is the one that is out.
-func (s *Stream) answered(now float64, sub *subscription, nonce string, fault *status.Status) {
-	out := sub.out
+// handleAnswer takes the answer to a response, if that is the one that is out.
+func (s *Stream) handleAnswer(now float64, sub *subscription, nonce string, fault *status.Status) {
+	out := sub.pending
 	if out == nil || out.nonce != nonce {
 		s.Stale++
 		return
 	}
-	sub.out = nil
+	sub.pending = nil
 	if fault == nil {
 		s.Accepted++
-		sub.held, sub.stated = out.after, ""
-		if out.seq > 0 {
-			sub.heldSeq = out.seq
+		sub.accepted, sub.statedVersion = out.after, ""
+		if out.sequence > 0 {
+			sub.acceptedSequence = out.sequence
 		}
 		for _, name := range out.changed {
 			delete(sub.suspects, name)
-			delete(sub.refused, name)
+			delete(sub.rejections, name)
 		}
 		return
 	}
 	s.Rejected++
-	why := shorten(fault.GetMessage())
+	why := truncateReason(fault.GetMessage())
 	switch {
 	case len(out.changed) > 1:
 		// One of them is at fault, and which is not said: each is sent by itself, so that the good ones get through.
@@ -235,48 +235,50 @@
 	case len(out.changed) == 1 && out.after[out.changed[0]] != nil:
 		name := out.changed[0]
 		delete(sub.suspects, name)
-		sub.refused[name] = Rejection{Version: out.after[name].Version, Reason: why, At: now}
+		sub.rejections[name] = Rejection{Version: out.after[name].Version, Reason: why, At: now}
 	default:
-		sub.shut = out.set
-		sub.refused[wildcard] = Rejection{Version: out.set, Reason: why, At: now}
+		sub.rejectedSetVersion = out.setVersion
+		sub.rejections[wildcard] = Rejection{Version: out.setVersion, Reason: why, At: now}
 	}
 }
 
-func shorten(text string) string { return strings.ToValidUTF8(text[:min(len(text), reasonShown)], "?") }
+func truncateReason(text string) string {
+	return strings.ToValidUTF8(text[:min(len(text), maxReasonBytes)], "?")
+}
 
 // wanted is what of the target a sidecar asked for.
-func (s *Stream) wanted(kind Kind) Set {
-	sub, want := &s.subs[kind], Set{}
+func (s *Stream) wanted(kind ResourceType) ResourceSet {
+	sub, want := &s.subscriptions[kind], ResourceSet{}
 	for name, r := range s.target.Sets[kind] {
-		if sub.wild || sub.names[name] {
+		if sub.wildcard || sub.names[name] {
 			want[name] = r
 		}
 	}
 	return want
 }
 
-// next is what a sidecar is to hold next of a kind: the target, but a version that it refused does not come again,
+// nextResources is what a sidecar is to hold next of a kind: the target, but a version that it refused does not come again,
 // nor routes to clusters that it does not hold yet, and clusters stay until no route that it holds uses them. It
 // tells whether that is all of the target.
-func (s *Stream) next(kind Kind) (next Set, whole bool) {
-	sub := &s.subs[kind]
+func (s *Stream) nextResources(kind ResourceType) (next ResourceSet, whole bool) {
+	sub := &s.subscriptions[kind]
 	next, whole = s.wanted(kind), true
 	for name, r := range next {
-		if refused, was := sub.refused[name]; was && refused.Version == r.Version || !s.ready(r) {
+		if refused, was := sub.rejections[name]; was && refused.Version == r.Version || !s.dependenciesAccepted(r) {
 			whole = false
-			if delete(next, name); sub.held[name] != nil {
-				next[name] = sub.held[name]
+			if delete(next, name); sub.accepted[name] != nil {
+				next[name] = sub.accepted[name]
 			}
 		}
 	}
 	for name, r := range next {
-		if held := sub.held[name]; held != nil && held.Version == r.Version {
-			sub.held[name] = r // what was only stated so far is known by its version
+		if held := sub.accepted[name]; held != nil && held.Version == r.Version {
+			sub.accepted[name] = r // what was only stated so far is known by its version
 		}
 	}
 	if kind == Clusters || kind == Endpoints {
-		for name, held := range sub.held {
-			if next[name] == nil && s.used(name) && (s.Delta || held.Body != nil) {
+		for name, held := range sub.accepted {
+			if next[name] == nil && s.mayUseCluster(name) && (s.Delta || held.Body != nil) {
 				next[name] = held
 			}
 		}
@@ -284,23 +286,23 @@
 	return next, whole
 }
 
-// used tells whether routes that the sidecar holds send to a cluster. Of routes that were only stated that is not
+// mayUseCluster tells whether routes that the sidecar holds send to a cluster. Of routes that were only stated that is not
 // known: then they may.
-func (s *Stream) used(cluster string) bool {
-	for _, routes := range s.subs[Routes].held {
-		if routes.Body == nil || slices.Contains(routes.Uses, cluster) {
+func (s *Stream) mayUseCluster(cluster string) bool {
+	for _, routes := range s.subscriptions[Routes].accepted {
+		if routes.Body == nil || slices.Contains(routes.Clusters, cluster) {
 			return true
 		}
 	}
 	return false
 }
 
-// ready tells whether a resource may be sent: routes only once all clusters that they use and the endpoints of these
+// dependenciesAccepted tells whether a resource may be sent: routes only once all clusters that they use and the endpoints of these
 // are held.
-func (s *Stream) ready(r *Resource) bool {
-	for _, name := range r.Uses {
-		for _, kind := range []Kind{Clusters, Endpoints} {
-			if !s.subs[kind].open || s.subs[kind].held[name] == nil {
+func (s *Stream) dependenciesAccepted(r *Resource) bool {
+	for _, name := range r.Clusters {
+		for _, kind := range []ResourceType{Clusters, Endpoints} {
+			if !s.subscriptions[kind].subscribed || s.subscriptions[kind].accepted[name] == nil {
 				return false
 			}
 		}
@@ -314,25 +316,25 @@
 	if s.target == nil {
 		return nil, nil
 	}
-	for kind := range Kinds {
-		sub := &s.subs[kind]
-		if !sub.open {
+	for kind := range NumResourceTypes {
+		sub := &s.subscriptions[kind]
+		if !sub.subscribed {
 			continue
 		}
-		if sub.out != nil {
+		if sub.pending != nil {
 			break
 		}
-		if stated := sub.stated; stated != "" {
-			s.stated(kind, stated) // said before there was a target
+		if stated := sub.statedVersion; stated != "" {
+			s.handleStatedVersion(kind, stated) // said before there was a target
 		}
-		next, whole := s.next(kind)
+		next, whole := s.nextResources(kind)
 		var changed, removed []string
-		for _, name := range sortedNames(next) {
-			if sub.held[name] == nil || sub.held[name].Version != next[name].Version {
+		for _, name := range sortedKeys(next) {
+			if sub.accepted[name] == nil || sub.accepted[name].Version != next[name].Version {
 				changed = append(changed, name)
 			}
 		}
-		for _, name := range sortedNames(sub.held) {
+		for _, name := range sortedKeys(sub.accepted) {
 			if next[name] == nil {
 				removed = append(removed, name)
 			}
@@ -340,76 +342,76 @@
 		if at := slices.IndexFunc(changed, func(name string) bool { return sub.suspects[name] }); at >= 0 && len(changed) > 1 {
 			// Alone: the others stay as they are held.
 			alone := changed[at]
-			one := maps.Clone(sub.held)
+			one := maps.Clone(sub.accepted)
 			one[alone] = next[alone]
 			next, changed, removed, whole = one, []string{alone}, nil, false
 		}
-		owed := s.owed(sub, next)
-		due, set := len(changed)+len(removed)+len(owed) > 0 || sub.first && (sub.wild || len(next) > 0), ""
+		owed := s.missingNames(sub, next)
+		due, set := len(changed)+len(removed)+len(owed) > 0 || sub.firstResponseDue && (sub.wildcard || len(next) > 0), ""
 		if due {
 			set = next.Version()
 		}
-		if !due || sub.shut == set {
-			if whole && sub.held.Equal(next) {
-				sub.heldSeq = s.target.seq[kind]
+		if !due || sub.rejectedSetVersion == set {
+			if whole && sub.accepted.Equal(next) {
+				sub.acceptedSequence = s.target.sequence[kind]
 			}
 			continue
 		}
-		if !s.Delta && len(changed) == 0 && (kind == Endpoints || kind == Routes) && !sub.first {
+		if !s.Delta && len(changed) == 0 && (kind == Endpoints || kind == Routes) && !sub.firstResponseDue {
 			// A sidecar that speaks this variant drops these by itself once nothing uses them.
-			sub.held = next
+			sub.accepted = next
 			continue
 		}
-		s.sent++
-		sub.first = false
-		sub.last = fmt.Sprintf("%d-%d-%d", s.ID, kind, s.sent)
-		sub.out = &offer{nonce: sub.last, at: now, after: next, changed: changed, set: set}
+		s.responseCount++
+		sub.firstResponseDue = false
+		sub.lastNonce = fmt.Sprintf("%d-%d-%d", s.ID, kind, s.responseCount)
+		sub.pending = &pendingResponse{nonce: sub.lastNonce, sentAt: now, after: next, changed: changed, setVersion: set}
 		if whole {
-			sub.out.seq = s.target.seq[kind]
+			sub.pending.sequence = s.target.sequence[kind]
 		}
 		if s.Delta {
 			delta = append(delta, s.deltaResponse(kind, sub, append(removed, owed...)))
 		} else {
-			state = append(state, s.stateResponse(kind, sub))
+			state = append(state, s.stateOfTheWorldResponse(kind, sub))
 		}
-		clear(sub.owed)
+		clear(sub.unansweredNames)
 		break
 	}
 	return state, delta
 }
 
-// owed are names asked for that do not exist: delta tells that once.
-func (s *Stream) owed(sub *subscription, next Set) (names []string) {
+// missingNames are names asked for that do not exist: delta tells that once.
+func (s *Stream) missingNames(sub *subscription, next ResourceSet) (names []string) {
 	if !s.Delta {
 		return nil
 	}
-	for _, name := range sortedNames(sub.owed) {
-		if next[name] == nil && sub.held[name] == nil {
+	for _, name := range sortedKeys(sub.unansweredNames) {
+		if next[name] == nil && sub.accepted[name] == nil {
 			names = append(names, name)
 		}
 	}
 	return names
 }
 
-func (s *Stream) stateResponse(kind Kind, sub *subscription) *discoveryv3.DiscoveryResponse {
-	out := &discoveryv3.DiscoveryResponse{TypeUrl: kind.URL(), Nonce: sub.out.nonce, VersionInfo: sub.out.set}
-	names := sub.out.changed
+func (s *Stream) stateOfTheWorldResponse(kind ResourceType, sub *subscription) *discoveryv3.DiscoveryResponse {
+	out := &discoveryv3.DiscoveryResponse{TypeUrl: kind.TypeURL(), Nonce: sub.pending.nonce, VersionInfo: sub.pending.setVersion}
+	names := sub.pending.changed
 	if kind == Clusters || kind == Listeners {
-		names = sortedNames(sub.out.after) // these are told whole: what is not named is gone
+		names = sortedKeys(sub.pending.after) // these are told whole: what is not named is gone
 	}
 	for _, name := range names {
-		if body := sub.out.after[name].Body; body != nil {
+		if body := sub.pending.after[name].Body; body != nil {
 			out.Resources = append(out.Resources, body)
 		}
 	}
 	return out
 }
 
-func (s *Stream) deltaResponse(kind Kind, sub *subscription, removed []string) *discoveryv3.DeltaDiscoveryResponse {
-	out := &discoveryv3.DeltaDiscoveryResponse{TypeUrl: kind.URL(), Nonce: sub.out.nonce, SystemVersionInfo: sub.out.set,
+func (s *Stream) deltaResponse(kind ResourceType, sub *subscription, removed []string) *discoveryv3.DeltaDiscoveryResponse {
+	out := &discoveryv3.DeltaDiscoveryResponse{TypeUrl: kind.TypeURL(), Nonce: sub.pending.nonce, SystemVersionInfo: sub.pending.setVersion,
 		RemovedResources: removed}
-	for _, name := range sub.out.changed {
-		r := sub.out.after[name]
+	for _, name := range sub.pending.changed {
+		r := sub.pending.after[name]
 		out.Resources = append(out.Resources, &discoveryv3.Resource{Name: name, Version: r.Version,
 			Resource: &anypb.Any{TypeUrl: r.Body.GetTypeUrl(), Value: r.Body.GetValue()}})
 	}
@@ -418,13 +420,13 @@
 
 // Holds tells whether all of a kind that the target had at some count, or later, is held. One that was not asked for
 // yet is not: a stream that has just begun asks for one kind after the other, and its sidecar may hold old ones.
-func (s *Stream) Holds(kind Kind, seq uint64) bool {
-	return s.subs[kind].open && s.subs[kind].heldSeq >= seq
+func (s *Stream) Holds(kind ResourceType, seq uint64) bool {
+	return s.subscriptions[kind].subscribed && s.subscriptions[kind].acceptedSequence >= seq
 }
 
 // ResourceStatus is what one resource is at one sidecar.
 type ResourceStatus struct {
-	Kind           Kind
+	Type           ResourceType
 	Name           string
 	Accepted       string // the version that it accepted, empty if none
 	Target         string // the version that it is to hold, empty if it is to go
@@ -435,12 +437,12 @@
 
 // Resources lists all that a sidecar holds or is to hold.
 func (s *Stream) Resources(now float64) (all []ResourceStatus) {
-	for kind := range Kinds {
-		sub := &s.subs[kind]
-		if !sub.open {
+	for kind := range NumResourceTypes {
+		sub := &s.subscriptions[kind]
+		if !sub.subscribed {
 			continue
 		}
-		want := Set{}
+		want := ResourceSet{}
 		if s.target != nil {
 			want = s.wanted(kind)
 		}
@@ -448,31 +450,31 @@
 		for name := range want {
 			names[name] = true
 		}
-		for name := range sub.held {
+		for name := range sub.accepted {
 			names[name] = true
 		}
-		for _, name := range sortedNames(names) {
-			st := ResourceStatus{Kind: kind, Name: name}
-			if r := sub.held[name]; r != nil {
+		for _, name := range sortedKeys(names) {
+			st := ResourceStatus{Type: kind, Name: name}
+			if r := sub.accepted[name]; r != nil {
 				st.Accepted = r.Version
 			}
 			if r := want[name]; r != nil {
 				st.Target, st.Body = r.Version, r.Body
 			}
-			if sub.out != nil && slices.Contains(sub.out.changed, name) {
-				st.PendingSeconds = now - sub.out.at
+			if sub.pending != nil && slices.Contains(sub.pending.changed, name) {
+				st.PendingSeconds = now - sub.pending.sentAt
 			}
-			if refused, was := sub.refused[name]; was {
+			if refused, was := sub.rejections[name]; was {
 				st.Rejection = &refused
 			}
 			all = append(all, st)
 		}
-		if refused, was := sub.refused[wildcard]; was {
-			all = append(all, ResourceStatus{Kind: kind, Name: wildcard, Accepted: sub.held.Version(), Target: want.Version(), Rejection: &refused})
+		if refused, was := sub.rejections[wildcard]; was {
+			all = append(all, ResourceStatus{Type: kind, Name: wildcard, Accepted: sub.accepted.Version(), Target: want.Version(), Rejection: &refused})
 		}
 	}
 	return all
 }
 
-// NodeOf is the sidecar that a first request names: its id and its zone.
-func NodeOf(n *corev3.Node) (id, zone string) { return n.GetId(), n.GetLocality().GetZone() }
+// ParseNode is the sidecar that a first request names: its id and its zone.
+func ParseNode(n *corev3.Node) (id, zone string) { return n.GetId(), n.GetLocality().GetZone() }
--- a/xds/stream_test.go
+++ b/xds/stream_test.go
@@ -45,12 +45,12 @@
 
 // aim sets the target: "a1" is the thing a with the content 1.
 func (c *script) aim(contents ...string) {
-	set := Set{}
+	set := ResourceSet{}
 	for _, one := range contents {
 		r := thing(c.t, one[:1], int(one[1]))
 		set[r.Name], c.names[r.Version] = r, one
 	}
-	c.target = c.target.next([Kinds]Set{Clusters: set, Endpoints: {}, Listeners: {}, Routes: {}})
+	c.target = c.target.next([NumResourceTypes]ResourceSet{Clusters: set, Endpoints: {}, Listeners: {}, Routes: {}})
 	c.s.SetTarget(c.target, false)
 }
 
@@ -89,9 +89,9 @@
 	}
 	var err error
 	if c.s.Delta {
-		err = c.s.HandleDelta(1, &discoveryv3.DeltaDiscoveryRequest{TypeUrl: Clusters.URL(), ResponseNonce: nonce, ErrorDetail: fault})
+		err = c.s.HandleDelta(1, &discoveryv3.DeltaDiscoveryRequest{TypeUrl: Clusters.TypeURL(), ResponseNonce: nonce, ErrorDetail: fault})
 	} else {
-		err = c.s.HandleStateOfTheWorld(1, &discoveryv3.DiscoveryRequest{TypeUrl: Clusters.URL(), ResponseNonce: nonce, ErrorDetail: fault})
+		err = c.s.HandleStateOfTheWorld(1, &discoveryv3.DiscoveryRequest{TypeUrl: Clusters.TypeURL(), ResponseNonce: nonce, ErrorDetail: fault})
 	}
 	if err != nil {
 		c.t.Fatal(err)
@@ -100,22 +100,22 @@
 
 func (c *script) ask(names ...string) {
 	if c.s.Delta {
-		c.s.HandleDelta(1, &discoveryv3.DeltaDiscoveryRequest{TypeUrl: Clusters.URL(), ResourceNamesSubscribe: names})
+		c.s.HandleDelta(1, &discoveryv3.DeltaDiscoveryRequest{TypeUrl: Clusters.TypeURL(), ResourceNamesSubscribe: names})
 	} else {
-		c.s.HandleStateOfTheWorld(1, &discoveryv3.DiscoveryRequest{TypeUrl: Clusters.URL(), ResourceNames: names})
+		c.s.HandleStateOfTheWorld(1, &discoveryv3.DiscoveryRequest{TypeUrl: Clusters.TypeURL(), ResourceNames: names})
 	}
 }
 
 func (c *script) drop(names ...string) {
-	c.s.HandleDelta(1, &discoveryv3.DeltaDiscoveryRequest{TypeUrl: Clusters.URL(), ResourceNamesUnsubscribe: names})
+	c.s.HandleDelta(1, &discoveryv3.DeltaDiscoveryRequest{TypeUrl: Clusters.TypeURL(), ResourceNamesUnsubscribe: names})
 }
 
 func (c *script) holds() {
 	var held []string
-	for _, name := range sortedNames(c.s.subs[Clusters].held) {
-		held = append(held, c.names[c.s.subs[Clusters].held[name].Version])
+	for _, name := range sortedKeys(c.s.subscriptions[Clusters].accepted) {
+		held = append(held, c.names[c.s.subscriptions[Clusters].accepted[name].Version])
 	}
-	fmt.Fprintf(c, "holds %v whole %t stale %d\n", held, c.s.Holds(Clusters, c.target.seq[Clusters]), c.s.Stale)
+	fmt.Fprintf(c, "holds %v whole %t stale %d\n", held, c.s.Holds(Clusters, c.target.sequence[Clusters]), c.s.Stale)
 }
 
 func TestStream(t *testing.T) {
@@ -285,9 +285,9 @@
 		c := newScript(t, delta, "a1", "b1")
 		versions := map[string]string{"a": thing(t, "a", '1').Version, "b": thing(t, "b", '0').Version, "gone": "x"}
 		if delta {
-			c.s.HandleDelta(1, &discoveryv3.DeltaDiscoveryRequest{TypeUrl: Clusters.URL(), InitialResourceVersions: versions})
+			c.s.HandleDelta(1, &discoveryv3.DeltaDiscoveryRequest{TypeUrl: Clusters.TypeURL(), InitialResourceVersions: versions})
 		} else {
-			c.s.HandleStateOfTheWorld(1, &discoveryv3.DiscoveryRequest{TypeUrl: Clusters.URL(), VersionInfo: c.target.Sets[Clusters].Version()})
+			c.s.HandleStateOfTheWorld(1, &discoveryv3.DiscoveryRequest{TypeUrl: Clusters.TypeURL(), VersionInfo: c.target.Sets[Clusters].Version()})
 		}
 		c.next()
 		want := map[bool]string{true: "sent [b1] removed [gone]\n", false: "nothing\n"}[delta]
@@ -371,7 +371,7 @@
 		compiler.SetAddress("n", "z", Address{"127.0.0.1", 1})
 		s := NewServer(compiler, out, 4)
 		for k, move := range moves[:min(len(moves), 200)] {
-			stream, kind := uint64(move%3), Kind(move/3%4)
+			stream, kind := uint64(move%3), ResourceType(move/3%4)
 			node := &corev3.Node{Id: fmt.Sprint(move % 5)}
 			if !s.Connected(stream) && s.Open(float64(k), stream, stream == 1, node.GetId(), "z") != nil {
 				continue
@@ -384,15 +384,15 @@
 				nonce = out.last
 			}
 			if stream == 1 {
-				s.HandleDelta(float64(k), stream, &discoveryv3.DeltaDiscoveryRequest{TypeUrl: kind.URL(), ResponseNonce: nonce,
+				s.HandleDelta(float64(k), stream, &discoveryv3.DeltaDiscoveryRequest{TypeUrl: kind.TypeURL(), ResponseNonce: nonce,
 					ResourceNamesSubscribe: []string{name}, ResourceNamesUnsubscribe: []string{name}[:move%2]})
 			} else {
-				s.HandleStateOfTheWorld(float64(k), stream, &discoveryv3.DiscoveryRequest{TypeUrl: kind.URL(), ResponseNonce: nonce,
+				s.HandleStateOfTheWorld(float64(k), stream, &discoveryv3.DiscoveryRequest{TypeUrl: kind.TypeURL(), ResponseNonce: nonce,
 					ResourceNames: []string{name}[:move%2]})
 			}
 			for id, c := range s.streams {
-				for kind, sub := range c.stream.subs {
-					if n := out.out[fmt.Sprint(id, urls[kind])]; sub.out == nil && n > 1000 {
+				for kind, sub := range c.stream.subscriptions {
+					if n := out.out[fmt.Sprint(id, typeURLs[kind])]; sub.pending == nil && n > 1000 {
 						t.Fatalf("%d responses", n)
 					}
 				}
@@ -415,8 +415,8 @@
 	c.out[fmt.Sprint(id, r.GetTypeUrl())]++
 	c.last = r.GetNonce()
 }
-func (c *counting) CloseStream(uint64, string)    {}
-func (c *counting) Joined(int, string)            {}
-func (c *counting) Left(int)                      {}
-func (c *counting) Acknowledged(int, int)         {}
-func (c *counting) Rejected(string, Kind, string) {}
+func (c *counting) CloseStream(uint64, string)            {}
+func (c *counting) Joined(int, string)                    {}
+func (c *counting) Left(int)                              {}
+func (c *counting) Acknowledged(int, int)                 {}
+func (c *counting) Rejected(string, ResourceType, string) {}
--- a/xds/transport/bench_test.go
+++ b/xds/transport/bench_test.go
@@ -26,7 +26,7 @@
 // serve starts a front over loopback whose core decides nothing by itself.
 func serve(tb testing.TB, most int) (f *Server, address string) {
 	compiler := xds.NewCompiler([]xds.Route{{Name: "quote", Prefix: "/quote", TimeLimit: time.Second}}, time.Second)
-	f = New(compiler, most, zap.NewNop())
+	f = NewServer(compiler, most, zap.NewNop())
 	f.Controller = controller.New(settings.Deployment{Planner: planner.Config{Zones: 1, MachineTypes: 1, Proxies: most, Sharded: true, Routes: []planner.Route{{}}},
 		Zones: []string{"north"}, MachineTypes: []string{"node"}, Routes: []string{"quote"}, EventInterval: 0.004}, nil, f, zap.NewNop())
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -66,7 +66,7 @@
 	if err != nil {
 		return err
 	}
-	return sidecar.Exchange(s, h.BeginState(), nil, func(r *discoveryv3.DiscoveryResponse) ([]*discoveryv3.DiscoveryRequest, error) {
+	return sidecar.Exchange(s, h.BeginStateOfTheWorld(), nil, func(r *discoveryv3.DiscoveryResponse) ([]*discoveryv3.DiscoveryRequest, error) {
 		defer counted(proto.Size(r))
 		return h.HandleStateOfTheWorld(r)
 	}, func() {})
@@ -88,7 +88,7 @@
 				c := &crowd{}
 				var conn *grpc.ClientConn
 				for k := range sidecars {
-					if k%perClient == 0 {
+					if k%maxStreamsPerConnection == 0 {
 						var err error
 						if conn, err = grpc.NewClient("passthrough:///"+address, grpc.WithTransportCredentials(insecure.NewCredentials())); err != nil {
 							b.Fatal(err)
@@ -105,9 +105,9 @@
 					batch = append(batch, controller.Command{Kind: controller.SetWeight, Node: name, Value: 1})
 				}
 				held := func() (n int) {
-					f.ask(func() {
+					f.call(func() {
 						for _, s := range f.Streams.Sidecars(f.now()) {
-							if s.Joined && s.Bound && s.Unconfirmed == 0 {
+							if s.Connected && s.Bound && s.Unacknowledged == 0 {
 								n++
 							}
 						}
--- a/xds/transport/cancellation_test.go
+++ b/xds/transport/cancellation_test.go
@@ -16,13 +16,13 @@
 	requests := 0
 	go func() {
 		defer close(ended)
-		f.serve(ctx, false, func() (opener, func(uint64) error, error) {
+		f.serveStream(ctx, false, func() (streamNode, func(uint64) error, error) {
 			if requests++; requests > 1 {
 				close(taken)
-				return opener{}, nil, errors.New("the stream has ended")
+				return streamNode{}, nil, errors.New("the stream has ended")
 			}
 			<-read // it was read before the end, and is handed on after it
-			return opener{"till-1", "north"}, func(uint64) error { return nil }, nil
+			return streamNode{"till-1", "north"}, func(uint64) error { return nil }, nil
 		}, func(any) error { return nil })
 	}()
 	cancel()
@@ -32,7 +32,7 @@
 	if n := joined(f); n != 0 {
 		t.Errorf("%d sidecars count as joined by a stream that has ended", n)
 	}
-	f.ask(func() {
+	f.call(func() {
 		if n := len(f.streams); n != 0 {
 			t.Errorf("%d streams stand", n)
 		}
--- a/xds/transport/endpoint_watcher.go
+++ b/xds/transport/endpoint_watcher.go
@@ -23,10 +23,10 @@
 )
 
 const (
-	listMost    = 16 << 20 // bytes of a list
-	membersMost = 65536    // nodes of one
-	againMin    = 200 * time.Millisecond
-	againMost   = 5 * time.Second
+	maxListBytes   = 16 << 20 // bytes of a list
+	maxListNodes   = 65536    // nodes of one
+	initialBackoff = 200 * time.Millisecond
+	maxBackoff     = 5 * time.Second
 )
 
 // Endpoint is a node of a list that another service keeps.
@@ -48,33 +48,33 @@
 
 // Run follows until ctx ends.
 func (m *EndpointWatcher) Run(ctx context.Context) {
-	pause, version := againMin, ""
+	pause, version := initialBackoff, ""
 	for ctx.Err() == nil {
 		began := time.Now()
-		err := m.stream(ctx, &version)
+		err := m.watch(ctx, &version)
 		if ctx.Err() != nil {
 			return
 		}
 		m.Log.Warn("the service that lists nodes is away, the last list stays", zap.String("service", m.Address), zap.Error(err))
-		if time.Since(began) > againMost {
-			pause = againMin
+		if time.Since(began) > maxBackoff {
+			pause = initialBackoff
 		}
 		select {
 		case <-ctx.Done():
 		case <-time.After(pause):
 		}
-		pause = min(2*pause, againMost)
+		pause = min(2*pause, maxBackoff)
 	}
 }
 
-func (m *EndpointWatcher) stream(ctx context.Context, version *string) error {
+func (m *EndpointWatcher) watch(ctx context.Context, version *string) error {
 	secure := m.Credentials
 	if secure == nil {
 		secure = insecure.NewCredentials()
 	}
 	conn, err := grpc.NewClient("passthrough:///"+m.Address, grpc.WithTransportCredentials(secure),
-		grpc.WithKeepaliveParams(keepalive.ClientParameters{Time: pingAfter, Timeout: pingWithin}),
-		grpc.WithDefaultCallOptions(grpc.MaxCallRecvMsgSize(listMost)))
+		grpc.WithKeepaliveParams(keepalive.ClientParameters{Time: keepaliveTime, Timeout: keepaliveTimeout}),
+		grpc.WithDefaultCallOptions(grpc.MaxCallRecvMsgSize(maxListBytes)))
 	if err != nil {
 		return err
 	}
@@ -83,7 +83,7 @@
 	if err != nil {
 		return err
 	}
-	ask := &discoveryv3.DiscoveryRequest{Node: &corev3.Node{Id: m.Name, UserAgentName: "harehookd"}, TypeUrl: xds.Endpoints.URL(),
+	ask := &discoveryv3.DiscoveryRequest{Node: &corev3.Node{Id: m.Name, UserAgentName: "harehookd"}, TypeUrl: xds.Endpoints.TypeURL(),
 		ResourceNames: []string{m.Cluster}, VersionInfo: *version}
 	for {
 		if err := s.Send(ask); err != nil {
@@ -93,8 +93,8 @@
 		if err != nil {
 			return err
 		}
-		nodes, fault := m.read(r)
-		ask = &discoveryv3.DiscoveryRequest{TypeUrl: xds.Endpoints.URL(), ResourceNames: []string{m.Cluster}, ResponseNonce: r.GetNonce()}
+		nodes, fault := m.parseEndpoints(r)
+		ask = &discoveryv3.DiscoveryRequest{TypeUrl: xds.Endpoints.TypeURL(), ResourceNames: []string{m.Cluster}, ResponseNonce: r.GetNonce()}
 		if fault == nil {
 			*version = r.GetVersionInfo()
 			m.Accepted(*version, nodes)
@@ -106,9 +106,9 @@
 	}
 }
 
-// read takes a version as a whole, or not at all: half a list would let nodes go that are there.
-func (m *EndpointWatcher) read(r *discoveryv3.DiscoveryResponse) (nodes []Endpoint, err error) {
-	if r.GetTypeUrl() != xds.Endpoints.URL() || len(r.GetResources()) != 1 {
+// parseEndpoints takes a version as a whole, or not at all: half a list would let nodes go that are there.
+func (m *EndpointWatcher) parseEndpoints(r *discoveryv3.DiscoveryResponse) (nodes []Endpoint, err error) {
+	if r.GetTypeUrl() != xds.Endpoints.TypeURL() || len(r.GetResources()) != 1 {
 		return nil, fmt.Errorf("%d resources of type %q, asked for was one cluster's endpoints", len(r.GetResources()), r.GetTypeUrl())
 	}
 	var list endpointv3.ClusterLoadAssignment
@@ -133,8 +133,8 @@
 				return nil, fmt.Errorf("node %q has no address of host and port", one.Name)
 			case names[one.Name] || addresses[one.Address]:
 				return nil, fmt.Errorf("node %q is there twice", one.Name)
-			case len(nodes) >= membersMost:
-				return nil, fmt.Errorf("over %d nodes", membersMost)
+			case len(nodes) >= maxListNodes:
+				return nil, fmt.Errorf("over %d nodes", maxListNodes)
 			}
 			names[one.Name], addresses[one.Address] = true, true
 			if w := e.GetLoadBalancingWeight(); w != nil {
--- a/xds/transport/endpoint_watcher_test.go
+++ b/xds/transport/endpoint_watcher_test.go
@@ -60,7 +60,7 @@
 				Hostname: n.name, Address: xds.Address{Host: "127.0.0.1", Port: n.port}.Message()}}}}})
 	}
 	body, _ := anypb.New(list)
-	return &discoveryv3.DiscoveryResponse{TypeUrl: xds.Endpoints.URL(), VersionInfo: fmt.Sprint("v", number), Nonce: fmt.Sprint("n", number),
+	return &discoveryv3.DiscoveryResponse{TypeUrl: xds.Endpoints.TypeURL(), VersionInfo: fmt.Sprint("v", number), Nonce: fmt.Sprint("n", number),
 		Resources: []*anypb.Any{body}}
 }
 
--- a/xds/transport/rejection_test.go
+++ b/xds/transport/rejection_test.go
@@ -32,7 +32,7 @@
 	p.got++
 	for kind, versions := range p.Table().Versions {
 		for name, version := range versions {
-			if p.refused[fmt.Sprint(xds.Kind(kind), name, version)] {
+			if p.refused[fmt.Sprint(xds.ResourceType(kind), name, version)] {
 				p.faults = append(p.faults, fmt.Sprintf("%s routes by %s of %s, which it refused", p.ID, version, name))
 			}
 		}
@@ -47,7 +47,7 @@
 			talk(p, s, p.BeginDelta, p.HandleDelta)
 		}
 	} else if s, err := client.StreamAggregatedResources(ctx); err == nil {
-		talk(p, s, p.BeginState, p.HandleStateOfTheWorld)
+		talk(p, s, p.BeginStateOfTheWorld, p.HandleStateOfTheWorld)
 	}
 }
 
@@ -82,7 +82,7 @@
 	for k := range all {
 		p := &picky{refused: map[string]bool{}}
 		p.ResourceCache = &sidecar.ResourceCache{ID: fmt.Sprint("till-", k), Zone: "north", Delta: k%2 == 0,
-			ExtraCheck: func(_ xds.Kind, _ string, body *anypb.Any) error {
+			ExtraCheck: func(_ xds.ResourceType, _ string, body *anypb.Any) error {
 				sum := fnv.New32a()
 				sum.Write(body.GetValue())
 				fmt.Fprint(sum, k)
@@ -91,7 +91,7 @@
 				}
 				return nil
 			},
-			OnReject: func(r sidecar.RejectedResource) { p.refused[fmt.Sprint(r.Kind, r.Name, r.Version)] = true }}
+			OnReject: func(r sidecar.RejectedResource) { p.refused[fmt.Sprint(r.Type, r.Name, r.Version)] = true }}
 		all[k] = p
 		begin(k)
 	}
@@ -100,7 +100,7 @@
 	for n := range pushes {
 		f.Enqueue([]controller.Command{{Kind: controller.SetWeight, Node: fmt.Sprint("node-", chance.IntN(20)), Value: chance.Float64()},
 			{Kind: controller.RequestAck, Nonce: n + 2}})
-		f.ask(func() {})
+		f.call(func() {})
 		time.Sleep(4 * time.Millisecond) // only a pace: streams bring the newest state
 		if k := chance.IntN(sidecars); n%3 == 0 {
 			stops[k]()
@@ -120,9 +120,9 @@
 				f.Enqueue(append(joins, controller.Command{Kind: controller.RequestAck, Nonce: pushes + 10})) // as the module binds who joins
 			}
 		}()
-		f.ask(func() {
+		f.call(func() {
 			for _, s := range f.Streams.Sidecars(f.now()) {
-				if s.Joined && !s.Bound {
+				if s.Connected && !s.Bound {
 					joins = append(joins, controller.Command{Kind: controller.BindProxy, Proxy: s.Number})
 				}
 				held, refuses := s.Bound && len(s.Resources) > 0, false
--- a/xds/transport/server.go
+++ b/xds/transport/server.go
@@ -27,14 +27,14 @@
 )
 
 const (
-	firstWithin = 2 * time.Second  // for a stream's first request, which names its node
-	pingAfter   = 10 * time.Second // a sidecar that fell silent shows after that and the next
-	pingWithin  = 2 * time.Second
-	idleMost    = 5 * time.Minute // that a connection without a stream stays
-	messageMost = 1 << 20         // bytes of a request
-	inboxSize   = 1024            // happenings that may wait; then streams wait
-	outSize     = 2*int(xds.Kinds) + 2
-	perClient   = 16 // streams of one connection
+	firstRequestTimeout     = 2 * time.Second  // for a stream's first request, which names its node
+	keepaliveTime           = 10 * time.Second // a sidecar that fell silent shows after that and the next
+	keepaliveTimeout        = 2 * time.Second
+	maxConnectionIdle       = 5 * time.Minute // that a connection without a stream stays
+	maxRequestBytes         = 1 << 20         // bytes of a request
+	taskQueueSize           = 1024            // happenings that may wait; then streams wait
+	responseQueueSize       = 2*int(xds.NumResourceTypes) + 2
+	maxStreamsPerConnection = 16 // streams of one connection
 )
 
 // Server serves sidecars. It is the core's carrier.
@@ -44,70 +44,70 @@
 	Credentials    credentials.TransportCredentials // nil: none
 	ReportInterval time.Duration                    // between two load reports of a sidecar
 
-	Register func(grpc.ServiceRegistrar) // further services for operators; nil: none
-	Log      *zap.Logger
+	RegisterServices func(grpc.ServiceRegistrar) // further services for operators; nil: none
+	Log              *zap.Logger
 
-	inbox   chan func()
-	done    chan struct{}
-	began   time.Time
-	streams map[uint64]*stream // the hub's
-	ids     atomic.Uint64
-	lock    sync.Mutex
-	queue   [][]controller.Command // batches that the hub has not taken yet
-	more    chan struct{}
+	tasks        chan func()
+	done         chan struct{}
+	startedAt    time.Time
+	streams      map[uint64]*stream // the hub's
+	lastStreamID atomic.Uint64
+	batchesMutex sync.Mutex
+	batches      [][]controller.Command // batches that the hub has not taken yet
+	batchesReady chan struct{}
 
-	Malformed, Unknown atomic.Uint64 // requests that were no such thing, reports of what is not known
+	MalformedRequests, UnknownReports atomic.Uint64 // requests that were no such thing, reports of what is not known
 }
 
 // stream is one that stands; its goroutines end with its context.
 type stream struct {
-	id  uint64
-	out chan any
-	end context.CancelCauseFunc
+	id        uint64
+	responses chan any
+	cancel    context.CancelCauseFunc
 
 	closed bool // the hub's: it has ended, and what was read of it before is void
 }
 
-// New makes a front that serves nothing yet. The core is set before Run.
-func New(compiler *xds.Compiler, most int, log *zap.Logger) *Server {
-	f := &Server{Log: log, inbox: make(chan func(), inboxSize), done: make(chan struct{}), began: time.Now(),
-		streams: map[uint64]*stream{}, more: make(chan struct{}, 1), ReportInterval: time.Second}
-	f.Streams = xds.NewServer(compiler, outward{f}, most)
+// NewServer makes a front that serves nothing yet. The core is set before Run.
+func NewServer(compiler *xds.Compiler, most int, log *zap.Logger) *Server {
+	f := &Server{Log: log, tasks: make(chan func(), taskQueueSize), done: make(chan struct{}), startedAt: time.Now(),
+		streams: map[uint64]*stream{}, batchesReady: make(chan struct{}, 1), ReportInterval: time.Second}
+	f.Streams = xds.NewServer(compiler, hubSink{f}, most)
 	return f
 }
 
-func (f *Server) now() float64 { return time.Since(f.began).Seconds() }
+func (f *Server) now() float64 { return time.Since(f.startedAt).Seconds() }
 
 // Enqueue implements conductor.Carrier. All that is ordered is kept until sidecars hold it, so a mark's call counts as
 // taken at once.
 func (f *Server) Enqueue(batch []controller.Command) {
-	f.lock.Lock()
-	f.queue = append(f.queue, batch)
-	f.lock.Unlock()
+	f.batchesMutex.Lock()
+	f.batches = append(f.batches, batch)
+	f.batchesMutex.Unlock()
 	select {
-	case f.more <- struct{}{}:
+	case f.batchesReady <- struct{}{}:
 	default:
 	}
 }
 
 // Run serves on a listener until ctx ends.
 func (f *Server) Run(ctx context.Context, listener net.Listener) error {
-	options := []grpc.ServerOption{grpc.MaxRecvMsgSize(messageMost), grpc.MaxConcurrentStreams(perClient),
-		grpc.ConnectionTimeout(firstWithin),
-		grpc.KeepaliveParams(keepalive.ServerParameters{Time: pingAfter, Timeout: pingWithin, MaxConnectionIdle: idleMost}),
-		grpc.KeepaliveEnforcementPolicy(keepalive.EnforcementPolicy{MinTime: pingAfter / 2, PermitWithoutStream: true})}
+	options := []grpc.ServerOption{grpc.MaxRecvMsgSize(maxRequestBytes), grpc.MaxConcurrentStreams(maxStreamsPerConnection),
+		grpc.ConnectionTimeout(firstRequestTimeout),
+		grpc.KeepaliveParams(keepalive.ServerParameters{Time: keepaliveTime, Timeout: keepaliveTimeout, MaxConnectionIdle: maxConnectionIdle}),
+		grpc.KeepaliveEnforcementPolicy(keepalive.EnforcementPolicy{MinTime: keepaliveTime / 2, PermitWithoutStream: true})}
 	if f.Credentials != nil {
 		options = append(options, grpc.Creds(f.Credentials))
 	}
 	server := grpc.NewServer(options...)
-	discoveryv3.RegisterAggregatedDiscoveryServiceServer(server, ads{f: f})
-	loadv3.RegisterLoadReportingServiceServer(server, lrs{f: f})
-	statusv3.RegisterClientStatusDiscoveryServiceServer(server, csds{f: f})
-	if f.Register != nil {
-		f.Register(server)
+	discoveryv3.RegisterAggregatedDiscoveryServiceServer(server, adsService{f: f})
+	loadv3.RegisterLoadReportingServiceServer(server, loadService{f: f})
+	statusv3.RegisterClientStatusDiscoveryServiceServer(server, statusService{f: f})
+	if f.RegisterServices != nil {
+		f.RegisterServices(server)
 	}
 	var hub sync.WaitGroup
-	hub.Go(func() { f.hub(ctx) })
+	hub.Go(func() { f.runHub(ctx) })
 	stop := context.AfterFunc(ctx, server.Stop)
 	defer stop()
 	err := server.Serve(listener)
@@ -118,20 +118,20 @@
 	return err
 }
 
-// hub owns the machines.
-func (f *Server) hub(ctx context.Context) {
+// runHub owns the machines.
+func (f *Server) runHub(ctx context.Context) {
 	defer close(f.done)
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case do := <-f.inbox:
+		case do := <-f.tasks:
 			do()
-		case <-f.more:
-			f.lock.Lock()
-			queue := f.queue
-			f.queue = nil
-			f.lock.Unlock()
+		case <-f.batchesReady:
+			f.batchesMutex.Lock()
+			queue := f.batches
+			f.batches = nil
+			f.batchesMutex.Unlock()
 			for _, batch := range queue {
 				if err := f.Streams.ApplyCommands(f.now(), batch); err != nil {
 					f.Log.Error("orders that make no resources", zap.Error(err))
@@ -146,20 +146,20 @@
 	}
 }
 
-// tell has the hub do something; it tells whether the hub still runs.
-func (f *Server) tell(do func()) bool {
+// post has the hub do something; it tells whether the hub still runs.
+func (f *Server) post(do func()) bool {
 	select {
-	case f.inbox <- do:
+	case f.tasks <- do:
 		return true
 	case <-f.done:
 		return false
 	}
 }
 
-// ask is tell and waits until it is done.
-func (f *Server) ask(do func()) bool {
+// call is tell and waits until it is done.
+func (f *Server) call(do func()) bool {
 	ready := make(chan struct{})
-	if !f.tell(func() { do(); close(ready) }) {
+	if !f.post(func() { do(); close(ready) }) {
 		return false
 	}
 	select {
@@ -170,40 +170,42 @@
 	}
 }
 
-// outward is how the machines act; the hub calls it.
-type outward struct{ f *Server }
+// hubSink is how the machines act; the hub calls it.
+type hubSink struct{ f *Server }
 
-func (o outward) Send(id uint64, r *discoveryv3.DiscoveryResponse)           { o.send(id, r) }
-func (o outward) SendDelta(id uint64, r *discoveryv3.DeltaDiscoveryResponse) { o.send(id, r) }
+func (o hubSink) Send(id uint64, r *discoveryv3.DiscoveryResponse)           { o.send(id, r) }
+func (o hubSink) SendDelta(id uint64, r *discoveryv3.DeltaDiscoveryResponse) { o.send(id, r) }
 
-func (o outward) send(id uint64, r any) {
+func (o hubSink) send(id uint64, r any) {
 	s := o.f.streams[id]
 	if s == nil {
 		return
 	}
 	select {
-	case s.out <- r:
+	case s.responses <- r:
 	default:
-		s.end(status.Error(codes.ResourceExhausted, "responses were not read"))
+		s.cancel(status.Error(codes.ResourceExhausted, "responses were not read"))
 	}
 }
 
-func (o outward) CloseStream(id uint64, why string) {
+func (o hubSink) CloseStream(id uint64, why string) {
 	if s := o.f.streams[id]; s != nil {
-		s.end(status.Error(codes.Aborted, why))
+		s.cancel(status.Error(codes.Aborted, why))
 	}
 }
 
-func (o outward) Joined(proxy int, zone string) { o.f.Controller.ProxyJoined(proxy, zone, usualRate) }
-func (o outward) Left(proxy int)                { o.f.Controller.ProxyLeft(proxy) }
-func (o outward) Acknowledged(proxy, mark int)  { o.f.Controller.Acknowledged(proxy, mark) }
-func (o outward) Rejected(id string, kind xds.Kind, why string) {
+func (o hubSink) Joined(proxy int, zone string) {
+	o.f.Controller.ProxyJoined(proxy, zone, baselineRate)
+}
+func (o hubSink) Left(proxy int)               { o.f.Controller.ProxyLeft(proxy) }
+func (o hubSink) Acknowledged(proxy, mark int) { o.f.Controller.Acknowledged(proxy, mark) }
+func (o hubSink) Rejected(id string, kind xds.ResourceType, why string) {
 	o.f.Log.Warn("version refused", zap.String("sidecar", id), zap.Stringer("kind", kind), zap.String("why", why))
 }
 
 // SetAddresses tells where nodes take calls; it is said before the core hears of them.
 func (f *Server) SetAddresses(nodes []Node) {
-	f.ask(func() {
+	f.call(func() {
 		for _, n := range nodes {
 			f.Streams.Compiler.SetAddress(n.Name, n.Zone, n.Address)
 		}
@@ -212,7 +214,7 @@
 
 // SetAgreedRoutes has the routes of an agreed version reach all sidecars.
 func (f *Server) SetAgreedRoutes(version uint64, routes []xds.Route) {
-	f.ask(func() {
+	f.call(func() {
 		if err := f.Streams.SetAgreedRoutes(f.now(), version, routes); err != nil {
 			f.Log.Error("routes that make no resources", zap.Error(err))
 		}
@@ -225,42 +227,42 @@
 	Address    xds.Address
 }
 
-// ads serves the aggregated discovery service.
-type ads struct {
+// adsService serves the aggregated discovery service.
+type adsService struct {
 	discoveryv3.UnimplementedAggregatedDiscoveryServiceServer
 	f *Server
 }
 
-func (a ads) StreamAggregatedResources(wire discoveryv3.AggregatedDiscoveryService_StreamAggregatedResourcesServer) error {
-	return a.f.serve(wire.Context(), false, func() (opener, func(uint64) error, error) {
+func (a adsService) StreamAggregatedResources(wire discoveryv3.AggregatedDiscoveryService_StreamAggregatedResourcesServer) error {
+	return a.f.serveStream(wire.Context(), false, func() (streamNode, func(uint64) error, error) {
 		r, err := wire.Recv()
 		if err != nil {
-			return opener{}, nil, err
+			return streamNode{}, nil, err
 		}
-		id, zone := xds.NodeOf(r.GetNode())
-		return opener{id, zone}, func(stream uint64) error { return a.f.Streams.HandleStateOfTheWorld(a.f.now(), stream, r) }, nil
+		id, zone := xds.ParseNode(r.GetNode())
+		return streamNode{id, zone}, func(stream uint64) error { return a.f.Streams.HandleStateOfTheWorld(a.f.now(), stream, r) }, nil
 	}, func(m any) error { return wire.Send(m.(*discoveryv3.DiscoveryResponse)) })
 }
 
-func (a ads) DeltaAggregatedResources(wire discoveryv3.AggregatedDiscoveryService_DeltaAggregatedResourcesServer) error {
-	return a.f.serve(wire.Context(), true, func() (opener, func(uint64) error, error) {
+func (a adsService) DeltaAggregatedResources(wire discoveryv3.AggregatedDiscoveryService_DeltaAggregatedResourcesServer) error {
+	return a.f.serveStream(wire.Context(), true, func() (streamNode, func(uint64) error, error) {
 		r, err := wire.Recv()
 		if err != nil {
-			return opener{}, nil, err
+			return streamNode{}, nil, err
 		}
-		id, zone := xds.NodeOf(r.GetNode())
-		return opener{id, zone}, func(stream uint64) error { return a.f.Streams.HandleDelta(a.f.now(), stream, r) }, nil
+		id, zone := xds.ParseNode(r.GetNode())
+		return streamNode{id, zone}, func(stream uint64) error { return a.f.Streams.HandleDelta(a.f.now(), stream, r) }, nil
 	}, func(m any) error { return wire.Send(m.(*discoveryv3.DeltaDiscoveryResponse)) })
 }
 
-type opener struct{ id, zone string }
+type streamNode struct{ id, zone string }
 
-// serve drives one stream: this goroutine sends, another one receives.
-func (f *Server) serve(ctx context.Context, delta bool, recv func() (opener, func(uint64) error, error), send func(any) error) error {
+// serveStream drives one stream: this goroutine sends, another one receives.
+func (f *Server) serveStream(ctx context.Context, delta bool, recv func() (streamNode, func(uint64) error, error), send func(any) error) error {
 	ctx, end := context.WithCancelCause(ctx)
 	defer end(nil)
-	s := &stream{id: f.ids.Add(1), out: make(chan any, outSize), end: end}
-	first := time.AfterFunc(firstWithin, func() { end(status.Error(codes.DeadlineExceeded, "no first request")) })
+	s := &stream{id: f.lastStreamID.Add(1), responses: make(chan any, responseQueueSize), cancel: end}
+	first := time.AfterFunc(firstRequestTimeout, func() { end(status.Error(codes.DeadlineExceeded, "no first request")) })
 	defer first.Stop()
 	go func() { // ends with the stream: recv fails once serve has returned
 		opened := false
@@ -274,26 +276,26 @@
 				first.Stop()
 				opened = true
 				if !f.Controller.KnowsZone(who.zone) {
-					f.Malformed.Add(1)
+					f.MalformedRequests.Add(1)
 					end(status.Errorf(codes.InvalidArgument, "zone %q is not known", who.zone))
 					return
 				}
-				if !f.tell(func() {
+				if !f.post(func() {
 					if s.closed {
 						return
 					}
 					f.streams[s.id] = s
 					if err := f.Streams.Open(f.now(), s.id, delta, who.id, who.zone); err != nil {
-						f.Malformed.Add(1)
+						f.MalformedRequests.Add(1)
 						end(status.Error(codes.InvalidArgument, err.Error()))
 					}
 				}) {
 					return
 				}
 			}
-			if !f.tell(func() {
+			if !f.post(func() {
 				if err := take(s.id); err != nil {
-					f.Malformed.Add(1)
+					f.MalformedRequests.Add(1)
 					end(status.Error(codes.InvalidArgument, err.Error()))
 				}
 			}) {
@@ -301,7 +303,7 @@
 			}
 		}
 	}()
-	defer f.tell(func() {
+	defer f.post(func() {
 		s.closed = true
 		delete(f.streams, s.id)
 		f.Streams.Close(f.now(), s.id)
@@ -309,10 +311,10 @@
 	for {
 		select {
 		case <-ctx.Done():
-			return cause(ctx)
+			return streamStatus(ctx)
 		case <-f.done:
 			return status.Error(codes.Unavailable, "the conductor stops")
-		case m := <-s.out:
+		case m := <-s.responses:
 			if err := send(m); err != nil {
 				return err
 			}
@@ -320,7 +322,7 @@
 	}
 }
 
-func cause(ctx context.Context) error {
+func streamStatus(ctx context.Context) error {
 	err := context.Cause(ctx)
 	if _, is := status.FromError(err); is {
 		return err
@@ -328,32 +330,32 @@
 	return status.FromContextError(err).Err()
 }
 
-// lrs takes load reports in: sums of tries at nodes, and calls by route.
-type lrs struct {
+// loadService takes load reports in: sums of tries at nodes, and calls by route.
+type loadService struct {
 	loadv3.UnimplementedLoadReportingServiceServer
 	f *Server
 }
 
 const (
-	sumsMost  = 4096    // of one report
-	spanMost  = 600.0   // s that one report may be of
-	countMost = 1 << 30 // more of anything in a report is no count
-	usualRate = 1.0     // calls a second of a sidecar that joins, as a rough figure: it tells none
+	maxReportEndpoints = 4096    // of one report
+	maxReportSeconds   = 600.0   // s that one report may be of
+	maxReportCount     = 1 << 30 // more of anything in a report is no count
+	baselineRate       = 1.0     // calls a second of a sidecar that joins, as a rough figure: it tells none
 )
 
-func (l lrs) StreamLoadStats(wire loadv3.LoadReportingService_StreamLoadStatsServer) error {
+func (l loadService) StreamLoadStats(wire loadv3.LoadReportingService_StreamLoadStatsServer) error {
 	f := l.f
 	r, err := wire.Recv()
 	if err != nil {
 		return err
 	}
-	id, _ := xds.NodeOf(r.GetNode())
+	id, _ := xds.ParseNode(r.GetNode())
 	if err := wire.Send(&loadv3.LoadStatsResponse{SendAllClusters: true, LoadReportingInterval: duration(f.ReportInterval),
 		ReportEndpointGranularity: true}); err != nil {
 		return err
 	}
 	for {
-		f.take(id, r)
+		f.handleLoadReport(id, r)
 		if r, err = wire.Recv(); err == io.EOF {
 			return nil
 		} else if err != nil {
@@ -362,8 +364,8 @@
 	}
 }
 
-// take tells the core what a sidecar met. A figure that can't be loses its own line only.
-func (f *Server) take(id string, r *loadv3.LoadStatsRequest) {
+// handleLoadReport tells the core what a sidecar met. A figure that can't be loses its own line only.
+func (f *Server) handleLoadReport(id string, r *loadv3.LoadStatsRequest) {
 	lines := 0
 	var sums []controller.LoadReport
 	type usage struct {
@@ -375,39 +377,39 @@
 	var addresses []xds.Address
 	for _, c := range r.GetClusterStats() {
 		span := c.GetLoadReportInterval().AsDuration().Seconds()
-		if !(span > 0) || span > spanMost {
-			f.Malformed.Add(1)
+		if !(span > 0) || span > maxReportSeconds {
+			f.MalformedRequests.Add(1)
 			continue
 		}
 		for _, local := range c.GetUpstreamLocalityStats() {
 			for _, e := range local.GetUpstreamEndpointStats() {
-				if lines++; lines > sumsMost {
-					f.Malformed.Add(1)
+				if lines++; lines > maxReportEndpoints {
+					f.MalformedRequests.Add(1)
 					return
 				}
-				s := controller.LoadReport{Completed: count(e.GetTotalIssuedRequests()), Failed: count(e.GetTotalErrorRequests()), Interval: span}
+				s := controller.LoadReport{Completed: boundedCount(e.GetTotalIssuedRequests()), Failed: boundedCount(e.GetTotalErrorRequests()), Interval: span}
 				for _, m := range e.GetLoadMetricStats() {
 					if n := m.GetNumRequestsFinishedWithMetric(); m.GetMetricName() == xds.LatencySumMetric && n > 0 {
 						s.MeanLatency = m.GetTotalMetricValue() / float64(n)
 					}
 				}
-				if s.Completed < s.Failed || s.Completed == 0 || !(s.MeanLatency >= 0) || math.IsInf(s.MeanLatency, 0) || s.Completed == countMost {
-					f.Malformed.Add(1)
+				if s.Completed < s.Failed || s.Completed == 0 || !(s.MeanLatency >= 0) || math.IsInf(s.MeanLatency, 0) || s.Completed == maxReportCount {
+					f.MalformedRequests.Add(1)
 					continue
 				}
 				sums, addresses = append(sums, s), append(addresses, xds.AddressOf(e.GetAddress()))
 			}
 			for _, m := range local.GetLoadMetricStats() {
 				if route, is := strings.CutPrefix(m.GetMetricName(), xds.RouteMetric); is {
-					usages = append(usages, usage{route, count(m.GetNumRequestsFinishedWithMetric()), span})
+					usages = append(usages, usage{route, boundedCount(m.GetNumRequestsFinishedWithMetric()), span})
 				}
 			}
 		}
 	}
-	f.tell(func() {
+	f.post(func() {
 		proxy, known := f.Streams.Number(id)
 		if !known {
-			f.Unknown.Add(1)
+			f.UnknownReports.Add(1)
 			return
 		}
 		for _, u := range usages {
@@ -415,7 +417,7 @@
 		}
 		for k, s := range sums {
 			if s.Node, known = f.Streams.Compiler.NodeAt(addresses[k]); !known {
-				f.Unknown.Add(1)
+				f.UnknownReports.Add(1)
 				continue
 			}
 			f.Controller.AddLoadReport(s)
@@ -423,4 +425,4 @@
 	})
 }
 
-func count(n uint64) int { return int(min(n, countMost)) }
+func boundedCount(n uint64) int { return int(min(n, maxReportCount)) }
--- a/xds/transport/server_test.go
+++ b/xds/transport/server_test.go
@@ -47,9 +47,9 @@
 
 // settled is how many sidecars hold all that they are to hold.
 func settled(f *Server) (n int) {
-	f.ask(func() {
+	f.call(func() {
 		for _, s := range f.Streams.Sidecars(f.now()) {
-			all := s.Joined && s.Bound && s.Unconfirmed == 0 && len(s.Resources) >= int(xds.Kinds)
+			all := s.Connected && s.Bound && s.Unacknowledged == 0 && len(s.Resources) >= int(xds.NumResourceTypes)
 			for _, st := range s.Resources {
 				all = all && st.Accepted == st.Target
 			}
@@ -63,14 +63,14 @@
 
 // known is how many sidecars ever joined, joined how many stand.
 func known(f *Server) (n int) {
-	f.ask(func() { n = len(f.Streams.Sidecars(f.now())) })
+	f.call(func() { n = len(f.Streams.Sidecars(f.now())) })
 	return n
 }
 
 func joined(f *Server) (n int) {
-	f.ask(func() {
+	f.call(func() {
 		for _, s := range f.Streams.Sidecars(f.now()) {
-			if s.Joined {
+			if s.Connected {
 				n++
 			}
 		}
@@ -114,7 +114,7 @@
 		c := &crowd{}
 		var conn *grpc.ClientConn
 		for k, h := range holders {
-			if k%perClient == 0 {
+			if k%maxStreamsPerConnection == 0 {
 				conn = dial(t, address)
 			}
 			on := conn
@@ -159,12 +159,12 @@
 		code codes.Code
 		why  string
 	}{
-		"no node id":   {[]*discoveryv3.DiscoveryRequest{{Node: node("", "north"), TypeUrl: xds.Clusters.URL()}}, codes.InvalidArgument, "no node id"},
-		"unknown zone": {[]*discoveryv3.DiscoveryRequest{{Node: node("x", "moon"), TypeUrl: xds.Clusters.URL()}}, codes.InvalidArgument, `zone "moon"`},
+		"no node id":   {[]*discoveryv3.DiscoveryRequest{{Node: node("", "north"), TypeUrl: xds.Clusters.TypeURL()}}, codes.InvalidArgument, "no node id"},
+		"unknown zone": {[]*discoveryv3.DiscoveryRequest{{Node: node("x", "moon"), TypeUrl: xds.Clusters.TypeURL()}}, codes.InvalidArgument, `zone "moon"`},
 		"unknown type": {[]*discoveryv3.DiscoveryRequest{{Node: node("x", "north"), TypeUrl: "type.googleapis.com/what"}}, codes.InvalidArgument, "is not served"},
-		"too many names": {[]*discoveryv3.DiscoveryRequest{{Node: node("x", "north"), TypeUrl: xds.Endpoints.URL(),
+		"too many names": {[]*discoveryv3.DiscoveryRequest{{Node: node("x", "north"), TypeUrl: xds.Endpoints.TypeURL(),
 			ResourceNames: make([]string, 5000)}}, codes.InvalidArgument, "4096 at most"},
-		"too large": {[]*discoveryv3.DiscoveryRequest{{Node: node("x", "north"), TypeUrl: strings.Repeat("x", messageMost+1)}}, codes.ResourceExhausted, "larger than max"},
+		"too large": {[]*discoveryv3.DiscoveryRequest{{Node: node("x", "north"), TypeUrl: strings.Repeat("x", maxRequestBytes+1)}}, codes.ResourceExhausted, "larger than max"},
 		"silent":    {nil, codes.DeadlineExceeded, "no first request"},
 	} {
 		s, err := client.StreamAggregatedResources(ctx)
@@ -180,16 +180,16 @@
 	}
 	for _, id := range []string{"x", "y", "z"} {
 		s, _ := client.StreamAggregatedResources(ctx)
-		s.Send(&discoveryv3.DiscoveryRequest{Node: node(id, "north"), TypeUrl: xds.Clusters.URL()})
+		s.Send(&discoveryv3.DiscoveryRequest{Node: node(id, "north"), TypeUrl: xds.Clusters.TypeURL()})
 	}
 	until(t, "three are known", func() bool { return known(f) == 3 })
 	s, _ := client.StreamAggregatedResources(ctx)
-	s.Send(&discoveryv3.DiscoveryRequest{Node: node("one too many", "north"), TypeUrl: xds.Clusters.URL()})
+	s.Send(&discoveryv3.DiscoveryRequest{Node: node("one too many", "north"), TypeUrl: xds.Clusters.TypeURL()})
 	if _, err := s.Recv(); status.Code(err) != codes.InvalidArgument || !strings.Contains(err.Error(), "no more may join") {
 		t.Errorf("too many: %v", err)
 	}
-	if f.Malformed.Load() < 5 {
-		t.Errorf("%d counted", f.Malformed.Load())
+	if f.MalformedRequests.Load() < 5 {
+		t.Errorf("%d counted", f.MalformedRequests.Load())
 	}
 	if settled(f) < 1 {
 		t.Error("the good one lost its table")
@@ -205,7 +205,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		s.Send(&discoveryv3.DiscoveryRequest{Node: &corev3.Node{Id: "till", Locality: &corev3.Locality{Zone: "north"}}, TypeUrl: xds.Clusters.URL()})
+		s.Send(&discoveryv3.DiscoveryRequest{Node: &corev3.Node{Id: "till", Locality: &corev3.Locality{Zone: "north"}}, TypeUrl: xds.Clusters.TypeURL()})
 		return s
 	}
 	first := open()
@@ -246,10 +246,10 @@
 			UpstreamLocalityStats: []*endpointv3.UpstreamLocalityStats{{UpstreamEndpointStats: lines}}}}})
 	}
 	report(time.Second, line(1000, 10, 2), line(1000, 1, 2), line(9999, 5, 0))
-	until(t, "the bad line and the unknown node are counted", func() bool { return f.Malformed.Load() == 1 && f.Unknown.Load() == 1 })
+	until(t, "the bad line and the unknown node are counted", func() bool { return f.MalformedRequests.Load() == 1 && f.UnknownReports.Load() == 1 })
 	report(0, line(1000, 10, 2))
 	report(-time.Second, line(1000, 10, 2))
-	until(t, "spans that can't be are counted", func() bool { return f.Malformed.Load() == 3 })
+	until(t, "spans that can't be are counted", func() bool { return f.MalformedRequests.Load() == 3 })
 	s.CloseSend()
 	if _, err := s.Recv(); err != io.EOF {
 		t.Errorf("after its end: %v", err)
--- a/xds/transport/status.go
+++ b/xds/transport/status.go
@@ -19,17 +19,17 @@
 
 func duration(d time.Duration) *durationpb.Duration { return durationpb.New(d) }
 
-// csds answers operators: what each sidecar holds, is to hold and refused, by the client status discovery service.
-type csds struct {
+// statusService answers operators: what each sidecar holds, is to hold and refused, by the client status discovery service.
+type statusService struct {
 	statusv3.UnimplementedClientStatusDiscoveryServiceServer
 	f *Server
 }
 
-func (c csds) FetchClientStatus(_ context.Context, r *statusv3.ClientStatusRequest) (*statusv3.ClientStatusResponse, error) {
+func (c statusService) FetchClientStatus(_ context.Context, r *statusv3.ClientStatusRequest) (*statusv3.ClientStatusResponse, error) {
 	return c.response(r)
 }
 
-func (c csds) StreamClientStatus(wire statusv3.ClientStatusDiscoveryService_StreamClientStatusServer) error {
+func (c statusService) StreamClientStatus(wire statusv3.ClientStatusDiscoveryService_StreamClientStatusServer) error {
 	for {
 		r, err := wire.Recv()
 		if err != nil {
@@ -45,13 +45,13 @@
 	}
 }
 
-func (c csds) response(r *statusv3.ClientStatusRequest) (*statusv3.ClientStatusResponse, error) {
+func (c statusService) response(r *statusv3.ClientStatusRequest) (*statusv3.ClientStatusResponse, error) {
 	out, bare := &statusv3.ClientStatusResponse{}, r.GetExcludeResourceContents()
 	asked := map[string]bool{}
 	for _, m := range r.GetNodeMatchers() {
 		asked[m.GetNodeId().GetExact()] = true
 	}
-	if !c.f.ask(func() {
+	if !c.f.call(func() {
 		now := c.f.now()
 		for _, s := range c.f.Streams.Sidecars(now) {
 			if len(asked) == 0 || asked[s.ID] {
@@ -76,7 +76,7 @@
 	StatusUnconfirmed         = "unconfirmed"
 )
 
-func clientConfig(s xds.Sidecar, now float64, bare bool) *statusv3.ClientConfig {
+func clientConfig(s xds.SidecarStatus, now float64, bare bool) *statusv3.ClientConfig {
 	table, variant := "", "state"
 	if s.Bound {
 		table = fmt.Sprint(s.Table)
@@ -84,12 +84,12 @@
 	if s.Delta {
 		variant = "delta"
 	}
-	about, _ := structpb.NewStruct(map[string]any{StatusJoined: s.Joined, StatusTable: table, StatusDisconnectedSeconds: s.DisconnectedSeconds,
+	about, _ := structpb.NewStruct(map[string]any{StatusJoined: s.Connected, StatusTable: table, StatusDisconnectedSeconds: s.DisconnectedSeconds,
 		StatusVariant: variant, StatusStaleAnswers: float64(s.Stale), StatusRejected: float64(s.Rejected), StatusAccepted: float64(s.Accepted),
-		StatusUnconfirmed: float64(s.Unconfirmed)})
+		StatusUnconfirmed: float64(s.Unacknowledged)})
 	out := &statusv3.ClientConfig{Node: &corev3.Node{Id: s.ID, Locality: &corev3.Locality{Zone: s.Zone}, Metadata: about}}
 	for _, st := range s.Resources {
-		one := &statusv3.ClientConfig_GenericXdsConfig{TypeUrl: st.Kind.URL(), Name: st.Name, VersionInfo: st.Accepted}
+		one := &statusv3.ClientConfig_GenericXdsConfig{TypeUrl: st.Type.TypeURL(), Name: st.Name, VersionInfo: st.Accepted}
 		if !bare {
 			one.XdsConfig = st.Body
 		}
