--- a/config/agreed_text_test.go
+++ b/config/agreed_text_test.go
@@ -24,7 +24,7 @@
 `
 
 // The text becomes records and the records the same text, in one order whatever order it was written in.
-func TestTextAndRecords(t *testing.T) {
+func TestAgreedTextRoundTrip(t *testing.T) {
 	a, err := ParseAgreed(agreedExample)
 	if err != nil {
 		t.Fatal(err)
@@ -45,7 +45,7 @@
 }
 
 // Random records give a text that is read as the same records.
-func TestTextsOfRandomRecords(t *testing.T) {
+func TestFormatRandomRecordsRoundTrip(t *testing.T) {
 	for seed := range uint64(50) {
 		random := rand.New(rand.NewPCG(seed, 1))
 		var list []*records.Record
@@ -75,7 +75,7 @@
 	}
 }
 
-func TestFaultsOfRecordsInTexts(t *testing.T) {
+func TestRecordWriteFaultsNameLines(t *testing.T) {
 	route := ` route "a" { prefix "/a"; limit-ms 9; };`
 	for text, want := range map[string]string{
 		`agreed {` + route + ` service "s"; service "s"; }`:             `line 1: service "s" is there twice`,
@@ -92,7 +92,7 @@
 	}
 }
 
-func TestFilesOfRecords(t *testing.T) {
+func TestParseRecordWrites(t *testing.T) {
 	writes, err := ParseRecordWrites(`route "a" service="s" revision=12 { prefix "/a"; limit-ms 9; }
 service "s" revision=0
 remove "tenant/x" revision=7
@@ -121,7 +121,7 @@
 }
 
 // A text with far too many routes is refused with the line of the first of these, and with no other fault.
-func TestTooManyRoutesAreOneFault(t *testing.T) {
+func TestTooManyAgreedRoutesAreOneFault(t *testing.T) {
 	var text strings.Builder
 	text.WriteString("agreed {\n")
 	for route := range xds.MaxRoutes + 10 {
--- a/config/faults_test.go
+++ b/config/faults_test.go
@@ -11,7 +11,7 @@
 )
 
 // Each broken configuration is refused with a reason that names its line.
-func TestBroken(t *testing.T) {
+func TestBrokenConfigurationsNameFaultyLines(t *testing.T) {
 	conductor := func(lines ...string) string { return "conductor \"c\" {\n" + strings.Join(lines, "\n") + "\n}\n" }
 	good := []string{`listen "127.0.0.1:1"`, `nodes "n"`, `zone "north"`, `route "a" { prefix "/a"; limit-ms 1000; slo-ms 900; }`}
 	with := func(line string) string { return conductor(append(append([]string(nil), good...), line)...) }
@@ -62,7 +62,7 @@
 
 // A configuration has as many routes as a sidecar takes; the first one above is refused with its line, also in a
 // configuration that conductors agree on.
-func TestTooManyRoutes(t *testing.T) {
+func TestTooManyRoutesAreOneFault(t *testing.T) {
 	routes := func(count int, more string) (lines string) {
 		for r := range count {
 			lines += fmt.Sprintf("route \"r-%04d\" { prefix \"/%04d\"; limit-ms 1000; %s}\n", r, r, more)
@@ -98,7 +98,7 @@
 	}
 }
 
-func TestNodes(t *testing.T) {
+func TestNodeListFaults(t *testing.T) {
 	folder := t.TempDir()
 	c := &Controller{NodesFile: filepath.Join(folder, "nodes.kdl"), Zones: map[string]bool{"north": true}, MachineTypes: map[string]bool{"small": true}}
 	c.Deployment.MachineTypes = []string{"small"}
--- a/config/follower_test.go
+++ b/config/follower_test.go
@@ -27,7 +27,7 @@
 	return ReadController(path)
 }
 
-func TestReadFollower(t *testing.T) {
+func TestReadFollowerSettings(t *testing.T) {
 	c, err := readFollower(t, `follow { member "127.0.0.1:2"; member "127.0.0.1:3"; service "quotes"; service "issues"; zone "north"; lease-ms 1500; }`)
 	if err != nil {
 		t.Fatal(err)
@@ -82,7 +82,7 @@
 func routeKey(name string) records.Key    { return records.Key{Kind: records.KindRoute, Name: name} }
 func overrideKey(name string) records.Key { return records.Key{Kind: records.KindOverride, Name: name} }
 
-func TestAgreedOf(t *testing.T) {
+func TestAgreedFromFollower(t *testing.T) {
 	agreed, err := AgreedFromFollower(held(t, map[records.Key]any{
 		routeKey("all"):   records.RouteSpec{Prefix: "/", TimeLimitMS: 100},
 		routeKey("a"):     records.RouteSpec{Prefix: "/a", TimeLimitMS: 1500, MaxAdmitted: 0.5},
@@ -113,7 +113,7 @@
 	}
 }
 
-func TestUsable(t *testing.T) {
+func TestValidateUpdate(t *testing.T) {
 	c, err := readFollower(t, `follow { member "127.0.0.1:2"; }`)
 	if err != nil {
 		t.Fatal(err)
@@ -157,7 +157,7 @@
 }
 
 // A follower's check costs by its routes and overrides: ten times the tenants add no allocation.
-func TestAgreedOfPassesTenantsOver(t *testing.T) {
+func TestAgreedFromFollowerSkipsTenants(t *testing.T) {
 	allocations := func(tenants int) float64 {
 		specs := map[records.Key]any{routeKey("a"): records.RouteSpec{Prefix: "/a", TimeLimitMS: 100}}
 		for k := range tenants {
--- a/configsync/backoff_test.go
+++ b/configsync/backoff_test.go
@@ -32,7 +32,7 @@
 }
 
 // Each failure moves on; all members come in turn, and followers begin at different ones.
-func TestBackoffGoesThroughAllMembers(t *testing.T) {
+func TestBackoffTriesEveryMember(t *testing.T) {
 	members := []string{"a", "b", "c", "d", "e"}
 	first := map[string]int{}
 	for seed := range uint64(1000) {
@@ -55,7 +55,7 @@
 }
 
 // Failing for days overflows nothing.
-func TestBackoffGoesOn(t *testing.T) {
+func TestBackoffMovesOnAfterEachFailure(t *testing.T) {
 	b := NewBackoff([]string{"a"}, 1)
 	for range 10000 {
 		if pause := b.Failed(); pause < 0 || pause >= backoffMax {
--- a/configsync/convergence_test.go
+++ b/configsync/convergence_test.go
@@ -16,7 +16,7 @@
 	return MemberStatus{Member: member, At: taken, Revision: revision, Settled: true, Leases: leases}
 }
 
-func TestMergeJoinsMembers(t *testing.T) {
+func TestMergeCombinesMembers(t *testing.T) {
 	now := at(100)
 	force := Merge([]MemberStatus{
 		memberStatus("m2", now, 9, leaseStatus("d", 7, now, at(102), 4*time.Second), leaseStatus("c", 7, now, at(101), 4*time.Second)),
@@ -38,7 +38,7 @@
 }
 
 // A follower that has moved is held back by no lease that it left behind, though the members' clocks differ by an hour.
-func TestMergeTakesTheLeaseRenewedLast(t *testing.T) {
+func TestMergeUsesLeaseRenewedLast(t *testing.T) {
 	now, ahead := at(100), at(3700)
 	left := memberStatus("m1", ahead, 9, leaseStatus("a", 3, ahead, ahead.Add(time.Second), time.Second))
 	came := memberStatus("m2", now, 9, leaseStatus("a", 9, now, now.Add(2*time.Second), 0))
@@ -61,7 +61,7 @@
 	}
 }
 
-func TestMergeDoubts(t *testing.T) {
+func TestMergeListsUnknownMembers(t *testing.T) {
 	now := at(100)
 	restarted := memberStatus("m3", now, 9)
 	restarted.Settled = false
@@ -88,7 +88,7 @@
 }
 
 // A member that is itself behind takes its followers for being in step; the others know since when they are not.
-func TestMergeTellsHowLongBehindALaggingMember(t *testing.T) {
+func TestMergeReportsLagOfFollowerAtLaggingMember(t *testing.T) {
 	now := at(100)
 	newest := memberStatus("m1", now, 9)
 	newest.Recent = []CommitStatus{{5, 60 * time.Second}, {6, 40 * time.Second}, {9, time.Second}}
@@ -101,7 +101,7 @@
 }
 
 // Of two statuses of one member the later one counts.
-func TestMergeTakesTheLatestStatus(t *testing.T) {
+func TestMergeUsesLatestStatusOfMember(t *testing.T) {
 	earlier := memberStatus("m1", at(100), 8, leaseStatus("a", 8, at(100), at(103), 0))
 	later := memberStatus("m1", at(101), 9, leaseStatus("a", 9, at(101), at(104), 0))
 	for _, statuses := range [][]MemberStatus{{earlier, later}, {later, earlier}} {
--- a/configsync/cost_test.go
+++ b/configsync/cost_test.go
@@ -59,7 +59,7 @@
 	return messages, interestedBytes, otherBytes
 }
 
-func TestCostOfAChange(t *testing.T) {
+func TestBytesOfOneChange(t *testing.T) {
 	const size = 50
 	c := newCrowd(t, size)
 	if got := c.server.Counts; got.FullScopes != size || got.Heartbeats != size {
@@ -85,7 +85,7 @@
 }
 
 // What a revision costs to tell and to answer, per follower, does not grow with the number of followers.
-func TestCostGrowsWithFollowersOnly(t *testing.T) {
+func TestAllocationsPerFollowerDoNotGrow(t *testing.T) {
 	perFollower := func(size int) float64 {
 		c := newCrowd(t, size)
 		source := &progressSource{Source: c.source, revision: 1}
@@ -105,7 +105,7 @@
 }
 
 // Noting a commit allocates nothing for the leases.
-func TestCommittedAllocations(t *testing.T) {
+func TestCommittedAllocationsAreBounded(t *testing.T) {
 	c := newCrowd(t, 500)
 	revision := uint64(1)
 	if got := testing.AllocsPerRun(1000, func() {
@@ -129,8 +129,8 @@
 	}
 }
 
-// BenchmarkTell tells followers of progress, over a source that costs nothing.
-func BenchmarkTell(b *testing.B) {
+// BenchmarkSendChange tells followers of progress, over a source that costs nothing.
+func BenchmarkSendChange(b *testing.B) {
 	for _, size := range []int{20, 200, 2000} {
 		b.Run(fmt.Sprint(size), func(b *testing.B) {
 			c := newCrowd(b, size)
--- a/configsync/follower_test.go
+++ b/configsync/follower_test.go
@@ -51,7 +51,7 @@
 }
 
 // An offer is sent without the member having heard the follower: it does not renew the lease.
-func TestOfferDoesNotRenewTheLease(t *testing.T) {
+func TestUpdateDoesNotRenewLease(t *testing.T) {
 	follower := NewFollower("a", records.Scope{All: true}, 3*time.Second, nil)
 	follower.Begin(at(0))
 	offer, err := Update{Revision: 4, Nonce: "1", FullScope: true}.response()
@@ -81,8 +81,8 @@
 	return record
 }
 
-// heldOf is a follower with one route at revision 5.
-func heldOf(t testing.TB) *Follower {
+// newFollowerWithRecords is a follower with one route at revision 5.
+func newFollowerWithRecords(t testing.TB) *Follower {
 	t.Helper()
 	f := NewFollower("f", services("s1"), 3*time.Second, nil)
 	f.Begin(at(0))
@@ -94,7 +94,7 @@
 }
 
 // What can't be read or can't be right is refused, and what was held stays.
-func TestFollowerRefusesWhatCannotBe(t *testing.T) {
+func TestFollowerRejectsInapplicableUpdates(t *testing.T) {
 	changed := withRevision(route(t, "a", "s1", 11), 6)
 	for name, offer := range map[string]Update{
 		"revision 0":                      {Revision: 0, Nonce: "2"},
@@ -109,7 +109,7 @@
 		"whole with one of another scope": {Revision: 6, Nonce: "2", FullScope: true, Records: one(withRevision(route(t, "x", "s2", 11), 6))},
 	} {
 		t.Run(name, func(t *testing.T) {
-			f := heldOf(t)
+			f := newFollowerWithRecords(t)
 			reply, accepted, err := f.Receive(at(1), offerOf(t, offer))
 			if err != nil || accepted || reply.GetErrorDetail() == nil || reply.GetResponseNonce() != "2" {
 				t.Errorf("reply %v, accepted %v, %v", reply, accepted, err)
@@ -121,7 +121,7 @@
 	}
 }
 
-func TestFollowerRefusesBadMessages(t *testing.T) {
+func TestFollowerRejectsMalformedMessages(t *testing.T) {
 	good := func() *discoveryv3.DeltaDiscoveryResponse {
 		return offerOf(t, Update{Revision: 6, Nonce: "2", Records: one(withRevision(route(t, "a", "s1", 11), 6))})
 	}
@@ -142,7 +142,7 @@
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
-			f, response := heldOf(t), good()
+			f, response := newFollowerWithRecords(t), good()
 			spoil(response)
 			reply, accepted, err := f.Receive(at(1), response)
 			if err != nil || accepted || reply.GetErrorDetail() == nil || f.Revision() != 5 || f.Rejected != 1 {
@@ -150,15 +150,15 @@
 			}
 		})
 	}
-	f, response := heldOf(t), good()
+	f, response := newFollowerWithRecords(t), good()
 	if _, accepted, err := f.Receive(at(1), response); err != nil || !accepted {
 		t.Errorf("what is good: %v, %v", accepted, err)
 	}
 }
 
 // Without a nonce there is nothing to answer: such a member is left.
-func TestFollowerLeavesAMemberThatSendsNonsense(t *testing.T) {
-	f := heldOf(t)
+func TestFollowerLeavesMemberAfterMalformedHeartbeat(t *testing.T) {
+	f := newFollowerWithRecords(t)
 	if reply, _, err := f.Receive(at(1), &discoveryv3.DeltaDiscoveryResponse{TypeUrl: "x"}); err == nil || reply != nil {
 		t.Errorf("reply %v, %v", reply, err)
 	}
@@ -167,8 +167,8 @@
 	}
 }
 
-func TestFollowerNeverGoesBack(t *testing.T) {
-	f := heldOf(t)
+func TestFollowerRefusesOlderRevision(t *testing.T) {
+	f := newFollowerWithRecords(t)
 	for _, whole := range []bool{true, false} {
 		reply, accepted, err := f.Receive(at(1), offerOf(t, Update{Revision: 4, Nonce: "2", FullScope: whole}))
 		if !errors.Is(err, ErrOlderRevision) || accepted || reply != nil || f.Revision() != 5 || len(f.Records()) != 1 {
@@ -178,10 +178,10 @@
 }
 
 // The revision held may come again, whole or as progress, but with no other contents.
-func TestFollowerAtTheSameRevision(t *testing.T) {
+func TestFollowerDetectsConflictAtSameRevision(t *testing.T) {
 	same := Update{Revision: 5, Nonce: "2", FullScope: true, Records: one(withRevision(route(t, "a", "s1", 10), 4))}
 	for name, offer := range map[string]Update{"whole": same, "progress": {Revision: 5, Nonce: "2"}} {
-		f := heldOf(t)
+		f := newFollowerWithRecords(t)
 		if reply, accepted, err := f.Receive(at(1), offerOf(t, offer)); err != nil || accepted || reply.GetErrorDetail() != nil {
 			t.Errorf("%s: reply %v, accepted %v, %v", name, reply, accepted, err)
 		}
@@ -193,7 +193,7 @@
 		"removed":        {Revision: 5, Nonce: "2", Removed: []records.Key{routeKey("a")}},
 		"changed":        {Revision: 5, Nonce: "2", Records: one(withRevision(route(t, "a", "s1", 11), 5))},
 	} {
-		f := heldOf(t)
+		f := newFollowerWithRecords(t)
 		if _, accepted, err := f.Receive(at(1), offerOf(t, offer)); !errors.Is(err, ErrConflictingContent) || accepted || len(f.Records()) != 1 {
 			t.Errorf("%s: accepted %v, %v", name, accepted, err)
 		}
@@ -201,7 +201,7 @@
 }
 
 // A change can't be applied to nothing: what else is in the scope would be missing.
-func TestFollowerTakesNoChangeToNothing(t *testing.T) {
+func TestFollowerRejectsDeltaWithoutBaseRevision(t *testing.T) {
 	f := NewFollower("f", services("s1"), 3*time.Second, nil)
 	for _, offer := range []Update{{Revision: 5, Nonce: "1", Records: one(withRevision(route(t, "a", "s1", 10), 5))}, {Revision: 5, Nonce: "1"}} {
 		if reply, accepted, err := f.Receive(at(0), offerOf(t, offer)); err != nil || accepted || reply.GetErrorDetail() == nil {
@@ -211,8 +211,8 @@
 }
 
 // A follower whose lease ran out keeps what it holds.
-func TestStaleFollowerKeepsItsRecords(t *testing.T) {
-	f := heldOf(t)
+func TestStaleFollowerKeepsRecords(t *testing.T) {
+	f := newFollowerWithRecords(t)
 	if !f.Stale(at(100000)) || f.Revision() != 5 || len(f.Records()) != 1 {
 		t.Errorf("revision %d, %v", f.Revision(), f.Records())
 	}
--- a/configsync/fullscope_limiter_test.go
+++ b/configsync/fullscope_limiter_test.go
@@ -9,7 +9,7 @@
 )
 
 // A crowd is served in the order in which it came, all of it, using most of the allowance, whatever a scope's size.
-func TestAllowanceServesACrowd(t *testing.T) {
+func TestFullScopeLimiterServesCrowdInOrder(t *testing.T) {
 	for _, bytes := range []float64{1 << 10, 16 << 10, 300 << 10} {
 		a := newFullScopeLimiter(1<<20, 64<<10)
 		const crowd = 100
@@ -53,7 +53,7 @@
 }
 
 // A stream at the head that does not ask any more, stuck in a write for instance, loses its place.
-func TestAllowanceSkipsTheAbsent(t *testing.T) {
+func TestFullScopeLimiterSkipsLateStreams(t *testing.T) {
 	a := newFullScopeLimiter(1000, 1000)
 	dead, alive, dying := &Stream{}, &Stream{}, &Stream{}
 	a.acquire(at(0), &Stream{})
@@ -78,7 +78,7 @@
 }
 
 // Refilled by the time that passed, to the burst at most; a clock that goes back gives nothing.
-func TestAllowanceRefills(t *testing.T) {
+func TestFullScopeLimiterRefillsToBurst(t *testing.T) {
 	a := newFullScopeLimiter(1000, 500)
 	stream := &Stream{}
 	spend := func(seconds, bytes float64) {
@@ -103,7 +103,7 @@
 
 // While a crowd waits for whole scopes, who is in step gets changes at once. A stream that is closed in the queue, or
 // replaced, makes place.
-func TestCrowdHoldsUpNobodyInStep(t *testing.T) {
+func TestWaitingFullScopesDoNotDelayDeltas(t *testing.T) {
 	source := newModelSource()
 	limits := testLimits
 	limits.FullScopeBytesPerSecond, limits.FullScopeBurstBytes = 100, 1
@@ -139,7 +139,7 @@
 }
 
 // Refusing whole scopes again and again costs the allowance, and one who does it waits behind the others.
-func TestRefuserWaitsItsTurn(t *testing.T) {
+func TestRejectedFullScopeIsChargedAndQueuesAgain(t *testing.T) {
 	source := newModelSource()
 	limits := testLimits
 	limits.FullScopeBytesPerSecond, limits.FullScopeBurstBytes = 1000, 1
--- a/configsync/fuzz_test.go
+++ b/configsync/fuzz_test.go
@@ -88,7 +88,7 @@
 		if proto.Unmarshal(data, response) != nil {
 			return
 		}
-		follower := heldOf(t)
+		follower := newFollowerWithRecords(t)
 		reply, accepted, err := follower.Receive(at(1), response)
 		if (err != nil || reply.GetErrorDetail() != nil) && (accepted || follower.Revision() != 5 || follower.Records()[routeKey("a")].Revision != 4) {
 			t.Errorf("%s: refused, and holds %d with %v", protojson.Format(response), follower.Revision(), follower.Records())
--- a/configsync/routing_revision_test.go
+++ b/configsync/routing_revision_test.go
@@ -12,7 +12,7 @@
 
 // Followers of one scope have the same routing revision at the same revision, however they came there: told each change,
 // several at once, or the whole scope. It never goes down, also when the newest route goes.
-func TestRoutingRevisionIsThatOfTheRevision(t *testing.T) {
+func TestRoutingRevisionMatchesRevision(t *testing.T) {
 	removals, comeAndGone := 0, 0
 	for seed := range uint64(20) {
 		random := rand.New(rand.NewPCG(seed, 5))
@@ -62,7 +62,7 @@
 
 // A lower routing revision than the one held is no reason to number routes lower. A refused offer changes nothing.
 func TestRoutingRevisionNeverGoesDown(t *testing.T) {
-	f := heldOf(t)
+	f := newFollowerWithRecords(t)
 	for _, step := range []struct {
 		offer Update
 		want  uint64
@@ -79,7 +79,7 @@
 }
 
 // An offer has to have one routing revision that can be.
-func TestOfferWithoutRoutingRevisionIsRefused(t *testing.T) {
+func TestUpdateWithoutRoutingRevisionIsRejected(t *testing.T) {
 	mark := func(version string) *discoveryv3.Resource {
 		return &discoveryv3.Resource{Name: routingRevisionName, Version: version}
 	}
@@ -87,7 +87,7 @@
 		"none": nil, "two": {mark("4"), mark("4")}, "no number": {mark("")}, "newer than the offer": {mark("7")},
 	} {
 		for _, records := range [][]*records.Record{nil, one(withRevision(route(t, "a", "s1", 11), 6))} {
-			f, response := heldOf(t), offerOf(t, Update{Revision: 6, Nonce: "2", Records: records})
+			f, response := newFollowerWithRecords(t), offerOf(t, Update{Revision: 6, Nonce: "2", Records: records})
 			response.Resources = append(response.Resources[:len(records)], marks...)
 			reply, accepted, err := f.Receive(at(1), response)
 			if err != nil || accepted || reply.GetErrorDetail() == nil || f.Revision() != 5 || f.RoutingRevision() != 0 {
--- a/configsync/server_test.go
+++ b/configsync/server_test.go
@@ -41,7 +41,7 @@
 	}
 }
 
-func TestFollowerGetsItsScopeAndThenChanges(t *testing.T) {
+func TestFollowerGetsFullScopeThenDeltas(t *testing.T) {
 	w := newWorld(t)
 	w.commit(at(0), 3, []*records.Record{route(t, "a", "s1", 10), route(t, "b", "s2", 10), route(t, "c", "", 10)})
 	f := NewFollower("f", services("s1"), testLimits.Lease, nil)
@@ -70,7 +70,7 @@
 }
 
 // What is committed while an offer is not answered is told as one change afterwards.
-func TestBurstIsToldAsOne(t *testing.T) {
+func TestBurstOfCommitsIsOneDelta(t *testing.T) {
 	w := newWorld(t)
 	w.commit(at(0), 1, one(route(t, "a", "s1", 10)))
 	f := NewFollower("f", services("s1"), testLimits.Lease, nil)
@@ -91,7 +91,7 @@
 	w.holds(f)
 }
 
-func TestHistoryTooOldBringsTheWholeScope(t *testing.T) {
+func TestFollowerBehindHistoryGetsFullScope(t *testing.T) {
 	w := newWorld(t)
 	w.source.known = 4
 	w.commit(at(0), 1, one(route(t, "a", "s1", 10)))
@@ -110,7 +110,7 @@
 }
 
 // A stream is cut between an offer and its answer, before or after the follower has it: it goes on from what it holds.
-func TestStreamCutBetweenOfferAndAnswer(t *testing.T) {
+func TestStreamCutBetweenUpdateAndAnswer(t *testing.T) {
 	for _, arrived := range []bool{false, true} {
 		w := newWorld(t)
 		w.commit(at(0), 1, one(route(t, "a", "s1", 10)))
@@ -141,7 +141,7 @@
 }
 
 // A member behind the follower says nothing of records until it has caught up.
-func TestMemberBehindTheFollowerWaits(t *testing.T) {
+func TestMemberBehindFollowerSendsNothing(t *testing.T) {
 	w := newWorld(t)
 	w.commit(at(0), 5, one(route(t, "a", "s1", 10)))
 	f := NewFollower("f", services("s1"), testLimits.Lease, nil)
@@ -166,7 +166,7 @@
 }
 
 // A revision that was refused comes again after a while, a newer one at once, both with all that the follower lacks.
-func TestRefusedRevisionIsOfferedAgain(t *testing.T) {
+func TestRejectedRevisionIsSentAgainAfterBackoff(t *testing.T) {
 	w := newWorld(t)
 	w.commit(at(0), 1, []*records.Record{route(t, "a", "s1", 10), route(t, "b", "s1", 10)})
 	bad := true
@@ -216,7 +216,7 @@
 }
 
 // Behind runs from the first revision that the follower lacks, over refusals and renewals, until it accepts the newest.
-func TestBehindTimes(t *testing.T) {
+func TestLagRunsFromFirstMissingCommit(t *testing.T) {
 	w := newWorld(t)
 	w.commit(at(0), 1, one(route(t, "a", "s1", 10)))
 	refuse := true
@@ -255,7 +255,7 @@
 }
 
 // A member that has only started can't know what came before, but that it was before.
-func TestBehindAfterTheMembersRestart(t *testing.T) {
+func TestLagAfterMemberRestart(t *testing.T) {
 	w := newWorld(t)
 	w.commit(at(0), 7, one(route(t, "a", "s1", 10)))
 	server := NewServer("m1", w.source, testLimits, at(10))
@@ -283,7 +283,7 @@
 }
 
 // A follower that comes again ends its earlier stream; what that still brings counts for nothing.
-func TestTwoStreamsOfOneName(t *testing.T) {
+func TestSecondStreamReplacesFirst(t *testing.T) {
 	w := newWorld(t)
 	w.commit(at(0), 1, one(route(t, "a", "s1", 10)))
 	old := NewFollower("f", services("s1"), testLimits.Lease, nil)
@@ -305,7 +305,7 @@
 }
 
 // A follower that restarts with another scope begins with nothing and gets that scope whole.
-func TestFollowerRestartsWithAnotherScope(t *testing.T) {
+func TestRestartWithOtherScopeGetsFullScope(t *testing.T) {
 	w := newWorld(t)
 	w.commit(at(0), 1, []*records.Record{route(t, "a", "s1", 10), route(t, "b", "s2", 10)})
 	f := NewFollower("f", services("s1"), testLimits.Lease, nil)
@@ -319,7 +319,7 @@
 	w.holds(f)
 }
 
-func TestSilentStreamEnds(t *testing.T) {
+func TestSilentStreamEndsAfterLease(t *testing.T) {
 	w := newWorld(t)
 	f := NewFollower("f", services("s1"), testLimits.Lease, nil)
 	c := connect(t, w.server, f, at(0))
@@ -339,7 +339,7 @@
 }
 
 // Names come from the wire. The leases of a member are bounded; those that ran out make place, live ones never do.
-func TestLeasesAreBounded(t *testing.T) {
+func TestLeaseCountIsBounded(t *testing.T) {
 	w := newWorld(t)
 	limit := maxLeasesPerStream * testLimits.MaxStreams
 	open := func(now time.Time, name string) error {
@@ -369,7 +369,7 @@
 	}
 }
 
-func TestStreamsAreBounded(t *testing.T) {
+func TestStreamCountIsBounded(t *testing.T) {
 	w := newWorld(t)
 	for range testLimits.MaxStreams {
 		if _, err := w.server.Open(at(0)); err != nil {
@@ -382,7 +382,7 @@
 }
 
 // What doesn't fit a message is told to whoever serves the stream, and costs of the allowance as if it had been sent.
-func TestTooLargeScope(t *testing.T) {
+func TestScopeOverMessageLimitEndsStream(t *testing.T) {
 	source := newModelSource()
 	limits := testLimits
 	limits.MaxMessage = 2000
@@ -405,7 +405,7 @@
 }
 
 // A refusal's reason is cut between letters.
-func TestReasonIsCut(t *testing.T) {
+func TestRejectionReasonIsTruncated(t *testing.T) {
 	w := newWorld(t)
 	w.commit(at(0), 1, nil)
 	f := NewFollower("f", services("s1"), testLimits.Lease, func(uint64, map[records.Key]*records.Record) error {
@@ -418,7 +418,7 @@
 	}
 }
 
-func TestNoncesOfNothing(t *testing.T) {
+func TestUnknownNonceEndsStream(t *testing.T) {
 	w := newWorld(t)
 	w.commit(at(0), 1, nil)
 	f := NewFollower("f", services("s1"), testLimits.Lease, nil)
@@ -439,7 +439,7 @@
 }
 
 // What a stream's first request may hold comes from anyone.
-func TestHostileHellos(t *testing.T) {
+func TestHandshakeRejectsHostileInput(t *testing.T) {
 	many := make([]string, maxScopeNames+1)
 	for n := range many {
 		many[n] = fmt.Sprint("s", n)
--- a/configsync/transport/client_test.go
+++ b/configsync/transport/client_test.go
@@ -13,12 +13,12 @@
 var shop = records.Scope{Services: []string{"shop"}}
 
 // A follower gets its scope whole, then what changes within it, and is told of revisions that touch nothing of it.
-func TestFollow(t *testing.T) {
-	log := newLog(100)
+func TestFollowerGetsScopeDeltasAndProgress(t *testing.T) {
+	log := newGroupLog(100)
 	log.put(t, "buy", "shop", 1000)
 	log.put(t, "sell", "market", 1000)
 	m := newMember(t, log, testLimits())
-	c := newConductor(t, Config{Scope: shop, Members: []string{m.address}})
+	c := newFollowerController(t, Config{Scope: shop, Members: []string{m.address}})
 	c.awaitHolds(log)
 	log.put(t, "buy", "shop", 2000)
 	c.awaitHolds(log)
@@ -27,20 +27,20 @@
 	if counts := m.service.Counts(); counts.FullScopes != 1 || counts.Changes != 1 || counts.Progress != 1 {
 		t.Errorf("sent: %+v", counts)
 	}
-	until(t, "the revision is in force", func() bool {
+	waitFor(t, "the revision is in force", func() bool {
 		status := m.service.Status()
 		return status.Live == 1 && status.ConvergedRevision == log.Revision()
 	})
 }
 
 // A change is sent as it is committed, not when the follower is heard next.
-func TestChangeIsSentAtOnce(t *testing.T) {
+func TestCommitIsSentWithoutDelay(t *testing.T) {
 	limits := testLimits()
 	limits.Lease = 6 * testTimeout // the follower is heard every two minutes
-	log := newLog(100)
+	log := newGroupLog(100)
 	log.put(t, "buy", "shop", 1000)
 	m := newMember(t, log, limits)
-	c := newConductor(t, Config{Scope: shop, Members: []string{m.address}, Lease: limits.Lease})
+	c := newFollowerController(t, Config{Scope: shop, Members: []string{m.address}, Lease: limits.Lease})
 	c.awaitHolds(log)
 	for change := range 5 {
 		log.put(t, "buy", "shop", float64(2000+change))
@@ -50,8 +50,8 @@
 
 // The connection ends in the midst of the message that carries a change: the follower takes nothing of it, and gets the
 // change from another member.
-func TestCutWithinChange(t *testing.T) {
-	first, second := newLog(100), newLog(100)
+func TestConnectionCutWithinDelta(t *testing.T) {
+	first, second := newGroupLog(100), newGroupLog(100)
 	one, two := newMember(t, first, testLimits()), newMember(t, second, testLimits())
 	ways := []*proxy{newProxy(t, one.address), newProxy(t, two.address)}
 	put := func(name string, limit float64) {
@@ -59,7 +59,7 @@
 		second.put(t, name, "shop", limit)
 	}
 	put("buy", 1000)
-	c := newConductor(t, Config{Scope: shop, Members: []string{ways[0].address(), ways[1].address()}})
+	c := newFollowerController(t, Config{Scope: shop, Members: []string{ways[0].address(), ways[1].address()}})
 	c.awaitHolds(first)
 	followed := slices.IndexFunc(ways, func(way *proxy) bool { return way.address() == c.client.Status().Member })
 	ways[followed].cutAfter.Store(20) // a frame's head and a few bytes of the message
@@ -76,8 +76,8 @@
 
 // The member that is followed dies while changes come one after the other: none is lost to a follower in the end, and
 // no older one comes after a newer one.
-func TestMemberLost(t *testing.T) {
-	logs := []*log{newLog(1000), newLog(1000), newLog(1000)}
+func TestFollowersMoveWhenMemberStops(t *testing.T) {
+	logs := []*groupLog{newGroupLog(1000), newGroupLog(1000), newGroupLog(1000)}
 	var members []*member
 	var addresses []string
 	for _, log := range logs {
@@ -92,12 +92,12 @@
 			}
 		}
 	}
-	var conductors []*conductor
+	var conductors []*followerController
 	for k := range 12 {
-		conductors = append(conductors, newConductor(t, Config{Name: fmt.Sprintf("conductor-%d", k), Scope: shop, Members: addresses, Seed: uint64(k)}))
+		conductors = append(conductors, newFollowerController(t, Config{Name: fmt.Sprintf("conductor-%d", k), Scope: shop, Members: addresses, Seed: uint64(k)}))
 	}
 	for _, c := range conductors {
-		until(t, "a member is followed", func() bool { return c.client.Status().Member != "" })
+		waitFor(t, "a member is followed", func() bool { return c.client.Status().Member != "" })
 	}
 	moved := 0
 	for _, c := range conductors {
@@ -121,20 +121,20 @@
 
 // A follower is cut off for longer than its lease, once by a network that says so and once by one that is silent: it
 // goes on with what it held, says that it is stale, and gets only what changed when it is back.
-func TestCutOff(t *testing.T) {
+func TestFollowerCutOffLongerThanLease(t *testing.T) {
 	for name, cut := range map[string]func(*proxy, bool){"ended": (*proxy).cut, "silent": (*proxy).stall} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			log := newLog(100)
+			log := newGroupLog(100)
 			log.put(t, "buy", "shop", 1000)
 			m := newMember(t, log, testLimits())
 			way := newProxy(t, m.address)
-			c := newConductor(t, Config{Scope: shop, Members: []string{way.address()}})
+			c := newFollowerController(t, Config{Scope: shop, Members: []string{way.address()}})
 			c.awaitHolds(log)
 			cut(way, true)
-			until(t, "it is stale", func() bool { return c.client.Status().Stale })
-			until(t, "it has left the member", func() bool { return c.client.Status().Member == "" })
-			until(t, "the member knows", func() bool { return m.service.Status().Live == 0 })
+			waitFor(t, "it is stale", func() bool { return c.client.Status().Stale })
+			waitFor(t, "it has left the member", func() bool { return c.client.Status().Member == "" })
+			waitFor(t, "the member knows", func() bool { return m.service.Status().Live == 0 })
 			held := c.last()
 			log.put(t, "buy", "shop", 2000)
 			if last := c.last(); last.revision != held.revision {
@@ -142,11 +142,11 @@
 			}
 			cut(way, false)
 			c.awaitHolds(log)
-			until(t, "it is not stale any more", func() bool { return !c.client.Status().Stale })
-			until(t, "all of that was told", func() bool {
-				c.mutex.Lock()
-				defer c.mutex.Unlock()
-				return slices.Equal(c.stale, []bool{false, true, false})
+			waitFor(t, "it is not stale any more", func() bool { return !c.client.Status().Stale })
+			waitFor(t, "all of that was told", func() bool {
+				c.resultsMutex.Lock()
+				defer c.resultsMutex.Unlock()
+				return slices.Equal(c.staleChanges, []bool{false, true, false})
 			})
 			if counts := m.service.Counts(); counts.FullScopes != 1 || counts.Changes != 1 {
 				t.Errorf("sent: %+v", counts)
@@ -156,15 +156,15 @@
 }
 
 // A follower that was away for longer than history is kept gets its scope whole.
-func TestHistoryGone(t *testing.T) {
-	log := newLog(5)
+func TestFollowerBehindHistoryGetsFullScope(t *testing.T) {
+	log := newGroupLog(5)
 	log.put(t, "buy", "shop", 1000)
 	m := newMember(t, log, testLimits())
 	way := newProxy(t, m.address)
-	c := newConductor(t, Config{Scope: shop, Members: []string{way.address()}})
+	c := newFollowerController(t, Config{Scope: shop, Members: []string{way.address()}})
 	c.awaitHolds(log)
 	way.cut(true)
-	until(t, "the member has noticed", func() bool { return m.openStreams() == 0 })
+	waitFor(t, "the member has noticed", func() bool { return m.openStreams() == 0 })
 	for change := range 20 {
 		log.put(t, "sell", "shop", float64(1000+change))
 	}
@@ -177,8 +177,8 @@
 
 // Two followers accept a change and one does not: it goes on with what it had, its reason is shown, and what is in force
 // everywhere does not pass it until it accepts a later one.
-func TestRefused(t *testing.T) {
-	log := newLog(100)
+func TestRejectionHoldsBackConvergence(t *testing.T) {
+	log := newGroupLog(100)
 	log.put(t, "buy", "shop", 1000)
 	limits := testLimits()
 	limits.RejectedBackoff = testTimeout // it is not offered again in this test
@@ -190,9 +190,9 @@
 		}
 		return nil
 	}
-	wary := newConductor(t, Config{Name: "wary", Scope: shop, Members: []string{m.address}, Validate: refuses})
-	others := []*conductor{newConductor(t, Config{Name: "other-1", Scope: shop, Members: []string{m.address}}),
-		newConductor(t, Config{Name: "other-2", Scope: shop, Members: []string{m.address}})}
+	wary := newFollowerController(t, Config{Name: "wary", Scope: shop, Members: []string{m.address}, Validate: refuses})
+	others := []*followerController{newFollowerController(t, Config{Name: "other-1", Scope: shop, Members: []string{m.address}}),
+		newFollowerController(t, Config{Name: "other-2", Scope: shop, Members: []string{m.address}})}
 	for _, c := range append(others, wary) {
 		c.awaitHolds(log)
 	}
@@ -201,7 +201,7 @@
 		c.awaitHolds(log)
 	}
 	var refused configsync.LeaseStatus
-	until(t, "the refusal is known", func() bool {
+	waitFor(t, "the refusal is known", func() bool {
 		leases := m.service.Status().Leases
 		at := slices.IndexFunc(leases, func(one configsync.LeaseStatus) bool { return one.Name == "wary" })
 		if at < 0 || leases[at].RejectedRevision == 0 {
@@ -220,12 +220,12 @@
 	for _, c := range append(others, wary) {
 		c.awaitHolds(log)
 	}
-	until(t, "the later change is in force", func() bool { return m.service.Status().ConvergedRevision == 3 })
+	waitFor(t, "the later change is in force", func() bool { return m.service.Status().ConvergedRevision == 3 })
 }
 
 // A follower moves to a member that has not caught up: it keeps what it holds, and goes on once that member has more.
-func TestLaggingMember(t *testing.T) {
-	ahead, behind := newLog(100), newLog(100)
+func TestFollowerMovesToLaggingMember(t *testing.T) {
+	ahead, behind := newGroupLog(100), newGroupLog(100)
 	one, two := newMember(t, ahead, testLimits()), newMember(t, behind, testLimits())
 	way := newProxy(t, two.address)
 	way.cut(true)
@@ -235,12 +235,12 @@
 			behind.put(t, "buy", "shop", float64(1000+change))
 		}
 	}
-	c := newConductor(t, Config{Scope: shop, Members: []string{one.address, way.address()}})
+	c := newFollowerController(t, Config{Scope: shop, Members: []string{one.address, way.address()}})
 	c.awaitHolds(ahead)
 	one.stop()
 	way.cut(false)
-	until(t, "it follows the other", func() bool { return c.client.Status().Member == way.address() })
-	until(t, "the other has renewed its lease", func() bool { return !c.client.Status().Stale && two.service.Counts().Heartbeats > 2 })
+	waitFor(t, "it follows the other", func() bool { return c.client.Status().Member == way.address() })
+	waitFor(t, "the other has renewed its lease", func() bool { return !c.client.Status().Stale && two.service.Counts().Heartbeats > 2 })
 	if last := c.last(); last.revision != 10 {
 		t.Errorf("holds revision %d", last.revision)
 	}
--- a/configsync/transport/fixture_test.go
+++ b/configsync/transport/fixture_test.go
@@ -26,33 +26,33 @@
 	testTimeout = 60 * time.Second
 )
 
-// log is a group's log as one member has applied it, with a bounded history.
-type log struct {
-	mutex    sync.Mutex
-	history  int // changes that are kept
-	revision uint64
-	held     map[records.Key]*records.Record
-	changes  []records.Change
-	member   *member
+// groupLog is a group's log as one member has applied it, with a bounded history.
+type groupLog struct {
+	stateMutex sync.Mutex
+	history    int // changes that are kept
+	revision   uint64
+	records    map[records.Key]*records.Record
+	changes    []records.Change
+	member     *member
 }
 
-func newLog(history int) *log {
-	return &log{history: history, held: map[records.Key]*records.Record{}}
+func newGroupLog(history int) *groupLog {
+	return &groupLog{history: history, records: map[records.Key]*records.Record{}}
 }
 
 // Revision is that of the last change.
-func (l *log) Revision() uint64 {
-	l.mutex.Lock()
-	defer l.mutex.Unlock()
+func (l *groupLog) Revision() uint64 {
+	l.stateMutex.Lock()
+	defer l.stateMutex.Unlock()
 	return l.revision
 }
 
 // InScope gives a scope whole.
-func (l *log) InScope(scope records.Scope) records.View {
-	l.mutex.Lock()
-	defer l.mutex.Unlock()
+func (l *groupLog) InScope(scope records.Scope) records.View {
+	l.stateMutex.Lock()
+	defer l.stateMutex.Unlock()
 	view := records.View{Revision: l.revision, RoutingRevision: l.routing(scope)}
-	for _, record := range l.held {
+	for _, record := range l.records {
 		if scope.Contains(record) {
 			view.Records = append(view.Records, record)
 		}
@@ -62,8 +62,8 @@
 }
 
 // routing is the highest revision of a scope's routes, none of which is ever removed or moved here.
-func (l *log) routing(scope records.Scope) (highest uint64) {
-	for _, record := range l.held {
+func (l *groupLog) routing(scope records.Scope) (highest uint64) {
+	for _, record := range l.records {
 		if scope.Contains(record) {
 			highest = max(highest, record.Revision)
 		}
@@ -72,9 +72,9 @@
 }
 
 // Since gives what changed in a scope.
-func (l *log) Since(revision uint64, scope records.Scope) records.Delta {
-	l.mutex.Lock()
-	defer l.mutex.Unlock()
+func (l *groupLog) Since(revision uint64, scope records.Scope) records.Delta {
+	l.stateMutex.Lock()
+	defer l.stateMutex.Unlock()
 	delta := records.Delta{Revision: l.revision, RoutingRevision: l.routing(scope)}
 	if l.revision-min(l.revision, revision) > uint64(len(l.changes)) {
 		return delta
@@ -102,22 +102,22 @@
 }
 
 // put sets a route as the next revision and has the member's streams told.
-func (l *log) put(t testing.TB, name, service string, limit float64) uint64 {
+func (l *groupLog) put(t testing.TB, name, service string, limit float64) uint64 {
 	t.Helper()
 	key := records.Key{Kind: records.KindRoute, Name: name}
 	record, err := records.New(key, records.RouteSpec{Service: service, Prefix: "/" + name, TimeLimitMS: limit})
 	if err != nil {
 		t.Fatal(err)
 	}
-	l.mutex.Lock()
+	l.stateMutex.Lock()
 	l.revision++
 	record.Revision = l.revision
-	change := records.Change{Revision: l.revision, Updates: []records.Update{{Before: l.held[key], After: record}}}
-	l.held[key] = record
+	change := records.Change{Revision: l.revision, Updates: []records.Update{{Before: l.records[key], After: record}}}
+	l.records[key] = record
 	l.changes = append(l.changes, change)
 	l.changes = l.changes[max(0, len(l.changes)-l.history):]
 	told := l.member
-	l.mutex.Unlock()
+	l.stateMutex.Unlock()
 	if told != nil {
 		told.service.Committed(change)
 	}
@@ -127,7 +127,7 @@
 // member is a member's service on a loopback socket, which may be stopped and started again on the same address.
 type member struct {
 	t       testing.TB
-	log     *log
+	log     *groupLog
 	limits  configsync.Limits
 	address string
 	service *Service
@@ -141,7 +141,7 @@
 	return limits
 }
 
-func newMember(t testing.TB, log *log, limits configsync.Limits) *member {
+func newMember(t testing.TB, log *groupLog, limits configsync.Limits) *member {
 	m := &member{t: t, log: log, limits: limits, address: "127.0.0.1:0"}
 	m.start()
 	t.Cleanup(m.stop)
@@ -158,9 +158,9 @@
 	m.service = NewService(m.address, m.log, m.limits, zap.NewNop())
 	m.server, m.ended = cluster.NewServer(nil), make(chan struct{})
 	m.service.Register(m.server)
-	m.log.mutex.Lock()
+	m.log.stateMutex.Lock()
 	m.log.member = m
-	m.log.mutex.Unlock()
+	m.log.stateMutex.Unlock()
 	go func() { defer close(m.ended); m.server.Serve(listener) }()
 }
 
@@ -176,31 +176,31 @@
 	held     map[records.Key]*records.Record
 }
 
-// conductor is a client that runs, and what it told.
-type conductor struct {
+// followerController is a client that runs, and what it told.
+type followerController struct {
 	t      testing.TB
 	client *Client
 	stop   func()
 
-	mutex sync.Mutex
-	told  []accepted
-	stale []bool
+	resultsMutex      sync.Mutex
+	acceptedRevisions []accepted
+	staleChanges      []bool
 }
 
-func newConductor(t testing.TB, config Config) *conductor {
+func newFollowerController(t testing.TB, config Config) *followerController {
 	t.Helper()
-	c := &conductor{t: t}
+	c := &followerController{t: t}
 	config.Name = cmp.Or(config.Name, "conductor")
 	config.Lease = cmp.Or(config.Lease, testLease)
 	config.Accepted = func(revision uint64, held map[records.Key]*records.Record) {
-		c.mutex.Lock()
-		defer c.mutex.Unlock()
-		c.told = append(c.told, accepted{revision, c.client.RoutingRevision(), maps.Clone(held)})
+		c.resultsMutex.Lock()
+		defer c.resultsMutex.Unlock()
+		c.acceptedRevisions = append(c.acceptedRevisions, accepted{revision, c.client.RoutingRevision(), maps.Clone(held)})
 	}
 	config.StaleChanged = func(stale bool) {
-		c.mutex.Lock()
-		defer c.mutex.Unlock()
-		c.stale = append(c.stale, stale)
+		c.resultsMutex.Lock()
+		defer c.resultsMutex.Unlock()
+		c.staleChanges = append(c.staleChanges, stale)
 	}
 	var err error
 	if c.client, err = NewClient(config); err != nil {
@@ -215,31 +215,31 @@
 }
 
 // check looks at all that was told: revisions only rise.
-func (c *conductor) check() {
+func (c *followerController) check() {
 	c.t.Helper()
-	c.mutex.Lock()
-	defer c.mutex.Unlock()
-	for at := 1; at < len(c.told); at++ {
-		if c.told[at].revision <= c.told[at-1].revision {
-			c.t.Errorf("%s accepted revision %d after %d", c.client.config.Name, c.told[at].revision, c.told[at-1].revision)
+	c.resultsMutex.Lock()
+	defer c.resultsMutex.Unlock()
+	for at := 1; at < len(c.acceptedRevisions); at++ {
+		if c.acceptedRevisions[at].revision <= c.acceptedRevisions[at-1].revision {
+			c.t.Errorf("%s accepted revision %d after %d", c.client.config.Name, c.acceptedRevisions[at].revision, c.acceptedRevisions[at-1].revision)
 		}
 	}
 }
 
 // last is what was accepted last.
-func (c *conductor) last() accepted {
-	c.mutex.Lock()
-	defer c.mutex.Unlock()
-	if len(c.told) == 0 {
+func (c *followerController) last() accepted {
+	c.resultsMutex.Lock()
+	defer c.resultsMutex.Unlock()
+	if len(c.acceptedRevisions) == 0 {
 		return accepted{}
 	}
-	return c.told[len(c.told)-1]
+	return c.acceptedRevisions[len(c.acceptedRevisions)-1]
 }
 
 // awaitHolds waits until a conductor holds what a log has of its scope.
-func (c *conductor) awaitHolds(log *log) {
+func (c *followerController) awaitHolds(log *groupLog) {
 	c.t.Helper()
-	until(c.t, fmt.Sprintf("%s holds revision %d", c.client.config.Name, log.Revision()), func() bool {
+	waitFor(c.t, fmt.Sprintf("%s holds revision %d", c.client.config.Name, log.Revision()), func() bool {
 		view := log.InScope(c.client.config.Scope.Normalized())
 		want, revision := view.Records, view.Revision
 		last := c.last()
@@ -255,8 +255,8 @@
 	})
 }
 
-// until waits for a condition.
-func until(t testing.TB, what string, holds func() bool) {
+// waitFor waits for a condition.
+func waitFor(t testing.TB, what string, holds func() bool) {
 	t.Helper()
 	for end := time.Now().Add(testTimeout); !holds(); time.Sleep(5 * time.Millisecond) {
 		if time.Now().After(end) {
--- a/configsync/transport/service_test.go
+++ b/configsync/transport/service_test.go
@@ -48,26 +48,26 @@
 
 // A follower that renews its lease and does not read what it is sent is left after a lease's time, and others get
 // changes meanwhile.
-func TestStuckFollower(t *testing.T) {
-	log := newLog(100)
+func TestFollowerThatDoesNotReadDelaysNobody(t *testing.T) {
+	log := newGroupLog(100)
 	for name := range 3000 { // far more than the windows and buffers between the two hold
 		log.put(t, fmt.Sprintf("%0150d", name), "shop", 1000)
 	}
 	m := newMember(t, log, testLimits())
-	c := newConductor(t, Config{Scope: records.Scope{Services: []string{"other"}}, Members: []string{m.address}})
+	c := newFollowerController(t, Config{Scope: records.Scope{Services: []string{"other"}}, Members: []string{m.address}})
 	c.awaitHolds(log)
 	stuck := rawStream(t, m)
 	follower := configsync.NewFollower("stuck", shop, testLease, nil)
 	if err := stuck.Send(follower.Begin(time.Now())); err != nil {
 		t.Fatal(err)
 	}
-	until(t, "the whole scope is being sent to it", func() bool { return m.service.Counts().FullScopes == 2 })
+	waitFor(t, "the whole scope is being sent to it", func() bool { return m.service.Counts().FullScopes == 2 })
 	for change := range 20 {
 		log.put(t, "buy", "other", float64(1000+change))
 		c.awaitHolds(log)
 		stuck.Send(follower.Renew(time.Now())) // fails once the member has ended the stream
 	}
-	until(t, "the member has left it", func() bool {
+	waitFor(t, "the member has left it", func() bool {
 		stuck.Send(follower.Renew(time.Now()))
 		return m.openStreams() == 1
 	})
@@ -83,22 +83,22 @@
 }
 
 // While a crowd waits for whole scopes under the allowance, those in step get each change at once.
-func TestCrowdDoesNotHoldUpChanges(t *testing.T) {
-	log := newLog(1000)
+func TestFullScopesDoNotDelayDeltas(t *testing.T) {
+	log := newGroupLog(1000)
 	for name := range 100 {
 		log.put(t, fmt.Sprintf("route-%d", name), "shop", 1000)
 	}
 	limits := testLimits()
 	limits.FullScopeBurstBytes, limits.FullScopeBytesPerSecond = 1, 1 // one scope, then none for hours
 	m := newMember(t, log, limits)
-	inStep := newConductor(t, Config{Name: "in step", Scope: shop, Members: []string{m.address}})
+	inStep := newFollowerController(t, Config{Name: "in step", Scope: shop, Members: []string{m.address}})
 	inStep.awaitHolds(log)
-	var crowd []*conductor
+	var crowd []*followerController
 	for k := range 40 {
-		crowd = append(crowd, newConductor(t, Config{Name: fmt.Sprintf("crowd-%d", k), Scope: shop, Members: []string{m.address}}))
+		crowd = append(crowd, newFollowerController(t, Config{Name: fmt.Sprintf("crowd-%d", k), Scope: shop, Members: []string{m.address}}))
 	}
 	for _, c := range crowd {
-		until(t, "it has its lease", func() bool { return !c.client.Status().Stale })
+		waitFor(t, "it has its lease", func() bool { return !c.client.Status().Stale })
 	}
 	for change := range 10 {
 		log.put(t, "route-1", "shop", float64(2000+change))
@@ -115,8 +115,8 @@
 }
 
 // All followers are started anew at the same time: all come into step.
-func TestAllRestarted(t *testing.T) {
-	logs := []*log{newLog(1000), newLog(1000), newLog(1000)}
+func TestAllMembersRestart(t *testing.T) {
+	logs := []*groupLog{newGroupLog(1000), newGroupLog(1000), newGroupLog(1000)}
 	var addresses []string
 	var members []*member
 	for _, log := range logs {
@@ -131,10 +131,10 @@
 	for name := range 200 {
 		put(fmt.Sprintf("route-%d", name), fmt.Sprintf("service-%d", name%10), 1000)
 	}
-	begin := func(generation uint64) (all []*conductor) {
+	begin := func(generation uint64) (all []*followerController) {
 		for k := range 60 {
 			scope := records.Scope{Services: []string{fmt.Sprintf("service-%d", k%10), fmt.Sprintf("service-%d", (k+3)%10)}}
-			all = append(all, newConductor(t, Config{Name: fmt.Sprintf("conductor-%d", k), Scope: scope, Members: addresses, Seed: generation<<8 | uint64(k)}))
+			all = append(all, newFollowerController(t, Config{Name: fmt.Sprintf("conductor-%d", k), Scope: scope, Members: addresses, Seed: generation<<8 | uint64(k)}))
 		}
 		return all
 	}
@@ -158,14 +158,14 @@
 }
 
 // Nothing goes on once followers and members have ended.
-func TestGoroutinesEnd(t *testing.T) {
+func TestGoroutinesEndWithStreams(t *testing.T) {
 	before := runtime.NumGoroutine()
-	log := newLog(100)
+	log := newGroupLog(100)
 	log.put(t, "buy", "shop", 1000)
 	m := newMember(t, log, testLimits())
-	var all []*conductor
+	var all []*followerController
 	for k := range 20 {
-		all = append(all, newConductor(t, Config{Name: fmt.Sprintf("conductor-%d", k), Scope: shop, Members: []string{m.address}}))
+		all = append(all, newFollowerController(t, Config{Name: fmt.Sprintf("conductor-%d", k), Scope: shop, Members: []string{m.address}}))
 	}
 	for _, c := range all {
 		c.awaitHolds(log)
@@ -174,21 +174,21 @@
 	for _, c := range all[:10] {
 		c.stop()
 	}
-	until(t, "the streams of those that went are closed", func() bool { return m.openStreams() == 10 })
+	waitFor(t, "the streams of those that went are closed", func() bool { return m.openStreams() == 10 })
 	m.stop() // under the others
 	for _, c := range all[10:] {
-		until(t, "it has left the member", func() bool { return c.client.Status().Failovers > 0 })
+		waitFor(t, "it has left the member", func() bool { return c.client.Status().Failovers > 0 })
 		c.stop()
 	}
-	until(t, fmt.Sprintf("%d goroutines as before, %d ran", before, running), func() bool { return runtime.NumGoroutine() <= before })
+	waitFor(t, fmt.Sprintf("%d goroutines as before, %d ran", before, running), func() bool { return runtime.NumGoroutine() <= before })
 	if m.openStreams() != 0 {
 		t.Errorf("%d streams are open", m.openStreams())
 	}
 }
 
 // What is against the protocol ends the stream with a reason.
-func TestProtocol(t *testing.T) {
-	log := newLog(100)
+func TestProtocolFaultsEndStream(t *testing.T) {
+	log := newGroupLog(100)
 	log.put(t, "buy", "shop", 1000)
 	limits := testLimits()
 	limits.MaxStreams = 1
@@ -196,7 +196,7 @@
 	m := newMember(t, log, limits)
 	end := func(name string, code codes.Code, reason string, requests ...*discoveryv3.DeltaDiscoveryRequest) {
 		t.Helper()
-		until(t, "no stream is left", func() bool { return m.openStreams() == 0 })
+		waitFor(t, "no stream is left", func() bool { return m.openStreams() == 0 })
 		wire := rawStream(t, m)
 		for _, out := range requests {
 			if err := wire.Send(out); err != nil {
@@ -239,8 +239,8 @@
 }
 
 // A follower that opens a second stream leaves the first one behind.
-func TestReplacedStream(t *testing.T) {
-	m := newMember(t, newLog(100), testLimits())
+func TestReplacedStreamEndsWithAborted(t *testing.T) {
+	m := newMember(t, newGroupLog(100), testLimits())
 	begin := configsync.NewFollower("raw", shop, testLease, nil).Begin(time.Now())
 	first := rawStream(t, m)
 	for _, wire := range []discoveryv3.AggregatedDiscoveryService_DeltaAggregatedResourcesClient{first, rawStream(t, m)} {
@@ -258,14 +258,14 @@
 }
 
 // A member that may be out of date extends no lease: its followers go elsewhere, and come back after.
-func TestPause(t *testing.T) {
-	log := newLog(100)
+func TestUnavailableMemberEndsStreams(t *testing.T) {
+	log := newGroupLog(100)
 	log.put(t, "buy", "shop", 1000)
 	m := newMember(t, log, testLimits())
-	c := newConductor(t, Config{Scope: shop, Members: []string{m.address}})
+	c := newFollowerController(t, Config{Scope: shop, Members: []string{m.address}})
 	c.awaitHolds(log)
 	m.service.SetUnavailable(errors.New("no leader is known"))
-	until(t, "its lease has run out", func() bool { return c.client.Status().Stale })
+	waitFor(t, "its lease has run out", func() bool { return c.client.Status().Stale })
 	if err := c.client.Status().LastError; status.Code(errors.Unwrap(err)) != codes.Unavailable || !strings.Contains(err.Error(), "no leader is known") {
 		t.Errorf("left with %v", err)
 	}
@@ -275,14 +275,14 @@
 }
 
 // Operators are told what followers hold.
-func TestAskStatus(t *testing.T) {
-	log := newLog(100)
+func TestFetchStatus(t *testing.T) {
+	log := newGroupLog(100)
 	log.put(t, "buy", "shop", 1000)
 	m := newMember(t, log, testLimits())
-	c := newConductor(t, Config{Scope: shop, Members: []string{m.address}})
+	c := newFollowerController(t, Config{Scope: shop, Members: []string{m.address}})
 	c.awaitHolds(log)
 	conn := rawConn(t, m)
-	until(t, "the follower is shown in step", func() bool {
+	waitFor(t, "the follower is shown in step", func() bool {
 		ctx, cancel := context.WithTimeout(t.Context(), testTimeout)
 		defer cancel()
 		told, err := FetchMemberStatus(ctx, conn)
@@ -296,18 +296,18 @@
 
 // A change costs an interested follower under 1 KB on the wire beside its record, both ways together, and one that does
 // not concern it as well.
-func TestBytesPerChange(t *testing.T) {
+func TestBytesOnWirePerChange(t *testing.T) {
 	const (
 		changes          = 200
 		maxBytes         = 1 << 10 // a change, beside the record
 		maxHeartbeat     = 512     // bytes of a renewal and its answer
 		bytesOfOneRecord = 100     // at most, in this test
 	)
-	log := newLog(2 * changes)
+	log := newGroupLog(2 * changes)
 	log.put(t, "buy", "shop", 1000)
 	m := newMember(t, log, testLimits())
 	for name, service := range map[string]string{"within its scope": "shop", "outside": "other"} {
-		c := newConductor(t, Config{Name: service, Scope: shop, Members: []string{m.address}})
+		c := newFollowerController(t, Config{Name: service, Scope: shop, Members: []string{m.address}})
 		c.awaitHolds(log)
 		wire := func() uint64 { return c.client.Traffic.In.Load() + c.client.Traffic.Out.Load() }
 		heartbeats := func() uint64 { return m.service.Counts().Heartbeats }
--- a/internal/certs/store_test.go
+++ b/internal/certs/store_test.go
@@ -12,8 +12,8 @@
 	"harehook.dev/harehook/internal/fakeplatform"
 )
 
-// put writes files of keys and sets their time apart, as a file's time may be coarse.
-func put(t *testing.T, folder string, at int, cert, key, roots []byte) Files {
+// writeFiles writes files of keys and sets their time apart, as a file's time may be coarse.
+func writeFiles(t *testing.T, folder string, at int, cert, key, roots []byte) Files {
 	t.Helper()
 	f := Files{filepath.Join(folder, "cert"), filepath.Join(folder, "key"), filepath.Join(folder, "roots")}
 	for path, text := range map[string][]byte{f.Certificate: cert, f.Key: key, f.Roots: roots} {
@@ -28,8 +28,8 @@
 	return f
 }
 
-// meet has a client and a server shake hands over loopback and exchange a byte.
-func meet(t *testing.T, server, client *Store) error {
+// handshake has a client and a server shake hands over loopback and exchange a byte.
+func handshake(t *testing.T, server, client *Store) error {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -67,24 +67,24 @@
 	return err
 }
 
-func TestRotation(t *testing.T) {
+func TestCertificateRotation(t *testing.T) {
 	old, next := fakeplatform.NewAuthority(t), fakeplatform.NewAuthority(t)
 	both := append(old.Roots(), next.Roots()...)
 	now := time.Now()
 	folder, other := t.TempDir(), t.TempDir()
 	cert, key := old.Issue("conductor", now.Add(-time.Hour), now.Add(time.Hour))
-	server, err := Load(put(t, folder, 0, cert, key, old.Roots()))
+	server, err := Load(writeFiles(t, folder, 0, cert, key, old.Roots()))
 	if err != nil {
 		t.Fatal(err)
 	}
 	clientCert, clientKey := old.Issue("till", now.Add(-time.Hour), now.Add(time.Hour))
-	client, err := Load(put(t, other, 0, clientCert, clientKey, old.Roots()))
+	client, err := Load(writeFiles(t, other, 0, clientCert, clientKey, old.Roots()))
 	if err != nil {
 		t.Fatal(err)
 	}
 	meets := func(when string, want bool) {
 		t.Helper()
-		if err := meet(t, server, client); (err == nil) != want {
+		if err := handshake(t, server, client); (err == nil) != want {
 			t.Errorf("%s: %v", when, err)
 		}
 	}
@@ -98,30 +98,30 @@
 		"expired":     {lateCert, lateKey, both},
 		"empty roots": {newCert, newKey, nil},
 	} {
-		put(t, folder, 1, files[0], files[1], files[2])
+		writeFiles(t, folder, 1, files[0], files[1], files[2])
 		if changed, err := server.Reload(); changed || err == nil {
 			t.Errorf("%s: changed %t, error %v", when, changed, err)
 		}
 		meets(when, true)
 	}
 
-	put(t, folder, 2, newCert, newKey, both)
+	writeFiles(t, folder, 2, newCert, newKey, both)
 	if changed, err := server.Reload(); !changed || err != nil {
 		t.Fatalf("changed %t, error %v", changed, err)
 	}
 	meets("a client that knows the old roots only", false)
-	put(t, other, 2, clientCert, clientKey, both)
+	writeFiles(t, other, 2, clientCert, clientKey, both)
 	if _, err := client.Reload(); err != nil {
 		t.Fatal(err)
 	}
 	meets("roots overlap, the client has its old certificate", true)
-	put(t, folder, 3, newCert, newKey, next.Roots())
+	writeFiles(t, folder, 3, newCert, newKey, next.Roots())
 	if _, err := server.Reload(); err != nil {
 		t.Fatal(err)
 	}
 	meets("the old roots are gone", false)
 	clientCert, clientKey = next.Issue("till", now.Add(-time.Hour), now.Add(time.Hour))
-	put(t, other, 3, clientCert, clientKey, next.Roots())
+	writeFiles(t, other, 3, clientCert, clientKey, next.Roots())
 	if _, err := client.Reload(); err != nil {
 		t.Fatal(err)
 	}
@@ -130,7 +130,7 @@
 		t.Errorf("nothing changed: %t, %v", changed, err)
 	}
 	wrong, wrongKey := next.Issue("someone", now.Add(-time.Hour), now.Add(time.Hour))
-	put(t, folder, 4, wrong, wrongKey, next.Roots())
+	writeFiles(t, folder, 4, wrong, wrongKey, next.Roots())
 	if _, err := server.Reload(); err != nil {
 		t.Fatal(err)
 	}
--- a/internal/kdl/kdl_test.go
+++ b/internal/kdl/kdl_test.go
@@ -24,7 +24,7 @@
 	}
 }
 
-func TestParse(t *testing.T) {
+func TestParseDocuments(t *testing.T) {
 	for name, c := range map[string]struct{ in, want string }{
 		"values":        {`n "x" 1 -2.5e1 0x1f 1_000 true null a=false b="y\n"`, "1 n \"x\" 1 -25 31 1000 true <nil> a=false b=\"y\\n\"\n"},
 		"children":      {"n {\n  m 1\n  o {\n  }\n}\np", "1 n\n  2 m 1\n  3 o\n6 p\n"},
--- a/sidecar/golden_test.go
+++ b/sidecar/golden_test.go
@@ -18,7 +18,7 @@
 		if err := os.MkdirAll("testdata", 0o755); err != nil {
 			t.Fatal(err)
 		}
-		if err := (&Store{Path: goldenStore}).Save(filled(t, 3)); err != nil {
+		if err := (&Store{Path: goldenStore}).Save(newFilledCache(t, 3)); err != nil {
 			t.Fatal(err)
 		}
 	}
--- a/sidecar/proxy_test.go
+++ b/sidecar/proxy_test.go
@@ -19,8 +19,8 @@
 	"harehook.dev/harehook/xds"
 )
 
-// plane starts one whose only route goes to some nodes.
-func plane(t *testing.T, tries int, nodes ...*fakeplatform.NodeServer) (address string, p *Proxy) {
+// startProxy starts one whose only route goes to some nodes.
+func startProxy(t *testing.T, tries int, nodes ...*fakeplatform.NodeServer) (address string, p *Proxy) {
 	table := &RoutingTable{Routes: []RouteEntry{{Name: "q", Prefix: "/q", Fraction: 1, Cluster: "c", TimeLimit: 2 * time.Second, MaxRetries: tries, Mutating: true},
 		{Name: "shut", Prefix: "/shut", Fraction: 1, Status: 503}}, Clusters: map[string][]WeightedNode{}}
 	for _, n := range nodes {
@@ -40,7 +40,7 @@
 	return l.Addr().String(), p
 }
 
-func node(t *testing.T, name string) *fakeplatform.NodeServer {
+func startNode(t *testing.T, name string) *fakeplatform.NodeServer {
 	n, err := fakeplatform.NewNodeServer(name, "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -49,8 +49,8 @@
 	return n
 }
 
-// say writes bytes on a new connection and reads all answers until it ends.
-func say(t *testing.T, address, text string) string {
+// exchange writes bytes on a new connection and reads all answers until it ends.
+func exchange(t *testing.T, address, text string) string {
 	t.Helper()
 	conn, err := net.Dial("tcp", address)
 	if err != nil {
@@ -63,16 +63,16 @@
 	return string(got)
 }
 
-func call(path, more string) string {
+func requestText(path, more string) string {
 	return "POST " + path + " HTTP/1.1\r\nHost: x\r\n" + more + "\r\n"
 }
 
 // Clients that end their connections cost the kept ones to the nodes nothing: no call is lost on one that the node
 // ended.
-func TestKeptConnections(t *testing.T) {
-	address, p := plane(t, 0, node(t, "a"))
+func TestIdleConnectionsAreReusedAndSwept(t *testing.T) {
+	address, p := startProxy(t, 0, startNode(t, "a"))
 	for k := range 200 {
-		if got := say(t, address, call("/q", "Connection: close\r\nContent-Length: 2\r\n")+"hi"); !strings.HasPrefix(got, "HTTP/1.1 200") {
+		if got := exchange(t, address, requestText("/q", "Connection: close\r\nContent-Length: 2\r\n")+"hi"); !strings.HasPrefix(got, "HTTP/1.1 200") {
 			t.Fatalf("call %d: %s", k, got)
 		}
 	}
@@ -82,14 +82,14 @@
 }
 
 // Several calls on one connection, bodies of both forms, and what is not carried.
-func TestPlane(t *testing.T) {
-	a := node(t, "a")
-	address, p := plane(t, 0, a)
-	got := say(t, address, call("/q/1", "Content-Length: 5\r\n")+"12345"+
-		call("/q/2", "Transfer-Encoding: chunked\r\n")+"3\r\nabc\r\n0\r\n\r\n"+
-		call("/shut", "Content-Length: 1\r\n")+"x"+call("/none", "Content-Length: 0\r\n")+
-		call("/q/3", "Connection: keep-alive, X-Hop\r\nX-Hop: 1\r\nContent-Length: 0\r\n")+
-		call("/q", "Upgrade: websocket\r\nConnection: upgrade\r\nContent-Length: 0\r\n")+call("/q/4", "Connection: close\r\n"))
+func TestProxyForwardsRequests(t *testing.T) {
+	a := startNode(t, "a")
+	address, p := startProxy(t, 0, a)
+	got := exchange(t, address, requestText("/q/1", "Content-Length: 5\r\n")+"12345"+
+		requestText("/q/2", "Transfer-Encoding: chunked\r\n")+"3\r\nabc\r\n0\r\n\r\n"+
+		requestText("/shut", "Content-Length: 1\r\n")+"x"+requestText("/none", "Content-Length: 0\r\n")+
+		requestText("/q/3", "Connection: keep-alive, X-Hop\r\nX-Hop: 1\r\nContent-Length: 0\r\n")+
+		requestText("/q", "Upgrade: websocket\r\nConnection: upgrade\r\nContent-Length: 0\r\n")+requestText("/q/4", "Connection: close\r\n"))
 	var states []string
 	r := bufio.NewReader(strings.NewReader(got))
 	for {
@@ -106,7 +106,7 @@
 	if a.Bodies() != 8 || a.Calls("/q/4") != 1 {
 		t.Errorf("%d bytes of bodies", a.Bodies())
 	}
-	if got := say(t, address, "what\r\n\r\n"); !strings.HasPrefix(got, "HTTP/1.1 400") {
+	if got := exchange(t, address, "what\r\n\r\n"); !strings.HasPrefix(got, "HTTP/1.1 400") {
 		t.Errorf("no request: %s", got)
 	}
 	nodes, routes, _ := p.Load.Take(time.Now())
@@ -121,30 +121,30 @@
 
 // A node that refuses connections costs a further try where there is one; one that takes a call and gives no answer
 // costs the call, which may have run.
-func TestFurtherTries(t *testing.T) {
-	gone, silent, good := node(t, "gone"), node(t, "silent"), node(t, "good")
+func TestRetriesOnlyIfNotSent(t *testing.T) {
+	gone, silent, good := startNode(t, "gone"), startNode(t, "silent"), startNode(t, "good")
 	gone.Close()
 	silent.Fail.Store(-1)
-	address, p := plane(t, 1, gone, good)
+	address, p := startProxy(t, 1, gone, good)
 	for range 30 {
-		if got := say(t, address, call("/q", "Connection: close\r\nContent-Length: 0\r\n")); !strings.HasPrefix(got, "HTTP/1.1 200") {
+		if got := exchange(t, address, requestText("/q", "Connection: close\r\nContent-Length: 0\r\n")); !strings.HasPrefix(got, "HTTP/1.1 200") {
 			t.Fatal(got)
 		}
 	}
 	if good.Calls("/q") != 30 || p.Load.Retried.Load() == 0 {
 		t.Errorf("%d calls, %d further tries", good.Calls("/q"), p.Load.Retried.Load())
 	}
-	address, _ = plane(t, 1, silent, silent)
+	address, _ = startProxy(t, 1, silent, silent)
 	for range 10 {
-		if got := say(t, address, call("/q", "Connection: close\r\nContent-Length: 0\r\n")); !strings.HasPrefix(got, "HTTP/1.1 502") {
+		if got := exchange(t, address, requestText("/q", "Connection: close\r\nContent-Length: 0\r\n")); !strings.HasPrefix(got, "HTTP/1.1 502") {
 			t.Errorf("no answer: %s", got)
 		}
 	}
 	if silent.Calls("/q") != 10 {
 		t.Errorf("10 calls ran %d times", silent.Calls("/q"))
 	}
-	address, _ = plane(t, 0, gone)
-	if got := say(t, address, call("/q", "Connection: close\r\nContent-Length: 0\r\n")); !strings.HasPrefix(got, "HTTP/1.1 503") {
+	address, _ = startProxy(t, 0, gone)
+	if got := exchange(t, address, requestText("/q", "Connection: close\r\nContent-Length: 0\r\n")); !strings.HasPrefix(got, "HTTP/1.1 503") {
 		t.Errorf("no node: %s", got)
 	}
 }
--- a/sidecar/resource_cache_test.go
+++ b/sidecar/resource_cache_test.go
@@ -23,8 +23,8 @@
 	"harehook.dev/harehook/xds"
 )
 
-// compiled is what a conductor would send for a table of two nodes.
-func compiled(t testing.TB, weight float64) *xds.Snapshot {
+// compiledSnapshot is what a conductor would send for a table of two nodes.
+func compiledSnapshot(t testing.TB, weight float64) *xds.Snapshot {
 	c := xds.NewCompiler([]xds.Route{{Name: "quote", Prefix: "/quote", TimeLimit: time.Second},
 		{Name: "issue", Prefix: "/issue", Mutating: true, TimeLimit: time.Second}}, time.Second)
 	c.SetAddress("a", "north", xds.Address{Host: "127.0.0.1", Port: 1})
@@ -39,8 +39,8 @@
 	return s
 }
 
-// fill has a holder accept a snapshot; it gives the first refusal.
-func fill(h *ResourceCache, s *xds.Snapshot) string {
+// acceptSnapshot has a holder accept a snapshot; it gives the first refusal.
+func acceptSnapshot(h *ResourceCache, s *xds.Snapshot) string {
 	for kind := range xds.NumResourceTypes {
 		r := &discoveryv3.DeltaDiscoveryResponse{TypeUrl: kind.TypeURL(), Nonce: "n"}
 		for _, one := range s.Sets[kind] {
@@ -57,19 +57,19 @@
 	return ""
 }
 
-// filled is a holder that accepted such a snapshot.
-func filled(t testing.TB, weight float64) *ResourceCache {
+// newFilledCache is a holder that accepted such a snapshot.
+func newFilledCache(t testing.TB, weight float64) *ResourceCache {
 	t.Helper()
 	h := &ResourceCache{ID: "till", Zone: "north"}
 	h.BeginDelta()
-	if why := fill(h, compiled(t, weight)); why != "" {
+	if why := acceptSnapshot(h, compiledSnapshot(t, weight)); why != "" {
 		t.Fatal(why)
 	}
 	return h
 }
 
-func TestTable(t *testing.T) {
-	h := filled(t, 3)
+func TestRoutingTableSplitsByFractionAndWeight(t *testing.T) {
+	h := newFilledCache(t, 3)
 	table, chance := h.Table(), Random{Seed: 5}
 	got, shut := map[string]int{}, 0
 	for range 4000 {
@@ -103,7 +103,7 @@
 
 // A table has as many routes as a configuration may have, each also throttled and so with two entries; tables with more
 // routes, or with more entries for these, are refused.
-func TestManyRoutes(t *testing.T) {
+func TestMaxRoutesPerTable(t *testing.T) {
 	fillRoutes := func(count int, throttled bool) string {
 		compiler := xds.NewCompiler([]xds.Route{{Name: "first", Prefix: "/first", TimeLimit: time.Second}}, time.Second)
 		compiler.SetAddress("a", "north", xds.Address{Host: "127.0.0.1", Port: 1})
@@ -124,7 +124,7 @@
 		if size := len(snapshot.Sets[xds.Routes][xds.RoutesName].Body.GetValue()); size > 1<<20 {
 			t.Errorf("%d routes, throttled %t, take %d bytes", count, throttled, size)
 		}
-		return fill(&ResourceCache{ID: "s", Zone: "north"}, snapshot)
+		return acceptSnapshot(&ResourceCache{ID: "s", Zone: "north"}, snapshot)
 	}
 	for _, throttled := range []bool{false, true} {
 		if why := fillRoutes(xds.MaxRoutes, throttled); why != "" {
@@ -149,9 +149,9 @@
 }
 
 // Each content that can't be is refused with a reason that names what is wrong, and what was held stays.
-func TestRefusals(t *testing.T) {
+func TestResourceCacheRejections(t *testing.T) {
 	line := func(port uint32, weight *wrapperspb.UInt32Value) *endpointv3.LocalityLbEndpoints {
-		s := compiled(t, 1)
+		s := compiledSnapshot(t, 1)
 		var m endpointv3.ClusterLoadAssignment
 		proto.Unmarshal(s.Sets[xds.Endpoints]["pool-0"].Body.GetValue(), &m)
 		e := m.GetEndpoints()[0]
@@ -164,7 +164,7 @@
 	}
 	routes := func(change func(r *routev3.Route)) proto.Message {
 		var m routev3.RouteConfiguration
-		proto.Unmarshal(compiled(t, 1).Sets[xds.Routes][xds.RoutesName].Body.GetValue(), &m)
+		proto.Unmarshal(compiledSnapshot(t, 1).Sets[xds.Routes][xds.RoutesName].Body.GetValue(), &m)
 		for _, r := range m.GetVirtualHosts()[0].GetRoutes() {
 			if r.GetName() == "issue" && r.GetRoute() != nil {
 				change(r)
@@ -195,7 +195,7 @@
 		"no routes at all": {xds.Routes, &routev3.RouteConfiguration{Name: "calls"}, "it has no route"},
 	} {
 		t.Run(name, func(t *testing.T) {
-			h := filled(t, 1)
+			h := newFilledCache(t, 1)
 			before := h.Table().Versions
 			body, _ := proto.Marshal(c.m)
 			out, err := h.HandleDelta(&discoveryv3.DeltaDiscoveryResponse{TypeUrl: c.kind.TypeURL(), Nonce: "m", Resources: []*discoveryv3.Resource{
@@ -211,10 +211,10 @@
 }
 
 // A crash at any step of a write leaves what was held before or what is held now, whole.
-func TestStoreCrash(t *testing.T) {
+func TestStoreSurvivesCrashAtEachStep(t *testing.T) {
 	for _, step := range []string{"create", "write", "sync", "rename", "sync folder", ""} {
 		path := filepath.Join(t.TempDir(), "held")
-		old, next := filled(t, 1), filled(t, 2)
+		old, next := newFilledCache(t, 1), newFilledCache(t, 2)
 		if err := (&Store{Path: path}).Save(old); err != nil {
 			t.Fatal(err)
 		}
@@ -242,9 +242,9 @@
 }
 
 // A file that was cut anywhere or in which a bit is turned is not taken for what was held.
-func TestStoreDamaged(t *testing.T) {
+func TestDamagedStoreIsNotUsed(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "held")
-	h := filled(t, 1)
+	h := newFilledCache(t, 1)
 	if err := (&Store{Path: path}).Save(h); err != nil {
 		t.Fatal(err)
 	}
@@ -279,9 +279,9 @@
 }
 
 // What is accepted after a restart is stated, in both variants.
-func TestStates(t *testing.T) {
+func TestStateOfTheWorldVersions(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "held")
-	h := filled(t, 1)
+	h := newFilledCache(t, 1)
 	if err := (&Store{Path: path}).Save(h); err != nil {
 		t.Fatal(err)
 	}
--- a/sidecar/shutdown_test.go
+++ b/sidecar/shutdown_test.go
@@ -13,33 +13,33 @@
 	"harehook.dev/harehook/xds"
 )
 
-// held is a listener whose connections call before each deadline that is set for reading.
-type held struct {
+// hookedListener is a listener whose connections call before each deadline that is set for reading.
+type hookedListener struct {
 	net.Listener
-	before func()
+	beforeReadDeadline func()
 }
 
-func (l held) Accept() (net.Conn, error) {
+func (l hookedListener) Accept() (net.Conn, error) {
 	conn, err := l.Listener.Accept()
 	if err != nil {
 		return nil, err
 	}
-	return heldConn{conn, l.before}, nil
+	return hookedConn{conn, l.beforeReadDeadline}, nil
 }
 
-type heldConn struct {
+type hookedConn struct {
 	net.Conn
-	before func()
+	beforeReadDeadline func()
 }
 
-func (c heldConn) SetReadDeadline(at time.Time) error {
-	c.before()
+func (c hookedConn) SetReadDeadline(at time.Time) error {
+	c.beforeReadDeadline()
 	return c.Conn.SetReadDeadline(at)
 }
 
 // The end comes in the instant in which a connection begins to wait for its next request, or while a node that never
 // answers has a call: neither holds the end up.
-func TestEndCrosses(t *testing.T) {
+func TestShutdownDuringWaitOrRequest(t *testing.T) {
 	const endsWithin = 5 * time.Second // it takes milliseconds; a wait for a request lasts a minute, for this node 15 s
 	silent, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -62,7 +62,7 @@
 				once.Do(func() { close(waits); <-release })
 			}
 		}
-		p := &Proxy{Listener: held{l, before}, Table: func() *RoutingTable { return table }, ConnectTimeout: time.Second, MaxConnections: 4, Seed: 1,
+		p := &Proxy{Listener: hookedListener{l, before}, Table: func() *RoutingTable { return table }, ConnectTimeout: time.Second, MaxConnections: 4, Seed: 1,
 			Log: zap.NewNop(), Load: NewLoadRecorder(time.Now())}
 		ended := make(chan struct{})
 		go func() { defer close(ended); p.Run(ctx) }()
--- a/xds/equivalence_test.go
+++ b/xds/equivalence_test.go
@@ -18,46 +18,46 @@
 	"harehook.dev/harehook/xds"
 )
 
-// twin is one module whose orders go both ways: as calls to a relay that carries them out, and as versions to sidecars.
-type twin struct {
-	t      *testing.T
-	module *planner.Planner
-	now    float64
-	wakeAt float64
-	batch  []controller.Command
+// dualHost is one module whose orders go both ways: as calls to a relay that carries them out, and as versions to sidecars.
+type dualHost struct {
+	t       *testing.T
+	planner *planner.Planner
+	now     float64
+	wakeAt  float64
+	batch   []controller.Command
 
-	calls  wire.CommandQueue // the platform's way
-	tables map[int]map[string]float64
-	bound  map[int]int
-	levels map[string]string
-	shut   int // comparisons in which a route was not let in whole
-	lines  int // compared
+	calls                wire.CommandQueue // the platform's way
+	tables               map[int]map[string]float64
+	bound                map[int]int
+	admission            map[string]string
+	throttledComparisons int // comparisons in which a route was not let in whole
+	comparedEntries      int // compared
 
-	server  *xds.Server // the other
-	holders map[uint64]*sidecar.ResourceCache
-	inbox   []func()
+	server   *xds.Server // the other
+	sidecars map[uint64]*sidecar.ResourceCache
+	inbox    []func()
 }
 
-func (w *twin) BindProxy(proxy, table int) {
+func (w *dualHost) BindProxy(proxy, table int) {
 	w.batch = append(w.batch, controller.Command{Kind: controller.BindProxy, Proxy: proxy, Table: table})
 }
-func (w *twin) SetWeight(table int, node uint32, weight float64) {
+func (w *dualHost) SetWeight(table int, node uint32, weight float64) {
 	w.batch = append(w.batch, controller.Command{Kind: controller.SetWeight, Table: table, Node: fmt.Sprint("s-", node), Value: weight})
 }
-func (w *twin) SetAdmission(table int, route planner.RouteID, level float64, tries planner.RetryPolicy) {
+func (w *dualHost) SetAdmission(table int, route planner.RouteID, level float64, tries planner.RetryPolicy) {
 	w.batch = append(w.batch, controller.Command{Kind: controller.SetAdmission, Table: table, Route: []string{"quote", "issue"}[route],
 		Value: level, Retry: tries})
 }
-func (w *twin) RequestAck(nonce int) {
+func (w *dualHost) RequestAck(nonce int) {
 	w.batch = append(w.batch, controller.Command{Kind: controller.RequestAck, Nonce: nonce})
 }
-func (w *twin) Wake(at float64) { w.wakeAt = at }
-func (w *twin) Subscribe()      {}
-func (w *twin) Log(string)      {}
+func (w *dualHost) Wake(at float64) { w.wakeAt = at }
+func (w *dualHost) Subscribe()      {}
+func (w *dualHost) Log(string)      {}
 
-func (w *twin) Send(stream uint64, r *discoveryv3.DiscoveryResponse) {
+func (w *dualHost) Send(stream uint64, r *discoveryv3.DiscoveryResponse) {
 	w.inbox = append(w.inbox, func() {
-		out, err := w.holders[stream].HandleStateOfTheWorld(r)
+		out, err := w.sidecars[stream].HandleStateOfTheWorld(r)
 		if err != nil {
 			w.t.Fatal(err)
 		}
@@ -70,9 +70,9 @@
 	})
 }
 
-func (w *twin) SendDelta(stream uint64, r *discoveryv3.DeltaDiscoveryResponse) {
+func (w *dualHost) SendDelta(stream uint64, r *discoveryv3.DeltaDiscoveryResponse) {
 	w.inbox = append(w.inbox, func() {
-		out, err := w.holders[stream].HandleDelta(r)
+		out, err := w.sidecars[stream].HandleDelta(r)
 		if err != nil {
 			w.t.Fatal(err)
 		}
@@ -84,14 +84,14 @@
 		}
 	})
 }
-func (w *twin) CloseStream(uint64, string)                {}
-func (w *twin) Joined(int, string)                        {}
-func (w *twin) Left(int)                                  {}
-func (w *twin) Rejected(string, xds.ResourceType, string) {}
-func (w *twin) Acknowledged(proxy, mark int)              { w.module.Acknowledged(w.now, proxy, mark) }
+func (w *dualHost) CloseStream(uint64, string)                {}
+func (w *dualHost) Joined(int, string)                        {}
+func (w *dualHost) Left(int)                                  {}
+func (w *dualHost) Rejected(string, xds.ResourceType, string) {}
+func (w *dualHost) Acknowledged(proxy, mark int)              { w.planner.Acknowledged(w.now, proxy, mark) }
 
 // carry hands a turn's orders on, both ways, until nothing is under way.
-func (w *twin) carry() {
+func (w *dualHost) carry() {
 	for len(w.batch)+len(w.inbox) > 0 {
 		if batch := w.batch; len(batch) > 0 {
 			w.batch = nil
@@ -103,7 +103,7 @@
 				w.calls.HandleResponse(fmt.Appendf(nil, "OK %d", w.relay(string(call))))
 			}
 			if mark, ok := w.calls.TakeAccepted(); ok {
-				w.module.CommandsAccepted(w.now, mark)
+				w.planner.CommandsAccepted(w.now, mark)
 			}
 		}
 		for len(w.inbox) > 0 {
@@ -115,7 +115,7 @@
 }
 
 // relay carries a call out.
-func (w *twin) relay(text string) (taken int) {
+func (w *dualHost) relay(text string) (taken int) {
 	for _, o := range strings.Split(strings.TrimSpace(strings.TrimPrefix(text, "txn ")), ";") {
 		part := strings.Split(o, ",")
 		number, _ := strconv.Atoi(part[1])
@@ -131,7 +131,7 @@
 		case "attach":
 			w.bound[number], _ = strconv.Atoi(part[2])
 		case "gate":
-			w.levels[part[2]] = part[3] + " " + part[4]
+			w.admission[part[2]] = part[3] + " " + part[4]
 		}
 		taken++
 	}
@@ -139,8 +139,8 @@
 }
 
 // compare checks that each sidecar routes as the proxy of its number does.
-func (w *twin) compare(seed uint64) {
-	for id, h := range w.holders {
+func (w *dualHost) compare(seed uint64) {
+	for id, h := range w.sidecars {
 		table, proxy := h.Table(), int(id-1)
 		lines := w.tables[w.bound[proxy]]
 		whole := 0.0
@@ -154,7 +154,7 @@
 		if len(got) != len(lines) {
 			w.t.Fatalf("seed %d, %.1f s: %s has %d lines, the proxy %d", seed, w.now, h.ID, len(got), len(lines))
 		}
-		w.lines += len(got)
+		w.comparedEntries += len(got)
 		for _, l := range got {
 			if want := lines[l.Node] / whole; math.Abs(l.Weight/sum-want) > 1e-4 {
 				w.t.Fatalf("seed %d, %.1f s: %s gives %s %.5f, the proxy %.5f", seed, w.now, h.ID, l.Node, l.Weight/sum, want)
@@ -166,11 +166,11 @@
 				let[e.Name] = fmt.Sprintf("%.4f %d", e.Fraction, e.MaxRetries)
 			}
 		}
-		for route, level := range w.levels {
+		for route, level := range w.admission {
 			part := strings.Fields(level)
 			figure, _ := strconv.ParseFloat(part[0], 64)
 			if figure < 1 {
-				w.shut++
+				w.throttledComparisons++
 			}
 			if want := fmt.Sprintf("%.4f %s", math.Round(figure*1e6)/1e6, part[1]); let[route] != want {
 				w.t.Fatalf("seed %d, %.1f s: %s lets in %q of %s, the proxy %q", seed, w.now, h.ID, let[route], route, want)
@@ -181,11 +181,11 @@
 
 // The same decisions reach proxies of the platform and sidecars alike: the same nodes in the same parts, the same
 // levels and further tries, whatever the list, the nodes and the callers do.
-func TestSameTables(t *testing.T) {
+func TestSidecarsAndRelayGetSameTables(t *testing.T) {
 	const proxies, nodes = 12, 24
 	for seed := range uint64(4) {
 		chance := rand.New(rand.NewPCG(seed, 21))
-		w := &twin{t: t, tables: map[int]map[string]float64{}, bound: map[int]int{}, levels: map[string]string{}, holders: map[uint64]*sidecar.ResourceCache{}}
+		w := &dualHost{t: t, tables: map[int]map[string]float64{}, bound: map[int]int{}, admission: map[string]string{}, sidecars: map[uint64]*sidecar.ResourceCache{}}
 		compiler := xds.NewCompiler([]xds.Route{{Name: "quote", Prefix: "/quote", TimeLimit: time.Second},
 			{Name: "issue", Prefix: "/issue", Mutating: true, TimeLimit: time.Second}}, time.Second)
 		w.server = xds.NewServer(compiler, w, proxies)
@@ -195,15 +195,15 @@
 			compiler.SetAddress(fmt.Sprint("s-", n), zone, xds.Address{Host: "127.0.0.1", Port: 1000 + n})
 			rows = append(rows, planner.Endpoint{Node: n, Zone: int(n % 2), State: planner.Ready})
 		}
-		w.module = planner.New(w, planner.Config{Seed: seed, Zones: 2, MachineTypes: 1, Controllers: 1, Proxies: proxies, SubscribeTimeout: 10, UtilizationIndex: -1,
+		w.planner = planner.New(w, planner.Config{Seed: seed, Zones: 2, MachineTypes: 1, Controllers: 1, Proxies: proxies, SubscribeTimeout: 10, UtilizationIndex: -1,
 			QueueLengthIndex: -1, Admission: planner.AdmissionFraction, EntriesPerSecond: 1e5, MaxInFlightEntries: 1e6, MessageOverhead: 1, MessageWindow: 10, ReportInterval: 0.5, SlowStartWindow: 8, OverloadMultiple: 4,
 			Routes: []planner.Route{{LatencyObjective: 1, PriorityWeight: 1}, {LatencyObjective: 1, PriorityWeight: 3}}}, 0)
-		w.module.ReplaceEndpoints(0, rows)
+		w.planner.ReplaceEndpoints(0, rows)
 		w.carry()
 		for p := range proxies {
 			stream := uint64(p + 1)
 			h := &sidecar.ResourceCache{ID: fmt.Sprint("till-", p), Zone: []string{"north", "south"}[p%2], Delta: p%3 == 0}
-			w.holders[stream] = h
+			w.sidecars[stream] = h
 			if err := w.server.Open(0, stream, h.Delta, h.ID, h.Zone); err != nil {
 				t.Fatal(err)
 			}
@@ -216,7 +216,7 @@
 					w.server.HandleStateOfTheWorld(0, stream, r)
 				}
 			}
-			w.module.ProxyJoined(0, p, p%2, 5)
+			w.planner.ProxyJoined(0, p, p%2, 5)
 			w.carry()
 		}
 		for step := 1; step < 400; step++ {
@@ -227,7 +227,7 @@
 				if rows[k].State == planner.Ready {
 					rows[k].StartTime = w.now
 				}
-				w.module.UpdateEndpoints(w.now, rows[k:k+1])
+				w.planner.UpdateEndpoints(w.now, rows[k:k+1])
 			}
 			if step%5 == 0 {
 				jam := step/150%2 == 1
@@ -236,20 +236,20 @@
 					if jam {
 						s.Failed, s.MeanLatency = 6, 1.2
 					}
-					w.module.AddLoadReport(w.now, s)
+					w.planner.AddLoadReport(w.now, s)
 				}
 				for p := range proxies {
-					w.module.AddDemandReport(w.now, planner.DemandReport{Proxy: p, Route: planner.RouteID(chance.IntN(2)), Requests: 10 + chance.IntN(40), Interval: 0.5})
+					w.planner.AddDemandReport(w.now, planner.DemandReport{Proxy: p, Route: planner.RouteID(chance.IntN(2)), Requests: 10 + chance.IntN(40), Interval: 0.5})
 				}
 			}
 			if w.now >= w.wakeAt {
-				w.module.Step(w.now)
+				w.planner.Step(w.now)
 			}
 			w.carry()
 			w.compare(seed)
 		}
-		if w.lines < 10000 || w.shut < 100 {
-			t.Errorf("seed %d: %d lines and %d throttled routes were compared", seed, w.lines, w.shut)
+		if w.comparedEntries < 10000 || w.throttledComparisons < 100 {
+			t.Errorf("seed %d: %d lines and %d throttled routes were compared", seed, w.comparedEntries, w.throttledComparisons)
 		}
 	}
 }
--- a/xds/random_faults_test.go
+++ b/xds/random_faults_test.go
@@ -18,46 +18,46 @@
 	"harehook.dev/harehook/xds"
 )
 
-// world is a server and sidecars with a network between them that delays, cuts and forgets, without sockets.
-type world struct {
-	t       *testing.T
-	chance  *rand.Rand
-	now     float64
-	server  *xds.Server
-	holders []*holder
-	streams map[uint64]*stream
-	ids     uint64
-	marks   int
-	drained map[string]int // node: the mark after which no one may hold it
-	pushes  int
-	faults  []string
-	joined  map[int]bool // and not bound yet
-	on      map[int]bool // bound
+// faultyNetwork is a server and sidecars with a network between them that delays, cuts and forgets, without sockets.
+type faultyNetwork struct {
+	t            *testing.T
+	random       *rand.Rand
+	now          float64
+	server       *xds.Server
+	sidecars     []*simulatedSidecar
+	streams      map[uint64]*stream
+	lastStreamID uint64
+	lastNonce    int
+	drained      map[string]int // node: the mark after which no one may hold it
+	pushes       int
+	violations   []string
+	joined       map[int]bool // and not bound yet
+	bound        map[int]bool // bound
 }
 
-type holder struct {
+type simulatedSidecar struct {
 	*sidecar.ResourceCache
-	number  int
-	stream  *stream
-	sent    map[string]bool // kind, name and version that a server sent to it
-	refused map[string]bool
-	planted bool // routes by what it refuses: the checker must see it
+	number           int
+	stream           *stream
+	sent             map[string]bool // kind, name and version that a server sent to it
+	rejected         map[string]bool
+	routesByRejected bool // routes by what it refuses: the checker must see it
 }
 
 // stream is one connection; what is on its way arrives in order.
 type stream struct {
-	id     uint64
-	holder *holder
-	up     []proto.Message
-	down   []proto.Message
-	dead   bool
+	id        uint64
+	sidecar   *simulatedSidecar
+	requests  []proto.Message
+	responses []proto.Message
+	closed    bool
 }
 
-func newWorld(t *testing.T, seed uint64, sidecars int) *world {
-	w := &world{t: t, chance: rand.New(rand.NewPCG(seed, 3)), streams: map[uint64]*stream{}, drained: map[string]int{}}
+func newFaultyNetwork(t *testing.T, seed uint64, sidecars int) *faultyNetwork {
+	w := &faultyNetwork{t: t, random: rand.New(rand.NewPCG(seed, 3)), streams: map[uint64]*stream{}, drained: map[string]int{}}
 	w.restart()
 	for k := range sidecars {
-		h := &holder{number: k, sent: map[string]bool{}, refused: map[string]bool{}}
+		h := &simulatedSidecar{number: k, sent: map[string]bool{}, rejected: map[string]bool{}}
 		h.ResourceCache = &sidecar.ResourceCache{ID: fmt.Sprint("till-", k), Zone: "north", Delta: k%2 == 0}
 		// Each sidecar turns down some contents, always the same ones.
 		h.ExtraCheck = func(kind xds.ResourceType, name string, body *anypb.Any) error {
@@ -69,8 +69,8 @@
 			}
 			return nil
 		}
-		h.OnReject = func(r sidecar.RejectedResource) { h.refused[key(r.Type, r.Name, r.Version)] = true }
-		w.holders = append(w.holders, h)
+		h.OnReject = func(r sidecar.RejectedResource) { h.rejected[key(r.Type, r.Name, r.Version)] = true }
+		w.sidecars = append(w.sidecars, h)
 	}
 	return w
 }
@@ -80,12 +80,12 @@
 }
 
 // restart is a conductor that dies and comes back: it knows nothing of the sidecars or of marks.
-func (w *world) restart() {
+func (w *faultyNetwork) restart() {
 	for _, s := range w.streams {
-		s.dead = true
+		s.closed = true
 	}
 	clear(w.streams)
-	w.joined, w.on = map[int]bool{}, map[int]bool{}
+	w.joined, w.bound = map[int]bool{}, map[int]bool{}
 	compiler := xds.NewCompiler([]xds.Route{{Name: "quote", Prefix: "/quote", TimeLimit: time.Second},
 		{Name: "issue", Prefix: "/issue", Mutating: true, TimeLimit: time.Second}}, time.Second)
 	for n := range 8 {
@@ -100,20 +100,20 @@
 	for table := range 2 {
 		batch = append(batch, controller.Command{Kind: controller.SetWeight, Table: table, Node: fmt.Sprint("s-", table), Value: 1})
 	}
-	w.marks++
-	w.carry(batch)
+	w.lastNonce++
+	w.applyCommands(batch)
 }
 
-func (w *world) carry(batch []controller.Command) {
+func (w *faultyNetwork) applyCommands(batch []controller.Command) {
 	w.pushes++
-	if err := w.server.ApplyCommands(w.now, append(batch, controller.Command{Kind: controller.RequestAck, Nonce: w.marks})); err != nil {
+	if err := w.server.ApplyCommands(w.now, append(batch, controller.Command{Kind: controller.RequestAck, Nonce: w.lastNonce})); err != nil {
 		w.t.Fatal(err)
 	}
 }
 
-func (w *world) Send(id uint64, r *discoveryv3.DiscoveryResponse) {
+func (w *faultyNetwork) Send(id uint64, r *discoveryv3.DiscoveryResponse) {
 	if s := w.streams[id]; s != nil {
-		s.down = append(s.down, r)
+		s.responses = append(s.responses, r)
 		kind, _ := xds.ParseTypeURL(r.GetTypeUrl())
 		for _, body := range r.GetResources() {
 			m, _ := body.UnmarshalNew()
@@ -122,7 +122,7 @@
 			if err != nil {
 				w.t.Fatal(err)
 			}
-			s.holder.sent[key(kind, name, one.Version)] = true
+			s.sidecar.sent[key(kind, name, one.Version)] = true
 		}
 	}
 }
@@ -134,48 +134,48 @@
 	return m.(interface{ GetClusterName() string }).GetClusterName()
 }
 
-func (w *world) SendDelta(id uint64, r *discoveryv3.DeltaDiscoveryResponse) {
+func (w *faultyNetwork) SendDelta(id uint64, r *discoveryv3.DeltaDiscoveryResponse) {
 	if s := w.streams[id]; s != nil {
-		s.down = append(s.down, r)
+		s.responses = append(s.responses, r)
 		kind, _ := xds.ParseTypeURL(r.GetTypeUrl())
 		for _, one := range r.GetResources() {
-			s.holder.sent[key(kind, one.GetName(), one.GetVersion())] = true
+			s.sidecar.sent[key(kind, one.GetName(), one.GetVersion())] = true
 		}
 	}
 }
 
-func (w *world) CloseStream(id uint64, why string) {
+func (w *faultyNetwork) CloseStream(id uint64, why string) {
 	if s := w.streams[id]; s != nil {
-		s.dead = true
+		s.closed = true
 		delete(w.streams, id)
 	}
 }
 
-func (w *world) Joined(proxy int, zone string) {
+func (w *faultyNetwork) Joined(proxy int, zone string) {
 	w.joined[proxy] = true
 }
-func (w *world) Left(proxy int) {
+func (w *faultyNetwork) Left(proxy int) {
 	delete(w.joined, proxy)
-	delete(w.on, proxy)
+	delete(w.bound, proxy)
 }
 
 // Acknowledged checks that a sidecar that confirmed a mark routes to no node that was taken away up to it.
-func (w *world) Acknowledged(proxy, mark int) {
-	for _, h := range w.holders {
+func (w *faultyNetwork) Acknowledged(proxy, mark int) {
+	for _, h := range w.sidecars {
 		if n, known := w.server.Number(h.ID); !known || n != proxy {
 			continue
 		}
 		for cluster, lines := range h.Table().Clusters {
 			for _, l := range lines {
 				if at, gone := w.drained[cluster+" "+l.Node]; gone && at <= mark && w.uses(h, cluster) {
-					w.fault("%s confirmed %d and has %s in %s, gone since %d", h.ID, mark, l.Node, cluster, at)
+					w.addViolation("%s confirmed %d and has %s in %s, gone since %d", h.ID, mark, l.Node, cluster, at)
 				}
 			}
 		}
 	}
 }
 
-func (w *world) uses(h *holder, cluster string) bool {
+func (w *faultyNetwork) uses(h *simulatedSidecar, cluster string) bool {
 	for _, r := range h.Table().Routes {
 		if r.Cluster == cluster {
 			return true
@@ -184,37 +184,37 @@
 	return false
 }
 
-func (w *world) Rejected(string, xds.ResourceType, string) {}
+func (w *faultyNetwork) Rejected(string, xds.ResourceType, string) {}
 
-func (w *world) fault(format string, args ...any) {
-	w.faults = append(w.faults, fmt.Sprintf("%.2f: ", w.now)+fmt.Sprintf(format, args...))
+func (w *faultyNetwork) addViolation(format string, args ...any) {
+	w.violations = append(w.violations, fmt.Sprintf("%.2f: ", w.now)+fmt.Sprintf(format, args...))
 }
 
 // dial begins a stream; the one before may still be under way.
-func (w *world) dial(h *holder) {
-	w.ids++
-	s := &stream{id: w.ids, holder: h}
+func (w *faultyNetwork) dial(h *simulatedSidecar) {
+	w.lastStreamID++
+	s := &stream{id: w.lastStreamID, sidecar: h}
 	h.stream = s
 	if h.Delta {
 		for _, r := range h.BeginDelta() {
-			s.up = append(s.up, r)
+			s.requests = append(s.requests, r)
 		}
 	} else {
 		for _, r := range h.BeginStateOfTheWorld() {
-			s.up = append(s.up, r)
+			s.requests = append(s.requests, r)
 		}
 	}
 	w.streams[s.id] = s
 }
 
 // arrive brings one message of a stream to its end.
-func (w *world) arrive(s *stream, up bool) {
-	if s.dead {
+func (w *faultyNetwork) arrive(s *stream, up bool) {
+	if s.closed {
 		return
 	}
-	if up && len(s.up) > 0 {
-		m := s.up[0]
-		s.up = s.up[1:]
+	if up && len(s.requests) > 0 {
+		m := s.requests[0]
+		s.requests = s.requests[1:]
 		err := error(nil)
 		switch r := m.(type) {
 		case *discoveryv3.DiscoveryRequest:
@@ -236,10 +236,10 @@
 			w.t.Fatal(err)
 		}
 	}
-	if !up && len(s.down) > 0 && s.holder.stream == s {
-		m := s.down[0]
-		s.down = s.down[1:]
-		h := s.holder
+	if !up && len(s.responses) > 0 && s.sidecar.stream == s {
+		m := s.responses[0]
+		s.responses = s.responses[1:]
+		h := s.sidecar
 		switch r := m.(type) {
 		case *discoveryv3.DiscoveryResponse:
 			out, err := h.HandleStateOfTheWorld(r)
@@ -247,10 +247,10 @@
 				w.t.Fatal(err)
 			}
 			for _, answer := range out {
-				if h.planted {
+				if h.routesByRejected {
 					answer.ErrorDetail = nil
 				}
-				s.up = append(s.up, answer)
+				s.requests = append(s.requests, answer)
 			}
 		case *discoveryv3.DeltaDiscoveryResponse:
 			out, err := h.HandleDelta(r)
@@ -258,119 +258,117 @@
 				w.t.Fatal(err)
 			}
 			for _, answer := range out {
-				if h.planted {
+				if h.routesByRejected {
 					answer.ErrorDetail = nil
 				}
-				s.up = append(s.up, answer)
+				s.requests = append(s.requests, answer)
 			}
 		}
 	}
 }
 
-func (w *world) new(id uint64) bool { return !w.server.Connected(id) }
+func (w *faultyNetwork) new(id uint64) bool { return !w.server.Connected(id) }
 
 // bind puts those that joined on a table, as the module does.
-func (w *world) bind() {
+func (w *faultyNetwork) bind() {
 	var batch []controller.Command
-	for proxy := range len(w.holders) {
+	for proxy := range len(w.sidecars) {
 		if w.joined[proxy] {
 			delete(w.joined, proxy)
-			w.on[proxy] = true
+			w.bound[proxy] = true
 			batch = append(batch, controller.Command{Kind: controller.BindProxy, Proxy: proxy, Table: proxy % 2})
 		}
 	}
 	if len(batch) > 0 {
-		w.marks++
-		w.carry(batch)
+		w.lastNonce++
+		w.applyCommands(batch)
 	}
 }
 
 // push changes something.
-func (w *world) push() {
-	w.marks++
-	table, node := w.chance.IntN(2), w.chance.IntN(8)
+func (w *faultyNetwork) push() {
+	w.lastNonce++
+	table, node := w.random.IntN(2), w.random.IntN(8)
 	name, cluster := fmt.Sprint("s-", node), fmt.Sprint("pool-", table)
-	switch w.chance.IntN(6) {
+	switch w.random.IntN(6) {
 	case 0: // the first two stay, one a table: no one is left without a node
 		if node > 1 {
-			w.drained[cluster+" "+name] = w.marks
-			w.carry([]controller.Command{{Kind: controller.SetWeight, Table: table, Node: name}})
+			w.drained[cluster+" "+name] = w.lastNonce
+			w.applyCommands([]controller.Command{{Kind: controller.SetWeight, Table: table, Node: name}})
 			return
 		}
 		fallthrough
 	case 1, 2:
 		delete(w.drained, cluster+" "+name)
-		w.carry([]controller.Command{{Kind: controller.SetWeight, Table: table, Node: name, Value: 0.1 + w.chance.Float64()}})
+		w.applyCommands([]controller.Command{{Kind: controller.SetWeight, Table: table, Node: name, Value: 0.1 + w.random.Float64()}})
 	case 3, 4:
-		w.carry([]controller.Command{{Kind: controller.SetAdmission, Table: planner.AllTables, Route: "issue",
-			Value: w.chance.Float64(), Retry: planner.RetryPolicy(w.chance.IntN(2))}})
+		w.applyCommands([]controller.Command{{Kind: controller.SetAdmission, Table: planner.AllTables, Route: "issue",
+			Value: w.random.Float64(), Retry: planner.RetryPolicy(w.random.IntN(2))}})
 	case 5: // a sidecar moves to the other table
-		if proxy := w.chance.IntN(len(w.holders)); w.bound(proxy) {
-			w.carry([]controller.Command{{Kind: controller.BindProxy, Proxy: proxy, Table: table}})
+		if proxy := w.random.IntN(len(w.sidecars)); w.bound[proxy] {
+			w.applyCommands([]controller.Command{{Kind: controller.BindProxy, Proxy: proxy, Table: table}})
 		}
 	}
 }
 
-func (w *world) bound(proxy int) bool { return w.on[proxy] }
-
 // check is the rule: no sidecar routes by a version that it refused or that was never sent to it, and none has a
 // route to a cluster that it does not hold.
-func (w *world) check(h *holder) {
+func (w *faultyNetwork) check(h *simulatedSidecar) {
 	table := h.Table()
 	for kind, versions := range table.Versions {
 		for name, version := range versions {
 			k := key(xds.ResourceType(kind), name, version)
-			if h.refused[k] {
-				w.fault("%s routes by %s, which it refused", h.ID, k)
+			if h.rejected[k] {
+				w.addViolation("%s routes by %s, which it refused", h.ID, k)
 			}
 			if !h.sent[k] {
-				w.fault("%s routes by %s, which was never sent", h.ID, k)
+				w.addViolation("%s routes by %s, which was never sent", h.ID, k)
 			}
 		}
 	}
 	for _, r := range table.Routes {
 		if _, held := table.Clusters[r.Cluster]; r.Cluster != "" && !held {
-			w.fault("%s has a route to %s, which it does not hold", h.ID, r.Cluster)
+			w.addViolation("%s has a route to %s, which it does not hold", h.ID, r.Cluster)
 		}
 	}
 }
 
 // play lets things happen and checks after each.
-func (w *world) play(pushes int) {
-	for w.pushes < pushes && len(w.faults) == 0 {
+func (w *faultyNetwork) play(pushes int) {
+	for w.pushes < pushes && len(w.violations) == 0 {
 		w.now += 0.01
-		h := w.holders[w.chance.IntN(len(w.holders))]
-		switch w.chance.IntN(40) {
+		h := w.sidecars[w.random.IntN(len(w.sidecars))]
+		switch w.random.IntN(40) {
 		case 0, 1, 2, 3, 4, 5:
 			w.push()
 		case 6: // the stream breaks; the server hears of it now or when the next one begins
-			if s := h.stream; s != nil && !s.dead && w.chance.IntN(2) == 0 {
+			if s := h.stream; s != nil && !s.closed && w.random.IntN(2) == 0 {
 				w.server.Close(w.now, s.id)
-				s.dead = true
+				s.closed = true
 			}
 			w.dial(h)
 		case 7: // the sidecar restarts, with what it held or, its disk lost, with nothing
-			if w.chance.IntN(4) == 0 {
+			if w.random.IntN(4) == 0 {
 				h.Clear()
 			}
 			w.dial(h)
 		case 8:
-			if w.chance.IntN(40) == 0 {
+			if w.random.IntN(40) == 0 {
 				w.restart()
 			}
 		case 9:
-			if s := h.stream; s != nil && w.chance.IntN(20) == 0 { // an answer that no one waits for
-				nonce := fmt.Sprint(w.chance.IntN(50), "-", w.chance.IntN(4), "-", w.chance.IntN(50))
-				kind := xds.ResourceType(w.chance.IntN(int(xds.NumResourceTypes)))
+			if s := h.stream; s != nil && w.random.IntN(20) == 0 { // an answer that no one waits for
+				nonce := fmt.Sprint(w.random.IntN(50), "-", w.random.IntN(4), "-", w.random.IntN(50))
+				kind := xds.ResourceType(w.random.IntN(int(xds.NumResourceTypes)))
 				if h.Delta {
-					s.up = append(s.up, &discoveryv3.DeltaDiscoveryRequest{TypeUrl: kind.TypeURL(), ResponseNonce: nonce})
+					s.requests = append(s.requests, &discoveryv3.DeltaDiscoveryRequest{TypeUrl: kind.TypeURL(), ResponseNonce: nonce})
 				}
 			}
 		default:
-			if h.stream == nil || h.stream.dead {
+			if h.stream == nil || h.stream.closed {
 				w.dial(h)
 			}
-			w.arrive(h.stream, w.chance.IntN(2) == 0)
+			w.arrive(h.stream, w.random.IntN(2) == 0)
 		}
 		w.bind()
 		w.check(h)
@@ -378,15 +376,15 @@
 }
 
 // settle lets all faults end; it gives the steps until every sidecar holds what it is to hold but for what it refused.
-func (w *world) settle() (steps int) {
+func (w *faultyNetwork) settle() (steps int) {
 	for ; steps < 200; steps++ {
 		moved := false
-		for _, h := range w.holders {
-			if h.stream == nil || h.stream.dead {
+		for _, h := range w.sidecars {
+			if h.stream == nil || h.stream.closed {
 				w.dial(h)
 			}
 			s := h.stream
-			moved = moved || len(s.up)+len(s.down) > 0
+			moved = moved || len(s.requests)+len(s.responses) > 0
 			w.arrive(s, true)
 			w.arrive(s, false)
 			w.check(h)
@@ -401,24 +399,24 @@
 
 // Over at least ten thousand pushes with restarts on both sides, cuts, delays and refusals no sidecar ever routes by a
 // version that it refused or was never sent, and once faults end all converge.
-func TestNeverByARefusedVersion(t *testing.T) {
+func TestSidecarNeverRoutesByRejectedVersion(t *testing.T) {
 	total := 0
 	for seed := range uint64(12) {
-		w := newWorld(t, seed, 8)
+		w := newFaultyNetwork(t, seed, 8)
 		w.play(1000)
 		steps := w.settle()
 		total += w.pushes
 		if steps >= 60 {
-			w.fault("not settled after %d steps", steps)
+			w.addViolation("not settled after %d steps", steps)
 		}
 		for _, c := range w.server.Sidecars(w.now) {
 			for _, s := range c.Resources {
 				if s.Accepted != s.Target && s.Rejection == nil && s.Type != xds.Routes && s.Type != xds.Listeners && s.Target != "" && !w.blocked(c) {
-					w.fault("%s holds %s of %s %s, not %s", c.ID, s.Accepted, s.Type, s.Name, s.Target)
+					w.addViolation("%s holds %s of %s %s, not %s", c.ID, s.Accepted, s.Type, s.Name, s.Target)
 				}
 			}
 		}
-		for _, f := range w.faults {
+		for _, f := range w.violations {
 			t.Fatalf("seed %d: %s", seed, f)
 		}
 	}
@@ -428,7 +426,7 @@
 }
 
 // blocked tells whether a sidecar refused something that others wait for.
-func (w *world) blocked(c xds.SidecarStatus) bool {
+func (w *faultyNetwork) blocked(c xds.SidecarStatus) bool {
 	for _, s := range c.Resources {
 		if s.Rejection != nil {
 			return true
@@ -438,29 +436,29 @@
 }
 
 // The checker sees a sidecar that says that it accepts what it refused, or that takes over what it refuses.
-func TestCheckerSeesPlanted(t *testing.T) {
-	w := newWorld(t, 1, 4)
-	for _, h := range w.holders {
+func TestCheckerFindsPlantedFaults(t *testing.T) {
+	w := newFaultyNetwork(t, 1, 4)
+	for _, h := range w.sidecars {
 		refuse := h.ExtraCheck
 		h.ExtraCheck = func(kind xds.ResourceType, name string, body *anypb.Any) error {
 			if err := refuse(kind, name, body); err != nil && kind == xds.Endpoints {
 				m, _ := body.UnmarshalNew()
 				r, _ := xds.NewResource(kind, name, m)
-				h.refused[key(kind, name, r.Version)] = true // refused, and taken over all the same
+				h.rejected[key(kind, name, r.Version)] = true // refused, and taken over all the same
 			}
 			return nil
 		}
 	}
 	w.play(1000)
-	if len(w.faults) == 0 {
+	if len(w.violations) == 0 {
 		t.Error("sidecars that route by what they refused were not seen")
 	}
-	w = newWorld(t, 1, 4)
-	for _, h := range w.holders {
-		h.planted = true
+	w = newFaultyNetwork(t, 1, 4)
+	for _, h := range w.sidecars {
+		h.routesByRejected = true
 	}
 	w.play(3000)
-	if len(w.faults) == 0 {
+	if len(w.violations) == 0 {
 		t.Error("a refusal told as an acceptance was not seen")
 	}
 }
--- a/xds/stream_test.go
+++ b/xds/stream_test.go
@@ -27,8 +27,8 @@
 	return r
 }
 
-// script is a stream, its target and what it said, a line a response.
-type script struct {
+// streamScript is a stream, its target and what it said, a line a response.
+type streamScript struct {
 	t      *testing.T
 	s      *Stream
 	target *Snapshot
@@ -37,14 +37,14 @@
 	strings.Builder
 }
 
-func newScript(t *testing.T, delta bool, contents ...string) *script {
-	c := &script{t: t, s: NewStream(7, delta), names: map[string]string{}}
-	c.aim(contents...)
+func newScript(t *testing.T, delta bool, contents ...string) *streamScript {
+	c := &streamScript{t: t, s: NewStream(7, delta), names: map[string]string{}}
+	c.setTarget(contents...)
 	return c
 }
 
-// aim sets the target: "a1" is the thing a with the content 1.
-func (c *script) aim(contents ...string) {
+// setTarget sets the target: "a1" is the thing a with the content 1.
+func (c *streamScript) setTarget(contents ...string) {
 	set := ResourceSet{}
 	for _, one := range contents {
 		r := thing(c.t, one[:1], int(one[1]))
@@ -55,7 +55,7 @@
 }
 
 // next notes what is sent now.
-func (c *script) next() {
+func (c *streamScript) next() {
 	state, delta := c.s.Next(1)
 	if len(state)+len(delta) == 0 {
 		c.WriteString("nothing\n")
@@ -81,7 +81,7 @@
 }
 
 // answer answers the response before last by k, 0 for the last; why refuses it.
-func (c *script) answer(k int, why string) {
+func (c *streamScript) answer(k int, why string) {
 	nonce := c.nonces[len(c.nonces)-1-k]
 	var fault *status.Status
 	if why != "" {
@@ -98,7 +98,7 @@
 	}
 }
 
-func (c *script) ask(names ...string) {
+func (c *streamScript) subscribe(names ...string) {
 	if c.s.Delta {
 		c.s.HandleDelta(1, &discoveryv3.DeltaDiscoveryRequest{TypeUrl: Clusters.TypeURL(), ResourceNamesSubscribe: names})
 	} else {
@@ -106,11 +106,11 @@
 	}
 }
 
-func (c *script) drop(names ...string) {
+func (c *streamScript) unsubscribe(names ...string) {
 	c.s.HandleDelta(1, &discoveryv3.DeltaDiscoveryRequest{TypeUrl: Clusters.TypeURL(), ResourceNamesUnsubscribe: names})
 }
 
-func (c *script) holds() {
+func (c *streamScript) printAccepted() {
 	var held []string
 	for _, name := range sortedKeys(c.s.subscriptions[Clusters].accepted) {
 		held = append(held, c.names[c.s.subscriptions[Clusters].accepted[name].Version])
@@ -118,65 +118,65 @@
 	fmt.Fprintf(c, "holds %v whole %t stale %d\n", held, c.s.Holds(Clusters, c.target.sequence[Clusters]), c.s.Stale)
 }
 
-func TestStream(t *testing.T) {
+func TestStreamExchanges(t *testing.T) {
 	for name, story := range map[string]struct {
 		delta bool
-		play  func(c *script)
+		play  func(c *streamScript)
 		want  string
 	}{
-		"accepted, then nothing": {false, func(c *script) { c.ask(); c.next(); c.answer(0, ""); c.holds(); c.next() },
+		"accepted, then nothing": {false, func(c *streamScript) { c.subscribe(); c.next(); c.answer(0, ""); c.printAccepted(); c.next() },
 			"sent [a1 b1]\nholds [a1 b1] whole true stale 0\nnothing\n"},
-		"one response at a time, the newest state next": {false, func(c *script) {
-			c.ask()
+		"one response at a time, the newest state next": {false, func(c *streamScript) {
+			c.subscribe()
 			c.next()
-			c.aim("a2", "b1")
+			c.setTarget("a2", "b1")
 			c.next()
-			c.aim("a3", "b1")
+			c.setTarget("a3", "b1")
 			c.answer(0, "")
-			c.holds()
+			c.printAccepted()
 			c.next()
 		}, "sent [a1 b1]\nnothing\nholds [a1 b1] whole false stale 0\nsent [a3 b1]\n"},
-		"a stale acceptance after a newer push": {false, func(c *script) {
-			c.ask()
+		"a stale acceptance after a newer push": {false, func(c *streamScript) {
+			c.subscribe()
 			c.next()
 			c.answer(0, "")
-			c.aim("a2", "b1")
+			c.setTarget("a2", "b1")
 			c.next()
 			c.answer(1, "")
-			c.holds()
+			c.printAccepted()
 			c.answer(0, "")
-			c.holds()
+			c.printAccepted()
 		}, "sent [a1 b1]\nsent [a2 b1]\nholds [a1 b1] whole false stale 1\nholds [a2 b1] whole true stale 1\n"},
-		"a stale refusal after a newer push": {true, func(c *script) {
-			c.ask()
+		"a stale refusal after a newer push": {true, func(c *streamScript) {
+			c.subscribe()
 			c.next()
 			c.answer(0, "")
-			c.aim("a2", "b1")
+			c.setTarget("a2", "b1")
 			c.next()
 			c.answer(1, "late")
 			c.answer(0, "")
-			c.holds()
+			c.printAccepted()
 		}, "sent [a1 b1] removed []\nsent [a2] removed []\nholds [a2 b1] whole true stale 1\n"},
-		"a refused version does not come again, the next one does": {true, func(c *script) {
-			c.ask()
+		"a refused version does not come again, the next one does": {true, func(c *streamScript) {
+			c.subscribe()
 			c.next()
 			c.answer(0, "")
-			c.aim("a2", "b1")
+			c.setTarget("a2", "b1")
 			c.next()
 			c.answer(0, "bad")
 			c.next()
-			c.holds()
-			c.aim("a2", "b2")
+			c.printAccepted()
+			c.setTarget("a2", "b2")
 			c.next()
 			c.answer(0, "")
-			c.aim("a3", "b2")
+			c.setTarget("a3", "b2")
 			c.next()
 			c.answer(0, "")
-			c.holds()
+			c.printAccepted()
 		}, "sent [a1 b1] removed []\nsent [a2] removed []\nnothing\nholds [a1 b1] whole false stale 0\nsent [b2] removed []\nsent [a3] removed []\nholds [a3 b2] whole true stale 0\n"},
-		"one bad among good ones, delta": {true, func(c *script) {
-			c.aim("a1", "b1", "c1")
-			c.ask()
+		"one bad among good ones, delta": {true, func(c *streamScript) {
+			c.setTarget("a1", "b1", "c1")
+			c.subscribe()
 			c.next()
 			c.answer(0, "bad")
 			for range 3 {
@@ -184,13 +184,13 @@
 				c.answer(0, map[bool]string{true: "bad"}[strings.HasSuffix(c.String(), "sent [b1] removed []\n")])
 			}
 			c.next()
-			c.holds()
+			c.printAccepted()
 		}, "sent [a1 b1 c1] removed []\nsent [a1] removed []\nsent [b1] removed []\nsent [c1] removed []\nnothing\nholds [a1 c1] whole false stale 0\n"},
-		"one bad among good ones, state of the world": {false, func(c *script) {
-			c.ask()
+		"one bad among good ones, state of the world": {false, func(c *streamScript) {
+			c.subscribe()
 			c.next()
 			c.answer(0, "")
-			c.aim("a2", "b2")
+			c.setTarget("a2", "b2")
 			c.next()
 			c.answer(0, "bad")
 			c.next()
@@ -198,74 +198,74 @@
 			c.next()
 			c.answer(0, "")
 			c.next()
-			c.holds()
+			c.printAccepted()
 		}, "sent [a1 b1]\nsent [a2 b2]\nsent [a2 b1]\nsent [a1 b2]\nnothing\nholds [a1 b2] whole false stale 0\n"},
-		"back to what it holds": {true, func(c *script) {
-			c.ask()
+		"back to what it holds": {true, func(c *streamScript) {
+			c.subscribe()
 			c.next()
 			c.answer(0, "")
-			c.aim("a2", "b1")
+			c.setTarget("a2", "b1")
 			c.next()
 			c.answer(0, "bad")
-			c.aim("a1", "b1")
+			c.setTarget("a1", "b1")
 			c.next()
-			c.holds()
+			c.printAccepted()
 		}, "sent [a1 b1] removed []\nsent [a2] removed []\nnothing\nholds [a1 b1] whole true stale 0\n"},
-		"removed": {true, func(c *script) {
-			c.ask()
+		"removed": {true, func(c *streamScript) {
+			c.subscribe()
 			c.next()
 			c.answer(0, "")
-			c.aim("b1")
+			c.setTarget("b1")
 			c.next()
 			c.answer(0, "")
-			c.holds()
+			c.printAccepted()
 		}, "sent [a1 b1] removed []\nsent [] removed [a]\nholds [b1] whole true stale 0\n"},
-		"a removal that is refused is not repeated": {false, func(c *script) {
-			c.ask()
+		"a removal that is refused is not repeated": {false, func(c *streamScript) {
+			c.subscribe()
 			c.next()
 			c.answer(0, "")
-			c.aim("b1")
+			c.setTarget("b1")
 			c.next()
 			c.answer(0, "no")
 			c.next()
-			c.holds()
+			c.printAccepted()
 		}, "sent [a1 b1]\nsent [b1]\nnothing\nholds [a1 b1] whole false stale 0\n"},
-		"named, then all, then named": {true, func(c *script) {
-			c.ask("a")
+		"named, then all, then named": {true, func(c *streamScript) {
+			c.subscribe("a")
 			c.next()
 			c.answer(0, "")
-			c.ask("*")
+			c.subscribe("*")
 			c.next()
 			c.answer(0, "")
-			c.holds()
-			c.drop("*")
-			c.holds()
+			c.printAccepted()
+			c.unsubscribe("*")
+			c.printAccepted()
 			c.next()
 		}, "sent [a1] removed []\nsent [b1] removed []\nholds [a1 b1] whole true stale 0\nholds [a1] whole true stale 0\nnothing\n"},
-		"what is not there is said once, and comes when it is": {true, func(c *script) {
-			c.ask("z")
+		"what is not there is said once, and comes when it is": {true, func(c *streamScript) {
+			c.subscribe("z")
 			c.next()
 			c.answer(0, "")
 			c.next()
-			c.aim("a1", "z1")
+			c.setTarget("a1", "z1")
 			c.next()
 		}, "sent [] removed [z]\nnothing\nsent [z1] removed []\n"},
-		"asked for again": {true, func(c *script) {
-			c.ask("a")
+		"asked for again": {true, func(c *streamScript) {
+			c.subscribe("a")
 			c.next()
 			c.answer(0, "")
-			c.ask("a")
+			c.subscribe("a")
 			c.next()
 		}, "sent [a1] removed []\nsent [a1] removed []\n"},
-		"removed while it is asked for": {true, func(c *script) {
-			c.ask("a")
+		"removed while it is asked for": {true, func(c *streamScript) {
+			c.subscribe("a")
 			c.next()
-			c.aim("b1")
-			c.ask("b")
+			c.setTarget("b1")
+			c.subscribe("b")
 			c.answer(0, "")
 			c.next()
 			c.answer(0, "")
-			c.holds()
+			c.printAccepted()
 		}, "sent [a1] removed []\nsent [b1] removed [a]\nholds [b1] whole true stale 0\n"},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -280,7 +280,7 @@
 
 // A sidecar that comes back and states what it holds gets nothing that it has, also from a conductor that started
 // anew: the version is that of the content.
-func TestStated(t *testing.T) {
+func TestStatedVersionsAreNotSentAgain(t *testing.T) {
 	for _, delta := range []bool{true, false} {
 		c := newScript(t, delta, "a1", "b1")
 		versions := map[string]string{"a": thing(t, "a", '1').Version, "b": thing(t, "b", '0').Version, "gone": "x"}
@@ -298,7 +298,7 @@
 }
 
 // A mutating route is never compiled with a further try that could run a call twice, whatever is ordered.
-func TestCompiledTries(t *testing.T) {
+func TestCompiledRetryPolicies(t *testing.T) {
 	c := NewCompiler([]Route{{Name: "issue", Prefix: "/issue", Mutating: true, TimeLimit: time.Second}}, time.Second)
 	for tries := range planner.RetryPolicy(5) {
 		c.ApplyCommands([]controller.Command{{Kind: controller.SetAdmission, Table: 0, Route: "issue", Value: 0.5, Retry: tries}})
@@ -327,7 +327,7 @@
 }
 
 // Where no number is left, one that has been away for longest gives its own to one that joins; one that stands never does.
-func TestNumbers(t *testing.T) {
+func TestSidecarNumbersAreReused(t *testing.T) {
 	s := NewServer(NewCompiler([]Route{{Name: "q", Prefix: "/"}}, time.Second), &counting{out: map[string]int{}}, 3)
 	stream := uint64(0)
 	var got []string
--- a/xds/transport/bench_test.go
+++ b/xds/transport/bench_test.go
@@ -114,7 +114,7 @@
 					})
 					return n
 				}
-				for known(f) < sidecars {
+				for knownSidecars(f) < sidecars {
 					time.Sleep(10 * time.Millisecond)
 				}
 				for proxy := range sidecars {
--- a/xds/transport/cancellation_test.go
+++ b/xds/transport/cancellation_test.go
@@ -8,7 +8,7 @@
 
 // A stream ends in the instant in which its first request has been read and not yet been taken in: it is none. Its
 // sidecar would count as joined for good, and what is ordered for it would wait.
-func TestEndsAsItOpens(t *testing.T) {
+func TestStreamCancelledBeforeItsFirstRequest(t *testing.T) {
 	f, _ := serve(t, 4)
 	ctx, cancel := context.WithCancel(t.Context())
 	read, taken := make(chan struct{}), make(chan struct{})
@@ -29,7 +29,7 @@
 	<-ended
 	close(read)
 	<-taken
-	if n := joined(f); n != 0 {
+	if n := connectedSidecars(f); n != 0 {
 		t.Errorf("%d sidecars count as joined by a stream that has ended", n)
 	}
 	f.call(func() {
--- a/xds/transport/endpoint_watcher_test.go
+++ b/xds/transport/endpoint_watcher_test.go
@@ -66,7 +66,7 @@
 
 // Good, bad and broken versions in a row, and a service that vanishes: each bad one is refused with its reason, the last
 // good one stays, and it is stated when the service is back.
-func TestMembers(t *testing.T) {
+func TestEndpointWatcherKeepsLastGoodList(t *testing.T) {
 	l := &lister{send: make(chan *discoveryv3.DiscoveryResponse, 16)}
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -107,7 +107,7 @@
 	} {
 		l.send <- r
 	}
-	until(t, "all are answered", func() bool {
+	waitFor(t, "all are answered", func() bool {
 		l.lock.Lock()
 		defer l.lock.Unlock()
 		return len(l.said) >= 9
--- a/xds/transport/rejection_test.go
+++ b/xds/transport/rejection_test.go
@@ -66,7 +66,7 @@
 
 // On loopback, through pushes, refusals and streams that are cut at any moment, no sidecar routes by a version that it
 // refused, and once the cuts end all settle but for what they refused.
-func TestRefusalsOnLoopback(t *testing.T) {
+func TestRejectionsAndCutsOverLoopback(t *testing.T) {
 	const sidecars, pushes = 40, 300
 	f, address := serve(t, sidecars)
 	chance := rand.New(rand.NewPCG(4, 2))
@@ -95,8 +95,8 @@
 		all[k] = p
 		begin(k)
 	}
-	until(t, "all joined", func() bool { return known(f) == sidecars })
-	table(f, sidecars, 20)
+	waitFor(t, "all joined", func() bool { return knownSidecars(f) == sidecars })
+	publishTable(f, sidecars, 20)
 	for n := range pushes {
 		f.Enqueue([]controller.Command{{Kind: controller.SetWeight, Node: fmt.Sprint("node-", chance.IntN(20)), Value: chance.Float64()},
 			{Kind: controller.RequestAck, Nonce: n + 2}})
@@ -110,9 +110,9 @@
 			bindAll(f, sidecars, n+2)
 		}
 	}
-	until(t, "all are back", func() bool { return joined(f) == sidecars })
+	waitFor(t, "all are back", func() bool { return connectedSidecars(f) == sidecars })
 	bindAll(f, sidecars, pushes+10)
-	until(t, "all settle but for what they refuse", func() bool {
+	waitFor(t, "all settle but for what they refuse", func() bool {
 		n := 0
 		var joins []controller.Command // a stream that was cut may count for a while: its successor then joins after that
 		defer func() {
--- a/xds/transport/server_test.go
+++ b/xds/transport/server_test.go
@@ -25,13 +25,13 @@
 	"harehook.dev/harehook/xds"
 )
 
-const within = 20 * time.Second // for what takes a moment on an idle machine
+const testTimeout = 20 * time.Second // for what takes a moment on an idle machine
 
-func until(t *testing.T, what string, ok func() bool) {
+func waitFor(t *testing.T, what string, ok func() bool) {
 	t.Helper()
-	for end := time.Now().Add(within); !ok(); time.Sleep(5 * time.Millisecond) {
+	for end := time.Now().Add(testTimeout); !ok(); time.Sleep(5 * time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatalf("not within %s: %s", within, what)
+			t.Fatalf("not within %s: %s", testTimeout, what)
 		}
 	}
 }
@@ -45,8 +45,8 @@
 	return conn
 }
 
-// settled is how many sidecars hold all that they are to hold.
-func settled(f *Server) (n int) {
+// convergedSidecars is how many sidecars hold all that they are to hold.
+func convergedSidecars(f *Server) (n int) {
 	f.call(func() {
 		for _, s := range f.Streams.Sidecars(f.now()) {
 			all := s.Connected && s.Bound && s.Unacknowledged == 0 && len(s.Resources) >= int(xds.NumResourceTypes)
@@ -61,13 +61,13 @@
 	return n
 }
 
-// known is how many sidecars ever joined, joined how many stand.
-func known(f *Server) (n int) {
+// knownSidecars is how many sidecars ever joined, joined how many stand.
+func knownSidecars(f *Server) (n int) {
 	f.call(func() { n = len(f.Streams.Sidecars(f.now())) })
 	return n
 }
 
-func joined(f *Server) (n int) {
+func connectedSidecars(f *Server) (n int) {
 	f.call(func() {
 		for _, s := range f.Streams.Sidecars(f.now()) {
 			if s.Connected {
@@ -78,8 +78,8 @@
 	return n
 }
 
-// table gives all sidecars a table of some nodes.
-func table(f *Server, sidecars, nodes int) {
+// publishTable gives all sidecars a table of some nodes.
+func publishTable(f *Server, sidecars, nodes int) {
 	batch := []controller.Command{{Kind: controller.SetAdmission, Table: planner.AllTables, Route: "quote", Value: 1}}
 	for n := range nodes {
 		name := fmt.Sprint("node-", n)
@@ -101,7 +101,7 @@
 
 // Hundreds of sidecars of both variants lose their streams at once, again and again, while tables change: all are back
 // with the newest versions, and those that hold them already get nothing.
-func TestStorm(t *testing.T) {
+func TestReconnectStormsConverge(t *testing.T) {
 	const sidecars = 300
 	f, address := serve(t, sidecars)
 	holders := make([]*sidecar.ResourceCache, sidecars)
@@ -120,35 +120,35 @@
 			on := conn
 			streams.Go(func() { c.join(ctx, on, h) })
 		}
-		until(t, "all joined", func() bool { return joined(f) == sidecars })
+		waitFor(t, "all joined", func() bool { return connectedSidecars(f) == sidecars })
 		if round == 0 {
-			table(f, sidecars, 20)
+			publishTable(f, sidecars, 20)
 		} else {
 			if round%2 == 0 {
 				f.Enqueue([]controller.Command{{Kind: controller.SetWeight, Node: "node-1", Value: float64(round)}})
 			}
 			bindAll(f, sidecars, round+1)
 		}
-		until(t, fmt.Sprintf("all settled in round %d", round), func() bool { return settled(f) == sidecars })
+		waitFor(t, fmt.Sprintf("all settled in round %d", round), func() bool { return convergedSidecars(f) == sidecars })
 		if answers := c.answers.Load(); round%2 == 1 && answers != 0 {
 			t.Errorf("round %d: %d responses to sidecars that hold all", round, answers)
 		}
 		stop()
 		streams.Wait()
-		until(t, "all left", func() bool { return joined(f) == 0 })
+		waitFor(t, "all left", func() bool { return connectedSidecars(f) == 0 })
 	}
 }
 
 // What can't be is answered with a status and a reason, counted, and costs no one else anything.
-func TestBadClients(t *testing.T) {
+func TestMisbehavingClientsAreDisconnected(t *testing.T) {
 	f, address := serve(t, 3)
 	good := &sidecar.ResourceCache{ID: "till", Zone: "north", Delta: true}
 	ctx, stop := context.WithCancel(context.Background())
 	defer stop()
 	go (&crowd{}).join(ctx, dial(t, address), good)
-	until(t, "it joined", func() bool { return known(f) == 1 })
-	table(f, 1, 3)
-	until(t, "it holds its table", func() bool { return settled(f) == 1 })
+	waitFor(t, "it joined", func() bool { return knownSidecars(f) == 1 })
+	publishTable(f, 1, 3)
+	waitFor(t, "it holds its table", func() bool { return convergedSidecars(f) == 1 })
 
 	client := discoveryv3.NewAggregatedDiscoveryServiceClient(dial(t, address))
 	node := func(id, zone string) *corev3.Node {
@@ -182,7 +182,7 @@
 		s, _ := client.StreamAggregatedResources(ctx)
 		s.Send(&discoveryv3.DiscoveryRequest{Node: node(id, "north"), TypeUrl: xds.Clusters.TypeURL()})
 	}
-	until(t, "three are known", func() bool { return known(f) == 3 })
+	waitFor(t, "three are known", func() bool { return knownSidecars(f) == 3 })
 	s, _ := client.StreamAggregatedResources(ctx)
 	s.Send(&discoveryv3.DiscoveryRequest{Node: node("one too many", "north"), TypeUrl: xds.Clusters.TypeURL()})
 	if _, err := s.Recv(); status.Code(err) != codes.InvalidArgument || !strings.Contains(err.Error(), "no more may join") {
@@ -191,13 +191,13 @@
 	if f.MalformedRequests.Load() < 5 {
 		t.Errorf("%d counted", f.MalformedRequests.Load())
 	}
-	if settled(f) < 1 {
+	if convergedSidecars(f) < 1 {
 		t.Error("the good one lost its table")
 	}
 }
 
 // A second stream of a node id ends the first, whose messages count for nothing any more.
-func TestTwoStreams(t *testing.T) {
+func TestSecondStreamReplacesFirst(t *testing.T) {
 	f, address := serve(t, 3)
 	client := discoveryv3.NewAggregatedDiscoveryServiceClient(dial(t, address))
 	open := func() discoveryv3.AggregatedDiscoveryService_StreamAggregatedResourcesClient {
@@ -209,26 +209,26 @@
 		return s
 	}
 	first := open()
-	until(t, "it joined", func() bool { return known(f) == 1 })
+	waitFor(t, "it joined", func() bool { return knownSidecars(f) == 1 })
 	second := open()
 	if _, err := first.Recv(); status.Code(err) != codes.Aborted {
 		t.Errorf("the first: %v", err)
 	}
-	table(f, 1, 2)
+	publishTable(f, 1, 2)
 	if r, err := second.Recv(); err != nil || len(r.GetResources()) != 1 {
 		t.Errorf("the second: %v, %v", r, err)
 	}
 }
 
 // Load reports reach the core; a line that can't be costs only itself.
-func TestReports(t *testing.T) {
+func TestLoadReportsReachController(t *testing.T) {
 	f, address := serve(t, 3)
 	ctx, stop := context.WithCancel(t.Context())
 	defer stop()
 	conn := dial(t, address)
 	go (&crowd{}).join(ctx, conn, &sidecar.ResourceCache{ID: "till", Zone: "north", Delta: true})
-	until(t, "it joined", func() bool { return known(f) == 1 })
-	table(f, 1, 1)
+	waitFor(t, "it joined", func() bool { return knownSidecars(f) == 1 })
+	publishTable(f, 1, 1)
 	s, err := loadv3.NewLoadReportingServiceClient(conn).StreamLoadStats(ctx)
 	if err != nil {
 		t.Fatal(err)
@@ -246,10 +246,10 @@
 			UpstreamLocalityStats: []*endpointv3.UpstreamLocalityStats{{UpstreamEndpointStats: lines}}}}})
 	}
 	report(time.Second, line(1000, 10, 2), line(1000, 1, 2), line(9999, 5, 0))
-	until(t, "the bad line and the unknown node are counted", func() bool { return f.MalformedRequests.Load() == 1 && f.UnknownReports.Load() == 1 })
+	waitFor(t, "the bad line and the unknown node are counted", func() bool { return f.MalformedRequests.Load() == 1 && f.UnknownReports.Load() == 1 })
 	report(0, line(1000, 10, 2))
 	report(-time.Second, line(1000, 10, 2))
-	until(t, "spans that can't be are counted", func() bool { return f.MalformedRequests.Load() == 3 })
+	waitFor(t, "spans that can't be are counted", func() bool { return f.MalformedRequests.Load() == 3 })
 	s.CloseSend()
 	if _, err := s.Recv(); err != io.EOF {
 		t.Errorf("after its end: %v", err)
