--- a/configsync/backoff.go
+++ b/configsync/backoff.go
@@ -5,14 +5,17 @@
 	"time"
 )
 
-// The pauses before a member is asked again: doubled at each failure, and drawn anew between nothing and that (full
-// jitter), so that conductors that lost a member together do not come back together.
+// The limit of the delay doubles at each failure, and the delay is drawn between zero and that limit (full jitter), so that
+// followers that lost a member together do not reconnect together.
 const (
 	backoffBase = 200 * time.Millisecond
 	backoffMax  = 5 * time.Second
+	// maxDoublings keeps the shift from overflowing; backoffMax is reached long before.
+	maxDoublings = 10
 )
 
-// Backoff chooses the member that a follower asks next, and the pause before it does.
+// Backoff chooses the member that a follower connects to next, and the delay before it does. It is not safe for concurrent
+// use.
 type Backoff struct {
 	random     *rand.Rand
 	members    []string
@@ -20,27 +23,27 @@
 	failures   int
 }
 
-// NewBackoff makes one that goes through the members, of which there has to be one, in an order of its own.
+// NewBackoff returns one that goes through the members in an order drawn from the seed. There has to be a member.
 func NewBackoff(members []string, seed uint64) *Backoff {
 	random := rand.New(rand.NewPCG(seed, uint64(len(members))))
 	order := make([]string, len(members))
-	for at, from := range random.Perm(len(members)) {
-		order[at] = members[from]
+	for position, member := range random.Perm(len(members)) {
+		order[position] = members[member]
 	}
 	return &Backoff{random: random, members: order}
 }
 
-// Member is the one to ask now.
+// Member returns the member to connect to now.
 func (b *Backoff) Member() string { return b.members[b.nextMember%len(b.members)] }
 
-// Succeeded notes that a member has answered as it should.
+// Succeeded resets the delay: the member has answered.
 func (b *Backoff) Succeeded() { b.failures = 0 }
 
-// Failed moves on to another member and gives the pause before it is asked. The first try of another member after one
-// that had answered is spread as well: its other followers move at the same time.
+// Failed moves on to the next member and returns the delay before it is connected to. The first attempt after a member that
+// had answered is delayed as well, since that member's other followers move at the same time.
 func (b *Backoff) Failed() time.Duration {
 	b.nextMember++
-	limit := min(backoffMax, backoffBase<<min(b.failures, 10))
+	limit := min(backoffMax, backoffBase<<min(b.failures, maxDoublings))
 	b.failures++
 	return time.Duration(b.random.Int64N(int64(limit)))
 }
--- a/configsync/convergence.go
+++ b/configsync/convergence.go
@@ -7,10 +7,10 @@
 	"time"
 )
 
-// UnknownReason says why the leases of a member are not all known.
+// UnknownReason is why the leases of a member are not all known. Its values are part of the tools' JSON.
 type UnknownReason string
 
-// The reasons for doubt.
+// The reasons.
 const (
 	ReasonNoAnswer   UnknownReason = "did not answer"
 	ReasonNotSettled UnknownReason = "has not served for a lease's time since it started"
@@ -22,77 +22,83 @@
 	Reason UnknownReason `json:"reason"`
 }
 
-// FollowerStatus is a follower as all members together know it.
+// FollowerStatus is what all members together know of a follower.
 type FollowerStatus struct {
 	LeaseStatus
-	Member string `json:"member"` // that heard it last
+	Member string `json:"member"` // that received its latest renewal
 }
 
-// MemberProgress is how far a member is.
+// MemberProgress is the revision of a member and the number of its followers.
 type MemberProgress struct {
 	Member   string `json:"member"`
 	Revision uint64 `json:"revision"`
-	Live     int    `json:"live"` // followers that it heard last
+	Live     int    `json:"live"` // followers with a lease whose latest renewal it received
 }
 
-// Convergence tells which revision is in force everywhere, over all members.
+// Convergence tells which revision is in effect everywhere, over all members.
 type Convergence struct {
 	Revision          uint64           `json:"revision"` // the newest of any member
-	ConvergedRevision uint64           `json:"in_force"` // accepted by every follower with a live lease that is known
-	Known             bool             `json:"known"`    // false: the revision in force may be older than InForce, because of the doubts
+	ConvergedRevision uint64           `json:"in_force"` // accepted by every known follower with a lease
+	Known             bool             `json:"known"`    // false: ConvergedRevision may be too new, because of UnknownMembers
 	UnknownMembers    []UnknownMember  `json:"doubts,omitempty"`
-	Live              int              `json:"live"`
+	Live              int              `json:"live"`             // followers with a lease
 	Members           []MemberProgress `json:"members"`          // those that answered, by name
-	Behind            []FollowerStatus `json:"behind,omitempty"` // with a live lease, the least revision first, then by name
-	Stale             []FollowerStatus `json:"stale,omitempty"`  // without one, by name: they go on with what they hold
+	Behind            []FollowerStatus `json:"behind,omitempty"` // with a lease and below Revision; by revision, then by name
+	Stale             []FollowerStatus `json:"stale,omitempty"`  // without a lease, by name: they go on with what they have
 }
 
-// Merge joins the statuses of members that were asked at about the same time. Members names all that followers may be
-// connected to; one without a status, or with one that is not settled, makes the result doubtful. Of several leases of
-// one follower the one that was renewed last counts: how long ago is told by each member's own clock, so clocks need
-// not agree.
+// Merge combines the statuses of members that were queried at about the same time. Members names all that followers may be
+// connected to; one without a status, or whose status is not settled, makes the result uncertain. Of several leases of one
+// follower the one renewed last counts. Ages are by each member's own clock, so clocks need not agree.
 func Merge(statuses []MemberStatus, members []string) Convergence {
 	byMember := latestStatuses(statuses)
-	force := Convergence{UnknownMembers: unknownMembers(byMember, members)}
-	force.Known = len(force.UnknownMembers) == 0
+	convergence := Convergence{UnknownMembers: unknownMembers(byMember, members)}
+	convergence.Known = len(convergence.UnknownMembers) == 0
 	followers := latestLeases(byMember)
+	live := liveByMember(followers)
+	for _, name := range slices.Sorted(maps.Keys(byMember)) {
+		status := byMember[name]
+		convergence.Revision = max(convergence.Revision, status.Revision)
+		progress := MemberProgress{Member: name, Revision: status.Revision, Live: live[name]}
+		convergence.Members = append(convergence.Members, progress)
+	}
+	convergence.addFollowers(followers, byMember)
+	return convergence
+}
+
+// liveByMember counts the followers with a lease by the member that received their latest renewal.
+func liveByMember(followers map[string]FollowerStatus) map[string]int {
 	live := map[string]int{}
 	for _, follower := range followers {
 		if follower.Live {
 			live[follower.Member]++
 		}
 	}
-	for _, name := range slices.Sorted(maps.Keys(byMember)) {
-		status := byMember[name]
-		force.Revision = max(force.Revision, status.Revision)
-		force.Members = append(force.Members, MemberProgress{Member: name, Revision: status.Revision, Live: live[name]})
-	}
-	force.addFollowers(followers, byMember)
-	return force
+	return live
 }
 
-// addFollowers finds the revision in force and who is behind.
-func (f *Convergence) addFollowers(followers map[string]FollowerStatus, byMember map[string]MemberStatus) {
-	f.ConvergedRevision = f.Revision
+// addFollowers sets the converged revision and lists the followers that are behind or stale. Revision has to be set.
+func (c *Convergence) addFollowers(followers map[string]FollowerStatus, byMember map[string]MemberStatus) {
+	c.ConvergedRevision = c.Revision
 	for _, name := range slices.Sorted(maps.Keys(followers)) {
 		follower := followers[name]
-		if follower.Accepted < f.Revision {
+		if follower.Accepted < c.Revision {
 			follower.Behind = max(follower.Behind, longestLag(follower.Accepted, byMember))
 		}
 		if !follower.Live {
-			f.Stale = append(f.Stale, follower)
+			c.Stale = append(c.Stale, follower)
 			continue
 		}
-		f.Live++
-		f.ConvergedRevision = min(f.ConvergedRevision, follower.Accepted)
-		if follower.Accepted < f.Revision {
-			f.Behind = append(f.Behind, follower)
+		c.Live++
+		c.ConvergedRevision = min(c.ConvergedRevision, follower.Accepted)
+		if follower.Accepted < c.Revision {
+			c.Behind = append(c.Behind, follower)
 		}
 	}
-	slices.SortStableFunc(f.Behind, func(a, b FollowerStatus) int { return cmp.Compare(a.Accepted, b.Accepted) })
+	slices.SortStableFunc(c.Behind, func(a, b FollowerStatus) int { return cmp.Compare(a.Accepted, b.Accepted) })
 }
 
-// latestStatuses keeps the latest status of each member.
+// latestStatuses returns the latest status of each member.
 func latestStatuses(statuses []MemberStatus) map[string]MemberStatus {
 	latest := map[string]MemberStatus{}
 	for _, status := range statuses {
@@ -104,34 +110,35 @@
 }
 
 // unknownMembers lists the members whose leases are not all known, by name.
-func unknownMembers(byMember map[string]MemberStatus, members []string) (found []UnknownMember) {
+func unknownMembers(byMember map[string]MemberStatus, members []string) (unknown []UnknownMember) {
 	for _, name := range members {
 		if _, answered := byMember[name]; !answered {
-			found = append(found, UnknownMember{Member: name, Reason: ReasonNoAnswer})
+			unknown = append(unknown, UnknownMember{Member: name, Reason: ReasonNoAnswer})
 		}
 	}
 	for name, status := range byMember {
 		if !status.Settled {
-			found = append(found, UnknownMember{Member: name, Reason: ReasonNotSettled})
+			unknown = append(unknown, UnknownMember{Member: name, Reason: ReasonNotSettled})
 		}
 	}
-	slices.SortFunc(found, func(a, b UnknownMember) int { return cmp.Compare(a.Member, b.Member) })
-	return slices.Compact(found)
+	slices.SortFunc(unknown, func(a, b UnknownMember) int { return cmp.Compare(a.Member, b.Member) })
+	return slices.Compact(unknown)
 }
 
-// latestLeases gives for each follower the lease that was renewed last; of two renewed at once the one that has
-// accepted less.
+// latestLeases returns the lease of each follower that was renewed last; of two renewed at once the one with the lower
+// accepted revision.
 func latestLeases(byMember map[string]MemberStatus) map[string]FollowerStatus {
 	latest := map[string]FollowerStatus{}
-	left := map[string]time.Duration{} // of the lease
+	remaining := map[string]time.Duration{} // of the lease in latest
 	for member, status := range byMember {
 		for _, lease := range status.Leases {
-			remains := lease.Expires.Sub(status.At)
+			left := lease.Expires.Sub(status.At)
 			other, seen := latest[lease.Name]
-			newer := remains > left[lease.Name]
-			same := remains == left[lease.Name]
-			if !seen || newer || same && leaseBefore(lease, member, other) {
-				latest[lease.Name], left[lease.Name] = FollowerStatus{LeaseStatus: lease, Member: member}, remains
+			newer := left > remaining[lease.Name]
+			equal := left == remaining[lease.Name]
+			if !seen || newer || equal && leaseBefore(lease, member, other) {
+				latest[lease.Name] = FollowerStatus{LeaseStatus: lease, Member: member}
+				remaining[lease.Name] = left
 			}
 		}
 	}
@@ -143,12 +150,13 @@
 	return cmp.Or(cmp.Compare(lease.Accepted, other.Accepted), cmp.Compare(member, other.Member)) < 0
 }
 
-// longestLag is for how long a revision after one has been committed at some member, as far back as they tell.
+// longestLag returns for how long a revision after the accepted one has been committed at some member, as far back as the
+// members' recent commits reach.
 func longestLag(accepted uint64, byMember map[string]MemberStatus) (longest time.Duration) {
 	for _, status := range byMember {
-		for _, one := range status.Recent {
-			if one.Revision > accepted {
-				longest = max(longest, one.Age)
+		for _, recent := range status.Recent { // oldest first
+			if recent.Revision > accepted {
+				longest = max(longest, recent.Age)
 				break
 			}
 		}
--- a/configsync/follower.go
+++ b/configsync/follower.go
@@ -13,64 +13,78 @@
 	"harehook.dev/harehook/records"
 )
 
-// Why a follower leaves a member.
+// Reasons for which a follower leaves a member; [Follower.Receive] returns them.
 var (
 	ErrOlderRevision      = errors.New("the member offers an older revision than the one held")
 	ErrConflictingContent = errors.New("the member offers other contents for the revision held")
 )
 
-// errNoBaseRevision is why a change is refused that can't be applied to anything.
+// errNoBaseRevision rejects a delta that there is nothing to apply to.
 var errNoBaseRevision = errors.New("a change was offered, but nothing is held")
 
-// Validator says why a follower can't use records. It is handed all that it would hold, and must not keep the map.
-type Validator func(revision uint64, held map[records.Key]*records.Record) error
+// Validator returns why a follower can't use records, nil if it can. It gets all records that the follower would have, and
+// must not retain the map.
+type Validator func(revision uint64, accepted map[records.Key]*records.Record) error
 
-// Follower is the part of a conductor that follows the group: what it holds, and what it answers. It is not safe for
-// concurrent use.
+// Follower is the state of a controller that follows the group: the records that it has accepted, and its lease. It is not
+// safe for concurrent use.
 type Follower struct {
-	name            string
-	scope           records.Scope
-	lease           time.Duration
-	validate        Validator
+	name     string
+	scope    records.Scope
+	lease    time.Duration
+	validate Validator
+
 	revision        uint64
 	routingRevision uint64
 	records         map[records.Key]*records.Record
-	renewalSentAt   time.Time // when the oldest request was sent that no heartbeat has answered yet; zero: none
-	leaseUntil      time.Time
 
+	// renewalSentAt is when the oldest request was sent that no heartbeat has answered yet; zero if there is none.
+	renewalSentAt time.Time
+	leaseUntil    time.Time
+
+	// Accepted and Rejected count updates since the follower was made.
 	Accepted, Rejected uint64
 }
 
-// NewFollower makes one that holds nothing. The lease has to be that of the members.
-func NewFollower(name string, scope records.Scope, lease time.Duration, check Validator) *Follower {
-	return &Follower{name: name, scope: scope.Normalized(), lease: lease, validate: check, records: map[records.Key]*records.Record{}}
+// NewFollower returns a follower without records. The lease has to be the members', see [Limits]. A nil validator accepts
+// all records.
+func NewFollower(name string, scope records.Scope, lease time.Duration, validate Validator) *Follower {
+	return &Follower{
+		name:     name,
+		scope:    scope.Normalized(),
+		lease:    lease,
+		validate: validate,
+		records:  map[records.Key]*records.Record{},
+	}
 }
 
-// Revision is the one held, 0 if none.
+// Revision is the accepted revision, 0 if none.
 func (f *Follower) Revision() uint64 { return f.revision }
 
-// RoutingRevision is the revision at which a route of the scope last changed, as of the revision held. It never goes down,
-// also where a member tells a lower one, as members may that have restored a snapshot without it: sidecars refuse routes of
-// a lower number than they hold.
+// RoutingRevision is the revision at which a route of the scope last changed, as of the accepted revision. It never goes
+// down, also if a member names a lower one, as a member may that restored a snapshot without it: sidecars reject routes of a
+// lower number than they have.
 func (f *Follower) RoutingRevision() uint64 { return f.routingRevision }
 
-// Records gives the records held. The map must not be changed and is good until the next Receive, which changes it in
-// place; who needs it for longer clones it.
+// Records returns the accepted records. The map must not be changed and is valid until the next Receive, which changes it
+// in place; a caller that needs it for longer clones it.
 func (f *Follower) Records() map[records.Key]*records.Record { return f.records }
 
-// Stale tells whether the lease has run out: what is held goes on to be used, but may be out of date.
+// Stale tells whether the lease has run out: the records stay in use, but may be out of date.
 func (f *Follower) Stale(now time.Time) bool { return !now.Before(f.leaseUntil) }
 
-// RenewInterval is how often a follower has to be heard for its lease not to run out after one loss.
+// RenewInterval is the interval between renewals: the lease outlasts the loss of one.
 func (f *Follower) RenewInterval() time.Duration { return f.lease / 3 }
 
-// Begin is the first request of a new stream, sent now. Responses of earlier streams must not be handed in any more.
+// Begin returns the first request of a new stream, sent at now. Responses of earlier streams must not be passed to Receive
+// any more.
 func (f *Follower) Begin(now time.Time) *discoveryv3.DeltaDiscoveryRequest {
 	f.renewalSentAt = now
 	return Handshake{Name: f.name, Scope: f.scope, Revision: f.revision}.request()
 }
 
-// Renew is a request that renews the lease, sent now. It is due every RenewEvery, also between answers to offers.
+// Renew returns a request that renews the lease, sent at now. It is due every RenewInterval, also between answers to
+// updates.
 func (f *Follower) Renew(now time.Time) *discoveryv3.DeltaDiscoveryRequest {
 	if f.renewalSentAt.IsZero() {
 		f.renewalSentAt = now
@@ -78,72 +92,86 @@
 	return &discoveryv3.DeltaDiscoveryRequest{TypeUrl: TypeURL}
 }
 
-// Receive takes a response of the stream that the last Begin began. The reply, if there is one, is to be sent; accepted
-// tells whether what is held has become another revision. After an error the stream is to be ended and another member
-// asked.
+// Receive handles a response of the stream that the last Begin opened. A reply that is not nil has to be sent; accepted
+// tells whether there is another revision now. After an error ([ErrOlderRevision], [ErrConflictingContent], or a response
+// that can't be read or answered) the stream has to be ended and another member connected to.
 func (f *Follower) Receive(_ time.Time, response *discoveryv3.DeltaDiscoveryResponse) (reply *discoveryv3.DeltaDiscoveryRequest, accepted bool, err error) {
-	offer, err := parseUpdate(response)
+	update, err := parseUpdate(response)
 	switch {
 	case err != nil && response.GetNonce() == "":
-		return nil, false, err // there is nothing to answer
+		return nil, false, err // without a nonce there is no NACK
 	case err != nil:
 		return f.reject(response.GetNonce(), err), false, nil
-	case offer.Nonce == "":
+	case update.Nonce == "":
 		f.handleHeartbeat()
 		return nil, false, nil
-	case offer.Revision < f.revision:
-		return nil, false, fmt.Errorf("%w: %d, held is %d", ErrOlderRevision, offer.Revision, f.revision)
-	case offer.Revision == f.revision && !offer.FullScope && !offer.empty():
-		return nil, false, fmt.Errorf("%w: %d", ErrConflictingContent, offer.Revision)
-	}
-	if err := f.checkApplicable(offer); err != nil {
-		return f.reject(offer.Nonce, err), false, nil
 	}
-	if offer.FullScope {
-		err = f.applyFullScope(offer)
-	} else {
-		err = f.applyDelta(offer)
+	if err := f.checkRevision(update); err != nil {
+		return nil, false, err
 	}
+	err = f.apply(update)
 	switch {
 	case errors.Is(err, ErrConflictingContent):
 		return nil, false, err
 	case err != nil:
-		return f.reject(offer.Nonce, err), false, nil
+		return f.reject(update.Nonce, err), false, nil
 	}
-	accepted = offer.Revision > f.revision
-	f.revision = offer.Revision
-	f.routingRevision = max(f.routingRevision, offer.RoutingRevision)
+	accepted = update.Revision > f.revision
+	f.revision = update.Revision
+	f.routingRevision = max(f.routingRevision, update.RoutingRevision)
 	f.Accepted++
-	return &discoveryv3.DeltaDiscoveryRequest{TypeUrl: TypeURL, ResponseNonce: offer.Nonce}, accepted, nil
+	return &discoveryv3.DeltaDiscoveryRequest{TypeUrl: TypeURL, ResponseNonce: update.Nonce}, accepted, nil
 }
 
-// checkApplicable says why an offer can't follow on what is held, whatever its contents are good for.
-func (f *Follower) checkApplicable(offer Update) error {
-	if !offer.FullScope && f.revision == 0 {
+// checkRevision returns an error if the member's configuration contradicts what was accepted.
+func (f *Follower) checkRevision(update Update) error {
+	if update.Revision < f.revision {
+		return fmt.Errorf("%w: %d, held is %d", ErrOlderRevision, update.Revision, f.revision)
+	}
+	if update.Revision == f.revision && !update.FullScope && !update.empty() {
+		return fmt.Errorf("%w: %d", ErrConflictingContent, update.Revision)
+	}
+	return nil
+}
+
+// apply makes an update's records the accepted ones. After an error these are as before.
+func (f *Follower) apply(update Update) error {
+	if err := f.checkApplicable(update); err != nil {
+		return err
+	}
+	if update.FullScope {
+		return f.applyFullScope(update)
+	}
+	return f.applyDelta(update)
+}
+
+// checkApplicable returns why an update can't follow the accepted revision, whatever its records say.
+func (f *Follower) checkApplicable(update Update) error {
+	if !update.FullScope && f.revision == 0 {
 		return errNoBaseRevision
 	}
-	for _, record := range offer.Records {
+	for _, record := range update.Records {
 		if !f.scope.Contains(record) {
 			return fmt.Errorf("%s is not in the scope", record.Key)
 		}
-		if !offer.FullScope && record.Revision <= f.revision {
+		if !update.FullScope && record.Revision <= f.revision {
 			return fmt.Errorf("%s: its revision %d is no change after %d", record.Key, record.Revision, f.revision)
 		}
 	}
 	return nil
 }
 
-// applyFullScope takes a whole scope in place of what is held.
-func (f *Follower) applyFullScope(offer Update) error {
-	next := make(map[records.Key]*records.Record, len(offer.Records))
-	for _, record := range offer.Records {
+// applyFullScope replaces all records.
+func (f *Follower) applyFullScope(update Update) error {
+	next := make(map[records.Key]*records.Record, len(update.Records))
+	for _, record := range update.Records {
 		next[record.Key] = record
 	}
-	if offer.Revision == f.revision && !equalRecords(next, f.records) {
-		return fmt.Errorf("%w: %d", ErrConflictingContent, offer.Revision)
+	if update.Revision == f.revision && !equalRecords(next, f.records) {
+		return fmt.Errorf("%w: %d", ErrConflictingContent, update.Revision)
 	}
 	if f.validate != nil {
-		if err := f.validate(offer.Revision, next); err != nil {
+		if err := f.validate(update.Revision, next); err != nil {
 			return err
 		}
 	}
@@ -151,32 +179,32 @@
 	return nil
 }
 
-// applyDelta brings what is held up to date in place, so that its cost is that of the change. What the check refuses is
-// taken back.
-func (f *Follower) applyDelta(offer Update) error {
-	if offer.empty() {
+// applyDelta changes the records in place, so that the cost is that of the delta. It is rolled back if the validator
+// rejects the result.
+func (f *Follower) applyDelta(update Update) error {
+	if update.empty() {
 		return nil
 	}
-	before := make(map[records.Key]*records.Record, len(offer.Records)+len(offer.Removed))
-	for _, record := range offer.Records {
+	before := make(map[records.Key]*records.Record, len(update.Records)+len(update.Removed))
+	for _, record := range update.Records {
 		before[record.Key] = f.records[record.Key]
 		f.records[record.Key] = record
 	}
-	for _, key := range offer.Removed {
+	for _, key := range update.Removed {
 		before[key] = f.records[key]
 		delete(f.records, key)
 	}
 	if f.validate == nil {
 		return nil
 	}
-	err := f.validate(offer.Revision, f.records)
+	err := f.validate(update.Revision, f.records)
 	if err != nil {
 		f.rollBack(before)
 	}
 	return err
 }
 
-// rollBack takes a change back: before has the record of each key that it named, nil where there was none.
+// rollBack undoes a delta: before has the earlier record of each key that it named, nil if there was none.
 func (f *Follower) rollBack(before map[records.Key]*records.Record) {
 	for key, record := range before {
 		if record == nil {
@@ -187,27 +215,31 @@
 	}
 }
 
-// handleHeartbeat notes a heartbeat. The member's lease runs from when it heard the request, so it ends no earlier than one that
-// runs from when the request was sent: the follower is never the last to know that its lease has run out. An offer says
-// nothing about the lease, since the member may not have heard anything since.
+// handleHeartbeat extends the lease. The member's lease starts when it receives the request, so it ends no earlier than one
+// that starts when the request is sent: the follower is never the last to know that its lease has run out. An update does
+// not extend the lease, since the member may have received no request since.
 func (f *Follower) handleHeartbeat() {
 	if f.renewalSentAt.IsZero() {
 		return
 	}
-	if until := f.renewalSentAt.Add(f.lease); until.After(f.leaseUntil) {
+	until := f.renewalSentAt.Add(f.lease)
+	if until.After(f.leaseUntil) {
 		f.leaseUntil = until
 	}
 	f.renewalSentAt = time.Time{}
 }
 
-// reject answers an offer that can't be used; what was held stays.
+// reject returns the NACK of an update that can't be used; the records stay.
 func (f *Follower) reject(nonce string, reason error) *discoveryv3.DeltaDiscoveryRequest {
 	f.Rejected++
-	return &discoveryv3.DeltaDiscoveryRequest{TypeUrl: TypeURL, ResponseNonce: nonce,
-		ErrorDetail: &rpc.Status{Code: int32(codes.InvalidArgument), Message: reason.Error()}}
+	return &discoveryv3.DeltaDiscoveryRequest{
+		TypeUrl:       TypeURL,
+		ResponseNonce: nonce,
+		ErrorDetail:   &rpc.Status{Code: int32(codes.InvalidArgument), Message: reason.Error()},
+	}
 }
 
-// equalRecords tells whether two sets of records are alike.
+// equalRecords tells whether two sets have the same records at the same revisions.
 func equalRecords(a, b map[records.Key]*records.Record) bool {
 	return maps.EqualFunc(a, b, func(x, y *records.Record) bool { return x.Revision == y.Revision && x.SameContent(y) })
 }
--- a/configsync/fullscope_limiter.go
+++ b/configsync/fullscope_limiter.go
@@ -5,102 +5,108 @@
 	"time"
 )
 
-// fullScopeLimiter limits the bytes a second that go out as whole scopes. Streams wait for it in the order in which they came,
-// so that a crowd that comes back is served one after the other and holds up nobody who is in step.
+const (
+	// initialAverageBytes is the size of a full scope by which delays are estimated until one was sent.
+	initialAverageBytes = 16 << 10
+	// averagedScopes is the number of latest scopes that the average size covers.
+	averagedScopes = 8
+	// minRetryDelay keeps queued streams from asking continuously.
+	minRetryDelay = 10 * time.Millisecond
+	// lateAfter is how long after its time the head of the queue may ask. Then it loses its place: its stream may be
+	// stuck in a write, and must not delay those behind it.
+	lateAfter = time.Second
+)
+
+// fullScopeLimiter limits the bytes a second that are sent as full scopes. Streams are served in the order in which they
+// came, so that many followers that reconnect together do not delay the deltas of the others.
 type fullScopeLimiter struct {
-	bytesPerSecond float64 // bytes a second
-	burstBytes     float64 // bytes that may go at once
-	availableBytes float64 // negative after a scope larger than what was left
-	averageBytes   float64 // bytes of a scope, of the latest ones
+	bytesPerSecond float64
+	burstBytes     float64 // that may be sent at once
+	availableBytes float64 // negative after a scope larger than what was available
+	averageBytes   float64 // of the latest scopes
 	refilledAt     time.Time
 	queue          []queuedStream
 }
 
-// queuedStream is a stream in the queue and when it was told to ask again.
+// queuedStream is a stream that waits for a full scope, and when it was told to ask again.
 type queuedStream struct {
 	stream  *Stream
 	retryAt time.Time
 }
 
-const (
-	// initialAverageBytes is the size of a scope, in bytes, by which waits are estimated until one was sent.
-	initialAverageBytes = 16 << 10
-	// averagedScopes is over how many of the latest scopes the average goes.
-	averagedScopes = 8
-	// minRetryDelay keeps streams that wait from asking all the time.
-	minRetryDelay = 10 * time.Millisecond
-	// lateAfter is how long after its time the head of the queue may ask. Then it loses its place: it may be stuck in
-	// a write, and must not hold up those behind it.
-	lateAfter = time.Second
-)
-
-func newFullScopeLimiter(rate, burst float64) fullScopeLimiter {
-	return fullScopeLimiter{bytesPerSecond: max(rate, 1), burstBytes: max(burst, 1), averageBytes: initialAverageBytes}
+func newFullScopeLimiter(bytesPerSecond, burstBytes float64) fullScopeLimiter {
+	return fullScopeLimiter{
+		bytesPerSecond: max(bytesPerSecond, 1),
+		burstBytes:     max(burstBytes, 1),
+		averageBytes:   initialAverageBytes,
+	}
 }
 
-// acquire tells whether a stream may be sent a whole scope now, and else when to ask again.
-func (a *fullScopeLimiter) acquire(now time.Time, stream *Stream) (wait time.Duration) {
-	a.refill(now)
-	place := a.queueIndex(stream)
-	if place < 0 {
-		a.queue = append(a.queue, queuedStream{stream, now})
-		place = len(a.queue) - 1
+// acquire returns 0 if a stream may be sent a full scope now, and else after how long to ask again.
+func (l *fullScopeLimiter) acquire(now time.Time, stream *Stream) (retryAfter time.Duration) {
+	l.refill(now)
+	index := l.queueIndex(stream)
+	if index < 0 {
+		l.queue = append(l.queue, queuedStream{stream: stream, retryAt: now})
+		index = len(l.queue) - 1
 	}
-	if a.availableBytes > 0 {
-		place -= a.dropLate(now, place)
+	if l.availableBytes > 0 {
+		index -= l.dropLate(now, index)
 	}
-	if place == 0 && a.availableBytes > 0 {
+	if index == 0 && l.availableBytes > 0 {
 		return 0
 	}
-	wait = a.estimateDelay(place)
-	a.queue[place].retryAt = now.Add(wait)
-	return wait
+	retryAfter = l.estimateDelay(index)
+	l.queue[index].retryAt = now.Add(retryAfter)
+	return retryAfter
 }
 
-func (a *fullScopeLimiter) refill(now time.Time) {
-	if a.refilledAt.IsZero() {
-		a.availableBytes = a.burstBytes
-	} else if now.After(a.refilledAt) {
-		a.availableBytes = min(a.burstBytes, a.availableBytes+a.bytesPerSecond*now.Sub(a.refilledAt).Seconds())
+func (l *fullScopeLimiter) refill(now time.Time) {
+	if l.refilledAt.IsZero() {
+		l.availableBytes = l.burstBytes
+	} else if now.After(l.refilledAt) {
+		refill := l.bytesPerSecond * now.Sub(l.refilledAt).Seconds()
+		l.availableBytes = min(l.burstBytes, l.availableBytes+refill)
 	}
-	a.refilledAt = now
+	l.refilledAt = now
 }
 
-func (a *fullScopeLimiter) queueIndex(stream *Stream) int {
-	return slices.IndexFunc(a.queue, func(w queuedStream) bool { return w.stream == stream })
+// queueIndex returns the index of a stream in the queue, or -1.
+func (l *fullScopeLimiter) queueIndex(stream *Stream) int {
+	return slices.IndexFunc(l.queue, func(queued queuedStream) bool { return queued.stream == stream })
 }
 
-// dropLate takes those out of the queue who are before a place and did not ask when they should have, up to the first
-// who is not late. It tells how many there were.
-func (a *fullScopeLimiter) dropLate(now time.Time, place int) (dropped int) {
-	for dropped < place && now.Sub(a.queue[dropped].retryAt) > lateAfter {
+// dropLate removes the streams before an index that did not ask in time, up to the first that is not late, and returns
+// their number.
+func (l *fullScopeLimiter) dropLate(now time.Time, index int) (dropped int) {
+	for dropped < index && now.Sub(l.queue[dropped].retryAt) > lateAfter {
 		dropped++
 	}
-	a.queue = slices.Delete(a.queue, 0, dropped)
+	l.queue = slices.Delete(l.queue, 0, dropped)
 	return dropped
 }
 
-// estimateDelay estimates when the stream at a place may have its scope. Those behind the head are told half of it, so that
-// the next one asks in time if the scopes before it turn out small.
-func (a *fullScopeLimiter) estimateDelay(place int) time.Duration {
-	missing := max(0, -a.availableBytes) + float64(place)*a.averageBytes
-	wait := time.Duration(missing / a.bytesPerSecond * float64(time.Second))
-	if place > 0 {
-		wait /= 2
+// estimateDelay estimates when the stream at an index may have its scope. Streams behind the head are told half of it, so
+// that the next one asks in time if the scopes before it turn out small.
+func (l *fullScopeLimiter) estimateDelay(index int) time.Duration {
+	missingBytes := max(0, -l.availableBytes) + float64(index)*l.averageBytes
+	delay := time.Duration(missingBytes / l.bytesPerSecond * float64(time.Second))
+	if index > 0 {
+		delay /= 2
 	}
-	return max(minRetryDelay, wait)
+	return max(minRetryDelay, delay)
 }
 
-// charge books what was sent to the stream at the head of the queue.
-func (a *fullScopeLimiter) charge(stream *Stream, bytes float64) {
-	a.availableBytes -= bytes
-	a.averageBytes += (bytes - a.averageBytes) / averagedScopes
-	a.dequeue(stream)
+// charge accounts for a scope that was sent to the stream at the head of the queue.
+func (l *fullScopeLimiter) charge(stream *Stream, bytes float64) {
+	l.availableBytes -= bytes
+	l.averageBytes += (bytes - l.averageBytes) / averagedScopes
+	l.dequeue(stream)
 }
 
-// dequeue takes a stream out of the queue.
-func (a *fullScopeLimiter) dequeue(stream *Stream) {
-	if place := a.queueIndex(stream); place >= 0 {
-		a.queue = slices.Delete(a.queue, place, place+1)
+// dequeue removes a stream from the queue.
+func (l *fullScopeLimiter) dequeue(stream *Stream) {
+	if index := l.queueIndex(stream); index >= 0 {
+		l.queue = slices.Delete(l.queue, index, index+1)
 	}
 }
--- a/configsync/lease.go
+++ b/configsync/lease.go
@@ -6,23 +6,27 @@
 	"time"
 )
 
-// maxCommits is how many revisions a member remembers the time of, to tell for how long a follower has been behind.
-const maxCommits = 4096
+const (
+	// maxCommits is the number of revisions whose commit time a member remembers, to tell since when a follower is behind.
+	maxCommits = 4096
+	// maxRecentCommits is the number of revisions whose age a status tells.
+	maxRecentCommits = 64
+)
 
-// lease is what a member knows of a follower. It ends some time after the follower was last heard.
+// lease is what a member knows of a follower. It ends some time after the follower's last request.
 type lease struct {
 	accepted         uint64
 	expires          time.Time
-	behindSince      time.Time // zero: in step
-	rejectedRevision uint64    // revision of the last refusal since its last acceptance, 0 if none
+	behindSince      time.Time // zero: not behind
+	rejectedRevision uint64    // of the last NACK since the last ACK, 0 if none
 	rejectionReason  string
 }
 
 // LeaseStatus is a lease as operators see it. Followers are told apart by their names alone: two of one name end each
-// other's streams, and only the one that was heard last is known.
+// other's streams, and only the one that sent the last request is known.
 type LeaseStatus struct {
 	Name             string        `json:"name"`
-	Accepted         uint64        `json:"accepted"`
+	Accepted         uint64        `json:"accepted"` // revision
 	Live             bool          `json:"live"`
 	Expires          time.Time     `json:"expires"`
 	Behind           time.Duration `json:"behind_ns"` // since the first revision that it has not accepted was committed here
@@ -30,22 +34,16 @@
 	Reason           string        `json:"reason,omitempty"`
 }
 
-// MemberStatus tells how far the revisions of a member's followers have come.
+// MemberStatus tells what a member knows of its followers.
 type MemberStatus struct {
 	Member            string         `json:"member"`
 	At                time.Time      `json:"at"`       // by this member's clock
 	Revision          uint64         `json:"revision"` // of this member
-	ConvergedRevision uint64         `json:"in_force"` // accepted by every follower with a live lease here
-	Settled           bool           `json:"settled"`  // this member has served for a lease's time: no follower's lease from before is missing
-	Live              int            `json:"live"`
-	Recent            []CommitStatus `json:"recent"` // the latest revisions, oldest first
-	Leases            []LeaseStatus  `json:"leases"` // by name
-}
-
-// commit is a revision and when it came to this member.
-type commit struct {
-	revision    uint64
-	committedAt time.Time
+	ConvergedRevision uint64         `json:"in_force"` // accepted by every follower with a lease here
+	Settled           bool           `json:"settled"`  // it has served for a lease's time: no lease from before its start is missing
+	Live              int            `json:"live"`     // followers with a lease here
+	Recent            []CommitStatus `json:"recent"`   // the latest revisions, oldest first
+	Leases            []LeaseStatus  `json:"leases"`   // by name
 }
 
 // CommitStatus is a revision and how long ago it was committed at a member.
@@ -54,118 +52,138 @@
 	Age      time.Duration `json:"age_ns"`
 }
 
-// leaseTable holds the leases of a member's followers.
+// commit is a revision and when this member applied it.
+type commit struct {
+	revision    uint64
+	committedAt time.Time
+}
+
+// leaseTable has the leases of a member's followers.
 type leaseTable struct {
 	duration  time.Duration
-	maxLeases int // leases
-	leases    map[string]*lease
-	commits   []commit // the latest, oldest first; the first one ever is what the member began with
+	maxLeases int
+	leases    map[string]*lease // by the follower's name
+	commits   []commit          // the latest, oldest first, never empty; at first what the member started with
 }
 
-func newLeaseTable(duration time.Duration, maxLeases int, began commit) *leaseTable {
-	return &leaseTable{duration: duration, maxLeases: maxLeases, leases: map[string]*lease{}, commits: []commit{began}}
+func newLeaseTable(duration time.Duration, maxLeases int, first commit) *leaseTable {
+	return &leaseTable{duration: duration, maxLeases: maxLeases, leases: map[string]*lease{}, commits: []commit{first}}
 }
 
 // newestRevision is the last revision that was committed here.
 func (t *leaseTable) newestRevision() uint64 { return t.commits[len(t.commits)-1].revision }
 
-// renew notes that a follower was heard and what it holds.
+// renew extends the lease of a follower that sent a request, and sets its accepted revision. It returns
+// [ErrTooManyStreams] if there is no room for one more lease.
 func (t *leaseTable) renew(now time.Time, name string, accepted uint64) (*lease, error) {
-	held := t.leases[name]
-	if held == nil {
-		if len(t.leases) >= t.maxLeases {
-			maps.DeleteFunc(t.leases, func(_ string, old *lease) bool { return !now.Before(old.expires) })
-		}
-		if len(t.leases) >= t.maxLeases {
+	renewed := t.leases[name]
+	if renewed == nil {
+		if !t.makeRoom(now) {
 			return nil, ErrTooManyStreams
 		}
-		held = &lease{}
-		t.leases[name] = held
+		renewed = &lease{}
+		t.leases[name] = renewed
 	}
-	held.expires = now.Add(t.duration)
-	t.accept(now, held, accepted)
-	return held, nil
+	renewed.expires = now.Add(t.duration)
+	t.accept(now, renewed, accepted)
+	return renewed, nil
 }
 
-// accept notes the revision that a follower holds.
-func (t *leaseTable) accept(now time.Time, held *lease, accepted uint64) {
-	if accepted > held.accepted {
-		held.rejectedRevision, held.rejectionReason = 0, ""
+// makeRoom removes leases that have run out if the table is full, and tells whether one more fits.
+func (t *leaseTable) makeRoom(now time.Time) bool {
+	if len(t.leases) >= t.maxLeases {
+		maps.DeleteFunc(t.leases, func(_ string, old *lease) bool { return !now.Before(old.expires) })
 	}
-	unchanged := accepted == held.accepted
-	held.accepted = accepted
+	return len(t.leases) < t.maxLeases
+}
+
+// accept sets the revision that a follower has accepted, and since when it is behind.
+func (t *leaseTable) accept(now time.Time, follower *lease, accepted uint64) {
+	if accepted > follower.accepted {
+		follower.rejectedRevision = 0
+		follower.rejectionReason = ""
+	}
+	unchanged := accepted == follower.accepted
+	follower.accepted = accepted
 	switch {
 	case accepted >= t.newestRevision():
-		held.behindSince = time.Time{}
-	case unchanged && !held.behindSince.IsZero():
+		follower.behindSince = time.Time{}
+	case unchanged && !follower.behindSince.IsZero():
 		// It is as far behind as it was.
 	case accepted == 0:
-		held.behindSince = now // it has only come
+		follower.behindSince = now // it has just joined
 	default:
-		held.behindSince = t.commitTimeAfter(accepted)
+		follower.behindSince = t.commitTimeAfter(accepted)
 	}
 }
 
-// addCommit notes a revision; whoever was in step is behind from now on.
+// addCommit records a revision; followers that were up to date are behind from now on.
 func (t *leaseTable) addCommit(now time.Time, revision uint64) {
 	if revision <= t.newestRevision() {
 		return
 	}
-	t.commits = append(t.commits, commit{revision, now})
+	t.commits = append(t.commits, commit{revision: revision, committedAt: now})
 	if len(t.commits) > maxCommits {
 		t.commits = slices.Delete(t.commits, 0, len(t.commits)-maxCommits/2)
 	}
-	for _, held := range t.leases {
-		if held.behindSince.IsZero() && held.accepted < revision {
-			held.behindSince = now
+	for _, follower := range t.leases {
+		if follower.behindSince.IsZero() && follower.accepted < revision {
+			follower.behindSince = now
 		}
 	}
 }
 
-// commitTimeAfter is when the first revision after one was committed here. Of a revision from before the member began it is
-// when that began, of one that is forgotten the earliest that is not: both are later than the truth. There has to be a
-// later revision.
+// commitTimeAfter returns when the first revision after one was committed here. There has to be a later revision. For a
+// revision from before the member's start it is that start, for one that is forgotten the earliest that is not: both are
+// later than the true time.
 func (t *leaseTable) commitTimeAfter(revision uint64) time.Time {
-	place, _ := slices.BinarySearchFunc(t.commits, revision, func(c commit, held uint64) int {
-		if c.revision <= held {
+	index, _ := slices.BinarySearchFunc(t.commits, revision, func(c commit, revision uint64) int {
+		if c.revision <= revision {
 			return -1
 		}
 		return 1
 	})
-	return t.commits[place].committedAt
+	return t.commits[index].committedAt
 }
 
-// maxRecentCommits is how many revisions a status tells the age of.
-const maxRecentCommits = 64
-
-// recentCommits gives the ages of the latest revisions, oldest first.
+// recentCommits returns the ages of the latest revisions, oldest first.
 func (t *leaseTable) recentCommits(now time.Time) (recent []CommitStatus) {
-	for _, one := range t.commits[max(0, len(t.commits)-maxRecentCommits):] {
-		recent = append(recent, CommitStatus{one.revision, now.Sub(one.committedAt)})
+	for _, applied := range t.commits[max(0, len(t.commits)-maxRecentCommits):] {
+		recent = append(recent, CommitStatus{Revision: applied.revision, Age: now.Sub(applied.committedAt)})
 	}
 	return recent
 }
 
-// removeExpired forgets leases that ended long ago: they are shown as ended for as long as they lasted.
+// removeExpired forgets leases that ran out more than a lease's time ago: until then a status shows them as not live.
 func (t *leaseTable) removeExpired(now time.Time) {
-	maps.DeleteFunc(t.leases, func(_ string, held *lease) bool { return now.Sub(held.expires) > t.duration })
+	maps.DeleteFunc(t.leases, func(_ string, old *lease) bool { return now.Sub(old.expires) > t.duration })
 }
 
-// status lists the leases by name and gives the least revision that a live one has accepted, at most the newest.
-func (t *leaseTable) status(now time.Time, newest uint64) (inForce uint64, live int, leases []LeaseStatus) {
-	inForce = newest
+// addTo adds the leases to a status, by name, with the lowest revision that a live one has accepted. The status's revision
+// has to be set: it is the upper bound.
+func (t *leaseTable) addTo(status *MemberStatus, now time.Time) {
+	status.ConvergedRevision = status.Revision
 	for _, name := range slices.Sorted(maps.Keys(t.leases)) {
-		held := t.leases[name]
-		one := LeaseStatus{Name: name, Accepted: held.accepted, Live: now.Before(held.expires), Expires: held.expires,
-			RejectedRevision: held.rejectedRevision, Reason: held.rejectionReason}
-		if !held.behindSince.IsZero() && held.accepted < newest {
-			one.Behind = now.Sub(held.behindSince)
-		}
+		one := t.leases[name].status(name, now, status.Revision)
 		if one.Live {
-			live++
-			inForce = min(inForce, held.accepted)
+			status.Live++
+			status.ConvergedRevision = min(status.ConvergedRevision, one.Accepted)
 		}
-		leases = append(leases, one)
+		status.Leases = append(status.Leases, one)
+	}
+}
+
+func (l *lease) status(name string, now time.Time, newestRevision uint64) LeaseStatus {
+	status := LeaseStatus{
+		Name:             name,
+		Accepted:         l.accepted,
+		Live:             now.Before(l.expires),
+		Expires:          l.expires,
+		RejectedRevision: l.rejectedRevision,
+		Reason:           l.rejectionReason,
+	}
+	if !l.behindSince.IsZero() && l.accepted < newestRevision {
+		status.Behind = now.Sub(l.behindSince)
 	}
-	return inForce, live, leases
+	return status
 }
--- a/configsync/server.go
+++ b/configsync/server.go
@@ -2,7 +2,6 @@
 
 import (
 	"errors"
-	"fmt"
 	"strings"
 	"time"
 
@@ -11,25 +10,28 @@
 	"harehook.dev/harehook/records"
 )
 
-// Limits are the figures of a member's part.
+// MaxMessage is the size of a response, in bytes, that both sides have to accept. A full scope and the changes since a
+// revision are one response each, so it bounds the size of a scope. A record costs some 90 bytes beside its name and body.
+const MaxMessage = 64 << 20
+
+const (
+	// maxLeasesPerStream bounds the leases that a member has, those that ran out included, by the streams that it serves:
+	// their names come from the wire.
+	maxLeasesPerStream = 2
+	// maxReasonBytes is the part of a NACK's reason that is retained.
+	maxReasonBytes = 500
+)
+
+// Limits bound what a member does for its followers.
 type Limits struct {
-	Lease                   time.Duration // that a follower holds after it was heard
+	Lease                   time.Duration // of a follower, from its last request on
 	MaxStreams              int
-	FullScopeBytesPerSecond float64       // bytes a second that go out as whole scopes
-	FullScopeBurstBytes     float64       // bytes of them that may go at once
-	RejectedBackoff         time.Duration // until a revision that was refused is offered again
-	MaxMessage              int           // bytes of a response; 0: MaxMessage
+	FullScopeBytesPerSecond float64       // that are sent as full scopes
+	FullScopeBurstBytes     float64       // of full scopes that may be sent at once
+	RejectedBackoff         time.Duration // until a rejected revision is sent again
+	MaxMessage              int           // bytes of a response; 0: the constant MaxMessage
 }
 
-// MaxMessage is the size of a response, in bytes, that both sides have to let pass. A whole scope and the changes since
-// a revision are told in one response: it bounds what a follower may hold. A record costs some 90 bytes beside its name
-// and body, so all records of 280,000 tenants fit.
-const MaxMessage = 64 << 20
-
-// maxLeasesPerStream bounds the leases that a member keeps, those that ran out included, by the streams that it serves:
-// their names come from the wire.
-const maxLeasesPerStream = 2
-
 // DefaultLimits are those of members.
 var DefaultLimits = Limits{
 	Lease:                   3 * time.Second,
@@ -40,10 +42,11 @@
 	MaxMessage:              MaxMessage,
 }
 
-// ErrTooManyStreams says that a member serves as many followers as it may.
+// ErrTooManyStreams says that a member serves as many followers as it may; [Server.Open] and [Server.Receive] return it.
 var ErrTooManyStreams = errors.New("this member serves as many followers as it may: try another one")
 
-// Server tells followers of the records of one member. It is not safe for concurrent use.
+// Server is a member's half of configuration sync: it sends the records of a source to followers. It is not safe for
+// concurrent use.
 type Server struct {
 	member  string
 	source  records.Source
@@ -51,31 +54,33 @@
 	started time.Time
 	limiter fullScopeLimiter
 	leases  *leaseTable
-	streams map[*Stream]bool
-	byName  map[string]*Stream
+	streams map[*Stream]bool   // all that are open
+	byName  map[string]*Stream // the latest of each follower, from its handshake on
 
+	// Counts is what was sent and answered since the server was made.
 	Counts Counts
 }
 
-// Counts are what a server has sent since it started.
+// Counts are the messages and bytes that a server has sent, and the answers to them. Its JSON names are those of the
+// tools.
 type Counts struct {
-	FullScopes     uint64 `json:"Whole"`      // messages with a whole scope
-	Changes        uint64 `json:"Changes"`    // messages with changes
-	Progress       uint64 `json:"Progress"`   // messages of revisions that touch nothing of the scope
+	FullScopes     uint64 `json:"Whole"`      // messages with a full scope
+	Changes        uint64 `json:"Changes"`    // messages with a delta that changes records
+	Progress       uint64 `json:"Progress"`   // messages for revisions that change nothing of the scope
 	Heartbeats     uint64 `json:"Heartbeats"` // messages
 	FullScopeBytes uint64 `json:"WholeBytes"`
 	ChangeBytes    uint64 `json:"ChangeBytes"`
-	Accepted       uint64 `json:"Accepted"`
-	Rejected       uint64 `json:"Refused"`
+	Accepted       uint64 `json:"Accepted"` // ACKs
+	Rejected       uint64 `json:"Refused"`  // NACKs
 }
 
-// addSent books a response.
-func (c *Counts) addSent(offer *Update, bytes int) {
+// addSent counts an update that was sent.
+func (c *Counts) addSent(update *Update, bytes int) {
 	switch {
-	case offer.FullScope:
+	case update.FullScope:
 		c.FullScopes++
 		c.FullScopeBytes += uint64(bytes)
-	case !offer.empty():
+	case !update.empty():
 		c.Changes++
 		c.ChangeBytes += uint64(bytes)
 	default:
@@ -83,20 +88,26 @@
 	}
 }
 
-// NewServer makes the part of a member whose records are those of a source.
+// NewServer returns the server of a member. It reads the source's current revision.
 func NewServer(member string, source records.Source, limits Limits, now time.Time) *Server {
 	if limits.MaxMessage == 0 {
 		limits.MaxMessage = MaxMessage
 	}
+	first := commit{revision: source.Revision(), committedAt: now}
 	return &Server{
-		member: member, source: source, limits: limits, started: now,
+		member:  member,
+		source:  source,
+		limits:  limits,
+		started: now,
 		limiter: newFullScopeLimiter(limits.FullScopeBytesPerSecond, limits.FullScopeBurstBytes),
-		leases:  newLeaseTable(limits.Lease, maxLeasesPerStream*limits.MaxStreams, commit{source.Revision(), now}),
-		streams: map[*Stream]bool{}, byName: map[string]*Stream{},
+		leases:  newLeaseTable(limits.Lease, maxLeasesPerStream*limits.MaxStreams, first),
+		streams: map[*Stream]bool{},
+		byName:  map[string]*Stream{},
 	}
 }
 
-// Open begins a stream.
+// Open adds a stream, whose follower is known with its first request. It returns [ErrTooManyStreams] if there are as many
+// as there may be.
 func (s *Server) Open(now time.Time) (*Stream, error) {
 	if len(s.streams) >= s.limits.MaxStreams {
 		return nil, ErrTooManyStreams
@@ -106,7 +117,7 @@
 	return stream, nil
 }
 
-// Close ends a stream. Its follower's lease runs on.
+// Close removes a stream. Its follower's lease runs on.
 func (s *Server) Close(stream *Stream) {
 	delete(s.streams, stream)
 	s.limiter.dequeue(stream)
@@ -115,30 +126,33 @@
 	}
 }
 
-// Committed notes that the source has changed. The caller then asks Send of every stream. Its work grows with the
-// number of leases, by some tens of nanoseconds each.
+// Committed has to be called when the source has changed; the caller then calls Send of every stream. Its work grows with
+// the number of leases, by some tens of nanoseconds each.
 func (s *Server) Committed(now time.Time, change records.Change) {
 	s.leases.addCommit(now, change.Revision)
 	s.leases.removeExpired(now)
 }
 
-// Receive takes a request. After an error the stream is to be ended.
+// Receive handles a request of a stream: its handshake, a lease renewal, an ACK or a NACK. After an error the stream has to
+// be ended: [ErrReplaced], [ErrTooManyStreams], an [UnsupportedTypeError], an [UnknownNonceError], or what makes a
+// handshake invalid.
 func (s *Server) Receive(now time.Time, stream *Stream, request *discoveryv3.DeltaDiscoveryRequest) error {
 	if stream.replaced {
-		return ErrReplaced // what it says of the follower is out of date
+		return ErrReplaced // its follower has moved on, and its answers are out of date
 	}
 	stream.lastRequestAt = now
 	if !stream.handshakeDone {
 		return s.handleHandshake(now, stream, request)
 	}
 	if request.GetTypeUrl() != TypeURL {
-		return fmt.Errorf("type %.100q is not served here", request.GetTypeUrl())
+		return &UnsupportedTypeError{TypeURL: request.GetTypeUrl()}
 	}
+	nonce := request.GetResponseNonce()
 	switch {
-	case request.GetResponseNonce() == "":
+	case nonce == "":
 		stream.heartbeatDue = true
-	case request.GetResponseNonce() != stream.nonce || !stream.awaitingAnswer:
-		return fmt.Errorf("nonce %.100q answers nothing that was sent", request.GetResponseNonce())
+	case nonce != stream.nonce || !stream.awaitingAnswer:
+		return &UnknownNonceError{Nonce: nonce}
 	case request.GetErrorDetail() != nil:
 		return s.handleNACK(now, stream, request.GetErrorDetail().GetMessage())
 	default:
@@ -150,45 +164,53 @@
 	return err
 }
 
-// handleHandshake takes a stream's first request. A follower that comes again leaves its earlier stream behind.
+// handleHandshake handles a stream's first request. An earlier stream of the same follower is replaced: it may not have
+// ended yet here although the follower has left it.
 func (s *Server) handleHandshake(now time.Time, stream *Stream, request *discoveryv3.DeltaDiscoveryRequest) error {
-	hello, err := parseHandshake(request)
+	handshake, err := parseHandshake(request)
 	if err != nil {
 		return err
 	}
-	if _, err := s.leases.renew(now, hello.Name, hello.Revision); err != nil {
+	if _, err := s.leases.renew(now, handshake.Name, handshake.Revision); err != nil {
 		return err
 	}
-	if earlier := s.byName[hello.Name]; earlier != nil {
+	if earlier := s.byName[handshake.Name]; earlier != nil {
 		earlier.replaced = true
 		s.limiter.dequeue(earlier)
 	}
-	s.byName[hello.Name] = stream
-	stream.handshakeDone, stream.handshake, stream.acceptedRevision = true, hello, hello.Revision
-	stream.heartbeatDue = true // answered at once, so that the follower knows its lease
+	s.byName[handshake.Name] = stream
+	stream.handshakeDone = true
+	stream.handshake = handshake
+	stream.acceptedRevision = handshake.Revision
+	stream.heartbeatDue = true // at once, so that the follower knows its lease
 	return nil
 }
 
-// maxReasonBytes is how much of a refusal's reason is kept, in bytes.
-const maxReasonBytes = 500
-
+// handleNACK handles the rejection of the update that was sent last.
 func (s *Server) handleNACK(now time.Time, stream *Stream, reason string) error {
 	stream.awaitingAnswer = false
-	stream.rejectedRevision, stream.retryAt = stream.sentRevision, now.Add(s.limits.RejectedBackoff)
+	stream.rejectedRevision = stream.sentRevision
+	stream.retryAt = now.Add(s.limits.RejectedBackoff)
 	s.Counts.Rejected++
-	held, err := s.leases.renew(now, stream.handshake.Name, stream.acceptedRevision)
+	renewed, err := s.leases.renew(now, stream.handshake.Name, stream.acceptedRevision)
 	if err != nil {
 		return err
 	}
-	held.rejectedRevision, held.rejectionReason = stream.sentRevision, strings.ToValidUTF8(reason[:min(len(reason), maxReasonBytes)], "")
+	renewed.rejectedRevision = stream.sentRevision
+	renewed.rejectionReason = strings.ToValidUTF8(reason[:min(len(reason), maxReasonBytes)], "")
 	return nil
 }
 
-// Status tells what the followers of this member hold.
+// Status tells what the followers of this member have accepted.
 func (s *Server) Status(now time.Time) MemberStatus {
 	s.leases.removeExpired(now)
-	status := MemberStatus{Member: s.member, At: now, Revision: s.source.Revision(), Settled: now.Sub(s.started) >= s.limits.Lease}
-	status.Recent = s.leases.recentCommits(now)
-	status.ConvergedRevision, status.Live, status.Leases = s.leases.status(now, status.Revision)
+	status := MemberStatus{
+		Member:   s.member,
+		At:       now,
+		Revision: s.source.Revision(),
+		Settled:  now.Sub(s.started) >= s.limits.Lease,
+		Recent:   s.leases.recentCommits(now),
+	}
+	s.leases.addTo(&status, now)
 	return status
 }
--- a/configsync/stream.go
+++ b/configsync/stream.go
@@ -11,48 +11,49 @@
 	"harehook.dev/harehook/records"
 )
 
-// Why a member ends a stream.
+// Reasons for which a member ends a stream; [Stream.Send] returns them, and [Server.Receive] the second.
 var (
 	ErrFollowerTimeout = errors.New("the follower was not heard for a lease's time")
 	ErrReplaced        = errors.New("the follower has opened another stream")
 	ErrTooLarge        = errors.New("what the follower is to be told is larger than a message may be: it needs a smaller scope")
 )
 
-// Stream is the connection of one follower to a member. There is at most one response that is not yet answered, so
-// that what comes meanwhile is told as one change.
+// Stream is the connection of one follower to a member. At most one update is unanswered, so that what is committed
+// meanwhile is sent as one delta.
 type Stream struct {
 	server        *Server
 	handshake     Handshake
-	handshakeDone bool // its first request has come
-	replaced      bool
-	heartbeatDue  bool // one is owed
+	handshakeDone bool
+	replaced      bool // by a later stream of the same follower
+	heartbeatDue  bool
 	lastRequestAt time.Time
 
-	acceptedRevision uint64 // revision that the follower has accepted
-	awaitingAnswer   bool   // for the answer to an offer
-	sentRevision     uint64
-	nonce            string
-	updateCount      uint64 // of offers
+	acceptedRevision uint64
+	awaitingAnswer   bool   // to the update that was sent last
+	sentRevision     uint64 // of that update
+	nonce            string // of that update
+	updateCount      uint64
 
-	rejectedRevision uint64 // revision that the follower refused last
-	retryAt          time.Time
+	rejectedRevision uint64    // the last one, 0 if none
+	retryAt          time.Time // when it may be sent again
 }
 
 // Name is the follower's; empty until its first request came.
 func (st *Stream) Name() string { return st.handshake.Name }
 
-// Send gives the next message for a stream, nil if there is none. Then wait says when to ask again at the latest,
-// although nothing came or was committed. After an error the stream is to be ended.
+// Send returns the next message for a stream, nil if there is none. Then wait is after how long to call it again at the
+// latest, although no request came and nothing was committed. After an error ([ErrFollowerTimeout], [ErrReplaced],
+// [ErrTooLarge]) the stream has to be ended.
 func (st *Stream) Send(now time.Time) (response *discoveryv3.DeltaDiscoveryResponse, wait time.Duration, err error) {
-	limits := st.server.limits
 	if st.replaced {
 		return nil, 0, ErrReplaced
 	}
-	silent := now.Sub(st.lastRequestAt)
-	if silent >= limits.Lease {
+	lease := st.server.limits.Lease
+	sinceRequest := now.Sub(st.lastRequestAt)
+	if sinceRequest >= lease {
 		return nil, 0, ErrFollowerTimeout
 	}
-	wait = limits.Lease - silent
+	wait = lease - sinceRequest
 	if !st.handshakeDone {
 		return nil, wait, nil
 	}
@@ -62,70 +63,74 @@
 		response, err = Update{Revision: st.acceptedRevision}.response()
 		return response, 0, err
 	}
-	offer, later := st.nextUpdate(now)
-	if offer == nil {
-		if later > 0 {
-			wait = min(wait, later)
+	update, retryAfter := st.nextUpdate(now)
+	if update == nil {
+		if retryAfter > 0 {
+			wait = min(wait, retryAfter)
 		}
 		return nil, wait, nil
 	}
-	return st.sendUpdate(offer)
+	response, err = st.sendUpdate(update)
+	return response, 0, err
 }
 
-// sendUpdate gives an offer its nonce and books it.
-func (st *Stream) sendUpdate(offer *Update) (*discoveryv3.DeltaDiscoveryResponse, time.Duration, error) {
+// sendUpdate gives an update its nonce, encodes and counts it.
+func (st *Stream) sendUpdate(update *Update) (*discoveryv3.DeltaDiscoveryResponse, error) {
 	st.updateCount++
 	st.nonce = strconv.FormatUint(st.updateCount, 10)
-	st.sentRevision, st.awaitingAnswer = offer.Revision, true
-	offer.Nonce = st.nonce
-	response, err := offer.response()
+	st.sentRevision = update.Revision
+	st.awaitingAnswer = true
+	update.Nonce = st.nonce
+	response, err := update.response()
 	if err != nil {
-		return nil, 0, err
+		return nil, err
 	}
 	bytes := encodedBytes(response)
-	if offer.FullScope {
-		st.server.limiter.charge(st, float64(bytes)) // also if it is too large: making it costs as much
+	if update.FullScope {
+		st.server.limiter.charge(st, float64(bytes)) // also if it is too large: encoding it costs as much
 	}
-	if bytes > st.server.limits.MaxMessage {
-		return nil, 0, fmt.Errorf("%w: %d bytes, %d at most", ErrTooLarge, bytes, st.server.limits.MaxMessage)
+	if maxMessage := st.server.limits.MaxMessage; bytes > maxMessage {
+		return nil, fmt.Errorf("%w: %d bytes, %d at most", ErrTooLarge, bytes, maxMessage)
 	}
-	st.server.Counts.addSent(offer, bytes)
-	return response, 0, nil
+	st.server.Counts.addSent(update, bytes)
+	return response, nil
 }
 
-// nextUpdate is what the follower is to be offered, nil if nothing now; later, if it is not 0, says when to ask again.
-func (st *Stream) nextUpdate(now time.Time) (offer *Update, later time.Duration) {
+// nextUpdate returns the next update, nil if none is due now; retryAfter, if it is not 0, is when one may be.
+func (st *Stream) nextUpdate(now time.Time) (update *Update, retryAfter time.Duration) {
 	source := st.server.source
 	revision := source.Revision()
 	if st.awaitingAnswer || revision <= st.acceptedRevision {
-		// A follower that has seen more than this member waits until the member has caught up.
+		// A follower that has accepted more than this member has applied waits until the member has caught up.
 		return nil, 0
 	}
 	if revision == st.rejectedRevision && now.Before(st.retryAt) {
 		return nil, st.retryAt.Sub(now)
 	}
+	scope := st.handshake.Scope
 	if st.acceptedRevision > 0 {
-		if delta := source.Since(st.acceptedRevision, st.handshake.Scope); delta.Available {
-			return newDelta(st.handshake.Scope, delta), 0
+		delta := source.Since(st.acceptedRevision, scope)
+		if delta.Available {
+			return newDelta(scope, delta), 0
 		}
 	}
 	if wait := st.server.limiter.acquire(now, st); wait > 0 {
 		return nil, wait
 	}
-	view := source.InScope(st.handshake.Scope)
+	view := source.InScope(scope)
 	return &Update{Revision: view.Revision, RoutingRevision: view.RoutingRevision, FullScope: true, Records: view.Records}, 0
 }
 
-// newDelta makes an offer of what differs in a scope.
+// newDelta returns the update for what changed in a scope. A record that left the scope is removed.
 func newDelta(scope records.Scope, delta records.Delta) *Update {
-	offer := &Update{Revision: delta.Revision, RoutingRevision: delta.RoutingRevision}
-	for _, update := range delta.Updates {
+	update := &Update{Revision: delta.Revision, RoutingRevision: delta.RoutingRevision}
+	for _, change := range delta.Updates {
 		switch {
-		case scope.Contains(update.After):
-			offer.Records = append(offer.Records, update.After)
-		case scope.Contains(update.Before):
-			offer.Removed = append(offer.Removed, update.Before.Key)
+		case scope.Contains(change.After):
+			update.Records = append(update.Records, change.After)
+		case scope.Contains(change.Before):
+			update.Removed = append(update.Removed, change.Before.Key)
 		}
 	}
-	return offer
+	return update
 }
--- a/configsync/wire.go
+++ b/configsync/wire.go
@@ -1,7 +1,3 @@
-// Package follow tells conductors that are not members of the group what the group agrees on. A Server is the part of a
-// member: it knows its followers' scopes, leases and the revisions that they accepted, and gives the next message for
-// each. A Follower is the part of a conductor that follows. Both are machines without I/O and are handed the time; the
-// messages are those of delta xDS.
 package configsync
 
 import (
@@ -21,33 +17,45 @@
 	"harehook.dev/harehook/records"
 )
 
-// TypeURL is the type of resource that a stream of followers carries.
+// This file is the only one that knows the form of the messages on the wire.
+
+// TypeURL is the type of resource of a follower's stream.
 const TypeURL = "type.googleapis.com/harehook.config.v1.Record"
 
-// Names in the metadata of a follower's node, and of the resources of a response that are no records: the mark of a whole
-// scope, and the one whose version is the scope's routing revision.
+// Names on the wire.
 const (
-	metadataServices    = "services"
-	metadataZones       = "zones"
-	metadataAll         = "all"
-	metadataRevision    = "revision"
+	userAgent = "harehookd"
+
+	// Keys of the node's metadata in a handshake.
+	metadataServices = "services"
+	metadataZones    = "zones"
+	metadataAll      = "all"
+	metadataRevision = "revision"
+
+	// Names of resources that are no records: the marker of a full scope, and the one whose version is the routing
+	// revision.
 	fullScopeName       = "scope/whole"
 	routingRevisionName = "scope/routing"
 )
 
 const (
-	maxScopeNames = 4096 // services or zones that one follower may state
+	maxScopeNames = 4096 // services or zones of one scope
 	maxNameBytes  = 200
 )
 
-// Handshake is what a follower states as its stream begins.
-type Handshake struct {
-	Name     string
-	Scope    records.Scope
-	Revision uint64 // that it holds, 0 if none
-}
+// Reasons for which a response is no update.
+var (
+	errNoRevision         = errors.New("an offer has no revision")
+	errDuplicateFullScope = errors.New("an offer is marked as a whole scope twice")
+	errFullScopeRemoves   = errors.New("a whole scope removes records")
+	// A missing routing revision can't be derived from the newest accepted route: it goes down when that route is removed.
+	errNoRoutingRevision = errors.New("an offer does not have one routing revision")
+)
+
+// errInvalidName rejects names that can't be shown to operators.
+var errInvalidName = fmt.Errorf("a name has to be 1 to %d bytes without control characters", maxNameBytes)
 
-// request is the first request of a stream.
+// request returns the first request of a stream.
 func (h Handshake) request() *discoveryv3.DeltaDiscoveryRequest {
 	fields := map[string]*structpb.Value{
 		metadataServices: encodeNames(h.Scope.Services),
@@ -56,33 +64,34 @@
 		metadataRevision: structpb.NewStringValue(formatRevision(h.Revision)),
 	}
 	return &discoveryv3.DeltaDiscoveryRequest{
-		Node:    &corev3.Node{Id: h.Name, UserAgentName: "harehookd", Metadata: &structpb.Struct{Fields: fields}},
+		Node:    &corev3.Node{Id: h.Name, UserAgentName: userAgent, Metadata: &structpb.Struct{Fields: fields}},
 		TypeUrl: TypeURL,
 	}
 }
 
 // parseHandshake reads the first request of a stream.
-func parseHandshake(request *discoveryv3.DeltaDiscoveryRequest) (hello Handshake, err error) {
+func parseHandshake(request *discoveryv3.DeltaDiscoveryRequest) (handshake Handshake, err error) {
 	if request.GetTypeUrl() != TypeURL {
-		return hello, fmt.Errorf("type %.100q is not served here", request.GetTypeUrl())
+		return handshake, &UnsupportedTypeError{TypeURL: request.GetTypeUrl()}
 	}
-	hello.Name = request.GetNode().GetId()
-	if err := checkName(hello.Name); err != nil {
-		return hello, fmt.Errorf("follower: %w", err)
+	handshake.Name = request.GetNode().GetId()
+	if err := checkName(handshake.Name); err != nil {
+		return handshake, fmt.Errorf("follower: %w", err)
 	}
 	fields := request.GetNode().GetMetadata().GetFields()
-	if hello.Scope.Services, err = decodeNames(fields[metadataServices]); err != nil {
-		return hello, fmt.Errorf("services: %w", err)
+	if handshake.Scope.Services, err = decodeNames(fields[metadataServices]); err != nil {
+		return handshake, fmt.Errorf("services: %w", err)
 	}
-	if hello.Scope.Zones, err = decodeNames(fields[metadataZones]); err != nil {
-		return hello, fmt.Errorf("zones: %w", err)
+	if handshake.Scope.Zones, err = decodeNames(fields[metadataZones]); err != nil {
+		return handshake, fmt.Errorf("zones: %w", err)
 	}
-	hello.Scope.All = fields[metadataAll].GetBoolValue()
-	hello.Scope = hello.Scope.Normalized()
-	if hello.Revision, err = strconv.ParseUint(fields[metadataRevision].GetStringValue(), 10, 64); err != nil {
-		return hello, fmt.Errorf("revision: %w", err)
+	handshake.Scope.All = fields[metadataAll].GetBoolValue()
+	handshake.Scope = handshake.Scope.Normalized()
+	handshake.Revision, err = parseRevision(fields[metadataRevision].GetStringValue())
+	if err != nil {
+		return handshake, fmt.Errorf("revision: %w", err)
 	}
-	return hello, nil
+	return handshake, nil
 }
 
 func encodeNames(names []string) *structpb.Value {
@@ -98,8 +107,8 @@
 	if len(list) > maxScopeNames {
 		return nil, fmt.Errorf("%d names, %d at most", len(list), maxScopeNames)
 	}
-	for _, one := range list {
-		name := one.GetStringValue()
+	for _, element := range list {
+		name := element.GetStringValue()
 		if err := checkName(name); err != nil {
 			return nil, err
 		}
@@ -108,169 +117,165 @@
 	return names, nil
 }
 
-// checkName refuses names that are no names: they are kept, and shown to operators.
+// checkName returns errInvalidName if a name from the wire can't be retained and shown to operators.
 func checkName(name string) error {
 	if name == "" || len(name) > maxNameBytes || strings.ContainsFunc(name, unicode.IsControl) {
-		return fmt.Errorf("a name has to be 1 to %d bytes without control characters", maxNameBytes)
+		return errInvalidName
 	}
 	return nil
 }
 
 func formatRevision(revision uint64) string { return strconv.FormatUint(revision, 10) }
 
-// encodeRecord is a record on the wire.
+func parseRevision(text string) (uint64, error) { return strconv.ParseUint(text, 10, 64) }
+
+// encodeRecord returns a record as a resource.
 func encodeRecord(record *records.Record) (*discoveryv3.Resource, error) {
 	body, err := anypb.New(wrapperspb.Bytes(record.Body))
 	if err != nil {
 		return nil, err
 	}
-	return &discoveryv3.Resource{Name: record.Key.String(), Version: formatRevision(record.Revision), Resource: body}, nil
+	return &discoveryv3.Resource{
+		Name:     record.String(),
+		Version:  formatRevision(record.Revision),
+		Resource: body,
+	}, nil
 }
 
-// decodeRecord reads a record from the wire.
-func decodeRecord(in *discoveryv3.Resource) (*records.Record, error) {
-	key, err := records.ParseKey(in.GetName())
+// decodeRecord reads a record from a resource.
+func decodeRecord(resource *discoveryv3.Resource) (*records.Record, error) {
+	key, err := records.ParseKey(resource.GetName())
 	if err != nil {
 		return nil, err
 	}
 	var body wrapperspb.BytesValue
-	if err := in.GetResource().UnmarshalTo(&body); err != nil {
+	if err := resource.GetResource().UnmarshalTo(&body); err != nil {
 		return nil, fmt.Errorf("%s: %w", key, err)
 	}
 	record, err := records.Parse(key, body.GetValue())
 	if err != nil {
 		return nil, err
 	}
-	if record.Revision, err = strconv.ParseUint(in.GetVersion(), 10, 64); err != nil {
+	record.Revision, err = parseRevision(resource.GetVersion())
+	if err != nil {
 		return nil, fmt.Errorf("%s: revision: %w", key, err)
 	}
 	return record, nil
 }
 
-// Update is a response as read: what a follower would hold if it accepted it.
-type Update struct {
-	Revision        uint64
-	RoutingRevision uint64 // the revision at which a route of the scope last changed, also where the offer names none
-	Nonce           string // empty: a heartbeat, which is not answered
-	FullScope       bool   // Records are the whole scope; else they are what changed
-	Records         []*records.Record
-	Removed         []records.Key
-}
-
-// empty tells whether an offer names no record.
-func (o Update) empty() bool { return len(o.Records)+len(o.Removed) == 0 }
-
-// response makes the message of an offer.
-func (o Update) response() (*discoveryv3.DeltaDiscoveryResponse, error) {
-	out := &discoveryv3.DeltaDiscoveryResponse{TypeUrl: TypeURL, SystemVersionInfo: formatRevision(o.Revision), Nonce: o.Nonce}
-	if o.FullScope {
-		out.Resources = append(out.Resources, &discoveryv3.Resource{Name: fullScopeName, Version: formatRevision(o.Revision)})
-	}
-	for _, record := range o.Records {
-		one, err := encodeRecord(record)
+// response encodes an update.
+func (u Update) response() (*discoveryv3.DeltaDiscoveryResponse, error) {
+	response := &discoveryv3.DeltaDiscoveryResponse{
+		TypeUrl:           TypeURL,
+		SystemVersionInfo: formatRevision(u.Revision),
+		Nonce:             u.Nonce,
+	}
+	if u.FullScope {
+		response.Resources = append(response.Resources, marker(fullScopeName, u.Revision))
+	}
+	for _, record := range u.Records {
+		resource, err := encodeRecord(record)
 		if err != nil {
 			return nil, err
 		}
-		out.Resources = append(out.Resources, one)
+		response.Resources = append(response.Resources, resource)
 	}
-	for _, key := range o.Removed {
-		out.RemovedResources = append(out.RemovedResources, key.String())
+	for _, key := range u.Removed {
+		response.RemovedResources = append(response.RemovedResources, key.String())
 	}
-	if o.Nonce != "" {
-		out.Resources = append(out.Resources, &discoveryv3.Resource{Name: routingRevisionName, Version: formatRevision(o.RoutingRevision)})
+	if u.Nonce != "" {
+		response.Resources = append(response.Resources, marker(routingRevisionName, u.RoutingRevision))
 	}
-	return out, nil
+	return response, nil
 }
 
-// Why a response is no offer.
-var (
-	errNoRevision         = errors.New("an offer has no revision")
-	errDuplicateFullScope = errors.New("an offer is marked as a whole scope twice")
-	errFullScopeRemoves   = errors.New("a whole scope removes records")
-	// A routing revision that is missing can't be replaced by that of the newest route held, which goes down when that
-	// route is removed.
-	errNoRoutingRevision = errors.New("an offer does not have one routing revision")
-)
+// marker returns a resource that is no record: only its name and version count.
+func marker(name string, revision uint64) *discoveryv3.Resource {
+	return &discoveryv3.Resource{Name: name, Version: formatRevision(revision)}
+}
 
-// parseUpdate reads a response. One without a nonce is a heartbeat, of which only the revision is read.
-func parseUpdate(in *discoveryv3.DeltaDiscoveryResponse) (offer Update, err error) {
-	if in.GetTypeUrl() != TypeURL {
-		return offer, fmt.Errorf("type %.100q was not asked for", in.GetTypeUrl())
+// parseUpdate reads a response. Of one without a nonce, a heartbeat, only the revision is read.
+func parseUpdate(response *discoveryv3.DeltaDiscoveryResponse) (update Update, err error) {
+	if response.GetTypeUrl() != TypeURL {
+		return update, fmt.Errorf("type %.100q was not asked for", response.GetTypeUrl())
 	}
-	if offer.Revision, err = strconv.ParseUint(in.GetSystemVersionInfo(), 10, 64); err != nil {
-		return offer, fmt.Errorf("revision: %w", err)
+	update.Revision, err = parseRevision(response.GetSystemVersionInfo())
+	if err != nil {
+		return update, fmt.Errorf("revision: %w", err)
 	}
-	offer.Nonce = in.GetNonce()
-	if offer.Nonce == "" {
-		return offer, nil
+	update.Nonce = response.GetNonce()
+	if update.Nonce == "" {
+		return update, nil
 	}
-	if offer.Revision == 0 {
-		return offer, errNoRevision
+	if update.Revision == 0 {
+		return update, errNoRevision
 	}
-	resources, err := offer.parseMarkers(in.GetResources())
+	resources, err := update.parseMarkers(response.GetResources())
 	if err != nil {
-		return offer, err
+		return update, err
 	}
-	named := make(map[records.Key]bool, len(resources)+len(in.GetRemovedResources()))
-	if err := offer.parseRecords(resources, named); err != nil {
-		return offer, err
+	named := make(map[records.Key]bool, len(resources)+len(response.GetRemovedResources()))
+	if err := update.parseRecords(resources, named); err != nil {
+		return update, err
 	}
-	return offer, offer.parseRemoved(in.GetRemovedResources(), named)
+	return update, update.parseRemoved(response.GetRemovedResources(), named)
 }
 
-// parseMarkers reads the resources of an offer that are no records and gives the others.
-func (o *Update) parseMarkers(resources []*discoveryv3.Resource) (others []*discoveryv3.Resource, err error) {
-	routings := 0
+// parseMarkers reads the resources that are no records and returns the others.
+func (u *Update) parseMarkers(resources []*discoveryv3.Resource) (others []*discoveryv3.Resource, err error) {
+	routingRevisions := 0
 	others = make([]*discoveryv3.Resource, 0, len(resources))
-	for _, one := range resources {
-		switch one.GetName() {
+	for _, resource := range resources {
+		switch resource.GetName() {
 		case fullScopeName:
-			if o.FullScope {
+			if u.FullScope {
 				return nil, errDuplicateFullScope
 			}
-			o.FullScope = true
+			u.FullScope = true
 		case routingRevisionName:
-			if routings++; routings > 1 {
+			routingRevisions++
+			if routingRevisions > 1 {
 				return nil, errNoRoutingRevision
 			}
-			if o.RoutingRevision, err = strconv.ParseUint(one.GetVersion(), 10, 64); err != nil {
+			u.RoutingRevision, err = parseRevision(resource.GetVersion())
+			if err != nil {
 				return nil, fmt.Errorf("routing revision: %w", err)
 			}
 		default:
-			others = append(others, one)
+			others = append(others, resource)
 		}
 	}
 	switch {
-	case routings == 0:
+	case routingRevisions == 0:
 		return nil, errNoRoutingRevision
-	case o.RoutingRevision > o.Revision:
-		return nil, fmt.Errorf("its routing revision %d is over its revision %d", o.RoutingRevision, o.Revision)
+	case u.RoutingRevision > u.Revision:
+		return nil, fmt.Errorf("its routing revision %d is over its revision %d", u.RoutingRevision, u.Revision)
 	}
 	return others, nil
 }
 
-// parseRecords reads the records of an offer.
-func (o *Update) parseRecords(resources []*discoveryv3.Resource, named map[records.Key]bool) error {
-	for _, one := range resources {
-		record, err := decodeRecord(one)
+// parseRecords reads the records of an update and adds their keys to named.
+func (u *Update) parseRecords(resources []*discoveryv3.Resource, named map[records.Key]bool) error {
+	for _, resource := range resources {
+		record, err := decodeRecord(resource)
 		if err != nil {
 			return err
 		}
-		if record.Revision == 0 || record.Revision > o.Revision {
-			return fmt.Errorf("%s: its revision %d is not one of 1 to %d", record.Key, record.Revision, o.Revision)
+		if record.Revision == 0 || record.Revision > u.Revision {
+			return fmt.Errorf("%s: its revision %d is not one of 1 to %d", record.Key, record.Revision, u.Revision)
 		}
 		if named[record.Key] {
 			return fmt.Errorf("%s is named twice", record.Key)
 		}
 		named[record.Key] = true
-		o.Records = append(o.Records, record)
+		u.Records = append(u.Records, record)
 	}
 	return nil
 }
 
-// parseRemoved reads the keys of the records that an offer removes.
-func (o *Update) parseRemoved(names []string, named map[records.Key]bool) error {
-	if o.FullScope && len(names) > 0 {
+// parseRemoved reads the keys that an update removes and adds them to named.
+func (u *Update) parseRemoved(names []string, named map[records.Key]bool) error {
+	if u.FullScope && len(names) > 0 {
 		return errFullScopeRemoves
 	}
 	for _, name := range names {
@@ -282,31 +287,10 @@
 			return fmt.Errorf("%s is named twice", key)
 		}
 		named[key] = true
-		o.Removed = append(o.Removed, key)
+		u.Removed = append(u.Removed, key)
 	}
 	return nil
 }
 
-// encodedBytes is that of a response on the wire, in bytes.
+// encodedBytes is the size of a response on the wire.
 func encodedBytes(response *discoveryv3.DeltaDiscoveryResponse) int { return proto.Size(response) }
-
-// Content tells what a response carries, for those who measure or check it.
-type Content struct {
-	FullScope bool // a whole scope
-	Records   int  // that it brings or removes
-}
-
-// ContentOf looks at a response without reading its records.
-func ContentOf(response *discoveryv3.DeltaDiscoveryResponse) Content {
-	content := Content{Records: len(response.GetRemovedResources())}
-	for _, one := range response.GetResources() {
-		switch one.GetName() {
-		case fullScopeName:
-			content.FullScope = true
-		case routingRevisionName:
-		default:
-			content.Records++
-		}
-	}
-	return content
-}
