--- a/configsync/transport/dial.go
+++ b/configsync/transport/dial.go
@@ -14,17 +14,16 @@
 )
 
 const (
-	// bufferBytes is what a connection buffers each way: hundreds of followers may run in one process, and messages of
-	// steady running are small.
+	// bufferBytes is the buffer of a connection each way: hundreds of followers may run in one process, and most messages
+	// are small.
 	bufferBytes = 4 << 10
-	// windowBytes is what a member may send ahead of the reader, on a stream and on its connection: the least that
-	// HTTP/2 has.
+	// windowBytes is what a member may send ahead of the reader, on a stream and on its connection: the minimum of HTTP/2.
 	windowBytes = 64 << 10
-	// connectTimeout is how long a connection may take to be made.
+	// connectTimeout is the timeout of a TCP connection attempt.
 	connectTimeout = 2 * time.Second
 )
 
-// Traffic counts the bytes on the wire of a client's connections, with all framing above TCP.
+// Traffic counts the bytes that a client's connections receive and send, with all framing above TCP.
 type Traffic struct {
 	In, Out atomic.Uint64
 }
@@ -35,14 +34,14 @@
 	traffic *Traffic
 }
 
-// Read counts what it reads.
+// Read implements net.Conn.
 func (c countedConn) Read(into []byte) (int, error) {
 	n, err := c.Conn.Read(into)
 	c.traffic.In.Add(uint64(n))
 	return n, err
 }
 
-// Write counts what it writes.
+// Write implements net.Conn.
 func (c countedConn) Write(from []byte) (int, error) {
 	n, err := c.Conn.Write(from)
 	c.traffic.Out.Add(uint64(n))
--- a/configsync/transport/fixture_test.go
+++ b/configsync/transport/fixture_test.go
@@ -57,7 +57,7 @@
 			view.Records = append(view.Records, record)
 		}
 	}
-	slices.SortFunc(view.Records, func(a, b *records.Record) int { return a.Key.Compare(b.Key) })
+	slices.SortFunc(view.Records, func(a, b *records.Record) int { return a.Compare(b.Key) })
 	return view
 }
 
--- a/configsync/transport/service.go
+++ b/configsync/transport/service.go
@@ -1,6 +1,3 @@
-// Package follow connects the machines of package follow to the network. A Service is the part of a group's member: it
-// serves followers on the group's gRPC server. A Client is the part of a conductor that is not a member: it follows one
-// member at a time and moves to another one where that fails.
 package transport
 
 import (
@@ -19,9 +16,9 @@
 )
 
 const (
-	// handshakeTimeout is how long a stream may be open without a word of its follower.
+	// handshakeTimeout is how long a stream may be open without its first request.
 	handshakeTimeout = 2 * time.Second
-	// maxPendingCommits is how many commits wait to be noted while no stream is awake: as many as the machine remembers.
+	// maxPendingCommits is the number of commits that wait while no stream runs: as many as a lease table remembers.
 	maxPendingCommits = 4096
 )
 
@@ -32,64 +29,68 @@
 	log   *zap.Logger
 	lease time.Duration
 
-	serverMutex sync.Mutex // guards the machine and its streams; never held while something is sent
+	serverMutex sync.Mutex // guards server and all configsync.Streams; never held during a send
 	server      *configsync.Server
 
-	// The group's goroutine takes only this lock, which is never held for longer than it takes to poke each stream.
+	// pendingMutex is the only one that the goroutine that applies the group's log takes. It is never held for longer than
+	// it takes to wake each stream.
 	pendingMutex   sync.Mutex
-	pendingCommits []commit
+	pendingCommits []pendingCommit
 	streams        map[*stream]struct{}
-	unavailable    error
+	unavailable    error // why no stream is served, nil: they are
 }
 
-// commit is a change that the machine has not been told of yet.
-type commit struct {
-	change records.Change
-	at     time.Time
+// pendingCommit is a change that the server has not been told of yet.
+type pendingCommit struct {
+	change      records.Change
+	committedAt time.Time
 }
 
-// NewService makes the part of a member whose records are those of a source.
+// NewService returns the service of a member that sends the records of a source.
 func NewService(member string, source records.Source, limits configsync.Limits, log *zap.Logger) *Service {
 	return &Service{
-		log: log, lease: limits.Lease,
+		log:     log,
+		lease:   limits.Lease,
 		server:  configsync.NewServer(member, source, limits, time.Now()),
 		streams: map[*stream]struct{}{},
 	}
 }
 
-// Register serves followers and operators on a gRPC server.
-func (s *Service) Register(server grpc.ServiceRegistrar) {
-	discoveryv3.RegisterAggregatedDiscoveryServiceServer(server, s)
-	server.RegisterService(statusDescription(followersService, s.Status), s)
+// Register adds the followers' and the operators' services to a gRPC server.
+func (s *Service) Register(registrar grpc.ServiceRegistrar) {
+	discoveryv3.RegisterAggregatedDiscoveryServiceServer(registrar, s)
+	registrar.RegisterService(statusDescription(followersService, s.Status), s)
 }
 
-// Committed notes that the source has changed and wakes all streams. It waits for no stream, so the goroutine that
-// applies the group's log may call it.
+// Committed has to be called when the source has changed; it wakes all streams. It waits for no stream, so the goroutine
+// that applies the group's log may call it.
 func (s *Service) Committed(change records.Change) {
-	change.Updates = nil // streams ask the source
+	change.Updates = nil // streams query the source
 	now := time.Now()
 	s.pendingMutex.Lock()
 	defer s.pendingMutex.Unlock()
 	if len(s.pendingCommits) >= maxPendingCommits {
 		s.pendingCommits = append(s.pendingCommits[:0], s.pendingCommits[maxPendingCommits/2:]...)
 	}
-	s.pendingCommits = append(s.pendingCommits, commit{change, now})
-	for one := range s.streams {
-		one.wake()
-	}
+	s.pendingCommits = append(s.pendingCommits, pendingCommit{change: change, committedAt: now})
+	s.wakeStreams()
 }
 
-// SetUnavailable ends all streams and refuses new ones with a reason until it is called with nil: a member that may be out of
-// date must not extend leases.
+// SetUnavailable ends all streams and rejects new ones with a reason until it is called with nil: a member that may be out
+// of date must not extend leases.
 func (s *Service) SetUnavailable(reason error) {
 	s.pendingMutex.Lock()
 	defer s.pendingMutex.Unlock()
 	s.unavailable = reason
-	if reason == nil {
-		return
+	if reason != nil {
+		s.wakeStreams()
 	}
-	for one := range s.streams {
-		one.wake()
+}
+
+// wakeStreams needs pendingMutex.
+func (s *Service) wakeStreams() {
+	for stream := range s.streams {
+		stream.wake()
 	}
 }
 
@@ -99,50 +100,54 @@
 	return s.unavailable
 }
 
-// withServer runs something with the machine, which has been told of all commits.
-func (s *Service) withServer(do func(now time.Time)) {
+// withServer calls a function that uses the server, which has been told of all commits before.
+func (s *Service) withServer(use func(now time.Time)) {
 	s.serverMutex.Lock()
 	defer s.serverMutex.Unlock()
+	for _, pending := range s.takePendingCommits() {
+		s.server.Committed(pending.committedAt, pending.change)
+	}
+	use(time.Now())
+}
+
+func (s *Service) takePendingCommits() []pendingCommit {
 	s.pendingMutex.Lock()
-	pending := s.pendingCommits
+	defer s.pendingMutex.Unlock()
+	taken := s.pendingCommits
 	s.pendingCommits = nil
-	s.pendingMutex.Unlock()
-	for _, one := range pending {
-		s.server.Committed(one.at, one.change)
-	}
-	do(time.Now())
+	return taken
 }
 
-// Status tells what the followers of this member hold.
-func (s *Service) Status() (out configsync.MemberStatus) {
-	s.withServer(func(now time.Time) { out = s.server.Status(now) })
-	return out
+// Status tells what the followers of this member have accepted.
+func (s *Service) Status() (memberStatus configsync.MemberStatus) {
+	s.withServer(func(now time.Time) { memberStatus = s.server.Status(now) })
+	return memberStatus
 }
 
 // Counts tells what was sent since the service was made.
-func (s *Service) Counts() (out configsync.Counts) {
-	s.withServer(func(time.Time) { out = s.server.Counts })
-	return out
+func (s *Service) Counts() (counts configsync.Counts) {
+	s.withServer(func(time.Time) { counts = s.server.Counts })
+	return counts
 }
 
-// StreamAggregatedResources is the variant that followers don't speak.
+// StreamAggregatedResources returns Unimplemented: it is the variant of xDS that followers don't use.
 func (s *Service) StreamAggregatedResources(discoveryv3.AggregatedDiscoveryService_StreamAggregatedResourcesServer) error {
 	return status.Error(codes.Unimplemented, "followers are served by delta xDS only")
 }
 
-// DeltaAggregatedResources serves one follower until it goes, is silent for a lease's time, or does not read for as
-// long. It supervises two goroutines, which end with the stream: one receives and one sends, and either may block.
-func (s *Service) DeltaAggregatedResources(wire discoveryv3.AggregatedDiscoveryService_DeltaAggregatedResourcesServer) error {
-	one, err := s.open()
+// DeltaAggregatedResources serves one follower until it ends the stream, sends nothing for a lease's time, or does not read
+// for as long. It runs two goroutines that end with the stream: one receives and one sends, and either may block.
+func (s *Service) DeltaAggregatedResources(grpcStream deltaServer) error {
+	opened, err := s.open()
 	if err != nil {
 		return grpcStatus(err)
 	}
-	defer s.close(one)
-	ctx, cancel := context.WithCancel(wire.Context())
+	defer s.close(opened)
+	ctx, cancel := context.WithCancel(grpcStream.Context())
 	defer cancel()
 	received := make(chan error, 1)
-	go func() { received <- s.receive(wire, one) }()
-	sender := &sender{outbox: make(chan *discoveryv3.DeltaDiscoveryResponse), sent: make(chan error, 1)}
-	go sender.run(ctx, wire)
-	return grpcStatus(s.supervise(ctx, one, received, sender))
+	go func() { received <- s.receive(grpcStream, opened) }()
+	sender := &sender{outbox: make(chan *response), sent: make(chan error, 1)}
+	go sender.run(ctx, grpcStream)
+	return grpcStatus(s.supervise(ctx, opened, received, sender))
 }
--- a/configsync/transport/stream.go
+++ b/configsync/transport/stream.go
@@ -6,13 +6,11 @@
 	"time"
 
 	discoveryv3 "github.com/envoyproxy/go-control-plane/envoy/service/discovery/v3"
-	"google.golang.org/grpc/codes"
-	"google.golang.org/grpc/status"
 
 	"harehook.dev/harehook/configsync"
 )
 
-// Why a member ends a stream, beside the machine's reasons.
+// Reasons for which a member ends a stream, beside those of package configsync.
 var (
 	errNoHandshake = errors.New("the first request did not come in time")
 	errNotReading  = errors.New("the follower did not read for a lease's time")
@@ -26,96 +24,103 @@
 
 // stream is the connection of one follower.
 type stream struct {
-	wakeUp chan struct{} // something may have to be sent
+	wakeUp chan struct{} // with room for one: something may have to be sent
 
-	stream *configsync.Stream // under Service.machineMutex
-	closed bool               // likewise: what is still received counts no more
+	state  *configsync.Stream // guarded by Service.serverMutex
+	closed bool               // likewise: requests that are still received are ignored
 }
 
-// wake has the stream's supervisor ask the machine.
+// wake has the stream's supervisor call Send.
 func (st *stream) wake() {
 	select {
 	case st.wakeUp <- struct{}{}:
-	default: // it is to ask already
+	default: // it is to do so already
 	}
 }
 
-// open begins a stream unless the member is paused or full.
-func (s *Service) open() (one *stream, err error) {
+// open adds a stream unless the member is unavailable or full.
+func (s *Service) open() (opened *stream, err error) {
 	if err := s.unavailableReason(); err != nil {
 		return nil, err
 	}
-	one = &stream{wakeUp: make(chan struct{}, 1)}
-	s.withServer(func(now time.Time) { one.stream, err = s.server.Open(now) })
+	opened = &stream{wakeUp: make(chan struct{}, 1)}
+	s.withServer(func(now time.Time) { opened.state, err = s.server.Open(now) })
 	if err != nil {
 		return nil, err
 	}
 	s.pendingMutex.Lock()
 	defer s.pendingMutex.Unlock()
-	s.streams[one] = struct{}{}
-	return one, nil
+	s.streams[opened] = struct{}{}
+	return opened, nil
 }
 
-func (s *Service) close(one *stream) {
+func (s *Service) close(ended *stream) {
 	s.pendingMutex.Lock()
-	delete(s.streams, one)
+	delete(s.streams, ended)
 	s.pendingMutex.Unlock()
 	s.withServer(func(time.Time) {
-		one.closed = true
-		s.server.Close(one.stream)
+		ended.closed = true
+		s.server.Close(ended.state)
 	})
 }
 
-// receive hands requests to the machine until the stream ends, and gives the reason.
-func (s *Service) receive(wire deltaServer, one *stream) error {
+// receive handles requests until the stream ends, and returns the reason.
+func (s *Service) receive(grpcStream deltaServer, from *stream) error {
 	for {
-		in, err := wire.Recv()
+		in, err := grpcStream.Recv()
 		if err != nil {
 			return err
 		}
 		s.withServer(func(now time.Time) {
-			if !one.closed {
-				err = s.server.Receive(now, one.stream, in)
+			if !from.closed {
+				err = s.server.Receive(now, from.state, in)
 			}
 		})
 		if err != nil {
-			return invalidRequestError{err}
+			return &invalidRequestError{reason: err}
 		}
-		one.wake()
+		from.wake()
 	}
 }
 
-// next asks the machine for a message and when to ask again at the latest.
-func (s *Service) next(one *stream) (out *response, wait time.Duration, named bool, err error) {
+// nextMessage is what a stream has to send now.
+type nextMessage struct {
+	response      *response     // nil: nothing
+	wait          time.Duration // until the next look at the latest
+	handshakeDone bool
+}
+
+func (s *Service) next(to *stream) (next nextMessage, err error) {
 	s.withServer(func(now time.Time) {
-		out, wait, err = one.stream.Send(now)
-		named = one.stream.Name() != ""
+		next.response, next.wait, err = to.state.Send(now)
+		next.handshakeDone = to.state.Name() != ""
 	})
-	return out, wait, named, err
+	return next, err
 }
 
-// supervise asks the machine what to send whenever something may have changed. It gives the reason for which the stream
-// ends.
-func (s *Service) supervise(ctx context.Context, one *stream, received <-chan error, sender *sender) error {
-	first := time.Now().Add(handshakeTimeout)
+// supervise sends what is due whenever something may have changed. It returns the reason for which the stream ends.
+func (s *Service) supervise(ctx context.Context, supervised *stream, received <-chan error, sender *sender) error {
+	handshakeDeadline := time.Now().Add(handshakeTimeout)
 	timer := time.NewTimer(handshakeTimeout)
 	defer timer.Stop()
 	for {
 		if err := s.unavailableReason(); err != nil {
 			return err
 		}
-		out, wait, named, err := s.next(one)
+		next, err := s.next(supervised)
 		if err != nil {
 			return err
 		}
-		if out != nil {
-			if err := sender.send(ctx, out, s.lease, received); err != nil {
+		if next.response != nil {
+			if err := sender.send(ctx, next.response, s.lease, received); err != nil {
 				return err
 			}
 			continue
 		}
-		if !named {
-			if wait = time.Until(first); wait <= 0 {
+		wait := next.wait
+		if !next.handshakeDone {
+			wait = time.Until(handshakeDeadline)
+			if wait <= 0 {
 				return errNoHandshake
 			}
 		}
@@ -125,7 +130,7 @@
 			return ctx.Err()
 		case err := <-received:
 			return err
-		case <-one.wakeUp:
+		case <-supervised.wakeUp:
 		case <-timer.C:
 		}
 	}
@@ -134,22 +139,22 @@
 // sender is the goroutine that sends, which blocks while the follower does not read.
 type sender struct {
 	outbox chan *response
-	sent   chan error
+	sent   chan error // with room for the result of one send
 }
 
 // run sends until ctx, which is the stream's, ends.
-func (s *sender) run(ctx context.Context, wire deltaServer) {
+func (s *sender) run(ctx context.Context, grpcStream deltaServer) {
 	for {
 		select {
 		case <-ctx.Done():
 			return
 		case out := <-s.outbox:
-			s.sent <- wire.Send(out) // there is room: nothing more is handed over before it is read
+			s.sent <- grpcStream.Send(out) // does not block: send reads it before it passes on another message
 		}
 	}
 }
 
-// send has a message sent, and gives up after a time.
+// send has a message sent. It returns errNotReading after a timeout, and the receiver's reason if that ends first.
 func (s *sender) send(ctx context.Context, out *response, timeout time.Duration, received <-chan error) error {
 	timer := time.NewTimer(timeout)
 	defer timer.Stop()
@@ -169,34 +174,3 @@
 		return errNotReading
 	}
 }
-
-// invalidRequestError is what a follower sent that is against the protocol.
-type invalidRequestError struct{ error }
-
-// Unwrap gives the machine's reason.
-func (e invalidRequestError) Unwrap() error { return e.error }
-
-// grpcStatus gives the end of a stream as grpc tells it.
-func grpcStatus(err error) error {
-	if err == nil {
-		return nil
-	}
-	if _, is := status.FromError(err); is {
-		return err
-	}
-	code := codes.Unavailable
-	var invalid invalidRequestError
-	switch {
-	case errors.Is(err, configsync.ErrTooManyStreams), errors.Is(err, configsync.ErrTooLarge):
-		code = codes.ResourceExhausted
-	case errors.Is(err, configsync.ErrReplaced):
-		code = codes.Aborted
-	case errors.Is(err, configsync.ErrFollowerTimeout), errors.Is(err, errNoHandshake), errors.Is(err, errNotReading):
-		code = codes.DeadlineExceeded
-	case errors.As(err, &invalid):
-		code = codes.InvalidArgument
-	case errors.Is(err, context.Canceled):
-		code = codes.Canceled
-	}
-	return status.Error(code, err.Error())
-}
