--- a/config/agreed.go
+++ b/config/agreed.go
@@ -2,7 +2,9 @@
 
 import (
 	"fmt"
+	"math"
 	"slices"
+	"time"
 
 	"harehook.dev/harehook/internal/kdl"
 	"harehook.dev/harehook/planner"
@@ -10,21 +12,28 @@
 	"harehook.dev/harehook/xds"
 )
 
-// Agreed is what conductors agree on: the routes as they are to be, and what operators say of nodes over the list.
+// Agreed is the configuration that a group's controllers agree on.
 type Agreed struct {
-	Routes    []xds.Route
-	Overrides map[string]planner.EndpointState
-	Records   []*records.Record // all that it is made of, ordered by key
+	Routes    []xds.Route                      // longer prefixes first: the first that matches a request counts
+	Overrides map[string]planner.EndpointState // by node; they take precedence over the endpoint list
+	Records   []*records.Record                // all that it is made of, ordered by key
 }
 
-// ParseAgreed reads an agreed configuration. It depends on the text alone: all conductors come to the same answer.
+// overrideStates are the endpoint states that the states of override records stand for.
+var overrideStates = map[string]planner.EndpointState{
+	records.StateDraining: planner.Draining,
+	records.StateGone:     planner.Removed,
+}
+
+// ParseAgreed reads an agreed configuration. The result depends on the text alone, so that it is the same at all
+// controllers. The error is of type kdl.Faults.
 func ParseAgreed(text string) (*Agreed, error) {
 	nodes, err := kdl.Parse(text)
 	if err != nil {
 		return nil, err
 	}
-	r := &recordReader{reader: &reader{}, lineOf: map[records.Key]int{}}
-	top := r.topNode(nodes, "agreed")
+	r := newRecordReader()
+	top := r.topNode(nodes, agreedNode)
 	if top == nil {
 		return nil, r.faults.Err()
 	}
@@ -42,45 +51,100 @@
 	if err := r.faults.Err(); err != nil {
 		return nil, err
 	}
-	slices.SortFunc(r.records, func(a, b *records.Record) int { return a.Key.Compare(b.Key) })
+	slices.SortFunc(r.records, compareKeys)
 	return AgreedFromRecords(r.records)
 }
 
-// ValidateAgreed is ParseAgreed for those who only want to know.
+// ValidateAgreed returns the error of [ParseAgreed].
 func ValidateAgreed(text string) error {
 	_, err := ParseAgreed(text)
 	return err
 }
 
-// ValidateProposal says why an agreed configuration can't be used with what this conductor knows: routes that its module does not
-// decide for, or overrides that leave a zone, or all, without a node. It is asked before a proposal, not after.
-func (c *Controller) ValidateProposal(a *Agreed, nodes []Node) error {
-	faults := c.routeFaults(a.Routes)
-	if !a.leavesReadyNode(nodes) {
-		faults = append(faults, noReadyNode)
+// AgreedFromRecords returns the configuration that records stand for, which have to be ordered by key. The error names the
+// record that can't be read.
+func AgreedFromRecords(list []*records.Record) (*Agreed, error) {
+	a := &Agreed{Records: list, Overrides: map[string]planner.EndpointState{}}
+	for _, record := range sortForText(list) {
+		var err error
+		switch record.Kind {
+		case records.KindRoute:
+			err = a.addRoute(record)
+		case records.KindOverride:
+			err = a.addOverride(record)
+		}
+		if err != nil {
+			return nil, fmt.Errorf("%s: %w", record.Key, err)
+		}
 	}
-	listed := map[string]bool{}
-	for _, n := range nodes {
-		listed[n.Node] = true
+	return a, nil
+}
+
+func (a *Agreed) addRoute(record *records.Record) error {
+	spec, err := record.Route()
+	if err != nil {
+		return err
 	}
-	for name := range a.Overrides {
-		if !listed[name] {
-			faults = append(faults, fmt.Sprintf("node %q of an override is not listed", name))
+	a.Routes = append(a.Routes, xds.Route{
+		Name:        record.Name,
+		Prefix:      spec.Prefix,
+		Mutating:    spec.Mutating,
+		MaxAdmitted: spec.MaxAdmitted,
+		TimeLimit:   time.Duration(math.Round(spec.TimeLimitMS * float64(time.Millisecond))),
+	})
+	return nil
+}
+
+func (a *Agreed) addOverride(record *records.Record) error {
+	spec, err := record.Override()
+	if err != nil {
+		return err
+	}
+	a.Overrides[record.Name] = overrideStates[spec.State]
+	return nil
+}
+
+// AgreedFromFollower returns the configuration that a follower's records stand for. Most of them may be tenants, which are
+// skipped before the sort. It returns an error for a record that can't be read, or a route whose prefix another one has.
+func AgreedFromFollower(accepted map[records.Key]*records.Record) (*Agreed, error) {
+	var list []*records.Record
+	for key, record := range accepted {
+		if key.Kind == records.KindRoute || key.Kind == records.KindOverride {
+			list = append(list, record)
 		}
 	}
-	return joinFaults(faults)
+	slices.SortFunc(list, compareKeys)
+	agreed, err := AgreedFromRecords(list)
+	if err != nil {
+		return nil, err
+	}
+	return agreed, checkPrefixes(agreed.Routes)
 }
 
-// ApplyOverrides is the list of nodes as the overrides have it.
-func (a *Agreed) ApplyOverrides(nodes []Node) (out []Node) {
+// checkPrefixes returns an error if one of sorted routes is never reached: equal prefixes stand side by side.
+func checkPrefixes(routes []xds.Route) error {
+	for index := 1; index < len(routes); index++ {
+		before := routes[index-1]
+		route := routes[index]
+		if before.Prefix == route.Prefix {
+			return fmt.Errorf("route %q is never reached: %q has its prefix %q", route.Name, before.Name, route.Prefix)
+		}
+	}
+	return nil
+}
+
+// ApplyOverrides returns the list of nodes as the overrides have it.
+func (a *Agreed) ApplyOverrides(nodes []Node) (overridden []Node) {
 	for _, n := range nodes {
-		if condition, over := a.Overrides[n.Node]; over {
-			if condition == planner.Removed {
+		if state, overrides := a.Overrides[n.Node]; overrides {
+			if state == planner.Removed {
 				continue
 			}
-			n.State = condition
+			n.State = state
 		}
-		out = append(out, n)
+		overridden = append(overridden, n)
 	}
-	return out
+	return overridden
 }
+
+func compareKeys(a, b *records.Record) int { return a.Compare(b.Key) }
--- /dev/null
+++ b/config/agreed_reader.go
@@ -0,0 +1,124 @@
+package config
+
+import (
+	"harehook.dev/harehook/internal/kdl"
+	"harehook.dev/harehook/records"
+	"harehook.dev/harehook/xds"
+)
+
+// minAdmitted is the lowest fraction of a route's requests that operators may limit it to.
+const minAdmitted = 0.0001
+
+// recordReader reads the nodes that stand for records.
+type recordReader struct {
+	*reader
+	lineOf  map[records.Key]int // where each was read
+	records []*records.Record
+}
+
+func newRecordReader() *recordReader {
+	return &recordReader{reader: &reader{}, lineOf: map[records.Key]int{}}
+}
+
+// add adds a record; a key that is there twice or a spec that is no record's is a fault of its line.
+func (r *recordReader) add(n *kdl.Node, key records.Key, spec any) {
+	if key.Name == "" {
+		return // a fault was added
+	}
+	if _, twice := r.lineOf[key]; twice {
+		r.faults.Add(n.Line, "%s %q is there twice", key.Kind, key.Name)
+		return
+	}
+	r.lineOf[key] = n.Line
+	record, err := records.New(key, spec)
+	if err != nil {
+		r.faults.Add(n.Line, "%v", err)
+		return
+	}
+	r.records = append(r.records, record)
+}
+
+// readRouteRecord reads a route that follows others, whose prefixes must not cover its own.
+func (r *recordReader) readRouteRecord(n *kdl.Node, before []xds.Route) xds.Route {
+	service := r.extractName(n, "service")
+	faults := len(r.faults)
+	route := r.readRoute(n, before, routeReaders{
+		"most": func(n *kdl.Node, route *xds.Route) { route.MaxAdmitted = r.onlyNumber(n, minAdmitted, 1) },
+	})
+	tooMany := len(before) >= xds.MaxRoutes // the first of these is a fault, the others are not read
+	if len(r.faults) > faults || tooMany {
+		return route
+	}
+	r.add(n, records.Key{Kind: records.KindRoute, Name: route.Name}, records.RouteSpec{
+		Service:     service,
+		Prefix:      route.Prefix,
+		Mutating:    route.Mutating,
+		MaxAdmitted: route.MaxAdmitted,
+		TimeLimitMS: statedTimeLimitMS(n),
+	})
+	return route
+}
+
+// statedTimeLimitMS returns a route's time limit just as it is written: a record's text has to be read as the same record.
+func statedTimeLimitMS(route *kdl.Node) (limit float64) {
+	for _, child := range route.Children {
+		if child.Name == "limit-ms" && len(child.Arguments) == 1 {
+			limit, _ = child.Arguments[0].Data.(float64)
+		}
+	}
+	return limit
+}
+
+func (r *recordReader) readServiceRecord(n *kdl.Node) {
+	r.checkShape(n, 1)
+	spec := records.ServiceSpec{}
+	r.readChildren(n, nodeReaders{
+		"zones": func(n *kdl.Node) {
+			r.checkShape(n, len(n.Arguments))
+			for index := range n.Arguments {
+				spec.Zones = append(spec.Zones, r.stringArgument(n, index))
+			}
+		},
+	}, nil)
+	r.add(n, records.Key{Kind: records.KindService, Name: r.stringArgument(n, 0)}, spec)
+}
+
+func (r *recordReader) readTenantRecord(n *kdl.Node) {
+	r.checkShape(n, 1, "service", "share")
+	spec := records.TenantSpec{Service: r.optionalName(n, "service")}
+	if share, stated := n.Properties["share"]; stated {
+		spec.Share = r.numberValue(n, share, 0, 1)
+	}
+	r.add(n, records.Key{Kind: records.KindTenant, Name: r.stringArgument(n, 0)}, spec)
+}
+
+func (r *recordReader) readOverrideRecord(n *kdl.Node) {
+	r.checkShape(n, 1, "state", "service", "zone")
+	state, _ := n.Properties["state"].Data.(string)
+	if state != records.StateDraining && state != records.StateGone {
+		r.faults.Add(n.Line, "the state of an override is \"draining\" or \"gone\"")
+		return
+	}
+	spec := records.OverrideSpec{
+		State:   state,
+		Service: r.optionalName(n, "service"),
+		Zone:    r.optionalName(n, "zone"),
+	}
+	r.add(n, records.Key{Kind: records.KindOverride, Name: r.stringArgument(n, 0)}, spec)
+}
+
+// optionalName returns a property that names something, "" if it is not there.
+func (r *recordReader) optionalName(n *kdl.Node, property string) string {
+	value, stated := n.Properties[property]
+	if !stated {
+		return ""
+	}
+	return r.stringValue(n, value)
+}
+
+// extractName returns a property that names something and removes it from the node, whose other reader does not know it.
+func (r *recordReader) extractName(n *kdl.Node, property string) string {
+	name := r.optionalName(n, property)
+	delete(n.Properties, property)
+	return name
+}
--- a/config/main.go
+++ b/config/main.go
@@ -10,17 +10,28 @@
 	"github.com/spf13/cobra"
 )
 
-// Main is the main function of a program that is started with a configuration and runs until SIGTERM or SIGINT. A start
-// that can't work ends with one line and the code 1.
-func Main(name, short, defaultConfig string, run func(ctx context.Context, config string) error) {
-	var config string
-	root := &cobra.Command{Use: name, Short: short, SilenceUsage: true, SilenceErrors: true, Args: cobra.NoArgs,
-		RunE: func(c *cobra.Command, _ []string) error { return run(c.Context(), config) }}
-	root.Flags().StringVar(&config, "config", defaultConfig, "the configuration")
-	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, os.Interrupt)
-	defer stop()
-	if err := root.ExecuteContext(ctx); err != nil {
+// Main is the main function of a program that is started with a configuration and runs until SIGTERM or SIGINT. The path of
+// the configuration is the flag --config or defaultConfig. A start that can't work, for which run returns an error, ends the
+// process with one line and the code 1.
+func Main(name, short, defaultConfig string, run func(ctx context.Context, configPath string) error) {
+	var configPath string
+	command := &cobra.Command{
+		Use:           name,
+		Short:         short,
+		SilenceUsage:  true,
+		SilenceErrors: true,
+		Args:          cobra.NoArgs,
+		RunE:          func(command *cobra.Command, _ []string) error { return run(command.Context(), configPath) },
+	}
+	command.Flags().StringVar(&configPath, "config", defaultConfig, "the configuration")
+	if err := executeUntilSignal(command); err != nil {
 		fmt.Fprintf(os.Stderr, "%s: %v\n", name, err)
 		os.Exit(1)
 	}
 }
+
+func executeUntilSignal(command *cobra.Command) error {
+	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, os.Interrupt)
+	defer stop()
+	return command.ExecuteContext(ctx)
+}
--- /dev/null
+++ b/config/record_writes.go
@@ -0,0 +1,94 @@
+package config
+
+import (
+	"math"
+
+	"harehook.dev/harehook/internal/kdl"
+	"harehook.dev/harehook/records"
+)
+
+// maxRevision is the largest integer that a KDL number, a float64, has exactly.
+const maxRevision = 1 << 53
+
+// RecordWrite is a write of a file of records.
+type RecordWrite struct {
+	records.Write
+	HasRevision bool // the file states the revision that the write expects
+}
+
+// ParseRecordWrites reads a file of records to be written together: route, service, tenant and override as in an agreed
+// configuration, and remove "kind/name". Each may have revision=, which the record has to have; 0: it must be new. The
+// error is of type kdl.Faults.
+func ParseRecordWrites(text string) (writes []RecordWrite, err error) {
+	nodes, err := kdl.Parse(text)
+	if err != nil {
+		return nil, err
+	}
+	r := newRecordReader()
+	for _, n := range nodes {
+		writes = append(writes, r.readWrite(n))
+	}
+	if len(nodes) == 0 {
+		r.faults.Add(1, "it has no record")
+	}
+	return writes, r.faults.Err()
+}
+
+// readWrite reads one node of a file of records.
+func (r *recordReader) readWrite(n *kdl.Node) RecordWrite {
+	var write RecordWrite
+	write.ExpectedRevision, write.HasRevision = r.extractRevision(n)
+	recordsBefore := len(r.records)
+	switch n.Name {
+	case "route":
+		r.readRouteRecord(n, nil)
+	case "service":
+		r.readServiceRecord(n)
+	case "tenant":
+		r.readTenantRecord(n)
+	case "override":
+		r.readOverrideRecord(n)
+	case "remove":
+		write.Key = r.readRemoval(n)
+	default:
+		r.faults.Add(n.Line, "%q is not known: a file of records has route, service, tenant, override and remove", n.Name)
+	}
+	if len(r.records) > recordsBefore {
+		record := r.records[recordsBefore]
+		write.Key = record.Key
+		write.Body = record.Body
+	}
+	return write
+}
+
+// extractRevision returns the revision that a write expects and removes it from the node.
+func (r *recordReader) extractRevision(n *kdl.Node) (revision uint64, stated bool) {
+	value, stated := n.Properties["revision"]
+	if !stated {
+		return 0, false
+	}
+	delete(n.Properties, "revision")
+	number := r.numberValue(n, value, 0, maxRevision)
+	if number != math.Trunc(number) {
+		r.faults.Add(n.Line, "a revision is a whole number")
+	}
+	return uint64(number), true
+}
+
+func (r *recordReader) readRemoval(n *kdl.Node) records.Key {
+	r.checkShape(n, 1)
+	text := r.stringArgument(n, 0)
+	if text == "" {
+		return records.Key{}
+	}
+	key, err := records.ParseKey(text)
+	if err != nil {
+		r.faults.Add(n.Line, "%v", err)
+		return key
+	}
+	if _, twice := r.lineOf[key]; twice {
+		r.faults.Add(n.Line, "%s is there twice", key)
+	}
+	r.lineOf[key] = n.Line
+	return key
+}
