--- a/config/agreed_reader_test.go
+++ b/config/agreed_reader_test.go
@@ -63,7 +63,7 @@
 			add(records.KindTenant, name, records.TenantSpec{Service: "s", Share: 1 / float64(1+random.IntN(100))})
 			add(records.KindOverride, name, records.OverrideSpec{Zone: name, State: records.StateGone})
 		}
-		slices.SortFunc(list, func(a, b *records.Record) int { return a.Key.Compare(b.Key) })
+		slices.SortFunc(list, compareKeys)
 		text := TextFormat{}.Format(list)
 		back, err := TextFormat{}.Parse(text)
 		if err != nil {
--- a/config/follower_test.go
+++ b/config/follower_test.go
@@ -1,6 +1,7 @@
 package config
 
 import (
+	"errors"
 	"os"
 	"path/filepath"
 	"slices"
@@ -150,9 +151,14 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		if err := c.ValidateUpdate(agreed, was, one.nodes); one.want == "" && err != nil || one.want != "" && (err == nil || !strings.Contains(err.Error(), one.want)) {
+		err = c.ValidateUpdate(agreed, was, one.nodes)
+		if one.want == "" && err != nil || one.want != "" && (err == nil || !strings.Contains(err.Error(), one.want)) {
 			t.Errorf("%s: %v, want %q", name, err, one.want)
 		}
+		var unusable *UnusableError
+		if err != nil && !errors.As(err, &unusable) {
+			t.Errorf("%s: %T is no *UnusableError", name, err)
+		}
 	}
 }
 
--- a/config/group.go
+++ b/config/group.go
@@ -4,17 +4,17 @@
 
 const maxMemberID = 1 << 32
 
-// Group is a conductor's part in a group of conductors that agree on configuration.
+// Group is a controller's part as a member of a group that agrees on configuration.
 type Group struct {
 	ID         uint64
-	Listen     string
-	DataFolder string            // folder of the log
-	Addresses  map[uint64]string // of the members
-	Voters     []uint64          // that begin the group; none at one that is added later
-	AddedLater bool
+	Listen     string            // address for members and followers
+	DataFolder string            // of the raft log
+	Addresses  map[uint64]string // of the members, by ID
+	Voters     []uint64          // the first voters; none at a member that is added later
+	AddedLater bool              // to a group that runs
 }
 
-// readGroup reads a conductor's part in a group.
+// readGroup reads a controller's part as a member.
 func (r *reader) readGroup(n *kdl.Node) *Group {
 	r.checkShape(n, 0)
 	g := &Group{Addresses: map[uint64]string{}}
@@ -40,7 +40,7 @@
 	return g
 }
 
-// readGroupMember reads the number and the address of a member.
+// readGroupMember reads the ID and the address of a member.
 func (r *reader) readGroupMember(n *kdl.Node, g *Group) {
 	r.checkShape(n, 2)
 	if len(n.Arguments) != 2 {
--- a/config/nodes.go
+++ b/config/nodes.go
@@ -10,22 +10,23 @@
 	"harehook.dev/harehook/xds"
 )
 
-// Node is a node of the list.
+// Node is an endpoint of a controller's list, and where it takes requests.
 type Node struct {
 	controller.Endpoint
 	Address xds.Address
 }
 
-// endpointListReader is a list of nodes that is being read.
+// endpointListReader reads a list of nodes.
 type endpointListReader struct {
 	*reader
 	controller  *Controller
 	nodes       []Node
-	nameLine    map[string]int      // where each name came first
-	addressLine map[xds.Address]int // where each address came first
+	nameLine    map[string]int      // the first line of each name
+	addressLine map[xds.Address]int // the first line of each address
 }
 
-// ReadNodes reads the list of nodes of a conductor; where a service keeps it there is none to read.
+// ReadNodes reads the controller's list of nodes from its file; without one, where a service has the list, it returns none.
+// The error is the file's, or has the faults with their lines.
 func (c *Controller) ReadNodes() ([]Node, error) {
 	if c.NodesFile == "" {
 		return nil, nil
@@ -43,7 +44,7 @@
 
 // readNode reads one node of the list.
 func (l *endpointListReader) readNode(n *kdl.Node) {
-	if n.Name != "node" {
+	if n.Name != listedNode {
 		l.faults.Add(n.Line, "%q has no place here, only \"node\"", n.Name)
 		return
 	}
@@ -71,7 +72,7 @@
 	l.nodes = append(l.nodes, node)
 }
 
-// readZone reads the zone of a node, which the conductor must know.
+// readZone reads the zone of a node, which has to be one of the controller's.
 func (l *endpointListReader) readZone(n *kdl.Node, node *Node) {
 	v, present := n.Properties["zone"]
 	if !present {
@@ -83,7 +84,7 @@
 	}
 }
 
-// readMachineType reads the kind of a node, if it has one, which the conductor must know.
+// readMachineType reads the machine type of a node, if it states one, which has to be one of the controller's.
 func (l *endpointListReader) readMachineType(n *kdl.Node, node *Node) {
 	v, present := n.Properties["kind"]
 	if !present {
@@ -94,7 +95,7 @@
 	}
 }
 
-// readAddress reads the address of a node, which no other has.
+// readAddress reads the address of a node, which has to be unique.
 func (l *endpointListReader) readAddress(n *kdl.Node, node *Node) {
 	v, present := n.Properties["address"]
 	if !present {
@@ -105,7 +106,7 @@
 	if text == "" {
 		return
 	}
-	host, port, _ := net.SplitHostPort(text) // address has checked both
+	host, port, _ := net.SplitHostPort(text) // addressValue has checked both
 	number, _ := strconv.Atoi(port)
 	node.Address = xds.Address{Host: host, Port: uint32(number)}
 	if line := l.addressLine[node.Address]; line > 0 {
@@ -114,7 +115,7 @@
 	l.addressLine[node.Address] = n.Line
 }
 
-// readState reads whether a node takes new calls.
+// readState reads the state of a node: ready, or draining.
 func (l *endpointListReader) readState(n *kdl.Node, node *Node) {
 	v, present := n.Properties["state"]
 	if !present {
--- a/config/reader.go
+++ b/config/reader.go
@@ -5,6 +5,7 @@
 	"net"
 	"os"
 	"path/filepath"
+	"slices"
 	"strconv"
 	"strings"
 	"time"
@@ -13,19 +14,22 @@
 	"harehook.dev/harehook/internal/kdl"
 )
 
-const maxNameBytes = 200 // bytes of a name
+const (
+	maxNameBytes = 200
+	maxPort      = 65535
+)
 
-// nodeReaders are functions that read a child node, by the child's name.
+// nodeReaders are functions that read a child node, by the child's KDL key.
 type nodeReaders map[string]func(n *kdl.Node)
 
 // reader walks a parsed document and collects its faults.
 type reader struct {
 	faults kdl.Faults
-	folder string // that relative paths in the document start from
+	folder string // that relative paths in the document are relative to
 }
 
-// read parses a file and passes its top nodes to walk. Its error names the file and all faults that walk found.
-func read(path string, walk func(r *reader, nodes []*kdl.Node)) error {
+// read parses a file and passes its top nodes to readNodes. Its error names the file and wraps the kdl.Faults.
+func read(path string, readNodes func(r *reader, nodes []*kdl.Node)) error {
 	text, err := os.ReadFile(path)
 	if err != nil {
 		return err
@@ -33,7 +37,7 @@
 	r := &reader{folder: filepath.Dir(path)}
 	nodes, err := kdl.Parse(string(text))
 	if err == nil {
-		walk(r, nodes)
+		readNodes(r, nodes)
 		err = r.faults.Err()
 	}
 	if err != nil {
@@ -61,7 +65,7 @@
 	return found
 }
 
-// readChildren passes every child of parent to its reader. A name in many may occur more than once, a name in once may not.
+// readChildren passes every child of parent to its reader. A key of many may occur more than once, a key of once may not.
 func (r *reader) readChildren(parent *kdl.Node, once, many nodeReaders) {
 	firstLine := map[string]int{}
 	for _, n := range parent.Children {
@@ -88,11 +92,7 @@
 		r.faults.Add(n.Line, "%q takes %d values, not %d", n.Name, arguments, len(n.Arguments))
 	}
 	for name, v := range n.Properties {
-		known := false
-		for _, property := range properties {
-			known = known || property == name
-		}
-		if !known {
+		if !slices.Contains(properties, name) {
 			r.faults.Add(v.Line, "%q has no property %q", n.Name, name)
 		}
 	}
@@ -174,17 +174,19 @@
 		return ""
 	}
 	host, port, err := net.SplitHostPort(text)
-	if number, bad := strconv.Atoi(port); err != nil || bad != nil || host == "" || number < 0 || number > 65535 {
+	number, portErr := strconv.Atoi(port)
+	if err != nil || portErr != nil || host == "" || number < 0 || number > maxPort {
 		r.faults.Add(v.Line, "%q takes an address of host and port, not %q", n.Name, text)
 		return ""
 	}
 	return text
 }
 
-// onlyAddress reads the only argument of a node as an address into the given place, if there is one.
-func (r *reader) onlyAddress(n *kdl.Node, into *string, properties ...string) {
-	if r.checkShape(n, 1, properties...); len(n.Arguments) == 1 {
-		*into = r.addressValue(n, n.Arguments[0])
+// onlyAddress sets address to the only argument of a node, if there is one.
+func (r *reader) onlyAddress(n *kdl.Node, address *string, properties ...string) {
+	r.checkShape(n, 1, properties...)
+	if len(n.Arguments) == 1 {
+		*address = r.addressValue(n, n.Arguments[0])
 	}
 }
 
@@ -201,18 +203,18 @@
 	return filepath.Join(r.folder, path)
 }
 
-// readCertificateFiles reads the files of certificate, key and roots.
-func (r *reader) readCertificateFiles(n *kdl.Node, into *certs.Files) {
+// readCertificateFiles reads the paths of certificate, private key and roots.
+func (r *reader) readCertificateFiles(n *kdl.Node, files *certs.Files) {
 	r.checkShape(n, 0, "certificate", "key", "roots")
 	for _, property := range []struct {
 		name string
-		into *string
-	}{{"certificate", &into.Certificate}, {"key", &into.Key}, {"roots", &into.Roots}} {
+		path *string
+	}{{"certificate", &files.Certificate}, {"key", &files.Key}, {"roots", &files.Roots}} {
 		v, present := n.Properties[property.name]
 		if !present {
 			r.faults.Add(n.Line, "%q lacks %q", n.Name, property.name)
 			continue
 		}
-		*property.into = r.resolvePath(r.stringValue(n, v))
+		*property.path = r.resolvePath(r.stringValue(n, v))
 	}
 }
--- a/config/route.go
+++ b/config/route.go
@@ -8,20 +8,27 @@
 	"harehook.dev/harehook/xds"
 )
 
-const maxRouteMilliseconds = 600000 // of a route's times
+const (
+	maxRouteMilliseconds    = 600000 // of a route's times
+	minPriorityWeight       = 0.001
+	maxPriorityWeight       = 1e6
+	defaultObjectiveSeconds = 1.0
+)
 
 // routeReaders are functions that read a child node of a route, by the child's name.
 type routeReaders map[string]func(n *kdl.Node, route *xds.Route)
 
-// readControllerRoute reads a route of a conductor's configuration.
+// readControllerRoute reads a route of a controller's configuration.
 func (r *reader) readControllerRoute(n *kdl.Node, c *Controller) {
-	settings := planner.Route{LatencyObjective: 1, PriorityWeight: 1}
+	settings := planner.Route{LatencyObjective: defaultObjectiveSeconds, PriorityWeight: 1}
 	route := r.readRoute(n, c.Routes, routeReaders{
 		"slo-ms": func(n *kdl.Node, _ *xds.Route) {
 			settings.LatencyObjective = r.onlyMilliseconds(n, 1, maxRouteMilliseconds).Seconds()
 		},
-		"importance": func(n *kdl.Node, _ *xds.Route) { settings.PriorityWeight = r.onlyNumber(n, 0.001, 1e6) },
-		"home-only":  func(n *kdl.Node, _ *xds.Route) { settings.LocalZoneOnly = r.flag(n) },
+		"importance": func(n *kdl.Node, _ *xds.Route) {
+			settings.PriorityWeight = r.onlyNumber(n, minPriorityWeight, maxPriorityWeight)
+		},
+		"home-only": func(n *kdl.Node, _ *xds.Route) { settings.LocalZoneOnly = r.flag(n) },
 	})
 	if route.TimeLimit > 0 && route.TimeLimit.Seconds() < settings.LatencyObjective {
 		r.faults.Add(n.Line, "route %q has a time limit under its SLO time", route.Name)
@@ -32,11 +39,11 @@
 }
 
 // readRoute reads a route that follows others. The extra readers are for what not every configuration's routes have.
-// What follows the last route that a table may have is refused and not read.
+// A route too many is a fault and not read.
 func (r *reader) readRoute(n *kdl.Node, before []xds.Route, extra routeReaders) xds.Route {
 	route := xds.Route{Name: r.onlyString(n)}
 	if len(before) >= xds.MaxRoutes {
-		if len(before) == xds.MaxRoutes { // one reason is enough
+		if len(before) == xds.MaxRoutes { // one fault is enough
 			r.faults.Add(n.Line, "route %q is one too many: a sidecar takes %d at most", route.Name, xds.MaxRoutes)
 		}
 		return route
@@ -54,7 +61,7 @@
 	return route
 }
 
-// checkRoute adds a fault for what a route lacks and for what an earlier route leaves it without: a prefix that an
+// checkRoute adds a fault for what a route lacks, and for a name or prefix that an earlier route has: a prefix that an
 // earlier one covers is never reached.
 func (r *reader) checkRoute(n *kdl.Node, route xds.Route, before []xds.Route) {
 	if !strings.HasPrefix(route.Prefix, "/") {
@@ -63,11 +70,11 @@
 	if route.TimeLimit == 0 {
 		r.faults.Add(n.Line, "route %q has no time limit (limit-ms)", route.Name)
 	}
-	for _, b := range before {
-		if b.Name == route.Name {
+	for _, earlier := range before {
+		if earlier.Name == route.Name {
 			r.faults.Add(n.Line, "route %q is there twice", route.Name)
-		} else if b.Prefix != "" && strings.HasPrefix(route.Prefix, b.Prefix) {
-			r.faults.Add(n.Line, "route %q is never reached: %q takes all of %q before it", route.Name, b.Name, route.Prefix)
+		} else if earlier.Prefix != "" && strings.HasPrefix(route.Prefix, earlier.Prefix) {
+			r.faults.Add(n.Line, "route %q is never reached: %q takes all of %q before it", route.Name, earlier.Name, route.Prefix)
 		}
 	}
 }
--- a/config/sidecar.go
+++ b/config/sidecar.go
@@ -8,27 +8,32 @@
 )
 
 const (
-	defaultMaxConnections = 256 // connections at once
+	defaultMaxConnections = 256
 	maxConnections        = 65000
 )
 
 // Sidecar is the configuration of one sidecar.
 type Sidecar struct {
-	Name, Zone, Listen string
-	Controllers        []string
-	Delta              bool
-	StorePath          string // the file of held versions, empty: none
+	Name, Zone, Listen string   // Listen: address for applications
+	Controllers        []string // addresses, in the order in which they are tried
+	Delta              bool     // delta xDS, else state of the world
+	StorePath          string   // of the file with the accepted versions, empty: none
 	MutatingRoutes     map[string]bool
-	MaxConnections     int // connections at once
-	ConnectTimeout     time.Duration
+	MaxConnections     int           // of applications, at once
+	ConnectTimeout     time.Duration // to a node
 	Certificates       certs.Files
 }
 
-// ReadSidecar reads a sidecar's configuration.
+// ReadSidecar reads a sidecar's configuration. The error is the file's, or has the faults with their lines.
 func ReadSidecar(path string) (*Sidecar, error) {
-	s := &Sidecar{Delta: true, MutatingRoutes: map[string]bool{}, MaxConnections: defaultMaxConnections, ConnectTimeout: defaultConnectTimeout}
+	s := &Sidecar{
+		Delta:          true,
+		MutatingRoutes: map[string]bool{},
+		MaxConnections: defaultMaxConnections,
+		ConnectTimeout: defaultConnectTimeout,
+	}
 	err := read(path, func(r *reader, nodes []*kdl.Node) {
-		if top := r.topNode(nodes, "sidecar"); top != nil {
+		if top := r.topNode(nodes, sidecarNode); top != nil {
 			r.readSidecar(top, s)
 		}
 	})
@@ -57,7 +62,7 @@
 	)
 }
 
-// readVariant reads which variant of xDS a sidecar speaks.
+// readVariant reads the variant of xDS that a sidecar uses.
 func (r *reader) readVariant(n *kdl.Node, s *Sidecar) {
 	switch v := r.onlyString(n); v {
 	case "delta", "state":
@@ -67,7 +72,7 @@
 	}
 }
 
-// readControllerAddress reads the address of a conductor that a sidecar may join.
+// readControllerAddress reads the address of a controller that a sidecar may connect to.
 func (r *reader) readControllerAddress(n *kdl.Node, s *Sidecar) {
 	r.checkShape(n, 1)
 	if len(n.Arguments) == 1 {
