--- a/xds/random_faults_test.go
+++ b/xds/random_faults_test.go
@@ -60,7 +60,7 @@
 		h := &simulatedSidecar{number: k, sent: map[string]bool{}, rejected: map[string]bool{}}
 		h.ResourceCache = &sidecar.ResourceCache{ID: fmt.Sprint("till-", k), Zone: "north", Delta: k%2 == 0}
 		// Each sidecar turns down some contents, always the same ones.
-		h.ExtraCheck = func(kind xds.ResourceType, name string, body *anypb.Any) error {
+		h.ExtraCheck = func(_ xds.ResourceType, _ string, body *anypb.Any) error {
 			sum := fnv.New32a()
 			sum.Write(body.GetValue())
 			fmt.Fprint(sum, h.number)
@@ -144,14 +144,14 @@
 	}
 }
 
-func (w *faultyNetwork) CloseStream(id uint64, why string) {
+func (w *faultyNetwork) CloseStream(id uint64, _ string) {
 	if s := w.streams[id]; s != nil {
 		s.closed = true
 		delete(w.streams, id)
 	}
 }
 
-func (w *faultyNetwork) Joined(proxy int, zone string) {
+func (w *faultyNetwork) Joined(proxy int, _ string) {
 	w.joined[proxy] = true
 }
 func (w *faultyNetwork) Left(proxy int) {
--- a/xds/resource.go
+++ b/xds/resource.go
@@ -1,26 +1,22 @@
-// Package xds holds machines that speak the aggregated discovery service, in its state of the world and its delta
-// variant, without any I/O: they are fed messages and times and give messages. A Compiler turns what the module
-// orders into resources, a Stream knows what one sidecar asked for, was sent, accepted and refused, and a Server
-// holds the streams and the sidecars behind them.
 package xds
 
 import (
 	"crypto/sha256"
 	"encoding/hex"
 	"fmt"
-	"io"
+	"hash"
 	"maps"
 	"slices"
 
-	corev3 "github.com/envoyproxy/go-control-plane/envoy/config/core/v3"
 	"google.golang.org/protobuf/proto"
 	"google.golang.org/protobuf/types/known/anypb"
 )
 
-// ResourceType is a type of resource. The order is that in which a new thing is made before an old one is broken.
+// ResourceType is a type of xDS resource. The order of the values is that in which they are sent: what is referred to comes
+// before what refers to it.
 type ResourceType uint8
 
-// The kinds.
+// The resource types.
 const (
 	Clusters ResourceType = iota
 	Endpoints
@@ -38,118 +34,92 @@
 	typePrefix + "route.v3.RouteConfiguration",
 }
 
-// TypeURL is the kind's name on the wire.
-func (k ResourceType) TypeURL() string { return typeURLs[k] }
+// TypeURL is the type's name on the wire.
+func (t ResourceType) TypeURL() string { return typeURLs[t] }
 
-// String names the kind as operators know it.
-func (k ResourceType) String() string {
-	return [...]string{"cluster", "endpoints", "listener", "routes", "none"}[k]
+// String is the type's name for operators.
+func (t ResourceType) String() string {
+	return [...]string{"cluster", "endpoints", "listener", "routes", "none"}[t]
 }
 
-// ParseTypeURL finds a kind by its name on the wire.
-func ParseTypeURL(url string) (ResourceType, bool) {
-	at := slices.Index(typeURLs[:], url)
-	return ResourceType(max(at, 0)), at >= 0
+// ParseTypeURL returns the type with a name on the wire; known is false if there is none.
+func ParseTypeURL(url string) (t ResourceType, known bool) {
+	index := slices.Index(typeURLs[:], url)
+	return ResourceType(max(index, 0)), index >= 0
 }
 
-// Resource is one thing that sidecars hold. Its version is that of its content: the same version means the same
-// content on every conductor and after every restart, and other content never has it.
+// isFullyListed tells whether a state-of-the-world response lists all resources of the type, so that one that is not listed
+// is removed. Sidecars drop resources of the other types by themselves once nothing refers to them.
+func (t ResourceType) isFullyListed() bool { return t == Clusters || t == Listeners }
+
+// Resource is a versioned xDS resource. The version is the hash of the content: the same version means the same content on
+// every controller and after every restart, and other content never has it.
 type Resource struct {
 	Type     ResourceType
 	Name     string
 	Version  string
-	Body     *anypb.Any
-	Clusters []string // clusters that routes send to
+	Body     *anypb.Any // nil: only the version is known
+	Clusters []string   // that routes refer to
 }
 
-const versionBytes = 10 // of a hash: 80 bits, so that versions of other content differ
+// versionBytes of a hash make a version: 80 bits, so that versions of other content differ.
+const versionBytes = 10
 
-// NewResource makes a resource of a message.
-func NewResource(kind ResourceType, name string, m proto.Message, uses ...string) (*Resource, error) {
-	body, err := proto.MarshalOptions{Deterministic: true}.Marshal(m)
+// NewResource returns the resource of a message. The error is the encoder's, with the type and name.
+func NewResource(t ResourceType, name string, message proto.Message, clusters ...string) (*Resource, error) {
+	body, err := proto.MarshalOptions{Deterministic: true}.Marshal(message)
 	if err != nil {
-		return nil, fmt.Errorf("%s %s: %w", kind, name, err)
+		return nil, fmt.Errorf("%s %s: %w", t, name, err)
 	}
-	return &Resource{Type: kind, Name: name, Version: VersionOf(kind, name, body), Clusters: uses,
-		Body: &anypb.Any{TypeUrl: kind.TypeURL(), Value: body}}, nil
+	return &Resource{
+		Type:     t,
+		Name:     name,
+		Version:  VersionOf(t, name, body),
+		Clusters: clusters,
+		Body:     &anypb.Any{TypeUrl: t.TypeURL(), Value: body},
+	}, nil
 }
 
-// VersionOf is the version of a content.
-func VersionOf(kind ResourceType, name string, body []byte) string {
-	h := sha256.New()
-	fmt.Fprintf(h, "%d\x00%s\x00", kind, name)
-	h.Write(body)
-	return digest(h)
+// VersionOf returns the version of a content.
+func VersionOf(t ResourceType, name string, body []byte) string {
+	sum := sha256.New()
+	fmt.Fprintf(sum, "%d\x00%s\x00", t, name)
+	sum.Write(body)
+	return versionText(sum)
 }
 
-func digest(h interface{ Sum([]byte) []byte }) string {
-	return hex.EncodeToString(h.Sum(nil)[:versionBytes])
-}
+func versionText(sum hash.Hash) string { return hex.EncodeToString(sum.Sum(nil)[:versionBytes]) }
 
-// ResourceSet is resources of one kind by name.
+// ResourceSet has resources of one type by name.
 type ResourceSet map[string]*Resource
 
-// Version is that of a set as a whole.
+// Version returns the version of the set, a hash of its names and versions.
 func (s ResourceSet) Version() string {
-	h := sha256.New()
+	sum := sha256.New()
 	for _, name := range sortedKeys(s) {
-		io.WriteString(h, name+"\x00"+s[name].Version+"\x00")
+		fmt.Fprint(sum, name+"\x00"+s[name].Version+"\x00")
 	}
-	return digest(h)
+	return versionText(sum)
 }
 
-// Equal tells whether two sets hold the same versions of the same names.
+// Equal tells whether two sets have the same versions of the same names.
 func (s ResourceSet) Equal(other ResourceSet) bool {
 	if len(s) != len(other) {
 		return false
 	}
-	for name, r := range s {
-		if o := other[name]; o == nil || o.Version != r.Version {
+	for name, resource := range s {
+		counterpart := other[name]
+		if counterpart == nil || counterpart.Version != resource.Version {
 			return false
 		}
 	}
 	return true
 }
 
-func sortedKeys[V any](m map[string]V) []string { return slices.Sorted(maps.Keys(m)) }
-
-// Snapshot is all that the sidecars of one table are to hold. It is never changed once it is made.
-type Snapshot struct {
-	Sets     [NumResourceTypes]ResourceSet
-	sequence [NumResourceTypes]uint64 // counts the changes of each kind, on this conductor only
-}
-
-// next is the snapshot that follows one: the same if nothing changed.
-func (s *Snapshot) next(sets [NumResourceTypes]ResourceSet) *Snapshot {
-	after, changed := &Snapshot{Sets: sets}, s == nil
-	for k := range sets {
-		if s != nil {
-			after.sequence[k] = s.sequence[k]
-		}
-		if s == nil || !sets[k].Equal(s.Sets[k]) {
-			after.sequence[k]++
-			changed = true
-		}
-	}
-	if !changed {
-		return s
-	}
-	return after
-}
-
-// Address is where a node takes calls.
-type Address struct {
-	Host string
-	Port uint32
+// has tells whether the set has a resource at its version.
+func (s ResourceSet) has(resource *Resource) bool {
+	own := s[resource.Name]
+	return own != nil && own.Version == resource.Version
 }
 
-// Message is the address on the wire.
-func (a Address) Message() *corev3.Address {
-	return &corev3.Address{Address: &corev3.Address_SocketAddress{SocketAddress: &corev3.SocketAddress{
-		Address: a.Host, PortSpecifier: &corev3.SocketAddress_PortValue{PortValue: a.Port}}}}
-}
-
-// AddressOf reads an address of the wire.
-func AddressOf(m *corev3.Address) Address {
-	return Address{m.GetSocketAddress().GetAddress(), m.GetSocketAddress().GetPortValue()}
-}
+func sortedKeys[V any](m map[string]V) []string { return slices.Sorted(maps.Keys(m)) }
--- /dev/null
+++ b/xds/server_commands.go
@@ -0,0 +1,139 @@
+package xds
+
+import (
+	"maps"
+	"slices"
+
+	"harehook.dev/harehook/controller"
+)
+
+// noNonce says that no acknowledgement is requested.
+const noNonce = -1
+
+// ApplyCommands applies the commands of one iteration of the controller's event loop: tables change, sidecars are bound, and
+// all that this concerns are sent what is due. The error is that of [Compiler.Snapshot].
+func (s *Server) ApplyCommands(now float64, batch []controller.Command) error {
+	nonce := noNonce
+	concerned := map[int]bool{}
+	rebound := map[int]bool{} // bound to another table than before
+	for _, command := range batch {
+		switch command.Kind {
+		case controller.RequestAck:
+			nonce = command.Nonce
+		case controller.BindProxy:
+			c := s.connectedSidecar(command.Proxy)
+			if c == nil {
+				continue
+			}
+			rebound[command.Proxy] = !c.bound || c.table != command.Table
+			c.table = command.Table
+			c.bound = true
+			concerned[command.Proxy] = true
+		}
+	}
+	touched := s.Compiler.ApplyCommands(batch)
+	for _, c := range s.sidecars {
+		if c.stream != nil && c.bound && touched[c.table] {
+			concerned[c.number] = true
+		}
+	}
+	return s.setTargets(now, nonce, concerned, rebound)
+}
+
+// SetAgreedRoutes sends the routes of an agreed version to all sidecars. The error is that of [Compiler.Snapshot].
+func (s *Server) SetAgreedRoutes(now float64, version uint64, routes []Route) error {
+	s.Compiler.SetAgreedRoutes(version, routes)
+	concerned := map[int]bool{}
+	for _, c := range s.sidecars {
+		if c.stream != nil && c.bound {
+			concerned[c.number] = true
+		}
+	}
+	return s.setTargets(now, noNonce, concerned, nil)
+}
+
+// setTargets sets the target of concerned sidecars to their tables' snapshots and sends what is due. A nonce waits until
+// they have accepted it.
+func (s *Server) setTargets(now float64, nonce int, concerned, rebound map[int]bool) error {
+	snapshots := map[int]*Snapshot{} // by table: made once, however many sidecars are bound to it
+	for _, proxy := range slices.Sorted(maps.Keys(concerned)) {
+		c := s.sidecars[proxy]
+		target := snapshots[c.table]
+		if target == nil {
+			var err error
+			target, err = s.Compiler.Snapshot(c.table)
+			if err != nil {
+				return err
+			}
+			snapshots[c.table] = target
+		}
+		c.setTarget(target, nonce, rebound[proxy])
+		s.sendDue(now, c)
+	}
+	return nil
+}
+
+// setTarget sets what a sidecar is to have, and the nonce that waits for it.
+func (c *sidecar) setTarget(target *Snapshot, nonce int, rebound bool) {
+	c.stream.SetTarget(target, rebound)
+	if rebound {
+		// A sidecar that has all of the new table needs nothing of the old one.
+		for index := range c.pendingAcks {
+			c.pendingAcks[index].sequence = target.sequence
+		}
+	}
+	if nonce == noNonce {
+		return
+	}
+	c.pendingAcks = append(c.pendingAcks, pendingAck{nonce: nonce, sequence: target.sequence})
+	if len(c.pendingAcks) > maxPendingAcks {
+		c.pendingAcks = slices.Delete(c.pendingAcks, 0, 1) // the next one stands for it
+	}
+}
+
+// sendDue sends what is due to a sidecar and acknowledges the nonces whose resources it has accepted. A rejection
+// acknowledges nothing.
+func (s *Server) sendDue(now float64, c *sidecar) {
+	state, delta := c.stream.Next(now)
+	for _, response := range state {
+		s.sink.Send(c.stream.ID, response)
+	}
+	for _, response := range delta {
+		s.sink.SendDelta(c.stream.ID, response)
+	}
+	acknowledged := c.lastAcknowledged()
+	if acknowledged < 0 {
+		return
+	}
+	s.sink.Acknowledged(c.number, c.pendingAcks[acknowledged].nonce)
+	c.pendingAcks = slices.Delete(c.pendingAcks, 0, acknowledged+1)
+}
+
+// lastAcknowledged returns the index of the last pending nonce whose resources the sidecar has accepted, or -1. It stands
+// for all before it.
+func (c *sidecar) lastAcknowledged() int {
+	last := -1
+	for index, pending := range c.pendingAcks {
+		if c.hasAccepted(pending.sequence) {
+			last = index
+		}
+	}
+	return last
+}
+
+func (c *sidecar) hasAccepted(sequence [NumResourceTypes]uint64) bool {
+	for t := range NumResourceTypes {
+		if !c.stream.Holds(t, sequence[t]) {
+			return false
+		}
+	}
+	return true
+}
+
+// connectedSidecar returns the sidecar with a number, nil if there is none or it is not connected.
+func (s *Server) connectedSidecar(proxy int) *sidecar {
+	if proxy < 0 || proxy >= len(s.sidecars) || s.sidecars[proxy].stream == nil {
+		return nil
+	}
+	return s.sidecars[proxy]
+}
--- /dev/null
+++ b/xds/server_status.go
@@ -0,0 +1,43 @@
+package xds
+
+// SidecarStatus is the state of one sidecar, for operators.
+type SidecarStatus struct {
+	ID, Zone                  string
+	Number, Table             int // Table: if Bound
+	Bound, Connected, Delta   bool
+	DisconnectedSeconds       float64 // since the end of its last stream
+	Stale, Rejected, Accepted uint64  // answers on its stream: to no pending response, NACKs, ACKs
+	Unacknowledged            int     // nonces of the planner
+	Resources                 []ResourceStatus
+}
+
+// Sidecars lists all sidecars that are known, by id.
+func (s *Server) Sidecars(now float64) (all []SidecarStatus) {
+	for _, id := range sortedKeys(s.numbers) {
+		all = append(all, s.sidecars[s.numbers[id]].status(now))
+	}
+	return all
+}
+
+func (c *sidecar) status(now float64) SidecarStatus {
+	status := SidecarStatus{
+		ID:             c.id,
+		Zone:           c.zone,
+		Number:         c.number,
+		Table:          c.table,
+		Bound:          c.bound,
+		Connected:      c.stream != nil,
+		Unacknowledged: len(c.pendingAcks),
+		Resources:      c.lastResources,
+	}
+	if c.stream == nil {
+		status.DisconnectedSeconds = now - c.disconnectedAt
+		return status
+	}
+	status.Delta = c.stream.Delta
+	status.Stale = c.stream.Stale
+	status.Rejected = c.stream.Rejected
+	status.Accepted = c.stream.Accepted
+	status.Resources = c.stream.Resources(now)
+	return status
+}
