--- a/xds/transport/cancellation_test.go
+++ b/xds/transport/cancellation_test.go
@@ -6,35 +6,48 @@
 	"testing"
 )
 
-// A stream ends in the instant in which its first request has been read and not yet been taken in: it is none. Its
-// sidecar would count as joined for good, and what is ordered for it would wait.
+// heldConn is a stream whose first request was received and is passed on only when it is released.
+type heldConn struct {
+	release  chan struct{}
+	taken    chan struct{} // closed when the first request was taken and the second is awaited
+	requests int
+}
+
+func (c *heldConn) receive() (streamRequest, error) {
+	c.requests++
+	if c.requests > 1 {
+		close(c.taken)
+		return streamRequest{}, errors.New("the stream has ended")
+	}
+	<-c.release
+	node := streamNode{id: "till-1", zone: "north"}
+	return streamRequest{node: node, handle: func(uint64) error { return nil }}, nil
+}
+
+func (c *heldConn) send(any) error { return nil }
+
+// A stream ended in the instant in which its first request had been received and not yet been handled: it was opened after
+// its end, and its sidecar counted as connected for good, with commands for it waiting. A stream that has ended must not be
+// opened.
 func TestStreamCancelledBeforeItsFirstRequest(t *testing.T) {
-	f, _ := serve(t, 4)
+	server, _ := serve(t, 4)
 	ctx, cancel := context.WithCancel(t.Context())
-	read, taken := make(chan struct{}), make(chan struct{})
+	conn := &heldConn{release: make(chan struct{}), taken: make(chan struct{})}
 	ended := make(chan struct{})
-	requests := 0
 	go func() {
 		defer close(ended)
-		f.serveStream(ctx, false, func() (streamNode, func(uint64) error, error) {
-			if requests++; requests > 1 {
-				close(taken)
-				return streamNode{}, nil, errors.New("the stream has ended")
-			}
-			<-read // it was read before the end, and is handed on after it
-			return streamNode{"till-1", "north"}, func(uint64) error { return nil }, nil
-		}, func(any) error { return nil })
+		server.serveStream(ctx, false, conn)
 	}()
 	cancel()
 	<-ended
-	close(read)
-	<-taken
-	if n := connectedSidecars(f); n != 0 {
-		t.Errorf("%d sidecars count as joined by a stream that has ended", n)
+	close(conn.release)
+	<-conn.taken
+	if connected := connectedSidecars(server); connected != 0 {
+		t.Errorf("%d sidecars count as connected by a stream that has ended", connected)
 	}
-	f.call(func() {
-		if n := len(f.streams); n != 0 {
-			t.Errorf("%d streams stand", n)
+	server.call(func() {
+		if open := len(server.streams); open != 0 {
+			t.Errorf("%d streams are open", open)
 		}
 	})
 }
--- a/xds/transport/server_test.go
+++ b/xds/transport/server_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"context"
+	"errors"
 	"fmt"
 	"io"
 	"strings"
@@ -251,7 +252,7 @@
 	report(-time.Second, line(1000, 10, 2))
 	waitFor(t, "spans that can't be are counted", func() bool { return f.MalformedRequests.Load() == 3 })
 	s.CloseSend()
-	if _, err := s.Recv(); err != io.EOF {
+	if _, err := s.Recv(); !errors.Is(err, io.EOF) {
 		t.Errorf("after its end: %v", err)
 	}
 }
--- a/xds/transport/status.go
+++ b/xds/transport/status.go
@@ -10,102 +10,147 @@
 	statusv3 "github.com/envoyproxy/go-control-plane/envoy/service/status/v3"
 	"google.golang.org/grpc/codes"
 	"google.golang.org/grpc/status"
-	"google.golang.org/protobuf/types/known/durationpb"
 	"google.golang.org/protobuf/types/known/structpb"
 	"google.golang.org/protobuf/types/known/timestamppb"
 
 	"harehook.dev/harehook/xds"
 )
 
-func duration(d time.Duration) *durationpb.Duration { return durationpb.New(d) }
+// Keys of a node's metadata in the status service's responses.
+const (
+	StatusJoined              = "joined"
+	StatusTable               = "table"
+	StatusDisconnectedSeconds = "away_s"
+	StatusVariant             = "variant"
+	StatusStaleAnswers        = "stale_answers"
+	StatusRejected            = "refused"
+	StatusAccepted            = "accepted"
+	StatusUnconfirmed         = "unconfirmed"
+)
 
-// statusService answers operators: what each sidecar holds, is to hold and refused, by the client status discovery service.
+// Values of StatusVariant.
+const (
+	variantDelta           = "delta"
+	variantStateOfTheWorld = "state"
+)
+
+// statusService implements client status discovery: it tells operators what each sidecar has accepted, is to have and has
+// rejected.
 type statusService struct {
 	statusv3.UnimplementedClientStatusDiscoveryServiceServer
-	f *Server
+	server *Server
 }
 
+// FetchClientStatus answers one request.
 func (c statusService) FetchClientStatus(_ context.Context, r *statusv3.ClientStatusRequest) (*statusv3.ClientStatusResponse, error) {
 	return c.response(r)
 }
 
-func (c statusService) StreamClientStatus(wire statusv3.ClientStatusDiscoveryService_StreamClientStatusServer) error {
+// StreamClientStatus answers requests until the client ends the stream.
+func (c statusService) StreamClientStatus(grpcStream statusv3.ClientStatusDiscoveryService_StreamClientStatusServer) error {
 	for {
-		r, err := wire.Recv()
+		r, err := grpcStream.Recv()
 		if err != nil {
 			return err
 		}
-		out, err := c.response(r)
+		response, err := c.response(r)
 		if err != nil {
 			return err
 		}
-		if err := wire.Send(out); err != nil {
+		if err := grpcStream.Send(response); err != nil {
 			return err
 		}
 	}
 }
 
+// response has the sidecars that the request names, all if it names none.
 func (c statusService) response(r *statusv3.ClientStatusRequest) (*statusv3.ClientStatusResponse, error) {
-	out, bare := &statusv3.ClientStatusResponse{}, r.GetExcludeResourceContents()
-	asked := map[string]bool{}
-	for _, m := range r.GetNodeMatchers() {
-		asked[m.GetNodeId().GetExact()] = true
+	response := &statusv3.ClientStatusResponse{}
+	named := map[string]bool{}
+	for _, matcher := range r.GetNodeMatchers() {
+		named[matcher.GetNodeId().GetExact()] = true
 	}
-	if !c.f.call(func() {
-		now := c.f.now()
-		for _, s := range c.f.Streams.Sidecars(now) {
-			if len(asked) == 0 || asked[s.ID] {
-				out.Config = append(out.Config, clientConfig(s, now, bare))
+	answered := c.server.call(func() {
+		now := c.server.now()
+		for _, sidecar := range c.server.Streams.Sidecars(now) {
+			if len(named) == 0 || named[sidecar.ID] {
+				response.Config = append(response.Config, clientConfig(sidecar, now, !r.GetExcludeResourceContents()))
 			}
 		}
-	}) {
+	})
+	if !answered {
 		return nil, status.Error(codes.Unavailable, "the conductor stops")
 	}
-	return out, nil
+	return response, nil
 }
 
-// Keys of a node's metadata in these answers.
-const (
-	StatusJoined              = "joined"
-	StatusTable               = "table"
-	StatusDisconnectedSeconds = "away_s"
-	StatusVariant             = "variant"
-	StatusStaleAnswers        = "stale_answers"
-	StatusRejected            = "refused"
-	StatusAccepted            = "accepted"
-	StatusUnconfirmed         = "unconfirmed"
-)
+func clientConfig(sidecar xds.SidecarStatus, now float64, withContents bool) *statusv3.ClientConfig {
+	node := &corev3.Node{
+		Id:       sidecar.ID,
+		Locality: &corev3.Locality{Zone: sidecar.Zone},
+		Metadata: sidecarMetadata(sidecar),
+	}
+	config := &statusv3.ClientConfig{Node: node}
+	for _, resource := range sidecar.Resources {
+		config.GenericXdsConfigs = append(config.GenericXdsConfigs, resourceConfig(resource, now, withContents))
+	}
+	return config
+}
 
-func clientConfig(s xds.SidecarStatus, now float64, bare bool) *statusv3.ClientConfig {
-	table, variant := "", "state"
-	if s.Bound {
-		table = fmt.Sprint(s.Table)
+func sidecarMetadata(sidecar xds.SidecarStatus) *structpb.Struct {
+	table := ""
+	if sidecar.Bound {
+		table = fmt.Sprint(sidecar.Table)
 	}
-	if s.Delta {
-		variant = "delta"
+	variant := variantStateOfTheWorld
+	if sidecar.Delta {
+		variant = variantDelta
 	}
-	about, _ := structpb.NewStruct(map[string]any{StatusJoined: s.Connected, StatusTable: table, StatusDisconnectedSeconds: s.DisconnectedSeconds,
-		StatusVariant: variant, StatusStaleAnswers: float64(s.Stale), StatusRejected: float64(s.Rejected), StatusAccepted: float64(s.Accepted),
-		StatusUnconfirmed: float64(s.Unacknowledged)})
-	out := &statusv3.ClientConfig{Node: &corev3.Node{Id: s.ID, Locality: &corev3.Locality{Zone: s.Zone}, Metadata: about}}
-	for _, st := range s.Resources {
-		one := &statusv3.ClientConfig_GenericXdsConfig{TypeUrl: st.Type.TypeURL(), Name: st.Name, VersionInfo: st.Accepted}
-		if !bare {
-			one.XdsConfig = st.Body
-		}
-		switch {
-		case st.Rejection != nil:
-			one.ConfigStatus, one.ClientStatus = statusv3.ConfigStatus_ERROR, adminv3.ClientResourceStatus_NACKED
-			one.ErrorState = &adminv3.UpdateFailureState{Details: st.Rejection.Reason, VersionInfo: st.Rejection.Version,
-				LastUpdateAttempt: timestamppb.New(time.Now().Add(-time.Duration((now - st.Rejection.At) * float64(time.Second))))}
-		case st.Accepted == st.Target:
-			one.ConfigStatus, one.ClientStatus = statusv3.ConfigStatus_SYNCED, adminv3.ClientResourceStatus_ACKED
-		case st.PendingSeconds > 0:
-			one.ConfigStatus, one.ClientStatus = statusv3.ConfigStatus_STALE, adminv3.ClientResourceStatus_REQUESTED
-		default:
-			one.ConfigStatus, one.ClientStatus = statusv3.ConfigStatus_NOT_SENT, adminv3.ClientResourceStatus_REQUESTED
-		}
-		out.GenericXdsConfigs = append(out.GenericXdsConfigs, one)
+	metadata, _ := structpb.NewStruct(map[string]any{ // fails for other types of values only
+		StatusJoined:              sidecar.Connected,
+		StatusTable:               table,
+		StatusDisconnectedSeconds: sidecar.DisconnectedSeconds,
+		StatusVariant:             variant,
+		StatusStaleAnswers:        float64(sidecar.Stale),
+		StatusRejected:            float64(sidecar.Rejected),
+		StatusAccepted:            float64(sidecar.Accepted),
+		StatusUnconfirmed:         float64(sidecar.Unacknowledged),
+	})
+	return metadata
+}
+
+func resourceConfig(resource xds.ResourceStatus, now float64, withContents bool) *statusv3.ClientConfig_GenericXdsConfig {
+	config := &statusv3.ClientConfig_GenericXdsConfig{
+		TypeUrl:     resource.Type.TypeURL(),
+		Name:        resource.Name,
+		VersionInfo: resource.Accepted,
+	}
+	if withContents {
+		config.XdsConfig = resource.Body
+	}
+	switch {
+	case resource.Rejection != nil:
+		config.ConfigStatus = statusv3.ConfigStatus_ERROR
+		config.ClientStatus = adminv3.ClientResourceStatus_NACKED
+		config.ErrorState = failureState(*resource.Rejection, now)
+	case resource.Accepted == resource.Target:
+		config.ConfigStatus = statusv3.ConfigStatus_SYNCED
+		config.ClientStatus = adminv3.ClientResourceStatus_ACKED
+	case resource.PendingSeconds > 0:
+		config.ConfigStatus = statusv3.ConfigStatus_STALE
+		config.ClientStatus = adminv3.ClientResourceStatus_REQUESTED
+	default:
+		config.ConfigStatus = statusv3.ConfigStatus_NOT_SENT
+		config.ClientStatus = adminv3.ClientResourceStatus_REQUESTED
+	}
+	return config
+}
+
+func failureState(rejection xds.Rejection, now float64) *adminv3.UpdateFailureState {
+	age := time.Duration((now - rejection.At) * float64(time.Second))
+	return &adminv3.UpdateFailureState{
+		Details:           rejection.Reason,
+		VersionInfo:       rejection.Version,
+		LastUpdateAttempt: timestamppb.New(time.Now().Add(-age)),
 	}
-	return out
 }
