--- /dev/null
+++ b/sidecar/forward.go
@@ -0,0 +1,190 @@
+package sidecar
+
+import (
+	"context"
+	"errors"
+	"fmt"
+	"net"
+	"net/http"
+	"strings"
+	"time"
+
+	"go.uber.org/zap"
+
+	"harehook.dev/harehook/xds"
+)
+
+// hopHeaders are meant for one connection only, as are those that the header Connection names.
+var hopHeaders = []string{"Connection", "Keep-Alive", "Proxy-Connection", "Proxy-Authorization", "Te", "Trailer"}
+
+// handleRequest routes a request and writes its response. It tells whether the client's connection may be used on.
+func (p *Proxy) handleRequest(ctx context.Context, client net.Conn, request *http.Request) (reusable bool) {
+	table := p.Table()
+	entry := table.Route(request.URL.Path, p.randomFraction)
+	switch {
+	case request.Method == http.MethodConnect || request.Header.Get("Upgrade") != "":
+		return respond(client, http.StatusNotImplemented, "", "not carried here\n")
+	case entry == nil:
+		p.Load.Failed.Add(1)
+		return respond(client, http.StatusNotFound, "", "no route\n")
+	case entry.Status != 0:
+		p.Load.Throttled.Add(1)
+		p.Load.addRequest(entry.Name)
+		return respond(client, entry.Status, xds.ThrottledHeader+": "+entry.Name+"\r\n", "throttled\n")
+	}
+	return p.forwardRequest(ctx, client, request, table, entry)
+}
+
+// respond writes a response of the proxy's own and tells whether that succeeded.
+func respond(client net.Conn, status int, header, body string) bool {
+	client.SetWriteDeadline(time.Now().Add(bodyTimeout))
+	_, err := fmt.Fprintf(client, "HTTP/1.1 %d %s\r\n%sContent-Type: text/plain\r\nContent-Length: %d\r\n\r\n%s",
+		status, http.StatusText(status), header, len(body), body)
+	return err == nil
+}
+
+// attempt is a connection to the node that a request is forwarded to.
+type attempt struct {
+	upstream *upstream
+	key      NodeKey
+	began    time.Time
+}
+
+// forwardRequest forwards a request to a node of an entry's cluster and writes its response. It tells whether the client's
+// connection may be used on.
+func (p *Proxy) forwardRequest(ctx context.Context, client net.Conn, request *http.Request, table *RoutingTable, entry *RouteEntry) (reusable bool) {
+	timeLimit := entry.TimeLimit
+	if timeLimit <= 0 {
+		timeLimit = defaultTimeLimit
+	}
+	deadline := time.Now().Add(timeLimit)
+	removeHopHeaders(request.Header)
+	to := p.connect(ctx, table, entry, deadline)
+	if to == nil {
+		p.Load.Failed.Add(1)
+		p.Load.addRequest(entry.Name)
+		return respond(client, http.StatusServiceUnavailable, "", "no node took the call\n")
+	}
+	stop := context.AfterFunc(ctx, func() { to.upstream.Close() })
+	failed, reusable := p.forward(client, request, to, deadline)
+	stop()
+	p.Load.addAttempt(to.key, failed, time.Since(to.began))
+	p.Load.addRequest(entry.Name)
+	if failed {
+		p.Load.Failed.Add(1)
+	} else {
+		p.Load.Completed.Add(1)
+	}
+	return reusable
+}
+
+// connect returns a connection to a node of an entry's cluster, nil if none accepts one. An attempt without a connection
+// never ran, so a retry is safe on every route.
+func (p *Proxy) connect(ctx context.Context, table *RoutingTable, entry *RouteEntry, deadline time.Time) *attempt {
+	var tried []xds.Address
+	for {
+		node, ok := table.Pick(entry.Cluster, tried, p.randomFraction)
+		if !ok {
+			return nil
+		}
+		key := NodeKey{Cluster: entry.Cluster, Zone: node.Zone, Address: node.Address}
+		began := time.Now()
+		connected, err := p.upstreams.connect(ctx, node.Address, deadline)
+		if err == nil {
+			return &attempt{upstream: connected, key: key, began: began}
+		}
+		p.Load.addAttempt(key, true, 0)
+		tried = append(tried, node.Address)
+		if len(tried) > entry.MaxRetries || !time.Now().Before(deadline) {
+			return nil
+		}
+		p.Load.Retried.Add(1)
+	}
+}
+
+// forward sends a request to a node and its response to the client. From its first byte on the request may have run, so it is
+// never sent again. It tells whether the attempt failed, and whether the client's connection may be used on.
+func (p *Proxy) forward(client net.Conn, request *http.Request, to *attempt, deadline time.Time) (failed, reusable bool) {
+	to.upstream.SetDeadline(deadline)
+	if err := writeRequest(to.upstream, request); err != nil {
+		p.failForward(client, to, http.StatusBadGateway, err)
+		return true, false
+	}
+	response, err := readResponse(to.upstream, request)
+	if err != nil {
+		p.failForward(client, to, gatewayStatus(err), err)
+		return true, false
+	}
+	defer closeBody(response)
+	upstreamReusable := !response.Close
+	removeHopHeaders(response.Header)
+	response.Close = request.Close
+	client.SetWriteDeadline(time.Now().Add(max(bodyTimeout, time.Until(deadline))))
+	if err := response.Write(client); err != nil {
+		to.upstream.Close()
+		return true, false
+	}
+	if upstreamReusable {
+		p.upstreams.release(to.upstream)
+	} else {
+		to.upstream.Close()
+	}
+	return response.StatusCode >= http.StatusInternalServerError, true
+}
+
+// writeRequest sends a request to a node.
+func writeRequest(to *upstream, request *http.Request) error {
+	request.URL.Scheme = ""
+	request.URL.Host = ""
+	// Whether the client's connection is closed concerns the client and the proxy only. A node that was told of it closed a
+	// connection that was pooled here, and the next request on that was lost.
+	clientCloses := request.Close
+	request.Close = false
+	defer func() { request.Close = clientCloses }()
+	return request.Write(to)
+}
+
+// readResponse reads a node's response; interim responses are skipped.
+func readResponse(from *upstream, request *http.Request) (*http.Response, error) {
+	for {
+		response, err := http.ReadResponse(from.reader, request)
+		if err != nil {
+			return nil, err
+		}
+		interim := response.StatusCode >= http.StatusContinue && response.StatusCode < http.StatusOK
+		if !interim {
+			return response, nil
+		}
+	}
+}
+
+// gatewayStatus returns the status for a response that could not be read.
+func gatewayStatus(err error) int {
+	var netErr net.Error
+	if errors.As(err, &netErr) && netErr.Timeout() {
+		return http.StatusGatewayTimeout
+	}
+	return http.StatusBadGateway
+}
+
+// failForward gives up the connection to a node that gave no response, and tells the client, which may have gone as well.
+func (p *Proxy) failForward(client net.Conn, to *attempt, status int, err error) {
+	to.upstream.Close()
+	p.Log.Warn("no response from node", zap.String("node", to.key.Address.Host),
+		zap.Uint32("port", to.key.Address.Port), zap.Error(err))
+	client.SetWriteDeadline(time.Now().Add(bodyTimeout))
+	fmt.Fprintf(client, "HTTP/1.1 %d %s\r\nConnection: close\r\nContent-Length: 0\r\n\r\n", status, http.StatusText(status))
+}
+
+// closeBody closes a response's body. An error has shown when the body was copied.
+func closeBody(response *http.Response) { _ = response.Body.Close() }
+
+// removeHopHeaders removes the headers that are meant for one connection only.
+func removeHopHeaders(header http.Header) {
+	for _, name := range strings.Split(header.Get("Connection"), ",") {
+		header.Del(strings.TrimSpace(name))
+	}
+	for _, name := range hopHeaders {
+		header.Del(name)
+	}
+}
--- a/sidecar/proxy_test.go
+++ b/sidecar/proxy_test.go
@@ -109,13 +109,13 @@
 	if got := exchange(t, address, "what\r\n\r\n"); !strings.HasPrefix(got, "HTTP/1.1 400") {
 		t.Errorf("no request: %s", got)
 	}
-	nodes, routes, _ := p.Load.Take(time.Now())
-	ended := 0
-	for _, sum := range nodes {
-		ended += sum.Completed
+	report := p.Load.Take(time.Now())
+	attempts := 0
+	for _, node := range report.Nodes {
+		attempts += node.Completed
 	}
-	if ended != 4 || routes["q"] != 4 || routes["shut"] != 1 {
-		t.Errorf("%d tries, routes %v", ended, routes)
+	if attempts != 4 || report.Routes["q"] != 4 || report.Routes["shut"] != 1 {
+		t.Errorf("%d attempts, routes %v", attempts, report.Routes)
 	}
 }
 
--- /dev/null
+++ b/sidecar/responses.go
@@ -0,0 +1,126 @@
+package sidecar
+
+import (
+	"fmt"
+	"slices"
+
+	discoveryv3 "github.com/envoyproxy/go-control-plane/envoy/service/discovery/v3"
+	"google.golang.org/protobuf/types/known/anypb"
+
+	"harehook.dev/harehook/xds"
+)
+
+// UnexpectedTypeError says that a response is of a type that was not subscribed to.
+type UnexpectedTypeError struct{ TypeURL string }
+
+// Error implements error.
+func (e *UnexpectedTypeError) Error() string {
+	return fmt.Sprintf("a response of type %q, which was not asked for", e.TypeURL)
+}
+
+// HandleStateOfTheWorld accepts or rejects a response. It returns the ACK or NACK, then the requests for what the accepted
+// resources refer to. After an [UnexpectedTypeError] the stream has to be ended.
+func (c *ResourceCache) HandleStateOfTheWorld(r *discoveryv3.DiscoveryResponse) (requests []*discoveryv3.DiscoveryRequest, err error) {
+	t, known := xds.ParseTypeURL(r.GetTypeUrl())
+	if !known {
+		return nil, &UnexpectedTypeError{TypeURL: r.GetTypeUrl()}
+	}
+	answer := &discoveryv3.DiscoveryRequest{TypeUrl: t.TypeURL(), ResponseNonce: r.GetNonce()}
+	received, fault := c.parseResources(t, r.GetResources(), nil)
+	if fault == nil {
+		c.accept(t, c.nextStateOfTheWorld(t, received))
+		c.setVersions[t] = r.GetVersionInfo()
+	} else {
+		answer.ErrorDetail = nackDetail(fault)
+	}
+	c.nonces[t] = r.GetNonce()
+	c.subscribed[t] = c.wantedNames(t)
+	answer.VersionInfo = c.setVersions[t]
+	answer.ResourceNames = c.subscribed[t]
+	requests = append(requests, answer)
+	for other := range xds.NumResourceTypes {
+		names := c.wantedNames(other)
+		if other == t || !c.canSubscribe(other) || slices.Equal(names, c.subscribed[other]) {
+			continue
+		}
+		c.subscribed[other] = names
+		requests = append(requests, &discoveryv3.DiscoveryRequest{
+			TypeUrl:       other.TypeURL(),
+			VersionInfo:   c.setVersions[other],
+			ResponseNonce: c.nonces[other],
+			ResourceNames: names,
+		})
+	}
+	return requests, nil
+}
+
+// nextStateOfTheWorld returns what is accepted after a response: a response lists all clusters and listeners, but only the
+// endpoints and routes that changed.
+func (c *ResourceCache) nextStateOfTheWorld(t xds.ResourceType, received map[string]CachedResource) map[string]CachedResource {
+	if t == xds.Endpoints || t == xds.Routes {
+		return c.merge(t, received)
+	}
+	return received
+}
+
+// HandleDelta accepts or rejects a response of the delta variant. Its results are those of HandleStateOfTheWorld.
+func (c *ResourceCache) HandleDelta(r *discoveryv3.DeltaDiscoveryResponse) (requests []*discoveryv3.DeltaDiscoveryRequest, err error) {
+	t, known := xds.ParseTypeURL(r.GetTypeUrl())
+	if !known {
+		return nil, &UnexpectedTypeError{TypeURL: r.GetTypeUrl()}
+	}
+	answer := &discoveryv3.DeltaDiscoveryRequest{TypeUrl: t.TypeURL(), ResponseNonce: r.GetNonce()}
+	bodies := make([]*anypb.Any, 0, len(r.GetResources()))
+	versions := map[string]string{}
+	for _, resource := range r.GetResources() {
+		bodies = append(bodies, resource.GetResource())
+		versions[resource.GetName()] = resource.GetVersion()
+	}
+	received, fault := c.parseResources(t, bodies, versions)
+	if fault == nil {
+		next := c.merge(t, received)
+		for _, name := range r.GetRemovedResources() {
+			delete(next, name)
+		}
+		c.accept(t, next)
+	} else {
+		answer.ErrorDetail = nackDetail(fault)
+	}
+	requests = append(requests, answer)
+	for other := range xds.NumResourceTypes {
+		if request := c.subscriptionChange(other); request != nil {
+			requests = append(requests, request)
+		}
+	}
+	return requests, nil
+}
+
+// subscriptionChange returns the request that subscribes to the wanted names of a type, nil if it is subscribed to them.
+func (c *ResourceCache) subscriptionChange(t xds.ResourceType) *discoveryv3.DeltaDiscoveryRequest {
+	wanted := c.wantedNames(t)
+	subscribed := c.subscribed[t]
+	first := subscribed == nil
+	if first && !c.canSubscribe(t) || slices.Equal(wanted, subscribed) {
+		return nil
+	}
+	request := &discoveryv3.DeltaDiscoveryRequest{
+		TypeUrl:                  t.TypeURL(),
+		ResourceNamesSubscribe:   missingFrom(subscribed, wanted),
+		ResourceNamesUnsubscribe: missingFrom(wanted, subscribed),
+	}
+	if first {
+		request.InitialResourceVersions = c.versions(t)
+	}
+	c.subscribed[t] = wanted
+	return request
+}
+
+// missingFrom returns the names that list has not.
+func missingFrom(list, names []string) (missing []string) {
+	for _, name := range names {
+		if !slices.Contains(list, name) {
+			missing = append(missing, name)
+		}
+	}
+	return missing
+}
--- a/sidecar/routing_table.go
+++ b/sidecar/routing_table.go
@@ -1,8 +1,7 @@
 package sidecar
 
 import (
-	"fmt"
-	"hash/fnv"
+	"slices"
 	"strings"
 	"time"
 
@@ -12,114 +11,93 @@
 	"harehook.dev/harehook/xds"
 )
 
-// WeightedNode is a node that a cluster sends to.
+// WeightedNode is a node of a cluster.
 type WeightedNode struct {
 	Node, Zone string
 	Address    xds.Address
-	Weight     float64
+	Weight     float64 // relative to the cluster's other nodes
 }
 
-// RouteEntry is a route, or the part of it that is turned away.
+// RouteEntry is a route, or the fraction of it that is rejected.
 type RouteEntry struct {
 	Name, Prefix  string
-	Fraction      float64 // that this entry takes of the calls that come to it
-	Status        int     // answered at once with that, 0: sent on
+	Fraction      float64 // that this entry takes of the requests that reach it
+	Status        int     // answered at once with that, 0: forwarded
 	Cluster       string
-	TimeLimit     time.Duration
-	MaxRetries    int // further ones, each only after proof that none before ran
+	TimeLimit     time.Duration // 0: none is stated
+	MaxRetries    int           // each only after proof that no attempt before ran
 	Mutating      bool
-	AgreedVersion uint64 // the version of the agreed configuration that it is of, 0: not told
+	AgreedVersion uint64 // of the agreed configuration that it is of, 0: not told
 }
 
-// RoutingTable is what accepted versions say of calls. It is never changed once it is made.
+// RoutingTable is what accepted resources say of requests. It does not change once it is made.
 type RoutingTable struct {
-	Routes   []RouteEntry
-	Clusters map[string][]WeightedNode
+	Routes   []RouteEntry              // the first that matches a request counts
+	Clusters map[string][]WeightedNode // by name
 	Versions [xds.NumResourceTypes]map[string]string
 }
 
-// Table gives what is accepted now.
-func (h *ResourceCache) Table() *RoutingTable {
-	if h.table != nil {
-		return h.table
+// Table returns the routing table of the accepted resources.
+func (c *ResourceCache) Table() *RoutingTable {
+	if c.table != nil {
+		return c.table
 	}
-	t := &RoutingTable{Clusters: map[string][]WeightedNode{}}
-	for kind := range xds.NumResourceTypes {
-		t.Versions[kind] = h.versions(kind)
+	table := &RoutingTable{Clusters: map[string][]WeightedNode{}}
+	for t := range xds.NumResourceTypes {
+		table.Versions[t] = c.versions(t)
 	}
-	for name, held := range h.accepted[xds.Endpoints] {
-		if m, err := unmarshal(held.Body, &endpointv3.ClusterLoadAssignment{}); err == nil {
-			t.Clusters[name], _ = parseEndpoints(m)
+	// The resources were validated when they were accepted, so there are no errors.
+	for name, resource := range c.accepted[xds.Endpoints] {
+		if assignment, err := unmarshal(resource.Body, &endpointv3.ClusterLoadAssignment{}); err == nil {
+			table.Clusters[name], _ = parseEndpoints(assignment)
 		}
 	}
-	for _, held := range h.accepted[xds.Routes] {
-		if m, err := unmarshal(held.Body, &routev3.RouteConfiguration{}); err == nil {
-			entries, _ := h.parseRoutes(m)
-			t.Routes = append(t.Routes, entries...)
+	for _, resource := range c.accepted[xds.Routes] {
+		if config, err := unmarshal(resource.Body, &routev3.RouteConfiguration{}); err == nil {
+			entries, _ := c.parseRoutes(config)
+			table.Routes = append(table.Routes, entries...)
 		}
 	}
-	h.table = t
-	return t
+	c.table = table
+	return table
 }
 
-// Random draws numbers from 0 to 1 from a seed.
-type Random struct {
-	Seed  uint64
-	draws uint64
-}
-
-// Next draws one.
-func (c *Random) Next() float64 {
-	c.draws++
-	h := fnv.New64a()
-	fmt.Fprint(h, c.Seed, " ", c.draws)
-	// Counters that follow each other differ in the hash's lower bits only: without mixing, all draws of a while are
-	// about the same, and one node got all calls.
-	x := h.Sum64()
-	x = (x ^ x>>30) * 0xbf58476d1ce4e5b9
-	x = (x ^ x>>27) * 0x94d049bb133111eb
-	return float64((x^x>>31)>>11) / (1 << 53)
-}
-
-// Route finds the entry that a path's call falls to; nil if there is none.
-func (t *RoutingTable) Route(path string, chance func() float64) *RouteEntry {
-	for k := range t.Routes {
-		e := &t.Routes[k]
-		if strings.HasPrefix(path, e.Prefix) && (e.Fraction >= 1 || chance() < e.Fraction) {
-			return e
+// Route returns the entry for a request with a path, nil if there is none. Random returns numbers from 0 to 1; it is called
+// for entries that take a fraction.
+func (t *RoutingTable) Route(path string, random func() float64) *RouteEntry {
+	for index := range t.Routes {
+		entry := &t.Routes[index]
+		if strings.HasPrefix(path, entry.Prefix) && (entry.Fraction >= 1 || random() < entry.Fraction) {
+			return entry
 		}
 	}
 	return nil
 }
 
-// Pick draws a line of a cluster by weight, leaving out those tried before; false if none is left.
-func (t *RoutingTable) Pick(cluster string, tried []xds.Address, chance func() float64) (WeightedNode, bool) {
-	lines, whole := t.Clusters[cluster], 0.0
-	open := func(l WeightedNode) bool {
-		for _, a := range tried {
-			if a == l.Address {
-				return false
-			}
-		}
-		return true
-	}
+// Pick draws a node of a cluster by weight, except those at tried addresses; ok is false if none is left. Random returns a
+// number from 0 to 1.
+func (t *RoutingTable) Pick(cluster string, tried []xds.Address, random func() float64) (node WeightedNode, ok bool) {
+	nodes := t.Clusters[cluster]
+	weightSum := 0.0
 	last := -1
-	for k, l := range lines {
-		if open(l) {
-			whole += l.Weight
-			last = k
+	for index, candidate := range nodes {
+		if !slices.Contains(tried, candidate.Address) {
+			weightSum += candidate.Weight
+			last = index
 		}
 	}
 	if last < 0 {
 		return WeightedNode{}, false
 	}
-	at := chance() * whole
-	for _, l := range lines {
-		if open(l) {
-			if at -= l.Weight; at < 0 {
-				return l, true
-			}
+	remaining := random() * weightSum
+	for _, candidate := range nodes {
+		if slices.Contains(tried, candidate.Address) {
+			continue
+		}
+		remaining -= candidate.Weight
+		if remaining < 0 {
+			return candidate, true
 		}
 	}
-	return lines[last], true
+	return nodes[last], true // the sum was rounded
 }
--- a/sidecar/store.go
+++ b/sidecar/store.go
@@ -7,7 +7,6 @@
 	"errors"
 	"fmt"
 	"os"
-	"path/filepath"
 
 	discoveryv3 "github.com/envoyproxy/go-control-plane/envoy/service/discovery/v3"
 	"google.golang.org/protobuf/proto"
@@ -16,134 +15,150 @@
 	"harehook.dev/harehook/xds"
 )
 
-// storeHeader begins a file of held versions; the digit is the format's.
-const storeHeader = "harehook held 1\n"
+// A stored file is storeHeader, the body's length in bytes as a little-endian uint64, its SHA-256 sum and the body: a
+// DeltaDiscoveryResponse with the accepted resources. A resource without a message is a set's version, by the type's name.
+const (
+	storeHeader   = "harehook held 1\n" // the digit is the format's
+	lengthBytes   = 8
+	preambleBytes = len(storeHeader) + lengthBytes + sha256.Size
+)
+
+// Reasons for which a stored file is not used; [Store.Load] returns them with the path.
+var (
+	ErrStoreFormat    = errors.New("not a file of held versions, or of another format")
+	ErrStoreTruncated = errors.New("cut short")
+	ErrStoreChecksum  = errors.New("the checksum does not fit")
+)
 
-// Store keeps what a sidecar accepted in one file. A write goes to a file beside it that is synced before it takes the
-// old one's place, so that a crash leaves the old or the new one whole.
+// Store persists the resources that a sidecar has accepted, in one file.
 type Store struct {
 	Path string
-	// Step is called before each step of a write, for tests that crash there; nil: nothing is.
+	// Step is called before each step of a write, for tests that crash there; nil: it is not.
 	Step func(name string) error
 }
 
-// Save writes what a holder holds.
-func (s *Store) Save(h *ResourceCache) error {
-	var all discoveryv3.DeltaDiscoveryResponse
-	for kind := range xds.NumResourceTypes {
-		for name, held := range h.accepted[kind] {
-			all.Resources = append(all.Resources, &discoveryv3.Resource{Name: name, Version: held.Version, Resource: held.Body})
-		}
-		if h.setVersions[kind] != "" {
-			// The version of a whole kind, by the kind's name.
-			all.Resources = append(all.Resources, &discoveryv3.Resource{Name: kind.TypeURL(), Version: h.setVersions[kind]})
-		}
-	}
-	body, err := proto.MarshalOptions{Deterministic: true}.Marshal(&all)
+// Save writes the accepted resources of a cache. After a crash at any time the file is the old or the new one.
+func (s *Store) Save(cache *ResourceCache) error {
+	body, err := proto.MarshalOptions{Deterministic: true}.Marshal(cache.storedResources())
 	if err != nil {
 		return err
 	}
 	sum := sha256.Sum256(body)
-	text := append([]byte(storeHeader), binary.LittleEndian.AppendUint64(nil, uint64(len(body)))...)
-	text = append(append(text, sum[:]...), body...)
-	return s.write(text)
+	content := make([]byte, 0, preambleBytes+len(body))
+	content = append(content, storeHeader...)
+	content = binary.LittleEndian.AppendUint64(content, uint64(len(body)))
+	content = append(content, sum[:]...)
+	content = append(content, body...)
+	return s.replaceFile(content)
 }
 
-func (s *Store) write(text []byte) (err error) {
-	beside := s.Path + ".new"
-	step := func(name string) error {
-		if s.Step != nil {
-			return s.Step(name)
+// storedResources returns the accepted resources and the versions of sets.
+func (c *ResourceCache) storedResources() *discoveryv3.DeltaDiscoveryResponse {
+	stored := &discoveryv3.DeltaDiscoveryResponse{}
+	for t := range xds.NumResourceTypes {
+		for name, resource := range c.accepted[t] {
+			stored.Resources = append(stored.Resources, &discoveryv3.Resource{
+				Name:     name,
+				Version:  resource.Version,
+				Resource: resource.Body,
+			})
+		}
+		if c.setVersions[t] != "" {
+			stored.Resources = append(stored.Resources, &discoveryv3.Resource{Name: t.TypeURL(), Version: c.setVersions[t]})
 		}
-		return nil
 	}
-	if err := step("create"); err != nil {
-		return err
+	return stored
+}
+
+// Load reads the stored resources into an empty cache. A missing file is no error. If the file is damaged
+// ([ErrStoreFormat], [ErrStoreTruncated], [ErrStoreChecksum]) or has a resource that the cache rejects, the cache stays
+// empty.
+func (s *Store) Load(cache *ResourceCache) error {
+	content, err := os.ReadFile(s.Path)
+	if errors.Is(err, os.ErrNotExist) {
+		return nil
 	}
-	f, err := os.OpenFile(beside, os.O_CREATE|os.O_WRONLY|os.O_TRUNC, 0o600)
 	if err != nil {
 		return err
 	}
-	defer func() { err = errors.Join(err, f.Close()) }()
-	if err := step("write"); err != nil {
-		f.Write(text[:len(text)/2])
-		return err
-	}
-	if _, err := f.Write(text); err != nil {
-		return err
+	body, err := storedBody(content)
+	if err != nil {
+		return fmt.Errorf("%s: %w", s.Path, err)
 	}
-	if err := step("sync"); err != nil {
-		return err
+	var stored discoveryv3.DeltaDiscoveryResponse
+	if err := proto.Unmarshal(body, &stored); err != nil {
+		return fmt.Errorf("%s: %w", s.Path, err)
 	}
-	if err := f.Sync(); err != nil {
-		return err
+	if err := cache.restore(&stored); err != nil {
+		return fmt.Errorf("%s: %w", s.Path, err)
 	}
-	if err := step("rename"); err != nil {
-		return err
+	return nil
+}
+
+// storedBody returns the body of a stored file, or why it is damaged.
+func storedBody(content []byte) ([]byte, error) {
+	if !bytes.HasPrefix(content, []byte(storeHeader)) {
+		return nil, ErrStoreFormat
 	}
-	if err := os.Rename(beside, s.Path); err != nil {
-		return err
+	if len(content) < preambleBytes {
+		return nil, ErrStoreTruncated
 	}
-	if err := step("sync folder"); err != nil {
-		return err
+	body := content[preambleBytes:]
+	length := binary.LittleEndian.Uint64(content[len(storeHeader):])
+	if length != uint64(len(body)) {
+		return nil, ErrStoreTruncated
 	}
-	folder, err := os.Open(filepath.Dir(s.Path))
-	if err != nil {
-		return err
+	sum := sha256.Sum256(body)
+	if !bytes.Equal(sum[:], content[preambleBytes-sha256.Size:preambleBytes]) {
+		return nil, ErrStoreChecksum
 	}
-	return errors.Join(folder.Sync(), folder.Close())
+	return body, nil
 }
 
-// Load reads what was held last into a holder that holds nothing. What can't be read whole, or would be refused by
-// now, is not taken: the sidecar then begins with nothing and says so.
-func (s *Store) Load(h *ResourceCache) error {
-	text, err := os.ReadFile(s.Path)
-	if errors.Is(err, os.ErrNotExist) {
-		return nil
-	} else if err != nil {
+// storedSet is what a stored file has of one resource type.
+type storedSet struct {
+	bodies     []*anypb.Any
+	versions   map[string]string // by name; nil: no resource
+	setVersion string
+}
+
+// restore accepts stored resources, by the same rules as received ones. After an error the cache is empty.
+func (c *ResourceCache) restore(stored *discoveryv3.DeltaDiscoveryResponse) error {
+	sets, err := storedSets(stored)
+	if err != nil {
 		return err
 	}
-	head := len(storeHeader) + 8 + sha256.Size
-	if !bytes.HasPrefix(text, []byte(storeHeader)) {
-		return fmt.Errorf("%s: not a file of held versions, or of another format", s.Path)
-	}
-	if len(text) < head || binary.LittleEndian.Uint64(text[len(storeHeader):]) != uint64(len(text)-head) {
-		return fmt.Errorf("%s: cut short", s.Path)
-	}
-	body := text[head:]
-	if sum := sha256.Sum256(body); !bytes.Equal(sum[:], text[head-sha256.Size:head]) {
-		return fmt.Errorf("%s: the checksum does not fit", s.Path)
-	}
-	var all discoveryv3.DeltaDiscoveryResponse
-	if err := proto.Unmarshal(body, &all); err != nil {
-		return fmt.Errorf("%s: %w", s.Path, err)
+	for t := range xds.NumResourceTypes {
+		parsed, fault := c.parseResources(t, sets[t].bodies, sets[t].versions)
+		if fault != nil {
+			c.Clear()
+			return fault
+		}
+		c.accepted[t] = parsed
+		c.setVersions[t] = sets[t].setVersion
 	}
-	var bodies [xds.NumResourceTypes][]*anypb.Any
-	var versions [xds.NumResourceTypes]map[string]string
-	var sets [xds.NumResourceTypes]string
-	for _, r := range all.GetResources() {
-		if kind, whole := xds.ParseTypeURL(r.GetName()); whole && r.GetResource() == nil {
-			sets[kind] = r.GetVersion()
+	c.table = nil
+	return nil
+}
+
+// storedSets groups stored resources by type.
+func storedSets(stored *discoveryv3.DeltaDiscoveryResponse) (sets [xds.NumResourceTypes]storedSet, err error) {
+	for _, resource := range stored.GetResources() {
+		setType, isSetVersion := xds.ParseTypeURL(resource.GetName())
+		if isSetVersion && resource.GetResource() == nil {
+			sets[setType].setVersion = resource.GetVersion()
 			continue
 		}
-		kind, known := xds.ParseTypeURL(r.GetResource().GetTypeUrl())
+		t, known := xds.ParseTypeURL(resource.GetResource().GetTypeUrl())
 		if !known {
-			return fmt.Errorf("%s: a resource of type %q", s.Path, r.GetResource().GetTypeUrl())
-		}
-		if versions[kind] == nil {
-			versions[kind] = map[string]string{}
+			return sets, fmt.Errorf("a resource of type %q", resource.GetResource().GetTypeUrl())
 		}
-		bodies[kind] = append(bodies[kind], r.GetResource())
-		versions[kind][r.GetName()] = r.GetVersion()
-	}
-	for kind := range xds.NumResourceTypes {
-		held, fault := h.parseResources(kind, bodies[kind], versions[kind])
-		if fault != nil {
-			h.Clear()
-			return fmt.Errorf("%s: %w", s.Path, fault)
+		set := &sets[t]
+		if set.versions == nil {
+			set.versions = map[string]string{}
 		}
-		h.accepted[kind], h.setVersions[kind] = held, sets[kind]
+		set.bodies = append(set.bodies, resource.GetResource())
+		set.versions[resource.GetName()] = resource.GetVersion()
 	}
-	h.table = nil
-	return nil
+	return sets, nil
 }
--- /dev/null
+++ b/sidecar/upstream.go
@@ -0,0 +1,122 @@
+package sidecar
+
+import (
+	"bufio"
+	"context"
+	"net"
+	"strconv"
+	"sync"
+	"time"
+
+	"harehook.dev/harehook/internal/connprobe"
+	"harehook.dev/harehook/xds"
+)
+
+const (
+	maxIdlePerNode = 8
+	// upstreamIdleTimeout is how long a connection is pooled without use: nodes may close it at any time.
+	upstreamIdleTimeout = 5 * time.Second
+)
+
+// upstream is a connection to a node.
+type upstream struct {
+	net.Conn
+	reader   *bufio.Reader
+	address  xds.Address
+	lastUsed time.Time
+}
+
+// upstreamPool has the idle connections to nodes. Its methods may be called from any goroutine.
+type upstreamPool struct {
+	connectTimeout time.Duration
+
+	idleMutex sync.Mutex // guards all below
+	idle      map[xds.Address][]*upstream
+	sweptAt   time.Time // when connections that were idle for too long were closed last
+}
+
+func newUpstreamPool(connectTimeout time.Duration) *upstreamPool {
+	return &upstreamPool{connectTimeout: connectTimeout, idle: map[xds.Address][]*upstream{}}
+}
+
+// connect returns a connection to a node: an idle one that the node has not closed, or a new one.
+func (p *upstreamPool) connect(ctx context.Context, address xds.Address, deadline time.Time) (*upstream, error) {
+	if pooled := p.takeIdle(address); pooled != nil {
+		return pooled, nil
+	}
+	dialer := net.Dialer{Timeout: min(p.connectTimeout, time.Until(deadline))}
+	port := strconv.FormatUint(uint64(address.Port), 10)
+	conn, err := dialer.DialContext(ctx, "tcp", net.JoinHostPort(address.Host, port))
+	if err != nil {
+		return nil, err
+	}
+	return &upstream{Conn: conn, reader: bufio.NewReader(conn), address: address}, nil
+}
+
+// takeIdle returns the idle connection to a node that was used last, nil if there is none that can be used. A connection on
+// which something has arrived was closed by the node, or is out of step.
+func (p *upstreamPool) takeIdle(address xds.Address) *upstream {
+	p.idleMutex.Lock()
+	defer p.idleMutex.Unlock()
+	conns := p.idle[address]
+	for len(conns) > 0 {
+		last := len(conns) - 1
+		candidate := conns[last]
+		conns = conns[:last]
+		recent := time.Since(candidate.lastUsed) < upstreamIdleTimeout
+		if recent && candidate.reader.Buffered() == 0 && connprobe.IsIdle(candidate.Conn) {
+			p.idle[address] = conns
+			return candidate
+		}
+		candidate.Close()
+	}
+	delete(p.idle, address)
+	return nil
+}
+
+// release returns a connection to the pool after a request.
+func (p *upstreamPool) release(conn *upstream) {
+	p.idleMutex.Lock()
+	defer p.idleMutex.Unlock()
+	if len(p.idle[conn.address]) >= maxIdlePerNode {
+		conn.Close()
+		return
+	}
+	now := time.Now()
+	conn.lastUsed = now
+	p.idle[conn.address] = append(p.idle[conn.address], conn)
+	if now.Sub(p.sweptAt) >= upstreamIdleTimeout {
+		p.sweep(now)
+	}
+}
+
+// sweep closes connections that were idle for too long: nodes that are gone would have theirs open for good. It needs
+// idleMutex.
+func (p *upstreamPool) sweep(now time.Time) {
+	p.sweptAt = now
+	for address, conns := range p.idle {
+		recent := conns[:0]
+		for _, conn := range conns {
+			if now.Sub(conn.lastUsed) < upstreamIdleTimeout {
+				recent = append(recent, conn)
+			} else {
+				conn.Close()
+			}
+		}
+		p.idle[address] = recent
+		if len(recent) == 0 {
+			delete(p.idle, address)
+		}
+	}
+}
+
+// close closes all idle connections.
+func (p *upstreamPool) close() {
+	p.idleMutex.Lock()
+	defer p.idleMutex.Unlock()
+	for _, conns := range p.idle {
+		for _, conn := range conns {
+			conn.Close()
+		}
+	}
+}
--- a/xds/compiler_messages.go
+++ b/xds/compiler_messages.go
@@ -125,7 +125,7 @@
 }
 
 func (c *Compiler) routeMetadata(route Route) *corev3.Metadata {
-	fields := map[string]any{metadataRoute: route.Name, metadataMutating: route.Mutating}
+	fields := map[string]any{metadataRoute: route.Name, MutatingKey: route.Mutating}
 	if c.agreedVersion > 0 {
 		fields[AgreedKey] = float64(c.agreedVersion)
 	}
--- a/xds/names.go
+++ b/xds/names.go
@@ -8,6 +8,8 @@
 	RoutesName = "calls"
 	// MetadataKey is the key in a route's filter metadata under which its name and whether it is mutating are told.
 	MetadataKey = "harehook"
+	// MutatingKey is the field there that tells whether the route is mutating.
+	MutatingKey = "mutating"
 	// AgreedKey is the field there with the version of the agreed configuration that the routes are of.
 	AgreedKey = "agreed"
 	// ThrottledHeader is the header of a response to a rejected request; its value is the route's name.
@@ -21,7 +23,6 @@
 
 	clusterPrefix          = "pool-" // followed by the routing table's number
 	metadataRoute          = "route"
-	metadataMutating       = "mutating"
 	previousHostsPredicate = "envoy.retry_host_predicates.previous_hosts"
 	routerFilter           = "envoy.filters.http.router"
 )
