--- a/internal/certs/store.go
+++ b/internal/certs/store.go
@@ -1,6 +1,9 @@
-// Package keys keeps a certificate, its key and the roots that others are checked by, and takes new ones over in
-// service: streams that stand go on, new ones use the new keys. A pair that does not fit, is half written or has
-// expired leaves the old one in place.
+// Package certs has a program's certificate, its private key and the roots by which it verifies others, and reloads them in
+// service: open streams go on, new ones use the new certificate. A pair that does not match, is half written or has expired
+// leaves the one in use in place.
+//
+// Controllers and sidecars [Load] a [Store] at their start, use its TLS configurations, and call ReloadIfChanged from time
+// to time.
 package certs
 
 import (
@@ -15,129 +18,178 @@
 	"go.uber.org/zap"
 )
 
-// Files name the files that keys come from: all, or none.
+// alpnHTTP2 is the protocol that gRPC negotiates.
+const alpnHTTP2 = "h2"
+
+// Reasons for which certificates are not used.
+var (
+	errNoPeerCertificate = errors.New("no certificate was shown")
+	errNoRoots           = errors.New("no certificate in it")
+)
+
+// ValidityError says that a certificate has expired, or is not valid yet; [Load] and [Store.Reload] return it.
+type ValidityError struct {
+	Path                string
+	NotBefore, NotAfter time.Time
+}
+
+// Error implements error.
+func (e *ValidityError) Error() string {
+	return fmt.Sprintf("%s: valid from %s to %s only", e.Path, e.NotBefore, e.NotAfter)
+}
+
+// Files are the paths of PEM files: all, or none.
 type Files struct{ Certificate, Key, Roots string }
 
-// Store are what is in use.
+// Store has the certificate, key and roots in use. The TLS configurations that it returns may be used by any goroutine;
+// Load and the methods that reload are called by one.
 type Store struct {
 	files    Files
 	now      func() time.Time
 	active   atomic.Pointer[credentials]
-	modTimes [3]time.Time // when the files in use were changed
+	modTimes modTimes // of the files in use
 }
 
+// modTimes are those of certificate, key and roots.
+type modTimes [3]time.Time
+
+// credentials are what one load of the files gave.
 type credentials struct {
 	certificate tls.Certificate
 	roots       *x509.CertPool
 	expires     time.Time
 }
 
-// Load reads keys; at a start they have to fit. Without files there are none: nil.
+// Load reads the files, which have to be usable at the start. Without files the store is nil.
 func Load(files Files) (*Store, error) {
 	if files == (Files{}) {
 		return nil, nil
 	}
-	k := &Store{files: files, now: time.Now}
-	if _, err := k.Reload(); err != nil {
+	s := &Store{files: files, now: time.Now}
+	if _, err := s.Reload(); err != nil {
 		return nil, err
 	}
-	return k, nil
+	return s, nil
 }
 
-// Reload reads the files again if one of them changed. It tells whether new keys are in use; an error says why the old
-// ones stay.
-func (k *Store) Reload() (changed bool, err error) {
-	var seen [3]time.Time
-	for at, path := range []string{k.files.Certificate, k.files.Key, k.files.Roots} {
-		about, err := os.Stat(path)
-		if err != nil {
-			return false, err
-		}
-		seen[at] = about.ModTime()
+// Reload reads the files again if one of them has changed. It tells whether new credentials are in use; an error says why
+// those before stay in use: the file's, a mismatch of certificate and key, or a [ValidityError].
+func (s *Store) Reload() (changed bool, err error) {
+	found, err := s.findModTimes()
+	if err != nil {
+		return false, err
 	}
-	if k.active.Load() != nil && seen == k.modTimes {
+	if s.active.Load() != nil && found == s.modTimes {
 		return false, nil
 	}
-	next, err := k.load()
+	next, err := s.load()
 	if err != nil {
-		return false, err // looked at again the next time: a pair may be half written
+		return false, err // tried again the next time: a pair may be half written
 	}
-	k.modTimes = seen
-	k.active.Store(next)
+	s.modTimes = found
+	s.active.Store(next)
 	return true, nil
 }
 
-func (k *Store) load() (*credentials, error) {
-	certificate, err := tls.LoadX509KeyPair(k.files.Certificate, k.files.Key)
+func (s *Store) findModTimes() (found modTimes, err error) {
+	for index, path := range []string{s.files.Certificate, s.files.Key, s.files.Roots} {
+		info, err := os.Stat(path)
+		if err != nil {
+			return found, err
+		}
+		found[index] = info.ModTime()
+	}
+	return found, nil
+}
+
+func (s *Store) load() (*credentials, error) {
+	certificate, err := tls.LoadX509KeyPair(s.files.Certificate, s.files.Key)
 	if err != nil {
-		return nil, fmt.Errorf("%s and %s: %w", k.files.Certificate, k.files.Key, err)
+		return nil, fmt.Errorf("%s and %s: %w", s.files.Certificate, s.files.Key, err)
 	}
 	leaf, err := x509.ParseCertificate(certificate.Certificate[0])
 	if err != nil {
-		return nil, fmt.Errorf("%s: %w", k.files.Certificate, err)
+		return nil, fmt.Errorf("%s: %w", s.files.Certificate, err)
 	}
-	if now := k.now(); now.After(leaf.NotAfter) || now.Before(leaf.NotBefore) {
-		return nil, fmt.Errorf("%s: valid from %s to %s only", k.files.Certificate, leaf.NotBefore, leaf.NotAfter)
+	now := s.now()
+	if now.After(leaf.NotAfter) || now.Before(leaf.NotBefore) {
+		return nil, &ValidityError{Path: s.files.Certificate, NotBefore: leaf.NotBefore, NotAfter: leaf.NotAfter}
 	}
-	text, err := os.ReadFile(k.files.Roots)
+	pem, err := os.ReadFile(s.files.Roots)
 	if err != nil {
 		return nil, err
 	}
 	roots := x509.NewCertPool()
-	if !roots.AppendCertsFromPEM(text) {
-		return nil, fmt.Errorf("%s: no certificate in it", k.files.Roots)
+	if !roots.AppendCertsFromPEM(pem) {
+		return nil, fmt.Errorf("%s: %w", s.files.Roots, errNoRoots)
 	}
-	return &credentials{certificate, roots, leaf.NotAfter}, nil
+	return &credentials{certificate: certificate, roots: roots, expires: leaf.NotAfter}, nil
 }
 
-// ReloadIfChanged takes changed files over and logs what came of it; nil keys have none.
-func (k *Store) ReloadIfChanged(log *zap.Logger) {
-	if k == nil {
+// ReloadIfChanged reloads changed files and logs what came of it. A nil store has no files.
+func (s *Store) ReloadIfChanged(log *zap.Logger) {
+	if s == nil {
 		return
 	}
-	if changed, err := k.Reload(); err != nil {
+	changed, err := s.Reload()
+	switch {
+	case err != nil:
 		log.Error("keys kept, the new ones can't be used", zap.Error(err))
-	} else if changed {
-		log.Info("new keys", zap.Time("until", k.Expires()))
+	case changed:
+		log.Info("new keys", zap.Time("until", s.Expires()))
 	}
 }
 
 // Expires is when the certificate in use expires.
-func (k *Store) Expires() time.Time { return k.active.Load().expires }
-
-// ServerConfig gives what a server checks clients by and shows them: both sides need a certificate of the roots.
-func (k *Store) ServerConfig() *tls.Config {
-	return &tls.Config{MinVersion: tls.VersionTLS13, ClientAuth: tls.RequireAnyClientCert, NextProtos: []string{"h2"},
-		GetCertificate: func(*tls.ClientHelloInfo) (*tls.Certificate, error) { return &k.active.Load().certificate, nil },
-		VerifyConnection: func(s tls.ConnectionState) error {
-			return k.verify(s, x509.ExtKeyUsageClientAuth, "")
+func (s *Store) Expires() time.Time { return s.active.Load().expires }
+
+// ServerConfig returns a server's TLS configuration. Both sides need a certificate that the roots have signed.
+func (s *Store) ServerConfig() *tls.Config {
+	return &tls.Config{
+		MinVersion: tls.VersionTLS13,
+		NextProtos: []string{alpnHTTP2},
+		ClientAuth: tls.RequireAnyClientCert,
+		GetCertificate: func(*tls.ClientHelloInfo) (*tls.Certificate, error) {
+			return &s.active.Load().certificate, nil
+		},
+		VerifyConnection: func(state tls.ConnectionState) error {
+			return s.verify(state, x509.ExtKeyUsageClientAuth, "")
 		},
 	}
 }
 
-// ClientConfig gives what a client checks a server by and shows it. The name is what the server's certificate has to be for.
-func (k *Store) ClientConfig(name string) *tls.Config {
-	return &tls.Config{MinVersion: tls.VersionTLS13, NextProtos: []string{"h2"}, ServerName: name,
-		// The roots are looked up at each connection, so that new ones count at once: VerifyConnection does the check.
+// ClientConfig returns a client's TLS configuration. The server's certificate has to be for a name.
+func (s *Store) ClientConfig(serverName string) *tls.Config {
+	return &tls.Config{
+		MinVersion: tls.VersionTLS13,
+		NextProtos: []string{alpnHTTP2},
+		ServerName: serverName,
+		// VerifyConnection verifies instead: it reads the roots at each connection, so that new ones count at once.
 		InsecureSkipVerify: true,
 		GetClientCertificate: func(*tls.CertificateRequestInfo) (*tls.Certificate, error) {
-			return &k.active.Load().certificate, nil
+			return &s.active.Load().certificate, nil
 		},
-		VerifyConnection: func(s tls.ConnectionState) error {
-			return k.verify(s, x509.ExtKeyUsageServerAuth, name)
+		VerifyConnection: func(state tls.ConnectionState) error {
+			return s.verify(state, x509.ExtKeyUsageServerAuth, serverName)
 		},
 	}
 }
 
-func (k *Store) verify(s tls.ConnectionState, usage x509.ExtKeyUsage, name string) error {
-	if len(s.PeerCertificates) == 0 {
-		return errors.New("no certificate was shown")
-	}
-	between := x509.NewCertPool()
-	for _, c := range s.PeerCertificates[1:] {
-		between.AddCert(c)
-	}
-	_, err := s.PeerCertificates[0].Verify(x509.VerifyOptions{Roots: k.active.Load().roots, Intermediates: between, DNSName: name,
-		CurrentTime: k.now(), KeyUsages: []x509.ExtKeyUsage{usage}})
+// verify returns why the peer's certificate is not valid for a usage and, unless it is empty, a name.
+func (s *Store) verify(state tls.ConnectionState, usage x509.ExtKeyUsage, name string) error {
+	if len(state.PeerCertificates) == 0 {
+		return errNoPeerCertificate
+	}
+	intermediates := x509.NewCertPool()
+	for _, certificate := range state.PeerCertificates[1:] {
+		intermediates.AddCert(certificate)
+	}
+	_, err := state.PeerCertificates[0].Verify(x509.VerifyOptions{
+		Roots:         s.active.Load().roots,
+		Intermediates: intermediates,
+		DNSName:       name,
+		CurrentTime:   s.now(),
+		KeyUsages:     []x509.ExtKeyUsage{usage},
+	})
 	return err
 }
--- a/internal/kdl/kdl_test.go
+++ b/internal/kdl/kdl_test.go
@@ -1,6 +1,7 @@
 package kdl
 
 import (
+	"errors"
 	"fmt"
 	"strings"
 	"testing"
@@ -24,6 +25,7 @@
 	}
 }
 
+// Documents are read with the lines of their nodes, and faults have theirs.
 func TestParseDocuments(t *testing.T) {
 	for name, c := range map[string]struct{ in, want string }{
 		"values":        {`n "x" 1 -2.5e1 0x1f 1_000 true null a=false b="y\n"`, "1 n \"x\" 1 -25 31 1000 true <nil> a=false b=\"y\\n\"\n"},
@@ -61,13 +63,17 @@
 	}
 }
 
+// Whatever the text, a fault has a line.
 func FuzzParse(f *testing.F) {
 	f.Add(`n "x" 1 a=2 { m; }`)
 	f.Add("/- n {\n}\n")
 	f.Fuzz(func(t *testing.T, text string) {
-		if _, err := Parse(text); err == nil {
+		_, err := Parse(text)
+		if err == nil {
 			return
-		} else if faults, ok := err.(Faults); !ok || len(faults) == 0 || faults[0].Line < 1 {
+		}
+		var faults Faults
+		if !errors.As(err, &faults) || len(faults) == 0 || faults[0].Line < 1 {
 			t.Errorf("%q: no line in %v", text, err)
 		}
 	})
