--- a/cmd/harehook-sidecar/main.go
+++ b/cmd/harehook-sidecar/main.go
@@ -1,4 +1,4 @@
-// Command harehook-sidecar carries an application's calls by what a conductor decided and streamed to it.
+// Command harehook-sidecar forwards an application's HTTP/1.1 requests by the routing that a controller streams to it.
 package main
 
 import (
@@ -20,73 +20,107 @@
 )
 
 const (
-	reloadInterval  = time.Second      // for changed keys
-	counterInterval = 10 * time.Second // between two lines of counters
+	reloadInterval  = time.Second      // of certificates
+	counterInterval = 10 * time.Second // between two log lines with counters
+
+	// controllerName is the name that a controller's certificate has to be for.
+	controllerName = "conductor"
 )
 
 func main() {
 	config.Main("harehook-sidecar", "Carries HTTP/1.1 calls by accepted versions", "sidecar.kdl", run)
 }
 
-func run(ctx context.Context, path string) error {
-	told, err := config.ReadSidecar(path)
+// run runs the sidecar until ctx ends. An error is a start that can't work.
+func run(ctx context.Context, configPath string) error {
+	settings, err := config.ReadSidecar(configPath)
 	if err != nil {
 		return err
 	}
-	log := logging.New(told.Name, os.Stderr)
+	log := logging.New(settings.Name, os.Stderr)
 	defer log.Sync()
-	listener, err := net.Listen("tcp", told.Listen)
+	listener, err := net.Listen("tcp", settings.Listen)
 	if err != nil {
 		return err
 	}
-	report := sidecar.NewLoadRecorder(time.Now())
-	link := &sidecar.Client{Controllers: told.Controllers, Load: report, Log: log,
-		Cache: &sidecar.ResourceCache{ID: told.Name, Zone: told.Zone, Delta: told.Delta, MutatingRoutes: told.MutatingRoutes,
-			OnReject: func(r sidecar.RejectedResource) {
-				log.Warn("version refused", zap.Stringer("kind", r.Type), zap.String("name", r.Name), zap.String("why", r.Reason))
-			}}}
-	if told.StorePath != "" {
-		link.Store = &sidecar.Store{Path: told.StorePath}
-	}
-	held, err := certs.Load(told.Certificates)
+	certificates, err := certs.Load(settings.Certificates)
 	if err != nil {
 		return err
 	}
-	if held != nil {
-		link.Credentials = credentials.NewTLS(held.ClientConfig("conductor"))
+	load := sidecar.NewLoadRecorder(time.Now())
+	client := newClient(settings, certificates, load, log)
+	proxy := &sidecar.Proxy{
+		Listener:       listener,
+		Table:          client.Table,
+		ConnectTimeout: settings.ConnectTimeout,
+		MaxConnections: settings.MaxConnections,
+		Seed:           newSeed(settings.Name),
+		Log:            log,
+		Load:           load,
 	}
-	seed := fnv.New64a()
-	fmt.Fprint(seed, told.Name, time.Now().UnixNano())
-	plane := &sidecar.Proxy{Listener: listener, Table: link.Table, ConnectTimeout: told.ConnectTimeout, MaxConnections: told.MaxConnections, Seed: seed.Sum64(),
-		Log: log, Load: report}
-	log.Info("started", zap.Stringer("listen", listener.Addr()), zap.Strings("conductors", told.Controllers))
+	log.Info("started", zap.Stringer("listen", listener.Addr()), zap.Strings("conductors", settings.Controllers))
 	var parts sync.WaitGroup
-	parts.Go(func() { link.Run(ctx) })
-	parts.Go(func() { plane.Run(ctx) })
-	parts.Go(func() { maintain(ctx, link, report, held, log) })
+	parts.Go(func() { client.Run(ctx) })
+	parts.Go(func() { proxy.Run(ctx) })
+	parts.Go(func() { maintain(ctx, client, load, certificates, log) })
 	parts.Wait()
 	log.Info("stopped")
 	return nil
 }
 
-// maintain logs counters and takes changed keys over until ctx ends.
-func maintain(ctx context.Context, link *sidecar.Client, report *sidecar.LoadRecorder, held *certs.Store, log *zap.Logger) {
-	tick := time.NewTicker(reloadInterval)
-	defer tick.Stop()
-	last := time.Now()
+func newClient(settings *config.Sidecar, certificates *certs.Store, load *sidecar.LoadRecorder, log *zap.Logger) *sidecar.Client {
+	cache := &sidecar.ResourceCache{
+		ID:             settings.Name,
+		Zone:           settings.Zone,
+		Delta:          settings.Delta,
+		MutatingRoutes: settings.MutatingRoutes,
+		OnReject: func(r sidecar.RejectedResource) {
+			log.Warn("version refused", zap.Stringer("kind", r.Type), zap.String("name", r.Name), zap.String("why", r.Reason))
+		},
+	}
+	client := &sidecar.Client{Cache: cache, Controllers: settings.Controllers, Load: load, Log: log}
+	if settings.StorePath != "" {
+		client.Store = &sidecar.Store{Path: settings.StorePath}
+	}
+	if certificates != nil {
+		client.Credentials = credentials.NewTLS(certificates.ClientConfig(controllerName))
+	}
+	return client
+}
+
+// newSeed returns a seed that differs between sidecars and between the starts of one.
+func newSeed(name string) uint64 {
+	sum := fnv.New64a()
+	fmt.Fprint(sum, name, time.Now().UnixNano())
+	return sum.Sum64()
+}
+
+// maintain reloads changed certificates and logs counters until ctx ends.
+func maintain(ctx context.Context, client *sidecar.Client, load *sidecar.LoadRecorder, certificates *certs.Store, log *zap.Logger) {
+	ticker := time.NewTicker(reloadInterval)
+	defer ticker.Stop()
+	lastCounters := time.Now()
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case <-tick.C:
+		case <-ticker.C:
 		}
-		held.ReloadIfChanged(log)
-		if time.Since(last) >= counterInterval {
-			last = time.Now()
-			log.Info("counters", zap.Bool("connected", link.Connected.Load()), zap.Uint64("streams", link.Streams.Load()),
-				zap.String("held", link.Describe()), zap.Uint64("answered", report.Completed.Load()),
-				zap.Uint64("throttled", report.Throttled.Load()), zap.Uint64("failed", report.Failed.Load()),
-				zap.Uint64("again", report.Retried.Load()))
+		certificates.ReloadIfChanged(log)
+		if time.Since(lastCounters) >= counterInterval {
+			lastCounters = time.Now()
+			logCounters(client, load, log)
 		}
 	}
 }
+
+func logCounters(client *sidecar.Client, load *sidecar.LoadRecorder, log *zap.Logger) {
+	log.Info("counters",
+		zap.Bool("connected", client.Connected.Load()),
+		zap.Uint64("streams", client.Streams.Load()),
+		zap.String("held", client.Describe()),
+		zap.Uint64("answered", load.Completed.Load()),
+		zap.Uint64("throttled", load.Throttled.Load()),
+		zap.Uint64("failed", load.Failed.Load()),
+		zap.Uint64("again", load.Retried.Load()))
+}
