--- a/config/agreed_reader_test.go
+++ b/config/agreed_reader_test.go
@@ -23,7 +23,7 @@
 }
 `
 
-// The text becomes records and the records the same text, in one order whatever order it was written in.
+// A text becomes records and these the same text, in one order whatever the order in which it was written.
 func TestAgreedTextRoundTrip(t *testing.T) {
 	a, err := ParseAgreed(agreedExample)
 	if err != nil {
@@ -44,7 +44,7 @@
 	}
 }
 
-// Random records give a text that is read as the same records.
+// The text of random records is read as the same records.
 func TestFormatRandomRecordsRoundTrip(t *testing.T) {
 	for seed := range uint64(50) {
 		random := rand.New(rand.NewPCG(seed, 1))
@@ -75,7 +75,8 @@
 	}
 }
 
-func TestRecordWriteFaultsNameLines(t *testing.T) {
+// Faults of records in a text have their line and reason.
+func TestAgreedTextFaults(t *testing.T) {
 	route := ` route "a" { prefix "/a"; limit-ms 9; };`
 	for text, want := range map[string]string{
 		`agreed {` + route + ` service "s"; service "s"; }`:             `line 1: service "s" is there twice`,
@@ -92,6 +93,7 @@
 	}
 }
 
+// Writes have the key, body and expected revision that the file states.
 func TestParseRecordWrites(t *testing.T) {
 	writes, err := ParseRecordWrites(`route "a" service="s" revision=12 { prefix "/a"; limit-ms 9; }
 service "s" revision=0
@@ -120,7 +122,7 @@
 	}
 }
 
-// A text with far too many routes is refused with the line of the first of these, and with no other fault.
+// A text with far too many routes has one fault: that of the first one too many.
 func TestTooManyAgreedRoutesAreOneFault(t *testing.T) {
 	var text strings.Builder
 	text.WriteString("agreed {\n")
--- a/config/faults_test.go
+++ b/config/faults_test.go
@@ -10,7 +10,7 @@
 	"harehook.dev/harehook/xds"
 )
 
-// Each broken configuration is refused with a reason that names its line.
+// Each broken configuration of a controller is rejected with a fault that names its line.
 func TestBrokenConfigurationsNameFaultyLines(t *testing.T) {
 	conductor := func(lines ...string) string { return "conductor \"c\" {\n" + strings.Join(lines, "\n") + "\n}\n" }
 	good := []string{`listen "127.0.0.1:1"`, `nodes "n"`, `zone "north"`, `route "a" { prefix "/a"; limit-ms 1000; slo-ms 900; }`}
@@ -42,10 +42,12 @@
 			t.Fatal(err)
 		}
 		_, err := ReadController(path)
-		if want == "" && err != nil || want != "" && (err == nil || !strings.Contains(err.Error(), want)) {
-			t.Errorf("%s: %v, want %q", text, err, want)
-		}
+		checkFault(t, text, err, want)
 	}
+}
+
+// Each broken agreed configuration is rejected with a fault that names its line.
+func TestBrokenAgreedConfigurationsNameFaultyLines(t *testing.T) {
 	for text, want := range map[string]string{
 		`agreed { route "a" { prefix "/a"; limit-ms 9; mutating; most 0.5; }; override "n" state="draining"; }`: "",
 		`agreed { }`: "line 1: it has no route",
@@ -54,14 +56,12 @@
 		"agreed {\n route \"a\" { prefix \"/a\"; limit-ms 9; }\n override \"n\" state=\"fast\"\n}":             `line 3: the state of an override`,
 		"agreed {\n route \"a\" { prefix \"/\"; limit-ms 9; }\n route \"b\" { prefix \"/b\"; limit-ms 9; }\n}": `line 3: route "b" is never reached`,
 	} {
-		if err := ValidateAgreed(text); want == "" && err != nil || want != "" && (err == nil || !strings.Contains(err.Error(), want)) {
-			t.Errorf("%s: %v, want %q", text, err, want)
-		}
+		checkFault(t, text, ValidateAgreed(text), want)
 	}
 }
 
-// A configuration has as many routes as a sidecar takes; the first one above is refused with its line, also in a
-// configuration that conductors agree on.
+// A configuration may have as many routes as a sidecar accepts; the first one above is a fault with its line, also in an
+// agreed configuration.
 func TestTooManyRoutesAreOneFault(t *testing.T) {
 	routes := func(count int, more string) (lines string) {
 		for r := range count {
@@ -80,24 +80,25 @@
 			t.Fatal(err)
 		}
 		_, err := ReadController(path)
-		refused(t, fmt.Sprintf("%d routes", count), err, want)
+		checkFault(t, fmt.Sprintf("%d routes", count), err, want)
 		if err != nil && strings.Count(err.Error(), "too many") != 1 {
 			t.Errorf("%d routes: not one reason: %v", count, err)
 		}
 	}
-	refused(t, "agreed, as many as may be", ValidateAgreed("agreed {\n"+routes(xds.MaxRoutes, "")+"}\n"), "")
-	refused(t, "agreed, one more", ValidateAgreed("agreed {\n"+routes(xds.MaxRoutes+1, "")+"}\n"),
+	checkFault(t, "agreed, as many as may be", ValidateAgreed("agreed {\n"+routes(xds.MaxRoutes, "")+"}\n"), "")
+	checkFault(t, "agreed, one more", ValidateAgreed("agreed {\n"+routes(xds.MaxRoutes+1, "")+"}\n"),
 		"line 1026: route \"r-1024\" is one too many: a sidecar takes 1024 at most")
 }
 
-// refused checks that a fault was found, and none where none is wanted.
-func refused(t *testing.T, what string, err error, want string) {
+// checkFault checks that a wanted fault was found, or none if none is wanted.
+func checkFault(t *testing.T, what string, err error, want string) {
 	t.Helper()
 	if want == "" && err != nil || want != "" && (err == nil || !strings.Contains(err.Error(), want)) {
 		t.Errorf("%s: %v, want %q", what, err, want)
 	}
 }
 
+// Faults of a list of nodes have their line and reason.
 func TestNodeListFaults(t *testing.T) {
 	folder := t.TempDir()
 	c := &Controller{NodesFile: filepath.Join(folder, "nodes.kdl"), Zones: map[string]bool{"north": true}, MachineTypes: map[string]bool{"small": true}}
--- a/config/follower_test.go
+++ b/config/follower_test.go
@@ -16,8 +16,8 @@
 	"harehook.dev/harehook/xds"
 )
 
-// readFollower reads a conductor's file with the lines after its head, which is five lines long.
-func readFollower(t *testing.T, lines string) (*Controller, error) {
+// readFollowerLines reads a controller's configuration with lines behind its first five.
+func readFollowerLines(t *testing.T, lines string) (*Controller, error) {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), "c.kdl")
 	text := "conductor \"c\" {\nlisten \"127.0.0.1:1\"; nodes \"n\"\nzone \"north\"; zone \"south\"\nroute \"a\" { prefix \"/a\"; limit-ms 1000; }\n" +
@@ -28,8 +28,9 @@
 	return ReadController(path)
 }
 
+// A follower's settings are read, with defaults for what is not stated, and faults have their lines.
 func TestReadFollowerSettings(t *testing.T) {
-	c, err := readFollower(t, `follow { member "127.0.0.1:2"; member "127.0.0.1:3"; service "quotes"; service "issues"; zone "north"; lease-ms 1500; }`)
+	c, err := readFollowerLines(t, `follow { member "127.0.0.1:2"; member "127.0.0.1:3"; service "quotes"; service "issues"; zone "north"; lease-ms 1500; }`)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -38,11 +39,11 @@
 		!slices.Equal(f.Scope.Zones, []string{"north"}) || f.Scope.All || f.Lease != 1500*time.Millisecond {
 		t.Errorf("%+v", f)
 	}
-	if c, err = readFollower(t, `follow { member "127.0.0.1:2"; }`); err != nil || c.Follower.Lease != 3*time.Second ||
+	if c, err = readFollowerLines(t, `follow { member "127.0.0.1:2"; }`); err != nil || c.Follower.Lease != 3*time.Second ||
 		!slices.Equal(c.Follower.Scope.Zones, []string{"north", "south"}) {
 		t.Errorf("%+v, %v", c.Follower, err)
 	}
-	if c, err = readFollower(t, `follow { member "127.0.0.1:2"; everything; }`); err != nil || !c.Follower.Scope.All || len(c.Follower.Scope.Zones) > 0 {
+	if c, err = readFollowerLines(t, `follow { member "127.0.0.1:2"; everything; }`); err != nil || !c.Follower.Scope.All || len(c.Follower.Scope.Zones) > 0 {
 		t.Errorf("%+v, %v", c.Follower, err)
 	}
 	for lines, want := range map[string]string{
@@ -56,7 +57,7 @@
 		"follow { member \"127.0.0.1:2\"; }\nfollow { member \"x:2\"; }": `line 7: "follow" is there twice`,
 		"group { id 1; listen \"127.0.0.1:3\"; data \"d\"; member 1 \"127.0.0.1:3\"; }\nfollow { member \"127.0.0.1:2\"; }": `line 7: a conductor is either a member of a group`,
 	} {
-		if _, err := readFollower(t, lines); err == nil || !strings.Contains(err.Error(), want) {
+		if _, err := readFollowerLines(t, lines); err == nil || !strings.Contains(err.Error(), want) {
 			t.Errorf("%s: %v, want %q", lines, err, want)
 		}
 	}
@@ -65,8 +66,8 @@
 // revisions are those of some records by name; the others have none.
 var revisions = map[string]uint64{"a": 3, "a-one": 9, "tenant": 50, "n-1": 60}
 
-// held makes records of specs.
-func held(t *testing.T, specs map[records.Key]any) map[records.Key]*records.Record {
+// newRecords returns the records of specs.
+func newRecords(t *testing.T, specs map[records.Key]any) map[records.Key]*records.Record {
 	t.Helper()
 	out := map[records.Key]*records.Record{}
 	for key, spec := range specs {
@@ -83,8 +84,9 @@
 func routeKey(name string) records.Key    { return records.Key{Kind: records.KindRoute, Name: name} }
 func overrideKey(name string) records.Key { return records.Key{Kind: records.KindOverride, Name: name} }
 
+// Routes and overrides are made of records; a route that is never reached is an error.
 func TestAgreedFromFollower(t *testing.T) {
-	agreed, err := AgreedFromFollower(held(t, map[records.Key]any{
+	agreed, err := AgreedFromFollower(newRecords(t, map[records.Key]any{
 		routeKey("all"):   records.RouteSpec{Prefix: "/", TimeLimitMS: 100},
 		routeKey("a"):     records.RouteSpec{Prefix: "/a", TimeLimitMS: 1500, MaxAdmitted: 0.5},
 		routeKey("a-one"): records.RouteSpec{Prefix: "/a/one", TimeLimitMS: 100, Mutating: true},
@@ -105,7 +107,7 @@
 	if len(agreed.Overrides) != 2 || agreed.Overrides["n-1"] != planner.Draining || agreed.Overrides["n-2"] != planner.Removed {
 		t.Errorf("overrides %v", agreed.Overrides)
 	}
-	_, err = AgreedFromFollower(held(t, map[records.Key]any{
+	_, err = AgreedFromFollower(newRecords(t, map[records.Key]any{
 		routeKey("a"): records.RouteSpec{Prefix: "/a", TimeLimitMS: 100},
 		routeKey("b"): records.RouteSpec{Prefix: "/a", TimeLimitMS: 100},
 	}))
@@ -114,8 +116,9 @@
 	}
 }
 
+// A follower rejects agreed records that its configuration or its nodes do not allow.
 func TestValidateUpdate(t *testing.T) {
-	c, err := readFollower(t, `follow { member "127.0.0.1:2"; }`)
+	c, err := readFollowerLines(t, `follow { member "127.0.0.1:2"; }`)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -143,18 +146,16 @@
 		"override of an unlisted node":   {specs: with(overrideKey("n-9"), gone), nodes: nodes},
 		"override of a node that drains": {specs: with(overrideKey("n-2"), gone), nodes: nodes},
 	} {
-		agreed, err := AgreedFromFollower(held(t, one.specs))
+		agreed, err := AgreedFromFollower(newRecords(t, one.specs))
 		if err != nil {
 			t.Fatal(err)
 		}
-		was, err := AgreedFromFollower(held(t, one.was))
+		was, err := AgreedFromFollower(newRecords(t, one.was))
 		if err != nil {
 			t.Fatal(err)
 		}
 		err = c.ValidateUpdate(agreed, was, one.nodes)
-		if one.want == "" && err != nil || one.want != "" && (err == nil || !strings.Contains(err.Error(), one.want)) {
-			t.Errorf("%s: %v, want %q", name, err, one.want)
-		}
+		checkFault(t, name, err, one.want)
 		var unusable *UnusableError
 		if err != nil && !errors.As(err, &unusable) {
 			t.Errorf("%s: %T is no *UnusableError", name, err)
@@ -162,14 +163,14 @@
 	}
 }
 
-// A follower's check costs by its routes and overrides: ten times the tenants add no allocation.
+// The cost of a follower's configuration is that of its routes and overrides: ten times the tenants add no allocation.
 func TestAgreedFromFollowerSkipsTenants(t *testing.T) {
 	allocations := func(tenants int) float64 {
 		specs := map[records.Key]any{routeKey("a"): records.RouteSpec{Prefix: "/a", TimeLimitMS: 100}}
 		for k := range tenants {
 			specs[records.Key{Kind: records.KindTenant, Name: strconv.Itoa(k)}] = records.TenantSpec{Service: "s", Share: 0.1}
 		}
-		all := held(t, specs)
+		all := newRecords(t, specs)
 		return testing.AllocsPerRun(10, func() { AgreedFromFollower(all) })
 	}
 	if few, many := allocations(100), allocations(1000); many > few {
--- a/configsync/backoff_test.go
+++ b/configsync/backoff_test.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// Pauses are spread over all of a range that doubles up to a limit, and begin anew after a success.
+// Delays are drawn from all of a range that doubles up to a limit, and begin anew after a success.
 func TestBackoffHasFullJitter(t *testing.T) {
 	const many = 2000
 	limits := []time.Duration{backoffBase, 2 * backoffBase, 4 * backoffBase, 8 * backoffBase, 16 * backoffBase, backoffMax, backoffMax}
@@ -31,7 +31,7 @@
 	}
 }
 
-// Each failure moves on; all members come in turn, and followers begin at different ones.
+// Each failure moves on to the next member; all members are tried in turn, and followers begin at different ones.
 func TestBackoffTriesEveryMember(t *testing.T) {
 	members := []string{"a", "b", "c", "d", "e"}
 	first := map[string]int{}
@@ -54,7 +54,7 @@
 	}
 }
 
-// Failing for days overflows nothing.
+// Failures for days do not overflow the delay.
 func TestBackoffMovesOnAfterEachFailure(t *testing.T) {
 	b := NewBackoff([]string{"a"}, 1)
 	for range 10000 {
--- a/configsync/convergence_test.go
+++ b/configsync/convergence_test.go
@@ -7,7 +7,7 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-// lease is one of a status taken at a moment, live if it ends later.
+// leaseStatus is a lease of a status that was taken at a time; it is live if it expires later.
 func leaseStatus(name string, accepted uint64, taken, expires time.Time, behind time.Duration) LeaseStatus {
 	return LeaseStatus{Name: name, Accepted: accepted, Live: taken.Before(expires), Expires: expires, Behind: behind}
 }
@@ -16,6 +16,7 @@
 	return MemberStatus{Member: member, At: taken, Revision: revision, Settled: true, Leases: leases}
 }
 
+// The converged revision is the lowest that a follower with a lease has accepted, over all members.
 func TestMergeCombinesMembers(t *testing.T) {
 	now := at(100)
 	force := Merge([]MemberStatus{
@@ -37,7 +38,8 @@
 	}
 }
 
-// A follower that has moved is held back by no lease that it left behind, though the members' clocks differ by an hour.
+// A follower has moved to another member: its lease at the first one must not hold convergence back, though the members'
+// clocks differ by an hour.
 func TestMergeUsesLeaseRenewedLast(t *testing.T) {
 	now, ahead := at(100), at(3700)
 	left := memberStatus("m1", ahead, 9, leaseStatus("a", 3, ahead, ahead.Add(time.Second), time.Second))
@@ -47,12 +49,12 @@
 			t.Errorf("%+v", force)
 		}
 	}
-	// It has begun anew at m2 with nothing: what it held before does not count.
+	// It has begun anew at m2 without records: what it had accepted before does not count.
 	came.Leases[0].Accepted = 0
 	if force := Merge([]MemberStatus{left, came}, []string{"m1", "m2"}); force.ConvergedRevision != 0 {
 		t.Errorf("%+v", force)
 	}
-	// Renewed at once: the lower one counts.
+	// Renewed at the same time: the lower revision counts.
 	came.Leases[0].Accepted, left.Leases[0].Expires = 9, ahead.Add(2*time.Second)
 	for _, statuses := range [][]MemberStatus{{left, came}, {came, left}} {
 		if force := Merge(statuses, []string{"m1", "m2"}); force.ConvergedRevision != 3 {
@@ -61,6 +63,7 @@
 	}
 }
 
+// A member that did not answer, or has just started, may have leases that are not known: the result is uncertain.
 func TestMergeListsUnknownMembers(t *testing.T) {
 	now := at(100)
 	restarted := memberStatus("m3", now, 9)
@@ -77,7 +80,7 @@
 	}
 }
 
-// A lease that ran out holds nothing back and is told apart.
+// A lease that ran out does not hold convergence back; its follower is listed as stale.
 func TestMergeLeavesOutStaleFollowers(t *testing.T) {
 	now := at(100)
 	force := Merge([]MemberStatus{memberStatus("m1", now, 9,
@@ -87,7 +90,7 @@
 	}
 }
 
-// A member that is itself behind takes its followers for being in step; the others know since when they are not.
+// A member that is behind itself takes its followers for up to date; the other members know since when they are not.
 func TestMergeReportsLagOfFollowerAtLaggingMember(t *testing.T) {
 	now := at(100)
 	newest := memberStatus("m1", now, 9)
--- a/configsync/cost_test.go
+++ b/configsync/cost_test.go
@@ -9,28 +9,28 @@
 	"harehook.dev/harehook/records"
 )
 
-// A changed record costs an interested follower at most so much beside its name and body, and the others a message that
-// tells of the revision.
+// Bounds, in bytes: of a changed record for a follower whose scope has it, beside its name and body, and of the progress
+// that the others are sent.
 const (
 	maxRecordOverhead = 1 << 10
 	maxProgressBytes  = 128
 )
 
-// crowd is a member with followers in step, each with a service of its own and a route in it.
-type crowd struct {
-	*world
+// followerGroup is a member with followers that are up to date, each with a service of its own and a route in it.
+type followerGroup struct {
+	*testMember
 	followers []*connection
 }
 
-func newCrowd(t testing.TB, size int) *crowd {
+func newFollowerGroup(t testing.TB, size int) *followerGroup {
 	source := newModelSource()
 	source.known = 3
 	limits := testLimits
 	limits.MaxStreams, limits.FullScopeBytesPerSecond, limits.FullScopeBurstBytes = size, 1<<30, 1<<30
-	c := &crowd{world: &world{t, source, NewServer("m1", source, limits, at(0))}}
+	c := &followerGroup{testMember: &testMember{t, source, NewServer("m1", source, limits, at(0))}}
 	var all []*records.Record
 	for n := range size {
-		all = append(all, route(t, fmt.Sprint("r", n), fmt.Sprint("s", n), 10))
+		all = append(all, newRouteRecord(t, fmt.Sprint("r", n), fmt.Sprint("s", n), 10))
 	}
 	c.commit(at(0), 1, all)
 	for n := range size {
@@ -42,9 +42,9 @@
 	return c
 }
 
-// change commits a change of the first route, tells all followers and gives what the messages came to.
-func (c *crowd) change(revision uint64) (messages, interestedBytes, otherBytes int) {
-	c.commit(at(0), revision, one(route(c.t, "r0", "s0", float64(revision))))
+// commitChange commits a change of the first route, passes all messages, and returns their number and sizes.
+func (c *followerGroup) commitChange(revision uint64) (messages, interestedBytes, otherBytes int) {
+	c.commit(at(0), revision, oneRecord(newRouteRecord(c.t, "r0", "s0", float64(revision))))
 	for n, follower := range c.followers {
 		for response := follower.send(at(0)); response != nil; response = follower.send(at(0)) {
 			messages++
@@ -59,15 +59,16 @@
 	return messages, interestedBytes, otherBytes
 }
 
+// A change is one message for each follower: a delta for the one whose scope has it, progress for the others.
 func TestBytesOfOneChange(t *testing.T) {
 	const size = 50
-	c := newCrowd(t, size)
+	c := newFollowerGroup(t, size)
 	if got := c.server.Counts; got.FullScopes != size || got.Heartbeats != size {
 		t.Errorf("at the start: %+v", got)
 	}
-	record := route(t, "r0", "s0", 10)
+	record := newRouteRecord(t, "r0", "s0", 10)
 	for revision := uint64(2); revision < 12; revision++ {
-		messages, interested, others := c.change(revision)
+		messages, interested, others := c.commitChange(revision)
 		if messages != size {
 			t.Errorf("%d messages to %d followers", messages, size)
 		}
@@ -84,10 +85,10 @@
 	}
 }
 
-// What a revision costs to tell and to answer, per follower, does not grow with the number of followers.
+// The allocations of a revision, per follower, do not grow with the number of followers.
 func TestAllocationsPerFollowerDoNotGrow(t *testing.T) {
 	perFollower := func(size int) float64 {
-		c := newCrowd(t, size)
+		c := newFollowerGroup(t, size)
 		source := &progressSource{Source: c.source, revision: 1}
 		c.server.source = source
 		return testing.AllocsPerRun(20, func() {
@@ -104,9 +105,9 @@
 	}
 }
 
-// Noting a commit allocates nothing for the leases.
+// A commit allocates nothing for the leases.
 func TestCommittedAllocationsAreBounded(t *testing.T) {
-	c := newCrowd(t, 500)
+	c := newFollowerGroup(t, 500)
 	revision := uint64(1)
 	if got := testing.AllocsPerRun(1000, func() {
 		revision++
@@ -116,10 +117,11 @@
 	}
 }
 
+// BenchmarkCommitted measures what a commit costs a member by the number of its leases.
 func BenchmarkCommitted(b *testing.B) {
 	for _, size := range []int{20, 200, 2000} {
 		b.Run(fmt.Sprint(size), func(b *testing.B) {
-			c := newCrowd(b, size)
+			c := newFollowerGroup(b, size)
 			revision := uint64(1)
 			for b.Loop() {
 				revision++
@@ -129,11 +131,11 @@
 	}
 }
 
-// BenchmarkSendChange tells followers of progress, over a source that costs nothing.
+// BenchmarkSendChange sends followers progress, from a source that costs nothing.
 func BenchmarkSendChange(b *testing.B) {
 	for _, size := range []int{20, 200, 2000} {
 		b.Run(fmt.Sprint(size), func(b *testing.B) {
-			c := newCrowd(b, size)
+			c := newFollowerGroup(b, size)
 			source := &progressSource{Source: c.source, revision: 1}
 			c.server.source = source
 			b.ReportAllocs()
@@ -160,7 +162,7 @@
 	return records.Delta{Revision: s.revision, RoutingRevision: 1, Available: true}
 }
 
-// The overhead that MaxMessage counts on.
+// A record on the wire costs no more beside its name and body than the comment of MaxMessage says.
 func TestRecordOverhead(t *testing.T) {
 	var all []*records.Record
 	bytes := 0
@@ -169,7 +171,7 @@
 			records.TenantSpec{Service: fmt.Sprint("service-", n), Share: 0.001}), 123456789)
 		all, bytes = append(all, one), bytes+len(one.Name)+len(one.Body)
 	}
-	message := proto.Size(offerOf(t, Update{Revision: 123456789, Nonce: "1", FullScope: true, Records: all}))
+	message := proto.Size(encodeUpdate(t, Update{Revision: 123456789, Nonce: "1", FullScope: true, Records: all}))
 	overhead := (message - bytes) / len(all)
 	t.Logf("%d bytes a record, %d beside its name and body", message/len(all), overhead)
 	if overhead > 90 {
--- a/configsync/follower_test.go
+++ b/configsync/follower_test.go
@@ -12,12 +12,13 @@
 
 var testStart = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 
-// at is a moment of a test, in seconds after its start.
+// at is a time of a test, in seconds after its start.
 func at(seconds float64) time.Time {
 	return testStart.Add(time.Duration(seconds * float64(time.Second)))
 }
 
-// A follower's lease runs from when its request was sent. By the time of the heartbeat it would end after the member's.
+// A follower's lease starts when its request is sent. If it started with the heartbeat it would end after the member's, and
+// the follower would be the last to know that it is stale.
 func TestFollowerLeaseRunsFromItsRequest(t *testing.T) {
 	follower := NewFollower("a", records.Scope{All: true}, 3*time.Second, nil)
 	if !follower.Stale(at(0)) {
@@ -50,7 +51,7 @@
 	}
 }
 
-// An offer is sent without the member having heard the follower: it does not renew the lease.
+// A member may send an update without a request since: the update must not renew the follower's lease.
 func TestUpdateDoesNotRenewLease(t *testing.T) {
 	follower := NewFollower("a", records.Scope{All: true}, 3*time.Second, nil)
 	follower.Begin(at(0))
@@ -66,8 +67,8 @@
 	}
 }
 
-// offerOf makes the message of an offer.
-func offerOf(t testing.TB, offer Update) *discoveryv3.DeltaDiscoveryResponse {
+// encodeUpdate returns the message of an update.
+func encodeUpdate(t testing.TB, offer Update) *discoveryv3.DeltaDiscoveryResponse {
 	t.Helper()
 	response, err := offer.response()
 	if err != nil {
@@ -81,36 +82,36 @@
 	return record
 }
 
-// newFollowerWithRecords is a follower with one route at revision 5.
+// newFollowerWithRecords returns a follower with one route at revision 5.
 func newFollowerWithRecords(t testing.TB) *Follower {
 	t.Helper()
 	f := NewFollower("f", services("s1"), 3*time.Second, nil)
 	f.Begin(at(0))
-	whole := offerOf(t, Update{Revision: 5, Nonce: "1", FullScope: true, Records: one(withRevision(route(t, "a", "s1", 10), 4))})
+	whole := encodeUpdate(t, Update{Revision: 5, Nonce: "1", FullScope: true, Records: oneRecord(withRevision(newRouteRecord(t, "a", "s1", 10), 4))})
 	if _, accepted, err := f.Receive(at(0), whole); err != nil || !accepted {
 		t.Fatal(accepted, err)
 	}
 	return f
 }
 
-// What can't be read or can't be right is refused, and what was held stays.
+// An update that can't follow the accepted revision is rejected, and the accepted records stay.
 func TestFollowerRejectsInapplicableUpdates(t *testing.T) {
-	changed := withRevision(route(t, "a", "s1", 11), 6)
+	changed := withRevision(newRouteRecord(t, "a", "s1", 11), 6)
 	for name, offer := range map[string]Update{
 		"revision 0":                      {Revision: 0, Nonce: "2"},
 		"put twice":                       {Revision: 6, Nonce: "2", Records: []*records.Record{changed, changed}},
-		"put and removed":                 {Revision: 6, Nonce: "2", Records: one(changed), Removed: []records.Key{changed.Key}},
+		"put and removed":                 {Revision: 6, Nonce: "2", Records: oneRecord(changed), Removed: []records.Key{changed.Key}},
 		"removed twice":                   {Revision: 6, Nonce: "2", Removed: []records.Key{changed.Key, changed.Key}},
 		"whole that removes":              {Revision: 6, Nonce: "2", FullScope: true, Removed: []records.Key{changed.Key}},
-		"record newer than the offer":     {Revision: 6, Nonce: "2", Records: one(withRevision(route(t, "a", "s1", 11), 7))},
-		"record without a revision":       {Revision: 6, Nonce: "2", FullScope: true, Records: one(route(t, "a", "s1", 11))},
-		"change as old as what is held":   {Revision: 6, Nonce: "2", Records: one(withRevision(route(t, "a", "s1", 11), 5))},
-		"record of another scope":         {Revision: 6, Nonce: "2", Records: one(withRevision(route(t, "x", "s2", 11), 6))},
-		"whole with one of another scope": {Revision: 6, Nonce: "2", FullScope: true, Records: one(withRevision(route(t, "x", "s2", 11), 6))},
+		"record newer than the offer":     {Revision: 6, Nonce: "2", Records: oneRecord(withRevision(newRouteRecord(t, "a", "s1", 11), 7))},
+		"record without a revision":       {Revision: 6, Nonce: "2", FullScope: true, Records: oneRecord(newRouteRecord(t, "a", "s1", 11))},
+		"change as old as what is held":   {Revision: 6, Nonce: "2", Records: oneRecord(withRevision(newRouteRecord(t, "a", "s1", 11), 5))},
+		"record of another scope":         {Revision: 6, Nonce: "2", Records: oneRecord(withRevision(newRouteRecord(t, "x", "s2", 11), 6))},
+		"whole with one of another scope": {Revision: 6, Nonce: "2", FullScope: true, Records: oneRecord(withRevision(newRouteRecord(t, "x", "s2", 11), 6))},
 	} {
 		t.Run(name, func(t *testing.T) {
 			f := newFollowerWithRecords(t)
-			reply, accepted, err := f.Receive(at(1), offerOf(t, offer))
+			reply, accepted, err := f.Receive(at(1), encodeUpdate(t, offer))
 			if err != nil || accepted || reply.GetErrorDetail() == nil || reply.GetResponseNonce() != "2" {
 				t.Errorf("reply %v, accepted %v, %v", reply, accepted, err)
 			}
@@ -121,9 +122,10 @@
 	}
 }
 
+// A message that can't be read as an update is rejected, and the accepted records stay.
 func TestFollowerRejectsMalformedMessages(t *testing.T) {
 	good := func() *discoveryv3.DeltaDiscoveryResponse {
-		return offerOf(t, Update{Revision: 6, Nonce: "2", Records: one(withRevision(route(t, "a", "s1", 11), 6))})
+		return encodeUpdate(t, Update{Revision: 6, Nonce: "2", Records: oneRecord(withRevision(newRouteRecord(t, "a", "s1", 11), 6))})
 	}
 	for name, spoil := range map[string]func(*discoveryv3.DeltaDiscoveryResponse){
 		"type":           func(r *discoveryv3.DeltaDiscoveryResponse) { r.TypeUrl = "x" },
@@ -156,7 +158,7 @@
 	}
 }
 
-// Without a nonce there is nothing to answer: such a member is left.
+// A malformed message without a nonce can't be answered by a NACK: its member is left.
 func TestFollowerLeavesMemberAfterMalformedHeartbeat(t *testing.T) {
 	f := newFollowerWithRecords(t)
 	if reply, _, err := f.Receive(at(1), &discoveryv3.DeltaDiscoveryResponse{TypeUrl: "x"}); err == nil || reply != nil {
@@ -167,50 +169,51 @@
 	}
 }
 
-func TestFollowerRefusesOlderRevision(t *testing.T) {
+// A member offers an older revision than the accepted one: the follower must neither accept nor reject it, but leave.
+func TestFollowerLeavesMemberWithOlderRevision(t *testing.T) {
 	f := newFollowerWithRecords(t)
 	for _, whole := range []bool{true, false} {
-		reply, accepted, err := f.Receive(at(1), offerOf(t, Update{Revision: 4, Nonce: "2", FullScope: whole}))
+		reply, accepted, err := f.Receive(at(1), encodeUpdate(t, Update{Revision: 4, Nonce: "2", FullScope: whole}))
 		if !errors.Is(err, ErrOlderRevision) || accepted || reply != nil || f.Revision() != 5 || len(f.Records()) != 1 {
 			t.Errorf("reply %v, accepted %v, %v", reply, accepted, err)
 		}
 	}
 }
 
-// The revision held may come again, whole or as progress, but with no other contents.
+// The accepted revision may come again, as a full scope or as progress, but not with other contents.
 func TestFollowerDetectsConflictAtSameRevision(t *testing.T) {
-	same := Update{Revision: 5, Nonce: "2", FullScope: true, Records: one(withRevision(route(t, "a", "s1", 10), 4))}
+	same := Update{Revision: 5, Nonce: "2", FullScope: true, Records: oneRecord(withRevision(newRouteRecord(t, "a", "s1", 10), 4))}
 	for name, offer := range map[string]Update{"whole": same, "progress": {Revision: 5, Nonce: "2"}} {
 		f := newFollowerWithRecords(t)
-		if reply, accepted, err := f.Receive(at(1), offerOf(t, offer)); err != nil || accepted || reply.GetErrorDetail() != nil {
+		if reply, accepted, err := f.Receive(at(1), encodeUpdate(t, offer)); err != nil || accepted || reply.GetErrorDetail() != nil {
 			t.Errorf("%s: reply %v, accepted %v, %v", name, reply, accepted, err)
 		}
 	}
 	for name, offer := range map[string]Update{
-		"other content":  {Revision: 5, Nonce: "2", FullScope: true, Records: one(withRevision(route(t, "a", "s1", 11), 4))},
-		"other revision": {Revision: 5, Nonce: "2", FullScope: true, Records: one(withRevision(route(t, "a", "s1", 10), 3))},
+		"other content":  {Revision: 5, Nonce: "2", FullScope: true, Records: oneRecord(withRevision(newRouteRecord(t, "a", "s1", 11), 4))},
+		"other revision": {Revision: 5, Nonce: "2", FullScope: true, Records: oneRecord(withRevision(newRouteRecord(t, "a", "s1", 10), 3))},
 		"less":           {Revision: 5, Nonce: "2", FullScope: true},
 		"removed":        {Revision: 5, Nonce: "2", Removed: []records.Key{routeKey("a")}},
-		"changed":        {Revision: 5, Nonce: "2", Records: one(withRevision(route(t, "a", "s1", 11), 5))},
+		"changed":        {Revision: 5, Nonce: "2", Records: oneRecord(withRevision(newRouteRecord(t, "a", "s1", 11), 5))},
 	} {
 		f := newFollowerWithRecords(t)
-		if _, accepted, err := f.Receive(at(1), offerOf(t, offer)); !errors.Is(err, ErrConflictingContent) || accepted || len(f.Records()) != 1 {
+		if _, accepted, err := f.Receive(at(1), encodeUpdate(t, offer)); !errors.Is(err, ErrConflictingContent) || accepted || len(f.Records()) != 1 {
 			t.Errorf("%s: accepted %v, %v", name, accepted, err)
 		}
 	}
 }
 
-// A change can't be applied to nothing: what else is in the scope would be missing.
+// A delta can't be applied without a base revision: all else of the scope would be missing.
 func TestFollowerRejectsDeltaWithoutBaseRevision(t *testing.T) {
 	f := NewFollower("f", services("s1"), 3*time.Second, nil)
-	for _, offer := range []Update{{Revision: 5, Nonce: "1", Records: one(withRevision(route(t, "a", "s1", 10), 5))}, {Revision: 5, Nonce: "1"}} {
-		if reply, accepted, err := f.Receive(at(0), offerOf(t, offer)); err != nil || accepted || reply.GetErrorDetail() == nil {
+	for _, offer := range []Update{{Revision: 5, Nonce: "1", Records: oneRecord(withRevision(newRouteRecord(t, "a", "s1", 10), 5))}, {Revision: 5, Nonce: "1"}} {
+		if reply, accepted, err := f.Receive(at(0), encodeUpdate(t, offer)); err != nil || accepted || reply.GetErrorDetail() == nil {
 			t.Errorf("reply %v, accepted %v, %v", reply, accepted, err)
 		}
 	}
 }
 
-// A follower whose lease ran out keeps what it holds.
+// A follower whose lease ran out goes on with its records.
 func TestStaleFollowerKeepsRecords(t *testing.T) {
 	f := newFollowerWithRecords(t)
 	if !f.Stale(at(100000)) || f.Revision() != 5 || len(f.Records()) != 1 {
--- a/configsync/fullscope_limiter_test.go
+++ b/configsync/fullscope_limiter_test.go
@@ -8,7 +8,8 @@
 	"harehook.dev/harehook/records"
 )
 
-// A crowd is served in the order in which it came, all of it, using most of the allowance, whatever a scope's size.
+// Streams that wait for full scopes are served in the order in which they came, all of them, with most of the limit in use,
+// whatever the size of a scope.
 func TestFullScopeLimiterServesCrowdInOrder(t *testing.T) {
 	for _, bytes := range []float64{1 << 10, 16 << 10, 300 << 10} {
 		a := newFullScopeLimiter(1<<20, 64<<10)
@@ -52,7 +53,8 @@
 	}
 }
 
-// A stream at the head that does not ask any more, stuck in a write for instance, loses its place.
+// A stream at the head of the queue does not ask any more, for instance because it is stuck in a write, and those behind it
+// would wait for good: it has to lose its place.
 func TestFullScopeLimiterSkipsLateStreams(t *testing.T) {
 	a := newFullScopeLimiter(1000, 1000)
 	dead, alive, dying := &Stream{}, &Stream{}, &Stream{}
@@ -77,7 +79,7 @@
 	}
 }
 
-// Refilled by the time that passed, to the burst at most; a clock that goes back gives nothing.
+// The limiter refills by the time that passed, up to the burst; a clock that goes back refills nothing.
 func TestFullScopeLimiterRefillsToBurst(t *testing.T) {
 	a := newFullScopeLimiter(1000, 500)
 	stream := &Stream{}
@@ -101,14 +103,14 @@
 	}
 }
 
-// While a crowd waits for whole scopes, who is in step gets changes at once. A stream that is closed in the queue, or
-// replaced, makes place.
+// While many streams wait for full scopes, followers that are up to date get deltas at once. A stream that is closed or
+// replaced while it waits leaves the queue.
 func TestWaitingFullScopesDoNotDelayDeltas(t *testing.T) {
 	source := newModelSource()
 	limits := testLimits
 	limits.FullScopeBytesPerSecond, limits.FullScopeBurstBytes = 100, 1
 	server := NewServer("m1", source, limits, at(0))
-	server.Committed(at(0), source.commit(1, one(route(t, "a", "s1", 10))))
+	server.Committed(at(0), source.commit(1, oneRecord(newRouteRecord(t, "a", "s1", 10))))
 	f := NewFollower("in step", services("s1"), limits.Lease, nil)
 	inStep := connect(t, server, f, at(0))
 	inStep.settle(at(0))
@@ -121,7 +123,7 @@
 		}
 		crowd = append(crowd, c)
 	}
-	server.Committed(at(0.1), source.commit(2, one(route(t, "a", "s1", 11))))
+	server.Committed(at(0.1), source.commit(2, oneRecord(newRouteRecord(t, "a", "s1", 11))))
 	inStep.settle(at(0.1))
 	if f.Revision() != 2 {
 		t.Error("held up by the crowd")
@@ -138,19 +140,19 @@
 	}
 }
 
-// Refusing whole scopes again and again costs the allowance, and one who does it waits behind the others.
+// A follower that rejects a full scope again and again uses up the limit: it has to queue behind the others each time.
 func TestRejectedFullScopeIsChargedAndQueuesAgain(t *testing.T) {
 	source := newModelSource()
 	limits := testLimits
 	limits.FullScopeBytesPerSecond, limits.FullScopeBurstBytes = 1000, 1
 	server := NewServer("m1", source, limits, at(0))
-	server.Committed(at(0), source.commit(1, one(route(t, "a", "s1", 10))))
+	server.Committed(at(0), source.commit(1, oneRecord(newRouteRecord(t, "a", "s1", 10))))
 	refuser := connect(t, server, NewFollower("refuser", services("s1"), limits.Lease,
 		func(uint64, map[records.Key]*records.Record) error { return fmt.Errorf("never") }), at(0))
 	refuser.settle(at(0))
 	other := connect(t, server, NewFollower("other", services("s1"), limits.Lease, nil), at(0))
 	other.settle(at(0))
-	server.Committed(at(0), source.commit(2, one(route(t, "a", "s1", 11))))
+	server.Committed(at(0), source.commit(2, oneRecord(newRouteRecord(t, "a", "s1", 11))))
 	refuser.settle(at(0))
 	for tick := range 200 {
 		now := at(float64(tick) / 100)
--- a/configsync/fuzz_test.go
+++ b/configsync/fuzz_test.go
@@ -10,8 +10,8 @@
 	"harehook.dev/harehook/records"
 )
 
-// encoded is a message on the wire.
-func encoded(t testing.TB, message proto.Message) []byte {
+// encodeMessage returns a message on the wire.
+func encodeMessage(t testing.TB, message proto.Message) []byte {
 	t.Helper()
 	data, err := proto.Marshal(message)
 	if err != nil {
@@ -20,20 +20,20 @@
 	return data
 }
 
-// FuzzServerReceive hands a member the first two requests of a stream. Whatever they are, it goes on serving others.
+// FuzzServerReceive passes a member the first two requests of a stream. Whatever they are, it goes on serving others.
 func FuzzServerReceive(f *testing.F) {
-	hello := encoded(f, Handshake{Name: "f", Scope: services("s1", "s2"), Revision: 1}.request())
+	hello := encodeMessage(f, Handshake{Name: "f", Scope: services("s1", "s2"), Revision: 1}.request())
 	for _, second := range []*discoveryv3.DeltaDiscoveryRequest{
 		{TypeUrl: TypeURL}, {TypeUrl: TypeURL, ResponseNonce: "1"}, {TypeUrl: TypeURL, ResponseNonce: "9"}, {TypeUrl: "other"},
 	} {
-		f.Add(hello, encoded(f, second))
+		f.Add(hello, encodeMessage(f, second))
 	}
-	f.Add(encoded(f, Handshake{Name: "victim", Revision: 1<<64 - 1}.request()), []byte{})
-	f.Add(encoded(f, Handshake{Name: "", Scope: records.Scope{All: true}}.request()), hello)
+	f.Add(encodeMessage(f, Handshake{Name: "victim", Revision: 1<<64 - 1}.request()), []byte{})
+	f.Add(encodeMessage(f, Handshake{Name: "", Scope: records.Scope{All: true}}.request()), hello)
 	f.Fuzz(func(t *testing.T, first, second []byte) {
-		w := newWorld(t)
-		w.commit(at(0), 1, one(route(t, "a", "s1", 10)))
-		w.commit(at(0), 2, one(route(t, "b", "s1", 10)))
+		w := newTestMember(t)
+		w.commit(at(0), 1, oneRecord(newRouteRecord(t, "a", "s1", 10)))
+		w.commit(at(0), 2, oneRecord(newRouteRecord(t, "b", "s1", 10)))
 		victim := connect(t, w.server, NewFollower("bystander", services("s1"), testLimits.Lease, nil), at(0))
 		stream, err := w.server.Open(at(0))
 		if err != nil {
@@ -57,31 +57,31 @@
 		w.server.Close(stream)
 		if stream.Name() != "bystander" {
 			victim.settle(at(1))
-			w.holds(victim.follower)
+			w.checkFollower(victim.follower)
 		}
 	})
 }
 
-// FuzzFollowerReceive hands a follower a response. Whatever it is, the follower holds what is of its scope and revision,
-// and refuses or leaves without a change of what it holds.
+// FuzzFollowerReceive passes a follower a response. Whatever it is, the follower has only records of its scope and revision,
+// and rejects the response or leaves the member without a change of its records.
 func FuzzFollowerReceive(f *testing.F) {
-	record := withRevision(route(f, "a", "s1", 11), 6)
+	record := withRevision(newRouteRecord(f, "a", "s1", 11), 6)
 	for _, offer := range []Update{
 		{Revision: 6},
 		{Revision: 6, Nonce: "2"},
-		{Revision: 6, Nonce: "2", Records: one(record)},
-		{Revision: 6, RoutingRevision: 6, Nonce: "2", Records: one(record)},
+		{Revision: 6, Nonce: "2", Records: oneRecord(record)},
+		{Revision: 6, RoutingRevision: 6, Nonce: "2", Records: oneRecord(record)},
 		{Revision: 6, RoutingRevision: 7, Nonce: "2"},
-		{Revision: 6, Nonce: "2", FullScope: true, Records: one(record)},
+		{Revision: 6, Nonce: "2", FullScope: true, Records: oneRecord(record)},
 		{Revision: 6, Nonce: "2", Removed: []records.Key{record.Key}},
-		{Revision: 6, Nonce: "2", Records: one(record), Removed: []records.Key{record.Key}},
+		{Revision: 6, Nonce: "2", Records: oneRecord(record), Removed: []records.Key{record.Key}},
 		{Revision: 0, Nonce: "2", FullScope: true},
 		{Revision: 5, Nonce: "2", FullScope: true},
 		{Revision: 1<<64 - 1, Nonce: "2"},
 	} {
-		f.Add(encoded(f, offerOf(f, offer)))
+		f.Add(encodeMessage(f, encodeUpdate(f, offer)))
 	}
-	f.Add(encoded(f, &discoveryv3.DeltaDiscoveryResponse{TypeUrl: TypeURL, SystemVersionInfo: "6", Nonce: "2",
+	f.Add(encodeMessage(f, &discoveryv3.DeltaDiscoveryResponse{TypeUrl: TypeURL, SystemVersionInfo: "6", Nonce: "2",
 		Resources: []*discoveryv3.Resource{{Name: fullScopeName}, {Name: fullScopeName}, {Name: "route/"}, {}}}))
 	f.Fuzz(func(t *testing.T, data []byte) {
 		response := &discoveryv3.DeltaDiscoveryResponse{}
--- a/configsync/golden_test.go
+++ b/configsync/golden_test.go
@@ -77,7 +77,7 @@
 	goldentest.Compare(t, "messages.txt", out.String())
 }
 
-// TestGoldenStatus compares the JSON of what members and harehookctl tell of followers with that of an earlier release.
+// TestGoldenStatus compares the JSON of members' statuses and of harehookctl with that of an earlier release.
 func TestGoldenStatus(t *testing.T) {
 	goldentest.CompareJSON(t, "status.json", &MemberStatus{}, &Convergence{}, &Counts{})
 }
--- a/configsync/routing_revision_test.go
+++ b/configsync/routing_revision_test.go
@@ -10,33 +10,33 @@
 	"harehook.dev/harehook/records"
 )
 
-// Followers of one scope have the same routing revision at the same revision, however they came there: told each change,
-// several at once, or the whole scope. It never goes down, also when the newest route goes.
+// Followers of one scope have the same routing revision at the same revision, however they came there: by each delta, by
+// several commits in one, or by a full scope. It never goes down, also when the newest route is removed.
 func TestRoutingRevisionMatchesRevision(t *testing.T) {
 	removals, comeAndGone := 0, 0
 	for seed := range uint64(20) {
 		random := rand.New(rand.NewPCG(seed, 5))
-		w := newWorld(t)
-		w.commit(at(0), 1, one(route(t, "a", "s1", 10)))
+		w := newTestMember(t)
+		w.commit(at(0), 1, oneRecord(newRouteRecord(t, "a", "s1", 10)))
 		each := connect(t, w.server, NewFollower("each", services("s1"), testLimits.Lease, nil), at(0))
 		some := connect(t, w.server, NewFollower("some", services("s1"), testLimits.Lease, nil), at(0))
 		each.settle(at(0))
 		some.settle(at(0))
 		for revision := uint64(2); revision < 60; revision++ {
 			name := fmt.Sprint("r", random.IntN(3))
-			before := w.source.last().held[routeKey(name)]
+			before := w.source.last().records[routeKey(name)]
 			if before != nil && random.IntN(2) == 0 {
 				w.commit(at(0), revision, nil, routeKey(name))
 				removals++
 			} else {
-				w.commit(at(0), revision, one(route(t, name, fmt.Sprint("s", 1+random.IntN(2)), float64(revision))))
+				w.commit(at(0), revision, oneRecord(newRouteRecord(t, name, fmt.Sprint("s", 1+random.IntN(2)), float64(revision))))
 			}
 			last := each.follower.RoutingRevision()
 			each.settle(at(0))
 			if each.follower.RoutingRevision() < last {
 				t.Fatalf("seed %d: %d after %d", seed, each.follower.RoutingRevision(), last)
 			}
-			w.holds(each.follower)
+			w.checkFollower(each.follower)
 			if random.IntN(4) > 0 {
 				continue
 			}
@@ -47,8 +47,8 @@
 			}
 			whole := connect(t, w.server, NewFollower(fmt.Sprint("whole", revision), services("s1"), testLimits.Lease, nil), at(0))
 			whole.settle(at(0))
-			w.holds(some.follower)
-			w.holds(whole.follower)
+			w.checkFollower(some.follower)
+			w.checkFollower(whole.follower)
 			w.server.Close(whole.stream)
 			if t.Failed() {
 				t.Fatalf("seed %d, revision %d", seed, revision)
@@ -60,7 +60,8 @@
 	}
 }
 
-// A lower routing revision than the one held is no reason to number routes lower. A refused offer changes nothing.
+// A member that restored a snapshot may name a lower routing revision than the accepted one: the follower's must not go
+// down, as sidecars reject routes of a lower number. A rejected update changes nothing.
 func TestRoutingRevisionNeverGoesDown(t *testing.T) {
 	f := newFollowerWithRecords(t)
 	for _, step := range []struct {
@@ -69,16 +70,16 @@
 	}{
 		{Update{Revision: 7, RoutingRevision: 6, Nonce: "2"}, 6},
 		{Update{Revision: 8, RoutingRevision: 4, Nonce: "3"}, 6},
-		{Update{Revision: 9, RoutingRevision: 9, Nonce: "4", Records: one(withRevision(route(t, "x", "s2", 1), 9))}, 6}, // another scope's
+		{Update{Revision: 9, RoutingRevision: 9, Nonce: "4", Records: oneRecord(withRevision(newRouteRecord(t, "x", "s2", 1), 9))}, 6}, // another scope's
 		{Update{Revision: 9, RoutingRevision: 9, Nonce: "5"}, 9},
 	} {
-		if _, _, err := f.Receive(at(1), offerOf(t, step.offer)); err != nil || f.RoutingRevision() != step.want {
+		if _, _, err := f.Receive(at(1), encodeUpdate(t, step.offer)); err != nil || f.RoutingRevision() != step.want {
 			t.Errorf("%+v: %d, want %d, %v", step.offer, f.RoutingRevision(), step.want, err)
 		}
 	}
 }
 
-// An offer has to have one routing revision that can be.
+// An update has to have exactly one routing revision, a number not over its revision.
 func TestUpdateWithoutRoutingRevisionIsRejected(t *testing.T) {
 	mark := func(version string) *discoveryv3.Resource {
 		return &discoveryv3.Resource{Name: routingRevisionName, Version: version}
@@ -86,8 +87,8 @@
 	for name, marks := range map[string][]*discoveryv3.Resource{
 		"none": nil, "two": {mark("4"), mark("4")}, "no number": {mark("")}, "newer than the offer": {mark("7")},
 	} {
-		for _, records := range [][]*records.Record{nil, one(withRevision(route(t, "a", "s1", 11), 6))} {
-			f, response := newFollowerWithRecords(t), offerOf(t, Update{Revision: 6, Nonce: "2", Records: records})
+		for _, records := range [][]*records.Record{nil, oneRecord(withRevision(newRouteRecord(t, "a", "s1", 11), 6))} {
+			f, response := newFollowerWithRecords(t), encodeUpdate(t, Update{Revision: 6, Nonce: "2", Records: records})
 			response.Resources = append(response.Resources[:len(records)], marks...)
 			reply, accepted, err := f.Receive(at(1), response)
 			if err != nil || accepted || reply.GetErrorDetail() == nil || f.Revision() != 5 || f.RoutingRevision() != 0 {
--- a/configsync/server_test.go
+++ b/configsync/server_test.go
@@ -10,76 +10,77 @@
 	"harehook.dev/harehook/records"
 )
 
-// world is a member with a source.
-type world struct {
+// testMember is a member with a source.
+type testMember struct {
 	t      testing.TB
 	source *modelSource
 	server *Server
 }
 
-func newWorld(t testing.TB) *world {
+func newTestMember(t testing.TB) *testMember {
 	source := newModelSource()
-	return &world{t, source, NewServer("m1", source, testLimits, at(0))}
+	return &testMember{t, source, NewServer("m1", source, testLimits, at(0))}
 }
 
-func (w *world) commit(now time.Time, revision uint64, put []*records.Record, removed ...records.Key) {
+func (w *testMember) commit(now time.Time, revision uint64, put []*records.Record, removed ...records.Key) {
 	w.server.Committed(now, w.source.commit(revision, put, removed...))
 }
 
-// holds compares what a follower holds with the source's scope.
-func (w *world) holds(f *Follower) {
+// checkFollower compares a follower's records with the source's.
+func (w *testMember) checkFollower(f *Follower) {
 	w.t.Helper()
 	want := map[records.Key]*records.Record{}
-	for _, record := range inScope(w.source.last().held, f.scope) {
+	for _, record := range inScope(w.source.last().records, f.scope) {
 		want[record.Key] = record
 	}
 	if f.Revision() != w.source.Revision() || !equalRecords(want, f.Records()) {
 		w.t.Errorf("revision %d with %v, want %d with %v", f.Revision(), f.Records(), w.source.Revision(), want)
 	}
-	if routing := w.source.routing(f.scope); f.RoutingRevision() != routing {
+	if routing := w.source.routingRevision(f.scope); f.RoutingRevision() != routing {
 		w.t.Errorf("routes changed at revision %d, want %d", f.RoutingRevision(), routing)
 	}
 }
 
+// A follower gets a full scope once, and deltas from then on.
 func TestFollowerGetsFullScopeThenDeltas(t *testing.T) {
-	w := newWorld(t)
-	w.commit(at(0), 3, []*records.Record{route(t, "a", "s1", 10), route(t, "b", "s2", 10), route(t, "c", "", 10)})
+	w := newTestMember(t)
+	w.commit(at(0), 3, []*records.Record{newRouteRecord(t, "a", "s1", 10), newRouteRecord(t, "b", "s2", 10), newRouteRecord(t, "c", "", 10)})
 	f := NewFollower("f", services("s1"), testLimits.Lease, nil)
 	c := connect(t, w.server, f, at(0))
 	c.settle(at(0))
-	w.holds(f)
+	w.checkFollower(f)
 
-	w.commit(at(1), 5, one(route(t, "a", "s1", 20)))
+	w.commit(at(1), 5, oneRecord(newRouteRecord(t, "a", "s1", 20)))
 	c.settle(at(1))
-	w.holds(f)
-	w.commit(at(2), 6, one(route(t, "b", "s2", 20))) // not in its scope
+	w.checkFollower(f)
+	w.commit(at(2), 6, oneRecord(newRouteRecord(t, "b", "s2", 20))) // not in its scope
 	c.settle(at(2))
-	w.holds(f)
-	w.commit(at(3), 7, one(route(t, "a", "s2", 20))) // moves out of its scope
+	w.checkFollower(f)
+	w.commit(at(3), 7, oneRecord(newRouteRecord(t, "a", "s2", 20))) // moves out of its scope
 	c.settle(at(3))
-	w.holds(f)
-	w.commit(at(4), 8, one(route(t, "b", "s1", 20))) // and one into it
+	w.checkFollower(f)
+	w.commit(at(4), 8, oneRecord(newRouteRecord(t, "b", "s1", 20))) // and one into it
 	c.settle(at(4))
-	w.holds(f)
+	w.checkFollower(f)
 	w.commit(at(5), 9, nil, routeKey("c"))
 	c.settle(at(5))
-	w.holds(f)
+	w.checkFollower(f)
 	if got := w.server.Counts; got.FullScopes != 1 || got.Changes != 4 || got.Progress != 1 || got.Accepted != 6 {
 		t.Errorf("%+v", got)
 	}
 }
 
-// What is committed while an offer is not answered is told as one change afterwards.
+// What is committed while an update is unanswered is sent as one delta afterwards.
 func TestBurstOfCommitsIsOneDelta(t *testing.T) {
-	w := newWorld(t)
-	w.commit(at(0), 1, one(route(t, "a", "s1", 10)))
+	w := newTestMember(t)
+	w.commit(at(0), 1, oneRecord(newRouteRecord(t, "a", "s1", 10)))
 	f := NewFollower("f", services("s1"), testLimits.Lease, nil)
 	c := connect(t, w.server, f, at(0))
 	c.settle(at(0))
-	w.commit(at(1), 2, one(route(t, "a", "s1", 11)))
-	offer := c.offer(at(1))
+	w.commit(at(1), 2, oneRecord(newRouteRecord(t, "a", "s1", 11)))
+	offer := c.nextUpdate(at(1))
 	for revision := uint64(3); revision < 100; revision++ {
-		w.commit(at(1), revision, one(route(t, "a", "s1", float64(revision))))
+		w.commit(at(1), revision, oneRecord(newRouteRecord(t, "a", "s1", float64(revision))))
 		if c.send(at(1)) != nil {
 			t.Fatal("a second offer while the first is not answered")
 		}
@@ -88,37 +89,39 @@
 	if messages := c.settle(at(1)); messages != 1 {
 		t.Errorf("%d messages for a burst", messages)
 	}
-	w.holds(f)
+	w.checkFollower(f)
 }
 
+// A follower is further behind than the source's history reaches: no delta brings it up to date, so it gets a full scope.
 func TestFollowerBehindHistoryGetsFullScope(t *testing.T) {
-	w := newWorld(t)
+	w := newTestMember(t)
 	w.source.known = 4
-	w.commit(at(0), 1, one(route(t, "a", "s1", 10)))
+	w.commit(at(0), 1, oneRecord(newRouteRecord(t, "a", "s1", 10)))
 	f := NewFollower("f", services("s1"), testLimits.Lease, nil)
 	c := connect(t, w.server, f, at(0))
 	c.settle(at(0))
 	w.server.Close(c.stream)
 	for revision := uint64(2); revision < 10; revision++ {
-		w.commit(at(1), revision, one(route(t, fmt.Sprint("r", revision), "s1", 10)), routeKey("a"))
+		w.commit(at(1), revision, oneRecord(newRouteRecord(t, fmt.Sprint("r", revision), "s1", 10)), routeKey("a"))
 	}
 	connect(t, w.server, f, at(2)).settle(at(2))
-	w.holds(f)
+	w.checkFollower(f)
 	if w.server.Counts.FullScopes != 2 || w.server.Counts.Changes != 0 {
 		t.Errorf("%+v", w.server.Counts)
 	}
 }
 
-// A stream is cut between an offer and its answer, before or after the follower has it: it goes on from what it holds.
+// A stream is cut between an update and its answer, before or after the follower has accepted it: the next stream has to go
+// on from what the follower has.
 func TestStreamCutBetweenUpdateAndAnswer(t *testing.T) {
 	for _, arrived := range []bool{false, true} {
-		w := newWorld(t)
-		w.commit(at(0), 1, one(route(t, "a", "s1", 10)))
+		w := newTestMember(t)
+		w.commit(at(0), 1, oneRecord(newRouteRecord(t, "a", "s1", 10)))
 		f := NewFollower("f", services("s1"), testLimits.Lease, nil)
 		c := connect(t, w.server, f, at(0))
 		c.settle(at(0))
-		w.commit(at(1), 2, one(route(t, "a", "s1", 11)))
-		offer := c.offer(at(1))
+		w.commit(at(1), 2, oneRecord(newRouteRecord(t, "a", "s1", 11)))
+		offer := c.nextUpdate(at(1))
 		if arrived {
 			if _, accepted, err := f.Receive(at(1), offer); err != nil || !accepted {
 				t.Fatal(accepted, err)
@@ -130,7 +133,7 @@
 		}
 		again := connect(t, w.server, f, at(1.5))
 		again.settle(at(1.5))
-		w.holds(f)
+		w.checkFollower(f)
 		if got := w.server.Counts.FullScopes; got != 1 {
 			t.Errorf("%d whole scopes", got)
 		}
@@ -140,35 +143,36 @@
 	}
 }
 
-// A member behind the follower says nothing of records until it has caught up.
+// A follower moves to a member that has applied less than it has accepted: the member sends no records until it has caught
+// up.
 func TestMemberBehindFollowerSendsNothing(t *testing.T) {
-	w := newWorld(t)
-	w.commit(at(0), 5, one(route(t, "a", "s1", 10)))
+	w := newTestMember(t)
+	w.commit(at(0), 5, oneRecord(newRouteRecord(t, "a", "s1", 10)))
 	f := NewFollower("f", services("s1"), testLimits.Lease, nil)
 	connect(t, w.server, f, at(0)).settle(at(0))
 
-	behind := newWorld(t)
-	behind.commit(at(0), 3, one(route(t, "a", "s1", 9)))
+	behind := newTestMember(t)
+	behind.commit(at(0), 3, oneRecord(newRouteRecord(t, "a", "s1", 9)))
 	c := connect(t, behind.server, f, at(1))
-	if offer := c.offer(at(1)); offer != nil {
+	if offer := c.nextUpdate(at(1)); offer != nil {
 		t.Fatalf("offered %v", offer)
 	}
 	if status := behind.server.Status(at(1)); status.ConvergedRevision != 3 || status.Leases[0].Behind != 0 {
 		t.Errorf("%+v", status)
 	}
-	behind.commit(at(2), 5, one(route(t, "a", "s1", 10)))
-	if offer := c.offer(at(2)); offer != nil {
+	behind.commit(at(2), 5, oneRecord(newRouteRecord(t, "a", "s1", 10)))
+	if offer := c.nextUpdate(at(2)); offer != nil {
 		t.Fatalf("offered %v", offer)
 	}
-	behind.commit(at(2), 8, one(route(t, "a", "s1", 12)))
+	behind.commit(at(2), 8, oneRecord(newRouteRecord(t, "a", "s1", 12)))
 	c.settle(at(2))
-	behind.holds(f)
+	behind.checkFollower(f)
 }
 
-// A revision that was refused comes again after a while, a newer one at once, both with all that the follower lacks.
+// A rejected revision is sent again after a backoff, a newer one at once, both with all that the follower lacks.
 func TestRejectedRevisionIsSentAgainAfterBackoff(t *testing.T) {
-	w := newWorld(t)
-	w.commit(at(0), 1, []*records.Record{route(t, "a", "s1", 10), route(t, "b", "s1", 10)})
+	w := newTestMember(t)
+	w.commit(at(0), 1, []*records.Record{newRouteRecord(t, "a", "s1", 10), newRouteRecord(t, "b", "s1", 10)})
 	bad := true
 	f := NewFollower("f", services("s1"), testLimits.Lease, func(_ uint64, held map[records.Key]*records.Record) error {
 		if spec, err := held[routeKey("a")].Route(); err == nil && spec.TimeLimitMS == 666 && bad {
@@ -178,7 +182,7 @@
 	})
 	c := connect(t, w.server, f, at(0))
 	c.settle(at(0))
-	w.commit(at(1), 2, []*records.Record{route(t, "a", "s1", 666), route(t, "new", "s1", 5)}, routeKey("b"))
+	w.commit(at(1), 2, []*records.Record{newRouteRecord(t, "a", "s1", 666), newRouteRecord(t, "new", "s1", 5)}, routeKey("b"))
 	c.settle(at(1))
 	if f.Revision() != 1 || f.Rejected != 1 || f.Records()[routeKey("b")] == nil || f.Records()[routeKey("new")] != nil {
 		t.Fatalf("after a refusal: revision %d, %v", f.Revision(), f.Records())
@@ -191,10 +195,10 @@
 	}
 	renew(3)
 	renew(5)
-	if offer := c.offer(at(5)); offer != nil {
+	if offer := c.nextUpdate(at(5)); offer != nil {
 		t.Fatal("the refused revision was offered at once")
 	}
-	w.commit(at(5), 4, one(route(t, "c", "s1", 7))) // newer, and as bad as before
+	w.commit(at(5), 4, oneRecord(newRouteRecord(t, "c", "s1", 7))) // newer, and as bad as before
 	c.settle(at(5))
 	if f.Revision() != 1 || f.Rejected != 2 {
 		t.Errorf("revision %d, refused %d", f.Revision(), f.Rejected)
@@ -204,21 +208,21 @@
 	renew(11)
 	renew(13)
 	renew(14.9)
-	if offer := c.offer(at(14.9)); offer != nil {
+	if offer := c.nextUpdate(at(14.9)); offer != nil {
 		t.Fatal("offered again too early")
 	}
 	bad = false
 	c.settle(at(15))
-	w.holds(f)
+	w.checkFollower(f)
 	if lease := w.server.Status(at(15)).Leases[0]; lease.RejectedRevision != 0 || lease.Accepted != 4 || lease.Behind != 0 {
 		t.Errorf("%+v", lease)
 	}
 }
 
-// Behind runs from the first revision that the follower lacks, over refusals and renewals, until it accepts the newest.
+// A follower's lag runs from the first revision that it lacks, over NACKs and renewals, until it accepts the newest.
 func TestLagRunsFromFirstMissingCommit(t *testing.T) {
-	w := newWorld(t)
-	w.commit(at(0), 1, one(route(t, "a", "s1", 10)))
+	w := newTestMember(t)
+	w.commit(at(0), 1, oneRecord(newRouteRecord(t, "a", "s1", 10)))
 	refuse := true
 	f := NewFollower("f", services("s1"), testLimits.Lease, func(revision uint64, _ map[records.Key]*records.Record) error {
 		if revision > 1 && refuse {
@@ -235,9 +239,9 @@
 		}
 	}
 	behind(1, 0)
-	w.commit(at(1), 2, one(route(t, "a", "s1", 11)))
+	w.commit(at(1), 2, oneRecord(newRouteRecord(t, "a", "s1", 11)))
 	behind(1.5, 500*time.Millisecond)
-	w.commit(at(2), 3, one(route(t, "a", "s1", 12)))
+	w.commit(at(2), 3, oneRecord(newRouteRecord(t, "a", "s1", 12)))
 	c.settle(at(2))
 	behind(2, time.Second)
 	c.request(at(2.5), f.Renew(at(2.5)))
@@ -254,10 +258,10 @@
 	behind(4, 0)
 }
 
-// A member that has only started can't know what came before, but that it was before.
+// A member that has just started does not know when earlier revisions were committed: a follower's lag runs from its start.
 func TestLagAfterMemberRestart(t *testing.T) {
-	w := newWorld(t)
-	w.commit(at(0), 7, one(route(t, "a", "s1", 10)))
+	w := newTestMember(t)
+	w.commit(at(0), 7, oneRecord(newRouteRecord(t, "a", "s1", 10)))
 	server := NewServer("m1", w.source, testLimits, at(10))
 	stream, err := server.Open(at(12))
 	if err != nil {
@@ -282,14 +286,14 @@
 	}
 }
 
-// A follower that comes again ends its earlier stream; what that still brings counts for nothing.
+// A follower that opens a second stream replaces its first one; requests that still come by that are ignored.
 func TestSecondStreamReplacesFirst(t *testing.T) {
-	w := newWorld(t)
-	w.commit(at(0), 1, one(route(t, "a", "s1", 10)))
+	w := newTestMember(t)
+	w.commit(at(0), 1, oneRecord(newRouteRecord(t, "a", "s1", 10)))
 	old := NewFollower("f", services("s1"), testLimits.Lease, nil)
 	first := connect(t, w.server, old, at(0))
 	first.settle(at(0))
-	w.commit(at(1), 2, one(route(t, "a", "s1", 11)))
+	w.commit(at(1), 2, oneRecord(newRouteRecord(t, "a", "s1", 11)))
 	f := NewFollower("f", services("s1"), testLimits.Lease, nil)
 	connect(t, w.server, f, at(1)).settle(at(1))
 	if err := w.server.Receive(at(2), first.stream, old.Renew(at(2))); !errors.Is(err, ErrReplaced) {
@@ -304,10 +308,10 @@
 	}
 }
 
-// A follower that restarts with another scope begins with nothing and gets that scope whole.
+// A follower that restarts with another scope begins without records and gets a full scope.
 func TestRestartWithOtherScopeGetsFullScope(t *testing.T) {
-	w := newWorld(t)
-	w.commit(at(0), 1, []*records.Record{route(t, "a", "s1", 10), route(t, "b", "s2", 10)})
+	w := newTestMember(t)
+	w.commit(at(0), 1, []*records.Record{newRouteRecord(t, "a", "s1", 10), newRouteRecord(t, "b", "s2", 10)})
 	f := NewFollower("f", services("s1"), testLimits.Lease, nil)
 	connect(t, w.server, f, at(0)).settle(at(0))
 	f = NewFollower("f", services("s2"), testLimits.Lease, nil)
@@ -316,11 +320,12 @@
 		t.Errorf("in force %d while the follower holds nothing", status.ConvergedRevision)
 	}
 	c.settle(at(1))
-	w.holds(f)
+	w.checkFollower(f)
 }
 
+// A follower sends nothing for a lease's time, perhaps because it is gone: its stream ends, and its lease has run out.
 func TestSilentStreamEndsAfterLease(t *testing.T) {
-	w := newWorld(t)
+	w := newTestMember(t)
 	f := NewFollower("f", services("s1"), testLimits.Lease, nil)
 	c := connect(t, w.server, f, at(0))
 	c.settle(at(0))
@@ -338,9 +343,10 @@
 	}
 }
 
-// Names come from the wire. The leases of a member are bounded; those that ran out make place, live ones never do.
+// Followers' names come from the wire, so the leases of a member are bounded: those that ran out make room, live ones never
+// do.
 func TestLeaseCountIsBounded(t *testing.T) {
-	w := newWorld(t)
+	w := newTestMember(t)
 	limit := maxLeasesPerStream * testLimits.MaxStreams
 	open := func(now time.Time, name string) error {
 		stream, err := w.server.Open(now)
@@ -369,8 +375,9 @@
 	}
 }
 
+// A member serves no more streams than it may, and another one once one has closed.
 func TestStreamCountIsBounded(t *testing.T) {
-	w := newWorld(t)
+	w := newTestMember(t)
 	for range testLimits.MaxStreams {
 		if _, err := w.server.Open(at(0)); err != nil {
 			t.Fatal(err)
@@ -381,7 +388,7 @@
 	}
 }
 
-// What doesn't fit a message is told to whoever serves the stream, and costs of the allowance as if it had been sent.
+// A scope that is larger than a message may be ends the stream with an error, and uses up the limit as though it were sent.
 func TestScopeOverMessageLimitEndsStream(t *testing.T) {
 	source := newModelSource()
 	limits := testLimits
@@ -389,7 +396,7 @@
 	server := NewServer("m1", source, limits, at(0))
 	var many []*records.Record
 	for n := range 20 {
-		many = append(many, route(t, fmt.Sprint("r", n), "s1", 10))
+		many = append(many, newRouteRecord(t, fmt.Sprint("r", n), "s1", 10))
 	}
 	server.Committed(at(0), source.commit(1, many))
 	f := NewFollower("f", services("s1"), limits.Lease, nil)
@@ -404,9 +411,9 @@
 	}
 }
 
-// A refusal's reason is cut between letters.
+// A NACK's reason is truncated between characters.
 func TestRejectionReasonIsTruncated(t *testing.T) {
-	w := newWorld(t)
+	w := newTestMember(t)
 	w.commit(at(0), 1, nil)
 	f := NewFollower("f", services("s1"), testLimits.Lease, func(uint64, map[records.Key]*records.Record) error {
 		return errors.New("x" + strings.Repeat("ü", maxReasonBytes))
@@ -418,12 +425,13 @@
 	}
 }
 
+// An answer to an update that was not sent, or was answered before, ends the stream.
 func TestUnknownNonceEndsStream(t *testing.T) {
-	w := newWorld(t)
+	w := newTestMember(t)
 	w.commit(at(0), 1, nil)
 	f := NewFollower("f", services("s1"), testLimits.Lease, nil)
 	c := connect(t, w.server, f, at(0))
-	offer := c.offer(at(0))
+	offer := c.nextUpdate(at(0))
 	reply, _, err := f.Receive(at(0), offer)
 	if err != nil {
 		t.Fatal(err)
@@ -438,7 +446,7 @@
 	}
 }
 
-// What a stream's first request may hold comes from anyone.
+// A stream's first request comes from anyone: names that can't be shown and scopes that are too large are rejected.
 func TestHandshakeRejectsHostileInput(t *testing.T) {
 	many := make([]string, maxScopeNames+1)
 	for n := range many {
@@ -453,7 +461,7 @@
 		"empty service":     {Name: "f", Scope: records.Scope{Services: []string{""}}},
 		"long zone":         {Name: "f", Scope: records.Scope{Zones: []string{strings.Repeat("x", maxNameBytes+1)}}},
 	} {
-		w := newWorld(t)
+		w := newTestMember(t)
 		stream, err := w.server.Open(at(0))
 		if err != nil {
 			t.Fatal(err)
@@ -465,7 +473,7 @@
 			t.Errorf("%s: it is kept", name)
 		}
 	}
-	w := newWorld(t)
+	w := newTestMember(t)
 	stream, _ := w.server.Open(at(0))
 	repeated := Handshake{Name: "f", Scope: records.Scope{Services: []string{"b", "a", "b"}}, Revision: 1<<64 - 1}
 	if err := w.server.Receive(at(0), stream, repeated.request()); err != nil {
--- a/configsync/source_test.go
+++ b/configsync/source_test.go
@@ -11,7 +11,7 @@
 	"harehook.dev/harehook/records"
 )
 
-// modelSource is the plainest source there is: every state that ever was, and a number of them that Since knows.
+// modelSource is the simplest source: it has all states that ever were, of which Since knows a number.
 type modelSource struct {
 	states  []modelState     // oldest first
 	known   int              // states that changes are told from; 0: all
@@ -20,18 +20,18 @@
 
 type modelState struct {
 	revision uint64
-	held     map[records.Key]*records.Record
+	records  map[records.Key]*records.Record
 }
 
 func newModelSource() *modelSource {
-	return &modelSource{states: []modelState{{held: map[records.Key]*records.Record{}}}}
+	return &modelSource{states: []modelState{{records: map[records.Key]*records.Record{}}}}
 }
 
 func (m *modelSource) last() modelState { return m.states[len(m.states)-1] }
 
-// commit puts and removes records at a revision and gives the change.
+// commit puts and removes records at a revision and returns the change.
 func (m *modelSource) commit(revision uint64, put []*records.Record, removed ...records.Key) records.Change {
-	held := maps.Clone(m.last().held)
+	held := maps.Clone(m.last().records)
 	change := records.Change{Revision: revision}
 	for _, record := range put {
 		one := *record
@@ -50,8 +50,8 @@
 	return records.Change{Revision: revision}
 }
 
-// routing is the revision of the last update of a route that touched a scope.
-func (m *modelSource) routing(scope records.Scope) uint64 {
+// routingRevision is that of the last update of a route that touched a scope.
+func (m *modelSource) routingRevision(scope records.Scope) uint64 {
 	for _, change := range slices.Backward(m.changes) {
 		if slices.ContainsFunc(change.Updates, func(u records.Update) bool { return u.Key().Kind == records.KindRoute && scope.Touches(u) }) {
 			return change.Revision
@@ -63,7 +63,7 @@
 func (m *modelSource) Revision() uint64 { return m.last().revision }
 
 func (m *modelSource) InScope(scope records.Scope) records.View {
-	return records.View{Records: inScope(m.last().held, scope), Revision: m.Revision(), RoutingRevision: m.routing(scope)}
+	return records.View{Records: inScope(m.last().records, scope), Revision: m.Revision(), RoutingRevision: m.routingRevision(scope)}
 }
 
 func inScope(all map[records.Key]*records.Record, scope records.Scope) (held []*records.Record) {
@@ -76,7 +76,7 @@
 }
 
 func (m *modelSource) Since(revision uint64, scope records.Scope) records.Delta {
-	delta := records.Delta{Revision: m.Revision(), RoutingRevision: m.routing(scope)}
+	delta := records.Delta{Revision: m.Revision(), RoutingRevision: m.routingRevision(scope)}
 	from := -1
 	for place, state := range m.states {
 		if state.revision <= revision {
@@ -86,7 +86,7 @@
 	if m.known > 0 && from < len(m.states)-m.known {
 		return delta
 	}
-	before, after := m.states[from].held, m.last().held
+	before, after := m.states[from].records, m.last().records
 	all := maps.Clone(before)
 	maps.Copy(all, after)
 	for _, key := range slices.SortedFunc(maps.Keys(all), records.Key.Compare) {
@@ -108,14 +108,14 @@
 	return record
 }
 
-// route is a record of a service.
-func route(t testing.TB, name, service string, timeLimit float64) *records.Record {
+// newRouteRecord returns the record of a route of a service.
+func newRouteRecord(t testing.TB, name, service string, timeLimit float64) *records.Record {
 	return newRecord(t, routeKey(name), records.RouteSpec{Service: service, Prefix: "/" + name, TimeLimitMS: timeLimit})
 }
 
 func routeKey(name string) records.Key { return records.Key{Kind: records.KindRoute, Name: name} }
 
-func one(record *records.Record) []*records.Record { return []*records.Record{record} }
+func oneRecord(record *records.Record) []*records.Record { return []*records.Record{record} }
 
 func services(names ...string) records.Scope { return records.Scope{Services: names}.Normalized() }
 
@@ -147,7 +147,7 @@
 	}
 }
 
-// send is the next message, nil if there is none.
+// send returns the next message, nil if there is none.
 func (c *connection) send(now time.Time) *discoveryv3.DeltaDiscoveryResponse {
 	c.t.Helper()
 	response, _, err := c.stream.Send(now)
@@ -157,8 +157,8 @@
 	return response
 }
 
-// offer is the next message that is no heartbeat, nil if there is none.
-func (c *connection) offer(now time.Time) *discoveryv3.DeltaDiscoveryResponse {
+// nextUpdate returns the next message that is no heartbeat, nil if there is none.
+func (c *connection) nextUpdate(now time.Time) *discoveryv3.DeltaDiscoveryResponse {
 	c.t.Helper()
 	for {
 		response := c.send(now)
@@ -169,7 +169,7 @@
 	}
 }
 
-// receive hands a message to the follower and its answer to the member.
+// receive passes a message to the follower and its answer to the member.
 func (c *connection) receive(now time.Time, response *discoveryv3.DeltaDiscoveryResponse) (accepted bool) {
 	c.t.Helper()
 	reply, accepted, err := c.follower.Receive(now, response)
@@ -182,7 +182,7 @@
 	return accepted
 }
 
-// maxSettle is more messages than any test needs to pass at one moment.
+// maxSettle is more messages than any test passes at one time.
 const maxSettle = 50
 
 // settle passes messages until there are none.
--- a/configsync/transport/client_test.go
+++ b/configsync/transport/client_test.go
@@ -12,18 +12,18 @@
 
 var shop = records.Scope{Services: []string{"shop"}}
 
-// A follower gets its scope whole, then what changes within it, and is told of revisions that touch nothing of it.
+// A follower gets a full scope, then deltas, and progress for revisions that change nothing of its scope.
 func TestFollowerGetsScopeDeltasAndProgress(t *testing.T) {
 	log := newGroupLog(100)
 	log.put(t, "buy", "shop", 1000)
 	log.put(t, "sell", "market", 1000)
 	m := newMember(t, log, testLimits())
 	c := newFollowerController(t, Config{Scope: shop, Members: []string{m.address}})
-	c.awaitHolds(log)
+	c.awaitAccepted(log)
 	log.put(t, "buy", "shop", 2000)
-	c.awaitHolds(log)
+	c.awaitAccepted(log)
 	log.put(t, "sell", "market", 2000)
-	c.awaitHolds(log)
+	c.awaitAccepted(log)
 	if counts := m.service.Counts(); counts.FullScopes != 1 || counts.Changes != 1 || counts.Progress != 1 {
 		t.Errorf("sent: %+v", counts)
 	}
@@ -33,7 +33,7 @@
 	})
 }
 
-// A change is sent as it is committed, not when the follower is heard next.
+// A change is sent as it is committed, not with the follower's next request.
 func TestCommitIsSentWithoutDelay(t *testing.T) {
 	limits := testLimits()
 	limits.Lease = 6 * testTimeout // the follower is heard every two minutes
@@ -41,41 +41,41 @@
 	log.put(t, "buy", "shop", 1000)
 	m := newMember(t, log, limits)
 	c := newFollowerController(t, Config{Scope: shop, Members: []string{m.address}, Lease: limits.Lease})
-	c.awaitHolds(log)
+	c.awaitAccepted(log)
 	for change := range 5 {
 		log.put(t, "buy", "shop", float64(2000+change))
-		c.awaitHolds(log)
+		c.awaitAccepted(log)
 	}
 }
 
-// The connection ends in the midst of the message that carries a change: the follower takes nothing of it, and gets the
-// change from another member.
+// The connection is cut in the midst of a delta: the follower must accept nothing of it, and gets the delta from another
+// member.
 func TestConnectionCutWithinDelta(t *testing.T) {
 	first, second := newGroupLog(100), newGroupLog(100)
 	one, two := newMember(t, first, testLimits()), newMember(t, second, testLimits())
-	ways := []*proxy{newProxy(t, one.address), newProxy(t, two.address)}
+	ways := []*cuttableProxy{newCuttableProxy(t, one.address), newCuttableProxy(t, two.address)}
 	put := func(name string, limit float64) {
 		first.put(t, name, "shop", limit)
 		second.put(t, name, "shop", limit)
 	}
 	put("buy", 1000)
 	c := newFollowerController(t, Config{Scope: shop, Members: []string{ways[0].address(), ways[1].address()}})
-	c.awaitHolds(first)
-	followed := slices.IndexFunc(ways, func(way *proxy) bool { return way.address() == c.client.Status().Member })
+	c.awaitAccepted(first)
+	followed := slices.IndexFunc(ways, func(way *cuttableProxy) bool { return way.address() == c.client.Status().Member })
 	ways[followed].cutAfter.Store(20) // a frame's head and a few bytes of the message
 	put("buy", 2000)
-	c.awaitHolds(first)
+	c.awaitAccepted(first)
 	status := c.client.Status()
 	if status.Failovers == 0 || status.Member != ways[1-followed].address() {
 		t.Errorf("after the cut: %+v", status)
 	}
-	if last := c.last(); last.revision != 2 || len(last.held) != 1 {
+	if last := c.last(); last.revision != 2 || len(last.records) != 1 {
 		t.Errorf("holds %+v", last)
 	}
 }
 
-// The member that is followed dies while changes come one after the other: none is lost to a follower in the end, and
-// no older one comes after a newer one.
+// The member that is followed stops while changes are committed one after the other: in the end no follower must lack one,
+// and none must accept an older revision after a newer one.
 func TestFollowersMoveWhenMemberStops(t *testing.T) {
 	logs := []*groupLog{newGroupLog(1000), newGroupLog(1000), newGroupLog(1000)}
 	var members []*member
@@ -112,25 +112,25 @@
 		put(float64(1000 + limit))
 	}
 	for _, c := range conductors {
-		c.awaitHolds(logs[1])
+		c.awaitAccepted(logs[1])
 		if member := c.client.Status().Member; member == addresses[0] {
 			t.Errorf("%s still follows the member that is gone", c.client.config.Name)
 		}
 	}
 }
 
-// A follower is cut off for longer than its lease, once by a network that says so and once by one that is silent: it
-// goes on with what it held, says that it is stale, and gets only what changed when it is back.
+// A follower is cut off for longer than its lease, once with its connections closed and once in silence: it has to go on
+// with its records, report that it is stale, and get only a delta when it is back.
 func TestFollowerCutOffLongerThanLease(t *testing.T) {
-	for name, cut := range map[string]func(*proxy, bool){"ended": (*proxy).cut, "silent": (*proxy).stall} {
+	for name, cut := range map[string]func(*cuttableProxy, bool){"ended": (*cuttableProxy).cut, "silent": (*cuttableProxy).stall} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			log := newGroupLog(100)
 			log.put(t, "buy", "shop", 1000)
 			m := newMember(t, log, testLimits())
-			way := newProxy(t, m.address)
+			way := newCuttableProxy(t, m.address)
 			c := newFollowerController(t, Config{Scope: shop, Members: []string{way.address()}})
-			c.awaitHolds(log)
+			c.awaitAccepted(log)
 			cut(way, true)
 			waitFor(t, "it is stale", func() bool { return c.client.Status().Stale })
 			waitFor(t, "it has left the member", func() bool { return c.client.Status().Member == "" })
@@ -141,7 +141,7 @@
 				t.Errorf("holds revision %d, cut off it held %d", last.revision, held.revision)
 			}
 			cut(way, false)
-			c.awaitHolds(log)
+			c.awaitAccepted(log)
 			waitFor(t, "it is not stale any more", func() bool { return !c.client.Status().Stale })
 			waitFor(t, "all of that was told", func() bool {
 				c.resultsMutex.Lock()
@@ -155,28 +155,28 @@
 	}
 }
 
-// A follower that was away for longer than history is kept gets its scope whole.
+// A follower that was away for longer than the member's history reaches gets a full scope.
 func TestFollowerBehindHistoryGetsFullScope(t *testing.T) {
 	log := newGroupLog(5)
 	log.put(t, "buy", "shop", 1000)
 	m := newMember(t, log, testLimits())
-	way := newProxy(t, m.address)
+	way := newCuttableProxy(t, m.address)
 	c := newFollowerController(t, Config{Scope: shop, Members: []string{way.address()}})
-	c.awaitHolds(log)
+	c.awaitAccepted(log)
 	way.cut(true)
 	waitFor(t, "the member has noticed", func() bool { return m.openStreams() == 0 })
 	for change := range 20 {
 		log.put(t, "sell", "shop", float64(1000+change))
 	}
 	way.cut(false)
-	c.awaitHolds(log)
+	c.awaitAccepted(log)
 	if counts := m.service.Counts(); counts.FullScopes != 2 {
 		t.Errorf("sent: %+v", counts)
 	}
 }
 
-// Two followers accept a change and one does not: it goes on with what it had, its reason is shown, and what is in force
-// everywhere does not pass it until it accepts a later one.
+// Two followers accept a change and one rejects it: it has to go on with its records, its reason is shown, and the converged
+// revision stays until it accepts a later one.
 func TestRejectionHoldsBackConvergence(t *testing.T) {
 	log := newGroupLog(100)
 	log.put(t, "buy", "shop", 1000)
@@ -194,11 +194,11 @@
 	others := []*followerController{newFollowerController(t, Config{Name: "other-1", Scope: shop, Members: []string{m.address}}),
 		newFollowerController(t, Config{Name: "other-2", Scope: shop, Members: []string{m.address}})}
 	for _, c := range append(others, wary) {
-		c.awaitHolds(log)
+		c.awaitAccepted(log)
 	}
 	log.put(t, "buy", "shop", 2000)
 	for _, c := range others {
-		c.awaitHolds(log)
+		c.awaitAccepted(log)
 	}
 	var refused configsync.LeaseStatus
 	waitFor(t, "the refusal is known", func() bool {
@@ -218,16 +218,16 @@
 	}
 	log.put(t, "buy", "shop", 3000)
 	for _, c := range append(others, wary) {
-		c.awaitHolds(log)
+		c.awaitAccepted(log)
 	}
 	waitFor(t, "the later change is in force", func() bool { return m.service.Status().ConvergedRevision == 3 })
 }
 
-// A follower moves to a member that has not caught up: it keeps what it holds, and goes on once that member has more.
+// A follower moves to a member that has not caught up: it has to stay at its revision, and go on once that member has more.
 func TestFollowerMovesToLaggingMember(t *testing.T) {
 	ahead, behind := newGroupLog(100), newGroupLog(100)
 	one, two := newMember(t, ahead, testLimits()), newMember(t, behind, testLimits())
-	way := newProxy(t, two.address)
+	way := newCuttableProxy(t, two.address)
 	way.cut(true)
 	for change := range 10 {
 		ahead.put(t, "buy", "shop", float64(1000+change))
@@ -236,7 +236,7 @@
 		}
 	}
 	c := newFollowerController(t, Config{Scope: shop, Members: []string{one.address, way.address()}})
-	c.awaitHolds(ahead)
+	c.awaitAccepted(ahead)
 	one.stop()
 	way.cut(false)
 	waitFor(t, "it follows the other", func() bool { return c.client.Status().Member == way.address() })
@@ -247,7 +247,7 @@
 	for change := 5; change < 12; change++ {
 		behind.put(t, "buy", "shop", float64(1000+change))
 	}
-	c.awaitHolds(behind)
+	c.awaitAccepted(behind)
 	if counts := two.service.Counts(); counts.FullScopes != 0 {
 		t.Errorf("sent: %+v", counts)
 	}
--- a/configsync/transport/fixture_test.go
+++ b/configsync/transport/fixture_test.go
@@ -20,9 +20,9 @@
 )
 
 const (
-	// testLease is the lease of these tests: long beside a busy machine's delays, short beside their deadlines.
+	// testLease is long beside a busy machine's delays and short beside testTimeout.
 	testLease = 2 * time.Second
-	// testTimeout is how long these tests wait for what has to come.
+	// testTimeout is how long these tests wait for what has to happen.
 	testTimeout = 60 * time.Second
 )
 
@@ -47,11 +47,11 @@
 	return l.revision
 }
 
-// InScope gives a scope whole.
+// InScope returns a full scope.
 func (l *groupLog) InScope(scope records.Scope) records.View {
 	l.stateMutex.Lock()
 	defer l.stateMutex.Unlock()
-	view := records.View{Revision: l.revision, RoutingRevision: l.routing(scope)}
+	view := records.View{Revision: l.revision, RoutingRevision: l.routingRevision(scope)}
 	for _, record := range l.records {
 		if scope.Contains(record) {
 			view.Records = append(view.Records, record)
@@ -61,8 +61,8 @@
 	return view
 }
 
-// routing is the highest revision of a scope's routes, none of which is ever removed or moved here.
-func (l *groupLog) routing(scope records.Scope) (highest uint64) {
+// routingRevision is the highest revision of a scope's routes, none of which is ever removed or moved here.
+func (l *groupLog) routingRevision(scope records.Scope) (highest uint64) {
 	for _, record := range l.records {
 		if scope.Contains(record) {
 			highest = max(highest, record.Revision)
@@ -71,11 +71,11 @@
 	return highest
 }
 
-// Since gives what changed in a scope.
+// Since returns what changed in a scope.
 func (l *groupLog) Since(revision uint64, scope records.Scope) records.Delta {
 	l.stateMutex.Lock()
 	defer l.stateMutex.Unlock()
-	delta := records.Delta{Revision: l.revision, RoutingRevision: l.routing(scope)}
+	delta := records.Delta{Revision: l.revision, RoutingRevision: l.routingRevision(scope)}
 	if l.revision-min(l.revision, revision) > uint64(len(l.changes)) {
 		return delta
 	}
@@ -101,7 +101,7 @@
 	return delta
 }
 
-// put sets a route as the next revision and has the member's streams told.
+// put commits a route as the next revision and tells the member's service.
 func (l *groupLog) put(t testing.TB, name, service string, limit float64) uint64 {
 	t.Helper()
 	key := records.Key{Kind: records.KindRoute, Name: name}
@@ -169,21 +169,21 @@
 	<-m.ended
 }
 
-// accepted is a revision as a follower told it.
-type accepted struct {
-	revision uint64
-	routing  uint64
-	held     map[records.Key]*records.Record
+// acceptedRevision is a revision that a client reported as accepted.
+type acceptedRevision struct {
+	revision        uint64
+	routingRevision uint64
+	records         map[records.Key]*records.Record
 }
 
-// followerController is a client that runs, and what it told.
+// followerController is a client that runs, and what it has reported.
 type followerController struct {
 	t      testing.TB
 	client *Client
 	stop   func()
 
 	resultsMutex      sync.Mutex
-	acceptedRevisions []accepted
+	acceptedRevisions []acceptedRevision
 	staleChanges      []bool
 }
 
@@ -195,7 +195,7 @@
 	config.Accepted = func(revision uint64, held map[records.Key]*records.Record) {
 		c.resultsMutex.Lock()
 		defer c.resultsMutex.Unlock()
-		c.acceptedRevisions = append(c.acceptedRevisions, accepted{revision, c.client.RoutingRevision(), maps.Clone(held)})
+		c.acceptedRevisions = append(c.acceptedRevisions, acceptedRevision{revision, c.client.RoutingRevision(), maps.Clone(held)})
 	}
 	config.StaleChanged = func(stale bool) {
 		c.resultsMutex.Lock()
@@ -210,12 +210,12 @@
 	ended := make(chan struct{})
 	go func() { defer close(ended); c.client.Run(ctx) }()
 	c.stop = func() { cancel(); <-ended }
-	t.Cleanup(func() { c.stop(); c.check() })
+	t.Cleanup(func() { c.stop(); c.checkRevisionsRise() })
 	return c
 }
 
-// check looks at all that was told: revisions only rise.
-func (c *followerController) check() {
+// checkRevisionsRise checks that each revision that was reported is higher than the one before.
+func (c *followerController) checkRevisionsRise() {
 	c.t.Helper()
 	c.resultsMutex.Lock()
 	defer c.resultsMutex.Unlock()
@@ -226,28 +226,28 @@
 	}
 }
 
-// last is what was accepted last.
-func (c *followerController) last() accepted {
+// last is the revision that was accepted last.
+func (c *followerController) last() acceptedRevision {
 	c.resultsMutex.Lock()
 	defer c.resultsMutex.Unlock()
 	if len(c.acceptedRevisions) == 0 {
-		return accepted{}
+		return acceptedRevision{}
 	}
 	return c.acceptedRevisions[len(c.acceptedRevisions)-1]
 }
 
-// awaitHolds waits until a conductor holds what a log has of its scope.
-func (c *followerController) awaitHolds(log *groupLog) {
+// awaitAccepted waits until the client has accepted what a log has of its scope.
+func (c *followerController) awaitAccepted(log *groupLog) {
 	c.t.Helper()
 	waitFor(c.t, fmt.Sprintf("%s holds revision %d", c.client.config.Name, log.Revision()), func() bool {
 		view := log.InScope(c.client.config.Scope.Normalized())
 		want, revision := view.Records, view.Revision
 		last := c.last()
-		if last.revision != revision || last.routing != view.RoutingRevision || len(last.held) != len(want) {
+		if last.revision != revision || last.routingRevision != view.RoutingRevision || len(last.records) != len(want) {
 			return false
 		}
 		for _, record := range want {
-			if held := last.held[record.Key]; held == nil || !held.SameContent(record) || held.Revision != record.Revision {
+			if held := last.records[record.Key]; held == nil || !held.SameContent(record) || held.Revision != record.Revision {
 				return false
 			}
 		}
--- a/configsync/transport/proxy_test.go
+++ b/configsync/transport/proxy_test.go
@@ -7,8 +7,8 @@
 	"testing"
 )
 
-// proxy passes the connections of a follower on to a member, as a test tells it.
-type proxy struct {
+// cuttableProxy passes the connections of a follower on to a member until a test cuts or stalls them.
+type cuttableProxy struct {
 	listener net.Listener
 	target   string
 	passing  sync.WaitGroup
@@ -22,29 +22,29 @@
 	dialled  atomic.Int64
 }
 
-func newProxy(t testing.TB, target string) *proxy {
+func newCuttableProxy(t testing.TB, target string) *cuttableProxy {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	p := &proxy{listener: listener, target: target, conns: map[net.Conn]struct{}{}}
+	p := &cuttableProxy{listener: listener, target: target, conns: map[net.Conn]struct{}{}}
 	p.passing.Go(p.accept)
 	t.Cleanup(p.close)
 	return p
 }
 
-func (p *proxy) address() string { return p.listener.Addr().String() }
+func (p *cuttableProxy) address() string { return p.listener.Addr().String() }
 
-func (p *proxy) close() {
+func (p *cuttableProxy) close() {
 	p.listener.Close()
 	p.stall(false)
 	p.cut(true)
 	p.passing.Wait()
 }
 
-// cut ends all connections and refuses new ones, or lets them again.
-func (p *proxy) cut(yes bool) {
+// cut closes all connections and accepts no new ones, or accepts them again.
+func (p *cuttableProxy) cut(yes bool) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	p.refuses = yes
@@ -53,14 +53,14 @@
 	}
 }
 
-func (p *proxy) endAll() {
+func (p *cuttableProxy) endAll() {
 	for conn := range p.conns {
 		conn.Close()
 	}
 }
 
-// stall holds all bytes back without a word to either side, or lets them pass again.
-func (p *proxy) stall(yes bool) {
+// stall holds all bytes back in silence, or lets them pass again.
+func (p *cuttableProxy) stall(yes bool) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	switch {
@@ -72,7 +72,7 @@
 	}
 }
 
-func (p *proxy) accept() {
+func (p *cuttableProxy) accept() {
 	for {
 		near, err := p.listener.Accept()
 		if err != nil {
@@ -83,7 +83,7 @@
 	}
 }
 
-func (p *proxy) pass(near net.Conn) {
+func (p *cuttableProxy) pass(near net.Conn) {
 	defer near.Close()
 	far, err := net.Dial("tcp", p.target)
 	if err != nil {
@@ -108,7 +108,7 @@
 }
 
 // copy passes bytes one way until either side ends or the limit is reached.
-func (p *proxy) copy(to, from net.Conn, limit *atomic.Int64) {
+func (p *cuttableProxy) copy(to, from net.Conn, limit *atomic.Int64) {
 	defer to.Close()
 	defer from.Close()
 	buffer := make([]byte, 4<<10)
--- a/configsync/transport/service_test.go
+++ b/configsync/transport/service_test.go
@@ -19,7 +19,7 @@
 	"harehook.dev/harehook/records"
 )
 
-// rawStream opens a stream to a member as a follower of another make.
+// rawStream opens a stream to a member as another implementation of a follower would.
 func rawStream(t *testing.T, m *member) discoveryv3.AggregatedDiscoveryService_DeltaAggregatedResourcesClient {
 	t.Helper()
 	wire, err := discoveryv3.NewAggregatedDiscoveryServiceClient(rawConn(t, m)).DeltaAggregatedResources(t.Context())
@@ -39,15 +39,15 @@
 	return conn
 }
 
-// openStreams is how many streams a member serves.
+// openStreams is the number of streams that a member serves.
 func (m *member) openStreams() int {
 	m.service.pendingMutex.Lock()
 	defer m.service.pendingMutex.Unlock()
 	return len(m.service.streams)
 }
 
-// A follower that renews its lease and does not read what it is sent is left after a lease's time, and others get
-// changes meanwhile.
+// A follower renews its lease and does not read what it is sent, so that the sender blocks: its stream has to end after a
+// lease's time, and other followers have to get changes meanwhile.
 func TestFollowerThatDoesNotReadDelaysNobody(t *testing.T) {
 	log := newGroupLog(100)
 	for name := range 3000 { // far more than the windows and buffers between the two hold
@@ -55,7 +55,7 @@
 	}
 	m := newMember(t, log, testLimits())
 	c := newFollowerController(t, Config{Scope: records.Scope{Services: []string{"other"}}, Members: []string{m.address}})
-	c.awaitHolds(log)
+	c.awaitAccepted(log)
 	stuck := rawStream(t, m)
 	follower := configsync.NewFollower("stuck", shop, testLease, nil)
 	if err := stuck.Send(follower.Begin(time.Now())); err != nil {
@@ -64,7 +64,7 @@
 	waitFor(t, "the whole scope is being sent to it", func() bool { return m.service.Counts().FullScopes == 2 })
 	for change := range 20 {
 		log.put(t, "buy", "other", float64(1000+change))
-		c.awaitHolds(log)
+		c.awaitAccepted(log)
 		stuck.Send(follower.Renew(time.Now())) // fails once the member has ended the stream
 	}
 	waitFor(t, "the member has left it", func() bool {
@@ -79,10 +79,10 @@
 		t.Errorf("ended with: %v", err)
 	}
 	log.put(t, "buy", "other", 5000)
-	c.awaitHolds(log)
+	c.awaitAccepted(log)
 }
 
-// While a crowd waits for whole scopes under the allowance, those in step get each change at once.
+// While many followers wait for full scopes under the limit, those that are up to date get each delta at once.
 func TestFullScopesDoNotDelayDeltas(t *testing.T) {
 	log := newGroupLog(1000)
 	for name := range 100 {
@@ -92,7 +92,7 @@
 	limits.FullScopeBurstBytes, limits.FullScopeBytesPerSecond = 1, 1 // one scope, then none for hours
 	m := newMember(t, log, limits)
 	inStep := newFollowerController(t, Config{Name: "in step", Scope: shop, Members: []string{m.address}})
-	inStep.awaitHolds(log)
+	inStep.awaitAccepted(log)
 	var crowd []*followerController
 	for k := range 40 {
 		crowd = append(crowd, newFollowerController(t, Config{Name: fmt.Sprintf("crowd-%d", k), Scope: shop, Members: []string{m.address}}))
@@ -102,7 +102,7 @@
 	}
 	for change := range 10 {
 		log.put(t, "route-1", "shop", float64(2000+change))
-		inStep.awaitHolds(log)
+		inStep.awaitAccepted(log)
 	}
 	if counts := m.service.Counts(); counts.FullScopes != 1 {
 		t.Errorf("sent: %+v", counts)
@@ -114,7 +114,7 @@
 	}
 }
 
-// All followers are started anew at the same time: all come into step.
+// All members restart at the same time: all followers have to converge again.
 func TestAllMembersRestart(t *testing.T) {
 	logs := []*groupLog{newGroupLog(1000), newGroupLog(1000), newGroupLog(1000)}
 	var addresses []string
@@ -142,7 +142,7 @@
 		all := begin(generation)
 		put("route-7", "service-7", float64(2000+generation))
 		for _, c := range all {
-			c.awaitHolds(logs[0])
+			c.awaitAccepted(logs[0])
 		}
 		for _, c := range all {
 			c.stop()
@@ -157,7 +157,7 @@
 	}
 }
 
-// Nothing goes on once followers and members have ended.
+// No goroutine goes on once followers and members have ended.
 func TestGoroutinesEndWithStreams(t *testing.T) {
 	before := runtime.NumGoroutine()
 	log := newGroupLog(100)
@@ -168,7 +168,7 @@
 		all = append(all, newFollowerController(t, Config{Name: fmt.Sprintf("conductor-%d", k), Scope: shop, Members: []string{m.address}}))
 	}
 	for _, c := range all {
-		c.awaitHolds(log)
+		c.awaitAccepted(log)
 	}
 	running := runtime.NumGoroutine()
 	for _, c := range all[:10] {
@@ -186,7 +186,7 @@
 	}
 }
 
-// What is against the protocol ends the stream with a reason.
+// A request that violates the protocol ends the stream with a status and a reason.
 func TestProtocolFaultsEndStream(t *testing.T) {
 	log := newGroupLog(100)
 	log.put(t, "buy", "shop", 1000)
@@ -238,7 +238,7 @@
 	}
 }
 
-// A follower that opens a second stream leaves the first one behind.
+// A follower that opens a second stream replaces its first one, which ends with Aborted.
 func TestReplacedStreamEndsWithAborted(t *testing.T) {
 	m := newMember(t, newGroupLog(100), testLimits())
 	begin := configsync.NewFollower("raw", shop, testLease, nil).Begin(time.Now())
@@ -257,13 +257,14 @@
 	}
 }
 
-// A member that may be out of date extends no lease: its followers go elsewhere, and come back after.
+// A member that may be out of date must extend no lease: it ends its streams, and its followers go elsewhere and come back
+// afterwards.
 func TestUnavailableMemberEndsStreams(t *testing.T) {
 	log := newGroupLog(100)
 	log.put(t, "buy", "shop", 1000)
 	m := newMember(t, log, testLimits())
 	c := newFollowerController(t, Config{Scope: shop, Members: []string{m.address}})
-	c.awaitHolds(log)
+	c.awaitAccepted(log)
 	m.service.SetUnavailable(errors.New("no leader is known"))
 	waitFor(t, "its lease has run out", func() bool { return c.client.Status().Stale })
 	if err := c.client.Status().LastError; status.Code(errors.Unwrap(err)) != codes.Unavailable || !strings.Contains(err.Error(), "no leader is known") {
@@ -271,16 +272,16 @@
 	}
 	m.service.SetUnavailable(nil)
 	log.put(t, "buy", "shop", 2000)
-	c.awaitHolds(log)
+	c.awaitAccepted(log)
 }
 
-// Operators are told what followers hold.
+// Operators get what followers have accepted.
 func TestFetchStatus(t *testing.T) {
 	log := newGroupLog(100)
 	log.put(t, "buy", "shop", 1000)
 	m := newMember(t, log, testLimits())
 	c := newFollowerController(t, Config{Scope: shop, Members: []string{m.address}})
-	c.awaitHolds(log)
+	c.awaitAccepted(log)
 	conn := rawConn(t, m)
 	waitFor(t, "the follower is shown in step", func() bool {
 		ctx, cancel := context.WithTimeout(t.Context(), testTimeout)
@@ -294,8 +295,8 @@
 	})
 }
 
-// A change costs an interested follower under 1 KB on the wire beside its record, both ways together, and one that does
-// not concern it as well.
+// A change costs under 1 KB on the wire, both ways together and beside its record, for a follower whose scope has it as well
+// as for one whose scope has not.
 func TestBytesOnWirePerChange(t *testing.T) {
 	const (
 		changes          = 200
@@ -308,13 +309,13 @@
 	m := newMember(t, log, testLimits())
 	for name, service := range map[string]string{"within its scope": "shop", "outside": "other"} {
 		c := newFollowerController(t, Config{Name: service, Scope: shop, Members: []string{m.address}})
-		c.awaitHolds(log)
+		c.awaitAccepted(log)
 		wire := func() uint64 { return c.client.Traffic.In.Load() + c.client.Traffic.Out.Load() }
 		heartbeats := func() uint64 { return m.service.Counts().Heartbeats }
 		before, heartbeatsBefore := wire(), heartbeats()
 		for change := range changes {
 			log.put(t, "buy-"+service, service, float64(1000+change))
-			c.awaitHolds(log)
+			c.awaitAccepted(log)
 		}
 		spent, renewed := wire()-before, heartbeats()-heartbeatsBefore
 		t.Logf("%s: %d bytes for %d changes, with %d renewals", name, spent, changes, renewed)
--- a/internal/certs/store_test.go
+++ b/internal/certs/store_test.go
@@ -12,7 +12,7 @@
 	"harehook.dev/harehook/internal/fakeplatform"
 )
 
-// writeFiles writes files of keys and sets their time apart, as a file's time may be coarse.
+// writeFiles writes certificate files with modification times that differ, as a file system's may be coarse.
 func writeFiles(t *testing.T, folder string, at int, cert, key, roots []byte) Files {
 	t.Helper()
 	f := Files{filepath.Join(folder, "cert"), filepath.Join(folder, "key"), filepath.Join(folder, "roots")}
@@ -28,7 +28,7 @@
 	return f
 }
 
-// handshake has a client and a server shake hands over loopback and exchange a byte.
+// handshake runs a TLS handshake over loopback and passes a byte.
 func handshake(t *testing.T, server, client *Store) error {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -67,6 +67,8 @@
 	return err
 }
 
+// Certificates and roots are replaced in service. Files that can't be used, for instance half written ones, must leave those in
+// use in place, and both sides have to connect at each step of a rotation.
 func TestCertificateRotation(t *testing.T) {
 	old, next := fakeplatform.NewAuthority(t), fakeplatform.NewAuthority(t)
 	both := append(old.Roots(), next.Roots()...)
--- a/sidecar/golden_test.go
+++ b/sidecar/golden_test.go
@@ -8,11 +8,11 @@
 	"harehook.dev/harehook/internal/goldentest"
 )
 
-// goldenStore is a sidecar's file of held versions as commit 3968cf4 wrote it.
+// goldenStore is a sidecar's store as commit 3968cf4 wrote it.
 const goldenStore = "testdata/store.held"
 
-// TestGoldenStore starts from the file of held versions of an earlier release: the routing table is the one that the
-// release routed by, and the file is written as it was.
+// TestGoldenStore starts from the store of an earlier release: the routing table is the one that the release routed by, and
+// the file is written as it was.
 func TestGoldenStore(t *testing.T) {
 	if goldentest.Update() {
 		if err := os.MkdirAll("testdata", 0o755); err != nil {
--- a/sidecar/proxy_test.go
+++ b/sidecar/proxy_test.go
@@ -19,7 +19,7 @@
 	"harehook.dev/harehook/xds"
 )
 
-// startProxy starts one whose only route goes to some nodes.
+// startProxy starts a proxy whose only forwarding route goes to some nodes.
 func startProxy(t *testing.T, tries int, nodes ...*fakeplatform.NodeServer) (address string, p *Proxy) {
 	table := &RoutingTable{Routes: []RouteEntry{{Name: "q", Prefix: "/q", Fraction: 1, Cluster: "c", TimeLimit: 2 * time.Second, MaxRetries: tries, Mutating: true},
 		{Name: "shut", Prefix: "/shut", Fraction: 1, Status: 503}}, Clusters: map[string][]WeightedNode{}}
@@ -49,7 +49,7 @@
 	return n
 }
 
-// exchange writes bytes on a new connection and reads all answers until it ends.
+// exchange writes bytes on a new connection and reads until it ends.
 func exchange(t *testing.T, address, text string) string {
 	t.Helper()
 	conn, err := net.Dial("tcp", address)
@@ -67,8 +67,8 @@
 	return "POST " + path + " HTTP/1.1\r\nHost: x\r\n" + more + "\r\n"
 }
 
-// Clients that end their connections cost the kept ones to the nodes nothing: no call is lost on one that the node
-// ended.
+// A client that asked for its connection to be closed had that passed on to the node, which closed a connection that was
+// pooled, and the next request on it was lost: clients that close their connections must not cost a request.
 func TestIdleConnectionsAreReusedAndSwept(t *testing.T) {
 	address, p := startProxy(t, 0, startNode(t, "a"))
 	for k := range 200 {
@@ -81,7 +81,7 @@
 	}
 }
 
-// Several calls on one connection, bodies of both forms, and what is not carried.
+// Several requests on one connection, bodies of both forms, and what is not forwarded.
 func TestProxyForwardsRequests(t *testing.T) {
 	a := startNode(t, "a")
 	address, p := startProxy(t, 0, a)
@@ -119,8 +119,8 @@
 	}
 }
 
-// A node that refuses connections costs a further try where there is one; one that takes a call and gives no answer
-// costs the call, which may have run.
+// A node that refuses connections costs a retry if the route has one. One that takes a request and gives no response costs
+// the request: it may have run, so it must not be sent again.
 func TestRetriesOnlyIfNotSent(t *testing.T) {
 	gone, silent, good := startNode(t, "gone"), startNode(t, "silent"), startNode(t, "good")
 	gone.Close()
--- a/sidecar/resource_cache_test.go
+++ b/sidecar/resource_cache_test.go
@@ -23,7 +23,7 @@
 	"harehook.dev/harehook/xds"
 )
 
-// compiledSnapshot is what a conductor would send for a table of two nodes.
+// compiledSnapshot is what a controller would send for a table of two nodes.
 func compiledSnapshot(t testing.TB, weight float64) *xds.Snapshot {
 	c := xds.NewCompiler([]xds.Route{{Name: "quote", Prefix: "/quote", TimeLimit: time.Second},
 		{Name: "issue", Prefix: "/issue", Mutating: true, TimeLimit: time.Second}}, time.Second)
@@ -39,7 +39,7 @@
 	return s
 }
 
-// acceptSnapshot has a holder accept a snapshot; it gives the first refusal.
+// acceptSnapshot passes a snapshot to a cache and returns the reason of the first NACK.
 func acceptSnapshot(h *ResourceCache, s *xds.Snapshot) string {
 	for kind := range xds.NumResourceTypes {
 		r := &discoveryv3.DeltaDiscoveryResponse{TypeUrl: kind.TypeURL(), Nonce: "n"}
@@ -57,7 +57,7 @@
 	return ""
 }
 
-// newFilledCache is a holder that accepted such a snapshot.
+// newFilledCache returns a cache that has accepted such a snapshot.
 func newFilledCache(t testing.TB, weight float64) *ResourceCache {
 	t.Helper()
 	h := &ResourceCache{ID: "till", Zone: "north"}
@@ -68,6 +68,7 @@
 	return h
 }
 
+// Requests are split by an entry's fraction and a cluster's weights, and a retry goes to another node.
 func TestRoutingTableSplitsByFractionAndWeight(t *testing.T) {
 	h := newFilledCache(t, 3)
 	table, chance := h.Table(), Random{Seed: 5}
@@ -101,8 +102,8 @@
 	}
 }
 
-// A table has as many routes as a configuration may have, each also throttled and so with two entries; tables with more
-// routes, or with more entries for these, are refused.
+// A table may have as many routes as a configuration, also if each is throttled and so has two entries; tables with more
+// routes, or with more entries for these, are rejected.
 func TestMaxRoutesPerTable(t *testing.T) {
 	fillRoutes := func(count int, throttled bool) string {
 		compiler := xds.NewCompiler([]xds.Route{{Name: "first", Prefix: "/first", TimeLimit: time.Second}}, time.Second)
@@ -148,7 +149,7 @@
 	}
 }
 
-// Each content that can't be is refused with a reason that names what is wrong, and what was held stays.
+// Each impossible content is rejected with a reason that names what is wrong, and the accepted versions stay.
 func TestResourceCacheRejections(t *testing.T) {
 	line := func(port uint32, weight *wrapperspb.UInt32Value) *endpointv3.LocalityLbEndpoints {
 		s := compiledSnapshot(t, 1)
@@ -210,7 +211,7 @@
 	}
 }
 
-// A crash at any step of a write leaves what was held before or what is held now, whole.
+// A crash at any step of a write has to leave the stored versions of before or of now, complete.
 func TestStoreSurvivesCrashAtEachStep(t *testing.T) {
 	for _, step := range []string{"create", "write", "sync", "rename", "sync folder", ""} {
 		path := filepath.Join(t.TempDir(), "held")
@@ -241,7 +242,7 @@
 	}
 }
 
-// A file that was cut anywhere or in which a bit is turned is not taken for what was held.
+// A stored file that was truncated anywhere, or in which a bit was flipped, must not be used.
 func TestDamagedStoreIsNotUsed(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "held")
 	h := newFilledCache(t, 1)
@@ -278,7 +279,7 @@
 	}
 }
 
-// What is accepted after a restart is stated, in both variants.
+// After a restart the first requests state the accepted versions, in both variants.
 func TestStateOfTheWorldVersions(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "held")
 	h := newFilledCache(t, 1)
--- a/sidecar/shutdown_test.go
+++ b/sidecar/shutdown_test.go
@@ -13,7 +13,7 @@
 	"harehook.dev/harehook/xds"
 )
 
-// hookedListener is a listener whose connections call before each deadline that is set for reading.
+// hookedListener is a listener whose connections call a hook before each read deadline that is set.
 type hookedListener struct {
 	net.Listener
 	beforeReadDeadline func()
@@ -37,8 +37,8 @@
 	return c.Conn.SetReadDeadline(at)
 }
 
-// The end comes in the instant in which a connection begins to wait for its next request, or while a node that never
-// answers has a call: neither holds the end up.
+// The proxy is stopped in the instant in which a connection begins to wait for its next request, or while a node that never
+// answers has one: the wait then took up to a minute, and the request its time limit. Neither must delay the end.
 func TestShutdownDuringWaitOrRequest(t *testing.T) {
 	const endsWithin = 5 * time.Second // it takes milliseconds; a wait for a request lasts a minute, for this node 15 s
 	silent, err := net.Listen("tcp", "127.0.0.1:0")
@@ -78,7 +78,7 @@
 		}
 		cancel()
 		if text == "" {
-			// Whatever the end does to the connection is done before the wait sets its deadline.
+			// Whatever the shutdown does to the connection is done before the wait sets its deadline.
 			time.AfterFunc(100*time.Millisecond, func() { close(release) })
 		}
 		select {
--- a/xds/equivalence_test.go
+++ b/xds/equivalence_test.go
@@ -18,7 +18,7 @@
 	"harehook.dev/harehook/xds"
 )
 
-// dualHost is one module whose orders go both ways: as calls to a relay that carries them out, and as versions to sidecars.
+// dualHost is a planner whose commands go both ways: as calls to a relay, which applies them, and as versions to sidecars.
 type dualHost struct {
 	t       *testing.T
 	planner *planner.Planner
@@ -26,14 +26,14 @@
 	wakeAt  float64
 	batch   []controller.Command
 
-	calls                wire.CommandQueue // the platform's way
+	calls                wire.CommandQueue // to the relay
 	tables               map[int]map[string]float64
 	bound                map[int]int
 	admission            map[string]string
-	throttledComparisons int // comparisons in which a route was not let in whole
-	comparedEntries      int // compared
+	throttledComparisons int // in which a route was not fully admitted
+	comparedEntries      int
 
-	server   *xds.Server // the other
+	server   *xds.Server // for the sidecars
 	sidecars map[uint64]*sidecar.ResourceCache
 	inbox    []func()
 }
@@ -90,8 +90,8 @@
 func (w *dualHost) Rejected(string, xds.ResourceType, string) {}
 func (w *dualHost) Acknowledged(proxy, mark int)              { w.planner.Acknowledged(w.now, proxy, mark) }
 
-// carry hands a turn's orders on, both ways, until nothing is under way.
-func (w *dualHost) carry() {
+// deliverCommands passes the commands of an iteration on, both ways, until no message is in flight.
+func (w *dualHost) deliverCommands() {
 	for len(w.batch)+len(w.inbox) > 0 {
 		if batch := w.batch; len(batch) > 0 {
 			w.batch = nil
@@ -100,7 +100,7 @@
 			}
 			w.calls.Add(batch)
 			for call := w.calls.Next(); call != nil; call = w.calls.Next() {
-				w.calls.HandleResponse(fmt.Appendf(nil, "OK %d", w.relay(string(call))))
+				w.calls.HandleResponse(fmt.Appendf(nil, "OK %d", w.applyRelayCall(string(call))))
 			}
 			if mark, ok := w.calls.TakeAccepted(); ok {
 				w.planner.CommandsAccepted(w.now, mark)
@@ -114,8 +114,8 @@
 	}
 }
 
-// relay carries a call out.
-func (w *dualHost) relay(text string) (taken int) {
+// applyRelayCall applies a call as the relay does, and returns how many of its commands were accepted.
+func (w *dualHost) applyRelayCall(text string) (taken int) {
 	for _, o := range strings.Split(strings.TrimSpace(strings.TrimPrefix(text, "txn ")), ";") {
 		part := strings.Split(o, ",")
 		number, _ := strconv.Atoi(part[1])
@@ -138,7 +138,7 @@
 	return taken
 }
 
-// compare checks that each sidecar routes as the proxy of its number does.
+// compare checks that each sidecar routes as the proxy with its number does.
 func (w *dualHost) compare(seed uint64) {
 	for id, h := range w.sidecars {
 		table, proxy := h.Table(), int(id-1)
@@ -179,8 +179,8 @@
 	}
 }
 
-// The same decisions reach proxies of the platform and sidecars alike: the same nodes in the same parts, the same
-// levels and further tries, whatever the list, the nodes and the callers do.
+// The same decisions reach the platform's proxies and sidecars alike: the same nodes in the same proportions, the same
+// admission levels and retries, whatever the endpoint list, the nodes and the demand do.
 func TestSidecarsAndRelayGetSameTables(t *testing.T) {
 	const proxies, nodes = 12, 24
 	for seed := range uint64(4) {
@@ -199,7 +199,7 @@
 			QueueLengthIndex: -1, Admission: planner.AdmissionFraction, EntriesPerSecond: 1e5, MaxInFlightEntries: 1e6, MessageOverhead: 1, MessageWindow: 10, ReportInterval: 0.5, SlowStartWindow: 8, OverloadMultiple: 4,
 			Routes: []planner.Route{{LatencyObjective: 1, PriorityWeight: 1}, {LatencyObjective: 1, PriorityWeight: 3}}}, 0)
 		w.planner.ReplaceEndpoints(0, rows)
-		w.carry()
+		w.deliverCommands()
 		for p := range proxies {
 			stream := uint64(p + 1)
 			h := &sidecar.ResourceCache{ID: fmt.Sprint("till-", p), Zone: []string{"north", "south"}[p%2], Delta: p%3 == 0}
@@ -217,7 +217,7 @@
 				}
 			}
 			w.planner.ProxyJoined(0, p, p%2, 5)
-			w.carry()
+			w.deliverCommands()
 		}
 		for step := 1; step < 400; step++ {
 			w.now = float64(step) * 0.1
@@ -245,7 +245,7 @@
 			if w.now >= w.wakeAt {
 				w.planner.Step(w.now)
 			}
-			w.carry()
+			w.deliverCommands()
 			w.compare(seed)
 		}
 		if w.comparedEntries < 10000 || w.throttledComparisons < 100 {
--- a/xds/random_faults_test.go
+++ b/xds/random_faults_test.go
@@ -28,23 +28,23 @@
 	streams      map[uint64]*stream
 	lastStreamID uint64
 	lastNonce    int
-	drained      map[string]int // node: the mark after which no one may hold it
-	pushes       int
+	removedAt    map[string]int // by cluster and node: the nonce after which no sidecar may have it
+	changes      int
 	violations   []string
 	joined       map[int]bool // and not bound yet
-	bound        map[int]bool // bound
+	bound        map[int]bool
 }
 
 type simulatedSidecar struct {
 	*sidecar.ResourceCache
 	number           int
 	stream           *stream
-	sent             map[string]bool // kind, name and version that a server sent to it
+	sent             map[string]bool // type, name and version that a server sent to it
 	rejected         map[string]bool
-	routesByRejected bool // routes by what it refuses: the checker must see it
+	routesByRejected bool // routes by what it rejects: the checker has to see it
 }
 
-// stream is one connection; what is on its way arrives in order.
+// stream is one connection; messages in flight arrive in order.
 type stream struct {
 	id        uint64
 	sidecar   *simulatedSidecar
@@ -54,12 +54,12 @@
 }
 
 func newFaultyNetwork(t *testing.T, seed uint64, sidecars int) *faultyNetwork {
-	w := &faultyNetwork{t: t, random: rand.New(rand.NewPCG(seed, 3)), streams: map[uint64]*stream{}, drained: map[string]int{}}
+	w := &faultyNetwork{t: t, random: rand.New(rand.NewPCG(seed, 3)), streams: map[uint64]*stream{}, removedAt: map[string]int{}}
 	w.restart()
 	for k := range sidecars {
 		h := &simulatedSidecar{number: k, sent: map[string]bool{}, rejected: map[string]bool{}}
 		h.ResourceCache = &sidecar.ResourceCache{ID: fmt.Sprint("till-", k), Zone: "north", Delta: k%2 == 0}
-		// Each sidecar turns down some contents, always the same ones.
+		// Each sidecar rejects some contents, always the same ones.
 		h.ExtraCheck = func(_ xds.ResourceType, _ string, body *anypb.Any) error {
 			sum := fnv.New32a()
 			sum.Write(body.GetValue())
@@ -69,17 +69,17 @@
 			}
 			return nil
 		}
-		h.OnReject = func(r sidecar.RejectedResource) { h.rejected[key(r.Type, r.Name, r.Version)] = true }
+		h.OnReject = func(r sidecar.RejectedResource) { h.rejected[versionKey(r.Type, r.Name, r.Version)] = true }
 		w.sidecars = append(w.sidecars, h)
 	}
 	return w
 }
 
-func key(kind xds.ResourceType, name, version string) string {
+func versionKey(kind xds.ResourceType, name, version string) string {
 	return fmt.Sprint(kind, " ", name, " ", version)
 }
 
-// restart is a conductor that dies and comes back: it knows nothing of the sidecars or of marks.
+// restart is a controller that dies and comes back: it knows neither sidecars nor nonces.
 func (w *faultyNetwork) restart() {
 	for _, s := range w.streams {
 		s.closed = true
@@ -105,7 +105,7 @@
 }
 
 func (w *faultyNetwork) applyCommands(batch []controller.Command) {
-	w.pushes++
+	w.changes++
 	if err := w.server.ApplyCommands(w.now, append(batch, controller.Command{Kind: controller.RequestAck, Nonce: w.lastNonce})); err != nil {
 		w.t.Fatal(err)
 	}
@@ -122,7 +122,7 @@
 			if err != nil {
 				w.t.Fatal(err)
 			}
-			s.sidecar.sent[key(kind, name, one.Version)] = true
+			s.sidecar.sent[versionKey(kind, name, one.Version)] = true
 		}
 	}
 }
@@ -139,7 +139,7 @@
 		s.responses = append(s.responses, r)
 		kind, _ := xds.ParseTypeURL(r.GetTypeUrl())
 		for _, one := range r.GetResources() {
-			s.sidecar.sent[key(kind, one.GetName(), one.GetVersion())] = true
+			s.sidecar.sent[versionKey(kind, one.GetName(), one.GetVersion())] = true
 		}
 	}
 }
@@ -159,7 +159,7 @@
 	delete(w.bound, proxy)
 }
 
-// Acknowledged checks that a sidecar that confirmed a mark routes to no node that was taken away up to it.
+// Acknowledged checks that a sidecar that acknowledged a nonce routes to no node that was removed up to it.
 func (w *faultyNetwork) Acknowledged(proxy, mark int) {
 	for _, h := range w.sidecars {
 		if n, known := w.server.Number(h.ID); !known || n != proxy {
@@ -167,7 +167,7 @@
 		}
 		for cluster, lines := range h.Table().Clusters {
 			for _, l := range lines {
-				if at, gone := w.drained[cluster+" "+l.Node]; gone && at <= mark && w.uses(h, cluster) {
+				if at, gone := w.removedAt[cluster+" "+l.Node]; gone && at <= mark && w.routesUse(h, cluster) {
 					w.addViolation("%s confirmed %d and has %s in %s, gone since %d", h.ID, mark, l.Node, cluster, at)
 				}
 			}
@@ -175,7 +175,7 @@
 	}
 }
 
-func (w *faultyNetwork) uses(h *simulatedSidecar, cluster string) bool {
+func (w *faultyNetwork) routesUse(h *simulatedSidecar, cluster string) bool {
 	for _, r := range h.Table().Routes {
 		if r.Cluster == cluster {
 			return true
@@ -190,7 +190,7 @@
 	w.violations = append(w.violations, fmt.Sprintf("%.2f: ", w.now)+fmt.Sprintf(format, args...))
 }
 
-// dial begins a stream; the one before may still be under way.
+// dial begins a stream; messages of the one before may still be in flight.
 func (w *faultyNetwork) dial(h *simulatedSidecar) {
 	w.lastStreamID++
 	s := &stream{id: w.lastStreamID, sidecar: h}
@@ -207,8 +207,8 @@
 	w.streams[s.id] = s
 }
 
-// arrive brings one message of a stream to its end.
-func (w *faultyNetwork) arrive(s *stream, up bool) {
+// deliver delivers one message of a stream.
+func (w *faultyNetwork) deliver(s *stream, up bool) {
 	if s.closed {
 		return
 	}
@@ -218,14 +218,14 @@
 		err := error(nil)
 		switch r := m.(type) {
 		case *discoveryv3.DiscoveryRequest:
-			if r.GetNode() != nil && w.new(s.id) {
+			if r.GetNode() != nil && w.unopened(s.id) {
 				err = w.server.Open(w.now, s.id, false, r.GetNode().GetId(), "north")
 			}
 			if err == nil {
 				err = w.server.HandleStateOfTheWorld(w.now, s.id, r)
 			}
 		case *discoveryv3.DeltaDiscoveryRequest:
-			if r.GetNode() != nil && w.new(s.id) {
+			if r.GetNode() != nil && w.unopened(s.id) {
 				err = w.server.Open(w.now, s.id, true, r.GetNode().GetId(), "north")
 			}
 			if err == nil {
@@ -267,10 +267,10 @@
 	}
 }
 
-func (w *faultyNetwork) new(id uint64) bool { return !w.server.Connected(id) }
+func (w *faultyNetwork) unopened(id uint64) bool { return !w.server.Connected(id) }
 
-// bind puts those that joined on a table, as the module does.
-func (w *faultyNetwork) bind() {
+// bindJoined binds those that joined to a table, as the planner does.
+func (w *faultyNetwork) bindJoined() {
 	var batch []controller.Command
 	for proxy := range len(w.sidecars) {
 		if w.joined[proxy] {
@@ -285,21 +285,21 @@
 	}
 }
 
-// push changes something.
-func (w *faultyNetwork) push() {
+// changeTables changes a weight, an admission level or a binding.
+func (w *faultyNetwork) changeTables() {
 	w.lastNonce++
 	table, node := w.random.IntN(2), w.random.IntN(8)
 	name, cluster := fmt.Sprint("s-", node), fmt.Sprint("pool-", table)
 	switch w.random.IntN(6) {
-	case 0: // the first two stay, one a table: no one is left without a node
+	case 0: // the first two stay, one a table: no sidecar is left without a node
 		if node > 1 {
-			w.drained[cluster+" "+name] = w.lastNonce
+			w.removedAt[cluster+" "+name] = w.lastNonce
 			w.applyCommands([]controller.Command{{Kind: controller.SetWeight, Table: table, Node: name}})
 			return
 		}
 		fallthrough
 	case 1, 2:
-		delete(w.drained, cluster+" "+name)
+		delete(w.removedAt, cluster+" "+name)
 		w.applyCommands([]controller.Command{{Kind: controller.SetWeight, Table: table, Node: name, Value: 0.1 + w.random.Float64()}})
 	case 3, 4:
 		w.applyCommands([]controller.Command{{Kind: controller.SetAdmission, Table: planner.AllTables, Route: "issue",
@@ -311,13 +311,13 @@
 	}
 }
 
-// check is the rule: no sidecar routes by a version that it refused or that was never sent to it, and none has a
-// route to a cluster that it does not hold.
-func (w *faultyNetwork) check(h *simulatedSidecar) {
+// checkRouting checks the rule: no sidecar routes by a version that it rejected or that was never sent to it, and none has a
+// route to a cluster that it has not accepted.
+func (w *faultyNetwork) checkRouting(h *simulatedSidecar) {
 	table := h.Table()
 	for kind, versions := range table.Versions {
 		for name, version := range versions {
-			k := key(xds.ResourceType(kind), name, version)
+			k := versionKey(xds.ResourceType(kind), name, version)
 			if h.rejected[k] {
 				w.addViolation("%s routes by %s, which it refused", h.ID, k)
 			}
@@ -333,21 +333,21 @@
 	}
 }
 
-// play lets things happen and checks after each.
+// play lets random events happen and checks the rule after each.
 func (w *faultyNetwork) play(pushes int) {
-	for w.pushes < pushes && len(w.violations) == 0 {
+	for w.changes < pushes && len(w.violations) == 0 {
 		w.now += 0.01
 		h := w.sidecars[w.random.IntN(len(w.sidecars))]
 		switch w.random.IntN(40) {
 		case 0, 1, 2, 3, 4, 5:
-			w.push()
-		case 6: // the stream breaks; the server hears of it now or when the next one begins
+			w.changeTables()
+		case 6: // the stream breaks; the server notices now or when the next one begins
 			if s := h.stream; s != nil && !s.closed && w.random.IntN(2) == 0 {
 				w.server.Close(w.now, s.id)
 				s.closed = true
 			}
 			w.dial(h)
-		case 7: // the sidecar restarts, with what it held or, its disk lost, with nothing
+		case 7: // the sidecar restarts, with what it had accepted or, its disk lost, with nothing
 			if w.random.IntN(4) == 0 {
 				h.Clear()
 			}
@@ -357,7 +357,7 @@
 				w.restart()
 			}
 		case 9:
-			if s := h.stream; s != nil && w.random.IntN(20) == 0 { // an answer that no one waits for
+			if s := h.stream; s != nil && w.random.IntN(20) == 0 { // an answer to no pending response
 				nonce := fmt.Sprint(w.random.IntN(50), "-", w.random.IntN(4), "-", w.random.IntN(50))
 				kind := xds.ResourceType(w.random.IntN(int(xds.NumResourceTypes)))
 				if h.Delta {
@@ -368,14 +368,14 @@
 			if h.stream == nil || h.stream.closed {
 				w.dial(h)
 			}
-			w.arrive(h.stream, w.random.IntN(2) == 0)
+			w.deliver(h.stream, w.random.IntN(2) == 0)
 		}
-		w.bind()
-		w.check(h)
+		w.bindJoined()
+		w.checkRouting(h)
 	}
 }
 
-// settle lets all faults end; it gives the steps until every sidecar holds what it is to hold but for what it refused.
+// settle lets all faults end; it returns the steps until every sidecar has its target but for what it rejected.
 func (w *faultyNetwork) settle() (steps int) {
 	for ; steps < 200; steps++ {
 		moved := false
@@ -385,11 +385,11 @@
 			}
 			s := h.stream
 			moved = moved || len(s.requests)+len(s.responses) > 0
-			w.arrive(s, true)
-			w.arrive(s, false)
-			w.check(h)
+			w.deliver(s, true)
+			w.deliver(s, false)
+			w.checkRouting(h)
 		}
-		w.bind()
+		w.bindJoined()
 		if !moved {
 			return steps
 		}
@@ -397,15 +397,15 @@
 	return steps
 }
 
-// Over at least ten thousand pushes with restarts on both sides, cuts, delays and refusals no sidecar ever routes by a
-// version that it refused or was never sent, and once faults end all converge.
+// Over at least ten thousand changes with restarts on both sides, cuts, delays and NACKs no sidecar ever routes by a version
+// that it rejected or was never sent, and once faults end all converge.
 func TestSidecarNeverRoutesByRejectedVersion(t *testing.T) {
 	total := 0
 	for seed := range uint64(12) {
 		w := newFaultyNetwork(t, seed, 8)
 		w.play(1000)
 		steps := w.settle()
-		total += w.pushes
+		total += w.changes
 		if steps >= 60 {
 			w.addViolation("not settled after %d steps", steps)
 		}
@@ -425,7 +425,7 @@
 	}
 }
 
-// blocked tells whether a sidecar refused something that others wait for.
+// blocked tells whether a sidecar rejected something that other resources wait for.
 func (w *faultyNetwork) blocked(c xds.SidecarStatus) bool {
 	for _, s := range c.Resources {
 		if s.Rejection != nil {
@@ -435,7 +435,7 @@
 	return false
 }
 
-// The checker sees a sidecar that says that it accepts what it refused, or that takes over what it refuses.
+// The checker finds a sidecar that acknowledges what it rejected, and one that routes by what it rejects.
 func TestCheckerFindsPlantedFaults(t *testing.T) {
 	w := newFaultyNetwork(t, 1, 4)
 	for _, h := range w.sidecars {
@@ -444,7 +444,7 @@
 			if err := refuse(kind, name, body); err != nil && kind == xds.Endpoints {
 				m, _ := body.UnmarshalNew()
 				r, _ := xds.NewResource(kind, name, m)
-				h.rejected[key(kind, name, r.Version)] = true // refused, and taken over all the same
+				h.rejected[versionKey(kind, name, r.Version)] = true // rejected, and routed by all the same
 			}
 			return nil
 		}
--- a/xds/stream_test.go
+++ b/xds/stream_test.go
@@ -18,8 +18,8 @@
 	"harehook.dev/harehook/planner"
 )
 
-// thing is a cluster of some content.
-func thing(t testing.TB, name string, content int) *Resource {
+// newTestCluster returns a cluster with some content.
+func newTestCluster(t testing.TB, name string, content int) *Resource {
 	r, err := NewResource(Clusters, name, &clusterv3.Cluster{Name: name, ConnectTimeout: durationpb.New(time.Duration(content))})
 	if err != nil {
 		t.Fatal(err)
@@ -27,12 +27,12 @@
 	return r
 }
 
-// streamScript is a stream, its target and what it said, a line a response.
+// streamScript is a stream, its target and a log with a line for each response.
 type streamScript struct {
 	t      *testing.T
 	s      *Stream
 	target *Snapshot
-	names  map[string]string // versions, as the contents that they stand for
+	names  map[string]string // the contents of versions, as in setTarget
 	nonces []string
 	strings.Builder
 }
@@ -43,18 +43,18 @@
 	return c
 }
 
-// setTarget sets the target: "a1" is the thing a with the content 1.
+// setTarget sets the target: "a1" is the cluster a with the content 1.
 func (c *streamScript) setTarget(contents ...string) {
 	set := ResourceSet{}
 	for _, one := range contents {
-		r := thing(c.t, one[:1], int(one[1]))
+		r := newTestCluster(c.t, one[:1], int(one[1]))
 		set[r.Name], c.names[r.Version] = r, one
 	}
 	c.target = c.target.next([NumResourceTypes]ResourceSet{Clusters: set, Endpoints: {}, Listeners: {}, Routes: {}})
 	c.s.SetTarget(c.target, false)
 }
 
-// next notes what is sent now.
+// next logs what is sent now.
 func (c *streamScript) next() {
 	state, delta := c.s.Next(1)
 	if len(state)+len(delta) == 0 {
@@ -80,7 +80,7 @@
 	}
 }
 
-// answer answers the response before last by k, 0 for the last; why refuses it.
+// answer answers the response k before the last: by an ACK, or by a NACK if there is a reason.
 func (c *streamScript) answer(k int, why string) {
 	nonce := c.nonces[len(c.nonces)-1-k]
 	var fault *status.Status
@@ -118,6 +118,7 @@
 	fmt.Fprintf(c, "holds %v whole %t stale %d\n", held, c.s.Holds(Clusters, c.target.sequence[Clusters]), c.s.Stale)
 }
 
+// Each story is a sequence of requests, changes of the target and answers, with the responses that have to follow.
 func TestStreamExchanges(t *testing.T) {
 	for name, story := range map[string]struct {
 		delta bool
@@ -278,12 +279,12 @@
 	}
 }
 
-// A sidecar that comes back and states what it holds gets nothing that it has, also from a conductor that started
-// anew: the version is that of the content.
+// A sidecar that comes back and states the versions that it has is not sent these again, also not by a controller that
+// restarted: the version is that of the content.
 func TestStatedVersionsAreNotSentAgain(t *testing.T) {
 	for _, delta := range []bool{true, false} {
 		c := newScript(t, delta, "a1", "b1")
-		versions := map[string]string{"a": thing(t, "a", '1').Version, "b": thing(t, "b", '0').Version, "gone": "x"}
+		versions := map[string]string{"a": newTestCluster(t, "a", '1').Version, "b": newTestCluster(t, "b", '0').Version, "gone": "x"}
 		if delta {
 			c.s.HandleDelta(1, &discoveryv3.DeltaDiscoveryRequest{TypeUrl: Clusters.TypeURL(), InitialResourceVersions: versions})
 		} else {
@@ -297,7 +298,7 @@
 	}
 }
 
-// A mutating route is never compiled with a further try that could run a call twice, whatever is ordered.
+// A mutating route is never compiled with a retry that could run a request twice, whatever the command says.
 func TestCompiledRetryPolicies(t *testing.T) {
 	c := NewCompiler([]Route{{Name: "issue", Prefix: "/issue", Mutating: true, TimeLimit: time.Second}}, time.Second)
 	for tries := range planner.RetryPolicy(5) {
@@ -326,9 +327,10 @@
 	return m
 }
 
-// Where no number is left, one that has been away for longest gives its own to one that joins; one that stands never does.
+// Sidecars with another id at each start would use up all numbers: if none is left, a new sidecar gets that of the one that
+// has been disconnected for longest, and never that of a connected one.
 func TestSidecarNumbersAreReused(t *testing.T) {
-	s := NewServer(NewCompiler([]Route{{Name: "q", Prefix: "/"}}, time.Second), &counting{out: map[string]int{}}, 3)
+	s := NewServer(NewCompiler([]Route{{Name: "q", Prefix: "/"}}, time.Second), &countingSink{responses: map[string]int{}}, 3)
 	stream := uint64(0)
 	var got []string
 	join := func(now float64, id string) uint64 {
@@ -361,12 +363,12 @@
 	}
 }
 
-// Whatever a client sends, a server neither panics nor answers a kind twice without hearing of the first.
+// Whatever a client sends, a server neither panics nor sends a second response of a type before the first is answered.
 func FuzzServer(f *testing.F) {
 	f.Add([]byte{0, 1, 2, 3}, "7-0-1", "x")
 	f.Add([]byte{9, 9, 0, 4, 4, 1}, "", "*")
 	f.Fuzz(func(t *testing.T, moves []byte, nonce, name string) {
-		out := &counting{out: map[string]int{}}
+		out := &countingSink{responses: map[string]int{}}
 		compiler := NewCompiler([]Route{{Name: "q", Prefix: "/"}}, time.Second)
 		compiler.SetAddress("n", "z", Address{"127.0.0.1", 1})
 		s := NewServer(compiler, out, 4)
@@ -381,7 +383,7 @@
 					{Kind: controller.BindProxy, Proxy: int(move % 4), Table: int(move % 2)}, {Kind: controller.RequestAck, Nonce: k}})
 			}
 			if move%7 == 0 {
-				nonce = out.last
+				nonce = out.lastNonce
 			}
 			if stream == 1 {
 				s.HandleDelta(float64(k), stream, &discoveryv3.DeltaDiscoveryRequest{TypeUrl: kind.TypeURL(), ResponseNonce: nonce,
@@ -392,7 +394,7 @@
 			}
 			for id, c := range s.streams {
 				for kind, sub := range c.stream.subscriptions {
-					if n := out.out[fmt.Sprint(id, typeURLs[kind])]; sub.pending == nil && n > 1000 {
+					if n := out.responses[fmt.Sprint(id, typeURLs[kind])]; sub.pending == nil && n > 1000 {
 						t.Fatalf("%d responses", n)
 					}
 				}
@@ -402,21 +404,21 @@
 	})
 }
 
-type counting struct {
-	out  map[string]int
-	last string
+type countingSink struct {
+	responses map[string]int
+	lastNonce string
 }
 
-func (c *counting) Send(id uint64, r *discoveryv3.DiscoveryResponse) {
-	c.out[fmt.Sprint(id, r.GetTypeUrl())]++
-	c.last = r.GetNonce()
+func (c *countingSink) Send(id uint64, r *discoveryv3.DiscoveryResponse) {
+	c.responses[fmt.Sprint(id, r.GetTypeUrl())]++
+	c.lastNonce = r.GetNonce()
 }
-func (c *counting) SendDelta(id uint64, r *discoveryv3.DeltaDiscoveryResponse) {
-	c.out[fmt.Sprint(id, r.GetTypeUrl())]++
-	c.last = r.GetNonce()
+func (c *countingSink) SendDelta(id uint64, r *discoveryv3.DeltaDiscoveryResponse) {
+	c.responses[fmt.Sprint(id, r.GetTypeUrl())]++
+	c.lastNonce = r.GetNonce()
 }
-func (c *counting) CloseStream(uint64, string)            {}
-func (c *counting) Joined(int, string)                    {}
-func (c *counting) Left(int)                              {}
-func (c *counting) Acknowledged(int, int)                 {}
-func (c *counting) Rejected(string, ResourceType, string) {}
+func (c *countingSink) CloseStream(uint64, string)            {}
+func (c *countingSink) Joined(int, string)                    {}
+func (c *countingSink) Left(int)                              {}
+func (c *countingSink) Acknowledged(int, int)                 {}
+func (c *countingSink) Rejected(string, ResourceType, string) {}
--- a/xds/transport/bench_test.go
+++ b/xds/transport/bench_test.go
@@ -23,8 +23,8 @@
 	"harehook.dev/harehook/xds"
 )
 
-// serve starts a front over loopback whose core decides nothing by itself.
-func serve(tb testing.TB, most int) (f *Server, address string) {
+// startServer starts a server on loopback whose controller decides nothing by itself.
+func startServer(tb testing.TB, most int) (f *Server, address string) {
 	compiler := xds.NewCompiler([]xds.Route{{Name: "quote", Prefix: "/quote", TimeLimit: time.Second}}, time.Second)
 	f = NewServer(compiler, most, zap.NewNop())
 	f.Controller = controller.New(settings.Deployment{Planner: planner.Config{Zones: 1, MachineTypes: 1, Proxies: most, Sharded: true, Routes: []planner.Route{{}}},
@@ -41,12 +41,12 @@
 	return f, l.Addr().String()
 }
 
-// crowd are sidecars without a data plane, each on a stream of its own.
-type crowd struct {
+// sidecarClients are sidecars without a proxy, each with a stream of its own.
+type sidecarClients struct {
 	answers, bytes atomic.Int64
 }
 
-func (c *crowd) join(ctx context.Context, conn *grpc.ClientConn, h *sidecar.ResourceCache) error {
+func (c *sidecarClients) join(ctx context.Context, conn *grpc.ClientConn, h *sidecar.ResourceCache) error {
 	client := discoveryv3.NewAggregatedDiscoveryServiceClient(conn)
 	counted := func(size int) {
 		c.bytes.Add(int64(size))
@@ -72,20 +72,20 @@
 	}, func() {})
 }
 
-// BenchmarkPush measures the time from a changed weight in a table of 200 nodes until all sidecars on it hold it, over
-// loopback, and what it costs.
+// BenchmarkPush measures the time from a changed weight in a table of 200 nodes until all sidecars that are bound to it have
+// accepted it, over loopback, and its cost.
 func BenchmarkPush(b *testing.B) {
 	const nodes = 200
 	for _, sidecars := range []int{100, 1000, 4000} {
 		for _, delta := range []bool{false, true} {
 			b.Run(fmt.Sprintf("sidecars=%d/delta=%t", sidecars, delta), func(b *testing.B) {
 				var before, after runtime.MemStats
-				f, address := serve(b, sidecars)
+				f, address := startServer(b, sidecars)
 				ctx, stop := context.WithCancel(context.Background())
 				defer stop()
 				runtime.GC()
 				runtime.ReadMemStats(&before)
-				c := &crowd{}
+				c := &sidecarClients{}
 				var conn *grpc.ClientConn
 				for k := range sidecars {
 					if k%maxStreamsPerConnection == 0 {
@@ -139,7 +139,7 @@
 					}
 				}
 				b.ReportMetric(float64(c.bytes.Load())/float64(pushes)/float64(sidecars), "wire-B/sidecar")
-				// Both ends are in this process: a stream's memory is that of the conductor and of the sidecar.
+				// Both ends are in this process: a stream's memory is that of the controller and of the sidecar.
 				b.ReportMetric(float64(after.HeapAlloc-min(before.HeapAlloc, after.HeapAlloc))/float64(sidecars)/1024, "KiB/stream")
 			})
 		}
--- a/xds/transport/cancellation_test.go
+++ b/xds/transport/cancellation_test.go
@@ -30,7 +30,7 @@
 // its end, and its sidecar counted as connected for good, with commands for it waiting. A stream that has ended must not be
 // opened.
 func TestStreamCancelledBeforeItsFirstRequest(t *testing.T) {
-	server, _ := serve(t, 4)
+	server, _ := startServer(t, 4)
 	ctx, cancel := context.WithCancel(t.Context())
 	conn := &heldConn{release: make(chan struct{}), taken: make(chan struct{})}
 	ended := make(chan struct{})
--- a/xds/transport/endpoint_watcher_test.go
+++ b/xds/transport/endpoint_watcher_test.go
@@ -19,15 +19,15 @@
 	"harehook.dev/harehook/xds"
 )
 
-// lister is a service that keeps a list; it sends scripted versions and notes the answers.
-type lister struct {
+// listService is a service with an endpoint list; it sends scripted versions and records the answers.
+type listService struct {
 	discoveryv3.UnimplementedAggregatedDiscoveryServiceServer
 	send chan *discoveryv3.DiscoveryResponse // nil: the stream ends there
 	lock sync.Mutex
 	said []string
 }
 
-func (l *lister) StreamAggregatedResources(s discoveryv3.AggregatedDiscoveryService_StreamAggregatedResourcesServer) error {
+func (l *listService) StreamAggregatedResources(s discoveryv3.AggregatedDiscoveryService_StreamAggregatedResourcesServer) error {
 	for {
 		r, err := s.Recv()
 		if err != nil {
@@ -46,13 +46,13 @@
 	}
 }
 
-type listed struct {
+type testEndpoint struct {
 	name, zone string
 	port       uint32
 	health     corev3.HealthStatus
 }
 
-func version(number int, cluster string, nodes ...listed) *discoveryv3.DiscoveryResponse {
+func endpointsVersion(number int, cluster string, nodes ...testEndpoint) *discoveryv3.DiscoveryResponse {
 	list := &endpointv3.ClusterLoadAssignment{ClusterName: cluster}
 	for _, n := range nodes {
 		list.Endpoints = append(list.Endpoints, &endpointv3.LocalityLbEndpoints{Locality: &corev3.Locality{Zone: n.zone},
@@ -64,10 +64,10 @@
 		Resources: []*anypb.Any{body}}
 }
 
-// Good, bad and broken versions in a row, and a service that vanishes: each bad one is refused with its reason, the last
-// good one stays, and it is stated when the service is back.
+// A service sends good, faulty and undecodable versions in a row, and vanishes: each faulty one has to be rejected with its
+// reason, the last good list stays, and its version is stated when the service is back.
 func TestEndpointWatcherKeepsLastGoodList(t *testing.T) {
-	l := &lister{send: make(chan *discoveryv3.DiscoveryResponse, 16)}
+	l := &listService{send: make(chan *discoveryv3.DiscoveryResponse, 16)}
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -93,17 +93,17 @@
 	defer run.Wait()
 	defer stop()
 	up, drains, down := corev3.HealthStatus_HEALTHY, corev3.HealthStatus_DRAINING, corev3.HealthStatus_UNHEALTHY
-	broken := version(6, "tickets")
+	broken := endpointsVersion(6, "tickets")
 	broken.Resources[0].Value = []byte{0xff}
 	for _, r := range []*discoveryv3.DiscoveryResponse{
-		version(1, "tickets", listed{"a", "north", 1, up}, listed{"b", "north", 2, drains}, listed{"c", "north", 3, down}),
-		version(2, "tickets", listed{"a", "moon", 1, up}),
-		version(3, "tickets", listed{"a", "north", 1, up}, listed{"a", "north", 2, up}),
-		version(4, "tickets"),
-		version(5, "other", listed{"a", "north", 1, up}),
+		endpointsVersion(1, "tickets", testEndpoint{"a", "north", 1, up}, testEndpoint{"b", "north", 2, drains}, testEndpoint{"c", "north", 3, down}),
+		endpointsVersion(2, "tickets", testEndpoint{"a", "moon", 1, up}),
+		endpointsVersion(3, "tickets", testEndpoint{"a", "north", 1, up}, testEndpoint{"a", "north", 2, up}),
+		endpointsVersion(4, "tickets"),
+		endpointsVersion(5, "other", testEndpoint{"a", "north", 1, up}),
 		broken,
 		nil,
-		version(7, "tickets", listed{"", "north", 9, up}),
+		endpointsVersion(7, "tickets", testEndpoint{"", "north", 9, up}),
 	} {
 		l.send <- r
 	}
--- a/xds/transport/hub.go
+++ b/xds/transport/hub.go
@@ -99,7 +99,10 @@
 // hubSink implements xds.Sink; the hub calls it.
 type hubSink struct{ server *Server }
 
-func (h hubSink) Send(id uint64, r *discoveryv3.DiscoveryResponse)           { h.send(id, r) }
+// Send passes a response to its stream.
+func (h hubSink) Send(id uint64, r *discoveryv3.DiscoveryResponse) { h.send(id, r) }
+
+// SendDelta passes a response to its stream.
 func (h hubSink) SendDelta(id uint64, r *discoveryv3.DeltaDiscoveryResponse) { h.send(id, r) }
 
 // send passes a response to the stream's sender. A sidecar that does not read its responses is disconnected, since the hub
@@ -116,20 +119,25 @@
 	}
 }
 
+// CloseStream ends a stream.
 func (h hubSink) CloseStream(id uint64, why string) {
 	if closing := h.server.streams[id]; closing != nil {
 		closing.cancel(status.Error(codes.Aborted, why))
 	}
 }
 
+// Joined tells the controller of a proxy.
 func (h hubSink) Joined(proxy int, zone string) {
 	h.server.Controller.ProxyJoined(proxy, zone, baselineRate)
 }
 
+// Left tells the controller that a proxy has left.
 func (h hubSink) Left(proxy int) { h.server.Controller.ProxyLeft(proxy) }
 
+// Acknowledged tells the controller of a proxy's acknowledgement.
 func (h hubSink) Acknowledged(proxy, nonce int) { h.server.Controller.Acknowledged(proxy, nonce) }
 
+// Rejected logs a NACK.
 func (h hubSink) Rejected(sidecar string, t xds.ResourceType, why string) {
 	h.server.Log.Warn("version refused", zap.String("sidecar", sidecar), zap.Stringer("kind", t), zap.String("why", why))
 }
--- a/xds/transport/rejection_test.go
+++ b/xds/transport/rejection_test.go
@@ -19,8 +19,8 @@
 	"harehook.dev/harehook/xds"
 )
 
-// picky is a sidecar that turns some contents down and whose routing is checked after each response.
-type picky struct {
+// rejectingSidecar is a sidecar that rejects some contents and whose routing is checked after each response.
+type rejectingSidecar struct {
 	*sidecar.ResourceCache
 	lock    sync.Mutex
 	refused map[string]bool
@@ -28,7 +28,7 @@
 	got     int
 }
 
-func (p *picky) check() {
+func (p *rejectingSidecar) checkRouting() {
 	p.got++
 	for kind, versions := range p.Table().Versions {
 		for name, version := range versions {
@@ -39,19 +39,19 @@
 	}
 }
 
-// follow keeps a stream until ctx ends. A stream that was cut may still be read from when the next one begins.
-func (p *picky) follow(ctx context.Context, conn *grpc.ClientConn) {
+// runStreams runs one stream after the other until ctx ends. One that was cut may still be read when the next one begins.
+func (p *rejectingSidecar) runStreams(ctx context.Context, conn *grpc.ClientConn) {
 	client := discoveryv3.NewAggregatedDiscoveryServiceClient(conn)
 	if p.Delta {
 		if s, err := client.DeltaAggregatedResources(ctx); err == nil {
-			talk(p, s, p.BeginDelta, p.HandleDelta)
+			exchange(p, s, p.BeginDelta, p.HandleDelta)
 		}
 	} else if s, err := client.StreamAggregatedResources(ctx); err == nil {
-		talk(p, s, p.BeginStateOfTheWorld, p.HandleStateOfTheWorld)
+		exchange(p, s, p.BeginStateOfTheWorld, p.HandleStateOfTheWorld)
 	}
 }
 
-func talk[Request, Response any](p *picky, s sidecar.Transport[Request, Response], begin func() []Request, take func(Response) ([]Request, error)) {
+func exchange[Request, Response any](p *rejectingSidecar, s sidecar.Transport[Request, Response], begin func() []Request, take func(Response) ([]Request, error)) {
 	p.lock.Lock()
 	first := begin()
 	p.lock.Unlock()
@@ -59,28 +59,28 @@
 		p.lock.Lock()
 		defer p.lock.Unlock()
 		out, err := take(r)
-		p.check()
+		p.checkRouting()
 		return out, err
 	}, func() {})
 }
 
-// On loopback, through pushes, refusals and streams that are cut at any moment, no sidecar routes by a version that it
-// refused, and once the cuts end all settle but for what they refused.
+// Tables change, sidecars reject some contents, and streams are cut at any time: no sidecar must route by a version that it
+// rejected, and once the cuts end all have to converge but for what they rejected.
 func TestRejectionsAndCutsOverLoopback(t *testing.T) {
 	const sidecars, pushes = 40, 300
-	f, address := serve(t, sidecars)
+	f, address := startServer(t, sidecars)
 	chance := rand.New(rand.NewPCG(4, 2))
-	all := make([]*picky, sidecars)
+	all := make([]*rejectingSidecar, sidecars)
 	stops := make([]context.CancelFunc, sidecars)
 	var streams sync.WaitGroup
 	begin := func(k int) {
 		ctx, stop := context.WithCancel(context.Background())
 		stops[k] = stop
 		conn := dial(t, address)
-		streams.Go(func() { all[k].follow(ctx, conn); conn.Close() })
+		streams.Go(func() { all[k].runStreams(ctx, conn); conn.Close() })
 	}
 	for k := range all {
-		p := &picky{refused: map[string]bool{}}
+		p := &rejectingSidecar{refused: map[string]bool{}}
 		p.ResourceCache = &sidecar.ResourceCache{ID: fmt.Sprint("till-", k), Zone: "north", Delta: k%2 == 0,
 			ExtraCheck: func(_ xds.ResourceType, _ string, body *anypb.Any) error {
 				sum := fnv.New32a()
@@ -101,7 +101,7 @@
 		f.Enqueue([]controller.Command{{Kind: controller.SetWeight, Node: fmt.Sprint("node-", chance.IntN(20)), Value: chance.Float64()},
 			{Kind: controller.RequestAck, Nonce: n + 2}})
 		f.call(func() {})
-		time.Sleep(4 * time.Millisecond) // only a pace: streams bring the newest state
+		time.Sleep(4 * time.Millisecond) // only a delay: streams bring the newest state
 		if k := chance.IntN(sidecars); n%3 == 0 {
 			stops[k]()
 			begin(k)
@@ -117,7 +117,7 @@
 		var joins []controller.Command // a stream that was cut may count for a while: its successor then joins after that
 		defer func() {
 			if len(joins) > 0 {
-				f.Enqueue(append(joins, controller.Command{Kind: controller.RequestAck, Nonce: pushes + 10})) // as the module binds who joins
+				f.Enqueue(append(joins, controller.Command{Kind: controller.RequestAck, Nonce: pushes + 10})) // as the planner binds those that join
 			}
 		}()
 		f.call(func() {
--- a/xds/transport/server_test.go
+++ b/xds/transport/server_test.go
@@ -26,7 +26,7 @@
 	"harehook.dev/harehook/xds"
 )
 
-const testTimeout = 20 * time.Second // for what takes a moment on an idle machine
+const testTimeout = 20 * time.Second // of what takes milliseconds on an idle machine
 
 func waitFor(t *testing.T, what string, ok func() bool) {
 	t.Helper()
@@ -46,7 +46,7 @@
 	return conn
 }
 
-// convergedSidecars is how many sidecars hold all that they are to hold.
+// convergedSidecars is the number of sidecars that have accepted all of their targets.
 func convergedSidecars(f *Server) (n int) {
 	f.call(func() {
 		for _, s := range f.Streams.Sidecars(f.now()) {
@@ -62,7 +62,7 @@
 	return n
 }
 
-// knownSidecars is how many sidecars ever joined, joined how many stand.
+// knownSidecars is the number of sidecars that ever joined, connectedSidecars that of those with a stream.
 func knownSidecars(f *Server) (n int) {
 	f.call(func() { n = len(f.Streams.Sidecars(f.now())) })
 	return n
@@ -79,7 +79,7 @@
 	return n
 }
 
-// publishTable gives all sidecars a table of some nodes.
+// publishTable binds all sidecars to a table with some nodes.
 func publishTable(f *Server, sidecars, nodes int) {
 	batch := []controller.Command{{Kind: controller.SetAdmission, Table: planner.AllTables, Route: "quote", Value: 1}}
 	for n := range nodes {
@@ -91,7 +91,7 @@
 	bindAll(f, sidecars, 1)
 }
 
-// bindAll binds those that joined, as the module does when they do.
+// bindAll binds sidecars, as the planner does when they join.
 func bindAll(f *Server, sidecars, mark int) {
 	var batch []controller.Command
 	for proxy := range sidecars {
@@ -100,11 +100,11 @@
 	f.Enqueue(append(batch, controller.Command{Kind: controller.RequestAck, Nonce: mark}))
 }
 
-// Hundreds of sidecars of both variants lose their streams at once, again and again, while tables change: all are back
-// with the newest versions, and those that hold them already get nothing.
+// Hundreds of sidecars of both variants lose their streams at once, again and again, while tables change: all have to
+// converge to the newest versions, and those that have them already are sent nothing.
 func TestReconnectStormsConverge(t *testing.T) {
 	const sidecars = 300
-	f, address := serve(t, sidecars)
+	f, address := startServer(t, sidecars)
 	holders := make([]*sidecar.ResourceCache, sidecars)
 	for k := range holders {
 		holders[k] = &sidecar.ResourceCache{ID: fmt.Sprint("till-", k), Zone: "north", Delta: k%2 == 0}
@@ -112,7 +112,7 @@
 	for round := range 4 {
 		ctx, stop := context.WithCancel(context.Background())
 		var streams sync.WaitGroup
-		c := &crowd{}
+		c := &sidecarClients{}
 		var conn *grpc.ClientConn
 		for k, h := range holders {
 			if k%maxStreamsPerConnection == 0 {
@@ -140,13 +140,14 @@
 	}
 }
 
-// What can't be is answered with a status and a reason, counted, and costs no one else anything.
+// Requests that violate the protocol end their stream with a status and a reason and are counted; other sidecars are served
+// as before.
 func TestMisbehavingClientsAreDisconnected(t *testing.T) {
-	f, address := serve(t, 3)
+	f, address := startServer(t, 3)
 	good := &sidecar.ResourceCache{ID: "till", Zone: "north", Delta: true}
 	ctx, stop := context.WithCancel(context.Background())
 	defer stop()
-	go (&crowd{}).join(ctx, dial(t, address), good)
+	go (&sidecarClients{}).join(ctx, dial(t, address), good)
 	waitFor(t, "it joined", func() bool { return knownSidecars(f) == 1 })
 	publishTable(f, 1, 3)
 	waitFor(t, "it holds its table", func() bool { return convergedSidecars(f) == 1 })
@@ -197,9 +198,9 @@
 	}
 }
 
-// A second stream of a node id ends the first, whose messages count for nothing any more.
+// A second stream of a node id replaces the first, whose messages are ignored from then on.
 func TestSecondStreamReplacesFirst(t *testing.T) {
-	f, address := serve(t, 3)
+	f, address := startServer(t, 3)
 	client := discoveryv3.NewAggregatedDiscoveryServiceClient(dial(t, address))
 	open := func() discoveryv3.AggregatedDiscoveryService_StreamAggregatedResourcesClient {
 		s, err := client.StreamAggregatedResources(t.Context())
@@ -221,13 +222,13 @@
 	}
 }
 
-// Load reports reach the core; a line that can't be costs only itself.
+// Load reports reach the controller; an impossible entry is left out alone.
 func TestLoadReportsReachController(t *testing.T) {
-	f, address := serve(t, 3)
+	f, address := startServer(t, 3)
 	ctx, stop := context.WithCancel(t.Context())
 	defer stop()
 	conn := dial(t, address)
-	go (&crowd{}).join(ctx, conn, &sidecar.ResourceCache{ID: "till", Zone: "north", Delta: true})
+	go (&sidecarClients{}).join(ctx, conn, &sidecar.ResourceCache{ID: "till", Zone: "north", Delta: true})
 	waitFor(t, "it joined", func() bool { return knownSidecars(f) == 1 })
 	publishTable(f, 1, 1)
 	s, err := loadv3.NewLoadReportingServiceClient(conn).StreamLoadStats(ctx)
