--- /dev/null
+++ b/xds/compiler_test.go
@@ -0,0 +1,42 @@
+package xds
+
+import (
+	"fmt"
+	"strings"
+	"testing"
+	"time"
+
+	"google.golang.org/protobuf/proto"
+
+	"harehook.dev/harehook/controller"
+	"harehook.dev/harehook/planner"
+)
+
+// A mutating route is never compiled with a retry that could run a request twice, whatever the command says.
+func TestCompiledRetryPolicies(t *testing.T) {
+	c := NewCompiler([]Route{{Name: "issue", Prefix: "/issue", Mutating: true, TimeLimit: time.Second}}, time.Second)
+	for tries := range planner.RetryPolicy(5) {
+		c.ApplyCommands([]controller.Command{{Kind: controller.SetAdmission, Table: 0, Route: "issue", Value: 0.5, Retry: tries}})
+		s, err := c.Snapshot(0)
+		if err != nil {
+			t.Fatal(err)
+		}
+		text := fmt.Sprint(mustUnmarshal(t, s.Sets[Routes][RoutesName]))
+		for _, on := range []string{"5xx", "reset\"", "gateway-error", "retriable"} {
+			if strings.Contains(text, on) {
+				t.Errorf("tries %d: %s", tries, text)
+			}
+		}
+		if with := strings.Contains(text, RetryIfNotSent); with != (tries == planner.RetryIfNotSent) {
+			t.Errorf("tries %d: further tries %t", tries, with)
+		}
+	}
+}
+
+func mustUnmarshal(t *testing.T, r *Resource) proto.Message {
+	m, err := r.Body.UnmarshalNew()
+	if err != nil {
+		t.Fatal(err)
+	}
+	return m
+}
