--- a/config/agreed_reader_test.go
+++ b/config/agreed_reader_test.go
@@ -65,11 +65,11 @@
 		}
 		slices.SortFunc(list, compareKeys)
 		text := TextFormat{}.Format(list)
-		back, err := TextFormat{}.Parse(text)
+		restored, err := TextFormat{}.Parse(text)
 		if err != nil {
 			t.Fatalf("seed %d: %v\n%s", seed, err, text)
 		}
-		if !slices.EqualFunc(list, back, (*records.Record).SameContent) {
+		if !slices.EqualFunc(list, restored, (*records.Record).SameContent) {
 			t.Fatalf("seed %d: other records\n%s", seed, text)
 		}
 	}
--- a/config/follower_test.go
+++ b/config/follower_test.go
@@ -131,13 +131,13 @@
 		return map[records.Key]any{routeKey("a"): a, routeKey("b"): b, key: spec}
 	}
 	for name, one := range map[string]struct {
-		specs, was map[records.Key]any
-		nodes      []Node
-		want       string
+		specs, previous map[records.Key]any
+		nodes           []Node
+		want            string
 	}{
 		"as configured":                  {specs: both, nodes: nodes},
 		"no route was agreed on yet":     {nodes: nodes},
-		"all routes are gone":            {was: both, nodes: nodes, want: `route "a" is missing: its calls would find no route; route "b" is missing`},
+		"all routes are gone":            {previous: both, nodes: nodes, want: `route "a" is missing: its calls would find no route; route "b" is missing`},
 		"one is missing":                 {specs: map[records.Key]any{routeKey("a"): a}, nodes: nodes, want: `route "b" is missing`},
 		"one is not known":               {specs: with(routeKey("c"), records.RouteSpec{Prefix: "/c", TimeLimitMS: 100}), nodes: nodes, want: `route "c" is not configured at conductor "c"`},
 		"protection lost":                {specs: with(routeKey("b"), unprotected), nodes: nodes, want: `route "b" is configured as mutating`},
@@ -150,11 +150,11 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		was, err := AgreedFromFollower(newRecords(t, one.was))
+		previous, err := AgreedFromFollower(newRecords(t, one.previous))
 		if err != nil {
 			t.Fatal(err)
 		}
-		err = c.ValidateUpdate(agreed, was, one.nodes)
+		err = c.ValidateUpdate(agreed, previous, one.nodes)
 		checkFault(t, name, err, one.want)
 		var unusable *UnusableError
 		if err != nil && !errors.As(err, &unusable) {
--- a/configsync/follower_test.go
+++ b/configsync/follower_test.go
@@ -55,11 +55,11 @@
 func TestUpdateDoesNotRenewLease(t *testing.T) {
 	follower := NewFollower("a", records.Scope{All: true}, 3*time.Second, nil)
 	follower.Begin(at(0))
-	offer, err := Update{Revision: 4, Nonce: "1", FullScope: true}.response()
+	update, err := Update{Revision: 4, Nonce: "1", FullScope: true}.response()
 	if err != nil {
 		t.Fatal(err)
 	}
-	if _, accepted, err := follower.Receive(at(1), offer); err != nil || !accepted {
+	if _, accepted, err := follower.Receive(at(1), update); err != nil || !accepted {
 		t.Fatal(accepted, err)
 	}
 	if !follower.Stale(at(1)) {
@@ -68,9 +68,9 @@
 }
 
 // encodeUpdate returns the message of an update.
-func encodeUpdate(t testing.TB, offer Update) *discoveryv3.DeltaDiscoveryResponse {
+func encodeUpdate(t testing.TB, update Update) *discoveryv3.DeltaDiscoveryResponse {
 	t.Helper()
-	response, err := offer.response()
+	response, err := update.response()
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -87,8 +87,8 @@
 	t.Helper()
 	f := NewFollower("f", services("s1"), 3*time.Second, nil)
 	f.Begin(at(0))
-	whole := encodeUpdate(t, Update{Revision: 5, Nonce: "1", FullScope: true, Records: oneRecord(withRevision(newRouteRecord(t, "a", "s1", 10), 4))})
-	if _, accepted, err := f.Receive(at(0), whole); err != nil || !accepted {
+	fullScope := encodeUpdate(t, Update{Revision: 5, Nonce: "1", FullScope: true, Records: oneRecord(withRevision(newRouteRecord(t, "a", "s1", 10), 4))})
+	if _, accepted, err := f.Receive(at(0), fullScope); err != nil || !accepted {
 		t.Fatal(accepted, err)
 	}
 	return f
@@ -97,7 +97,7 @@
 // An update that can't follow the accepted revision is rejected, and the accepted records stay.
 func TestFollowerRejectsInapplicableUpdates(t *testing.T) {
 	changed := withRevision(newRouteRecord(t, "a", "s1", 11), 6)
-	for name, offer := range map[string]Update{
+	for name, update := range map[string]Update{
 		"revision 0":                      {Revision: 0, Nonce: "2"},
 		"put twice":                       {Revision: 6, Nonce: "2", Records: []*records.Record{changed, changed}},
 		"put and removed":                 {Revision: 6, Nonce: "2", Records: oneRecord(changed), Removed: []records.Key{changed.Key}},
@@ -111,7 +111,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			f := newFollowerWithRecords(t)
-			reply, accepted, err := f.Receive(at(1), encodeUpdate(t, offer))
+			reply, accepted, err := f.Receive(at(1), encodeUpdate(t, update))
 			if err != nil || accepted || reply.GetErrorDetail() == nil || reply.GetResponseNonce() != "2" {
 				t.Errorf("reply %v, accepted %v, %v", reply, accepted, err)
 			}
@@ -139,8 +139,8 @@
 		"record version": func(r *discoveryv3.DeltaDiscoveryResponse) { r.Resources[0].Version = "six" },
 		"removed key":    func(r *discoveryv3.DeltaDiscoveryResponse) { r.RemovedResources = []string{""} },
 		"marked twice": func(r *discoveryv3.DeltaDiscoveryResponse) {
-			mark := &discoveryv3.Resource{Name: fullScopeName}
-			r.Resources = append(r.Resources, mark, mark)
+			marker := &discoveryv3.Resource{Name: fullScopeName}
+			r.Resources = append(r.Resources, marker, marker)
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -172,8 +172,8 @@
 // A member offers an older revision than the accepted one: the follower must neither accept nor reject it, but leave.
 func TestFollowerLeavesMemberWithOlderRevision(t *testing.T) {
 	f := newFollowerWithRecords(t)
-	for _, whole := range []bool{true, false} {
-		reply, accepted, err := f.Receive(at(1), encodeUpdate(t, Update{Revision: 4, Nonce: "2", FullScope: whole}))
+	for _, fullScope := range []bool{true, false} {
+		reply, accepted, err := f.Receive(at(1), encodeUpdate(t, Update{Revision: 4, Nonce: "2", FullScope: fullScope}))
 		if !errors.Is(err, ErrOlderRevision) || accepted || reply != nil || f.Revision() != 5 || len(f.Records()) != 1 {
 			t.Errorf("reply %v, accepted %v, %v", reply, accepted, err)
 		}
@@ -183,13 +183,13 @@
 // The accepted revision may come again, as a full scope or as progress, but not with other contents.
 func TestFollowerDetectsConflictAtSameRevision(t *testing.T) {
 	same := Update{Revision: 5, Nonce: "2", FullScope: true, Records: oneRecord(withRevision(newRouteRecord(t, "a", "s1", 10), 4))}
-	for name, offer := range map[string]Update{"whole": same, "progress": {Revision: 5, Nonce: "2"}} {
+	for name, update := range map[string]Update{"whole": same, "progress": {Revision: 5, Nonce: "2"}} {
 		f := newFollowerWithRecords(t)
-		if reply, accepted, err := f.Receive(at(1), encodeUpdate(t, offer)); err != nil || accepted || reply.GetErrorDetail() != nil {
+		if reply, accepted, err := f.Receive(at(1), encodeUpdate(t, update)); err != nil || accepted || reply.GetErrorDetail() != nil {
 			t.Errorf("%s: reply %v, accepted %v, %v", name, reply, accepted, err)
 		}
 	}
-	for name, offer := range map[string]Update{
+	for name, update := range map[string]Update{
 		"other content":  {Revision: 5, Nonce: "2", FullScope: true, Records: oneRecord(withRevision(newRouteRecord(t, "a", "s1", 11), 4))},
 		"other revision": {Revision: 5, Nonce: "2", FullScope: true, Records: oneRecord(withRevision(newRouteRecord(t, "a", "s1", 10), 3))},
 		"less":           {Revision: 5, Nonce: "2", FullScope: true},
@@ -197,7 +197,7 @@
 		"changed":        {Revision: 5, Nonce: "2", Records: oneRecord(withRevision(newRouteRecord(t, "a", "s1", 11), 5))},
 	} {
 		f := newFollowerWithRecords(t)
-		if _, accepted, err := f.Receive(at(1), encodeUpdate(t, offer)); !errors.Is(err, ErrConflictingContent) || accepted || len(f.Records()) != 1 {
+		if _, accepted, err := f.Receive(at(1), encodeUpdate(t, update)); !errors.Is(err, ErrConflictingContent) || accepted || len(f.Records()) != 1 {
 			t.Errorf("%s: accepted %v, %v", name, accepted, err)
 		}
 	}
@@ -206,8 +206,8 @@
 // A delta can't be applied without a base revision: all else of the scope would be missing.
 func TestFollowerRejectsDeltaWithoutBaseRevision(t *testing.T) {
 	f := NewFollower("f", services("s1"), 3*time.Second, nil)
-	for _, offer := range []Update{{Revision: 5, Nonce: "1", Records: oneRecord(withRevision(newRouteRecord(t, "a", "s1", 10), 5))}, {Revision: 5, Nonce: "1"}} {
-		if reply, accepted, err := f.Receive(at(0), encodeUpdate(t, offer)); err != nil || accepted || reply.GetErrorDetail() == nil {
+	for _, update := range []Update{{Revision: 5, Nonce: "1", Records: oneRecord(withRevision(newRouteRecord(t, "a", "s1", 10), 5))}, {Revision: 5, Nonce: "1"}} {
+		if reply, accepted, err := f.Receive(at(0), encodeUpdate(t, update)); err != nil || accepted || reply.GetErrorDetail() == nil {
 			t.Errorf("reply %v, accepted %v, %v", reply, accepted, err)
 		}
 	}
--- a/configsync/fullscope_limiter_test.go
+++ b/configsync/fullscope_limiter_test.go
@@ -13,15 +13,15 @@
 func TestFullScopeLimiterServesCrowdInOrder(t *testing.T) {
 	for _, bytes := range []float64{1 << 10, 16 << 10, 300 << 10} {
 		a := newFullScopeLimiter(1<<20, 64<<10)
-		const crowd = 100
-		streams := make([]*Stream, crowd)
-		askAt := make([]time.Time, crowd)
+		const waiting = 100
+		streams := make([]*Stream, waiting)
+		askAt := make([]time.Time, waiting)
 		for n := range streams {
 			streams[n], askAt[n] = &Stream{}, at(0)
 		}
 		now, asked := at(0), 0
 		served := []int{}
-		for len(served) < crowd {
+		for len(served) < waiting {
 			next := -1
 			for n := range streams {
 				if streams[n] != nil && (next < 0 || askAt[n].Before(askAt[next])) {
@@ -43,11 +43,11 @@
 				t.Errorf("scopes of %v bytes: served as number %d: %d", bytes, n, stream)
 			}
 		}
-		least := (crowd - 1) * bytes / a.bytesPerSecond
+		least := (waiting - 1) * bytes / a.bytesPerSecond
 		if took := now.Sub(at(0)).Seconds(); took > 1.3*least+0.1 {
 			t.Errorf("scopes of %v bytes: %v s, %v s if the allowance was used whole", bytes, took, least)
 		}
-		if asked > 30*crowd {
+		if asked > 30*waiting {
 			t.Errorf("scopes of %v bytes: asked %d times", bytes, asked)
 		}
 	}
@@ -114,25 +114,25 @@
 	f := NewFollower("in step", services("s1"), limits.Lease, nil)
 	inStep := connect(t, server, f, at(0))
 	inStep.settle(at(0))
-	crowd := []*connection{}
+	waiting := []*connection{}
 	for n := range 20 {
 		c := connect(t, server, NewFollower(fmt.Sprint("f", n), services("s1"), limits.Lease, nil), at(0))
 		c.settle(at(0))
 		if c.follower.Revision() != 0 {
 			t.Fatal("served beyond the allowance")
 		}
-		crowd = append(crowd, c)
+		waiting = append(waiting, c)
 	}
 	server.Committed(at(0.1), source.commit(2, oneRecord(newRouteRecord(t, "a", "s1", 11))))
 	inStep.settle(at(0.1))
 	if f.Revision() != 2 {
 		t.Error("held up by the crowd")
 	}
-	for _, c := range crowd[:10] {
+	for _, c := range waiting[:10] {
 		server.Close(c.stream)
 	}
-	connect(t, server, crowd[10].follower, at(0.2))
-	if got := server.limiter.queue[0].stream; got != crowd[11].stream {
+	connect(t, server, waiting[10].follower, at(0.2))
+	if got := server.limiter.queue[0].stream; got != waiting[11].stream {
 		t.Errorf("the head is %q", got.Name())
 	}
 	if len(server.limiter.queue) != 9 {
@@ -147,22 +147,22 @@
 	limits.FullScopeBytesPerSecond, limits.FullScopeBurstBytes = 1000, 1
 	server := NewServer("m1", source, limits, at(0))
 	server.Committed(at(0), source.commit(1, oneRecord(newRouteRecord(t, "a", "s1", 10))))
-	refuser := connect(t, server, NewFollower("refuser", services("s1"), limits.Lease,
+	rejecting := connect(t, server, NewFollower("refuser", services("s1"), limits.Lease,
 		func(uint64, map[records.Key]*records.Record) error { return fmt.Errorf("never") }), at(0))
-	refuser.settle(at(0))
+	rejecting.settle(at(0))
 	other := connect(t, server, NewFollower("other", services("s1"), limits.Lease, nil), at(0))
 	other.settle(at(0))
 	server.Committed(at(0), source.commit(2, oneRecord(newRouteRecord(t, "a", "s1", 11))))
-	refuser.settle(at(0))
+	rejecting.settle(at(0))
 	for tick := range 200 {
 		now := at(float64(tick) / 100)
-		refuser.settle(now)
+		rejecting.settle(now)
 		other.settle(now)
-		if refuser.follower.Rejected == 2 && other.follower.Revision() == 0 {
+		if rejecting.follower.Rejected == 2 && other.follower.Revision() == 0 {
 			t.Fatal("the refuser was served twice before the other once")
 		}
 	}
-	if other.follower.Revision() != 2 || refuser.follower.Rejected != 2 {
-		t.Errorf("revision %d, refused %d", other.follower.Revision(), refuser.follower.Rejected)
+	if other.follower.Revision() != 2 || rejecting.follower.Rejected != 2 {
+		t.Errorf("revision %d, refused %d", other.follower.Revision(), rejecting.follower.Rejected)
 	}
 }
--- a/configsync/fuzz_test.go
+++ b/configsync/fuzz_test.go
@@ -31,17 +31,17 @@
 	f.Add(encodeMessage(f, Handshake{Name: "victim", Revision: 1<<64 - 1}.request()), []byte{})
 	f.Add(encodeMessage(f, Handshake{Name: "", Scope: records.Scope{All: true}}.request()), hello)
 	f.Fuzz(func(t *testing.T, first, second []byte) {
-		w := newTestMember(t)
-		w.commit(at(0), 1, oneRecord(newRouteRecord(t, "a", "s1", 10)))
-		w.commit(at(0), 2, oneRecord(newRouteRecord(t, "b", "s1", 10)))
-		victim := connect(t, w.server, NewFollower("bystander", services("s1"), testLimits.Lease, nil), at(0))
-		stream, err := w.server.Open(at(0))
+		member := newTestMember(t)
+		member.commit(at(0), 1, oneRecord(newRouteRecord(t, "a", "s1", 10)))
+		member.commit(at(0), 2, oneRecord(newRouteRecord(t, "b", "s1", 10)))
+		victim := connect(t, member.server, NewFollower("bystander", services("s1"), testLimits.Lease, nil), at(0))
+		stream, err := member.server.Open(at(0))
 		if err != nil {
 			t.Fatal(err)
 		}
 		for _, data := range [][]byte{first, second} {
 			request := &discoveryv3.DeltaDiscoveryRequest{}
-			if proto.Unmarshal(data, request) != nil || w.server.Receive(at(0), stream, request) != nil {
+			if proto.Unmarshal(data, request) != nil || member.server.Receive(at(0), stream, request) != nil {
 				break
 			}
 			for range 3 {
@@ -50,14 +50,14 @@
 				}
 			}
 		}
-		status := w.server.Status(at(1))
+		status := member.server.Status(at(1))
 		if status.ConvergedRevision > status.Revision || len(status.Leases) > 2 {
 			t.Errorf("%+v", status)
 		}
-		w.server.Close(stream)
+		member.server.Close(stream)
 		if stream.Name() != "bystander" {
 			victim.settle(at(1))
-			w.checkFollower(victim.follower)
+			member.checkFollower(victim.follower)
 		}
 	})
 }
@@ -66,7 +66,7 @@
 // and rejects the response or leaves the member without a change of its records.
 func FuzzFollowerReceive(f *testing.F) {
 	record := withRevision(newRouteRecord(f, "a", "s1", 11), 6)
-	for _, offer := range []Update{
+	for _, update := range []Update{
 		{Revision: 6},
 		{Revision: 6, Nonce: "2"},
 		{Revision: 6, Nonce: "2", Records: oneRecord(record)},
@@ -79,7 +79,7 @@
 		{Revision: 5, Nonce: "2", FullScope: true},
 		{Revision: 1<<64 - 1, Nonce: "2"},
 	} {
-		f.Add(encodeMessage(f, encodeUpdate(f, offer)))
+		f.Add(encodeMessage(f, encodeUpdate(f, update)))
 	}
 	f.Add(encodeMessage(f, &discoveryv3.DeltaDiscoveryResponse{TypeUrl: TypeURL, SystemVersionInfo: "6", Nonce: "2",
 		Resources: []*discoveryv3.Resource{{Name: fullScopeName}, {Name: fullScopeName}, {Name: "route/"}, {}}}))
--- a/configsync/golden_test.go
+++ b/configsync/golden_test.go
@@ -21,9 +21,9 @@
 	}
 	route.Revision = 5
 	removed := records.Key{Kind: records.KindOverride, Name: "n-1"}
-	offers := []struct {
-		name  string
-		offer Update
+	updates := []struct {
+		name   string
+		update Update
 	}{
 		{"full scope", Update{Revision: 7, RoutingRevision: 5, Nonce: "1", FullScope: true, Records: []*records.Record{route}}},
 		{"changes", Update{Revision: 8, RoutingRevision: 5, Nonce: "2", Records: []*records.Record{route}, Removed: []records.Key{removed}}},
@@ -39,17 +39,17 @@
 		fmt.Fprintf(&out, "%s: %x\n", name, data)
 	}
 	start := time.Unix(1700000000, 0)
-	refuse := false
+	reject := false
 	follower := NewFollower("site-17", records.Scope{Services: []string{"pay"}, Zones: []string{"north"}}, 3*time.Second,
 		func(uint64, map[records.Key]*records.Record) error {
-			if refuse {
+			if reject {
 				return fmt.Errorf("no node for %s", "quote")
 			}
 			return nil
 		})
 	write("first request", follower.Begin(start))
-	for _, one := range offers {
-		response, err := one.offer.response()
+	for _, one := range updates {
+		response, err := one.update.response()
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -64,16 +64,16 @@
 		}
 	}
 	write("renewal", follower.Renew(start.Add(time.Second)))
-	refuse = true
+	reject = true
 	response, err := Update{Revision: 10, RoutingRevision: 5, Nonce: "4", Records: []*records.Record{route}}.response()
 	if err != nil {
 		t.Fatal(err)
 	}
-	refusal, _, err := follower.Receive(start, response)
+	nack, _, err := follower.Receive(start, response)
 	if err != nil {
 		t.Fatal(err)
 	}
-	write("refusal", refusal)
+	write("refusal", nack)
 	goldentest.Compare(t, "messages.txt", out.String())
 }
 
--- a/configsync/hostile_input_test.go
+++ b/configsync/hostile_input_test.go
@@ -11,26 +11,26 @@
 
 // A member serves no more streams than it may, and another one once one has closed.
 func TestStreamCountIsBounded(t *testing.T) {
-	w := newTestMember(t)
+	member := newTestMember(t)
 	for range testLimits.MaxStreams {
-		if _, err := w.server.Open(at(0)); err != nil {
+		if _, err := member.server.Open(at(0)); err != nil {
 			t.Fatal(err)
 		}
 	}
-	if _, err := w.server.Open(at(0)); !errors.Is(err, ErrTooManyStreams) {
+	if _, err := member.server.Open(at(0)); !errors.Is(err, ErrTooManyStreams) {
 		t.Error(err)
 	}
 }
 
 // A NACK's reason is truncated between characters.
 func TestRejectionReasonIsTruncated(t *testing.T) {
-	w := newTestMember(t)
-	w.commit(at(0), 1, nil)
+	member := newTestMember(t)
+	member.commit(at(0), 1, nil)
 	f := NewFollower("f", services("s1"), testLimits.Lease, func(uint64, map[records.Key]*records.Record) error {
 		return errors.New("x" + strings.Repeat("ü", maxReasonBytes))
 	})
-	connect(t, w.server, f, at(0)).settle(at(0))
-	reason := w.server.Status(at(0)).Leases[0].Reason
+	connect(t, member.server, f, at(0)).settle(at(0))
+	reason := member.server.Status(at(0)).Leases[0].Reason
 	if len(reason) != maxReasonBytes-1 || strings.Trim(reason, "ü") != "x" {
 		t.Errorf("%q", reason)
 	}
@@ -38,21 +38,21 @@
 
 // An answer to an update that was not sent, or was answered before, ends the stream.
 func TestUnknownNonceEndsStream(t *testing.T) {
-	w := newTestMember(t)
-	w.commit(at(0), 1, nil)
+	member := newTestMember(t)
+	member.commit(at(0), 1, nil)
 	f := NewFollower("f", services("s1"), testLimits.Lease, nil)
-	c := connect(t, w.server, f, at(0))
-	offer := c.nextUpdate(at(0))
-	reply, _, err := f.Receive(at(0), offer)
+	c := connect(t, member.server, f, at(0))
+	update := c.nextUpdate(at(0))
+	reply, _, err := f.Receive(at(0), update)
 	if err != nil {
 		t.Fatal(err)
 	}
 	c.request(at(0), reply)
-	if err := w.server.Receive(at(0), c.stream, reply); err == nil {
+	if err := member.server.Receive(at(0), c.stream, reply); err == nil {
 		t.Error("an answer was taken twice")
 	}
 	reply.TypeUrl = "other"
-	if err := w.server.Receive(at(0), c.stream, reply); err == nil {
+	if err := member.server.Receive(at(0), c.stream, reply); err == nil {
 		t.Error("another type was taken")
 	}
 }
@@ -72,22 +72,22 @@
 		"empty service":     {Name: "f", Scope: records.Scope{Services: []string{""}}},
 		"long zone":         {Name: "f", Scope: records.Scope{Zones: []string{strings.Repeat("x", maxNameBytes+1)}}},
 	} {
-		w := newTestMember(t)
-		stream, err := w.server.Open(at(0))
+		member := newTestMember(t)
+		stream, err := member.server.Open(at(0))
 		if err != nil {
 			t.Fatal(err)
 		}
-		if err := w.server.Receive(at(0), stream, hello.request()); err == nil {
+		if err := member.server.Receive(at(0), stream, hello.request()); err == nil {
 			t.Errorf("%s: taken", name)
 		}
-		if len(w.server.leases.leases) != 0 || len(w.server.byName) != 0 {
+		if len(member.server.leases.leases) != 0 || len(member.server.byName) != 0 {
 			t.Errorf("%s: it is kept", name)
 		}
 	}
-	w := newTestMember(t)
-	stream, _ := w.server.Open(at(0))
+	member := newTestMember(t)
+	stream, _ := member.server.Open(at(0))
 	repeated := Handshake{Name: "f", Scope: records.Scope{Services: []string{"b", "a", "b"}}, Revision: 1<<64 - 1}
-	if err := w.server.Receive(at(0), stream, repeated.request()); err != nil {
+	if err := member.server.Receive(at(0), stream, repeated.request()); err != nil {
 		t.Fatal(err)
 	}
 	if got := stream.handshake.Scope.Services; len(got) != 2 || got[0] != "a" {
--- a/configsync/lease_test.go
+++ b/configsync/lease_test.go
@@ -11,48 +11,48 @@
 
 // A follower's lag runs from the first revision that it lacks, over NACKs and renewals, until it accepts the newest.
 func TestLagRunsFromFirstMissingCommit(t *testing.T) {
-	w := newTestMember(t)
-	w.commit(at(0), 1, oneRecord(newRouteRecord(t, "a", "s1", 10)))
-	refuse := true
+	member := newTestMember(t)
+	member.commit(at(0), 1, oneRecord(newRouteRecord(t, "a", "s1", 10)))
+	reject := true
 	f := NewFollower("f", services("s1"), testLimits.Lease, func(revision uint64, _ map[records.Key]*records.Record) error {
-		if revision > 1 && refuse {
+		if revision > 1 && reject {
 			return errors.New("not now")
 		}
 		return nil
 	})
-	c := connect(t, w.server, f, at(0))
+	c := connect(t, member.server, f, at(0))
 	c.settle(at(0))
 	behind := func(seconds float64, want time.Duration) {
 		t.Helper()
-		if got := w.server.Status(at(seconds)).Leases[0].Behind; got != want {
+		if got := member.server.Status(at(seconds)).Leases[0].Behind; got != want {
 			t.Errorf("at %v: behind for %v, want %v", seconds, got, want)
 		}
 	}
 	behind(1, 0)
-	w.commit(at(1), 2, oneRecord(newRouteRecord(t, "a", "s1", 11)))
+	member.commit(at(1), 2, oneRecord(newRouteRecord(t, "a", "s1", 11)))
 	behind(1.5, 500*time.Millisecond)
-	w.commit(at(2), 3, oneRecord(newRouteRecord(t, "a", "s1", 12)))
+	member.commit(at(2), 3, oneRecord(newRouteRecord(t, "a", "s1", 12)))
 	c.settle(at(2))
 	behind(2, time.Second)
 	c.request(at(2.5), f.Renew(at(2.5)))
 	behind(3, 2*time.Second)
 	for revision := uint64(4); revision < 4+maxCommits; revision++ { // more than are remembered
-		w.server.Committed(at(3), records.Change{Revision: revision})
+		member.server.Committed(at(3), records.Change{Revision: revision})
 	}
-	w.source.commit(4+maxCommits, nil)
+	member.source.commit(4+maxCommits, nil)
 	c.request(at(3), f.Renew(at(3)))
 	behind(4, 3*time.Second)
-	refuse = false
+	reject = false
 	c.settle(at(4))
-	w.server.Committed(at(4), records.Change{Revision: 4 + maxCommits})
+	member.server.Committed(at(4), records.Change{Revision: 4 + maxCommits})
 	behind(4, 0)
 }
 
 // A member that has just started does not know when earlier revisions were committed: a follower's lag runs from its start.
 func TestLagAfterMemberRestart(t *testing.T) {
-	w := newTestMember(t)
-	w.commit(at(0), 7, oneRecord(newRouteRecord(t, "a", "s1", 10)))
-	server := NewServer("m1", w.source, testLimits, at(10))
+	member := newTestMember(t)
+	member.commit(at(0), 7, oneRecord(newRouteRecord(t, "a", "s1", 10)))
+	server := NewServer("m1", member.source, testLimits, at(10))
 	stream, err := server.Open(at(12))
 	if err != nil {
 		t.Fatal(err)
@@ -79,15 +79,15 @@
 // Followers' names come from the wire, so the leases of a member are bounded: those that ran out make room, live ones never
 // do.
 func TestLeaseCountIsBounded(t *testing.T) {
-	w := newTestMember(t)
+	member := newTestMember(t)
 	limit := maxLeasesPerStream * testLimits.MaxStreams
 	open := func(now time.Time, name string) error {
-		stream, err := w.server.Open(now)
+		stream, err := member.server.Open(now)
 		if err != nil {
 			t.Fatal(err)
 		}
-		defer w.server.Close(stream)
-		return w.server.Receive(now, stream, Handshake{Name: name}.request())
+		defer member.server.Close(stream)
+		return member.server.Receive(now, stream, Handshake{Name: name}.request())
 	}
 	for n := range limit {
 		if err := open(at(0), fmt.Sprint("f", n)); err != nil {
@@ -103,7 +103,7 @@
 	if err := open(at(3.5), "one more"); err != nil {
 		t.Errorf("though the others ran out: %v", err)
 	}
-	if got := len(w.server.leases.leases); got != 2 {
+	if got := len(member.server.leases.leases); got != 2 {
 		t.Errorf("%d leases", got)
 	}
 }
--- a/configsync/routing_revision_test.go
+++ b/configsync/routing_revision_test.go
@@ -16,40 +16,40 @@
 	removals, comeAndGone := 0, 0
 	for seed := range uint64(20) {
 		random := rand.New(rand.NewPCG(seed, 5))
-		w := newTestMember(t)
-		w.commit(at(0), 1, oneRecord(newRouteRecord(t, "a", "s1", 10)))
-		each := connect(t, w.server, NewFollower("each", services("s1"), testLimits.Lease, nil), at(0))
-		some := connect(t, w.server, NewFollower("some", services("s1"), testLimits.Lease, nil), at(0))
+		member := newTestMember(t)
+		member.commit(at(0), 1, oneRecord(newRouteRecord(t, "a", "s1", 10)))
+		each := connect(t, member.server, NewFollower("each", services("s1"), testLimits.Lease, nil), at(0))
+		some := connect(t, member.server, NewFollower("some", services("s1"), testLimits.Lease, nil), at(0))
 		each.settle(at(0))
 		some.settle(at(0))
 		for revision := uint64(2); revision < 60; revision++ {
 			name := fmt.Sprint("r", random.IntN(3))
-			before := w.source.last().records[routeKey(name)]
+			before := member.source.last().records[routeKey(name)]
 			if before != nil && random.IntN(2) == 0 {
-				w.commit(at(0), revision, nil, routeKey(name))
+				member.commit(at(0), revision, nil, routeKey(name))
 				removals++
 			} else {
-				w.commit(at(0), revision, oneRecord(newRouteRecord(t, name, fmt.Sprint("s", 1+random.IntN(2)), float64(revision))))
+				member.commit(at(0), revision, oneRecord(newRouteRecord(t, name, fmt.Sprint("s", 1+random.IntN(2)), float64(revision))))
 			}
 			last := each.follower.RoutingRevision()
 			each.settle(at(0))
 			if each.follower.RoutingRevision() < last {
 				t.Fatalf("seed %d: %d after %d", seed, each.follower.RoutingRevision(), last)
 			}
-			w.checkFollower(each.follower)
+			member.checkFollower(each.follower)
 			if random.IntN(4) > 0 {
 				continue
 			}
-			heldBefore, routingBefore := len(w.source.Since(some.follower.Revision(), services("s1")).Updates), some.follower.RoutingRevision()
+			heldBefore, routingBefore := len(member.source.Since(some.follower.Revision(), services("s1")).Updates), some.follower.RoutingRevision()
 			some.settle(at(0))
 			if heldBefore == 0 && some.follower.RoutingRevision() > routingBefore {
 				comeAndGone++
 			}
-			whole := connect(t, w.server, NewFollower(fmt.Sprint("whole", revision), services("s1"), testLimits.Lease, nil), at(0))
-			whole.settle(at(0))
-			w.checkFollower(some.follower)
-			w.checkFollower(whole.follower)
-			w.server.Close(whole.stream)
+			fullScope := connect(t, member.server, NewFollower(fmt.Sprint("whole", revision), services("s1"), testLimits.Lease, nil), at(0))
+			fullScope.settle(at(0))
+			member.checkFollower(some.follower)
+			member.checkFollower(fullScope.follower)
+			member.server.Close(fullScope.stream)
 			if t.Failed() {
 				t.Fatalf("seed %d, revision %d", seed, revision)
 			}
@@ -65,31 +65,31 @@
 func TestRoutingRevisionNeverGoesDown(t *testing.T) {
 	f := newFollowerWithRecords(t)
 	for _, step := range []struct {
-		offer Update
-		want  uint64
+		update Update
+		want   uint64
 	}{
 		{Update{Revision: 7, RoutingRevision: 6, Nonce: "2"}, 6},
 		{Update{Revision: 8, RoutingRevision: 4, Nonce: "3"}, 6},
 		{Update{Revision: 9, RoutingRevision: 9, Nonce: "4", Records: oneRecord(withRevision(newRouteRecord(t, "x", "s2", 1), 9))}, 6}, // another scope's
 		{Update{Revision: 9, RoutingRevision: 9, Nonce: "5"}, 9},
 	} {
-		if _, _, err := f.Receive(at(1), encodeUpdate(t, step.offer)); err != nil || f.RoutingRevision() != step.want {
-			t.Errorf("%+v: %d, want %d, %v", step.offer, f.RoutingRevision(), step.want, err)
+		if _, _, err := f.Receive(at(1), encodeUpdate(t, step.update)); err != nil || f.RoutingRevision() != step.want {
+			t.Errorf("%+v: %d, want %d, %v", step.update, f.RoutingRevision(), step.want, err)
 		}
 	}
 }
 
 // An update has to have exactly one routing revision, a number not over its revision.
 func TestUpdateWithoutRoutingRevisionIsRejected(t *testing.T) {
-	mark := func(version string) *discoveryv3.Resource {
+	marker := func(version string) *discoveryv3.Resource {
 		return &discoveryv3.Resource{Name: routingRevisionName, Version: version}
 	}
-	for name, marks := range map[string][]*discoveryv3.Resource{
-		"none": nil, "two": {mark("4"), mark("4")}, "no number": {mark("")}, "newer than the offer": {mark("7")},
+	for name, markers := range map[string][]*discoveryv3.Resource{
+		"none": nil, "two": {marker("4"), marker("4")}, "no number": {marker("")}, "newer than the offer": {marker("7")},
 	} {
 		for _, records := range [][]*records.Record{nil, oneRecord(withRevision(newRouteRecord(t, "a", "s1", 11), 6))} {
 			f, response := newFollowerWithRecords(t), encodeUpdate(t, Update{Revision: 6, Nonce: "2", Records: records})
-			response.Resources = append(response.Resources[:len(records)], marks...)
+			response.Resources = append(response.Resources[:len(records)], markers...)
 			reply, accepted, err := f.Receive(at(1), response)
 			if err != nil || accepted || reply.GetErrorDetail() == nil || f.Revision() != 5 || f.RoutingRevision() != 0 {
 				t.Errorf("%s: reply %v, accepted %v, %v, revision %d", name, reply, accepted, err, f.Revision())
--- a/configsync/source_test.go
+++ b/configsync/source_test.go
@@ -31,21 +31,21 @@
 
 // commit puts and removes records at a revision and returns the change.
 func (m *modelSource) commit(revision uint64, put []*records.Record, removed ...records.Key) records.Change {
-	held := maps.Clone(m.last().records)
+	next := maps.Clone(m.last().records)
 	change := records.Change{Revision: revision}
 	for _, record := range put {
 		one := *record
 		one.Revision = revision
-		change.Updates = append(change.Updates, records.Update{Before: held[one.Key], After: &one})
-		held[one.Key] = &one
+		change.Updates = append(change.Updates, records.Update{Before: next[one.Key], After: &one})
+		next[one.Key] = &one
 	}
 	for _, key := range removed {
-		if held[key] != nil {
-			change.Updates = append(change.Updates, records.Update{Before: held[key]})
+		if next[key] != nil {
+			change.Updates = append(change.Updates, records.Update{Before: next[key]})
 		}
-		delete(held, key)
+		delete(next, key)
 	}
-	m.states = append(m.states, modelState{revision, held})
+	m.states = append(m.states, modelState{revision, next})
 	m.changes = append(m.changes, change)
 	return records.Change{Revision: revision}
 }
@@ -66,13 +66,13 @@
 	return records.View{Records: inScope(m.last().records, scope), Revision: m.Revision(), RoutingRevision: m.routingRevision(scope)}
 }
 
-func inScope(all map[records.Key]*records.Record, scope records.Scope) (held []*records.Record) {
+func inScope(all map[records.Key]*records.Record, scope records.Scope) (next []*records.Record) {
 	for _, key := range slices.SortedFunc(maps.Keys(all), records.Key.Compare) {
 		if scope.Contains(all[key]) {
-			held = append(held, all[key])
+			next = append(next, all[key])
 		}
 	}
-	return held
+	return next
 }
 
 func (m *modelSource) Since(revision uint64, scope records.Scope) records.Delta {
--- a/configsync/transport/client_test.go
+++ b/configsync/transport/client_test.go
@@ -53,20 +53,20 @@
 func TestConnectionCutWithinDelta(t *testing.T) {
 	first, second := newGroupLog(100), newGroupLog(100)
 	one, two := newMember(t, first, testLimits()), newMember(t, second, testLimits())
-	ways := []*cuttableProxy{newCuttableProxy(t, one.address), newCuttableProxy(t, two.address)}
+	proxies := []*cuttableProxy{newCuttableProxy(t, one.address), newCuttableProxy(t, two.address)}
 	put := func(name string, limit float64) {
 		first.put(t, name, "shop", limit)
 		second.put(t, name, "shop", limit)
 	}
 	put("buy", 1000)
-	c := newFollowerController(t, Config{Scope: shop, Members: []string{ways[0].address(), ways[1].address()}})
+	c := newFollowerController(t, Config{Scope: shop, Members: []string{proxies[0].address(), proxies[1].address()}})
 	c.awaitAccepted(first)
-	followed := slices.IndexFunc(ways, func(way *cuttableProxy) bool { return way.address() == c.client.Status().Member })
-	ways[followed].cutAfter.Store(20) // a frame's head and a few bytes of the message
+	followed := slices.IndexFunc(proxies, func(proxy *cuttableProxy) bool { return proxy.address() == c.client.Status().Member })
+	proxies[followed].cutAfter.Store(20) // a frame's head and a few bytes of the message
 	put("buy", 2000)
 	c.awaitAccepted(first)
 	status := c.client.Status()
-	if status.Failovers == 0 || status.Member != ways[1-followed].address() {
+	if status.Failovers == 0 || status.Member != proxies[1-followed].address() {
 		t.Errorf("after the cut: %+v", status)
 	}
 	if last := c.last(); last.revision != 2 || len(last.records) != 1 {
@@ -92,15 +92,15 @@
 			}
 		}
 	}
-	var conductors []*followerController
+	var controllers []*followerController
 	for k := range 12 {
-		conductors = append(conductors, newFollowerController(t, Config{Name: fmt.Sprintf("conductor-%d", k), Scope: shop, Members: addresses, Seed: uint64(k)}))
+		controllers = append(controllers, newFollowerController(t, Config{Name: fmt.Sprintf("conductor-%d", k), Scope: shop, Members: addresses, Seed: uint64(k)}))
 	}
-	for _, c := range conductors {
+	for _, c := range controllers {
 		waitFor(t, "a member is followed", func() bool { return c.client.Status().Member != "" })
 	}
 	moved := 0
-	for _, c := range conductors {
+	for _, c := range controllers {
 		if c.client.Status().Member == addresses[0] {
 			moved++
 		}
@@ -111,7 +111,7 @@
 	for limit := range 100 {
 		put(float64(1000 + limit))
 	}
-	for _, c := range conductors {
+	for _, c := range controllers {
 		c.awaitAccepted(logs[1])
 		if member := c.client.Status().Member; member == addresses[0] {
 			t.Errorf("%s still follows the member that is gone", c.client.config.Name)
@@ -128,19 +128,19 @@
 			log := newGroupLog(100)
 			log.put(t, "buy", "shop", 1000)
 			m := newMember(t, log, testLimits())
-			way := newCuttableProxy(t, m.address)
-			c := newFollowerController(t, Config{Scope: shop, Members: []string{way.address()}})
+			proxy := newCuttableProxy(t, m.address)
+			c := newFollowerController(t, Config{Scope: shop, Members: []string{proxy.address()}})
 			c.awaitAccepted(log)
-			cut(way, true)
+			cut(proxy, true)
 			waitFor(t, "it is stale", func() bool { return c.client.Status().Stale })
 			waitFor(t, "it has left the member", func() bool { return c.client.Status().Member == "" })
 			waitFor(t, "the member knows", func() bool { return m.service.Status().Live == 0 })
-			held := c.last()
+			accepted := c.last()
 			log.put(t, "buy", "shop", 2000)
-			if last := c.last(); last.revision != held.revision {
-				t.Errorf("holds revision %d, cut off it held %d", last.revision, held.revision)
+			if last := c.last(); last.revision != accepted.revision {
+				t.Errorf("holds revision %d, cut off it held %d", last.revision, accepted.revision)
 			}
-			cut(way, false)
+			cut(proxy, false)
 			c.awaitAccepted(log)
 			waitFor(t, "it is not stale any more", func() bool { return !c.client.Status().Stale })
 			waitFor(t, "all of that was told", func() bool {
@@ -160,15 +160,15 @@
 	log := newGroupLog(5)
 	log.put(t, "buy", "shop", 1000)
 	m := newMember(t, log, testLimits())
-	way := newCuttableProxy(t, m.address)
-	c := newFollowerController(t, Config{Scope: shop, Members: []string{way.address()}})
+	proxy := newCuttableProxy(t, m.address)
+	c := newFollowerController(t, Config{Scope: shop, Members: []string{proxy.address()}})
 	c.awaitAccepted(log)
-	way.cut(true)
+	proxy.cut(true)
 	waitFor(t, "the member has noticed", func() bool { return m.openStreams() == 0 })
 	for change := range 20 {
 		log.put(t, "sell", "shop", float64(1000+change))
 	}
-	way.cut(false)
+	proxy.cut(false)
 	c.awaitAccepted(log)
 	if counts := m.service.Counts(); counts.FullScopes != 2 {
 		t.Errorf("sent: %+v", counts)
@@ -183,41 +183,41 @@
 	limits := testLimits()
 	limits.RejectedBackoff = testTimeout // it is not offered again in this test
 	m := newMember(t, log, limits)
-	refuses := func(_ uint64, held map[records.Key]*records.Record) error {
-		route, err := held[records.Key{Kind: records.KindRoute, Name: "buy"}].Route()
+	rejects := func(_ uint64, accepted map[records.Key]*records.Record) error {
+		route, err := accepted[records.Key{Kind: records.KindRoute, Name: "buy"}].Route()
 		if err != nil || route.TimeLimitMS == 2000 {
 			return errors.New("two seconds are too long")
 		}
 		return nil
 	}
-	wary := newFollowerController(t, Config{Name: "wary", Scope: shop, Members: []string{m.address}, Validate: refuses})
+	rejecting := newFollowerController(t, Config{Name: "wary", Scope: shop, Members: []string{m.address}, Validate: rejects})
 	others := []*followerController{newFollowerController(t, Config{Name: "other-1", Scope: shop, Members: []string{m.address}}),
 		newFollowerController(t, Config{Name: "other-2", Scope: shop, Members: []string{m.address}})}
-	for _, c := range append(others, wary) {
+	for _, c := range append(others, rejecting) {
 		c.awaitAccepted(log)
 	}
 	log.put(t, "buy", "shop", 2000)
 	for _, c := range others {
 		c.awaitAccepted(log)
 	}
-	var refused configsync.LeaseStatus
+	var rejected configsync.LeaseStatus
 	waitFor(t, "the refusal is known", func() bool {
 		leases := m.service.Status().Leases
 		at := slices.IndexFunc(leases, func(one configsync.LeaseStatus) bool { return one.Name == "wary" })
 		if at < 0 || leases[at].RejectedRevision == 0 {
 			return false
 		}
-		refused = leases[at]
+		rejected = leases[at]
 		return true
 	})
-	if refused.RejectedRevision != 2 || refused.Accepted != 1 || refused.Reason != "two seconds are too long" || refused.Behind <= 0 {
-		t.Errorf("%+v", refused)
+	if rejected.RejectedRevision != 2 || rejected.Accepted != 1 || rejected.Reason != "two seconds are too long" || rejected.Behind <= 0 {
+		t.Errorf("%+v", rejected)
 	}
 	if status := m.service.Status(); status.ConvergedRevision != 1 || status.Live != 3 {
 		t.Errorf("in force %d at %d followers", status.ConvergedRevision, status.Live)
 	}
 	log.put(t, "buy", "shop", 3000)
-	for _, c := range append(others, wary) {
+	for _, c := range append(others, rejecting) {
 		c.awaitAccepted(log)
 	}
 	waitFor(t, "the later change is in force", func() bool { return m.service.Status().ConvergedRevision == 3 })
@@ -227,19 +227,19 @@
 func TestFollowerMovesToLaggingMember(t *testing.T) {
 	ahead, behind := newGroupLog(100), newGroupLog(100)
 	one, two := newMember(t, ahead, testLimits()), newMember(t, behind, testLimits())
-	way := newCuttableProxy(t, two.address)
-	way.cut(true)
+	proxy := newCuttableProxy(t, two.address)
+	proxy.cut(true)
 	for change := range 10 {
 		ahead.put(t, "buy", "shop", float64(1000+change))
 		if change < 5 {
 			behind.put(t, "buy", "shop", float64(1000+change))
 		}
 	}
-	c := newFollowerController(t, Config{Scope: shop, Members: []string{one.address, way.address()}})
+	c := newFollowerController(t, Config{Scope: shop, Members: []string{one.address, proxy.address()}})
 	c.awaitAccepted(ahead)
 	one.stop()
-	way.cut(false)
-	waitFor(t, "it follows the other", func() bool { return c.client.Status().Member == way.address() })
+	proxy.cut(false)
+	waitFor(t, "it follows the other", func() bool { return c.client.Status().Member == proxy.address() })
 	waitFor(t, "the other has renewed its lease", func() bool { return !c.client.Status().Stale && two.service.Counts().Heartbeats > 2 })
 	if last := c.last(); last.revision != 10 {
 		t.Errorf("holds revision %d", last.revision)
--- a/configsync/transport/fixture_test.go
+++ b/configsync/transport/fixture_test.go
@@ -116,10 +116,10 @@
 	l.records[key] = record
 	l.changes = append(l.changes, change)
 	l.changes = l.changes[max(0, len(l.changes)-l.history):]
-	told := l.member
+	notified := l.member
 	l.stateMutex.Unlock()
-	if told != nil {
-		told.service.Committed(change)
+	if notified != nil {
+		notified.service.Committed(change)
 	}
 	return change.Revision
 }
@@ -192,10 +192,10 @@
 	c := &followerController{t: t}
 	config.Name = cmp.Or(config.Name, "conductor")
 	config.Lease = cmp.Or(config.Lease, testLease)
-	config.Accepted = func(revision uint64, held map[records.Key]*records.Record) {
+	config.Accepted = func(revision uint64, accepted map[records.Key]*records.Record) {
 		c.resultsMutex.Lock()
 		defer c.resultsMutex.Unlock()
-		c.acceptedRevisions = append(c.acceptedRevisions, acceptedRevision{revision, c.client.RoutingRevision(), maps.Clone(held)})
+		c.acceptedRevisions = append(c.acceptedRevisions, acceptedRevision{revision, c.client.RoutingRevision(), maps.Clone(accepted)})
 	}
 	config.StaleChanged = func(stale bool) {
 		c.resultsMutex.Lock()
@@ -247,7 +247,7 @@
 			return false
 		}
 		for _, record := range want {
-			if held := last.records[record.Key]; held == nil || !held.SameContent(record) || held.Revision != record.Revision {
+			if accepted := last.records[record.Key]; accepted == nil || !accepted.SameContent(record) || accepted.Revision != record.Revision {
 				return false
 			}
 		}
--- a/configsync/transport/proxy_test.go
+++ b/configsync/transport/proxy_test.go
@@ -121,10 +121,10 @@
 			<-stalled
 		}
 		if limit != nil && limit.Load() > 0 {
-			left := limit.Add(-int64(n))
-			if left <= 0 {
+			remaining := limit.Add(-int64(n))
+			if remaining <= 0 {
 				limit.Store(0)
-				to.Write(buffer[:max(0, n+int(left))])
+				to.Write(buffer[:max(0, n+int(remaining))])
 				return
 			}
 		}
--- a/configsync/transport/service_test.go
+++ b/configsync/transport/service_test.go
@@ -93,11 +93,11 @@
 	m := newMember(t, log, limits)
 	inStep := newFollowerController(t, Config{Name: "in step", Scope: shop, Members: []string{m.address}})
 	inStep.awaitAccepted(log)
-	var crowd []*followerController
+	var waiting []*followerController
 	for k := range 40 {
-		crowd = append(crowd, newFollowerController(t, Config{Name: fmt.Sprintf("crowd-%d", k), Scope: shop, Members: []string{m.address}}))
+		waiting = append(waiting, newFollowerController(t, Config{Name: fmt.Sprintf("crowd-%d", k), Scope: shop, Members: []string{m.address}}))
 	}
-	for _, c := range crowd {
+	for _, c := range waiting {
 		waitFor(t, "it has its lease", func() bool { return !c.client.Status().Stale })
 	}
 	for change := range 10 {
@@ -107,7 +107,7 @@
 	if counts := m.service.Counts(); counts.FullScopes != 1 {
 		t.Errorf("sent: %+v", counts)
 	}
-	for _, c := range crowd {
+	for _, c := range waiting {
 		if c.last().revision != 0 || c.client.Status().Stale {
 			t.Errorf("%s: %+v", c.client.config.Name, c.client.Status())
 		}
@@ -148,12 +148,12 @@
 			c.stop()
 		}
 	}
-	whole := uint64(0)
+	fullScopes := uint64(0)
 	for _, m := range members {
-		whole += m.service.Counts().FullScopes
+		fullScopes += m.service.Counts().FullScopes
 	}
-	if whole < 120 {
-		t.Errorf("%d whole scopes sent, 120 starts", whole)
+	if fullScopes < 120 {
+		t.Errorf("%d whole scopes sent, 120 starts", fullScopes)
 	}
 }
 
@@ -286,12 +286,12 @@
 	waitFor(t, "the follower is shown in step", func() bool {
 		ctx, cancel := context.WithTimeout(t.Context(), testTimeout)
 		defer cancel()
-		told, err := FetchMemberStatus(ctx, conn)
+		reported, err := FetchMemberStatus(ctx, conn)
 		if err != nil {
 			t.Fatal(err)
 		}
-		return told.Member == m.address && told.Revision == 1 && told.ConvergedRevision == 1 && len(told.Leases) == 1 &&
-			told.Leases[0].Name == "conductor" && told.Leases[0].Live
+		return reported.Member == m.address && reported.Revision == 1 && reported.ConvergedRevision == 1 && len(reported.Leases) == 1 &&
+			reported.Leases[0].Name == "conductor" && reported.Leases[0].Live
 	})
 }
 
--- a/sidecar/proxy_test.go
+++ b/sidecar/proxy_test.go
@@ -20,8 +20,8 @@
 )
 
 // startProxy starts a proxy whose only forwarding route goes to some nodes.
-func startProxy(t *testing.T, tries int, nodes ...*fakeplatform.NodeServer) (address string, p *Proxy) {
-	table := &RoutingTable{Routes: []RouteEntry{{Name: "q", Prefix: "/q", Fraction: 1, Cluster: "c", TimeLimit: 2 * time.Second, MaxRetries: tries, Mutating: true},
+func startProxy(t *testing.T, retries int, nodes ...*fakeplatform.NodeServer) (address string, p *Proxy) {
+	table := &RoutingTable{Routes: []RouteEntry{{Name: "q", Prefix: "/q", Fraction: 1, Cluster: "c", TimeLimit: 2 * time.Second, MaxRetries: retries, Mutating: true},
 		{Name: "shut", Prefix: "/shut", Fraction: 1, Status: 503}}, Clusters: map[string][]WeightedNode{}}
 	for _, n := range nodes {
 		host, port, _ := net.SplitHostPort(n.Address())
--- a/sidecar/resource_cache_test.go
+++ b/sidecar/resource_cache_test.go
@@ -41,9 +41,9 @@
 
 // acceptSnapshot passes a snapshot to a cache and returns the reason of the first NACK.
 func acceptSnapshot(h *ResourceCache, s *xds.Snapshot) string {
-	for kind := range xds.NumResourceTypes {
-		r := &discoveryv3.DeltaDiscoveryResponse{TypeUrl: kind.TypeURL(), Nonce: "n"}
-		for _, one := range s.Sets[kind] {
+	for resourceType := range xds.NumResourceTypes {
+		r := &discoveryv3.DeltaDiscoveryResponse{TypeUrl: resourceType.TypeURL(), Nonce: "n"}
+		for _, one := range s.Sets[resourceType] {
 			r.Resources = append(r.Resources, &discoveryv3.Resource{Name: one.Name, Version: one.Version, Resource: one.Body})
 		}
 		out, err := h.HandleDelta(r)
@@ -71,33 +71,33 @@
 // Requests are split by an entry's fraction and a cluster's weights, and a retry goes to another node.
 func TestRoutingTableSplitsByFractionAndWeight(t *testing.T) {
 	h := newFilledCache(t, 3)
-	table, chance := h.Table(), Random{Seed: 5}
-	got, shut := map[string]int{}, 0
+	table, random := h.Table(), Random{Seed: 5}
+	got, throttled := map[string]int{}, 0
 	for range 4000 {
-		e := table.Route("/issue/7", chance.Next)
+		e := table.Route("/issue/7", random.Next)
 		if e.Status != 0 {
-			shut++
+			throttled++
 			continue
 		}
-		line, ok := table.Pick(e.Cluster, nil, chance.Next)
+		node, ok := table.Pick(e.Cluster, nil, random.Next)
 		if !ok || e.MaxRetries != 1 || !e.Mutating {
-			t.Fatalf("%v %v", line, e)
+			t.Fatalf("%v %v", node, e)
 		}
-		got[line.Node]++
+		got[node.Node]++
 	}
-	if shut < 2850 || shut > 3150 {
-		t.Errorf("%d of 4000 turned away, want three in four", shut)
+	if throttled < 2850 || throttled > 3150 {
+		t.Errorf("%d of 4000 turned away, want three in four", throttled)
 	}
 	if part := float64(got["b"]) / float64(got["a"]+got["b"]); part < 0.7 || part > 0.8 {
 		t.Errorf("b got %.2f, want 0.75", part)
 	}
-	if line, ok := table.Pick("pool-0", []xds.Address{{Host: "127.0.0.1", Port: 1}}, chance.Next); !ok || line.Node != "b" {
-		t.Errorf("beside a: %v", line)
+	if node, ok := table.Pick("pool-0", []xds.Address{{Host: "127.0.0.1", Port: 1}}, random.Next); !ok || node.Node != "b" {
+		t.Errorf("beside a: %v", node)
 	}
-	if _, ok := table.Pick("pool-0", []xds.Address{{Host: "127.0.0.1", Port: 1}, {Host: "127.0.0.1", Port: 2}}, chance.Next); ok {
+	if _, ok := table.Pick("pool-0", []xds.Address{{Host: "127.0.0.1", Port: 1}, {Host: "127.0.0.1", Port: 2}}, random.Next); ok {
 		t.Error("a node was tried twice")
 	}
-	if e := table.Route("/other", chance.Next); e != nil {
+	if e := table.Route("/other", random.Next); e != nil {
 		t.Errorf("/other goes to %s", e.Name)
 	}
 }
@@ -151,7 +151,7 @@
 
 // Each impossible content is rejected with a reason that names what is wrong, and the accepted versions stay.
 func TestResourceCacheRejections(t *testing.T) {
-	line := func(port uint32, weight *wrapperspb.UInt32Value) *endpointv3.LocalityLbEndpoints {
+	node := func(port uint32, weight *wrapperspb.UInt32Value) *endpointv3.LocalityLbEndpoints {
 		s := compiledSnapshot(t, 1)
 		var m endpointv3.ClusterLoadAssignment
 		proto.Unmarshal(s.Sets[xds.Endpoints]["pool-0"].Body.GetValue(), &m)
@@ -174,15 +174,15 @@
 		return &m
 	}
 	for name, c := range map[string]struct {
-		kind xds.ResourceType
-		m    proto.Message
-		want string
+		resourceType xds.ResourceType
+		m            proto.Message
+		want         string
 	}{
 		"another type of cluster": {xds.Clusters, &clusterv3.Cluster{Name: "x"}, "only EDS is known"},
 		"no name":                 {xds.Clusters, &clusterv3.Cluster{ClusterDiscoveryType: &clusterv3.Cluster_Type{Type: clusterv3.Cluster_EDS}}, "it has no name"},
-		"no address":              {xds.Endpoints, &endpointv3.ClusterLoadAssignment{ClusterName: "pool-0", Endpoints: []*endpointv3.LocalityLbEndpoints{line(0, nil)}}, `endpoint "a" has no address`},
-		"weight 0":                {xds.Endpoints, &endpointv3.ClusterLoadAssignment{ClusterName: "pool-0", Endpoints: []*endpointv3.LocalityLbEndpoints{line(1, wrapperspb.UInt32(0))}}, "has the weight 0"},
-		"twice":                   {xds.Endpoints, &endpointv3.ClusterLoadAssignment{ClusterName: "pool-0", Endpoints: []*endpointv3.LocalityLbEndpoints{line(1, nil), line(1, nil)}}, "is there twice"},
+		"no address":              {xds.Endpoints, &endpointv3.ClusterLoadAssignment{ClusterName: "pool-0", Endpoints: []*endpointv3.LocalityLbEndpoints{node(0, nil)}}, `endpoint "a" has no address`},
+		"weight 0":                {xds.Endpoints, &endpointv3.ClusterLoadAssignment{ClusterName: "pool-0", Endpoints: []*endpointv3.LocalityLbEndpoints{node(1, wrapperspb.UInt32(0))}}, "has the weight 0"},
+		"twice":                   {xds.Endpoints, &endpointv3.ClusterLoadAssignment{ClusterName: "pool-0", Endpoints: []*endpointv3.LocalityLbEndpoints{node(1, nil), node(1, nil)}}, "is there twice"},
 		"mutating and repeated": {xds.Routes, routes(func(r *routev3.Route) { r.GetRoute().RetryPolicy.RetryOn = "connect-failure,5xx" }),
 			`route "issue" is mutating and would be repeated on "5xx"`},
 		"nothing said of it, and repeated": {xds.Routes, routes(func(r *routev3.Route) { r.Metadata = nil; r.GetRoute().RetryPolicy.RetryOn = "reset" }),
@@ -199,8 +199,8 @@
 			h := newFilledCache(t, 1)
 			before := h.Table().Versions
 			body, _ := proto.Marshal(c.m)
-			out, err := h.HandleDelta(&discoveryv3.DeltaDiscoveryResponse{TypeUrl: c.kind.TypeURL(), Nonce: "m", Resources: []*discoveryv3.Resource{
-				{Name: "x", Version: "v", Resource: &anypb.Any{TypeUrl: c.kind.TypeURL(), Value: body}}}})
+			out, err := h.HandleDelta(&discoveryv3.DeltaDiscoveryResponse{TypeUrl: c.resourceType.TypeURL(), Nonce: "m", Resources: []*discoveryv3.Resource{
+				{Name: "x", Version: "v", Resource: &anypb.Any{TypeUrl: c.resourceType.TypeURL(), Value: body}}}})
 			if err != nil || !strings.Contains(out[0].GetErrorDetail().GetMessage(), c.want) {
 				t.Errorf("%v, %q; want %q", err, out[0].GetErrorDetail().GetMessage(), c.want)
 			}
@@ -228,15 +228,15 @@
 		if err := s.Save(next); (err == nil) != (step == "") {
 			t.Errorf("%s: %v", step, err)
 		}
-		back := &ResourceCache{ID: "till"}
-		if err := (&Store{Path: path}).Load(back); err != nil {
+		restored := &ResourceCache{ID: "till"}
+		if err := (&Store{Path: path}).Load(restored); err != nil {
 			t.Fatalf("%s: %v", step, err)
 		}
 		want := old
 		if step == "" || step == "sync folder" {
 			want = next
 		}
-		if diff := cmp.Diff(want.Table().Versions, back.Table().Versions); diff != "" {
+		if diff := cmp.Diff(want.Table().Versions, restored.Table().Versions); diff != "" {
 			t.Errorf("%s:\n%s", step, diff)
 		}
 	}
@@ -249,7 +249,7 @@
 	if err := (&Store{Path: path}).Save(h); err != nil {
 		t.Fatal(err)
 	}
-	whole, err := os.ReadFile(path)
+	complete, err := os.ReadFile(path)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -257,24 +257,24 @@
 		if err := os.WriteFile(path, text, 0o600); err != nil {
 			t.Fatal(err)
 		}
-		back := &ResourceCache{ID: "till"}
-		err := (&Store{Path: path}).Load(back)
-		if err != nil && len(back.Table().Routes) > 0 {
+		restored := &ResourceCache{ID: "till"}
+		err := (&Store{Path: path}).Load(restored)
+		if err != nil && len(restored.Table().Routes) > 0 {
 			t.Error("a damaged file was used")
 		}
 		return err
 	}
-	for at := range whole {
-		if load(whole[:at]) == nil {
+	for at := range complete {
+		if load(complete[:at]) == nil {
 			t.Fatalf("cut at %d: taken", at)
 		}
-		flipped := append([]byte(nil), whole...)
+		flipped := append([]byte(nil), complete...)
 		flipped[at] ^= 1 << (at % 8)
 		if load(flipped) == nil {
 			t.Fatalf("a bit of byte %d: taken", at)
 		}
 	}
-	if err := load(whole); err != nil {
+	if err := load(complete); err != nil {
 		t.Error(err)
 	}
 }
@@ -286,14 +286,14 @@
 	if err := (&Store{Path: path}).Save(h); err != nil {
 		t.Fatal(err)
 	}
-	back := &ResourceCache{ID: "till", Delta: true}
-	if err := (&Store{Path: path}).Load(back); err != nil {
+	restored := &ResourceCache{ID: "till", Delta: true}
+	if err := (&Store{Path: path}).Load(restored); err != nil {
 		t.Fatal(err)
 	}
 	var said []string
-	for _, r := range back.BeginDelta() {
-		kind, _ := xds.ParseTypeURL(r.GetTypeUrl())
-		said = append(said, fmt.Sprintf("%s %d%v", kind, len(r.GetInitialResourceVersions()), r.GetResourceNamesSubscribe()))
+	for _, r := range restored.BeginDelta() {
+		resourceType, _ := xds.ParseTypeURL(r.GetTypeUrl())
+		said = append(said, fmt.Sprintf("%s %d%v", resourceType, len(r.GetInitialResourceVersions()), r.GetResourceNamesSubscribe()))
 	}
 	want := []string{"cluster 1[]", "endpoints 1[pool-0]", "listener 1[calls]", "routes 1[calls]"}
 	if diff := cmp.Diff(want, said); diff != "" {
--- a/xds/compiler_test.go
+++ b/xds/compiler_test.go
@@ -15,8 +15,8 @@
 // A mutating route is never compiled with a retry that could run a request twice, whatever the command says.
 func TestCompiledRetryPolicies(t *testing.T) {
 	c := NewCompiler([]Route{{Name: "issue", Prefix: "/issue", Mutating: true, TimeLimit: time.Second}}, time.Second)
-	for tries := range planner.RetryPolicy(5) {
-		c.ApplyCommands([]controller.Command{{Kind: controller.SetAdmission, Table: 0, Route: "issue", Value: 0.5, Retry: tries}})
+	for retries := range planner.RetryPolicy(5) {
+		c.ApplyCommands([]controller.Command{{Kind: controller.SetAdmission, Table: 0, Route: "issue", Value: 0.5, Retry: retries}})
 		s, err := c.Snapshot(0)
 		if err != nil {
 			t.Fatal(err)
@@ -24,11 +24,11 @@
 		text := fmt.Sprint(mustUnmarshal(t, s.Sets[Routes][RoutesName]))
 		for _, on := range []string{"5xx", "reset\"", "gateway-error", "retriable"} {
 			if strings.Contains(text, on) {
-				t.Errorf("tries %d: %s", tries, text)
+				t.Errorf("tries %d: %s", retries, text)
 			}
 		}
-		if with := strings.Contains(text, RetryIfNotSent); with != (tries == planner.RetryIfNotSent) {
-			t.Errorf("tries %d: further tries %t", tries, with)
+		if with := strings.Contains(text, RetryIfNotSent); with != (retries == planner.RetryIfNotSent) {
+			t.Errorf("tries %d: further tries %t", retries, with)
 		}
 	}
 }
--- a/xds/server_test.go
+++ b/xds/server_test.go
@@ -58,7 +58,7 @@
 		compiler.SetAddress("n", "z", Address{"127.0.0.1", 1})
 		s := NewServer(compiler, out, 4)
 		for k, move := range moves[:min(len(moves), 200)] {
-			stream, kind := uint64(move%3), ResourceType(move/3%4)
+			stream, resourceType := uint64(move%3), ResourceType(move/3%4)
 			node := &corev3.Node{Id: fmt.Sprint(move % 5)}
 			if !s.Connected(stream) && s.Open(float64(k), stream, stream == 1, node.GetId(), "z") != nil {
 				continue
@@ -71,15 +71,15 @@
 				nonce = out.lastNonce
 			}
 			if stream == 1 {
-				s.HandleDelta(float64(k), stream, &discoveryv3.DeltaDiscoveryRequest{TypeUrl: kind.TypeURL(), ResponseNonce: nonce,
+				s.HandleDelta(float64(k), stream, &discoveryv3.DeltaDiscoveryRequest{TypeUrl: resourceType.TypeURL(), ResponseNonce: nonce,
 					ResourceNamesSubscribe: []string{name}, ResourceNamesUnsubscribe: []string{name}[:move%2]})
 			} else {
-				s.HandleStateOfTheWorld(float64(k), stream, &discoveryv3.DiscoveryRequest{TypeUrl: kind.TypeURL(), ResponseNonce: nonce,
+				s.HandleStateOfTheWorld(float64(k), stream, &discoveryv3.DiscoveryRequest{TypeUrl: resourceType.TypeURL(), ResponseNonce: nonce,
 					ResourceNames: []string{name}[:move%2]})
 			}
 			for id, c := range s.streams {
-				for kind, sub := range c.stream.subscriptions {
-					if n := out.responses[fmt.Sprint(id, typeURLs[kind])]; sub.pending == nil && n > 1000 {
+				for resourceType, sub := range c.stream.subscriptions {
+					if n := out.responses[fmt.Sprint(id, typeURLs[resourceType])]; sub.pending == nil && n > 1000 {
 						t.Fatalf("%d responses", n)
 					}
 				}
--- a/xds/stream_test.go
+++ b/xds/stream_test.go
@@ -106,11 +106,11 @@
 }
 
 func (c *streamScript) printAccepted() {
-	var held []string
+	var accepted []string
 	for _, name := range sortedKeys(c.s.subscriptions[Clusters].accepted) {
-		held = append(held, c.names[c.s.subscriptions[Clusters].accepted[name].Version])
+		accepted = append(accepted, c.names[c.s.subscriptions[Clusters].accepted[name].Version])
 	}
-	fmt.Fprintf(c, "holds %v whole %t stale %d\n", held, c.s.Holds(Clusters, c.target.sequence[Clusters]), c.s.Stale)
+	fmt.Fprintf(c, "holds %v whole %t stale %d\n", accepted, c.s.Holds(Clusters, c.target.sequence[Clusters]), c.s.Stale)
 }
 
 // Each story is a sequence of requests, changes of the target and answers, with the responses that have to follow.
--- a/xds/transport/bench_test.go
+++ b/xds/transport/bench_test.go
@@ -24,21 +24,21 @@
 )
 
 // startServer starts a server on loopback whose controller decides nothing by itself.
-func startServer(tb testing.TB, most int) (f *Server, address string) {
+func startServer(tb testing.TB, maxSidecars int) (server *Server, address string) {
 	compiler := xds.NewCompiler([]xds.Route{{Name: "quote", Prefix: "/quote", TimeLimit: time.Second}}, time.Second)
-	f = NewServer(compiler, most, zap.NewNop())
-	f.Controller = controller.New(settings.Deployment{Planner: planner.Config{Zones: 1, MachineTypes: 1, Proxies: most, Sharded: true, Routes: []planner.Route{{}}},
-		Zones: []string{"north"}, MachineTypes: []string{"node"}, Routes: []string{"quote"}, EventInterval: 0.004}, nil, f, zap.NewNop())
+	server = NewServer(compiler, maxSidecars, zap.NewNop())
+	server.Controller = controller.New(settings.Deployment{Planner: planner.Config{Zones: 1, MachineTypes: 1, Proxies: maxSidecars, Sharded: true, Routes: []planner.Route{{}}},
+		Zones: []string{"north"}, MachineTypes: []string{"node"}, Routes: []string{"quote"}, EventInterval: 0.004}, nil, server, zap.NewNop())
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		tb.Fatal(err)
 	}
 	ctx, stop := context.WithCancel(context.Background())
 	var parts sync.WaitGroup
-	parts.Go(func() { f.Controller.Run(ctx) })
-	parts.Go(func() { f.Run(ctx, l) })
+	parts.Go(func() { server.Controller.Run(ctx) })
+	parts.Go(func() { server.Run(ctx, l) })
 	tb.Cleanup(func() { stop(); parts.Wait() })
-	return f, l.Addr().String()
+	return server, l.Addr().String()
 }
 
 // sidecarClients are sidecars without a proxy, each with a stream of its own.
@@ -80,7 +80,7 @@
 		for _, delta := range []bool{false, true} {
 			b.Run(fmt.Sprintf("sidecars=%d/delta=%t", sidecars, delta), func(b *testing.B) {
 				var before, after runtime.MemStats
-				f, address := startServer(b, sidecars)
+				server, address := startServer(b, sidecars)
 				ctx, stop := context.WithCancel(context.Background())
 				defer stop()
 				runtime.GC()
@@ -101,12 +101,12 @@
 				batch := []controller.Command{{Kind: controller.SetAdmission, Table: planner.AllTables, Route: "quote", Value: 1}}
 				for n := range nodes {
 					name := fmt.Sprint("node-", n)
-					f.SetAddresses([]Node{{Name: name, Zone: "north", Address: xds.Address{Host: "10.0.0.1", Port: uint32(1000 + n)}}})
+					server.SetAddresses([]Node{{Name: name, Zone: "north", Address: xds.Address{Host: "10.0.0.1", Port: uint32(1000 + n)}}})
 					batch = append(batch, controller.Command{Kind: controller.SetWeight, Node: name, Value: 1})
 				}
-				held := func() (n int) {
-					f.call(func() {
-						for _, s := range f.Streams.Sidecars(f.now()) {
+				accepted := func() (n int) {
+					server.call(func() {
+						for _, s := range server.Streams.Sidecars(server.now()) {
 							if s.Connected && s.Bound && s.Unacknowledged == 0 {
 								n++
 							}
@@ -114,14 +114,14 @@
 					})
 					return n
 				}
-				for knownSidecars(f) < sidecars {
+				for knownSidecars(server) < sidecars {
 					time.Sleep(10 * time.Millisecond)
 				}
 				for proxy := range sidecars {
 					batch = append(batch, controller.Command{Kind: controller.BindProxy, Proxy: proxy})
 				}
-				f.Enqueue(append(batch, controller.Command{Kind: controller.RequestAck, Nonce: 1}))
-				for held() < sidecars {
+				server.Enqueue(append(batch, controller.Command{Kind: controller.RequestAck, Nonce: 1}))
+				for accepted() < sidecars {
 					time.Sleep(10 * time.Millisecond)
 				}
 				runtime.GC()
@@ -132,7 +132,7 @@
 				for b.Loop() {
 					pushes++
 					want := c.answers.Load() + int64(sidecars)
-					f.Enqueue([]controller.Command{{Kind: controller.SetWeight, Node: "node-7", Value: 1 + float64(pushes%2)},
+					server.Enqueue([]controller.Command{{Kind: controller.SetWeight, Node: "node-7", Value: 1 + float64(pushes%2)},
 						{Kind: controller.RequestAck, Nonce: 1 + pushes%60000}})
 					for c.answers.Load() < want {
 						time.Sleep(100 * time.Microsecond)
--- a/xds/transport/endpoint_watcher_test.go
+++ b/xds/transport/endpoint_watcher_test.go
@@ -76,17 +76,17 @@
 	discoveryv3.RegisterAggregatedDiscoveryServiceServer(server, l)
 	go server.Serve(listener)
 	defer server.Stop()
-	var taken []string
+	var accepted []string
 	ctx, stop := context.WithCancel(context.Background())
 	m := &EndpointWatcher{Address: listener.Addr().String(), Cluster: "tickets", Name: "c", Log: zap.NewNop(), KnowsZone: func(zone string) bool { return zone == "north" },
 		Accepted: func(version string, nodes []Endpoint) {
-			line := version
+			answer := version
 			for _, n := range nodes {
-				line += fmt.Sprint(" ", n.Name, n.State)
+				answer += fmt.Sprint(" ", n.Name, n.State)
 			}
 			l.lock.Lock()
 			defer l.lock.Unlock()
-			taken = append(taken, line)
+			accepted = append(accepted, answer)
 		}}
 	var run sync.WaitGroup
 	run.Go(func() { m.Run(ctx) })
@@ -113,7 +113,7 @@
 		return len(l.said) >= 9
 	})
 	l.lock.Lock()
-	if diff := cmp.Diff([]string{fmt.Sprintf("v1 a%d b%d", planner.Ready, planner.Draining), fmt.Sprintf("v7 127.0.0.1:9%d", planner.Ready)}, taken); diff != "" {
+	if diff := cmp.Diff([]string{fmt.Sprintf("v1 a%d b%d", planner.Ready, planner.Draining), fmt.Sprintf("v7 127.0.0.1:9%d", planner.Ready)}, accepted); diff != "" {
 		t.Errorf("taken:\n%s", diff)
 	}
 	if diff := cmp.Diff([]string{`[tickets] has "": `, `[tickets] has "v1": `, `[tickets] has "v1": zone "moon" is not known`,
--- a/xds/transport/load_reports.go
+++ b/xds/transport/load_reports.go
@@ -99,8 +99,8 @@
 		s.Controller.AddDemandReport(proxy, demand.route, demand.requests, demand.interval)
 	}
 	for _, endpoint := range report.endpoints {
-		node, known := s.Streams.Compiler.NodeAt(endpoint.address)
-		if !known {
+		node, found := s.Streams.Compiler.NodeAt(endpoint.address)
+		if !found {
 			s.UnknownReports.Add(1)
 			continue
 		}
--- a/xds/transport/rejection_test.go
+++ b/xds/transport/rejection_test.go
@@ -30,9 +30,9 @@
 
 func (p *rejectingSidecar) checkRouting() {
 	p.got++
-	for kind, versions := range p.Table().Versions {
+	for resourceType, versions := range p.Table().Versions {
 		for name, version := range versions {
-			if p.refused[fmt.Sprint(xds.ResourceType(kind), name, version)] {
+			if p.refused[fmt.Sprint(xds.ResourceType(resourceType), name, version)] {
 				p.faults = append(p.faults, fmt.Sprintf("%s routes by %s of %s, which it refused", p.ID, version, name))
 			}
 		}
@@ -68,8 +68,8 @@
 // rejected, and once the cuts end all have to converge but for what they rejected.
 func TestRejectionsAndCutsOverLoopback(t *testing.T) {
 	const sidecars, pushes = 40, 300
-	f, address := startServer(t, sidecars)
-	chance := rand.New(rand.NewPCG(4, 2))
+	server, address := startServer(t, sidecars)
+	random := rand.New(rand.NewPCG(4, 2))
 	all := make([]*rejectingSidecar, sidecars)
 	stops := make([]context.CancelFunc, sidecars)
 	var streams sync.WaitGroup
@@ -95,42 +95,42 @@
 		all[k] = p
 		begin(k)
 	}
-	waitFor(t, "all joined", func() bool { return knownSidecars(f) == sidecars })
-	publishTable(f, sidecars, 20)
+	waitFor(t, "all joined", func() bool { return knownSidecars(server) == sidecars })
+	publishTable(server, sidecars, 20)
 	for n := range pushes {
-		f.Enqueue([]controller.Command{{Kind: controller.SetWeight, Node: fmt.Sprint("node-", chance.IntN(20)), Value: chance.Float64()},
+		server.Enqueue([]controller.Command{{Kind: controller.SetWeight, Node: fmt.Sprint("node-", random.IntN(20)), Value: random.Float64()},
 			{Kind: controller.RequestAck, Nonce: n + 2}})
-		f.call(func() {})
+		server.call(func() {})
 		time.Sleep(4 * time.Millisecond) // only a delay: streams bring the newest state
-		if k := chance.IntN(sidecars); n%3 == 0 {
+		if k := random.IntN(sidecars); n%3 == 0 {
 			stops[k]()
 			begin(k)
 		}
 		if n%10 == 0 {
-			bindAll(f, sidecars, n+2)
+			bindAll(server, sidecars, n+2)
 		}
 	}
-	waitFor(t, "all are back", func() bool { return connectedSidecars(f) == sidecars })
-	bindAll(f, sidecars, pushes+10)
+	waitFor(t, "all are back", func() bool { return connectedSidecars(server) == sidecars })
+	bindAll(server, sidecars, pushes+10)
 	waitFor(t, "all settle but for what they refuse", func() bool {
 		n := 0
 		var joins []controller.Command // a stream that was cut may count for a while: its successor then joins after that
 		defer func() {
 			if len(joins) > 0 {
-				f.Enqueue(append(joins, controller.Command{Kind: controller.RequestAck, Nonce: pushes + 10})) // as the planner binds those that join
+				server.Enqueue(append(joins, controller.Command{Kind: controller.RequestAck, Nonce: pushes + 10})) // as the planner binds those that join
 			}
 		}()
-		f.call(func() {
-			for _, s := range f.Streams.Sidecars(f.now()) {
+		server.call(func() {
+			for _, s := range server.Streams.Sidecars(server.now()) {
 				if s.Connected && !s.Bound {
 					joins = append(joins, controller.Command{Kind: controller.BindProxy, Proxy: s.Number})
 				}
-				held, refuses := s.Bound && len(s.Resources) > 0, false
+				accepted, rejects := s.Bound && len(s.Resources) > 0, false
 				for _, st := range s.Resources {
-					held = held && st.Accepted == st.Target
-					refuses = refuses || st.Rejection != nil
+					accepted = accepted && st.Accepted == st.Target
+					rejects = rejects || st.Rejection != nil
 				}
-				if held || refuses {
+				if accepted || rejects {
 					n++
 				}
 			}
--- a/xds/transport/server_test.go
+++ b/xds/transport/server_test.go
@@ -47,9 +47,9 @@
 }
 
 // convergedSidecars is the number of sidecars that have accepted all of their targets.
-func convergedSidecars(f *Server) (n int) {
-	f.call(func() {
-		for _, s := range f.Streams.Sidecars(f.now()) {
+func convergedSidecars(server *Server) (n int) {
+	server.call(func() {
+		for _, s := range server.Streams.Sidecars(server.now()) {
 			all := s.Connected && s.Bound && s.Unacknowledged == 0 && len(s.Resources) >= int(xds.NumResourceTypes)
 			for _, st := range s.Resources {
 				all = all && st.Accepted == st.Target
@@ -63,14 +63,14 @@
 }
 
 // knownSidecars is the number of sidecars that ever joined, connectedSidecars that of those with a stream.
-func knownSidecars(f *Server) (n int) {
-	f.call(func() { n = len(f.Streams.Sidecars(f.now())) })
+func knownSidecars(server *Server) (n int) {
+	server.call(func() { n = len(server.Streams.Sidecars(server.now())) })
 	return n
 }
 
-func connectedSidecars(f *Server) (n int) {
-	f.call(func() {
-		for _, s := range f.Streams.Sidecars(f.now()) {
+func connectedSidecars(server *Server) (n int) {
+	server.call(func() {
+		for _, s := range server.Streams.Sidecars(server.now()) {
 			if s.Connected {
 				n++
 			}
@@ -80,77 +80,77 @@
 }
 
 // publishTable binds all sidecars to a table with some nodes.
-func publishTable(f *Server, sidecars, nodes int) {
+func publishTable(server *Server, sidecars, nodes int) {
 	batch := []controller.Command{{Kind: controller.SetAdmission, Table: planner.AllTables, Route: "quote", Value: 1}}
 	for n := range nodes {
 		name := fmt.Sprint("node-", n)
-		f.SetAddresses([]Node{{Name: name, Zone: "north", Address: xds.Address{Host: "127.0.0.1", Port: uint32(1000 + n)}}})
+		server.SetAddresses([]Node{{Name: name, Zone: "north", Address: xds.Address{Host: "127.0.0.1", Port: uint32(1000 + n)}}})
 		batch = append(batch, controller.Command{Kind: controller.SetWeight, Node: name, Value: 1})
 	}
-	f.Enqueue(batch)
-	bindAll(f, sidecars, 1)
+	server.Enqueue(batch)
+	bindAll(server, sidecars, 1)
 }
 
 // bindAll binds sidecars, as the planner does when they join.
-func bindAll(f *Server, sidecars, mark int) {
+func bindAll(server *Server, sidecars, nonce int) {
 	var batch []controller.Command
 	for proxy := range sidecars {
 		batch = append(batch, controller.Command{Kind: controller.BindProxy, Proxy: proxy})
 	}
-	f.Enqueue(append(batch, controller.Command{Kind: controller.RequestAck, Nonce: mark}))
+	server.Enqueue(append(batch, controller.Command{Kind: controller.RequestAck, Nonce: nonce}))
 }
 
 // Hundreds of sidecars of both variants lose their streams at once, again and again, while tables change: all have to
 // converge to the newest versions, and those that have them already are sent nothing.
 func TestReconnectStormsConverge(t *testing.T) {
 	const sidecars = 300
-	f, address := startServer(t, sidecars)
-	holders := make([]*sidecar.ResourceCache, sidecars)
-	for k := range holders {
-		holders[k] = &sidecar.ResourceCache{ID: fmt.Sprint("till-", k), Zone: "north", Delta: k%2 == 0}
+	server, address := startServer(t, sidecars)
+	caches := make([]*sidecar.ResourceCache, sidecars)
+	for k := range caches {
+		caches[k] = &sidecar.ResourceCache{ID: fmt.Sprint("till-", k), Zone: "north", Delta: k%2 == 0}
 	}
 	for round := range 4 {
 		ctx, stop := context.WithCancel(context.Background())
 		var streams sync.WaitGroup
 		c := &sidecarClients{}
 		var conn *grpc.ClientConn
-		for k, h := range holders {
+		for k, h := range caches {
 			if k%maxStreamsPerConnection == 0 {
 				conn = dial(t, address)
 			}
 			on := conn
 			streams.Go(func() { c.join(ctx, on, h) })
 		}
-		waitFor(t, "all joined", func() bool { return connectedSidecars(f) == sidecars })
+		waitFor(t, "all joined", func() bool { return connectedSidecars(server) == sidecars })
 		if round == 0 {
-			publishTable(f, sidecars, 20)
+			publishTable(server, sidecars, 20)
 		} else {
 			if round%2 == 0 {
-				f.Enqueue([]controller.Command{{Kind: controller.SetWeight, Node: "node-1", Value: float64(round)}})
+				server.Enqueue([]controller.Command{{Kind: controller.SetWeight, Node: "node-1", Value: float64(round)}})
 			}
-			bindAll(f, sidecars, round+1)
+			bindAll(server, sidecars, round+1)
 		}
-		waitFor(t, fmt.Sprintf("all settled in round %d", round), func() bool { return convergedSidecars(f) == sidecars })
+		waitFor(t, fmt.Sprintf("all settled in round %d", round), func() bool { return convergedSidecars(server) == sidecars })
 		if answers := c.answers.Load(); round%2 == 1 && answers != 0 {
 			t.Errorf("round %d: %d responses to sidecars that hold all", round, answers)
 		}
 		stop()
 		streams.Wait()
-		waitFor(t, "all left", func() bool { return connectedSidecars(f) == 0 })
+		waitFor(t, "all left", func() bool { return connectedSidecars(server) == 0 })
 	}
 }
 
 // Requests that violate the protocol end their stream with a status and a reason and are counted; other sidecars are served
 // as before.
 func TestMisbehavingClientsAreDisconnected(t *testing.T) {
-	f, address := startServer(t, 3)
+	server, address := startServer(t, 3)
 	good := &sidecar.ResourceCache{ID: "till", Zone: "north", Delta: true}
 	ctx, stop := context.WithCancel(context.Background())
 	defer stop()
 	go (&sidecarClients{}).join(ctx, dial(t, address), good)
-	waitFor(t, "it joined", func() bool { return knownSidecars(f) == 1 })
-	publishTable(f, 1, 3)
-	waitFor(t, "it holds its table", func() bool { return convergedSidecars(f) == 1 })
+	waitFor(t, "it joined", func() bool { return knownSidecars(server) == 1 })
+	publishTable(server, 1, 3)
+	waitFor(t, "it holds its table", func() bool { return convergedSidecars(server) == 1 })
 
 	client := discoveryv3.NewAggregatedDiscoveryServiceClient(dial(t, address))
 	node := func(id, zone string) *corev3.Node {
@@ -184,23 +184,23 @@
 		s, _ := client.StreamAggregatedResources(ctx)
 		s.Send(&discoveryv3.DiscoveryRequest{Node: node(id, "north"), TypeUrl: xds.Clusters.TypeURL()})
 	}
-	waitFor(t, "three are known", func() bool { return knownSidecars(f) == 3 })
+	waitFor(t, "three are known", func() bool { return knownSidecars(server) == 3 })
 	s, _ := client.StreamAggregatedResources(ctx)
 	s.Send(&discoveryv3.DiscoveryRequest{Node: node("one too many", "north"), TypeUrl: xds.Clusters.TypeURL()})
 	if _, err := s.Recv(); status.Code(err) != codes.InvalidArgument || !strings.Contains(err.Error(), "no more may join") {
 		t.Errorf("too many: %v", err)
 	}
-	if f.MalformedRequests.Load() < 5 {
-		t.Errorf("%d counted", f.MalformedRequests.Load())
+	if server.MalformedRequests.Load() < 5 {
+		t.Errorf("%d counted", server.MalformedRequests.Load())
 	}
-	if convergedSidecars(f) < 1 {
+	if convergedSidecars(server) < 1 {
 		t.Error("the good one lost its table")
 	}
 }
 
 // A second stream of a node id replaces the first, whose messages are ignored from then on.
 func TestSecondStreamReplacesFirst(t *testing.T) {
-	f, address := startServer(t, 3)
+	server, address := startServer(t, 3)
 	client := discoveryv3.NewAggregatedDiscoveryServiceClient(dial(t, address))
 	open := func() discoveryv3.AggregatedDiscoveryService_StreamAggregatedResourcesClient {
 		s, err := client.StreamAggregatedResources(t.Context())
@@ -211,12 +211,12 @@
 		return s
 	}
 	first := open()
-	waitFor(t, "it joined", func() bool { return knownSidecars(f) == 1 })
+	waitFor(t, "it joined", func() bool { return knownSidecars(server) == 1 })
 	second := open()
 	if _, err := first.Recv(); status.Code(err) != codes.Aborted {
 		t.Errorf("the first: %v", err)
 	}
-	publishTable(f, 1, 2)
+	publishTable(server, 1, 2)
 	if r, err := second.Recv(); err != nil || len(r.GetResources()) != 1 {
 		t.Errorf("the second: %v, %v", r, err)
 	}
@@ -224,34 +224,34 @@
 
 // Load reports reach the controller; an impossible entry is left out alone.
 func TestLoadReportsReachController(t *testing.T) {
-	f, address := startServer(t, 3)
+	server, address := startServer(t, 3)
 	ctx, stop := context.WithCancel(t.Context())
 	defer stop()
 	conn := dial(t, address)
 	go (&sidecarClients{}).join(ctx, conn, &sidecar.ResourceCache{ID: "till", Zone: "north", Delta: true})
-	waitFor(t, "it joined", func() bool { return knownSidecars(f) == 1 })
-	publishTable(f, 1, 1)
+	waitFor(t, "it joined", func() bool { return knownSidecars(server) == 1 })
+	publishTable(server, 1, 1)
 	s, err := loadv3.NewLoadReportingServiceClient(conn).StreamLoadStats(ctx)
 	if err != nil {
 		t.Fatal(err)
 	}
 	s.Send(&loadv3.LoadStatsRequest{Node: &corev3.Node{Id: "till"}})
-	if r, err := s.Recv(); err != nil || r.GetLoadReportingInterval().AsDuration() != f.ReportInterval {
+	if r, err := s.Recv(); err != nil || r.GetLoadReportingInterval().AsDuration() != server.ReportInterval {
 		t.Fatalf("%v %v", r, err)
 	}
-	line := func(port uint32, issued, errors uint64) *endpointv3.UpstreamEndpointStats {
+	endpoint := func(port uint32, issued, errors uint64) *endpointv3.UpstreamEndpointStats {
 		return &endpointv3.UpstreamEndpointStats{TotalIssuedRequests: issued, TotalErrorRequests: errors,
 			Address: xds.Address{Host: "127.0.0.1", Port: port}.Message()}
 	}
-	report := func(span time.Duration, lines ...*endpointv3.UpstreamEndpointStats) {
+	report := func(span time.Duration, endpoints ...*endpointv3.UpstreamEndpointStats) {
 		s.Send(&loadv3.LoadStatsRequest{ClusterStats: []*endpointv3.ClusterStats{{ClusterName: "pool-0", LoadReportInterval: durationpb.New(span),
-			UpstreamLocalityStats: []*endpointv3.UpstreamLocalityStats{{UpstreamEndpointStats: lines}}}}})
+			UpstreamLocalityStats: []*endpointv3.UpstreamLocalityStats{{UpstreamEndpointStats: endpoints}}}}})
 	}
-	report(time.Second, line(1000, 10, 2), line(1000, 1, 2), line(9999, 5, 0))
-	waitFor(t, "the bad line and the unknown node are counted", func() bool { return f.MalformedRequests.Load() == 1 && f.UnknownReports.Load() == 1 })
-	report(0, line(1000, 10, 2))
-	report(-time.Second, line(1000, 10, 2))
-	waitFor(t, "spans that can't be are counted", func() bool { return f.MalformedRequests.Load() == 3 })
+	report(time.Second, endpoint(1000, 10, 2), endpoint(1000, 1, 2), endpoint(9999, 5, 0))
+	waitFor(t, "the bad line and the unknown node are counted", func() bool { return server.MalformedRequests.Load() == 1 && server.UnknownReports.Load() == 1 })
+	report(0, endpoint(1000, 10, 2))
+	report(-time.Second, endpoint(1000, 10, 2))
+	waitFor(t, "spans that can't be are counted", func() bool { return server.MalformedRequests.Load() == 3 })
 	s.CloseSend()
 	if _, err := s.Recv(); !errors.Is(err, io.EOF) {
 		t.Errorf("after its end: %v", err)
