--- a/config/follower_test.go
+++ b/config/follower_test.go
@@ -146,20 +146,22 @@
 		"override of an unlisted node":   {specs: with(overrideKey("n-9"), gone), nodes: nodes},
 		"override of a node that drains": {specs: with(overrideKey("n-2"), gone), nodes: nodes},
 	} {
-		agreed, err := AgreedFromFollower(newRecords(t, one.specs))
-		if err != nil {
-			t.Fatal(err)
-		}
-		previous, err := AgreedFromFollower(newRecords(t, one.previous))
-		if err != nil {
-			t.Fatal(err)
-		}
-		err = c.ValidateUpdate(agreed, previous, one.nodes)
-		checkFault(t, name, err, one.want)
-		var unusable *UnusableError
-		if err != nil && !errors.As(err, &unusable) {
-			t.Errorf("%s: %T is no *UnusableError", name, err)
-		}
+		t.Run(name, func(t *testing.T) {
+			agreed, err := AgreedFromFollower(newRecords(t, one.specs))
+			if err != nil {
+				t.Fatal(err)
+			}
+			previous, err := AgreedFromFollower(newRecords(t, one.previous))
+			if err != nil {
+				t.Fatal(err)
+			}
+			err = c.ValidateUpdate(agreed, previous, one.nodes)
+			checkFault(t, name, err, one.want)
+			var unusable *UnusableError
+			if err != nil && !errors.As(err, &unusable) {
+				t.Errorf("%s: %T is no *UnusableError", name, err)
+			}
+		})
 	}
 }
 
--- a/configsync/follower_test.go
+++ b/configsync/follower_test.go
@@ -184,10 +184,12 @@
 func TestFollowerDetectsConflictAtSameRevision(t *testing.T) {
 	same := Update{Revision: 5, Nonce: "2", FullScope: true, Records: oneRecord(withRevision(newRouteRecord(t, "a", "s1", 10), 4))}
 	for name, update := range map[string]Update{"whole": same, "progress": {Revision: 5, Nonce: "2"}} {
-		f := newFollowerWithRecords(t)
-		if reply, accepted, err := f.Receive(at(1), encodeUpdate(t, update)); err != nil || accepted || reply.GetErrorDetail() != nil {
-			t.Errorf("%s: reply %v, accepted %v, %v", name, reply, accepted, err)
-		}
+		t.Run(name, func(t *testing.T) {
+			f := newFollowerWithRecords(t)
+			if reply, accepted, err := f.Receive(at(1), encodeUpdate(t, update)); err != nil || accepted || reply.GetErrorDetail() != nil {
+				t.Errorf("%s: reply %v, accepted %v, %v", name, reply, accepted, err)
+			}
+		})
 	}
 	for name, update := range map[string]Update{
 		"other content":  {Revision: 5, Nonce: "2", FullScope: true, Records: oneRecord(withRevision(newRouteRecord(t, "a", "s1", 11), 4))},
@@ -196,10 +198,12 @@
 		"removed":        {Revision: 5, Nonce: "2", Removed: []records.Key{routeKey("a")}},
 		"changed":        {Revision: 5, Nonce: "2", Records: oneRecord(withRevision(newRouteRecord(t, "a", "s1", 11), 5))},
 	} {
-		f := newFollowerWithRecords(t)
-		if _, accepted, err := f.Receive(at(1), encodeUpdate(t, update)); !errors.Is(err, ErrConflictingContent) || accepted || len(f.Records()) != 1 {
-			t.Errorf("%s: accepted %v, %v", name, accepted, err)
-		}
+		t.Run(name, func(t *testing.T) {
+			f := newFollowerWithRecords(t)
+			if _, accepted, err := f.Receive(at(1), encodeUpdate(t, update)); !errors.Is(err, ErrConflictingContent) || accepted || len(f.Records()) != 1 {
+				t.Errorf("%s: accepted %v, %v", name, accepted, err)
+			}
+		})
 	}
 }
 
--- a/configsync/hostile_input_test.go
+++ b/configsync/hostile_input_test.go
@@ -72,17 +72,19 @@
 		"empty service":     {Name: "f", Scope: records.Scope{Services: []string{""}}},
 		"long zone":         {Name: "f", Scope: records.Scope{Zones: []string{strings.Repeat("x", maxNameBytes+1)}}},
 	} {
-		member := newTestMember(t)
-		stream, err := member.server.Open(at(0))
-		if err != nil {
-			t.Fatal(err)
-		}
-		if err := member.server.Receive(at(0), stream, hello.request()); err == nil {
-			t.Errorf("%s: taken", name)
-		}
-		if len(member.server.leases.leases) != 0 || len(member.server.byName) != 0 {
-			t.Errorf("%s: it is kept", name)
-		}
+		t.Run(name, func(t *testing.T) {
+			member := newTestMember(t)
+			stream, err := member.server.Open(at(0))
+			if err != nil {
+				t.Fatal(err)
+			}
+			if err := member.server.Receive(at(0), stream, hello.request()); err == nil {
+				t.Errorf("%s: taken", name)
+			}
+			if len(member.server.leases.leases) != 0 || len(member.server.byName) != 0 {
+				t.Errorf("%s: it is kept", name)
+			}
+		})
 	}
 	member := newTestMember(t)
 	stream, _ := member.server.Open(at(0))
--- a/configsync/routing_revision_test.go
+++ b/configsync/routing_revision_test.go
@@ -87,13 +87,15 @@
 	for name, markers := range map[string][]*discoveryv3.Resource{
 		"none": nil, "two": {marker("4"), marker("4")}, "no number": {marker("")}, "newer than the offer": {marker("7")},
 	} {
-		for _, records := range [][]*records.Record{nil, oneRecord(withRevision(newRouteRecord(t, "a", "s1", 11), 6))} {
-			f, response := newFollowerWithRecords(t), encodeUpdate(t, Update{Revision: 6, Nonce: "2", Records: records})
-			response.Resources = append(response.Resources[:len(records)], markers...)
-			reply, accepted, err := f.Receive(at(1), response)
-			if err != nil || accepted || reply.GetErrorDetail() == nil || f.Revision() != 5 || f.RoutingRevision() != 0 {
-				t.Errorf("%s: reply %v, accepted %v, %v, revision %d", name, reply, accepted, err, f.Revision())
+		t.Run(name, func(t *testing.T) {
+			for _, records := range [][]*records.Record{nil, oneRecord(withRevision(newRouteRecord(t, "a", "s1", 11), 6))} {
+				f, response := newFollowerWithRecords(t), encodeUpdate(t, Update{Revision: 6, Nonce: "2", Records: records})
+				response.Resources = append(response.Resources[:len(records)], markers...)
+				reply, accepted, err := f.Receive(at(1), response)
+				if err != nil || accepted || reply.GetErrorDetail() == nil || f.Revision() != 5 || f.RoutingRevision() != 0 {
+					t.Errorf("%s: reply %v, accepted %v, %v, revision %d", name, reply, accepted, err, f.Revision())
+				}
 			}
-		}
+		})
 	}
 }
--- a/configsync/transport/service_test.go
+++ b/configsync/transport/service_test.go
@@ -308,20 +308,22 @@
 	log.put(t, "buy", "shop", 1000)
 	m := newMember(t, log, testLimits())
 	for name, service := range map[string]string{"within its scope": "shop", "outside": "other"} {
-		c := newFollowerController(t, Config{Name: service, Scope: shop, Members: []string{m.address}})
-		c.awaitAccepted(log)
-		wire := func() uint64 { return c.client.Traffic.In.Load() + c.client.Traffic.Out.Load() }
-		heartbeats := func() uint64 { return m.service.Counts().Heartbeats }
-		before, heartbeatsBefore := wire(), heartbeats()
-		for change := range changes {
-			log.put(t, "buy-"+service, service, float64(1000+change))
+		t.Run(name, func(t *testing.T) {
+			c := newFollowerController(t, Config{Name: service, Scope: shop, Members: []string{m.address}})
 			c.awaitAccepted(log)
-		}
-		spent, renewed := wire()-before, heartbeats()-heartbeatsBefore
-		t.Logf("%s: %d bytes for %d changes, with %d renewals", name, spent, changes, renewed)
-		if spent > changes*(maxBytes+bytesOfOneRecord)+(renewed+1)*maxHeartbeat {
-			t.Errorf("%s: %d bytes for %d changes, with %d renewals", name, spent, changes, renewed)
-		}
-		c.stop()
+			wire := func() uint64 { return c.client.Traffic.In.Load() + c.client.Traffic.Out.Load() }
+			heartbeats := func() uint64 { return m.service.Counts().Heartbeats }
+			before, heartbeatsBefore := wire(), heartbeats()
+			for change := range changes {
+				log.put(t, "buy-"+service, service, float64(1000+change))
+				c.awaitAccepted(log)
+			}
+			spent, renewed := wire()-before, heartbeats()-heartbeatsBefore
+			t.Logf("%s: %d bytes for %d changes, with %d renewals", name, spent, changes, renewed)
+			if spent > changes*(maxBytes+bytesOfOneRecord)+(renewed+1)*maxHeartbeat {
+				t.Errorf("%s: %d bytes for %d changes, with %d renewals", name, spent, changes, renewed)
+			}
+			c.stop()
+		})
 	}
 }
--- a/sidecar/shutdown_test.go
+++ b/sidecar/shutdown_test.go
@@ -50,42 +50,44 @@
 	table := &RoutingTable{Routes: []RouteEntry{{Name: "q", Prefix: "/q", Fraction: 1, Cluster: "c"}},
 		Clusters: map[string][]WeightedNode{"c": {{Node: "s", Weight: 1, Address: xds.Address{Host: "127.0.0.1", Port: port}}}}}
 	for name, text := range map[string]string{"a wait": "", "a call": "GET /q HTTP/1.1\r\nHost: x\r\n\r\n"} {
-		l, err := net.Listen("tcp", "127.0.0.1:0")
-		if err != nil {
-			t.Fatal(err)
-		}
-		ctx, cancel := context.WithCancel(t.Context())
-		waits, release := make(chan struct{}), make(chan struct{})
-		var once sync.Once
-		before := func() {
+		t.Run(name, func(t *testing.T) {
+			l, err := net.Listen("tcp", "127.0.0.1:0")
+			if err != nil {
+				t.Fatal(err)
+			}
+			ctx, cancel := context.WithCancel(t.Context())
+			waits, release := make(chan struct{}), make(chan struct{})
+			var once sync.Once
+			before := func() {
+				if text == "" {
+					once.Do(func() { close(waits); <-release })
+				}
+			}
+			p := &Proxy{Listener: hookedListener{l, before}, Table: func() *RoutingTable { return table }, ConnectTimeout: time.Second, MaxConnections: 4, Seed: 1,
+				Log: zap.NewNop(), Load: NewLoadRecorder(time.Now())}
+			ended := make(chan struct{})
+			go func() { defer close(ended); p.Run(ctx) }()
+			conn, err := net.Dial("tcp", l.Addr().String())
+			if err != nil {
+				t.Fatal(err)
+			}
+			io.WriteString(conn, text)
 			if text == "" {
-				once.Do(func() { close(waits); <-release })
+				<-waits
+			} else if taken, err := silent.Accept(); err == nil {
+				defer taken.Close()
+			}
+			cancel()
+			if text == "" {
+				// Whatever the shutdown does to the connection is done before the wait sets its deadline.
+				time.AfterFunc(100*time.Millisecond, func() { close(release) })
+			}
+			select {
+			case <-ended:
+			case <-time.After(endsWithin):
+				t.Errorf("%s holds the end up", name)
 			}
-		}
-		p := &Proxy{Listener: hookedListener{l, before}, Table: func() *RoutingTable { return table }, ConnectTimeout: time.Second, MaxConnections: 4, Seed: 1,
-			Log: zap.NewNop(), Load: NewLoadRecorder(time.Now())}
-		ended := make(chan struct{})
-		go func() { defer close(ended); p.Run(ctx) }()
-		conn, err := net.Dial("tcp", l.Addr().String())
-		if err != nil {
-			t.Fatal(err)
-		}
-		io.WriteString(conn, text)
-		if text == "" {
-			<-waits
-		} else if taken, err := silent.Accept(); err == nil {
-			defer taken.Close()
-		}
-		cancel()
-		if text == "" {
-			// Whatever the shutdown does to the connection is done before the wait sets its deadline.
-			time.AfterFunc(100*time.Millisecond, func() { close(release) })
-		}
-		select {
-		case <-ended:
-		case <-time.After(endsWithin):
-			t.Errorf("%s holds the end up", name)
-		}
-		conn.Close()
+			conn.Close()
+		})
 	}
 }
--- a/xds/transport/server_test.go
+++ b/xds/transport/server_test.go
@@ -169,16 +169,18 @@
 		"too large": {[]*discoveryv3.DiscoveryRequest{{Node: node("x", "north"), TypeUrl: strings.Repeat("x", maxRequestBytes+1)}}, codes.ResourceExhausted, "larger than max"},
 		"silent":    {nil, codes.DeadlineExceeded, "no first request"},
 	} {
-		s, err := client.StreamAggregatedResources(ctx)
-		if err != nil {
-			t.Fatal(err)
-		}
-		for _, r := range c.say {
-			s.Send(r)
-		}
-		if _, err = s.Recv(); status.Code(err) != c.code || !strings.Contains(status.Convert(err).Message(), c.why) {
-			t.Errorf("%s: %v, want %s %q", name, err, c.code, c.why)
-		}
+		t.Run(name, func(t *testing.T) {
+			s, err := client.StreamAggregatedResources(ctx)
+			if err != nil {
+				t.Fatal(err)
+			}
+			for _, r := range c.say {
+				s.Send(r)
+			}
+			if _, err = s.Recv(); status.Code(err) != c.code || !strings.Contains(status.Convert(err).Message(), c.why) {
+				t.Errorf("%s: %v, want %s %q", name, err, c.code, c.why)
+			}
+		})
 	}
 	for _, id := range []string{"x", "y", "z"} {
 		s, _ := client.StreamAggregatedResources(ctx)
