--- a/configsync/hostile_input_test.go
+++ b/configsync/hostile_input_test.go
@@ -48,12 +48,16 @@
 		t.Fatal(err)
 	}
 	c.request(at(0), reply)
-	if err := member.server.Receive(at(0), c.stream, reply); err == nil {
-		t.Error("an answer was taken twice")
+	err = member.server.Receive(at(0), c.stream, reply)
+	var unknownNonce *UnknownNonceError
+	if !errors.As(err, &unknownNonce) || unknownNonce.Nonce != reply.GetResponseNonce() {
+		t.Errorf("an answer was accepted twice: %v", err)
 	}
 	reply.TypeUrl = "other"
-	if err := member.server.Receive(at(0), c.stream, reply); err == nil {
-		t.Error("another type was taken")
+	err = member.server.Receive(at(0), c.stream, reply)
+	var unsupportedType *UnsupportedTypeError
+	if !errors.As(err, &unsupportedType) || unsupportedType.TypeURL != "other" {
+		t.Errorf("another type was accepted: %v", err)
 	}
 }
 
--- a/internal/certs/store_test.go
+++ b/internal/certs/store_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"crypto/tls"
+	"errors"
 	"io"
 	"net"
 	"os"
@@ -101,9 +102,14 @@
 		"empty roots": {newCert, newKey, nil},
 	} {
 		writeFiles(t, folder, 1, files[0], files[1], files[2])
-		if changed, err := server.Reload(); changed || err == nil {
+		changed, err := server.Reload()
+		if changed || err == nil {
 			t.Errorf("%s: changed %t, error %v", when, changed, err)
 		}
+		var invalid *ValidityError
+		if errors.As(err, &invalid) != (when == "expired") {
+			t.Errorf("%s: %T", when, err)
+		}
 		meets(when, true)
 	}
 
--- a/sidecar/resource_cache_test.go
+++ b/sidecar/resource_cache_test.go
@@ -265,8 +265,8 @@
 		return err
 	}
 	for at := range complete {
-		if load(complete[:at]) == nil {
-			t.Fatalf("cut at %d: taken", at)
+		if err := load(complete[:at]); !errors.Is(err, ErrStoreFormat) && !errors.Is(err, ErrStoreTruncated) {
+			t.Fatalf("cut at %d: %v", at, err)
 		}
 		flipped := append([]byte(nil), complete...)
 		flipped[at] ^= 1 << (at % 8)
--- /dev/null
+++ b/xds/errors_test.go
@@ -0,0 +1,71 @@
+package xds
+
+import (
+	"errors"
+	"strings"
+	"testing"
+	"time"
+
+	discoveryv3 "github.com/envoyproxy/go-control-plane/envoy/service/discovery/v3"
+)
+
+// Requests that a server can't serve have typed errors, by which callers tell them apart.
+func TestErrorsOfInvalidRequests(t *testing.T) {
+	newServer := func(t *testing.T) *Server {
+		t.Helper()
+		compiler := NewCompiler([]Route{{Name: "q", Prefix: "/"}}, time.Second)
+		server := NewServer(compiler, &countingSink{responses: map[string]int{}}, 1)
+		if err := server.Open(0, 1, true, "connected", "z"); err != nil {
+			t.Fatal(err)
+		}
+		return server
+	}
+	tooMany := make([]string, maxSubscribedNames+1)
+	for name, story := range map[string]struct {
+		request func(s *Server) error
+		is      func(err error) bool
+	}{
+		"no node id": {
+			func(s *Server) error { return s.Open(1, 2, true, "", "z") },
+			func(err error) bool { return errors.Is(err, ErrNoNodeID) },
+		},
+		"long node id": {
+			func(s *Server) error { return s.Open(1, 2, true, strings.Repeat("x", maxReasonBytes+1), "z") },
+			func(err error) bool {
+				var tooLong *NodeIDTooLongError
+				return errors.As(err, &tooLong) && tooLong.Bytes == maxReasonBytes+1
+			},
+		},
+		"one sidecar too many": {
+			func(s *Server) error { return s.Open(1, 2, true, "other", "z") },
+			func(err error) bool {
+				var full *TooManySidecarsError
+				return errors.As(err, &full) && full.Max == 1
+			},
+		},
+		"unsupported type": {
+			func(s *Server) error {
+				return s.HandleDelta(1, 1, &discoveryv3.DeltaDiscoveryRequest{TypeUrl: "other"})
+			},
+			func(err error) bool {
+				var unsupported *UnsupportedTypeError
+				return errors.As(err, &unsupported) && unsupported.TypeURL == "other"
+			},
+		},
+		"too many names": {
+			func(s *Server) error {
+				return s.HandleDelta(1, 1, &discoveryv3.DeltaDiscoveryRequest{TypeUrl: Clusters.TypeURL(), ResourceNamesSubscribe: tooMany})
+			},
+			func(err error) bool {
+				var names *TooManyNamesError
+				return errors.As(err, &names) && names.Names == len(tooMany)
+			},
+		},
+	} {
+		t.Run(name, func(t *testing.T) {
+			if err := story.request(newServer(t)); !story.is(err) {
+				t.Errorf("%T: %v", err, err)
+			}
+		})
+	}
+}
