--- a/configsync/doc.go
+++ b/configsync/doc.go
@@ -17,5 +17,9 @@
 // [Merge] combines the [MemberStatus] of all members into a [Convergence], which tells the revision that every follower
 // with a lease has accepted.
 //
+// If a change is not in effect at a controller, Convergence.Behind has the revision that its follower has accepted, the one
+// that it rejected last and the reason; Convergence.Stale has the followers without a lease, and Convergence.UnknownMembers
+// the members whose followers are not all known.
+//
 // The messages are those of delta xDS; wire.go has their form.
 package configsync
--- a/configsync/follower_test.go
+++ b/configsync/follower_test.go
@@ -63,7 +63,7 @@
 		t.Fatal(accepted, err)
 	}
 	if !follower.Stale(at(1)) {
-		t.Error("an offer renewed the lease")
+		t.Error("an update renewed the lease")
 	}
 }
 
@@ -98,16 +98,16 @@
 func TestFollowerRejectsInapplicableUpdates(t *testing.T) {
 	changed := withRevision(newRouteRecord(t, "a", "s1", 11), 6)
 	for name, update := range map[string]Update{
-		"revision 0":                      {Revision: 0, Nonce: "2"},
-		"put twice":                       {Revision: 6, Nonce: "2", Records: []*records.Record{changed, changed}},
-		"put and removed":                 {Revision: 6, Nonce: "2", Records: oneRecord(changed), Removed: []records.Key{changed.Key}},
-		"removed twice":                   {Revision: 6, Nonce: "2", Removed: []records.Key{changed.Key, changed.Key}},
-		"whole that removes":              {Revision: 6, Nonce: "2", FullScope: true, Removed: []records.Key{changed.Key}},
-		"record newer than the offer":     {Revision: 6, Nonce: "2", Records: oneRecord(withRevision(newRouteRecord(t, "a", "s1", 11), 7))},
-		"record without a revision":       {Revision: 6, Nonce: "2", FullScope: true, Records: oneRecord(newRouteRecord(t, "a", "s1", 11))},
-		"change as old as what is held":   {Revision: 6, Nonce: "2", Records: oneRecord(withRevision(newRouteRecord(t, "a", "s1", 11), 5))},
-		"record of another scope":         {Revision: 6, Nonce: "2", Records: oneRecord(withRevision(newRouteRecord(t, "x", "s2", 11), 6))},
-		"whole with one of another scope": {Revision: 6, Nonce: "2", FullScope: true, Records: oneRecord(withRevision(newRouteRecord(t, "x", "s2", 11), 6))},
+		"revision 0":                             {Revision: 0, Nonce: "2"},
+		"put twice":                              {Revision: 6, Nonce: "2", Records: []*records.Record{changed, changed}},
+		"put and removed":                        {Revision: 6, Nonce: "2", Records: oneRecord(changed), Removed: []records.Key{changed.Key}},
+		"removed twice":                          {Revision: 6, Nonce: "2", Removed: []records.Key{changed.Key, changed.Key}},
+		"full scope that removes":                {Revision: 6, Nonce: "2", FullScope: true, Removed: []records.Key{changed.Key}},
+		"record newer than the update":           {Revision: 6, Nonce: "2", Records: oneRecord(withRevision(newRouteRecord(t, "a", "s1", 11), 7))},
+		"record without a revision":              {Revision: 6, Nonce: "2", FullScope: true, Records: oneRecord(newRouteRecord(t, "a", "s1", 11))},
+		"change as old as the accepted revision": {Revision: 6, Nonce: "2", Records: oneRecord(withRevision(newRouteRecord(t, "a", "s1", 11), 5))},
+		"record of another scope":                {Revision: 6, Nonce: "2", Records: oneRecord(withRevision(newRouteRecord(t, "x", "s2", 11), 6))},
+		"full scope with a record of another":    {Revision: 6, Nonce: "2", FullScope: true, Records: oneRecord(withRevision(newRouteRecord(t, "x", "s2", 11), 6))},
 	} {
 		t.Run(name, func(t *testing.T) {
 			f := newFollowerWithRecords(t)
@@ -165,7 +165,7 @@
 		t.Errorf("reply %v, %v", reply, err)
 	}
 	if f.Rejected != 0 {
-		t.Error("counted as a refused offer")
+		t.Error("counted as a rejected update")
 	}
 }
 
@@ -183,7 +183,7 @@
 // The accepted revision may come again, as a full scope or as progress, but not with other contents.
 func TestFollowerDetectsConflictAtSameRevision(t *testing.T) {
 	same := Update{Revision: 5, Nonce: "2", FullScope: true, Records: oneRecord(withRevision(newRouteRecord(t, "a", "s1", 10), 4))}
-	for name, update := range map[string]Update{"whole": same, "progress": {Revision: 5, Nonce: "2"}} {
+	for name, update := range map[string]Update{"full scope": same, "progress": {Revision: 5, Nonce: "2"}} {
 		t.Run(name, func(t *testing.T) {
 			f := newFollowerWithRecords(t)
 			if reply, accepted, err := f.Receive(at(1), encodeUpdate(t, update)); err != nil || accepted || reply.GetErrorDetail() != nil {
--- a/configsync/fullscope_limiter_test.go
+++ b/configsync/fullscope_limiter_test.go
@@ -45,7 +45,7 @@
 		}
 		least := (waiting - 1) * bytes / a.bytesPerSecond
 		if took := now.Sub(at(0)).Seconds(); took > 1.3*least+0.1 {
-			t.Errorf("scopes of %v bytes: %v s, %v s if the allowance was used whole", bytes, took, least)
+			t.Errorf("scopes of %v bytes: %v s, %v s if the limit was fully used", bytes, took, least)
 		}
 		if asked > 30*waiting {
 			t.Errorf("scopes of %v bytes: asked %d times", bytes, asked)
@@ -71,7 +71,7 @@
 		t.Error("served before a head that is not too late yet")
 	}
 	if wait := a.acquire(due.Add(time.Millisecond), alive); wait != 0 {
-		t.Errorf("held up for %v by a head that is gone", wait)
+		t.Errorf("delayed for %v by a head that does not ask any more", wait)
 	}
 	a.charge(alive, 100)
 	if wait := a.acquire(due.Add(time.Millisecond), dead); wait != 0 {
@@ -111,7 +111,7 @@
 	limits.FullScopeBytesPerSecond, limits.FullScopeBurstBytes = 100, 1
 	server := NewServer("m1", source, limits, at(0))
 	server.Committed(at(0), source.commit(1, oneRecord(newRouteRecord(t, "a", "s1", 10))))
-	f := NewFollower("in step", services("s1"), limits.Lease, nil)
+	f := NewFollower("up to date", services("s1"), limits.Lease, nil)
 	inStep := connect(t, server, f, at(0))
 	inStep.settle(at(0))
 	waiting := []*connection{}
@@ -119,14 +119,14 @@
 		c := connect(t, server, NewFollower(fmt.Sprint("f", n), services("s1"), limits.Lease, nil), at(0))
 		c.settle(at(0))
 		if c.follower.Revision() != 0 {
-			t.Fatal("served beyond the allowance")
+			t.Fatal("served beyond the limit")
 		}
 		waiting = append(waiting, c)
 	}
 	server.Committed(at(0.1), source.commit(2, oneRecord(newRouteRecord(t, "a", "s1", 11))))
 	inStep.settle(at(0.1))
 	if f.Revision() != 2 {
-		t.Error("held up by the crowd")
+		t.Error("delayed by streams that wait for full scopes")
 	}
 	for _, c := range waiting[:10] {
 		server.Close(c.stream)
@@ -147,7 +147,7 @@
 	limits.FullScopeBytesPerSecond, limits.FullScopeBurstBytes = 1000, 1
 	server := NewServer("m1", source, limits, at(0))
 	server.Committed(at(0), source.commit(1, oneRecord(newRouteRecord(t, "a", "s1", 10))))
-	rejecting := connect(t, server, NewFollower("refuser", services("s1"), limits.Lease,
+	rejecting := connect(t, server, NewFollower("rejecting", services("s1"), limits.Lease,
 		func(uint64, map[records.Key]*records.Record) error { return fmt.Errorf("never") }), at(0))
 	rejecting.settle(at(0))
 	other := connect(t, server, NewFollower("other", services("s1"), limits.Lease, nil), at(0))
@@ -159,10 +159,10 @@
 		rejecting.settle(now)
 		other.settle(now)
 		if rejecting.follower.Rejected == 2 && other.follower.Revision() == 0 {
-			t.Fatal("the refuser was served twice before the other once")
+			t.Fatal("the rejecting follower was served twice before the other once")
 		}
 	}
 	if other.follower.Revision() != 2 || rejecting.follower.Rejected != 2 {
-		t.Errorf("revision %d, refused %d", other.follower.Revision(), rejecting.follower.Rejected)
+		t.Errorf("revision %d, rejected %d", other.follower.Revision(), rejecting.follower.Rejected)
 	}
 }
--- a/configsync/fuzz_test.go
+++ b/configsync/fuzz_test.go
@@ -91,7 +91,7 @@
 		follower := newFollowerWithRecords(t)
 		reply, accepted, err := follower.Receive(at(1), response)
 		if (err != nil || reply.GetErrorDetail() != nil) && (accepted || follower.Revision() != 5 || follower.Records()[routeKey("a")].Revision != 4) {
-			t.Errorf("%s: refused, and holds %d with %v", protojson.Format(response), follower.Revision(), follower.Records())
+			t.Errorf("%s: rejected, and revision %d with %v", protojson.Format(response), follower.Revision(), follower.Records())
 		}
 		if accepted != (follower.Revision() > 5) {
 			t.Errorf("accepted %v, revision %d", accepted, follower.Revision())
@@ -101,7 +101,7 @@
 		}
 		for key, record := range follower.Records() {
 			if record == nil || record.Key != key || !follower.scope.Contains(record) || record.Revision == 0 || record.Revision > follower.Revision() {
-				t.Errorf("at revision %d it holds %v", follower.Revision(), record)
+				t.Errorf("at revision %d it has %v", follower.Revision(), record)
 			}
 		}
 	})
--- a/configsync/hostile_input_test.go
+++ b/configsync/hostile_input_test.go
@@ -83,10 +83,10 @@
 				t.Fatal(err)
 			}
 			if err := member.server.Receive(at(0), stream, hello.request()); err == nil {
-				t.Errorf("%s: taken", name)
+				t.Errorf("%s: accepted", name)
 			}
 			if len(member.server.leases.leases) != 0 || len(member.server.byName) != 0 {
-				t.Errorf("%s: it is kept", name)
+				t.Errorf("%s: it has a lease", name)
 			}
 		})
 	}
--- a/configsync/routing_revision_test.go
+++ b/configsync/routing_revision_test.go
@@ -45,7 +45,7 @@
 			if heldBefore == 0 && some.follower.RoutingRevision() > routingBefore {
 				comeAndGone++
 			}
-			fullScope := connect(t, member.server, NewFollower(fmt.Sprint("whole", revision), services("s1"), testLimits.Lease, nil), at(0))
+			fullScope := connect(t, member.server, NewFollower(fmt.Sprint("full", revision), services("s1"), testLimits.Lease, nil), at(0))
 			fullScope.settle(at(0))
 			member.checkFollower(some.follower)
 			member.checkFollower(fullScope.follower)
@@ -56,7 +56,7 @@
 		}
 	}
 	if removals < 50 || comeAndGone == 0 {
-		t.Errorf("%d removals, %d times a route came and went between two offers: the draw does not try it", removals, comeAndGone)
+		t.Errorf("%d removals, %d times a route came and went between two updates: the draw does not cover it", removals, comeAndGone)
 	}
 }
 
@@ -85,7 +85,7 @@
 		return &discoveryv3.Resource{Name: routingRevisionName, Version: version}
 	}
 	for name, markers := range map[string][]*discoveryv3.Resource{
-		"none": nil, "two": {marker("4"), marker("4")}, "no number": {marker("")}, "newer than the offer": {marker("7")},
+		"none": nil, "two": {marker("4"), marker("4")}, "no number": {marker("")}, "newer than the update": {marker("7")},
 	} {
 		t.Run(name, func(t *testing.T) {
 			for _, records := range [][]*records.Record{nil, oneRecord(withRevision(newRouteRecord(t, "a", "s1", 11), 6))} {
--- a/configsync/server_test.go
+++ b/configsync/server_test.go
@@ -81,7 +81,7 @@
 	for revision := uint64(3); revision < 100; revision++ {
 		member.commit(at(1), revision, oneRecord(newRouteRecord(t, "a", "s1", float64(revision))))
 		if c.send(at(1)) != nil {
-			t.Fatal("a second offer while the first is not answered")
+			t.Fatal("a second update while the first is unanswered")
 		}
 	}
 	c.receive(at(1), update)
@@ -128,16 +128,16 @@
 		}
 		member.server.Close(c.stream)
 		if status := member.server.Status(at(1)); status.ConvergedRevision != 1 {
-			t.Errorf("in force %d before the member was answered", status.ConvergedRevision)
+			t.Errorf("converged revision %d before the member was answered", status.ConvergedRevision)
 		}
 		again := connect(t, member.server, f, at(1.5))
 		again.settle(at(1.5))
 		member.checkFollower(f)
 		if got := member.server.Counts.FullScopes; got != 1 {
-			t.Errorf("%d whole scopes", got)
+			t.Errorf("%d full scopes", got)
 		}
 		if status := member.server.Status(at(1.5)); status.ConvergedRevision != 2 {
-			t.Errorf("in force %d", status.ConvergedRevision)
+			t.Errorf("converged revision %d", status.ConvergedRevision)
 		}
 	}
 }
@@ -184,7 +184,7 @@
 	member.commit(at(1), 2, []*records.Record{newRouteRecord(t, "a", "s1", 666), newRouteRecord(t, "new", "s1", 5)}, routeKey("b"))
 	c.settle(at(1))
 	if f.Revision() != 1 || f.Rejected != 1 || f.Records()[routeKey("b")] == nil || f.Records()[routeKey("new")] != nil {
-		t.Fatalf("after a refusal: revision %d, %v", f.Revision(), f.Records())
+		t.Fatalf("after a NACK: revision %d, %v", f.Revision(), f.Records())
 	}
 	if lease := member.server.Status(at(1)).Leases[0]; lease.RejectedRevision != 2 || lease.Reason != "666 is no time limit" || lease.Accepted != 1 {
 		t.Errorf("%+v", lease)
@@ -195,12 +195,12 @@
 	renew(3)
 	renew(5)
 	if update := c.nextUpdate(at(5)); update != nil {
-		t.Fatal("the refused revision was offered at once")
+		t.Fatal("the rejected revision was sent again at once")
 	}
 	member.commit(at(5), 4, oneRecord(newRouteRecord(t, "c", "s1", 7))) // newer, and as bad as before
 	c.settle(at(5))
 	if f.Revision() != 1 || f.Rejected != 2 {
-		t.Errorf("revision %d, refused %d", f.Revision(), f.Rejected)
+		t.Errorf("revision %d, rejected %d", f.Revision(), f.Rejected)
 	}
 	renew(7)
 	renew(9)
@@ -249,7 +249,7 @@
 	f = NewFollower("f", services("s2"), testLimits.Lease, nil)
 	c := connect(t, member.server, f, at(1))
 	if status := member.server.Status(at(1)); status.ConvergedRevision != 0 {
-		t.Errorf("in force %d while the follower holds nothing", status.ConvergedRevision)
+		t.Errorf("converged revision %d while the follower has no records", status.ConvergedRevision)
 	}
 	c.settle(at(1))
 	member.checkFollower(f)
@@ -271,7 +271,7 @@
 		t.Errorf("%+v", status)
 	}
 	if status := member.server.Status(at(6.1)); len(status.Leases) != 0 {
-		t.Errorf("an ended lease is kept for ever: %+v", status)
+		t.Errorf("a lease that ran out is kept for ever: %+v", status)
 	}
 }
 
--- a/configsync/transport/client_test.go
+++ b/configsync/transport/client_test.go
@@ -27,7 +27,7 @@
 	if counts := m.service.Counts(); counts.FullScopes != 1 || counts.Changes != 1 || counts.Progress != 1 {
 		t.Errorf("sent: %+v", counts)
 	}
-	waitFor(t, "the revision is in force", func() bool {
+	waitFor(t, "the revision has converged", func() bool {
 		status := m.service.Status()
 		return status.Live == 1 && status.ConvergedRevision == log.Revision()
 	})
@@ -70,7 +70,7 @@
 		t.Errorf("after the cut: %+v", status)
 	}
 	if last := c.last(); last.revision != 2 || len(last.records) != 1 {
-		t.Errorf("holds %+v", last)
+		t.Errorf("accepted %+v", last)
 	}
 }
 
@@ -114,7 +114,7 @@
 	for _, c := range controllers {
 		c.awaitAccepted(logs[1])
 		if member := c.client.Status().Member; member == addresses[0] {
-			t.Errorf("%s still follows the member that is gone", c.client.config.Name)
+			t.Errorf("%s still follows the member that has stopped", c.client.config.Name)
 		}
 	}
 }
@@ -138,12 +138,12 @@
 			accepted := c.last()
 			log.put(t, "buy", "shop", 2000)
 			if last := c.last(); last.revision != accepted.revision {
-				t.Errorf("holds revision %d, cut off it held %d", last.revision, accepted.revision)
+				t.Errorf("accepted revision %d, cut off it had %d", last.revision, accepted.revision)
 			}
 			cut(proxy, false)
 			c.awaitAccepted(log)
 			waitFor(t, "it is not stale any more", func() bool { return !c.client.Status().Stale })
-			waitFor(t, "all of that was told", func() bool {
+			waitFor(t, "all of that was reported", func() bool {
 				c.resultsMutex.Lock()
 				defer c.resultsMutex.Unlock()
 				return slices.Equal(c.staleChanges, []bool{false, true, false})
@@ -190,7 +190,7 @@
 		}
 		return nil
 	}
-	rejecting := newFollowerController(t, Config{Name: "wary", Scope: shop, Members: []string{m.address}, Validate: rejects})
+	rejecting := newFollowerController(t, Config{Name: "rejecting", Scope: shop, Members: []string{m.address}, Validate: rejects})
 	others := []*followerController{newFollowerController(t, Config{Name: "other-1", Scope: shop, Members: []string{m.address}}),
 		newFollowerController(t, Config{Name: "other-2", Scope: shop, Members: []string{m.address}})}
 	for _, c := range append(others, rejecting) {
@@ -201,9 +201,9 @@
 		c.awaitAccepted(log)
 	}
 	var rejected configsync.LeaseStatus
-	waitFor(t, "the refusal is known", func() bool {
+	waitFor(t, "the NACK is known", func() bool {
 		leases := m.service.Status().Leases
-		at := slices.IndexFunc(leases, func(one configsync.LeaseStatus) bool { return one.Name == "wary" })
+		at := slices.IndexFunc(leases, func(one configsync.LeaseStatus) bool { return one.Name == "rejecting" })
 		if at < 0 || leases[at].RejectedRevision == 0 {
 			return false
 		}
@@ -214,13 +214,13 @@
 		t.Errorf("%+v", rejected)
 	}
 	if status := m.service.Status(); status.ConvergedRevision != 1 || status.Live != 3 {
-		t.Errorf("in force %d at %d followers", status.ConvergedRevision, status.Live)
+		t.Errorf("converged revision %d at %d followers", status.ConvergedRevision, status.Live)
 	}
 	log.put(t, "buy", "shop", 3000)
 	for _, c := range append(others, rejecting) {
 		c.awaitAccepted(log)
 	}
-	waitFor(t, "the later change is in force", func() bool { return m.service.Status().ConvergedRevision == 3 })
+	waitFor(t, "the later change has converged", func() bool { return m.service.Status().ConvergedRevision == 3 })
 }
 
 // A follower moves to a member that has not caught up: it has to stay at its revision, and go on once that member has more.
@@ -242,7 +242,7 @@
 	waitFor(t, "it follows the other", func() bool { return c.client.Status().Member == proxy.address() })
 	waitFor(t, "the other has renewed its lease", func() bool { return !c.client.Status().Stale && two.service.Counts().Heartbeats > 2 })
 	if last := c.last(); last.revision != 10 {
-		t.Errorf("holds revision %d", last.revision)
+		t.Errorf("accepted revision %d", last.revision)
 	}
 	for change := 5; change < 12; change++ {
 		behind.put(t, "buy", "shop", float64(1000+change))
--- a/configsync/transport/fixture_test.go
+++ b/configsync/transport/fixture_test.go
@@ -239,7 +239,7 @@
 // awaitAccepted waits until the client has accepted what a log has of its scope.
 func (c *followerController) awaitAccepted(log *groupLog) {
 	c.t.Helper()
-	waitFor(c.t, fmt.Sprintf("%s holds revision %d", c.client.config.Name, log.Revision()), func() bool {
+	waitFor(c.t, fmt.Sprintf("%s has accepted revision %d", c.client.config.Name, log.Revision()), func() bool {
 		view := log.InScope(c.client.config.Scope.Normalized())
 		want, revision := view.Records, view.Revision
 		last := c.last()
--- a/configsync/transport/service_test.go
+++ b/configsync/transport/service_test.go
@@ -61,7 +61,7 @@
 	if err := stuck.Send(follower.Begin(time.Now())); err != nil {
 		t.Fatal(err)
 	}
-	waitFor(t, "the whole scope is being sent to it", func() bool { return m.service.Counts().FullScopes == 2 })
+	waitFor(t, "the full scope is being sent to it", func() bool { return m.service.Counts().FullScopes == 2 })
 	for change := range 20 {
 		log.put(t, "buy", "other", float64(1000+change))
 		c.awaitAccepted(log)
@@ -91,11 +91,11 @@
 	limits := testLimits()
 	limits.FullScopeBurstBytes, limits.FullScopeBytesPerSecond = 1, 1 // one scope, then none for hours
 	m := newMember(t, log, limits)
-	inStep := newFollowerController(t, Config{Name: "in step", Scope: shop, Members: []string{m.address}})
+	inStep := newFollowerController(t, Config{Name: "up to date", Scope: shop, Members: []string{m.address}})
 	inStep.awaitAccepted(log)
 	var waiting []*followerController
 	for k := range 40 {
-		waiting = append(waiting, newFollowerController(t, Config{Name: fmt.Sprintf("crowd-%d", k), Scope: shop, Members: []string{m.address}}))
+		waiting = append(waiting, newFollowerController(t, Config{Name: fmt.Sprintf("waiting-%d", k), Scope: shop, Members: []string{m.address}}))
 	}
 	for _, c := range waiting {
 		waitFor(t, "it has its lease", func() bool { return !c.client.Status().Stale })
@@ -153,7 +153,7 @@
 		fullScopes += m.service.Counts().FullScopes
 	}
 	if fullScopes < 120 {
-		t.Errorf("%d whole scopes sent, 120 starts", fullScopes)
+		t.Errorf("%d full scopes sent, 120 starts", fullScopes)
 	}
 }
 
@@ -283,7 +283,7 @@
 	c := newFollowerController(t, Config{Scope: shop, Members: []string{m.address}})
 	c.awaitAccepted(log)
 	conn := rawConn(t, m)
-	waitFor(t, "the follower is shown in step", func() bool {
+	waitFor(t, "the follower is shown as up to date", func() bool {
 		ctx, cancel := context.WithTimeout(t.Context(), testTimeout)
 		defer cancel()
 		reported, err := FetchMemberStatus(ctx, conn)
--- a/sidecar/proxy_test.go
+++ b/sidecar/proxy_test.go
@@ -132,7 +132,7 @@
 		}
 	}
 	if good.Calls("/q") != 30 || p.Load.Retried.Load() == 0 {
-		t.Errorf("%d calls, %d further tries", good.Calls("/q"), p.Load.Retried.Load())
+		t.Errorf("%d requests, %d retries", good.Calls("/q"), p.Load.Retried.Load())
 	}
 	address, _ = startProxy(t, 1, silent, silent)
 	for range 10 {
--- a/sidecar/resource_cache_test.go
+++ b/sidecar/resource_cache_test.go
@@ -86,7 +86,7 @@
 		got[node.Node]++
 	}
 	if throttled < 2850 || throttled > 3150 {
-		t.Errorf("%d of 4000 turned away, want three in four", throttled)
+		t.Errorf("%d of 4000 rejected, want three in four", throttled)
 	}
 	if part := float64(got["b"]) / float64(got["a"]+got["b"]); part < 0.7 || part > 0.8 {
 		t.Errorf("b got %.2f, want 0.75", part)
@@ -187,7 +187,7 @@
 			`route "issue" is mutating and would be repeated on "5xx"`},
 		"nothing said of it, and repeated": {xds.Routes, routes(func(r *routev3.Route) { r.Metadata = nil; r.GetRoute().RetryPolicy.RetryOn = "reset" }),
 			`route "issue" is mutating`},
-		"too many tries": {xds.Routes, routes(func(r *routev3.Route) { r.GetRoute().RetryPolicy.NumRetries = wrapperspb.UInt32(9) }), "9 more times"},
+		"too many retries": {xds.Routes, routes(func(r *routev3.Route) { r.GetRoute().RetryPolicy.NumRetries = wrapperspb.UInt32(9) }), "9 more times"},
 		"unknown cluster": {xds.Routes, routes(func(r *routev3.Route) {
 			r.GetRoute().ClusterSpecifier = &routev3.RouteAction_Cluster{Cluster: "pool-9"}
 		}), `cluster "pool-9", which is not held`},
@@ -205,7 +205,7 @@
 				t.Errorf("%v, %q; want %q", err, out[0].GetErrorDetail().GetMessage(), c.want)
 			}
 			if diff := cmp.Diff(before, h.Table().Versions); diff != "" {
-				t.Errorf("what is held changed:\n%s", diff)
+				t.Errorf("the accepted versions changed:\n%s", diff)
 			}
 		})
 	}
@@ -271,7 +271,7 @@
 		flipped := append([]byte(nil), complete...)
 		flipped[at] ^= 1 << (at % 8)
 		if load(flipped) == nil {
-			t.Fatalf("a bit of byte %d: taken", at)
+			t.Fatalf("a bit of byte %d: accepted", at)
 		}
 	}
 	if err := load(complete); err != nil {
--- a/sidecar/shutdown_test.go
+++ b/sidecar/shutdown_test.go
@@ -85,7 +85,7 @@
 			select {
 			case <-ended:
 			case <-time.After(endsWithin):
-				t.Errorf("%s holds the end up", name)
+				t.Errorf("%s delays the end", name)
 			}
 			conn.Close()
 		})
--- a/xds/compiler_test.go
+++ b/xds/compiler_test.go
@@ -24,11 +24,11 @@
 		text := fmt.Sprint(mustUnmarshal(t, s.Sets[Routes][RoutesName]))
 		for _, on := range []string{"5xx", "reset\"", "gateway-error", "retriable"} {
 			if strings.Contains(text, on) {
-				t.Errorf("tries %d: %s", retries, text)
+				t.Errorf("policy %d: %s", retries, text)
 			}
 		}
 		if with := strings.Contains(text, RetryIfNotSent); with != (retries == planner.RetryIfNotSent) {
-			t.Errorf("tries %d: further tries %t", retries, with)
+			t.Errorf("policy %d: retries %t", retries, with)
 		}
 	}
 }
--- a/xds/doc.go
+++ b/xds/doc.go
@@ -10,4 +10,7 @@
 //     the next response of each type.
 //   - A [Server] has the streams and the sidecars behind them. It sets the target snapshot of each from the commands and
 //     tells its [Sink] when a sidecar has accepted all up to a nonce of the planner.
+//
+// If a sidecar does not route as it should, [Server.Sidecars] has its table, and for each resource the accepted and the target
+// version, since when a response is pending, and what was rejected and why. Operators get it by client status discovery.
 package xds
--- a/xds/faulty_network_test.go
+++ b/xds/faulty_network_test.go
@@ -65,7 +65,7 @@
 			sum.Write(body.GetValue())
 			fmt.Fprint(sum, h.number)
 			if sum.Sum32()%16 == 0 {
-				return errors.New("not to my liking")
+				return errors.New("rejected by this test")
 			}
 			return nil
 		}
@@ -169,7 +169,7 @@
 		for cluster, nodes := range h.Table().Clusters {
 			for _, l := range nodes {
 				if at, gone := network.removedAt[cluster+" "+l.Node]; gone && at <= nonce && network.routesUse(h, cluster) {
-					network.addViolation("%s confirmed %d and has %s in %s, gone since %d", h.ID, nonce, l.Node, cluster, at)
+					network.addViolation("%s acknowledged %d and has %s in %s, removed at %d", h.ID, nonce, l.Node, cluster, at)
 				}
 			}
 		}
@@ -320,7 +320,7 @@
 		for name, version := range versions {
 			k := versionKey(xds.ResourceType(resourceType), name, version)
 			if h.rejected[k] {
-				network.addViolation("%s routes by %s, which it refused", h.ID, k)
+				network.addViolation("%s routes by %s, which it rejected", h.ID, k)
 			}
 			if !h.sent[k] {
 				network.addViolation("%s routes by %s, which was never sent", h.ID, k)
--- a/xds/random_faults_test.go
+++ b/xds/random_faults_test.go
@@ -23,7 +23,7 @@
 		for _, c := range network.server.Sidecars(network.now) {
 			for _, s := range c.Resources {
 				if s.Accepted != s.Target && s.Rejection == nil && s.Type != xds.Routes && s.Type != xds.Listeners && s.Target != "" && !network.blocked(c) {
-					network.addViolation("%s holds %s of %s %s, not %s", c.ID, s.Accepted, s.Type, s.Name, s.Target)
+					network.addViolation("%s has accepted %s of %s %s, not %s", c.ID, s.Accepted, s.Type, s.Name, s.Target)
 				}
 			}
 		}
@@ -52,7 +52,7 @@
 	}
 	network.play(1000)
 	if len(network.violations) == 0 {
-		t.Error("sidecars that route by what they refused were not seen")
+		t.Error("sidecars that route by what they rejected were not found")
 	}
 	network = newFaultyNetwork(t, 1, 4)
 	for _, h := range network.sidecars {
@@ -60,6 +60,6 @@
 	}
 	network.play(3000)
 	if len(network.violations) == 0 {
-		t.Error("a refusal told as an acceptance was not seen")
+		t.Error("a rejection answered by an ACK was not found")
 	}
 }
--- a/xds/server_test.go
+++ b/xds/server_test.go
@@ -21,7 +21,7 @@
 	join := func(now float64, id string) uint64 {
 		stream++
 		if err := s.Open(now, stream, true, id, "z"); err != nil {
-			got = append(got, id+" refused")
+			got = append(got, id+" rejected")
 			return 0
 		}
 		number, _ := s.Number(id)
@@ -39,7 +39,7 @@
 	if _, known := s.Number("b"); known {
 		got = append(got, "b known")
 	}
-	want := []string{"a0", "b1", "c2", "d refused", "e1", "a0", "b refused"}
+	want := []string{"a0", "b1", "c2", "d rejected", "e1", "a0", "b rejected"}
 	if diff := cmp.Diff(want, got); diff != "" {
 		t.Errorf("numbers (-want +got):\n%s", diff)
 	}
--- a/xds/stream_test.go
+++ b/xds/stream_test.go
@@ -110,7 +110,7 @@
 	for _, name := range sortedKeys(c.s.subscriptions[Clusters].accepted) {
 		accepted = append(accepted, c.names[c.s.subscriptions[Clusters].accepted[name].Version])
 	}
-	fmt.Fprintf(c, "holds %v whole %t stale %d\n", accepted, c.s.Holds(Clusters, c.target.sequence[Clusters]), c.s.Stale)
+	fmt.Fprintf(c, "accepted %v complete %t stale %d\n", accepted, c.s.Holds(Clusters, c.target.sequence[Clusters]), c.s.Stale)
 }
 
 // Each story is a sequence of requests, changes of the target and answers, with the responses that have to follow.
@@ -121,7 +121,7 @@
 		want  string
 	}{
 		"accepted, then nothing": {false, func(c *streamScript) { c.subscribe(); c.next(); c.answer(0, ""); c.printAccepted(); c.next() },
-			"sent [a1 b1]\nholds [a1 b1] whole true stale 0\nnothing\n"},
+			"sent [a1 b1]\naccepted [a1 b1] complete true stale 0\nnothing\n"},
 		"one response at a time, the newest state next": {false, func(c *streamScript) {
 			c.subscribe()
 			c.next()
@@ -131,8 +131,8 @@
 			c.answer(0, "")
 			c.printAccepted()
 			c.next()
-		}, "sent [a1 b1]\nnothing\nholds [a1 b1] whole false stale 0\nsent [a3 b1]\n"},
-		"a stale acceptance after a newer push": {false, func(c *streamScript) {
+		}, "sent [a1 b1]\nnothing\naccepted [a1 b1] complete false stale 0\nsent [a3 b1]\n"},
+		"a stale ACK after a newer response": {false, func(c *streamScript) {
 			c.subscribe()
 			c.next()
 			c.answer(0, "")
@@ -142,8 +142,8 @@
 			c.printAccepted()
 			c.answer(0, "")
 			c.printAccepted()
-		}, "sent [a1 b1]\nsent [a2 b1]\nholds [a1 b1] whole false stale 1\nholds [a2 b1] whole true stale 1\n"},
-		"a stale refusal after a newer push": {true, func(c *streamScript) {
+		}, "sent [a1 b1]\nsent [a2 b1]\naccepted [a1 b1] complete false stale 1\naccepted [a2 b1] complete true stale 1\n"},
+		"a stale NACK after a newer response": {true, func(c *streamScript) {
 			c.subscribe()
 			c.next()
 			c.answer(0, "")
@@ -152,8 +152,8 @@
 			c.answer(1, "late")
 			c.answer(0, "")
 			c.printAccepted()
-		}, "sent [a1 b1] removed []\nsent [a2] removed []\nholds [a2 b1] whole true stale 1\n"},
-		"a refused version does not come again, the next one does": {true, func(c *streamScript) {
+		}, "sent [a1 b1] removed []\nsent [a2] removed []\naccepted [a2 b1] complete true stale 1\n"},
+		"a rejected version is not sent again, the next one is": {true, func(c *streamScript) {
 			c.subscribe()
 			c.next()
 			c.answer(0, "")
@@ -169,7 +169,7 @@
 			c.next()
 			c.answer(0, "")
 			c.printAccepted()
-		}, "sent [a1 b1] removed []\nsent [a2] removed []\nnothing\nholds [a1 b1] whole false stale 0\nsent [b2] removed []\nsent [a3] removed []\nholds [a3 b2] whole true stale 0\n"},
+		}, "sent [a1 b1] removed []\nsent [a2] removed []\nnothing\naccepted [a1 b1] complete false stale 0\nsent [b2] removed []\nsent [a3] removed []\naccepted [a3 b2] complete true stale 0\n"},
 		"one bad among good ones, delta": {true, func(c *streamScript) {
 			c.setTarget("a1", "b1", "c1")
 			c.subscribe()
@@ -181,7 +181,7 @@
 			}
 			c.next()
 			c.printAccepted()
-		}, "sent [a1 b1 c1] removed []\nsent [a1] removed []\nsent [b1] removed []\nsent [c1] removed []\nnothing\nholds [a1 c1] whole false stale 0\n"},
+		}, "sent [a1 b1 c1] removed []\nsent [a1] removed []\nsent [b1] removed []\nsent [c1] removed []\nnothing\naccepted [a1 c1] complete false stale 0\n"},
 		"one bad among good ones, state of the world": {false, func(c *streamScript) {
 			c.subscribe()
 			c.next()
@@ -195,8 +195,8 @@
 			c.answer(0, "")
 			c.next()
 			c.printAccepted()
-		}, "sent [a1 b1]\nsent [a2 b2]\nsent [a2 b1]\nsent [a1 b2]\nnothing\nholds [a1 b2] whole false stale 0\n"},
-		"back to what it holds": {true, func(c *streamScript) {
+		}, "sent [a1 b1]\nsent [a2 b2]\nsent [a2 b1]\nsent [a1 b2]\nnothing\naccepted [a1 b2] complete false stale 0\n"},
+		"back to the accepted version": {true, func(c *streamScript) {
 			c.subscribe()
 			c.next()
 			c.answer(0, "")
@@ -206,7 +206,7 @@
 			c.setTarget("a1", "b1")
 			c.next()
 			c.printAccepted()
-		}, "sent [a1 b1] removed []\nsent [a2] removed []\nnothing\nholds [a1 b1] whole true stale 0\n"},
+		}, "sent [a1 b1] removed []\nsent [a2] removed []\nnothing\naccepted [a1 b1] complete true stale 0\n"},
 		"removed": {true, func(c *streamScript) {
 			c.subscribe()
 			c.next()
@@ -215,8 +215,8 @@
 			c.next()
 			c.answer(0, "")
 			c.printAccepted()
-		}, "sent [a1 b1] removed []\nsent [] removed [a]\nholds [b1] whole true stale 0\n"},
-		"a removal that is refused is not repeated": {false, func(c *streamScript) {
+		}, "sent [a1 b1] removed []\nsent [] removed [a]\naccepted [b1] complete true stale 0\n"},
+		"a removal that is rejected is not repeated": {false, func(c *streamScript) {
 			c.subscribe()
 			c.next()
 			c.answer(0, "")
@@ -225,7 +225,7 @@
 			c.answer(0, "no")
 			c.next()
 			c.printAccepted()
-		}, "sent [a1 b1]\nsent [b1]\nnothing\nholds [a1 b1] whole false stale 0\n"},
+		}, "sent [a1 b1]\nsent [b1]\nnothing\naccepted [a1 b1] complete false stale 0\n"},
 		"named, then all, then named": {true, func(c *streamScript) {
 			c.subscribe("a")
 			c.next()
@@ -237,7 +237,7 @@
 			c.unsubscribe("*")
 			c.printAccepted()
 			c.next()
-		}, "sent [a1] removed []\nsent [b1] removed []\nholds [a1 b1] whole true stale 0\nholds [a1] whole true stale 0\nnothing\n"},
+		}, "sent [a1] removed []\nsent [b1] removed []\naccepted [a1 b1] complete true stale 0\naccepted [a1] complete true stale 0\nnothing\n"},
 		"what is not there is said once, and comes when it is": {true, func(c *streamScript) {
 			c.subscribe("z")
 			c.next()
@@ -262,7 +262,7 @@
 			c.next()
 			c.answer(0, "")
 			c.printAccepted()
-		}, "sent [a1] removed []\nsent [b1] removed [a]\nholds [b1] whole true stale 0\n"},
+		}, "sent [a1] removed []\nsent [b1] removed [a]\naccepted [b1] complete true stale 0\n"},
 	} {
 		t.Run(name, func(t *testing.T) {
 			c := newScript(t, story.delta, "a1", "b1")
--- a/xds/transport/endpoint_watcher_test.go
+++ b/xds/transport/endpoint_watcher_test.go
@@ -114,7 +114,7 @@
 	})
 	l.lock.Lock()
 	if diff := cmp.Diff([]string{fmt.Sprintf("v1 a%d b%d", planner.Ready, planner.Draining), fmt.Sprintf("v7 127.0.0.1:9%d", planner.Ready)}, accepted); diff != "" {
-		t.Errorf("taken:\n%s", diff)
+		t.Errorf("accepted:\n%s", diff)
 	}
 	if diff := cmp.Diff([]string{`[tickets] has "": `, `[tickets] has "v1": `, `[tickets] has "v1": zone "moon" is not known`,
 		`[tickets] has "v1": node "a" is there twice`, `[tickets] has "v1": it names no node that takes calls`,
--- a/xds/transport/rejection_test.go
+++ b/xds/transport/rejection_test.go
@@ -22,18 +22,18 @@
 // rejectingSidecar is a sidecar that rejects some contents and whose routing is checked after each response.
 type rejectingSidecar struct {
 	*sidecar.ResourceCache
-	lock    sync.Mutex
-	refused map[string]bool
-	faults  []string
-	got     int
+	stateMutex sync.Mutex
+	rejected   map[string]bool
+	violations []string
+	responses  int
 }
 
 func (p *rejectingSidecar) checkRouting() {
-	p.got++
+	p.responses++
 	for resourceType, versions := range p.Table().Versions {
 		for name, version := range versions {
-			if p.refused[fmt.Sprint(xds.ResourceType(resourceType), name, version)] {
-				p.faults = append(p.faults, fmt.Sprintf("%s routes by %s of %s, which it refused", p.ID, version, name))
+			if p.rejected[fmt.Sprint(xds.ResourceType(resourceType), name, version)] {
+				p.violations = append(p.violations, fmt.Sprintf("%s routes by %s of %s, which it rejected", p.ID, version, name))
 			}
 		}
 	}
@@ -52,12 +52,12 @@
 }
 
 func exchange[Request, Response any](p *rejectingSidecar, s sidecar.Transport[Request, Response], begin func() []Request, take func(Response) ([]Request, error)) {
-	p.lock.Lock()
+	p.stateMutex.Lock()
 	first := begin()
-	p.lock.Unlock()
+	p.stateMutex.Unlock()
 	sidecar.Exchange(s, first, nil, func(r Response) ([]Request, error) {
-		p.lock.Lock()
-		defer p.lock.Unlock()
+		p.stateMutex.Lock()
+		defer p.stateMutex.Unlock()
 		out, err := take(r)
 		p.checkRouting()
 		return out, err
@@ -80,18 +80,18 @@
 		streams.Go(func() { all[k].runStreams(ctx, conn); conn.Close() })
 	}
 	for k := range all {
-		p := &rejectingSidecar{refused: map[string]bool{}}
+		p := &rejectingSidecar{rejected: map[string]bool{}}
 		p.ResourceCache = &sidecar.ResourceCache{ID: fmt.Sprint("till-", k), Zone: "north", Delta: k%2 == 0,
 			ExtraCheck: func(_ xds.ResourceType, _ string, body *anypb.Any) error {
 				sum := fnv.New32a()
 				sum.Write(body.GetValue())
 				fmt.Fprint(sum, k)
 				if sum.Sum32()%8 == 0 {
-					return errors.New("not to my liking")
+					return errors.New("rejected by this test")
 				}
 				return nil
 			},
-			OnReject: func(r sidecar.RejectedResource) { p.refused[fmt.Sprint(r.Type, r.Name, r.Version)] = true }}
+			OnReject: func(r sidecar.RejectedResource) { p.rejected[fmt.Sprint(r.Type, r.Name, r.Version)] = true }}
 		all[k] = p
 		begin(k)
 	}
@@ -112,7 +112,7 @@
 	}
 	waitFor(t, "all are back", func() bool { return connectedSidecars(server) == sidecars })
 	bindAll(server, sidecars, pushes+10)
-	waitFor(t, "all settle but for what they refuse", func() bool {
+	waitFor(t, "all converge but for what they reject", func() bool {
 		n := 0
 		var joins []controller.Command // a stream that was cut may count for a while: its successor then joins after that
 		defer func() {
@@ -143,13 +143,13 @@
 	streams.Wait()
 	got, refused := 0, 0
 	for _, p := range all {
-		got, refused = got+p.got, refused+len(p.refused)
-		for _, fault := range p.faults {
+		got, refused = got+p.responses, refused+len(p.rejected)
+		for _, fault := range p.violations {
 			t.Error(fault)
 		}
 	}
 	if got < 300 || refused < 30 {
-		t.Errorf("%d responses and %d refusals only", got, refused)
+		t.Errorf("%d responses and %d rejections only", got, refused)
 	}
-	t.Logf("%d responses, %d refusals", got, refused)
+	t.Logf("%d responses, %d rejections", got, refused)
 }
--- a/xds/transport/server_test.go
+++ b/xds/transport/server_test.go
@@ -150,7 +150,7 @@
 	go (&sidecarClients{}).join(ctx, dial(t, address), good)
 	waitFor(t, "it joined", func() bool { return knownSidecars(server) == 1 })
 	publishTable(server, 1, 3)
-	waitFor(t, "it holds its table", func() bool { return convergedSidecars(server) == 1 })
+	waitFor(t, "it has accepted its table", func() bool { return convergedSidecars(server) == 1 })
 
 	client := discoveryv3.NewAggregatedDiscoveryServiceClient(dial(t, address))
 	node := func(id, zone string) *corev3.Node {
