--- a/cmd/harehookctl/main.go
+++ b/cmd/harehookctl/main.go
@@ -111,7 +111,7 @@
 		return nil, fault(err)
 	}
 	if certificates != nil {
-		transportCredentials = credentials.NewTLS(certificates.Client(controllerName))
+		transportCredentials = credentials.NewTLS(certificates.ClientConfig(controllerName))
 	}
 	return grpc.NewClient("passthrough:///"+address, grpc.WithTransportCredentials(transportCredentials),
 		grpc.WithDefaultCallOptions(grpc.MaxCallRecvMsgSize(maxMessageBytes)))
--- a/cmd/harehookctl/sidecars.go
+++ b/cmd/harehookctl/sidecars.go
@@ -57,7 +57,7 @@
 		Joined: about[front.StatusJoined].GetBoolValue(), DisconnectedS: about[front.StatusDisconnectedSeconds].GetNumberValue(),
 		Unconfirmed: int(about[front.StatusUnconfirmed].GetNumberValue())}
 	for _, g := range c.GetGenericXdsConfigs() {
-		kind, _ := xds.KindOf(g.GetTypeUrl())
+		kind, _ := xds.ParseTypeURL(g.GetTypeUrl())
 		r.Versions = append(r.Versions, versionOutput{kind.String(), g.GetName(), g.GetVersionInfo(), strings.ToLower(g.GetConfigStatus().String()),
 			g.GetErrorState().GetVersionInfo(), g.GetErrorState().GetDetails()})
 	}
--- a/cmd/harehookctl/tables.go
+++ b/cmd/harehookctl/tables.go
@@ -93,7 +93,7 @@
 			continue
 		}
 		body := resource.GetXdsConfig().GetValue()
-		kind, _ := xds.KindOf(resource.GetTypeUrl())
+		kind, _ := xds.ParseTypeURL(resource.GetTypeUrl())
 		switch kind {
 		case xds.Endpoints:
 			var assignment endpointv3.ClusterLoadAssignment
--- a/configsync/transport/leaderguard.go
+++ b/configsync/transport/leaderguard.go
@@ -58,9 +58,9 @@
 func (g *LeaderGuard) setPaused(paused bool) {
 	if paused {
 		g.Log.Warn("followers are sent to other members: no leader is known")
-		g.Service.Pause(ErrNoLeader)
+		g.Service.SetUnavailable(ErrNoLeader)
 		return
 	}
 	g.Log.Info("followers are served again")
-	g.Service.Pause(nil)
+	g.Service.SetUnavailable(nil)
 }
--- a/configsync/transport/service.go
+++ b/configsync/transport/service.go
@@ -1,6 +1,3 @@
-// Package follow connects the machines of package follow to the network. A Service is the part of a group's member: it
-// serves followers on the group's gRPC server. A Client is the part of a conductor that is not a member: it follows one
-// member at a time and moves to another one where that fails.
 package transport
 
 import (
@@ -14,15 +11,15 @@
 	"google.golang.org/grpc/codes"
 	"google.golang.org/grpc/status"
 
-	machine "harehook.dev/harehook/configsync"
+	"harehook.dev/harehook/configsync"
 	"harehook.dev/harehook/records"
 )
 
 const (
-	// firstRequestTimeout is how long a stream may be open without a word of its follower.
-	firstRequestTimeout = 2 * time.Second
-	// maxPending is how many commits wait to be noted while no stream is awake: as many as the machine remembers.
-	maxPending = 4096
+	// handshakeTimeout is how long a stream may be open without its first request.
+	handshakeTimeout = 2 * time.Second
+	// maxPendingCommits is the number of commits that wait while no stream runs: as many as a lease table remembers.
+	maxPendingCommits = 4096
 )
 
 // Service serves the followers of one member. Its methods may be called from any goroutine.
@@ -32,117 +29,125 @@
 	log   *zap.Logger
 	lease time.Duration
 
-	machineMutex sync.Mutex // guards the machine and its streams; never held while something is sent
-	machine      *machine.Server
+	serverMutex sync.Mutex // guards server and all configsync.Streams; never held during a send
+	server      *configsync.Server
 
-	// The group's goroutine takes only this lock, which is never held for longer than it takes to poke each stream.
-	pendingMutex sync.Mutex
-	pending      []commit
-	streams      map[*stream]struct{}
-	paused       error
+	// pendingMutex is the only one that the goroutine that applies the group's log takes. It is never held for longer than
+	// it takes to wake each stream.
+	pendingMutex   sync.Mutex
+	pendingCommits []pendingCommit
+	streams        map[*stream]struct{}
+	unavailable    error // why no stream is served, nil: they are
 }
 
-// commit is a change that the machine has not been told of yet.
-type commit struct {
-	change records.Change
-	at     time.Time
+// pendingCommit is a change that the server has not been told of yet.
+type pendingCommit struct {
+	change      records.Change
+	committedAt time.Time
 }
 
-// NewService makes the part of a member whose records are those of a source.
-func NewService(member string, source records.Source, limits machine.Limits, log *zap.Logger) *Service {
+// NewService returns the service of a member that sends the records of a source.
+func NewService(member string, source records.Source, limits configsync.Limits, log *zap.Logger) *Service {
 	return &Service{
-		log: log, lease: limits.Lease,
-		machine: machine.NewServer(member, source, limits, time.Now()),
+		log:     log,
+		lease:   limits.Lease,
+		server:  configsync.NewServer(member, source, limits, time.Now()),
 		streams: map[*stream]struct{}{},
 	}
 }
 
-// Register serves followers and operators on a gRPC server.
-func (s *Service) Register(server grpc.ServiceRegistrar) {
-	discoveryv3.RegisterAggregatedDiscoveryServiceServer(server, s)
-	server.RegisterService(statusDescription(followersService, s.Status), s)
+// Register adds the followers' and the operators' services to a gRPC server.
+func (s *Service) Register(registrar grpc.ServiceRegistrar) {
+	discoveryv3.RegisterAggregatedDiscoveryServiceServer(registrar, s)
+	registrar.RegisterService(statusDescription(followersService, s.Status), s)
 }
 
-// Committed notes that the source has changed and wakes all streams. It waits for no stream, so the goroutine that
-// applies the group's log may call it.
+// Committed has to be called when the source has changed; it wakes all streams. It waits for no stream, so the goroutine
+// that applies the group's log may call it.
 func (s *Service) Committed(change records.Change) {
-	change.Updates = nil // streams ask the source
+	change.Updates = nil // streams query the source
 	now := time.Now()
 	s.pendingMutex.Lock()
 	defer s.pendingMutex.Unlock()
-	if len(s.pending) >= maxPending {
-		s.pending = append(s.pending[:0], s.pending[maxPending/2:]...)
-	}
-	s.pending = append(s.pending, commit{change, now})
-	for one := range s.streams {
-		one.wake()
+	if len(s.pendingCommits) >= maxPendingCommits {
+		s.pendingCommits = append(s.pendingCommits[:0], s.pendingCommits[maxPendingCommits/2:]...)
 	}
+	s.pendingCommits = append(s.pendingCommits, pendingCommit{change: change, committedAt: now})
+	s.wakeStreams()
 }
 
-// Pause ends all streams and refuses new ones with a reason until it is called with nil: a member that may be out of
-// date must not extend leases.
-func (s *Service) Pause(reason error) {
+// SetUnavailable ends all streams and rejects new ones with a reason until it is called with nil: a member that may be out
+// of date must not extend leases.
+func (s *Service) SetUnavailable(reason error) {
 	s.pendingMutex.Lock()
 	defer s.pendingMutex.Unlock()
-	s.paused = reason
-	if reason == nil {
-		return
+	s.unavailable = reason
+	if reason != nil {
+		s.wakeStreams()
 	}
-	for one := range s.streams {
-		one.wake()
+}
+
+// wakeStreams needs pendingMutex.
+func (s *Service) wakeStreams() {
+	for stream := range s.streams {
+		stream.wake()
 	}
 }
 
-func (s *Service) pausedBy() error {
+func (s *Service) unavailableReason() error {
 	s.pendingMutex.Lock()
 	defer s.pendingMutex.Unlock()
-	return s.paused
+	return s.unavailable
 }
 
-// locked runs something with the machine, which has been told of all commits.
-func (s *Service) locked(do func(now time.Time)) {
-	s.machineMutex.Lock()
-	defer s.machineMutex.Unlock()
-	s.pendingMutex.Lock()
-	pending := s.pending
-	s.pending = nil
-	s.pendingMutex.Unlock()
-	for _, one := range pending {
-		s.machine.Committed(one.at, one.change)
+// withServer calls a function that uses the server, which has been told of all commits before.
+func (s *Service) withServer(use func(now time.Time)) {
+	s.serverMutex.Lock()
+	defer s.serverMutex.Unlock()
+	for _, pending := range s.takePendingCommits() {
+		s.server.Committed(pending.committedAt, pending.change)
 	}
-	do(time.Now())
+	use(time.Now())
+}
+
+func (s *Service) takePendingCommits() []pendingCommit {
+	s.pendingMutex.Lock()
+	defer s.pendingMutex.Unlock()
+	taken := s.pendingCommits
+	s.pendingCommits = nil
+	return taken
 }
 
-// Status tells what the followers of this member hold.
-func (s *Service) Status() (out machine.MemberStatus) {
-	s.locked(func(now time.Time) { out = s.machine.Status(now) })
-	return out
+// Status tells what the followers of this member have accepted.
+func (s *Service) Status() (memberStatus configsync.MemberStatus) {
+	s.withServer(func(now time.Time) { memberStatus = s.server.Status(now) })
+	return memberStatus
 }
 
 // Counts tells what was sent since the service was made.
-func (s *Service) Counts() (out machine.Counts) {
-	s.locked(func(time.Time) { out = s.machine.Counts })
-	return out
+func (s *Service) Counts() (counts configsync.Counts) {
+	s.withServer(func(time.Time) { counts = s.server.Counts })
+	return counts
 }
 
-// StreamAggregatedResources is the variant that followers don't speak.
+// StreamAggregatedResources returns Unimplemented: it is the variant of xDS that followers don't use.
 func (s *Service) StreamAggregatedResources(discoveryv3.AggregatedDiscoveryService_StreamAggregatedResourcesServer) error {
 	return status.Error(codes.Unimplemented, "followers are served by delta xDS only")
 }
 
-// DeltaAggregatedResources serves one follower until it goes, is silent for a lease's time, or does not read for as
-// long. It supervises two goroutines, which end with the stream: one receives and one sends, and either may block.
-func (s *Service) DeltaAggregatedResources(wire discoveryv3.AggregatedDiscoveryService_DeltaAggregatedResourcesServer) error {
-	one, err := s.open()
+// DeltaAggregatedResources serves one follower until it ends the stream, sends nothing for a lease's time, or does not read
+// for as long. It runs two goroutines that end with the stream: one receives and one sends, and either may block.
+func (s *Service) DeltaAggregatedResources(grpcStream deltaServer) error {
+	opened, err := s.open()
 	if err != nil {
-		return statusOf(err)
+		return grpcStatus(err)
 	}
-	defer s.close(one)
-	ctx, cancel := context.WithCancel(wire.Context())
+	defer s.close(opened)
+	ctx, cancel := context.WithCancel(grpcStream.Context())
 	defer cancel()
 	received := make(chan error, 1)
-	go func() { received <- s.receive(wire, one) }()
-	sender := &sender{outbox: make(chan *discoveryv3.DeltaDiscoveryResponse), sent: make(chan error, 1)}
-	go sender.run(ctx, wire)
-	return statusOf(s.supervise(ctx, one, received, sender))
+	go func() { received <- s.receive(grpcStream, opened) }()
+	sender := &sender{outbox: make(chan *response), sent: make(chan error, 1)}
+	go sender.run(ctx, grpcStream)
+	return grpcStatus(s.supervise(ctx, opened, received, sender))
 }
--- a/internal/daemon/agreed.go
+++ b/internal/daemon/agreed.go
@@ -12,26 +12,26 @@
 
 // checkProposal returns why proposed records cannot be used by this controller.
 func (w *watcher) checkProposal(proposed []*records.Record) error {
-	agreed, err := config.AgreedFrom(proposed)
+	agreed, err := config.AgreedFromRecords(proposed)
 	if err != nil {
 		return err
 	}
 	w.stateLock.Lock()
 	defer w.stateLock.Unlock()
-	return w.settings.CheckAgreed(agreed, w.listed)
+	return w.settings.ValidateProposal(agreed, w.listed)
 }
 
 // checkChange returns why agreed configuration cannot replace the one in effect at this controller.
 func (w *watcher) checkChange(agreed *config.Agreed) error {
 	w.stateLock.Lock()
 	defer w.stateLock.Unlock()
-	return w.settings.CheckChange(agreed, w.agreed, w.listed)
+	return w.settings.ValidateUpdate(agreed, w.agreed, w.listed)
 }
 
 // applyAgreed puts agreed records into effect. Records that were agreed on take effect also where this controller's own
 // list has changed since, so that they no longer fit: it logs that and goes on.
 func (w *watcher) applyAgreed(view records.View) {
-	agreed, err := config.AgreedFrom(view.Records)
+	agreed, err := config.AgreedFromRecords(view.Records)
 	if err != nil {
 		w.log.Error("agreed version can't be read", zap.Uint64("number", view.Revision), zap.Error(err))
 		return
@@ -45,7 +45,7 @@
 func (w *watcher) checkFits(agreed *config.Agreed) error {
 	w.stateLock.Lock()
 	defer w.stateLock.Unlock()
-	return w.settings.CheckAgreed(agreed, w.listed)
+	return w.settings.ValidateProposal(agreed, w.listed)
 }
 
 // publish puts routes and overrides into effect if they differ from those in effect, and reports whether they did. Most
--- a/internal/daemon/follower.go
+++ b/internal/daemon/follower.go
@@ -28,18 +28,18 @@
 func newFollower(settings *config.Controller, w *watcher, certificates *certs.Store, log *zap.Logger) (*follower, error) {
 	f := &follower{watcher: w, log: log.Named("follow")}
 	clientConfig := transport.Config{
-		Name:     settings.Name,
-		Scope:    settings.Follow.Scope,
-		Members:  settings.Follow.Members,
-		Lease:    settings.Follow.Lease,
-		Seed:     followSeed(settings),
-		Check:    f.check,
-		Accepted: f.accepted,
-		Stale:    f.setStale,
-		Log:      f.log,
+		Name:         settings.Name,
+		Scope:        settings.Follower.Scope,
+		Members:      settings.Follower.Members,
+		Lease:        settings.Follower.Lease,
+		Seed:         followSeed(settings),
+		Validate:     f.check,
+		Accepted:     f.accepted,
+		StaleChanged: f.setStale,
+		Log:          f.log,
 	}
 	if certificates != nil {
-		clientConfig.Credentials = credentials.NewTLS(certificates.Client(controllerName))
+		clientConfig.Credentials = credentials.NewTLS(certificates.ClientConfig(controllerName))
 	}
 	client, err := transport.NewClient(clientConfig)
 	if err != nil {
@@ -58,14 +58,14 @@
 }
 
 func (f *follower) run(ctx context.Context) error {
-	f.log.Info("follows a group", zap.Strings("members", f.watcher.settings.Follow.Members))
+	f.log.Info("follows a group", zap.Strings("members", f.watcher.settings.Follower.Members))
 	f.client.Run(ctx)
 	return nil
 }
 
 // check returns why records cannot be used here. It runs on the client's goroutine, as accepted does.
 func (f *follower) check(revision uint64, received map[records.Key]*records.Record) error {
-	agreed, err := config.AgreedOf(received)
+	agreed, err := config.AgreedFromFollower(received)
 	if err == nil {
 		err = f.watcher.checkChange(agreed)
 	}
--- a/internal/daemon/member.go
+++ b/internal/daemon/member.go
@@ -44,8 +44,8 @@
 	node.CheckProposal = w.checkProposal
 	var serverTLS *tls.Config
 	if certificates != nil {
-		serverTLS = certificates.Server()
-		node.TLSConfig = func() *tls.Config { return certificates.Client(controllerName) }
+		serverTLS = certificates.ServerConfig()
+		node.TLSConfig = func() *tls.Config { return certificates.ClientConfig(controllerName) }
 	}
 	listener, err := net.Listen("tcp", group.Listen)
 	if err != nil {
--- a/internal/daemon/role.go
+++ b/internal/daemon/role.go
@@ -28,12 +28,12 @@
 	switch {
 	case settings.Group != nil:
 		return newMember(settings.Group, w, certificates, log)
-	case settings.Follow != nil:
+	case settings.Follower != nil:
 		f, err := newFollower(settings, w, certificates, log)
 		if err != nil {
 			return nil, err
 		}
-		w.server.Register = f.client.Register
+		w.server.RegisterServices = f.client.Register
 		return f, nil
 	default:
 		return alone{}, nil
--- a/internal/daemon/server.go
+++ b/internal/daemon/server.go
@@ -13,10 +13,10 @@
 
 // newServer prepares the xDS server, which knows the addresses of nodes. The caller sets its controller.
 func newServer(settings *config.Controller, nodes []config.Node, certificates *certs.Store, log *zap.Logger) *transport.Server {
-	server := transport.New(xds.NewCompiler(settings.Routes, settings.ConnectTimeout), settings.Sidecars, log)
+	server := transport.NewServer(xds.NewCompiler(settings.Routes, settings.ConnectTimeout), settings.MaxSidecars, log)
 	server.ReportInterval = settings.ReportInterval
 	if certificates != nil {
-		server.Credentials = credentials.NewTLS(certificates.Server())
+		server.Credentials = credentials.NewTLS(certificates.ServerConfig())
 	}
 	for _, node := range nodes {
 		server.Streams.Compiler.SetAddress(node.Node, node.Zone, node.Address)
@@ -28,7 +28,7 @@
 func newEndpointWatcher(w *watcher) *transport.EndpointWatcher {
 	var clientCredentials credentials.TransportCredentials
 	if w.certificates != nil {
-		clientCredentials = credentials.NewTLS(w.certificates.Client(controllerName))
+		clientCredentials = credentials.NewTLS(w.certificates.ClientConfig(controllerName))
 	}
 	return &transport.EndpointWatcher{
 		Address:     w.settings.NodeService,
--- /dev/null
+++ b/sidecar/proxy_test.go
@@ -0,0 +1,150 @@
+package sidecar
+
+import (
+	"bufio"
+	"context"
+	"fmt"
+	"io"
+	"net"
+	"net/http"
+	"strconv"
+	"strings"
+	"sync"
+	"testing"
+	"time"
+
+	"go.uber.org/zap"
+
+	"harehook.dev/harehook/internal/fakeplatform"
+	"harehook.dev/harehook/xds"
+)
+
+// startProxy starts a proxy whose only forwarding route goes to some nodes.
+func startProxy(t *testing.T, retries int, nodes ...*fakeplatform.NodeServer) (address string, p *Proxy) {
+	table := &RoutingTable{Routes: []RouteEntry{{Name: "q", Prefix: "/q", Fraction: 1, Cluster: "c", TimeLimit: 2 * time.Second, MaxRetries: retries, Mutating: true},
+		{Name: "shut", Prefix: "/shut", Fraction: 1, Status: 503}}, Clusters: map[string][]WeightedNode{}}
+	for _, n := range nodes {
+		host, port, _ := net.SplitHostPort(n.Address())
+		number, _ := strconv.Atoi(port)
+		table.Clusters["c"] = append(table.Clusters["c"], WeightedNode{Node: n.Name, Weight: 1, Address: xds.Address{Host: host, Port: uint32(number)}})
+	}
+	l, err := net.Listen("tcp", "127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	p = &Proxy{Listener: l, Table: func() *RoutingTable { return table }, ConnectTimeout: time.Second, MaxConnections: 64, Seed: 1, Log: zap.NewNop(), Load: NewLoadRecorder(time.Now())}
+	ctx, stop := context.WithCancel(context.Background())
+	var run sync.WaitGroup
+	run.Go(func() { p.Run(ctx) })
+	t.Cleanup(func() { stop(); run.Wait() })
+	return l.Addr().String(), p
+}
+
+func startNode(t *testing.T, name string) *fakeplatform.NodeServer {
+	n, err := fakeplatform.NewNodeServer(name, "127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(n.Close)
+	return n
+}
+
+// exchange writes bytes on a new connection and reads until it ends.
+func exchange(t *testing.T, address, text string) string {
+	t.Helper()
+	conn, err := net.Dial("tcp", address)
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer conn.Close()
+	conn.SetDeadline(time.Now().Add(5 * time.Second))
+	io.WriteString(conn, text)
+	got, _ := io.ReadAll(conn)
+	return string(got)
+}
+
+func requestText(path, more string) string {
+	return "POST " + path + " HTTP/1.1\r\nHost: x\r\n" + more + "\r\n"
+}
+
+// A client that asked for its connection to be closed had that passed on to the node, which closed a connection that was
+// pooled, and the next request on it was lost: clients that close their connections must not cost a request.
+func TestIdleConnectionsAreReusedAndSwept(t *testing.T) {
+	address, p := startProxy(t, 0, startNode(t, "a"))
+	for k := range 200 {
+		if got := exchange(t, address, requestText("/q", "Connection: close\r\nContent-Length: 2\r\n")+"hi"); !strings.HasPrefix(got, "HTTP/1.1 200") {
+			t.Fatalf("call %d: %s", k, got)
+		}
+	}
+	if n := p.Load.Completed.Load(); n != 200 {
+		t.Errorf("%d answered", n)
+	}
+}
+
+// Several requests on one connection, bodies of both forms, and what is not forwarded.
+func TestProxyForwardsRequests(t *testing.T) {
+	a := startNode(t, "a")
+	address, p := startProxy(t, 0, a)
+	got := exchange(t, address, requestText("/q/1", "Content-Length: 5\r\n")+"12345"+
+		requestText("/q/2", "Transfer-Encoding: chunked\r\n")+"3\r\nabc\r\n0\r\n\r\n"+
+		requestText("/shut", "Content-Length: 1\r\n")+"x"+requestText("/none", "Content-Length: 0\r\n")+
+		requestText("/q/3", "Connection: keep-alive, X-Hop\r\nX-Hop: 1\r\nContent-Length: 0\r\n")+
+		requestText("/q", "Upgrade: websocket\r\nConnection: upgrade\r\nContent-Length: 0\r\n")+requestText("/q/4", "Connection: close\r\n"))
+	var states []string
+	r := bufio.NewReader(strings.NewReader(got))
+	for {
+		answer, err := http.ReadResponse(r, nil)
+		if err != nil {
+			break
+		}
+		io.Copy(io.Discard, answer.Body)
+		states = append(states, fmt.Sprint(answer.StatusCode, answer.Header.Get(xds.ThrottledHeader)))
+	}
+	if want := "[200 200 503shut 404 200 501 200]"; fmt.Sprint(states) != want {
+		t.Errorf("%v, want %s\n%s", states, want, got)
+	}
+	if a.BodyBytes() != 8 || a.Calls("/q/4") != 1 {
+		t.Errorf("%d bytes of bodies", a.BodyBytes())
+	}
+	if got := exchange(t, address, "what\r\n\r\n"); !strings.HasPrefix(got, "HTTP/1.1 400") {
+		t.Errorf("no request: %s", got)
+	}
+	report := p.Load.Take(time.Now())
+	attempts := 0
+	for _, node := range report.Nodes {
+		attempts += node.Completed
+	}
+	if attempts != 4 || report.Routes["q"] != 4 || report.Routes["shut"] != 1 {
+		t.Errorf("%d attempts, routes %v", attempts, report.Routes)
+	}
+}
+
+// A node that refuses connections costs a retry if the route has one. One that takes a request and gives no response costs
+// the request: it may have run, so it must not be sent again.
+func TestRetriesOnlyIfNotSent(t *testing.T) {
+	gone, silent, good := startNode(t, "gone"), startNode(t, "silent"), startNode(t, "good")
+	gone.Close()
+	silent.FailStatus.Store(-1)
+	address, p := startProxy(t, 1, gone, good)
+	for range 30 {
+		if got := exchange(t, address, requestText("/q", "Connection: close\r\nContent-Length: 0\r\n")); !strings.HasPrefix(got, "HTTP/1.1 200") {
+			t.Fatal(got)
+		}
+	}
+	if good.Calls("/q") != 30 || p.Load.Retried.Load() == 0 {
+		t.Errorf("%d requests, %d retries", good.Calls("/q"), p.Load.Retried.Load())
+	}
+	address, _ = startProxy(t, 1, silent, silent)
+	for range 10 {
+		if got := exchange(t, address, requestText("/q", "Connection: close\r\nContent-Length: 0\r\n")); !strings.HasPrefix(got, "HTTP/1.1 502") {
+			t.Errorf("no answer: %s", got)
+		}
+	}
+	if silent.Calls("/q") != 10 {
+		t.Errorf("10 calls ran %d times", silent.Calls("/q"))
+	}
+	address, _ = startProxy(t, 0, gone)
+	if got := exchange(t, address, requestText("/q", "Connection: close\r\nContent-Length: 0\r\n")); !strings.HasPrefix(got, "HTTP/1.1 503") {
+		t.Errorf("no node: %s", got)
+	}
+}
--- /dev/null
+++ b/sidecar/resource_cache.go
@@ -0,0 +1,185 @@
+package sidecar
+
+import (
+	"maps"
+	"slices"
+
+	corev3 "github.com/envoyproxy/go-control-plane/envoy/config/core/v3"
+	discoveryv3 "github.com/envoyproxy/go-control-plane/envoy/service/discovery/v3"
+	"google.golang.org/genproto/googleapis/rpc/status"
+	"google.golang.org/grpc/codes"
+	"google.golang.org/protobuf/types/known/anypb"
+
+	"harehook.dev/harehook/xds"
+)
+
+const userAgent = "harehook-sidecar"
+
+// CachedResource is an accepted resource, as it was sent.
+type CachedResource struct {
+	Version string
+	Body    *anypb.Any
+}
+
+// RejectedResource is a resource that was rejected, and why.
+type RejectedResource struct {
+	Type         xds.ResourceType
+	Name, Reason string
+	Version      string
+}
+
+// ResourceCache accepts or rejects the resources that a controller sends. The accepted ones stay over streams and
+// controllers. It is not safe for concurrent use.
+type ResourceCache struct {
+	ID, Zone string
+	Delta    bool // variant of xDS: delta, else state of the world
+	// MutatingRoutes are the routes that the sidecar itself knows to be mutating, whatever a controller says.
+	MutatingRoutes map[string]bool
+	// OnReject is called with each resource that is rejected; nil: none.
+	OnReject func(RejectedResource)
+	// ExtraCheck returns why the installation can't use a resource that is valid otherwise; nil: none.
+	ExtraCheck func(t xds.ResourceType, name string, body *anypb.Any) error
+
+	accepted    [xds.NumResourceTypes]map[string]CachedResource
+	setVersions [xds.NumResourceTypes]string // state of the world: the version of all that was accepted
+	table       *RoutingTable                // made of accepted, nil: to be made
+
+	// State of the stream.
+	subscribed [xds.NumResourceTypes][]string // names
+	nonces     [xds.NumResourceTypes]string   // of the latest responses
+}
+
+// Clear removes all accepted resources.
+func (c *ResourceCache) Clear() {
+	c.accepted = [xds.NumResourceTypes]map[string]CachedResource{}
+	c.setVersions = [xds.NumResourceTypes]string{}
+	c.table = nil
+}
+
+// AgreedVersion is the newest version of the agreed configuration that accepted routes are of, 0 if none was told.
+func (c *ResourceCache) AgreedVersion() (version uint64) {
+	for _, entry := range c.Table().Routes {
+		version = max(version, entry.AgreedVersion)
+	}
+	return version
+}
+
+// versions returns the accepted versions of a type by name.
+func (c *ResourceCache) versions(t xds.ResourceType) map[string]string {
+	versions := map[string]string{}
+	for name, resource := range c.accepted[t] {
+		versions[name] = resource.Version
+	}
+	return versions
+}
+
+// merge returns the accepted resources of a type with received ones over them.
+func (c *ResourceCache) merge(t xds.ResourceType, received map[string]CachedResource) map[string]CachedResource {
+	merged := maps.Clone(c.accepted[t])
+	if merged == nil {
+		merged = map[string]CachedResource{}
+	}
+	maps.Copy(merged, received)
+	return merged
+}
+
+// wantedNames returns the names to subscribe to: none, which means all, of clusters, one listener, and the endpoints and
+// routes that accepted clusters and listeners refer to.
+func (c *ResourceCache) wantedNames(t xds.ResourceType) (names []string) {
+	switch t {
+	case xds.Endpoints:
+		names = slices.Sorted(maps.Keys(c.accepted[xds.Clusters]))
+	case xds.Listeners:
+		names = []string{xds.ListenerName}
+	case xds.Routes:
+		for _, listener := range c.accepted[xds.Listeners] {
+			if name, err := parseRouteConfigName(listener.Body); err == nil {
+				names = append(names, name)
+			}
+		}
+	}
+	return names
+}
+
+// canSubscribe tells whether a type can be subscribed to: without names, endpoints and routes would mean none, and a later
+// request names them.
+func (c *ResourceCache) canSubscribe(t xds.ResourceType) bool {
+	return t == xds.Clusters || t == xds.Listeners || len(c.wantedNames(t)) > 0
+}
+
+// resetStream forgets the state of an earlier stream.
+func (c *ResourceCache) resetStream() {
+	c.subscribed = [xds.NumResourceTypes][]string{}
+	c.nonces = [xds.NumResourceTypes]string{}
+}
+
+func (c *ResourceCache) node() *corev3.Node {
+	return &corev3.Node{Id: c.ID, Locality: &corev3.Locality{Zone: c.Zone}, UserAgentName: userAgent}
+}
+
+// accept replaces the accepted resources of a type. Clusters and endpoints that accepted routes refer to stay, also if they
+// are not listed any more: the routes that replace these have not come yet or were rejected.
+func (c *ResourceCache) accept(t xds.ResourceType, next map[string]CachedResource) {
+	if t == xds.Clusters || t == xds.Endpoints {
+		for name, resource := range c.accepted[t] {
+			if _, listed := next[name]; !listed && c.routesUse(name) {
+				next[name] = resource
+			}
+		}
+	}
+	c.accepted[t] = next
+	c.table = nil
+	if t == xds.Clusters {
+		maps.DeleteFunc(c.accepted[xds.Endpoints], func(name string, _ CachedResource) bool {
+			_, hasCluster := next[name]
+			return !hasCluster
+		})
+	}
+}
+
+// routesUse tells whether accepted routes refer to a cluster.
+func (c *ResourceCache) routesUse(cluster string) bool {
+	return slices.ContainsFunc(c.Table().Routes, func(entry RouteEntry) bool { return entry.Cluster == cluster })
+}
+
+// nackDetail returns what a NACK says of a fault.
+func nackDetail(fault error) *status.Status {
+	return &status.Status{Code: int32(codes.InvalidArgument), Message: fault.Error()}
+}
+
+// BeginStateOfTheWorld returns the first requests of a stream of the state-of-the-world variant: each states the accepted
+// version.
+func (c *ResourceCache) BeginStateOfTheWorld() (requests []*discoveryv3.DiscoveryRequest) {
+	c.resetStream()
+	for t := range xds.NumResourceTypes {
+		if !c.canSubscribe(t) {
+			continue
+		}
+		c.subscribed[t] = c.wantedNames(t)
+		requests = append(requests, &discoveryv3.DiscoveryRequest{
+			Node:          c.node(),
+			TypeUrl:       t.TypeURL(),
+			VersionInfo:   c.setVersions[t],
+			ResourceNames: c.subscribed[t],
+		})
+	}
+	return requests
+}
+
+// BeginDelta returns the first requests of a stream of the delta variant: each states the accepted versions.
+func (c *ResourceCache) BeginDelta() (requests []*discoveryv3.DeltaDiscoveryRequest) {
+	c.resetStream()
+	for t := range xds.NumResourceTypes {
+		if !c.canSubscribe(t) {
+			continue
+		}
+		c.subscribed[t] = c.wantedNames(t)
+		requests = append(requests, &discoveryv3.DeltaDiscoveryRequest{
+			Node:                    c.node(),
+			TypeUrl:                 t.TypeURL(),
+			ResourceNamesSubscribe:  c.subscribed[t],
+			InitialResourceVersions: c.versions(t),
+		})
+	}
+	return requests
+}
--- /dev/null
+++ b/sidecar/shutdown_test.go
@@ -0,0 +1,93 @@
+package sidecar
+
+import (
+	"context"
+	"io"
+	"net"
+	"sync"
+	"testing"
+	"time"
+
+	"go.uber.org/zap"
+
+	"harehook.dev/harehook/xds"
+)
+
+// hookedListener is a listener whose connections call a hook before each read deadline that is set.
+type hookedListener struct {
+	net.Listener
+	beforeReadDeadline func()
+}
+
+func (l hookedListener) Accept() (net.Conn, error) {
+	conn, err := l.Listener.Accept()
+	if err != nil {
+		return nil, err
+	}
+	return hookedConn{conn, l.beforeReadDeadline}, nil
+}
+
+type hookedConn struct {
+	net.Conn
+	beforeReadDeadline func()
+}
+
+func (c hookedConn) SetReadDeadline(at time.Time) error {
+	c.beforeReadDeadline()
+	return c.Conn.SetReadDeadline(at)
+}
+
+// The proxy is stopped in the instant in which a connection begins to wait for its next request, or while a node that never
+// answers has one: the wait then took up to a minute, and the request its time limit. Neither must delay the end.
+func TestShutdownDuringWaitOrRequest(t *testing.T) {
+	const endsWithin = 5 * time.Second // it takes milliseconds; a wait for a request lasts a minute, for this node 15 s
+	silent, err := net.Listen("tcp", "127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer silent.Close()
+	port := uint32(silent.Addr().(*net.TCPAddr).Port)
+	table := &RoutingTable{Routes: []RouteEntry{{Name: "q", Prefix: "/q", Fraction: 1, Cluster: "c"}},
+		Clusters: map[string][]WeightedNode{"c": {{Node: "s", Weight: 1, Address: xds.Address{Host: "127.0.0.1", Port: port}}}}}
+	for name, text := range map[string]string{"a wait": "", "a call": "GET /q HTTP/1.1\r\nHost: x\r\n\r\n"} {
+		t.Run(name, func(t *testing.T) {
+			l, err := net.Listen("tcp", "127.0.0.1:0")
+			if err != nil {
+				t.Fatal(err)
+			}
+			ctx, cancel := context.WithCancel(t.Context())
+			waits, release := make(chan struct{}), make(chan struct{})
+			var once sync.Once
+			before := func() {
+				if text == "" {
+					once.Do(func() { close(waits); <-release })
+				}
+			}
+			p := &Proxy{Listener: hookedListener{l, before}, Table: func() *RoutingTable { return table }, ConnectTimeout: time.Second, MaxConnections: 4, Seed: 1,
+				Log: zap.NewNop(), Load: NewLoadRecorder(time.Now())}
+			ended := make(chan struct{})
+			go func() { defer close(ended); p.Run(ctx) }()
+			conn, err := net.Dial("tcp", l.Addr().String())
+			if err != nil {
+				t.Fatal(err)
+			}
+			io.WriteString(conn, text)
+			if text == "" {
+				<-waits
+			} else if taken, err := silent.Accept(); err == nil {
+				defer taken.Close()
+			}
+			cancel()
+			if text == "" {
+				// Whatever the shutdown does to the connection is done before the wait sets its deadline.
+				time.AfterFunc(100*time.Millisecond, func() { close(release) })
+			}
+			select {
+			case <-ended:
+			case <-time.After(endsWithin):
+				t.Errorf("%s delays the end", name)
+			}
+			conn.Close()
+		})
+	}
+}
--- /dev/null
+++ b/xds/compiler.go
@@ -0,0 +1,182 @@
+package xds
+
+import (
+	"fmt"
+	"time"
+
+	"google.golang.org/protobuf/proto"
+
+	"harehook.dev/harehook/controller"
+	"harehook.dev/harehook/planner"
+)
+
+// Route is a kind of request as it is configured.
+type Route struct {
+	Name        string
+	Prefix      string // of the path
+	Mutating    bool
+	TimeLimit   time.Duration
+	MaxAdmitted float64 // upper bound of the admitted fraction, by operators; 0: none
+}
+
+// Compiler has the routing tables as the planner's commands leave them, and turns them into resources. It is not safe for
+// concurrent use.
+type Compiler struct {
+	routes         []Route
+	agreedVersion  uint64 // of the configuration that the routes are of, 0: none was agreed
+	connectTimeout time.Duration
+
+	addresses      map[string]Address // by node
+	zones          map[string]string  // by node
+	nodesByAddress map[Address]string
+
+	tables    map[int]*routingTable
+	admission map[string]admissionLevel // of all tables, by route
+	snapshots map[int]*Snapshot         // the latest of each table
+}
+
+// routingTable is a table of the planner.
+type routingTable struct {
+	weights   map[string]float64        // by node
+	admission map[string]admissionLevel // of this table alone, by route
+}
+
+// admissionLevel is the admitted fraction of a route's requests, and its retry policy.
+type admissionLevel struct {
+	fraction float64
+	retry    planner.RetryPolicy
+}
+
+// NewCompiler returns a compiler for some routes without nodes. Sidecars give up a connection to a node after
+// connectTimeout.
+func NewCompiler(routes []Route, connectTimeout time.Duration) *Compiler {
+	return &Compiler{
+		routes:         routes,
+		connectTimeout: connectTimeout,
+		addresses:      map[string]Address{},
+		zones:          map[string]string{},
+		nodesByAddress: map[Address]string{},
+		tables:         map[int]*routingTable{},
+		admission:      map[string]admissionLevel{},
+		snapshots:      map[int]*Snapshot{},
+	}
+}
+
+// SetAgreedRoutes replaces the routes by those of an agreed version; all snapshots may change.
+func (c *Compiler) SetAgreedRoutes(version uint64, routes []Route) {
+	c.routes = routes
+	c.agreedVersion = version
+}
+
+// SetAddress sets the address and zone of a node; snapshots that are made afterwards have them.
+func (c *Compiler) SetAddress(node, zone string, address Address) {
+	previous, known := c.addresses[node]
+	if known && c.nodesByAddress[previous] == node {
+		delete(c.nodesByAddress, previous)
+	}
+	c.addresses[node] = address
+	c.zones[node] = zone
+	c.nodesByAddress[address] = node
+}
+
+// NodeAt returns the node with an address.
+func (c *Compiler) NodeAt(address Address) (node string, ok bool) {
+	node, ok = c.nodesByAddress[address]
+	return node, ok
+}
+
+// ApplyCommands applies commands to the routing tables, and returns the numbers of the tables that may have changed.
+func (c *Compiler) ApplyCommands(batch []controller.Command) (touched map[int]bool) {
+	touched = map[int]bool{}
+	for _, command := range batch {
+		switch command.Kind {
+		case controller.SetWeight:
+			c.table(command.Table).setWeight(command.Node, command.Value)
+			touched[command.Table] = true
+		case controller.SetAdmission:
+			c.setAdmission(command, touched)
+		case controller.BindProxy:
+			c.table(command.Table)
+		}
+	}
+	return touched
+}
+
+// setWeight sets a node's weight; one that is not positive removes the node.
+func (t *routingTable) setWeight(node string, weight float64) {
+	if weight <= 0 {
+		delete(t.weights, node)
+		return
+	}
+	t.weights[node] = weight
+}
+
+// setAdmission sets the admission level of one table or of all, and marks those that it touches.
+func (c *Compiler) setAdmission(command controller.Command, touched map[int]bool) {
+	level := admissionLevel{fraction: command.Value, retry: command.Retry}
+	if command.Table != planner.AllTables {
+		c.table(command.Table).admission[command.Route] = level
+		touched[command.Table] = true
+		return
+	}
+	c.admission[command.Route] = level
+	for number := range c.tables {
+		touched[number] = true
+	}
+}
+
+// table returns the table with a number, which is made if there is none.
+func (c *Compiler) table(number int) *routingTable {
+	table := c.tables[number]
+	if table == nil {
+		table = &routingTable{weights: map[string]float64{}, admission: map[string]admissionLevel{}}
+		c.tables[number] = table
+	}
+	return table
+}
+
+// admissionLevel returns a route's level in a table: the lower fraction of the table's own level and that of all tables,
+// and the table's retry policy where both are set.
+func (c *Compiler) admissionLevel(table *routingTable, route string) admissionLevel {
+	common, hasCommon := c.admission[route]
+	own, hasOwn := table.admission[route]
+	switch {
+	case hasCommon && hasOwn:
+		return admissionLevel{fraction: min(common.fraction, own.fraction), retry: own.retry}
+	case hasCommon:
+		return common
+	case hasOwn:
+		return own
+	}
+	return admissionLevel{fraction: 1, retry: planner.NoRetry}
+}
+
+// Snapshot returns what the sidecars of a table are to have: the same as the last one if that has not changed. The error is
+// the encoder's.
+func (c *Compiler) Snapshot(number int) (*Snapshot, error) {
+	table := c.table(number)
+	cluster := fmt.Sprint(clusterPrefix, number)
+	messages := [NumResourceTypes]namedMessage{
+		Clusters:  {name: cluster, message: c.clusterMessage(cluster)},
+		Endpoints: {name: cluster, message: c.endpointsMessage(table, cluster)},
+		Listeners: {name: ListenerName, message: listenerMessage()},
+		Routes:    {name: RoutesName, message: c.routesMessage(table, cluster), clusters: []string{cluster}},
+	}
+	var sets [NumResourceTypes]ResourceSet
+	for t, named := range messages {
+		resource, err := NewResource(ResourceType(t), named.name, named.message, named.clusters...)
+		if err != nil {
+			return nil, err
+		}
+		sets[t] = ResourceSet{named.name: resource}
+	}
+	c.snapshots[number] = c.snapshots[number].next(sets)
+	return c.snapshots[number], nil
+}
+
+// namedMessage is a resource before it has a version.
+type namedMessage struct {
+	name     string
+	message  proto.Message
+	clusters []string // that it refers to
+}
--- /dev/null
+++ b/xds/faulty_network_test.go
@@ -0,0 +1,409 @@
+package xds_test
+
+import (
+	"errors"
+	"fmt"
+	"hash/fnv"
+	"math/rand/v2"
+	"testing"
+	"time"
+
+	discoveryv3 "github.com/envoyproxy/go-control-plane/envoy/service/discovery/v3"
+	"google.golang.org/protobuf/proto"
+	"google.golang.org/protobuf/types/known/anypb"
+
+	"harehook.dev/harehook/controller"
+	"harehook.dev/harehook/planner"
+	"harehook.dev/harehook/sidecar"
+	"harehook.dev/harehook/xds"
+)
+
+// faultyNetwork is a server and sidecars with a network between them that delays, cuts and forgets, without sockets.
+type faultyNetwork struct {
+	t            *testing.T
+	random       *rand.Rand
+	now          float64
+	server       *xds.Server
+	sidecars     []*simulatedSidecar
+	streams      map[uint64]*stream
+	lastStreamID uint64
+	lastNonce    int
+	removedAt    map[string]int // by cluster and node: the nonce after which no sidecar may have it
+	changes      int
+	violations   []string
+	joined       map[int]bool // and not bound yet
+	bound        map[int]bool
+}
+
+type simulatedSidecar struct {
+	*sidecar.ResourceCache
+	number           int
+	stream           *stream
+	sent             map[string]bool // type, name and version that a server sent to it
+	rejected         map[string]bool
+	routesByRejected bool // routes by what it rejects: the checker has to see it
+}
+
+// stream is one connection; messages in flight arrive in order.
+type stream struct {
+	id        uint64
+	sidecar   *simulatedSidecar
+	requests  []proto.Message
+	responses []proto.Message
+	closed    bool
+}
+
+func newFaultyNetwork(t *testing.T, seed uint64, sidecars int) *faultyNetwork {
+	network := &faultyNetwork{t: t, random: rand.New(rand.NewPCG(seed, 3)), streams: map[uint64]*stream{}, removedAt: map[string]int{}}
+	network.restart()
+	for k := range sidecars {
+		h := &simulatedSidecar{number: k, sent: map[string]bool{}, rejected: map[string]bool{}}
+		h.ResourceCache = &sidecar.ResourceCache{ID: fmt.Sprint("till-", k), Zone: "north", Delta: k%2 == 0}
+		// Each sidecar rejects some contents, always the same ones.
+		h.ExtraCheck = func(_ xds.ResourceType, _ string, body *anypb.Any) error {
+			sum := fnv.New32a()
+			sum.Write(body.GetValue())
+			fmt.Fprint(sum, h.number)
+			if sum.Sum32()%16 == 0 {
+				return errors.New("rejected by this test")
+			}
+			return nil
+		}
+		h.OnReject = func(r sidecar.RejectedResource) { h.rejected[versionKey(r.Type, r.Name, r.Version)] = true }
+		network.sidecars = append(network.sidecars, h)
+	}
+	return network
+}
+
+func versionKey(resourceType xds.ResourceType, name, version string) string {
+	return fmt.Sprint(resourceType, " ", name, " ", version)
+}
+
+// restart is a controller that dies and comes back: it knows neither sidecars nor nonces.
+func (network *faultyNetwork) restart() {
+	for _, s := range network.streams {
+		s.closed = true
+	}
+	clear(network.streams)
+	network.joined, network.bound = map[int]bool{}, map[int]bool{}
+	compiler := xds.NewCompiler([]xds.Route{{Name: "quote", Prefix: "/quote", TimeLimit: time.Second},
+		{Name: "issue", Prefix: "/issue", Mutating: true, TimeLimit: time.Second}}, time.Second)
+	for n := range 8 {
+		compiler.SetAddress(fmt.Sprint("s-", n), "north", xds.Address{Host: "127.0.0.1", Port: uint32(9000 + n)})
+	}
+	network.server = xds.NewServer(compiler, network, 100)
+	var batch []controller.Command
+	for _, route := range []string{"quote", "issue"} {
+		batch = append(batch, controller.Command{Kind: controller.SetAdmission, Table: planner.AllTables, Route: route, Value: 1,
+			Retry: planner.RetryIfNotSent})
+	}
+	for table := range 2 {
+		batch = append(batch, controller.Command{Kind: controller.SetWeight, Table: table, Node: fmt.Sprint("s-", table), Value: 1})
+	}
+	network.lastNonce++
+	network.applyCommands(batch)
+}
+
+func (network *faultyNetwork) applyCommands(batch []controller.Command) {
+	network.changes++
+	if err := network.server.ApplyCommands(network.now, append(batch, controller.Command{Kind: controller.RequestAck, Nonce: network.lastNonce})); err != nil {
+		network.t.Fatal(err)
+	}
+}
+
+func (network *faultyNetwork) Send(id uint64, r *discoveryv3.DiscoveryResponse) {
+	if s := network.streams[id]; s != nil {
+		s.responses = append(s.responses, r)
+		resourceType, _ := xds.ParseTypeURL(r.GetTypeUrl())
+		for _, body := range r.GetResources() {
+			m, _ := body.UnmarshalNew()
+			name := nameOf(m)
+			one, err := xds.NewResource(resourceType, name, m)
+			if err != nil {
+				network.t.Fatal(err)
+			}
+			s.sidecar.sent[versionKey(resourceType, name, one.Version)] = true
+		}
+	}
+}
+
+func nameOf(m proto.Message) string {
+	if named, ok := m.(interface{ GetName() string }); ok {
+		return named.GetName()
+	}
+	return m.(interface{ GetClusterName() string }).GetClusterName()
+}
+
+func (network *faultyNetwork) SendDelta(id uint64, r *discoveryv3.DeltaDiscoveryResponse) {
+	if s := network.streams[id]; s != nil {
+		s.responses = append(s.responses, r)
+		resourceType, _ := xds.ParseTypeURL(r.GetTypeUrl())
+		for _, one := range r.GetResources() {
+			s.sidecar.sent[versionKey(resourceType, one.GetName(), one.GetVersion())] = true
+		}
+	}
+}
+
+func (network *faultyNetwork) CloseStream(id uint64, _ string) {
+	if s := network.streams[id]; s != nil {
+		s.closed = true
+		delete(network.streams, id)
+	}
+}
+
+func (network *faultyNetwork) Joined(proxy int, _ string) {
+	network.joined[proxy] = true
+}
+
+func (network *faultyNetwork) Left(proxy int) {
+	delete(network.joined, proxy)
+	delete(network.bound, proxy)
+}
+
+// Acknowledged checks that a sidecar that acknowledged a nonce routes to no node that was removed up to it.
+func (network *faultyNetwork) Acknowledged(proxy, nonce int) {
+	for _, h := range network.sidecars {
+		if n, known := network.server.Number(h.ID); !known || n != proxy {
+			continue
+		}
+		for cluster, nodes := range h.Table().Clusters {
+			for _, l := range nodes {
+				if at, gone := network.removedAt[cluster+" "+l.Node]; gone && at <= nonce && network.routesUse(h, cluster) {
+					network.addViolation("%s acknowledged %d and has %s in %s, removed at %d", h.ID, nonce, l.Node, cluster, at)
+				}
+			}
+		}
+	}
+}
+
+func (network *faultyNetwork) routesUse(h *simulatedSidecar, cluster string) bool {
+	for _, r := range h.Table().Routes {
+		if r.Cluster == cluster {
+			return true
+		}
+	}
+	return false
+}
+
+func (network *faultyNetwork) Rejected(string, xds.ResourceType, string) {}
+
+func (network *faultyNetwork) addViolation(format string, args ...any) {
+	network.violations = append(network.violations, fmt.Sprintf("%.2f: ", network.now)+fmt.Sprintf(format, args...))
+}
+
+// dial begins a stream; messages of the one before may still be in flight.
+func (network *faultyNetwork) dial(h *simulatedSidecar) {
+	network.lastStreamID++
+	s := &stream{id: network.lastStreamID, sidecar: h}
+	h.stream = s
+	if h.Delta {
+		for _, r := range h.BeginDelta() {
+			s.requests = append(s.requests, r)
+		}
+	} else {
+		for _, r := range h.BeginStateOfTheWorld() {
+			s.requests = append(s.requests, r)
+		}
+	}
+	network.streams[s.id] = s
+}
+
+// deliver delivers one message of a stream.
+func (network *faultyNetwork) deliver(s *stream, up bool) {
+	if s.closed {
+		return
+	}
+	if up && len(s.requests) > 0 {
+		m := s.requests[0]
+		s.requests = s.requests[1:]
+		err := error(nil)
+		switch r := m.(type) {
+		case *discoveryv3.DiscoveryRequest:
+			if r.GetNode() != nil && network.unopened(s.id) {
+				err = network.server.Open(network.now, s.id, false, r.GetNode().GetId(), "north")
+			}
+			if err == nil {
+				err = network.server.HandleStateOfTheWorld(network.now, s.id, r)
+			}
+		case *discoveryv3.DeltaDiscoveryRequest:
+			if r.GetNode() != nil && network.unopened(s.id) {
+				err = network.server.Open(network.now, s.id, true, r.GetNode().GetId(), "north")
+			}
+			if err == nil {
+				err = network.server.HandleDelta(network.now, s.id, r)
+			}
+		}
+		if err != nil {
+			network.t.Fatal(err)
+		}
+	}
+	if !up && len(s.responses) > 0 && s.sidecar.stream == s {
+		m := s.responses[0]
+		s.responses = s.responses[1:]
+		h := s.sidecar
+		switch r := m.(type) {
+		case *discoveryv3.DiscoveryResponse:
+			out, err := h.HandleStateOfTheWorld(r)
+			if err != nil {
+				network.t.Fatal(err)
+			}
+			for _, answer := range out {
+				if h.routesByRejected {
+					answer.ErrorDetail = nil
+				}
+				s.requests = append(s.requests, answer)
+			}
+		case *discoveryv3.DeltaDiscoveryResponse:
+			out, err := h.HandleDelta(r)
+			if err != nil {
+				network.t.Fatal(err)
+			}
+			for _, answer := range out {
+				if h.routesByRejected {
+					answer.ErrorDetail = nil
+				}
+				s.requests = append(s.requests, answer)
+			}
+		}
+	}
+}
+
+func (network *faultyNetwork) unopened(id uint64) bool { return !network.server.Connected(id) }
+
+// bindJoined binds those that joined to a table, as the planner does.
+func (network *faultyNetwork) bindJoined() {
+	var batch []controller.Command
+	for proxy := range len(network.sidecars) {
+		if network.joined[proxy] {
+			delete(network.joined, proxy)
+			network.bound[proxy] = true
+			batch = append(batch, controller.Command{Kind: controller.BindProxy, Proxy: proxy, Table: proxy % 2})
+		}
+	}
+	if len(batch) > 0 {
+		network.lastNonce++
+		network.applyCommands(batch)
+	}
+}
+
+// changeTables changes a weight, an admission level or a binding.
+func (network *faultyNetwork) changeTables() {
+	network.lastNonce++
+	table, node := network.random.IntN(2), network.random.IntN(8)
+	name, cluster := fmt.Sprint("s-", node), fmt.Sprint("pool-", table)
+	switch network.random.IntN(6) {
+	case 0: // the first two stay, one a table: no sidecar is left without a node
+		if node > 1 {
+			network.removedAt[cluster+" "+name] = network.lastNonce
+			network.applyCommands([]controller.Command{{Kind: controller.SetWeight, Table: table, Node: name}})
+			return
+		}
+		fallthrough
+	case 1, 2:
+		delete(network.removedAt, cluster+" "+name)
+		network.applyCommands([]controller.Command{{Kind: controller.SetWeight, Table: table, Node: name, Value: 0.1 + network.random.Float64()}})
+	case 3, 4:
+		network.applyCommands([]controller.Command{{Kind: controller.SetAdmission, Table: planner.AllTables, Route: "issue",
+			Value: network.random.Float64(), Retry: planner.RetryPolicy(network.random.IntN(2))}})
+	case 5: // a sidecar moves to the other table
+		if proxy := network.random.IntN(len(network.sidecars)); network.bound[proxy] {
+			network.applyCommands([]controller.Command{{Kind: controller.BindProxy, Proxy: proxy, Table: table}})
+		}
+	}
+}
+
+// checkRouting checks the rule: no sidecar routes by a version that it rejected or that was never sent to it, and none has a
+// route to a cluster that it has not accepted.
+func (network *faultyNetwork) checkRouting(h *simulatedSidecar) {
+	table := h.Table()
+	for resourceType, versions := range table.Versions {
+		for name, version := range versions {
+			k := versionKey(xds.ResourceType(resourceType), name, version)
+			if h.rejected[k] {
+				network.addViolation("%s routes by %s, which it rejected", h.ID, k)
+			}
+			if !h.sent[k] {
+				network.addViolation("%s routes by %s, which was never sent", h.ID, k)
+			}
+		}
+	}
+	for _, r := range table.Routes {
+		if _, hasCluster := table.Clusters[r.Cluster]; r.Cluster != "" && !hasCluster {
+			network.addViolation("%s has a route to %s, which it does not hold", h.ID, r.Cluster)
+		}
+	}
+}
+
+// play lets random events happen and checks the rule after each.
+func (network *faultyNetwork) play(pushes int) {
+	for network.changes < pushes && len(network.violations) == 0 {
+		network.now += 0.01
+		h := network.sidecars[network.random.IntN(len(network.sidecars))]
+		switch network.random.IntN(40) {
+		case 0, 1, 2, 3, 4, 5:
+			network.changeTables()
+		case 6: // the stream breaks; the server notices now or when the next one begins
+			if s := h.stream; s != nil && !s.closed && network.random.IntN(2) == 0 {
+				network.server.Close(network.now, s.id)
+				s.closed = true
+			}
+			network.dial(h)
+		case 7: // the sidecar restarts, with what it had accepted or, its disk lost, with nothing
+			if network.random.IntN(4) == 0 {
+				h.Clear()
+			}
+			network.dial(h)
+		case 8:
+			if network.random.IntN(40) == 0 {
+				network.restart()
+			}
+		case 9:
+			if s := h.stream; s != nil && network.random.IntN(20) == 0 { // an answer to no pending response
+				nonce := fmt.Sprint(network.random.IntN(50), "-", network.random.IntN(4), "-", network.random.IntN(50))
+				resourceType := xds.ResourceType(network.random.IntN(int(xds.NumResourceTypes)))
+				if h.Delta {
+					s.requests = append(s.requests, &discoveryv3.DeltaDiscoveryRequest{TypeUrl: resourceType.TypeURL(), ResponseNonce: nonce})
+				}
+			}
+		default:
+			if h.stream == nil || h.stream.closed {
+				network.dial(h)
+			}
+			network.deliver(h.stream, network.random.IntN(2) == 0)
+		}
+		network.bindJoined()
+		network.checkRouting(h)
+	}
+}
+
+// settle lets all faults end; it returns the steps until every sidecar has its target but for what it rejected.
+func (network *faultyNetwork) settle() (steps int) {
+	for ; steps < 200; steps++ {
+		moved := false
+		for _, h := range network.sidecars {
+			if h.stream == nil || h.stream.closed {
+				network.dial(h)
+			}
+			s := h.stream
+			moved = moved || len(s.requests)+len(s.responses) > 0
+			network.deliver(s, true)
+			network.deliver(s, false)
+			network.checkRouting(h)
+		}
+		network.bindJoined()
+		if !moved {
+			return steps
+		}
+	}
+	return steps
+}
+
+// blocked tells whether a sidecar rejected something that other resources wait for.
+func (network *faultyNetwork) blocked(c xds.SidecarStatus) bool {
+	for _, s := range c.Resources {
+		if s.Rejection != nil {
+			return true
+		}
+	}
+	return false
+}
--- /dev/null
+++ b/xds/transport/server_test.go
@@ -0,0 +1,261 @@
+package transport
+
+import (
+	"context"
+	"errors"
+	"fmt"
+	"io"
+	"strings"
+	"sync"
+	"testing"
+	"time"
+
+	corev3 "github.com/envoyproxy/go-control-plane/envoy/config/core/v3"
+	endpointv3 "github.com/envoyproxy/go-control-plane/envoy/config/endpoint/v3"
+	discoveryv3 "github.com/envoyproxy/go-control-plane/envoy/service/discovery/v3"
+	loadv3 "github.com/envoyproxy/go-control-plane/envoy/service/load_stats/v3"
+	"google.golang.org/grpc"
+	"google.golang.org/grpc/codes"
+	"google.golang.org/grpc/credentials/insecure"
+	"google.golang.org/grpc/status"
+	"google.golang.org/protobuf/types/known/durationpb"
+
+	"harehook.dev/harehook/controller"
+	"harehook.dev/harehook/planner"
+	"harehook.dev/harehook/sidecar"
+	"harehook.dev/harehook/xds"
+)
+
+const testTimeout = 20 * time.Second // of what takes milliseconds on an idle machine
+
+func waitFor(t *testing.T, what string, ok func() bool) {
+	t.Helper()
+	for end := time.Now().Add(testTimeout); !ok(); time.Sleep(5 * time.Millisecond) {
+		if time.Now().After(end) {
+			t.Fatalf("not within %s: %s", testTimeout, what)
+		}
+	}
+}
+
+func dial(t *testing.T, address string) *grpc.ClientConn {
+	conn, err := grpc.NewClient("passthrough:///"+address, grpc.WithTransportCredentials(insecure.NewCredentials()))
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(func() { conn.Close() })
+	return conn
+}
+
+// convergedSidecars is the number of sidecars that have accepted all of their targets.
+func convergedSidecars(server *Server) (n int) {
+	server.call(func() {
+		for _, s := range server.Streams.Sidecars(server.now()) {
+			all := s.Connected && s.Bound && s.Unacknowledged == 0 && len(s.Resources) >= int(xds.NumResourceTypes)
+			for _, st := range s.Resources {
+				all = all && st.Accepted == st.Target
+			}
+			if all {
+				n++
+			}
+		}
+	})
+	return n
+}
+
+// knownSidecars is the number of sidecars that ever joined, connectedSidecars that of those with a stream.
+func knownSidecars(server *Server) (n int) {
+	server.call(func() { n = len(server.Streams.Sidecars(server.now())) })
+	return n
+}
+
+func connectedSidecars(server *Server) (n int) {
+	server.call(func() {
+		for _, s := range server.Streams.Sidecars(server.now()) {
+			if s.Connected {
+				n++
+			}
+		}
+	})
+	return n
+}
+
+// publishTable binds all sidecars to a table with some nodes.
+func publishTable(server *Server, sidecars, nodes int) {
+	batch := []controller.Command{{Kind: controller.SetAdmission, Table: planner.AllTables, Route: "quote", Value: 1}}
+	for n := range nodes {
+		name := fmt.Sprint("node-", n)
+		server.SetAddresses([]Node{{Name: name, Zone: "north", Address: xds.Address{Host: "127.0.0.1", Port: uint32(1000 + n)}}})
+		batch = append(batch, controller.Command{Kind: controller.SetWeight, Node: name, Value: 1})
+	}
+	server.Enqueue(batch)
+	bindAll(server, sidecars, 1)
+}
+
+// bindAll binds sidecars, as the planner does when they join.
+func bindAll(server *Server, sidecars, nonce int) {
+	var batch []controller.Command
+	for proxy := range sidecars {
+		batch = append(batch, controller.Command{Kind: controller.BindProxy, Proxy: proxy})
+	}
+	server.Enqueue(append(batch, controller.Command{Kind: controller.RequestAck, Nonce: nonce}))
+}
+
+// Hundreds of sidecars of both variants lose their streams at once, again and again, while tables change: all have to
+// converge to the newest versions, and those that have them already are sent nothing.
+func TestReconnectStormsConverge(t *testing.T) {
+	const sidecars = 300
+	server, address := startServer(t, sidecars)
+	caches := make([]*sidecar.ResourceCache, sidecars)
+	for k := range caches {
+		caches[k] = &sidecar.ResourceCache{ID: fmt.Sprint("till-", k), Zone: "north", Delta: k%2 == 0}
+	}
+	for round := range 4 {
+		ctx, stop := context.WithCancel(context.Background())
+		var streams sync.WaitGroup
+		c := &sidecarClients{}
+		var conn *grpc.ClientConn
+		for k, h := range caches {
+			if k%maxStreamsPerConnection == 0 {
+				conn = dial(t, address)
+			}
+			on := conn
+			streams.Go(func() { c.join(ctx, on, h) })
+		}
+		waitFor(t, "all joined", func() bool { return connectedSidecars(server) == sidecars })
+		if round == 0 {
+			publishTable(server, sidecars, 20)
+		} else {
+			if round%2 == 0 {
+				server.Enqueue([]controller.Command{{Kind: controller.SetWeight, Node: "node-1", Value: float64(round)}})
+			}
+			bindAll(server, sidecars, round+1)
+		}
+		waitFor(t, fmt.Sprintf("all settled in round %d", round), func() bool { return convergedSidecars(server) == sidecars })
+		if answers := c.answers.Load(); round%2 == 1 && answers != 0 {
+			t.Errorf("round %d: %d responses to sidecars that hold all", round, answers)
+		}
+		stop()
+		streams.Wait()
+		waitFor(t, "all left", func() bool { return connectedSidecars(server) == 0 })
+	}
+}
+
+// Requests that violate the protocol end their stream with a status and a reason and are counted; other sidecars are served
+// as before.
+func TestMisbehavingClientsAreDisconnected(t *testing.T) {
+	server, address := startServer(t, 3)
+	good := &sidecar.ResourceCache{ID: "till", Zone: "north", Delta: true}
+	ctx, stop := context.WithCancel(context.Background())
+	defer stop()
+	go (&sidecarClients{}).join(ctx, dial(t, address), good)
+	waitFor(t, "it joined", func() bool { return knownSidecars(server) == 1 })
+	publishTable(server, 1, 3)
+	waitFor(t, "it has accepted its table", func() bool { return convergedSidecars(server) == 1 })
+
+	client := discoveryv3.NewAggregatedDiscoveryServiceClient(dial(t, address))
+	node := func(id, zone string) *corev3.Node {
+		return &corev3.Node{Id: id, Locality: &corev3.Locality{Zone: zone}}
+	}
+	for name, c := range map[string]struct {
+		say  []*discoveryv3.DiscoveryRequest
+		code codes.Code
+		why  string
+	}{
+		"no node id":   {[]*discoveryv3.DiscoveryRequest{{Node: node("", "north"), TypeUrl: xds.Clusters.TypeURL()}}, codes.InvalidArgument, "no node id"},
+		"unknown zone": {[]*discoveryv3.DiscoveryRequest{{Node: node("x", "moon"), TypeUrl: xds.Clusters.TypeURL()}}, codes.InvalidArgument, `zone "moon"`},
+		"unknown type": {[]*discoveryv3.DiscoveryRequest{{Node: node("x", "north"), TypeUrl: "type.googleapis.com/what"}}, codes.InvalidArgument, "is not served"},
+		"too many names": {[]*discoveryv3.DiscoveryRequest{{Node: node("x", "north"), TypeUrl: xds.Endpoints.TypeURL(),
+			ResourceNames: make([]string, 5000)}}, codes.InvalidArgument, "4096 at most"},
+		"too large": {[]*discoveryv3.DiscoveryRequest{{Node: node("x", "north"), TypeUrl: strings.Repeat("x", maxRequestBytes+1)}}, codes.ResourceExhausted, "larger than max"},
+		"silent":    {nil, codes.DeadlineExceeded, "no first request"},
+	} {
+		t.Run(name, func(t *testing.T) {
+			s, err := client.StreamAggregatedResources(ctx)
+			if err != nil {
+				t.Fatal(err)
+			}
+			for _, r := range c.say {
+				s.Send(r)
+			}
+			if _, err = s.Recv(); status.Code(err) != c.code || !strings.Contains(status.Convert(err).Message(), c.why) {
+				t.Errorf("%s: %v, want %s %q", name, err, c.code, c.why)
+			}
+		})
+	}
+	for _, id := range []string{"x", "y", "z"} {
+		s, _ := client.StreamAggregatedResources(ctx)
+		s.Send(&discoveryv3.DiscoveryRequest{Node: node(id, "north"), TypeUrl: xds.Clusters.TypeURL()})
+	}
+	waitFor(t, "three are known", func() bool { return knownSidecars(server) == 3 })
+	s, _ := client.StreamAggregatedResources(ctx)
+	s.Send(&discoveryv3.DiscoveryRequest{Node: node("one too many", "north"), TypeUrl: xds.Clusters.TypeURL()})
+	if _, err := s.Recv(); status.Code(err) != codes.InvalidArgument || !strings.Contains(err.Error(), "no more may join") {
+		t.Errorf("too many: %v", err)
+	}
+	if server.MalformedRequests.Load() < 5 {
+		t.Errorf("%d counted", server.MalformedRequests.Load())
+	}
+	if convergedSidecars(server) < 1 {
+		t.Error("the good one lost its table")
+	}
+}
+
+// A second stream of a node id replaces the first, whose messages are ignored from then on.
+func TestSecondStreamReplacesFirst(t *testing.T) {
+	server, address := startServer(t, 3)
+	client := discoveryv3.NewAggregatedDiscoveryServiceClient(dial(t, address))
+	open := func() discoveryv3.AggregatedDiscoveryService_StreamAggregatedResourcesClient {
+		s, err := client.StreamAggregatedResources(t.Context())
+		if err != nil {
+			t.Fatal(err)
+		}
+		s.Send(&discoveryv3.DiscoveryRequest{Node: &corev3.Node{Id: "till", Locality: &corev3.Locality{Zone: "north"}}, TypeUrl: xds.Clusters.TypeURL()})
+		return s
+	}
+	first := open()
+	waitFor(t, "it joined", func() bool { return knownSidecars(server) == 1 })
+	second := open()
+	if _, err := first.Recv(); status.Code(err) != codes.Aborted {
+		t.Errorf("the first: %v", err)
+	}
+	publishTable(server, 1, 2)
+	if r, err := second.Recv(); err != nil || len(r.GetResources()) != 1 {
+		t.Errorf("the second: %v, %v", r, err)
+	}
+}
+
+// Load reports reach the controller; an impossible entry is left out alone.
+func TestLoadReportsReachController(t *testing.T) {
+	server, address := startServer(t, 3)
+	ctx, stop := context.WithCancel(t.Context())
+	defer stop()
+	conn := dial(t, address)
+	go (&sidecarClients{}).join(ctx, conn, &sidecar.ResourceCache{ID: "till", Zone: "north", Delta: true})
+	waitFor(t, "it joined", func() bool { return knownSidecars(server) == 1 })
+	publishTable(server, 1, 1)
+	s, err := loadv3.NewLoadReportingServiceClient(conn).StreamLoadStats(ctx)
+	if err != nil {
+		t.Fatal(err)
+	}
+	s.Send(&loadv3.LoadStatsRequest{Node: &corev3.Node{Id: "till"}})
+	if r, err := s.Recv(); err != nil || r.GetLoadReportingInterval().AsDuration() != server.ReportInterval {
+		t.Fatalf("%v %v", r, err)
+	}
+	endpoint := func(port uint32, issued, errors uint64) *endpointv3.UpstreamEndpointStats {
+		return &endpointv3.UpstreamEndpointStats{TotalIssuedRequests: issued, TotalErrorRequests: errors,
+			Address: xds.Address{Host: "127.0.0.1", Port: port}.Message()}
+	}
+	report := func(span time.Duration, endpoints ...*endpointv3.UpstreamEndpointStats) {
+		s.Send(&loadv3.LoadStatsRequest{ClusterStats: []*endpointv3.ClusterStats{{ClusterName: "pool-0", LoadReportInterval: durationpb.New(span),
+			UpstreamLocalityStats: []*endpointv3.UpstreamLocalityStats{{UpstreamEndpointStats: endpoints}}}}})
+	}
+	report(time.Second, endpoint(1000, 10, 2), endpoint(1000, 1, 2), endpoint(9999, 5, 0))
+	waitFor(t, "the bad line and the unknown node are counted", func() bool { return server.MalformedRequests.Load() == 1 && server.UnknownReports.Load() == 1 })
+	report(0, endpoint(1000, 10, 2))
+	report(-time.Second, endpoint(1000, 10, 2))
+	waitFor(t, "spans that can't be are counted", func() bool { return server.MalformedRequests.Load() == 3 })
+	s.CloseSend()
+	if _, err := s.Recv(); !errors.Is(err, io.EOF) {
+		t.Errorf("after its end: %v", err)
+	}
+}
