--- a/controller/commands.go
+++ b/controller/commands.go
@@ -88,6 +88,12 @@
 // Subscribe implements planner.Host. It does nothing: the transport watches the endpoint list all the time.
 func (h plannerHost) Subscribe() {}
 
-// Log implements planner.Host. The text is the message, not a field: the program's logger thins out equal messages, and
-// with one message for all of them a line that tells of an ejected node could be lost.
-func (h plannerHost) Log(text string) { h.log.Info(text, zap.String("by", "planner")) }
+// EndpointHealthChanged implements planner.Host.
+func (h plannerHost) EndpointHealthChanged(node uint32, health planner.Health) {
+	h.decisions.Info("endpoint health changed", zap.String("node", h.nodes.nodes[node].name), zap.Stringer("health", health))
+}
+
+// ThrottlingChanged implements planner.Host.
+func (h plannerHost) ThrottlingChanged(active bool) {
+	h.decisions.Info("throttling changed", zap.Bool("active", active))
+}
--- a/controller/loop.go
+++ b/controller/loop.go
@@ -9,6 +9,7 @@
 	"go.uber.org/zap"
 
 	"harehook.dev/harehook/internal/invariant"
+	"harehook.dev/harehook/internal/logging"
 	"harehook.dev/harehook/planner"
 	"harehook.dev/harehook/settings"
 )
@@ -33,7 +34,9 @@
 	sink    CommandSink
 	unknown *UnknownNames
 	log     *zap.Logger
-	ready   chan struct{} // closed by setReady
+	// decisions logs what the planner has decided. Its lines are not sampled: equal messages concern different nodes.
+	decisions *zap.Logger
+	ready     chan struct{} // closed by setReady
 
 	planner     *planner.Planner
 	clock       clock
@@ -56,6 +59,7 @@
 		sink:        sink,
 		unknown:     unknown,
 		log:         log,
+		decisions:   log.Named(logging.Unsampled),
 		ready:       make(chan struct{}),
 		clock:       newClock(),
 		minInterval: time.Duration(deployment.EventInterval * float64(time.Second)),
--- a/internal/logging/logging.go
+++ b/internal/logging/logging.go
@@ -5,6 +5,7 @@
 import (
 	"os"
 	"os/signal"
+	"strings"
 	"syscall"
 	"time"
 
@@ -18,6 +19,10 @@
 	sampledThereafter = 1000
 )
 
+// Unsampled is the last part of the names of loggers whose lines are all written, such as log.Named(Unsampled): their
+// equal messages say different things in their fields.
+const Unsampled = "decisions"
+
 // New makes a logger that writes lines of text to a file, such as the standard output. Whoever reads the file may fall
 // behind, stop or go away: the program doesn't end for that, and doesn't wait but in Sync, for a moment. Lines that find
 // no room meanwhile are dropped, and counted in the log itself.
@@ -26,7 +31,26 @@
 func New(name string, file *os.File) *zap.Logger {
 	signal.Ignore(syscall.SIGPIPE)
 	encoder := zapcore.NewConsoleEncoder(zap.NewDevelopmentEncoderConfig())
-	core := zapcore.NewCore(encoder, newLineQueue(file), zap.InfoLevel)
-	sampled := zapcore.NewSamplerWithOptions(core, time.Second, sampledFirst, sampledThereafter)
-	return zap.New(sampled).Named(name)
+	all := zapcore.NewCore(encoder, newLineQueue(file), zap.InfoLevel)
+	sampled := zapcore.NewSamplerWithOptions(all, time.Second, sampledFirst, sampledThereafter)
+	return zap.New(&selectiveCore{Core: sampled, all: all}).Named(name)
+}
+
+// selectiveCore samples the lines of all loggers but those named Unsampled.
+type selectiveCore struct {
+	zapcore.Core              // sampled
+	all          zapcore.Core // the same without sampling
+}
+
+// With implements zapcore.Core.
+func (c *selectiveCore) With(fields []zapcore.Field) zapcore.Core {
+	return &selectiveCore{Core: c.Core.With(fields), all: c.all.With(fields)}
+}
+
+// Check implements zapcore.Core.
+func (c *selectiveCore) Check(entry zapcore.Entry, checked *zapcore.CheckedEntry) *zapcore.CheckedEntry {
+	if strings.HasSuffix(entry.LoggerName, "."+Unsampled) {
+		return c.all.Check(entry, checked)
+	}
+	return c.Core.Check(entry, checked)
 }
--- a/internal/logging/logging_test.go
+++ b/internal/logging/logging_test.go
@@ -102,6 +102,27 @@
 	}
 }
 
+// Several nodes were ejected at once, and the log named three of them. Lines of one message that name different nodes have
+// to be written all.
+func TestUnsampledLoggerWritesEachLine(t *testing.T) {
+	path := filepath.Join(t.TempDir(), "log")
+	file, err := os.Create(path)
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer file.Close()
+	const lines = 50
+	log := New("c-1", file).With(zap.Int("generation", 2)).Named(Unsampled)
+	for node := range lines {
+		log.Info("endpoint health changed", zap.Int("node", node))
+	}
+	log.Info("last")
+	text := waitForText(t, path, "\tlast")
+	if written := strings.Count(text, "endpoint health changed"); written != lines {
+		t.Errorf("%d of %d lines were written", written, lines)
+	}
+}
+
 // waitForText waits until a file has some text, and gives all of it.
 func waitForText(t *testing.T, path, want string) string {
 	t.Helper()
--- a/planner/bench_test.go
+++ b/planner/bench_test.go
@@ -14,7 +14,8 @@
 func (discardHost) RequestAck(int)                                  {}
 func (discardHost) Wake(float64)                                    {}
 func (discardHost) Subscribe()                                      {}
-func (discardHost) Log(string)                                      {}
+func (discardHost) EndpointHealthChanged(uint32, Health)            {}
+func (discardHost) ThrottlingChanged(bool)                          {}
 
 // runSizes runs a benchmark at fleets of growing size.
 func runSizes(b *testing.B, run func(b *testing.B, proxies, nodes int)) {
--- a/planner/capacity.go
+++ b/planner/capacity.go
@@ -43,7 +43,7 @@
 	keep := math.Exp(-updateIntervalSeconds / capacityWindowSeconds)
 	for i := range endpoints {
 		e := &endpoints[i]
-		inService := e.state == Ready && e.health == healthy
+		inService := e.state == Ready && e.health == Healthy
 		if !inService || e.load.completed < minAttempts || start.warmingUp(now, e.startTime) || meanObjective == 0 {
 			continue
 		}
@@ -101,7 +101,7 @@
 // availableCapacity is the requests a second that an endpoint is to get at most: what it can answer, less in slow
 // start, while it fails attempts, and on probation.
 func (p *Planner) availableCapacity(e *endpoint) float64 {
-	if e.state != Ready || e.health == ejected {
+	if e.state != Ready || e.health == Ejected {
 		return 0
 	}
 	capacity := p.capacity.learned(e)
@@ -116,7 +116,7 @@
 		excess := max(0, e.load.failed/e.load.completed-usualFailureRatio)
 		capacity *= max(minCapacityFraction, 1-excess)
 	}
-	if e.health == probation {
+	if e.health == Probation {
 		capacity *= probationFraction
 	}
 	return capacity
--- a/planner/endpoints.go
+++ b/planner/endpoints.go
@@ -14,7 +14,7 @@
 	weight      float64 // as listed
 	startTime   float64 // s; its slow start begins there, -1 before the list has told
 
-	health      health
+	health      Health
 	healthSince float64 // s
 
 	load     endpointLoad
@@ -53,7 +53,7 @@
 	e.machineType = listed.MachineType
 	e.subset = subset
 	e.state = Ready
-	e.health = healthy
+	e.health = Healthy
 	e.healthSince = 0
 	e.startTime = -1
 	return i
@@ -121,7 +121,7 @@
 	if listed.StartTime > e.startTime {
 		// A restart under the same name is a new, cold process: what was seen of the former one tells nothing of it.
 		e.startTime = listed.StartTime
-		p.setHealth(i, healthy)
+		p.setHealth(i, Healthy)
 		e.resetStatistics()
 	}
 	e.state = listed.State
--- a/planner/example_test.go
+++ b/planner/example_test.go
@@ -26,7 +26,12 @@
 func (p *printer) RequestAck(nonce int) { fmt.Printf("acknowledge nonce %d\n", nonce) }
 func (p *printer) Wake(at float64)      { p.wakeAt = at }
 func (p *printer) Subscribe()           {}
-func (p *printer) Log(text string)      { fmt.Println("log:", text) }
+
+func (p *printer) EndpointHealthChanged(node uint32, health planner.Health) {
+	fmt.Printf("node %d is %s\n", node, health)
+}
+
+func (p *printer) ThrottlingChanged(active bool) { fmt.Println("throttling:", active) }
 
 // A planner with two endpoints and a proxy. One of the endpoints drains later.
 func ExamplePlanner() {
--- a/planner/host.go
+++ b/planner/host.go
@@ -17,8 +17,10 @@
 	Wake(at float64)
 	// Subscribe asks for the endpoint list's changes from now on: see Planner.EndpointWatchFailed.
 	Subscribe()
-	// Log writes a line for the operators, in words of the platform's pages. It is on the simulator's wire.
-	Log(text string)
+	// EndpointHealthChanged notifies the operators of an endpoint that was ejected, is on probation, or is healthy again.
+	EndpointHealthChanged(node uint32, health Health)
+	// ThrottlingChanged notifies the operators that admission levels are below 1 from now on, or no longer.
+	ThrottlingChanged(active bool)
 }
 
 // AllTables is the table number that stands for every proxy that has joined. The planner itself names each table.
--- a/planner/load.go
+++ b/planner/load.go
@@ -81,7 +81,7 @@
 	keep := math.Exp((s.decayedAt - now) / loadWindowSeconds)
 	s.decayedAt = now
 	for i := range endpoints.all {
-		if e := &endpoints.all[i]; e.health != probation {
+		if e := &endpoints.all[i]; e.health != Probation {
 			e.load.decay(keep)
 		}
 	}
@@ -119,7 +119,7 @@
 	latency := 0.0 // in latency objectives
 	for i := range in.endpoints {
 		e := &in.endpoints[i]
-		if e.state != Ready || e.health == ejected {
+		if e.state != Ready || e.health == Ejected {
 			continue
 		}
 		fraction := in.slowStart.fraction(in.now, e.startTime)
--- a/planner/outlier.go
+++ b/planner/outlier.go
@@ -23,23 +23,24 @@
 	probationFraction = 0.25
 )
 
-// health is an endpoint's state in outlier detection.
-type health uint8
+// Health is an endpoint's state in outlier detection.
+type Health uint8
 
+// The states of an endpoint in outlier detection.
 const (
-	healthy   health = iota
-	ejected          // it gets no requests for ejectionSeconds
-	probation        // it gets few requests, to be judged by
+	Healthy   Health = iota
+	Ejected          // it gets no requests for ejectionSeconds
+	Probation        // it gets few requests, to be judged by
 )
 
 // String returns the health's name.
-func (h health) String() string {
+func (h Health) String() string {
 	switch h {
-	case healthy:
+	case Healthy:
 		return "healthy"
-	case ejected:
+	case Ejected:
 		return "ejected"
-	case probation:
+	case Probation:
 		return "probation"
 	}
 	return fmt.Sprintf("health(%d)", uint8(h))
@@ -48,7 +49,7 @@
 // healthChange is a decision on an endpoint, by its index.
 type healthChange struct {
 	endpoint int
-	health   health
+	health   Health
 }
 
 // outlierDetector ejects endpoints that fail far more attempts than their peers, and tries them again. An
@@ -71,18 +72,18 @@
 		}
 		failing := d.failing(e, meanObjective)
 		switch {
-		case e.health == ejected:
+		case e.health == Ejected:
 			if now >= e.healthSince+ejectionSeconds {
-				changes = append(changes, healthChange{i, probation})
+				changes = append(changes, healthChange{i, Probation})
 			}
 		case failing:
 			maxWeight := maxEjectedFraction * survey.weight * e.load.failed / e.load.completed
-			if e.health == probation || ejectedWeight+e.weight <= maxWeight {
+			if e.health == Probation || ejectedWeight+e.weight <= maxWeight {
 				ejectedWeight += e.weight
-				changes = append(changes, healthChange{i, ejected})
+				changes = append(changes, healthChange{i, Ejected})
 			}
-		case e.health == probation && e.load.completed >= minAttempts:
-			changes = append(changes, healthChange{i, healthy})
+		case e.health == Probation && e.load.completed >= minAttempts:
+			changes = append(changes, healthChange{i, Healthy})
 		}
 	}
 	return changes
@@ -104,7 +105,7 @@
 		}
 		survey.weight += e.weight
 		switch {
-		case e.health != healthy:
+		case e.health != Healthy:
 			survey.unhealthyWeight += e.weight
 		case e.load.completed >= minAttempts:
 			survey.failureRatios = append(survey.failureRatios, e.load.failed/e.load.completed)
--- a/planner/planner.go
+++ b/planner/planner.go
@@ -92,18 +92,18 @@
 // updateOutliers ejects outliers, and gives those that were ejected for long enough their probation.
 func (p *Planner) updateOutliers() {
 	for _, change := range p.outliers.judge(p.now, p.endpoints.all, p.demand.meanObjective) {
-		if change.health == probation {
+		if change.health == Probation {
 			p.endpoints.all[change.endpoint].resetStatistics()
 		}
 		p.setHealth(change.endpoint, change.health)
 	}
 }
 
-// setHealth notes and logs an endpoint's health.
-func (p *Planner) setHealth(i int, h health) {
+// setHealth sets an endpoint's health and notifies the host if it has changed.
+func (p *Planner) setHealth(i int, h Health) {
 	e := &p.endpoints.all[i]
 	if e.health != h {
-		p.host.Log(healthText(e.node, h))
+		p.host.EndpointHealthChanged(e.node, h)
 	}
 	e.health = h
 	e.healthSince = p.now
@@ -130,7 +130,7 @@
 		attempts:       completed / loadWindowSeconds / p.load.windowCoverage,
 	})
 	if throttlingChanged {
-		p.host.Log(throttlingText(p.admission.throttling))
+		p.host.ThrottlingChanged(p.admission.throttling)
 	}
 }
 
--- a/planner/policy_test.go
+++ b/planner/policy_test.go
@@ -32,7 +32,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	undecided := []string{"doc.go", "host.go", "types.go", "inflight.go", "random.go", "sum.go", "logtext.go"}
+	undecided := []string{"doc.go", "host.go", "types.go", "inflight.go", "random.go", "sum.go"}
 	for _, name := range files {
 		if !strings.HasSuffix(name, "_test.go") && !slices.Contains(named, name) && !slices.Contains(undecided, name) {
 			t.Errorf("%s is neither named as a file with decisions nor known as one without", name)
--- a/planner/trace_test.go
+++ b/planner/trace_test.go
@@ -45,7 +45,13 @@
 func (tr *trace) RequestAck(nonce int) { tr.nonce = nonce }
 func (tr *trace) Wake(at float64)      { tr.wakeAt = at }
 func (tr *trace) Subscribe()           { tr.say("subscribe") }
-func (tr *trace) Log(text string)      { tr.say("log %s", text) }
+
+// EndpointHealthChanged prints the words of the traces, which are those of the simulator's wire.
+func (tr *trace) EndpointHealthChanged(node uint32, health Health) {
+	tr.say("log node %d %s", node, [...]string{Healthy: "well", Ejected: "out", Probation: "on trial"}[health])
+}
+
+func (tr *trace) ThrottlingChanged(active bool) { tr.say("log throttling: %t", active) }
 
 // testConfig is a small deployment with two zones and two routes.
 func testConfig() Config {
--- a/planner/types_test.go
+++ b/planner/types_test.go
@@ -18,10 +18,10 @@
 		{AdmissionFraction, "fraction"},
 		{AdmissionRate, "rate"},
 		{AdmissionKind(7), "AdmissionKind(7)"},
-		{healthy, "healthy"},
-		{ejected, "ejected"},
-		{probation, "probation"},
-		{health(7), "health(7)"},
+		{Healthy, "healthy"},
+		{Ejected, "ejected"},
+		{Probation, "probation"},
+		{Health(7), "health(7)"},
 	} {
 		if got := c.value.String(); got != c.want {
 			t.Errorf("%T: %q, want %q", c.value, got, c.want)
--- a/scaling/step.go
+++ b/scaling/step.go
@@ -29,7 +29,12 @@
 func (h *plannerHost) RequestAck(nonce int)                                            { h.nonce, h.requested = nonce, true }
 func (h *plannerHost) Wake(float64)                                                    {}
 func (h *plannerHost) Subscribe()                                                      {}
-func (h *plannerHost) Log(string)                                                      {}
+
+// EndpointHealthChanged implements planner.Host.
+func (h *plannerHost) EndpointHealthChanged(uint32, planner.Health) {}
+
+// ThrottlingChanged implements planner.Host.
+func (h *plannerHost) ThrottlingChanged(bool) {}
 
 // plannerConfig is a deployment without limits of a channel that would hold the module back.
 func plannerConfig(proxies, routes, zones int) planner.Config {
--- a/settings/serving_test.go
+++ b/settings/serving_test.go
@@ -34,10 +34,11 @@
 	}
 }
 
-func (h *recordingHost) RequestAck(nonce int) { h.lastNonce = nonce }
-func (h *recordingHost) Wake(at float64)      { h.stepAt = at }
-func (h *recordingHost) Subscribe()           {}
-func (h *recordingHost) Log(string)           {}
+func (h *recordingHost) RequestAck(nonce int)                         { h.lastNonce = nonce }
+func (h *recordingHost) Wake(at float64)                              { h.stepAt = at }
+func (h *recordingHost) Subscribe()                                   {}
+func (h *recordingHost) EndpointHealthChanged(uint32, planner.Health) {}
+func (h *recordingHost) ThrottlingChanged(bool)                       {}
 
 // faultOf runs a planner by some settings for a minute and tells what went wrong, "" if nothing did: two nodes, one of
 // which drains half-way, two proxies, and load reports of a fleet that is saturated for a while.
--- a/xds/equivalence_test.go
+++ b/xds/equivalence_test.go
@@ -51,9 +51,10 @@
 func (host *dualHost) RequestAck(nonce int) {
 	host.batch = append(host.batch, controller.Command{Kind: controller.RequestAck, Nonce: nonce})
 }
-func (host *dualHost) Wake(at float64) { host.wakeAt = at }
-func (host *dualHost) Subscribe()      {}
-func (host *dualHost) Log(string)      {}
+func (host *dualHost) Wake(at float64)                           { host.wakeAt = at }
+func (host *dualHost) Subscribe()                                {}
+func (host *dualHost) EndpointHealthChanged(uint32, planner.Health) {}
+func (host *dualHost) ThrottlingChanged(bool)                       {}
 
 func (host *dualHost) Send(stream uint64, r *discoveryv3.DiscoveryResponse) {
 	host.inbox = append(host.inbox, func() {
