--- a/xds/equivalence_test.go
+++ b/xds/equivalence_test.go
@@ -51,8 +51,8 @@
 func (host *dualHost) RequestAck(nonce int) {
 	host.batch = append(host.batch, controller.Command{Kind: controller.RequestAck, Nonce: nonce})
 }
-func (host *dualHost) Wake(at float64)                           { host.wakeAt = at }
-func (host *dualHost) Subscribe()                                {}
+func (host *dualHost) Wake(at float64)                              { host.wakeAt = at }
+func (host *dualHost) Subscribe()                                   {}
 func (host *dualHost) EndpointHealthChanged(uint32, planner.Health) {}
 func (host *dualHost) ThrottlingChanged(bool)                       {}
 
