--- a/docs/docs_test.go
+++ b/docs/docs_test.go
@@ -11,6 +11,7 @@
 	"path/filepath"
 	"regexp"
 	"slices"
+	"strconv"
 	"strings"
 	"testing"
 )
@@ -206,6 +207,74 @@
 	return ""
 }
 
+// logPages names the page that explains the log lines of some packages.
+var logPages = map[string][]string{
+	"oncall.md":    {"cmd/harehook", "platform/transport", "controller"},
+	"operators.md": {"internal/daemon", "configsync/transport", "xds/transport", "sidecar", "cmd/harehook-sidecar", "internal/certs"},
+	"raft.md":      {"cluster"},
+}
+
+// TestLogLinesAreExplained checks that each message that a program logs is on the page that explains its log: whoever is
+// on call searches for it there.
+func TestLogLinesAreExplained(t *testing.T) {
+	for page, folders := range logPages {
+		text := readPage(t, "docs/"+page)
+		for _, folder := range folders {
+			for _, message := range logMessages(t, folder) {
+				if !strings.Contains(text, "`"+message+"`") {
+					t.Errorf("%s: %q of %s is not explained", page, message, folder)
+				}
+			}
+		}
+	}
+}
+
+// logMessages lists the messages of a folder's calls of a logger.
+func logMessages(t *testing.T, folder string) (messages []string) {
+	t.Helper()
+	files, err := filepath.Glob(filepath.Join(root, folder, "*.go"))
+	if err != nil {
+		t.Fatal(err)
+	}
+	for _, name := range files {
+		if strings.HasSuffix(name, "_test.go") {
+			continue
+		}
+		file, err := parser.ParseFile(token.NewFileSet(), name, nil, parser.SkipObjectResolution)
+		if err != nil {
+			t.Fatal(err)
+		}
+		ast.Inspect(file, func(node ast.Node) bool {
+			if message, ok := loggedMessage(node); ok {
+				messages = append(messages, message)
+			}
+			return true
+		})
+	}
+	if len(messages) == 0 {
+		t.Errorf("%s logs nothing", folder)
+	}
+	return messages
+}
+
+// loggedMessage returns the message of a call such as log.Info("message", ...).
+func loggedMessage(node ast.Node) (message string, ok bool) {
+	call, isCall := node.(*ast.CallExpr)
+	if !isCall || len(call.Args) == 0 {
+		return "", false
+	}
+	method, isMethod := call.Fun.(*ast.SelectorExpr)
+	if !isMethod || !slices.Contains([]string{"Info", "Warn", "Error"}, method.Sel.Name) {
+		return "", false
+	}
+	literal, isLiteral := call.Args[0].(*ast.BasicLit)
+	if !isLiteral || literal.Kind != token.STRING {
+		return "", false
+	}
+	message, err := strconv.Unquote(literal.Value)
+	return message, err == nil
+}
+
 // TestNamesAreDeclared checks each test and each identifier of a package that a page names between backquotes.
 func TestNamesAreDeclared(t *testing.T) {
 	declared := readDeclarations(t)
