--- a/controller/commands.go
+++ b/controller/commands.go
@@ -53,8 +53,8 @@
 
 // CommandsRetried says that the call with a nonce goes out again though it, or its first part if it was not complete,
 // may have been carried out.
-func (c *Controller) CommandsRetried(nonce int, complete bool) {
-	c.post(func(l *eventLoop) { l.planner.CommandsRetried(l.now, nonce, complete) })
+func (c *Controller) CommandsRetried(nonce int, full bool) {
+	c.post(func(l *eventLoop) { l.planner.CommandsRetried(l.now, nonce, full) })
 }
 
 // plannerHost implements planner.Host: what the planner commands during an iteration gathers in the event loop's batch.
--- a/controller/loop.go
+++ b/controller/loop.go
@@ -49,7 +49,7 @@
 
 	names        settingsNames
 	nodes        nodeRegistry
-	proxies      proxySessions
+	proxies      proxyTracker
 	reportValues []float64 // of the load report at hand, used again
 }
 
@@ -66,7 +66,7 @@
 		stepAt:      math.Inf(1),
 		names:       newSettingsNames(deployment),
 		nodes:       newNodeRegistry(),
-		proxies:     newProxySessions(deployment.Planner.Proxies),
+		proxies:     newProxyTracker(deployment.Planner.Proxies),
 	}
 	l.now = l.clock.now()
 	l.planner = planner.New(plannerHost{l}, deployment.Planner, l.now)
--- a/controller/proxies.go
+++ b/controller/proxies.go
@@ -11,22 +11,22 @@
 	"harehook.dev/harehook/settings"
 )
 
-// proxySessions is what the proxy watch has reported of the proxies' streams.
+// proxyTracker is what the proxy watch has reported of the proxies' streams.
 //
 // When the watch is opened again it reports anew which proxies are connected; until it has named a proxy, that one is
 // unconfirmed. After a gap the proxy may have left, or left and come back without the table that it was bound to, so
 // that it has to be bound again. A gapless watch was opened before the one before it ended, and misses nothing; binding
 // all proxies again would fill the channel for seconds.
-type proxySessions struct {
-	limit        int          // proxies have the numbers below it
-	joined       map[int]bool // by number
-	unconfirmed  map[int]bool // those of joined that the present watch has not named
-	gapless      bool         // of the present watch
-	notYetSynced bool         // the watch before a gapless one may still report proxies
+type proxyTracker struct {
+	limit          int          // proxies have the numbers below it
+	joined         map[int]bool // by number
+	unconfirmed    map[int]bool // those of joined that the present watch has not named
+	gapless        bool         // of the present watch
+	ignoreNextSync bool         // the watch before a gapless one may still report proxies
 }
 
-func newProxySessions(limit int) proxySessions {
-	return proxySessions{
+func newProxyTracker(limit int) proxyTracker {
+	return proxyTracker{
 		limit:       cmp.Or(limit, settings.MaxProxies),
 		joined:      map[int]bool{},
 		unconfirmed: map[int]bool{},
@@ -34,34 +34,34 @@
 }
 
 // has reports whether there can be a proxy of that number.
-func (s *proxySessions) has(proxy int) bool { return proxy >= 0 && proxy < s.limit }
+func (s *proxyTracker) has(proxy int) bool { return proxy >= 0 && proxy < s.limit }
 
 // continues reports whether a proxy that the watch names is still on the stream that we know.
-func (s *proxySessions) continues(proxy int) bool { return s.gapless && s.unconfirmed[proxy] }
+func (s *proxyTracker) continues(proxy int) bool { return s.gapless && s.unconfirmed[proxy] }
 
-func (s *proxySessions) join(proxy int) {
+func (s *proxyTracker) join(proxy int) {
 	s.joined[proxy] = true
 	delete(s.unconfirmed, proxy)
 }
 
-func (s *proxySessions) leave(proxy int) {
+func (s *proxyTracker) leave(proxy int) {
 	delete(s.joined, proxy)
 	delete(s.unconfirmed, proxy)
 }
 
 // watchResumed begins a watch.
-func (s *proxySessions) watchResumed(gapless bool) {
+func (s *proxyTracker) watchResumed(gapless bool) {
 	s.gapless = gapless
-	s.notYetSynced = gapless
+	s.ignoreNextSync = gapless
 	for proxy := range s.joined {
 		s.unconfirmed[proxy] = true
 	}
 }
 
 // watchSynced gives the proxies that have left unseen, in order, and whether it is certain yet who has.
-func (s *proxySessions) watchSynced() (left []int, synced bool) {
-	if s.notYetSynced {
-		s.notYetSynced = false
+func (s *proxyTracker) watchSynced() (left []int, synced bool) {
+	if s.ignoreNextSync {
+		s.ignoreNextSync = false
 		return nil, false
 	}
 	return slices.Sorted(maps.Keys(s.unconfirmed)), true
--- a/planner/admission.go
+++ b/planner/admission.go
@@ -61,8 +61,8 @@
 	throttling      bool    // whether the budget binds
 	throttlingSince float64 // s
 
-	levels  []float64 // by route, the part of its requests to admit
-	retries clientRetryEstimate
+	levels        []float64 // by route, the part of its requests to admit
+	clientRetries clientRetryEstimate
 }
 
 // admissionInput is what an update of admission control is decided by.
@@ -87,7 +87,7 @@
 		priorityPerCost: make([]float64, routes),
 		workBudget:      math.Inf(1),
 		levels:          make([]float64, routes),
-		retries:         newClientRetryEstimate(routes),
+		clientRetries:   newClientRetryEstimate(routes),
 	}
 }
 
@@ -106,7 +106,7 @@
 // update decides the levels, every updateIntervalSeconds. It reports whether throttling has begun or ended.
 func (a *admissionControl) update(in admissionInput) (throttlingChanged bool) {
 	a.followBaselineRate(in.baselineRate)
-	a.retries.update(clientRetryInput{
+	a.clientRetries.update(clientRetryInput{
 		now:                in.now,
 		demand:             in.demand,
 		subsets:            in.subsets,
@@ -116,7 +116,7 @@
 		saturation:         in.saturation,
 		attempts:           in.attempts,
 	})
-	asked := a.originalWork()
+	originalWork := a.originalWork()
 	a.scaleBudget(in.fleet.weight * a.servedBaselineRate)
 	if in.windowCoverage > minWindowCoverage {
 		// Before, a few answers would pass for all that the fleet can do, and throttle an idle one.
@@ -124,8 +124,8 @@
 		a.peakThroughput = max(a.peakThroughput, throughput)
 	}
 	a.moveBudget(in)
-	a.limitByUtilization(in, asked)
-	if a.kind == AdmissionOff || in.saturation < relievedLatencyRatio && a.workBudget > unboundBudgetRatio*asked {
+	a.limitByUtilization(in, originalWork)
+	if a.kind == AdmissionOff || in.saturation < relievedLatencyRatio && a.workBudget > unboundBudgetRatio*originalWork {
 		a.workBudget = math.Inf(1)
 	}
 	throttling := !math.IsInf(a.workBudget, 1)
@@ -175,16 +175,16 @@
 // limitByUtilization bounds the budget by what busy endpoints could answer. Where utilization is reported that is
 // known, and a burst shows in what is asked before any queue tells. Capacity that is learned from latencies is too
 // rough for it.
-func (a *admissionControl) limitByUtilization(in admissionInput, asked float64) {
+func (a *admissionControl) limitByUtilization(in admissionInput, originalWork float64) {
 	limit := in.fleet.capacity * (capacityTargetFraction * in.meanObjective)
-	if a.utilization && asked > limit {
+	if a.utilization && originalWork > limit {
 		a.workBudget = min(a.workBudget, limit)
 	}
 }
 
 // originalWork is the work that is asked with original requests.
 func (a *admissionControl) originalWork() (work float64) {
-	for r, requests := range a.retries.original {
+	for r, requests := range a.clientRetries.original {
 		work += requests * a.routes[r].LatencyObjective
 	}
 	return work
@@ -215,7 +215,7 @@
 	first := a.priorityPerCost[routes[0]]
 	for _, r := range routes {
 		if a.priorityPerCost[r] >= priorityTierRatio*first {
-			work += a.retries.original[r] * a.routes[r].LatencyObjective
+			work += a.clientRetries.original[r] * a.routes[r].LatencyObjective
 		}
 	}
 	return work
--- a/planner/allocation.go
+++ b/planner/allocation.go
@@ -107,8 +107,8 @@
 	for zone := range f.openInZone {
 		f.openInZone[zone] = f.openInZone[zone][:0]
 	}
-	for to, room := range f.remaining {
-		if room > f.minRemaining {
+	for to, remaining := range f.remaining {
+		if remaining > f.minRemaining {
 			zone := f.loads[to].zone
 			f.openInZone[zone] = append(f.openInZone[zone], to)
 			f.open = append(f.open, to)
--- a/planner/allocation_test.go
+++ b/planner/allocation_test.go
@@ -84,15 +84,15 @@
 				demand += load.demand
 			}
 			for from, load := range loads {
-				whole := 0.0
+				total := 0.0
 				for to := range loads {
-					whole += granted.get(from, to)
+					total += granted.get(from, to)
 				}
-				if want := load.demand * fraction; load.demand > 0 && math.Abs(whole-want) > tolerance {
-					t.Errorf("subset %d with demand %v is granted %v, the fair share is %v", from, load.demand, whole, want)
+				if want := load.demand * fraction; load.demand > 0 && math.Abs(total-want) > tolerance {
+					t.Errorf("subset %d with demand %v is granted %v, the fair share is %v", from, load.demand, total, want)
 				}
-				if load.demand == 0 && whole > 0 {
-					t.Errorf("subset %d without demand is granted %v", from, whole)
+				if load.demand == 0 && total > 0 {
+					t.Errorf("subset %d without demand is granted %v", from, total)
 				}
 			}
 			if !localZoneOnly && demand > 0 && free > tolerance {
--- a/planner/endpoints.go
+++ b/planner/endpoints.go
@@ -23,10 +23,10 @@
 
 // endpointRegistry holds the endpoints under dense indices, which the routing tables share.
 type endpointRegistry struct {
-	all         []endpoint
-	indexOf     map[uint32]int // by node
-	unused      []int          // indices of released endpoints
-	dealtByZone []int          // endpoints that the subsets of a zone were given so far
+	all            []endpoint
+	indexOf        map[uint32]int // by node
+	unused         []int          // indices of released endpoints
+	assignedByZone []int          // endpoints that the subsets of a zone were given so far
 }
 
 // sum adds a figure up over all endpoints, in the order of their indices.
@@ -47,7 +47,7 @@
 		r.all = append(r.all, endpoint{})
 	}
 	r.indexOf[listed.Node] = i
-	r.dealtByZone[listed.Zone]++
+	r.assignedByZone[listed.Zone]++
 	e := &r.all[i]
 	e.node = listed.Node
 	e.machineType = listed.MachineType
@@ -107,7 +107,7 @@
 			p.updateEndpoint(listed)
 		}
 	}
-	p.publication.outdated = !p.config.Sharded
+	p.publication.urgentPending = !p.config.Sharded
 	p.publishUrgent()
 }
 
@@ -130,7 +130,7 @@
 
 // addEndpoint deals a new endpoint to the next subset of its zone and makes room for it in all tables.
 func (p *Planner) addEndpoint(listed Endpoint) int {
-	subset := (listed.Zone + p.config.Zones*p.endpoints.dealtByZone[listed.Zone]) % len(p.subsets)
+	subset := (listed.Zone + p.config.Zones*p.endpoints.assignedByZone[listed.Zone]) % len(p.subsets)
 	i := p.endpoints.add(listed, subset)
 	for k := range p.subsets {
 		p.subsets[k].table.grow(i)
--- a/planner/flowcontrol.go
+++ b/planner/flowcontrol.go
@@ -59,8 +59,8 @@
 // fits reports whether entries may be sent within a fraction of the queue and of the next call. If they are more than
 // the fraction ever has room for, they may be sent while the queue is idle: else they would wait for good.
 func (f *flowControl) fits(entries, fraction float64) bool {
-	unanswered := f.account.unanswered
-	fitsCall := unanswered == 0 || unanswered+entries <= maxCallFraction*f.maxEntries
+	unaccepted := f.account.unaccepted
+	fitsCall := unaccepted == 0 || unaccepted+entries <= maxCallFraction*f.maxEntries
 	if !fitsCall {
 		return false
 	}
@@ -136,9 +136,9 @@
 
 // CommandsRetried says that the call with a nonce goes out again though its outcome is unknown: it may have been
 // carried out, all of it (whole) or its first part.
-func (p *Planner) CommandsRetried(now float64, nonce int, whole bool) {
+func (p *Planner) CommandsRetried(now float64, nonce int, full bool) {
 	p.now = now
-	p.flow.account.retry(nonce, whole)
+	p.flow.account.countRetry(nonce, full)
 }
 
 // Acknowledged says that a proxy applied all commands up to a nonce.
--- a/planner/inflight.go
+++ b/planner/inflight.go
@@ -25,8 +25,8 @@
 	// entries is the sum of the batches' entries and repeated.
 	entries float64
 
-	// unanswered is the sum of the entries of the batches that are not accepted. They leave with the next call.
-	unanswered float64
+	// unaccepted is the sum of the entries of the batches that are not accepted. They leave with the next call.
+	unaccepted float64
 }
 
 // batch is what one iteration of the event loop commanded, under one nonce. Batches that left in the same call are
@@ -103,7 +103,7 @@
 		current.reserved += added
 		a.entries += added
 		if !current.accepted {
-			a.unanswered += added
+			a.unaccepted += added
 		}
 	}
 	return begun
@@ -144,7 +144,7 @@
 	b.entries -= entries
 	a.entries -= entries
 	if !b.accepted {
-		a.unanswered -= entries
+		a.unaccepted -= entries
 	}
 }
 
@@ -177,7 +177,7 @@
 	k := a.merge(a.find(nonce))
 	if k >= 0 && !a.batches[k].accepted {
 		a.batches[k].accepted = true
-		a.unanswered -= a.batches[k].entries
+		a.unaccepted -= a.batches[k].entries
 	}
 	a.dropSettled()
 }
@@ -218,16 +218,16 @@
 	}
 }
 
-// retry says that the call with a nonce goes out again though it may have been carried out: all of it, or its first
+// countRetry says that the call with a nonce goes out again though it may have been carried out: all of it, or its first
 // part only, which costs a second message for each proxy. What is repeated counts under the last batch so far: the
 // repeated call may leave together with it, and an acknowledgement of the call's own nonce may be of the first time.
-func (a *inFlightAccount) retry(nonce int, whole bool) {
+func (a *inFlightAccount) countRetry(nonce int, full bool) {
 	repeated := 0.0
 	binds := map[int]int{} // by subset, those of the batches up to the nonce
 	for k := a.find(nonce); k >= 0 && !a.batches[k].accepted; k-- {
 		b := &a.batches[k]
 		switch {
-		case whole:
+		case full:
 			repeated += b.reserved
 			for subset, n := range b.binds {
 				binds[subset] += n
@@ -260,7 +260,7 @@
 	if len(a.batches) == 0 {
 		// Differences of sums leave rounding errors, which must not add up.
 		a.entries = 0
-		a.unanswered = 0
+		a.unaccepted = 0
 	}
 }
 
--- a/planner/inflight_test.go
+++ b/planner/inflight_test.go
@@ -9,7 +9,7 @@
 // checkInvariants fails the test if a field of the account contradicts what its comment says.
 func checkInvariants(t *testing.T, a *inFlightAccount) {
 	t.Helper()
-	var entries, unanswered float64
+	var entries, unaccepted float64
 	for k, b := range a.batches {
 		open := 0.0
 		for _, n := range b.open {
@@ -30,11 +30,11 @@
 		}
 		entries += b.entries + b.repeated
 		if !b.accepted {
-			unanswered += b.entries
+			unaccepted += b.entries
 		}
 	}
-	if a.entries != entries || a.unanswered != unanswered {
-		t.Fatalf("%v entries and %v unanswered, the batches have %v and %v", a.entries, a.unanswered, entries, unanswered)
+	if a.entries != entries || a.unaccepted != unaccepted {
+		t.Fatalf("%v entries and %v unanswered, the batches have %v and %v", a.entries, a.unaccepted, entries, unaccepted)
 	}
 }
 
@@ -66,7 +66,7 @@
 					if random.IntN(2) == 0 {
 						a.proxyLeft(proxy)
 					} else {
-						a.retry(nonce, random.IntN(2) == 0)
+						a.countRetry(nonce, random.IntN(2) == 0)
 					}
 				}
 				checkInvariants(t, &a)
--- a/planner/planner.go
+++ b/planner/planner.go
@@ -21,16 +21,16 @@
 	proxies   proxyRegistry
 	subsets   []subset
 
-	watch       endpointWatch
-	demand      demandEstimate
-	load        loadStatistics
-	outliers    outlierDetector
-	capacity    capacityEstimate
-	slowStart   slowStart
-	admission   admissionControl
-	retries     retryControl
-	publication publication
-	flow        flowControl
+	watch        endpointWatch
+	demand       demandEstimate
+	load         loadStatistics
+	outliers     outlierDetector
+	capacity     capacityEstimate
+	slowStart    slowStart
+	admission    admissionControl
+	retryControl retryControl
+	publication  publication
+	flow         flowControl
 
 	nextUpdate    float64 // s, of learned capacity and admission
 	localZoneOnly bool    // whether the requests of some route may not leave their zone
@@ -40,21 +40,21 @@
 // changes if config says that a controller has to. Where tables are sharded, it asks for no step and binds no proxy.
 func New(host Host, config Config, now float64) *Planner {
 	p := &Planner{
-		host:        host,
-		config:      config,
-		now:         now,
-		random:      randomSource{seed: config.Seed},
-		endpoints:   endpointRegistry{indexOf: map[uint32]int{}},
-		watch:       endpointWatch{subscribeAt: math.Inf(1)},
-		demand:      demandEstimate{byRoute: make([]float64, len(config.Routes))},
-		load:        loadStatistics{decayedAt: now},
-		capacity:    newCapacityEstimate(config),
-		slowStart:   slowStart{window: config.SlowStartWindow, overloadMultiple: config.OverloadMultiple},
-		admission:   newAdmissionControl(config),
-		retries:     retryControl{saturated: true},
-		publication: publication{nextAt: now},
-		flow:        newFlowControl(config),
-		nextUpdate:  now,
+		host:         host,
+		config:       config,
+		now:          now,
+		random:       randomSource{seed: config.Seed},
+		endpoints:    endpointRegistry{indexOf: map[uint32]int{}},
+		watch:        endpointWatch{subscribeAt: math.Inf(1)},
+		demand:       demandEstimate{byRoute: make([]float64, len(config.Routes))},
+		load:         loadStatistics{decayedAt: now},
+		capacity:     newCapacityEstimate(config),
+		slowStart:    slowStart{window: config.SlowStartWindow, overloadMultiple: config.OverloadMultiple},
+		admission:    newAdmissionControl(config),
+		retryControl: retryControl{saturated: true},
+		publication:  publication{nextAt: now},
+		flow:         newFlowControl(config),
+		nextUpdate:   now,
 	}
 	p.makeSubsets(0)
 	if config.Sharded {
@@ -107,7 +107,7 @@
 	}
 	e.health = h
 	e.healthSince = p.now
-	p.publication.outdated = true
+	p.publication.urgentPending = true
 }
 
 // updateAdmission decides the admission levels and the retry policy, once load reports tell enough.
@@ -116,7 +116,7 @@
 		return
 	}
 	fleet := p.load.measureFleet(p.fleetInput())
-	p.retries.update(p.load.saturation)
+	p.retryControl.update(p.load.saturation)
 	completed := p.endpoints.sum(func(e *endpoint) float64 { return e.load.completed })
 	throttlingChanged := p.admission.update(admissionInput{
 		now:            p.now,
--- a/planner/publication.go
+++ b/planner/publication.go
@@ -20,9 +20,9 @@
 
 // publication is the state of the routing tables on their way to the proxies.
 type publication struct {
-	outdated bool             // whether a change that cannot wait is not published yet
-	nextAt   float64          // s, when ordinary changes are due
-	next     publicationStage // that follows the one under way; without tables if there is none
+	urgentPending bool             // whether a change that cannot wait is not published yet
+	nextAt        float64          // s, when ordinary changes are due
+	next          publicationStage // that follows the one under way; without tables if there is none
 }
 
 // publicationStage is tables that wait for those of the stage before. Tables that receive requests of other subsets are
@@ -37,7 +37,7 @@
 // publishUrgent publishes at once what cannot wait, in this order: entries of endpoints that drain or were removed;
 // tables for proxies that joined; admission levels; tables that are far off (see urgentEntries).
 func (p *Planner) publishUrgent() {
-	if !p.publication.outdated {
+	if !p.publication.urgentPending {
 		p.bindWaiting()
 		p.publishLevels()
 		return
@@ -56,7 +56,7 @@
 	} else {
 		allPublished = false
 	}
-	p.publication.outdated = !allPublished
+	p.publication.urgentPending = !allPublished
 }
 
 // publishRemovals publishes the entries of endpoints that drain or were removed. It reports whether all were sent.
--- a/planner/publishlevels.go
+++ b/planner/publishlevels.go
@@ -50,13 +50,13 @@
 	if p.now < s.admission.at+interval {
 		return false
 	}
-	return s.admission.retryPolicy != p.retries.policy() || !slices.Equal(s.admission.levels, p.admission.levels)
+	return s.admission.retryPolicy != p.retryControl.policy() || !slices.Equal(s.admission.levels, p.admission.levels)
 }
 
 // publishSubsetLevels sends a subset the levels that changed, or all with a changed retry policy.
 func (p *Planner) publishSubsetLevels(subset int) {
 	s := &p.subsets[subset]
-	policy := p.retries.policy()
+	policy := p.retryControl.policy()
 	for r, level := range p.admission.levels {
 		if s.admission.levels[r] == level && s.admission.retryPolicy == policy {
 			continue
@@ -75,7 +75,7 @@
 // admissionRate is the max-min fair rate of each proxy, in requests a second, that admits a route's level of its
 // original requests. Client retries use none of it. A route that is admitted in full has no bound.
 func (p *Planner) admissionRate(route int) float64 {
-	original := p.admission.retries.original[route]
+	original := p.admission.clientRetries.original[route]
 	var rates []float64 // original requests a second, by connected proxy
 	for k := range p.proxies.all {
 		if member := &p.proxies.all[k]; member.connected {
--- a/planner/subsets.go
+++ b/planner/subsets.go
@@ -30,7 +30,7 @@
 			admission:        newPublishedAdmission(len(p.config.Routes)),
 		}
 	}
-	p.endpoints.dealtByZone = make([]int, p.config.Zones)
+	p.endpoints.assignedByZone = make([]int, p.config.Zones)
 }
 
 // assignSubset gives a proxy the subset of its zone with the lowest baseline rate.
--- a/planner/tables.go
+++ b/planner/tables.go
@@ -122,16 +122,16 @@
 		maxSpill[k] = max(maxSpillFraction, 1-granted.get(k, k)/max(loads[k].capacity, 1e-9))
 		clear(p.subsets[k].table.desired)
 	}
-	borrower := make([]int, n) // by subset, how many of the subsets that follow it have what they were granted
+	nextReceiver := make([]int, n) // by subset, how many of the subsets that follow it have what they were granted
 	for i := len(capacity) - 1; i >= 0; i-- {
 		k := p.endpoints.all[i].subset
 		own := capacity[i]
 		spill := maxSpill[k] * capacity[i]
-		for spill > 0 && borrower[k] < n-1 {
-			from := (k + 1 + borrower[k]) % n
+		for spill > 0 && nextReceiver[k] < n-1 {
+			from := (k + 1 + nextReceiver[k]) % n
 			rest := granted.get(from, k)
 			if rest < minWeightChangeFraction*capacity[i] {
-				borrower[k]++ // less is not worth an entry
+				nextReceiver[k]++ // less is not worth an entry
 				continue
 			}
 			taken := min(spill, rest)
--- a/planner/unseendemand.go
+++ b/planner/unseendemand.go
@@ -27,8 +27,8 @@
 		totalMissing += missing[k]
 	}
 	// The fuller our own endpoints are, the likelier it is that others have capacity left.
-	belief := max(0, min(1, (saturatedLatencyRatio-p.load.saturation)/(saturatedLatencyRatio-relievedLatencyRatio)))
-	unseen := belief * p.baselineRate() / (seen + unseenDemandPriorProxies) * max(0, proxies-seen)
+	weight := max(0, min(1, (saturatedLatencyRatio-p.load.saturation)/(saturatedLatencyRatio-relievedLatencyRatio)))
+	unseen := weight * p.baselineRate() / (seen + unseenDemandPriorProxies) * max(0, proxies-seen)
 	for k := range loads {
 		loads[k].demand += unseen * missing[k] / max(totalMissing, 1e-9)
 	}
--- a/settings/validate.go
+++ b/settings/validate.go
@@ -34,16 +34,16 @@
 
 // nameList is a list of names under a key.
 type nameList struct {
-	key       string
-	names     []string
-	forbidden string // characters that no command or watch event can carry
-	isolated  bool   // commands tell the names apart by nothing else: none may be empty, "*" or there twice
+	key            string
+	names          []string
+	forbidden      string // characters that no command or watch event can carry
+	usedInCommands bool   // commands tell the names apart by nothing else: none may be empty, "*" or there twice
 }
 
 func (raw *rawSettings) validateNames() error {
 	for _, list := range []nameList{
 		{key: "zones", names: raw.Zones, forbidden: "\r\n"},
-		{key: "categories", names: raw.routeNames(), forbidden: ",;+\r\n", isolated: true},
+		{key: "categories", names: raw.routeNames(), forbidden: ",;+\r\n", usedInCommands: true},
 		{key: "machine-types", names: raw.MachineTypes},
 	} {
 		if err := list.validate(); err != nil {
@@ -60,10 +60,10 @@
 	seen := map[string]bool{}
 	for k, name := range l.names {
 		key := fmt.Sprintf("%s[%d]", l.key, k)
-		if l.isolated && seen[name] {
+		if l.usedInCommands && seen[name] {
 			return &ValueError{Key: key, Value: name, Reason: fmt.Sprintf("the name %q is there twice", name)}
 		}
-		reserved := l.isolated && (name == "" || name == "*")
+		reserved := l.usedInCommands && (name == "" || name == "*")
 		if reserved || strings.ContainsAny(name, l.forbidden) {
 			return &ValueError{Key: key, Value: name, Reason: fmt.Sprintf("no order or news can carry the name %q", name)}
 		}
