--- a/planner/admission.go
+++ b/planner/admission.go
@@ -8,7 +8,7 @@
 
 // The work budget.
 const (
-	// budgetCut times what the fleet can answer is admitted after a cut: less than that, so that full queues empty.
+	// budgetCut is the factor on min(budget, peak throughput) at a cut; under 1, so that full queues empty.
 	budgetCut = 0.95
 	// cutIntervalSeconds is the time between two cuts: load reports reach back some seconds, come late and are
 	// averaged, so that a cut shows only then.
@@ -16,8 +16,8 @@
 	// budgetGrowthPerSecond is the part by which the budget grows each second while the fleet is idle: queues fill
 	// later than load reports tell.
 	budgetGrowthPerSecond = 0.05
-	// budgetRecoveryPerSecond is the part by which it grows besides, for a budget of nothing beside the peak
-	// throughput.
+	// budgetRecoveryPerSecond is the extra growth each second when the budget is 0. It falls linearly to 0 where the
+	// budget is at the peak throughput.
 	budgetRecoveryPerSecond = 0.5
 	// minWindowCoverage is the part of loadWindowSeconds that has to be covered by reports before they tell the
 	// throughput.
@@ -25,7 +25,7 @@
 	// capacityTargetFraction is the part of what busy endpoints could answer that is admitted: requests arrive at
 	// random.
 	capacityTargetFraction = 0.65
-	// unboundBudgetRatio is the budget, in times of what is asked, from which on it does not bind.
+	// unboundBudgetRatio is the budget, as a multiple of the original work, above which it does not bind.
 	unboundBudgetRatio = 1.3
 )
 
@@ -104,6 +104,11 @@
 }
 
 // update decides the levels, every updateIntervalSeconds. It reports whether throttling has begun or ended.
+//
+// The order counts. The client retries are estimated with the throttling and the baseline rate known before this
+// update, the original work from them. The budget is scaled to the endpoints and proxies of now before the throughput
+// of now may raise the peak, and moved only then, as a cut starts from that peak. The bounds come last, so that no
+// growth passes them, and throttling is told from the budget that results.
 func (a *admissionControl) update(in admissionInput) (throttlingChanged bool) {
 	a.followBaselineRate(in.baselineRate)
 	a.clientRetries.update(clientRetryInput{
@@ -125,7 +130,7 @@
 	}
 	a.moveBudget(in)
 	a.limitByUtilization(in, originalWork)
-	if a.kind == AdmissionOff || in.saturation < relievedLatencyRatio && a.workBudget > unboundBudgetRatio*originalWork {
+	if a.budgetUnbound(in.saturation, originalWork) {
 		a.workBudget = math.Inf(1)
 	}
 	throttling := !math.IsInf(a.workBudget, 1)
@@ -138,6 +143,15 @@
 	return throttlingChanged
 }
 
+// budgetUnbound reports whether the budget need not bind: admission is off, or the fleet is relieved and the budget far
+// over the original work.
+func (a *admissionControl) budgetUnbound(saturation, originalWork float64) bool {
+	if a.kind == AdmissionOff {
+		return true
+	}
+	return saturation < relievedLatencyRatio && a.workBudget > unboundBudgetRatio*originalWork
+}
+
 // followBaselineRate follows the proxies that join at once, and those that leave as slowly as their demand decays:
 // another controller serves them from then on, or they go on sending.
 func (a *admissionControl) followBaselineRate(connected float64) {
@@ -146,9 +160,10 @@
 	a.servedBaselineRate = max(connected, connected+left*math.Exp(-updateIntervalSeconds/demandWindowSeconds))
 }
 
-// scaleBudget lets the budget follow the endpoints and our proxies. A zone or a release takes endpoints away and brings
-// them back, a controller that stops leaves its proxies to others: what the endpoints can answer of ours goes and
-// comes along. Held fast, the budget would reject requests at an idle fleet or admit too many to a small one.
+// scaleBudget scales the budget with the weight of the endpoints and the baseline rate of our proxies. It guards against
+// a budget that was learned for another fleet, as after a zone is lost, a release, or the stop of another controller:
+// too much would be admitted to the endpoints that are left, or requests rejected by an idle fleet once they are back.
+// What the endpoints can answer of our requests is in proportion to both, so that the scaled budget fits at once.
 func (a *admissionControl) scaleBudget(scale float64) {
 	if a.budgetScale > 0 {
 		a.workBudget = a.workBudget * scale / a.budgetScale
@@ -204,7 +219,9 @@
 			left = max(0, left-work)
 		}
 		before := a.levels[r]
-		if math.Abs(level-before) > minLevelChangeFraction*before || level == 1 && before < 1 {
+		changed := math.Abs(level-before) > minLevelChangeFraction*before
+		restored := level == 1 && before < 1
+		if changed || restored {
 			a.levels[r] = level
 		}
 	}
--- a/planner/allocation.go
+++ b/planner/allocation.go
@@ -24,10 +24,11 @@
 // allocate splits the subsets' demand over their capacity by the water-fill of "B4 and After" (SIGCOMM 2018, §4.3,
 // Algorithm 1): a subset is a supernode, and all capacity together is the sink.
 //
-// In each round every subset sends along its first path that has room left: to its own endpoints; else evenly to all
-// subsets of its zone that have room; else, unless localZoneOnly, evenly to all that have room. All traffic grows in
-// proportion to demand until some subset is full, and the next round begins without it. The fill ends when the traffic
-// of some subset finds no path: all subsets are then granted the same part of their demand, the max-min fair one.
+// In each round every subset sends along its first path with remaining capacity: to its own endpoints; else evenly to
+// all subsets of its zone that have some; else, unless localZoneOnly, evenly to all that have some. All traffic grows
+// in proportion to demand until some subset is full, and the next round begins without it. The fill ends when the
+// traffic of some subset finds no path: all subsets are then granted the same part of their demand, the max-min fair
+// one.
 func allocate(loads []subsetLoad, zones int, localZoneOnly bool) allocation {
 	n := len(loads)
 	fill := waterFill{
@@ -69,8 +70,8 @@
 	// Of the round under way.
 	link       []float64 // weight of each path, by from*n+to
 	inbound    []float64 // sum of the weights of the paths to a subset
-	openInZone [][]int   // subsets with room, by zone
-	open       []int     // subsets with room
+	openInZone [][]int   // subsets with remaining capacity, by zone
+	open       []int     // subsets with remaining capacity
 }
 
 // findPaths weighs the paths of a round. It reports false if the traffic of some subset finds none.
@@ -101,7 +102,7 @@
 	return true
 }
 
-// findOpen lists the subsets that have room.
+// findOpen lists the subsets that have remaining capacity.
 func (f *waterFill) findOpen() {
 	f.open = f.open[:0]
 	for zone := range f.openInZone {
--- a/planner/capacity.go
+++ b/planner/capacity.go
@@ -58,8 +58,12 @@
 	c.averageByType(endpoints)
 }
 
-// utilizationByLatency takes an endpoint that does not report utilization for as busy as its attempts wait, beside its
-// baseline latency. A failed attempt counts as having waited for a latency objective.
+// utilizationByLatency estimates the utilization of an endpoint that does not report it:
+//
+//	utilization = 1 - baseline/latency
+//
+// A failed attempt counts in the mean latency with a latency objective. The baseline is the baseline latency, and
+// idleLatencyRatio of an objective at most.
 func (e *endpoint) utilizationByLatency(meanObjective float64) float64 {
 	if answers := e.load.answers(); answers >= minAttempts {
 		grown := e.evidence.baselineLatency * (1 + baselineLatencyGrowthPerSecond*updateIntervalSeconds)
--- a/planner/endpoints.go
+++ b/planner/endpoints.go
@@ -26,7 +26,7 @@
 	all            []endpoint
 	indexOf        map[uint32]int // by node
 	unused         []int          // indices of released endpoints
-	assignedByZone []int          // endpoints that the subsets of a zone were given so far
+	assignedByZone []int          // endpoints of a zone that were assigned round-robin to its subsets so far
 }
 
 // sum adds a figure up over all endpoints, in the order of their indices.
@@ -98,6 +98,7 @@
 		p.makeSubsets(len(list))
 		for number := range p.proxies.all {
 			if p.proxies.all[number].connected {
+				// Before the first endpoint each zone is one subset: the proxy's subset is the number of its zone.
 				p.assignSubset(number, p.proxies.all[number].subset)
 			}
 		}
@@ -107,7 +108,7 @@
 			p.updateEndpoint(listed)
 		}
 	}
-	p.publication.urgentPending = !p.config.Sharded
+	p.publication.urgentPending = !p.inactive()
 	p.publishUrgent()
 }
 
@@ -128,9 +129,9 @@
 	e.weight = cmp.Or(max(listed.Weight, 0), 1)
 }
 
-// addEndpoint deals a new endpoint to the next subset of its zone and makes room for it in all tables.
+// addEndpoint assigns new endpoints round-robin to the subsets of their zone, and extends all tables to their indices.
 func (p *Planner) addEndpoint(listed Endpoint) int {
-	subset := (listed.Zone + p.config.Zones*p.endpoints.assignedByZone[listed.Zone]) % len(p.subsets)
+	subset := p.nthSubset(listed.Zone, p.endpoints.assignedByZone[listed.Zone])
 	i := p.endpoints.add(listed, subset)
 	for k := range p.subsets {
 		p.subsets[k].table.grow(i)
@@ -159,7 +160,7 @@
 // EndpointWatchFailed says that a subscription to the list failed or broke. The next one follows after a backoff.
 func (p *Planner) EndpointWatchFailed(now float64) {
 	p.now = now
-	if !p.config.MustSubscribe || p.config.Sharded || !math.IsInf(p.watch.subscribeAt, 1) {
+	if !p.config.MustSubscribe || p.inactive() || !math.IsInf(p.watch.subscribeAt, 1) {
 		return
 	}
 	// The backoff grows and is random: the service is one for all controllers and rejects crowds.
--- a/planner/flowcontrol.go
+++ b/planner/flowcontrol.go
@@ -3,7 +3,7 @@
 import "slices"
 
 // Fractions of the channel's queue (Config.MaxInFlightEntries) that commands may fill. The more urgent a command, the
-// more it may fill, so that what must go always finds room.
+// more it may fill, so that what must go always fits.
 const (
 	idleQueueFraction     = 0.10 // up to which the queue counts as empty
 	ordinaryQueueFraction = 0.35 // for changes of tables that may wait; the channel can be several times slower than stated
@@ -18,7 +18,7 @@
 	maxQueueSeconds = 2.0
 	// channelProbeSeconds is the time from the last batch to the first probe of what is in flight.
 	channelProbeSeconds = 3.0
-	// maxChannelProbeBackoff bounds the time between two probes, in channelProbeSeconds above the first.
+	// maxChannelProbeBackoff is the maximum number of extra intervals of channelProbeSeconds between two probes.
 	maxChannelProbeBackoff = 3.0
 )
 
@@ -27,8 +27,7 @@
 	account          inFlightAccount
 	maxEntries       float64 // that may be in flight
 	entriesPerSecond float64 // that the channel delivers as stated, 0 if not stated
-	maxMessages      int     // to one proxy within messageWindow, 0 for no limit
-	messageWindow    float64 // s
+	maxMessages      int     // to one proxy within Config.MessageWindow, 0 for no limit
 	probes           float64 // probes since a nonce was last acknowledged
 }
 
@@ -38,7 +37,6 @@
 		maxEntries:       config.MaxInFlightEntries,
 		entriesPerSecond: config.EntriesPerSecond,
 		maxMessages:      config.MaxMessages,
-		messageWindow:    config.MessageWindow,
 	}
 }
 
@@ -57,27 +55,31 @@
 func (f *flowControl) idle() bool { return f.available(idleQueueFraction) > 0 }
 
 // fits reports whether entries may be sent within a fraction of the queue and of the next call. If they are more than
-// the fraction ever has room for, they may be sent while the queue is idle: else they would wait for good.
+// of the queue ever holds, they may be sent while the queue is idle: else they would wait for good.
 func (f *flowControl) fits(entries, fraction float64) bool {
 	unaccepted := f.account.unaccepted
 	fitsCall := unaccepted == 0 || unaccepted+entries <= maxCallFraction*f.maxEntries
-	if !fitsCall {
-		return false
-	}
-	return entries <= f.available(fraction) || f.idle() && entries <= f.available(urgentQueueFraction)
+	fitsFraction := entries <= f.available(fraction)
+	fitsIdleQueue := f.idle() && entries <= f.available(urgentQueueFraction)
+	return fitsCall && (fitsFraction || fitsIdleQueue)
+}
+
+// forgetOldMessages drops the times of messages that no longer lie within the window.
+func (s *subset) forgetOldMessages(now, window float64) {
+	s.messageTimes = slices.DeleteFunc(s.messageTimes, func(at float64) bool { return now-at > window })
 }
 
 // mayPublish reports whether entries for each member of a subset fit into a fraction of the queue, and a message to
-// each into a fraction of the messages that a proxy may get.
+// each into a fraction of the messages that a proxy may get. The subset has forgotten its old messages before.
 func (f *flowControl) mayPublish(now float64, s *subset, each, fraction float64) bool {
-	s.messageTimes = slices.DeleteFunc(s.messageTimes, func(at float64) bool { return now-at > f.messageWindow })
 	if !f.fits(f.account.cost(now, s.members, each), fraction) {
 		return false
 	}
 	recent := len(s.messageTimes)
 	needsMessage := recent == 0 || s.messageTimes[recent-1] != now
 	maxRecent := fraction*float64(f.maxMessages) - 1
-	return !needsMessage || f.maxMessages == 0 || recent == 0 || float64(recent) < maxRecent
+	mayGetMessage := f.maxMessages == 0 || recent == 0 || float64(recent) < maxRecent
+	return !needsMessage || mayGetMessage
 }
 
 // probeDue reports whether nothing was sent, and nothing acknowledged, for so long that a proxy has to be probed.
@@ -128,14 +130,14 @@
 // InFlight is how many entries may be in flight to the proxies, never fewer than are.
 func (p *Planner) InFlight() float64 { return p.flow.account.entries }
 
-// CommandsAccepted says that the call with a nonce was answered: its commands were carried out.
+// CommandsAccepted says that the call with a nonce was accepted: its commands were carried out.
 func (p *Planner) CommandsAccepted(now float64, nonce int) {
 	p.now = now
 	p.flow.account.accept(nonce)
 }
 
 // CommandsRetried says that the call with a nonce goes out again though its outcome is unknown: it may have been
-// carried out, all of it (whole) or its first part.
+// carried out, in full or its first part.
 func (p *Planner) CommandsRetried(now float64, nonce int, full bool) {
 	p.now = now
 	p.flow.account.countRetry(nonce, full)
--- a/planner/inflight.go
+++ b/planner/inflight.go
@@ -2,7 +2,9 @@
 
 import "slices"
 
-// nonceModulo keeps nonces whole numbers below 65536, as the platform's commands carry them.
+// nonceModulo keeps nonces whole numbers below 65536, as the platform's commands carry them. Batch nonceModulo has the
+// nonce 0, which platform/wire also uses for "no nonce": it reports neither the acceptance nor a retry of a call whose
+// last nonce is 0. The batch is settled with the next one that is accepted, but a retry of it is not counted.
 const nonceModulo = 60000
 
 // inFlightAccount counts the entries in flight to the proxies: what was commanded and, for all that is known, was not
@@ -18,14 +20,14 @@
 	// nonces counts the batches begun so far. The last batch's number is its nonce before nonceModulo.
 	nonces int
 
-	// batches are those with something in flight or without an answer, the oldest first: their nonces ascend, and the
+	// batches are those with something in flight or not yet accepted, the oldest first: their nonces ascend, and the
 	// accepted ones come before all others.
 	batches []batch
 
 	// entries is the sum of the batches' entries and repeated.
 	entries float64
 
-	// unaccepted is the sum of the entries of the batches that are not accepted. They leave with the next call.
+	// unaccepted is the sum of the entries of the batches that are not yet accepted. They leave with the next call.
 	unaccepted float64
 }
 
@@ -53,11 +55,12 @@
 	// split says that the call may have gone out in two parts, which repeated accounts for.
 	split bool
 
-	// accepted says that the call with the batch was answered.
+	// accepted says that the call with the batch was accepted: its commands were carried out.
 	accepted bool
 }
 
-// current returns the batch of the iteration at a time, nil if nothing was reserved in it yet.
+// current returns the batch of the iteration at a time, nil if nothing was reserved in it yet. An iteration is told by
+// its one reading of the clock, see Host: times are equal within it, and differ from those of all others.
 func (a *inFlightAccount) current(now float64) *batch {
 	if n := len(a.batches); n > 0 && a.batches[n-1].at == now {
 		return &a.batches[n-1]
@@ -172,7 +175,7 @@
 	return true
 }
 
-// accept says that the call with a nonce was answered: all up to it went out.
+// accept says that the call with a nonce was accepted: all up to it went out.
 func (a *inFlightAccount) accept(nonce int) {
 	k := a.merge(a.find(nonce))
 	if k >= 0 && !a.batches[k].accepted {
@@ -185,6 +188,10 @@
 // merge joins a batch with those before it that left in the same call, as they waited for the answer to the one
 // before. The call has the batch's nonce, and a proxy that acknowledges it says nothing of the call's other messages:
 // released apart, they would be taken for delivered. merge returns the batch's new place.
+//
+// Of batches 5 (accepted), 6, 7 and 8 (not yet accepted), merge at the place of 7 leaves 5, 7 (with what 6 had in
+// flight) and 8. It goes back from the place only as far as batches are not yet accepted, which is right as the
+// accepted ones come first: see batches.
 func (a *inFlightAccount) merge(k int) int {
 	if k < 0 || a.batches[k].accepted {
 		return k
@@ -221,6 +228,9 @@
 // countRetry says that the call with a nonce goes out again though it may have been carried out: all of it, or its first
 // part only, which costs a second message for each proxy. What is repeated counts under the last batch so far: the
 // repeated call may leave together with it, and an acknowledgement of the call's own nonce may be of the first time.
+//
+// Of batches 5 (accepted), 6, 7 and 8, a full retry of the call with nonce 7 repeats what 6 and 7 reserved, and counts
+// it under 8. The accepted ones come first, so that the call begins behind the last of them.
 func (a *inFlightAccount) countRetry(nonce int, full bool) {
 	repeated := 0.0
 	binds := map[int]int{} // by subset, those of the batches up to the nonce
@@ -247,12 +257,13 @@
 	}
 }
 
-// find returns the place of a nonce's batch, -1 if nothing of it is in flight.
+// find returns the place of a nonce's batch, -1 if nothing of it is in flight. Nonce 7 is that of batches 7, 60007 and
+// so on: the oldest counts, as far fewer than nonceModulo are in flight at once.
 func (a *inFlightAccount) find(nonce int) int {
 	return slices.IndexFunc(a.batches, func(b batch) bool { return b.nonce%nonceModulo == nonce })
 }
 
-// dropSettled drops batches that were answered and have nothing in flight.
+// dropSettled drops batches that were accepted and have nothing in flight.
 func (a *inFlightAccount) dropSettled() {
 	a.batches = slices.DeleteFunc(a.batches, func(b batch) bool {
 		return b.accepted && len(b.open) == 0 && b.repeated == 0
--- a/planner/load.go
+++ b/planner/load.go
@@ -55,8 +55,8 @@
 	}
 	e := &p.endpoints.all[i]
 	if now-report.Interval-maxReportDelaySeconds < e.startTime {
-		// The report reaches back to the process before: when a lost zone came back, its new endpoints would be ejected
-		// for the failures of the lost ones.
+		// The report may reach back to the former process. Its failures would eject the new one, and a zone that comes
+		// back would lose its endpoints again. A report that surely began after the start has none of them.
 		return
 	}
 	// Reports that were held up come all at once. Each counts for the window that is averaged at most: else they would
@@ -112,8 +112,11 @@
 	controllers   int     // whose requests wait there
 }
 
-// measureFleet measures the load of the endpoints in service and their saturation. A few full endpoints are for the
-// weights to relieve: each counts with its answers, and for a latency objective at most.
+// measureFleet measures the load of the endpoints in service and their saturation:
+//
+//	saturation = sum(answers * min(latency, 1)) / sum(answers), with the latency in latency objectives
+//
+// The bound of 1 limits what a few full endpoints add: the weights relieve them, and the fleet need not be throttled.
 func (s *loadStatistics) measureFleet(in fleetInput) fleetLoad {
 	var fleet fleetLoad
 	latency := 0.0 // in latency objectives
--- a/planner/planner.go
+++ b/planner/planner.go
@@ -37,7 +37,7 @@
 }
 
 // New returns a planner that knows nothing of its fleet yet. It asks host for its first step, and for the list's
-// changes if config says that a controller has to. Where tables are sharded, it asks for no step and binds no proxy.
+// changes if config says that a controller has to. An inactive planner (Config.Sharded) asks for neither.
 func New(host Host, config Config, now float64) *Planner {
 	p := &Planner{
 		host:         host,
@@ -57,7 +57,7 @@
 		nextUpdate:   now,
 	}
 	p.makeSubsets(0)
-	if config.Sharded {
+	if p.inactive() {
 		return p
 	}
 	p.admission.rankRoutes()
@@ -71,6 +71,15 @@
 	return p
 }
 
+// inactive reports whether the planner leaves the routing tables alone: where they are sharded, a store hands them out,
+// and a planner that published as well would overwrite them. It then asks for no step and no subscription, plans no
+// table and binds no proxy that is new.
+//
+// Two commands still leave an inactive planner: SetAdmission with level 0 for each table and route at the first
+// endpoint list, as publishUrgent runs with levels that were never set, and BindProxy for a proxy that joins once more
+// without having left.
+func (p *Planner) inactive() bool { return p.config.Sharded }
+
 // Step decides anew and commands what has changed. It is due when the planner asked for it with Host.Wake.
 func (p *Planner) Step(now float64) {
 	p.now = now
@@ -110,7 +119,8 @@
 	p.publication.urgentPending = true
 }
 
-// updateAdmission decides the admission levels and the retry policy, once load reports tell enough.
+// updateAdmission decides the admission levels and the retry policy. It keeps the last levels and retry policy while
+// there is no demand, and while fewer than minAttempts attempts lie in the load window: neither tells of saturation.
 func (p *Planner) updateAdmission() {
 	if p.demand.meanObjective == 0 || p.load.successRatio == 0 {
 		return
--- a/planner/proxies.go
+++ b/planner/proxies.go
@@ -19,7 +19,7 @@
 	unbound []int // those that joined and wait to be bound, the first one first
 }
 
-// grow makes room for a proxy's number.
+// grow extends the registry to a proxy's number.
 func (r *proxyRegistry) grow(number int) {
 	for len(r.all) <= number {
 		r.all = append(r.all, proxy{})
@@ -48,7 +48,7 @@
 	p.now = now
 	p.proxies.grow(proxy)
 	zone = min(zone, p.config.Zones-1)
-	if known := &p.proxies.all[proxy]; known.connected && known.subset%p.config.Zones == zone {
+	if known := &p.proxies.all[proxy]; known.connected && p.zoneOf(known.subset) == zone {
 		// A connected proxy is notified again after a gap in the watch. Its stream may never have broken: then what
 		// is in flight to it still is, and it gets its table's entries. Releasing that would overrun the channel.
 		if !slices.Contains(p.proxies.unbound, proxy) {
@@ -59,7 +59,7 @@
 	}
 	p.ProxyLeft(now, proxy)
 	p.connect(proxy, zone, rate)
-	if !p.config.Sharded {
+	if !p.inactive() {
 		p.proxies.unbound = append(p.proxies.unbound, proxy)
 		p.bindWaiting()
 	}
@@ -100,6 +100,11 @@
 
 // bindWaiting binds proxies that joined, as flow control lets it: a whole fleet at once would overrun the channel.
 // Before the first endpoint is known it binds none: an empty table would take from them what they hold.
+//
+// Proxies are bound in the order in which they joined; one that does not fit holds back those behind it. A proxy gets
+// its table as published so far. publishUrgent binds before it publishes the entries that fill the table, so that the
+// new members get these as well. If they do not fit, the members keep the table as it was, empty at the first list, and
+// the entries are due again at each step.
 func (p *Planner) bindWaiting() {
 	for len(p.proxies.unbound) > 0 && len(p.endpoints.all) > 0 {
 		proxy := p.proxies.unbound[0]
--- a/planner/publication.go
+++ b/planner/publication.go
@@ -20,14 +20,14 @@
 
 // publication is the state of the routing tables on their way to the proxies.
 type publication struct {
-	urgentPending bool             // whether a change that cannot wait is not published yet
+	urgentPending bool             // whether a change that cannot wait is not published yet: see publishUrgent
 	nextAt        float64          // s, when ordinary changes are due
 	next          publicationStage // that follows the one under way; without tables if there is none
 }
 
 // publicationStage is tables that wait for those of the stage before. Tables that receive requests of other subsets are
 // published first, then those that send them ("B4 and After", §4.4): the other way round, requests would come to
-// subsets that do not have room for them yet.
+// subsets that have no capacity for them yet.
 type publicationStage struct {
 	tables   []int
 	nonce    int     // of the stage before
@@ -35,7 +35,8 @@
 }
 
 // publishUrgent publishes at once what cannot wait, in this order: entries of endpoints that drain or were removed;
-// tables for proxies that joined; admission levels; tables that are far off (see urgentEntries).
+// tables for proxies that joined; admission levels; tables that are far off (see urgentEntries). It runs at each step and
+// with each change of the endpoint list. What does not fit into the channel is due again at the next step.
 func (p *Planner) publishUrgent() {
 	if !p.publication.urgentPending {
 		p.bindWaiting()
@@ -96,7 +97,7 @@
 
 // publishAll publishes entries by table, the table with most misplaced requests for each entry first: else a small
 // table that is all wrong would wait behind large ones that are a little off. If a table does not fit, all that follow
-// wait with it: small changes would always find room before large ones, and a subset that lost most of its endpoints
+// wait with it: small changes would always fit before large ones, and a subset that lost most of its endpoints
 // would go on sending all requests to those that are left. It reports whether all were sent.
 func (p *Planner) publishAll(entries [][]int, fraction float64) bool {
 	var tables []int
@@ -197,6 +198,7 @@
 		return true
 	}
 	s := &p.subsets[subset]
+	s.forgetOldMessages(p.now, p.config.MessageWindow)
 	count := len(entries)
 	for count > 0 && !p.flow.mayPublish(p.now, s, float64(count), fraction) {
 		count--
--- a/planner/publication_test.go
+++ b/planner/publication_test.go
@@ -3,7 +3,7 @@
 import "testing"
 
 // Three of a zone's six endpoints are removed at once. What they got comes to those that are left, a cold one among
-// them, which would be pushed over. The table has to be published anew at once, with little for the cold endpoint.
+// them, which would be overloaded. The table has to be published anew at once, with little for the cold endpoint.
 func TestTableThatLostMuchIsPublishedAtOnce(t *testing.T) {
 	tr := newScene(t, testConfig(), 12)
 	tr.planner.UpdateEndpoints(tr.now, []Endpoint{{Node: 1, State: Ready, StartTime: tr.now}})
@@ -14,7 +14,7 @@
 }
 
 // Two endpoints slow down and their zone has to send requests to the other. If its table went first, the requests
-// would come to a zone whose table does not make room yet. Tables that receive have to go first, those that send when
+// would come to a zone that still has no capacity for them. Tables that receive have to go first, those that send when
 // most proxies have acknowledged, or after a second without acknowledgement.
 func TestReceivingTablesArePublishedFirst(t *testing.T) {
 	tr := newScene(t, testConfig(), 5)
--- a/planner/publishlevels.go
+++ b/planner/publishlevels.go
@@ -33,8 +33,12 @@
 		entries := float64(len(p.admission.byPriority))
 		fits := p.flow.fits(p.flow.account.cost(p.now, s.members, entries), bindQueueFraction) || p.flow.idle()
 		allFit = allFit && fits
+		if !fits {
+			continue
+		}
 		// A subset whose proxies got all the messages that they may get holds no other back.
-		if fits && p.flow.mayPublish(p.now, s, entries, urgentQueueFraction) {
+		s.forgetOldMessages(p.now, p.config.MessageWindow)
+		if p.flow.mayPublish(p.now, s, entries, urgentQueueFraction) {
 			p.publishSubsetLevels(k)
 		}
 	}
--- a/planner/slowstart.go
+++ b/planner/slowstart.go
@@ -12,10 +12,10 @@
 )
 
 // slowStart gives an endpoint whose process has just started its weight over a window: caches are empty and code is
-// not compiled yet, and at full weight it would be pushed over.
+// not compiled yet, and at full weight it would be overloaded.
 type slowStart struct {
 	window           float64 // s
-	overloadMultiple float64 // of its present capacity, pushes a cold endpoint over
+	overloadMultiple float64 // load, in times of its present capacity, that overloads a cold endpoint
 }
 
 // fraction is the part of its weight that an endpoint has, by the time since its process started. A start time of 0 or
@@ -32,7 +32,7 @@
 func (s slowStart) warmingUp(now, startTime float64) bool { return s.fraction(now, startTime) < 1 }
 
 // damping is the part of its slow-start fraction that a cold endpoint gets. It guards against cold endpoints that are
-// pushed over by attempts that others rejected: the part falls with the square of the success ratio, and with the
+// overloaded by attempts that others rejected: the part falls with the square of the success ratio, and with the
 // fleet's saturation. Before load reports tell of success, little is assumed.
 func (s slowStart) damping(successRatio, saturation float64) float64 {
 	part := minSlowStartFraction
--- a/planner/slowstart_test.go
+++ b/planner/slowstart_test.go
@@ -2,7 +2,7 @@
 
 import "testing"
 
-// An endpoint restarts under its own name. Its caches are empty, and at its former weight it would be pushed over. It
+// An endpoint restarts under its own name. Its caches are empty, and at its former weight it would be overloaded. It
 // has to start with a quarter of its weight at once, and to get the rest over the slow-start window.
 func TestRestartedEndpointStartsSlowly(t *testing.T) {
 	tr := newScene(t, testConfig(), 4)
--- a/planner/subsets.go
+++ b/planner/subsets.go
@@ -33,6 +33,13 @@
 	p.endpoints.assignedByZone = make([]int, p.config.Zones)
 }
 
+// zoneOf is the zone of a subset. Subsets are numbered round the zones: subset k belongs to zone k % Zones, so that the
+// first Zones subsets are the first of each zone, in order.
+func (p *Planner) zoneOf(subset int) int { return subset % p.config.Zones }
+
+// nthSubset is the subset of a zone at a place among those of the zone, counted round.
+func (p *Planner) nthSubset(zone, n int) int { return (zone + p.config.Zones*n) % len(p.subsets) }
+
 // assignSubset gives a proxy the subset of its zone with the lowest baseline rate.
 func (p *Planner) assignSubset(proxy, zone int) {
 	best := zone
--- a/planner/tables.go
+++ b/planner/tables.go
@@ -16,7 +16,7 @@
 	published []float64 // as sent, of any sum
 }
 
-// grow makes room for an endpoint's index.
+// grow extends the table to an endpoint's index.
 func (t *routingTable) grow(index int) {
 	if index == len(t.desired) {
 		t.desired = append(t.desired, 0)
@@ -77,14 +77,15 @@
 }
 
 // overloads reports whether the table leads to an endpoint that is to get nothing, or to a cold one that gets twice its
-// part since others went: it would be pushed over.
+// part since others went, and would be overloaded.
 func (t *routingTable) overloads(staying float64, warmingUp func(i int) bool) bool {
 	for i, weight := range t.published {
 		if weight <= 0 {
 			continue
 		}
 		desired := t.desired[i]
-		if desired == 0 || 2*desired*staying <= weight && warmingUp(i) {
+		doubled := 2*desired*staying <= weight
+		if desired == 0 || doubled && warmingUp(i) {
 			return true
 		}
 	}
@@ -97,7 +98,7 @@
 	capacity := make([]float64, len(p.endpoints.all)) // by endpoint
 	loads := make([]subsetLoad, len(p.subsets))
 	for k := range loads {
-		loads[k].zone = k % p.config.Zones
+		loads[k].zone = p.zoneOf(k)
 		loads[k].demand = p.subsets[k].demand
 	}
 	total := 0.0
@@ -125,27 +126,36 @@
 	nextReceiver := make([]int, n) // by subset, how many of the subsets that follow it have what they were granted
 	for i := len(capacity) - 1; i >= 0; i-- {
 		k := p.endpoints.all[i].subset
-		own := capacity[i]
-		spill := maxSpill[k] * capacity[i]
-		for spill > 0 && nextReceiver[k] < n-1 {
-			from := (k + 1 + nextReceiver[k]) % n
-			rest := granted.get(from, k)
-			if rest < minWeightChangeFraction*capacity[i] {
-				nextReceiver[k]++ // less is not worth an entry
-				continue
-			}
-			taken := min(spill, rest)
-			p.subsets[from].table.desired[i] += taken
-			granted.take(from, k, taken)
-			own -= taken
-			spill -= taken
-		}
+		own := p.spillEndpoint(i, capacity[i], maxSpill[k]*capacity[i], granted, &nextReceiver[k])
 		if granted.get(k, k) > 0 {
 			p.subsets[k].table.desired[i] = own
 		}
 	}
 }
 
+// spillEndpoint lays out up to spill of an endpoint's capacity for other subsets that were granted some at its subset.
+// These take in turn, from the one at nextReceiver on, which moves past those that have all that they were granted. It
+// returns the capacity that is left to the subset's own members.
+func (p *Planner) spillEndpoint(i int, capacity, spill float64, granted *allocation, nextReceiver *int) (own float64) {
+	n := len(p.subsets)
+	k := p.endpoints.all[i].subset
+	own = capacity
+	for spill > 0 && *nextReceiver < n-1 {
+		receiver := (k + 1 + *nextReceiver) % n
+		rest := granted.get(receiver, k)
+		if rest < minWeightChangeFraction*capacity {
+			*nextReceiver++ // less is not worth an entry
+			continue
+		}
+		taken := min(spill, rest)
+		p.subsets[receiver].table.desired[i] += taken
+		granted.take(receiver, k, taken)
+		own -= taken
+		spill -= taken
+	}
+	return own
+}
+
 // normalizeTables makes each table's weights add up to 1, and fills the tables that were granted nothing.
 func (p *Planner) normalizeTables(capacity []float64, loads []subsetLoad, totalCapacity float64) {
 	for k := range p.subsets {
--- a/planner/types.go
+++ b/planner/types.go
@@ -93,7 +93,7 @@
 
 	ReportInterval   float64 // s, between two load reports on an endpoint
 	SlowStartWindow  float64 // s, after which an endpoint's process is warm
-	OverloadMultiple float64 // load, in times of its present capacity, that pushes a cold endpoint over
+	OverloadMultiple float64 // load, in times of its present capacity, that overloads a cold endpoint
 }
 
 // Endpoint is an entry of the endpoint list.
