--- a/controller/commands.go
+++ b/controller/commands.go
@@ -51,8 +51,8 @@
 	c.post(func(l *eventLoop) { l.planner.CommandsAccepted(l.now, nonce) })
 }
 
-// CommandsRetried says that the call with a nonce goes out again though it, or its first part if it was not complete,
-// may have been carried out.
+// CommandsRetried says that the call with a nonce goes out again though it may have been carried out, in full or its
+// first part.
 func (c *Controller) CommandsRetried(nonce int, full bool) {
 	c.post(func(l *eventLoop) { l.planner.CommandsRetried(l.now, nonce, full) })
 }
--- a/controller/controller.go
+++ b/controller/controller.go
@@ -31,7 +31,15 @@
 
 // UnknownNames counts events that name what neither the settings nor the endpoint list know.
 type UnknownNames struct {
-	Proxies, Zones, Routes, Nodes atomic.Uint64
+	// Proxies counts proxies that join with a number or zone that there cannot be, and acknowledgements of proxies that
+	// are not joined, such as those that have left.
+	Proxies atomic.Uint64
+	// Zones counts listed endpoints of an unknown zone or machine type.
+	Zones atomic.Uint64
+	// Routes counts demand reports of an unknown route, or of a proxy with a number that there cannot be.
+	Routes atomic.Uint64
+	// Nodes counts load reports on unknown nodes.
+	Nodes atomic.Uint64
 }
 
 // New makes a controller whose planner knows the endpoint list as it was last known, which may be empty. Its first
--- a/controller/loop.go
+++ b/controller/loop.go
@@ -41,11 +41,11 @@
 	planner     *planner.Planner
 	clock       clock
 	minInterval time.Duration // between two iterations
-	now         float64       // s; Unix time of this iteration
+	now         float64       // s; Unix time of this iteration, which all its calls of the planner are passed
 	stepAt      float64       // s; when the planner's next step is due, +Inf: none is
-	batch       []Command     // of this iteration
+	batch       []Command     // of this iteration, or of what came before the first one
 	readyClosed bool
-	iterating   atomic.Bool // guards against a second goroutine, which the invariant would report
+	iterating   atomic.Bool // whether iterate is under way
 
 	names        settingsNames
 	nodes        nodeRegistry
@@ -108,7 +108,8 @@
 // iterate handles the first event, if there is one, and those that wait behind it, lets the planner take its step if it
 // is due, and hands on the commands.
 func (l *eventLoop) iterate(first event) {
-	invariant.Holds(l.iterating.CompareAndSwap(false, true), "one goroutine owns the planner")
+	// This finds a second goroutine only while its iteration overlaps with one of ours. The race detector finds others.
+	invariant.Holds(l.iterating.CompareAndSwap(false, true), "iterations of the event loop do not overlap")
 	defer l.iterating.Store(false)
 	if first != nil {
 		first(l)
--- a/controller/proxies.go
+++ b/controller/proxies.go
@@ -13,8 +13,7 @@
 
 // proxyTracker is what the proxy watch has reported of the proxies' streams.
 //
-// When the watch is opened again it reports anew which proxies are connected; until it has named a proxy, that one is
-// unconfirmed. After a gap the proxy may have left, or left and come back without the table that it was bound to, so
+// Each watch that is opened reports which proxies are connected; until it has named a proxy, that one is unconfirmed. After a gap the proxy may have left, or left and come back without the table that it was bound to, so
 // that it has to be bound again. A gapless watch was opened before the one before it ended, and misses nothing; binding
 // all proxies again would fill the channel for seconds.
 type proxyTracker struct {
@@ -22,7 +21,7 @@
 	joined         map[int]bool // by number
 	unconfirmed    map[int]bool // those of joined that the present watch has not named
 	gapless        bool         // of the present watch
-	ignoreNextSync bool         // the watch before a gapless one may still report proxies
+	ignoreNextSync bool         // as the watch before a gapless one may still report proxies
 }
 
 func newProxyTracker(limit int) proxyTracker {
@@ -49,7 +48,7 @@
 	delete(s.unconfirmed, proxy)
 }
 
-// watchResumed begins a watch.
+// watchResumed begins a watch, the first one or a later one.
 func (s *proxyTracker) watchResumed(gapless bool) {
 	s.gapless = gapless
 	s.ignoreNextSync = gapless
@@ -58,7 +57,8 @@
 	}
 }
 
-// watchSynced gives the proxies that have left unseen, in order, and whether it is certain yet who has.
+// watchSynced gives the proxies that have left unseen, in order, and whether it is certain yet who has: at the first
+// sync of a gapless watch it is not.
 func (s *proxyTracker) watchSynced() (left []int, synced bool) {
 	if s.ignoreNextSync {
 		s.ignoreNextSync = false
@@ -77,16 +77,18 @@
 	c.post(func(l *eventLoop) { l.proxyLeft(proxy) })
 }
 
-// ProxyWatchResumed says that a new proxy watch begins. It reports next, by ProxyJoined, the proxies that are connected.
-// Gapless says that no event was missed since the watch before.
+// ProxyWatchResumed says that a proxy watch begins, the first one after the start as well. It reports next, by
+// ProxyJoined, the proxies that are connected. Gapless says that no event was missed since the watch before.
 func (c *Controller) ProxyWatchResumed(gapless bool) {
 	c.post(func(l *eventLoop) { l.proxies.watchResumed(gapless) })
 }
 
 // ProxyWatchSynced says that all proxies that were connected when the watch began have been reported, and how many are
-// connected; it is said again at each sign of life. After a gap the others left in it. Of a gapless watch the second call
-// counts: the watch before may have reported proxies that joined since this one began, which reports them as well,
-// before its next sign of life.
+// connected now. It is called when the watch has synced, and again with each keep-alive of the watch after that.
+//
+// Proxies that were joined before and were not reported have left. After a gap that is so from the first call on. The
+// first call of a gapless watch is ignored, and the second counts: the watch before may have reported proxies that
+// joined since this one began, and this one reports them as well, before its next keep-alive.
 func (c *Controller) ProxyWatchSynced(connected int) {
 	c.post(func(l *eventLoop) { l.proxyWatchSynced(connected) })
 }
--- a/planner/types.go
+++ b/planner/types.go
@@ -75,7 +75,7 @@
 	Proxies          int  // of all controllers
 	LocalZoneProxies bool // a proxy joins a controller of its own zone if there is one
 	Routes           []Route
-	Sharded          bool // tables belong to slices that a store hands out
+	Sharded          bool // tables belong to slices that a store hands out: the planner is inactive
 	MustSubscribe    bool // the list's changes come only after Host.Subscribe
 
 	SubscribeTimeout float64 // s, that a subscription may take
--- a/settings/doc.go
+++ b/settings/doc.go
@@ -6,6 +6,8 @@
 // can work are refused with a *ValueError. The package config makes a Deployment of its own for installations without
 // the platform.
 //
+// Shards above 0 make the planner inactive, see planner.Config: a store hands out the tables.
+//
 // The keys and words of the document are the platform's. raw.go maps them to the project's terms; beside it, validate.go
 // names keys in refusals.
 package settings
--- a/settings/raw.go
+++ b/settings/raw.go
@@ -85,7 +85,7 @@
 		Proxies:            int(raw.Extra.Proxies),
 		LocalZoneProxies:   raw.Extra.LocalZoneProxies,
 		Routes:             raw.plannerRoutes(),
-		Sharded:            raw.Extra.Shards > 0,
+		Sharded:            raw.Extra.Shards > 0, // the planner is inactive
 		MustSubscribe:      raw.Discovery == discoveryOnRequest,
 		SubscribeTimeout:   Seconds(raw.Rules.SubscribeTimeout),
 		UtilizationIndex:   raw.reportValueIndex(utilizationValue),
--- a/settings/validate.go
+++ b/settings/validate.go
@@ -37,7 +37,7 @@
 	key            string
 	names          []string
 	forbidden      string // characters that no command or watch event can carry
-	usedInCommands bool   // commands tell the names apart by nothing else: none may be empty, "*" or there twice
+	usedInCommands bool   // commands carry the names: none may be empty, "*" or there twice
 }
 
 func (raw *rawSettings) validateNames() error {
