--- a/planner/endpoints.go
+++ b/planner/endpoints.go
@@ -98,7 +98,8 @@
 		p.makeSubsets(len(list))
 		for number := range p.proxies.all {
 			if p.proxies.all[number].connected {
-				// Before the first endpoint each zone is one subset: the proxy's subset is the number of its zone.
+				// Before the first list each zone is one subset: the proxy's subset is the number of its zone. That does
+				// not hold behind a list of unknown zones only, which made more subsets; the controller passes none.
 				p.assignSubset(number, p.proxies.all[number].subset)
 			}
 		}
--- a/planner/inflight.go
+++ b/planner/inflight.go
@@ -190,12 +190,12 @@
 // released apart, they would be taken for delivered. merge returns the batch's new place.
 //
 // Of batches 5 (accepted), 6, 7 and 8 (not yet accepted), merge at the place of 7 leaves 5, 7 (with what 6 had in
-// flight) and 8. It goes back from the place only as far as batches are not yet accepted, which is right as the
-// accepted ones come first: see batches.
+// flight) and 8.
 func (a *inFlightAccount) merge(k int) int {
 	if k < 0 || a.batches[k].accepted {
 		return k
 	}
+	// Accepted batches come first, so that all from here to k left in the same call.
 	first := k
 	for first > 0 && !a.batches[first-1].accepted {
 		first--
@@ -230,10 +230,11 @@
 // repeated call may leave together with it, and an acknowledgement of the call's own nonce may be of the first time.
 //
 // Of batches 5 (accepted), 6, 7 and 8, a full retry of the call with nonce 7 repeats what 6 and 7 reserved, and counts
-// it under 8. The accepted ones come first, so that the call begins behind the last of them.
+// it under 8.
 func (a *inFlightAccount) countRetry(nonce int, full bool) {
 	repeated := 0.0
 	binds := map[int]int{} // by subset, those of the batches up to the nonce
+	// Accepted batches come first, so that those from the nonce back to them are all of the call.
 	for k := a.find(nonce); k >= 0 && !a.batches[k].accepted; k-- {
 		b := &a.batches[k]
 		switch {
