--- a/planner/inflight_test.go
+++ b/planner/inflight_test.go
@@ -34,7 +34,7 @@
 		}
 	}
 	if a.entries != entries || a.unaccepted != unaccepted {
-		t.Fatalf("%v entries and %v unanswered, the batches have %v and %v", a.entries, a.unaccepted, entries, unaccepted)
+		t.Fatalf("%v entries and %v unaccepted, the batches have %v and %v", a.entries, a.unaccepted, entries, unaccepted)
 	}
 }
 
