--- a/planner/planner.go
+++ b/planner/planner.go
@@ -21,43 +21,43 @@
 	proxies   proxyRegistry
 	subsets   []subset
 
-	watch       endpointWatch
-	demand      demandEstimate
-	load        loadStatistics
-	outliers    outlierDetector
-	capacity    capacityEstimate
-	slowStart   slowStart
-	admission   admissionControl
-	retries     retryControl
-	publication publication
-	flow        flowControl
+	watch        endpointWatch
+	demand       demandEstimate
+	load         loadStatistics
+	outliers     outlierDetector
+	capacity     capacityEstimate
+	slowStart    slowStart
+	admission    admissionControl
+	retryControl retryControl
+	publication  publication
+	flow         flowControl
 
 	nextUpdate    float64 // s, of learned capacity and admission
 	localZoneOnly bool    // whether the requests of some route may not leave their zone
 }
 
 // New returns a planner that knows nothing of its fleet yet. It asks host for its first step, and for the list's
-// changes if config says that a controller has to. Where tables are sharded, it asks for no step and binds no proxy.
+// changes if config says that a controller has to. An inactive planner (Config.Sharded) asks for neither.
 func New(host Host, config Config, now float64) *Planner {
 	p := &Planner{
-		host:        host,
-		config:      config,
-		now:         now,
-		random:      randomSource{seed: config.Seed},
-		endpoints:   endpointRegistry{indexOf: map[uint32]int{}},
-		watch:       endpointWatch{subscribeAt: math.Inf(1)},
-		demand:      demandEstimate{byRoute: make([]float64, len(config.Routes))},
-		load:        loadStatistics{decayedAt: now},
-		capacity:    newCapacityEstimate(config),
-		slowStart:   slowStart{window: config.SlowStartWindow, overloadMultiple: config.OverloadMultiple},
-		admission:   newAdmissionControl(config),
-		retries:     retryControl{saturated: true},
-		publication: publication{nextAt: now},
-		flow:        newFlowControl(config),
-		nextUpdate:  now,
+		host:         host,
+		config:       config,
+		now:          now,
+		random:       randomSource{seed: config.Seed},
+		endpoints:    endpointRegistry{indexOf: map[uint32]int{}},
+		watch:        endpointWatch{subscribeAt: math.Inf(1)},
+		demand:       demandEstimate{byRoute: make([]float64, len(config.Routes))},
+		load:         loadStatistics{decayedAt: now},
+		capacity:     newCapacityEstimate(config),
+		slowStart:    slowStart{window: config.SlowStartWindow, overloadMultiple: config.OverloadMultiple},
+		admission:    newAdmissionControl(config),
+		retryControl: retryControl{saturated: true},
+		publication:  publication{nextAt: now},
+		flow:         newFlowControl(config),
+		nextUpdate:   now,
 	}
 	p.makeSubsets(0)
-	if config.Sharded {
+	if p.inactive() {
 		return p
 	}
 	p.admission.rankRoutes()
@@ -71,6 +71,15 @@
 	return p
 }
 
+// inactive reports whether the planner leaves the routing tables alone: where they are sharded, a store hands them out,
+// and a planner that published as well would overwrite them. It then asks for no step and no subscription, plans no
+// table and binds no proxy that is new.
+//
+// Two commands still leave an inactive planner: SetAdmission with level 0 for each table and route at the first
+// endpoint list, as publishUrgent runs with levels that were never set, and BindProxy for a proxy that joins once more
+// without having left.
+func (p *Planner) inactive() bool { return p.config.Sharded }
+
 // Step decides anew and commands what has changed. It is due when the planner asked for it with Host.Wake.
 func (p *Planner) Step(now float64) {
 	p.now = now
@@ -107,16 +116,17 @@
 	}
 	e.health = h
 	e.healthSince = p.now
-	p.publication.outdated = true
+	p.publication.urgentPending = true
 }
 
-// updateAdmission decides the admission levels and the retry policy, once load reports tell enough.
+// updateAdmission decides the admission levels and the retry policy. It keeps the last levels and retry policy while
+// there is no demand, and while fewer than minAttempts attempts lie in the load window: neither tells of saturation.
 func (p *Planner) updateAdmission() {
 	if p.demand.meanObjective == 0 || p.load.successRatio == 0 {
 		return
 	}
 	fleet := p.load.measureFleet(p.fleetInput())
-	p.retries.update(p.load.saturation)
+	p.retryControl.update(p.load.saturation)
 	completed := p.endpoints.sum(func(e *endpoint) float64 { return e.load.completed })
 	throttlingChanged := p.admission.update(admissionInput{
 		now:            p.now,
--- a/planner/types.go
+++ b/planner/types.go
@@ -75,7 +75,7 @@
 	Proxies          int  // of all controllers
 	LocalZoneProxies bool // a proxy joins a controller of its own zone if there is one
 	Routes           []Route
-	Sharded          bool // tables belong to slices that a store hands out
+	Sharded          bool // tables belong to slices that a store hands out: the planner is inactive
 	MustSubscribe    bool // the list's changes come only after Host.Subscribe
 
 	SubscribeTimeout float64 // s, that a subscription may take
@@ -93,7 +93,7 @@
 
 	ReportInterval   float64 // s, between two load reports on an endpoint
 	SlowStartWindow  float64 // s, after which an endpoint's process is warm
-	OverloadMultiple float64 // load, in times of its present capacity, that pushes a cold endpoint over
+	OverloadMultiple float64 // load, in times of its present capacity, that overloads a cold endpoint
 }
 
 // Endpoint is an entry of the endpoint list.
