--- a/raftlog/damage_test.go
+++ b/raftlog/damage_test.go
@@ -125,6 +125,11 @@
 }
 
 // One of the two files is lost. A member that took the folder for a new one would forget its votes.
+//
+// Open once created the missing file before it refused. The supervisor started the member again, and the second start
+// found both files: with an empty database it said that nothing was promised yet and that the folder may be taken away,
+// with an empty witness that the witness is damaged. Every start has to say the same as the first, and to leave the
+// folder as it is.
 func TestFolderWithOneFileIsNotTakenForNew(t *testing.T) {
 	for _, lost := range []string{databaseName, witnessName} {
 		t.Run(lost, func(t *testing.T) {
@@ -141,19 +146,34 @@
 			if err := os.Remove(path); err != nil {
 				t.Fatal(err)
 			}
-			log, _, err = Open(folder)
-			if err == nil {
-				log.Close()
-				t.Fatal("the folder was taken for new")
+			first := expectUnusable(t, folder, path)
+			for _, start := range []string{"second", "third"} {
+				if again := expectUnusable(t, folder, path); again != first {
+					t.Errorf("the %s start says %q, the first said %q", start, again, first)
+				}
 			}
-			var unusable *UnusableError
-			if !errors.As(err, &unusable) || unusable.Path != path {
-				t.Errorf("%v, want an UnusableError of %s", err, path)
+			if _, err := os.Stat(path); !errors.Is(err, os.ErrNotExist) {
+				t.Errorf("Open created the file that was lost: %v", err)
 			}
 		})
 	}
 }
 
+// expectUnusable opens a folder that has to be refused for one of its files, and gives the text of the error.
+func expectUnusable(t *testing.T, folder, path string) string {
+	t.Helper()
+	log, _, err := Open(folder)
+	if err == nil {
+		log.Close()
+		t.Fatal("the folder was taken for new")
+	}
+	var unusable *UnusableError
+	if !errors.As(err, &unusable) || unusable.Path != path {
+		t.Errorf("%v, want an UnusableError of %s", err, path)
+	}
+	return err.Error()
+}
+
 func TestUnusableErrorKeepsItsCause(t *testing.T) {
 	batches, _ := randomBatches(1, 3)
 	saved := saveAll(t, batches)[2]
--- a/raftlog/log.go
+++ b/raftlog/log.go
@@ -64,13 +64,13 @@
 	return l.load()
 }
 
-// openFiles opens the database and the witness, or makes both. One of them alone is refused: the other was lost.
+// openFiles opens the database and the witness, or makes both.
 func (l *Log) openFiles() (isNew bool, err error) {
-	hasDatabase, err := fileExists(l.databasePath())
+	isNew, err = l.checkFiles()
 	if err != nil {
 		return false, err
 	}
-	if hasDatabase {
+	if !isNew {
 		if err := checkPages(l.databasePath()); err != nil {
 			return false, err
 		}
@@ -79,11 +79,23 @@
 	if err != nil {
 		return false, &UnusableError{Path: l.databasePath(), Err: err}
 	}
-	hasWitness, err := fileExists(l.witnessPath())
+	l.witness, err = openWitness(l.witnessPath())
 	if err != nil {
 		return false, err
 	}
-	l.witness, err = openWitness(l.witnessPath())
+	return isNew, nil
+}
+
+// checkFiles reports whether the folder has neither file, and refuses one of them alone: the other was lost.
+//
+// It looks before anything is opened, since opening creates a missing file: the next start would find both, and take the
+// loss for a folder whose making was cut short.
+func (l *Log) checkFiles() (isNew bool, err error) {
+	hasDatabase, err := fileExists(l.databasePath())
+	if err != nil {
+		return false, err
+	}
+	hasWitness, err := fileExists(l.witnessPath())
 	if err != nil {
 		return false, err
 	}
