--- a/raftlog/seal.go
+++ b/raftlog/checksum.go
@@ -12,18 +12,18 @@
 
 func checksum(value []byte) uint32 { return crc32.Checksum(value, castagnoli) }
 
-// seal puts a checksum before a value.
-func seal(value []byte) []byte {
+// addChecksum puts a checksum before a value.
+func addChecksum(value []byte) []byte {
 	return append(binary.BigEndian.AppendUint32(nil, checksum(value)), value...)
 }
 
-// unseal gives the value of a sealed one, or errChecksum.
-func unseal(sealed []byte) ([]byte, error) {
-	if len(sealed) < checksumBytes {
+// verifyChecksum gives the value behind its checksum, or errChecksum if they do not match.
+func verifyChecksum(stored []byte) ([]byte, error) {
+	if len(stored) < checksumBytes {
 		return nil, errChecksum
 	}
-	value := sealed[checksumBytes:]
-	if binary.BigEndian.Uint32(sealed) != checksum(value) {
+	value := stored[checksumBytes:]
+	if binary.BigEndian.Uint32(stored) != checksum(value) {
 		return nil, errChecksum
 	}
 	return value, nil
--- a/raftlog/damage_test.go
+++ b/raftlog/damage_test.go
@@ -14,7 +14,7 @@
 )
 
 // files are the contents of a folder.
-type files struct{ database, witness []byte }
+type files struct{ database, marker []byte }
 
 func readFiles(t *testing.T, folder string) (f files) {
 	t.Helper()
@@ -22,7 +22,7 @@
 	if f.database, err = os.ReadFile(filepath.Join(folder, databaseName)); err != nil {
 		t.Fatal(err)
 	}
-	if f.witness, err = os.ReadFile(filepath.Join(folder, witnessName)); err != nil {
+	if f.marker, err = os.ReadFile(filepath.Join(folder, markerName)); err != nil {
 		t.Fatal(err)
 	}
 	return f
@@ -34,7 +34,7 @@
 	if err := os.WriteFile(filepath.Join(folder, databaseName), f.database, 0o600); err != nil {
 		t.Fatal(err)
 	}
-	if err := os.WriteFile(filepath.Join(folder, witnessName), f.witness, 0o600); err != nil {
+	if err := os.WriteFile(filepath.Join(folder, markerName), f.marker, 0o600); err != nil {
 		t.Fatal(err)
 	}
 	return folder
@@ -93,9 +93,9 @@
 
 	t.Run("older files", func(t *testing.T) {
 		for k, older := range after[:len(after)-1] {
-			expectRefused(t, fmt.Sprint("the database of batch ", k), files{older.database, last.witness})
+			expectRefused(t, fmt.Sprint("the database of batch ", k), files{older.database, last.marker})
 			// A crash between the two files: the database is ahead, which has all that was promised.
-			expectRefused(t, fmt.Sprint("the witness of batch ", k), files{last.database, older.witness}, promised)
+			expectRefused(t, fmt.Sprint("the marker of batch ", k), files{last.database, older.marker}, promised)
 		}
 	})
 	random := rand.New(rand.NewPCG(1, 1))
@@ -103,7 +103,7 @@
 		for range 60 {
 			size := random.IntN(len(last.database))
 			// A cut behind the last page in use takes nothing away.
-			expectRefused(t, fmt.Sprint("the database cut at ", size), files{last.database[:size], last.witness}, promised)
+			expectRefused(t, fmt.Sprint("the database cut at ", size), files{last.database[:size], last.marker}, promised)
 		}
 	})
 	t.Run("a bit of the database", func(t *testing.T) {
@@ -113,12 +113,12 @@
 				offset = random.IntN(2*os.Getpagesize()) % len(last.database)
 			}
 			damaged := withBitFlipped(last.database, offset, 1<<random.IntN(8))
-			expectRefused(t, fmt.Sprint("a bit of byte ", offset), files{damaged, last.witness}, promised)
+			expectRefused(t, fmt.Sprint("a bit of byte ", offset), files{damaged, last.marker}, promised)
 		}
 	})
-	t.Run("a bit of the witness", func(t *testing.T) {
-		for offset := range last.witness {
-			damaged := withBitFlipped(last.witness, offset, 4)
+	t.Run("a bit of the marker", func(t *testing.T) {
+		for offset := range last.marker {
+			damaged := withBitFlipped(last.marker, offset, 4)
 			expectRefused(t, fmt.Sprint("a bit of byte ", offset), files{last.database, damaged}, promised)
 		}
 	})
@@ -128,10 +128,10 @@
 //
 // Open once created the missing file before it refused. The supervisor started the member again, and the second start
 // found both files: with an empty database it said that nothing was promised yet and that the folder may be taken away,
-// with an empty witness that the witness is damaged. Every start has to say the same as the first, and to leave the
-// folder as it is.
+// with an empty marker that the witness is damaged. Every start has to say the same as the first, and to leave the folder
+// as it is.
 func TestFolderWithOneFileIsNotTakenForNew(t *testing.T) {
-	for _, lost := range []string{databaseName, witnessName} {
+	for _, lost := range []string{databaseName, markerName} {
 		t.Run(lost, func(t *testing.T) {
 			folder := t.TempDir()
 			log, _, err := Open(folder)
@@ -177,13 +177,13 @@
 func TestUnusableErrorKeepsItsCause(t *testing.T) {
 	batches, _ := randomBatches(1, 3)
 	saved := saveAll(t, batches)[2]
-	_, _, err := Open(writeFiles(t, files{saved.database[:100], saved.witness}))
+	_, _, err := Open(writeFiles(t, files{saved.database[:100], saved.marker}))
 	if !errors.Is(err, errShortFile) || !strings.Contains(err.Error(), databaseName+": the file is cut short") {
 		t.Errorf("a file cut short: %v", err)
 	}
 	_, _, err = Open(writeFiles(t, files{saved.database, nil}))
-	if !errors.Is(err, errNoSlot) || !strings.Contains(err.Error(), witnessName+": the witness is damaged") {
-		t.Errorf("an empty witness: %v", err)
+	if !errors.Is(err, errNoSlot) || !strings.Contains(err.Error(), markerName+": the witness is damaged") {
+		t.Errorf("an empty marker: %v", err)
 	}
 }
 
--- a/raftlog/database.go
+++ b/raftlog/database.go
@@ -43,10 +43,10 @@
 	if _, err := rand.Read(identity); err != nil {
 		return err
 	}
-	if err := meta.Put(formatKey, seal([]byte{formatVersion})); err != nil {
+	if err := meta.Put(formatKey, addChecksum([]byte{formatVersion})); err != nil {
 		return err
 	}
-	if err := meta.Put(identityKey, seal([]byte(hex.EncodeToString(identity)))); err != nil {
+	if err := meta.Put(identityKey, addChecksum([]byte(hex.EncodeToString(identity)))); err != nil {
 		return err
 	}
 	return putLastBatch(meta, 0)
@@ -56,5 +56,5 @@
 func entryKey(index uint64) []byte { return binary.BigEndian.AppendUint64(nil, index) }
 
 func putLastBatch(meta *bbolt.Bucket, number uint64) error {
-	return meta.Put(lastBatchKey, seal(binary.BigEndian.AppendUint64(nil, number)))
+	return meta.Put(lastBatchKey, addChecksum(binary.BigEndian.AppendUint64(nil, number)))
 }
--- a/raftlog/doc.go
+++ b/raftlog/doc.go
@@ -13,16 +13,16 @@
 //
 // A folder has two files. raft.db is a bbolt database with two buckets: "meta" (format, identity of the disk, hard
 // state, snapshot, number of the last batch) and "entries" (the entries by index, big-endian). Each value has a checksum
-// before it. The file witness has the number of the last batch a second time.
+// before it. The file witness is the marker of the last batch: it has that batch's number a second time.
 //
 // # Failures that are guarded against
 //
-//   - A bit turned in a value: the value's checksum does not match (seal.go).
+//   - A bit turned in a value: the value's checksum does not match (checksum.go).
 //   - A file cut short: bbolt would read behind the end of the mapped file, which ends the process. The number of pages
 //     is compared with the size of the file before bbolt sees it (pages.go).
 //   - A damaged page: bbolt panics or reads outside the mapped file. Open turns both into an error (log.go).
 //   - A damaged root page: bbolt silently falls back to the root page of the transaction before, which would forget a
-//     vote. The number of the last batch is then lower than the witness's (witness.go).
+//     vote. The number of the last batch is then lower than the marker's (witness.go).
 //   - A file that is gone, or was put back from a copy: the two files disagree (log.go, witness.go).
 //   - A failed sync: nobody knows what the disk holds, so that every later Save returns the same error (log.go).
 package raftlog
--- a/raftlog/log.go
+++ b/raftlog/log.go
@@ -13,15 +13,15 @@
 
 const (
 	databaseName = "raft.db"
-	witnessName  = "witness"
+	markerName   = "witness"       // of the lastBatchMarker; this package knows no vote-only members
 	lockTimeout  = 2 * time.Second // for another process that has the database open
 )
 
-// Log is the disk of one member: a database, and a witness of its last batch. It is used by one goroutine.
+// Log is the disk of one member: a database, and a marker of its last batch. It is used by one goroutine.
 type Log struct {
 	folder    string
 	db        *bbolt.DB
-	witness   *witness
+	marker    *lastBatchMarker
 	lastBatch uint64 // number of the last batch that Save began
 	failure   error  // of the first Save that failed; every later one returns it
 }
@@ -64,7 +64,7 @@
 	return l.load()
 }
 
-// openFiles opens the database and the witness, or makes both.
+// openFiles opens the database and the marker, or makes both.
 func (l *Log) openFiles() (isNew bool, err error) {
 	isNew, err = l.checkFiles()
 	if err != nil {
@@ -79,7 +79,7 @@
 	if err != nil {
 		return false, &UnusableError{Path: l.databasePath(), Err: err}
 	}
-	l.witness, err = openWitness(l.witnessPath())
+	l.marker, err = openLastBatchMarker(l.markerPath())
 	if err != nil {
 		return false, err
 	}
@@ -95,31 +95,31 @@
 	if err != nil {
 		return false, err
 	}
-	hasWitness, err := fileExists(l.witnessPath())
+	hasMarker, err := fileExists(l.markerPath())
 	if err != nil {
 		return false, err
 	}
-	if hasWitness && !hasDatabase {
+	if hasMarker && !hasDatabase {
 		return false, &UnusableError{Path: l.databasePath(), Reason: "it is gone, its witness is there"}
 	}
-	if hasDatabase && !hasWitness {
-		return false, &UnusableError{Path: l.witnessPath(), Reason: "it is gone, the log is there"}
+	if hasDatabase && !hasMarker {
+		return false, &UnusableError{Path: l.markerPath(), Reason: "it is gone, the log is there"}
 	}
 	return !hasDatabase, nil
 }
 
-// load reads the database and compares it with the witness.
+// load reads the database and compares it with the marker.
 func (l *Log) load() (*SavedState, error) {
 	saved, lastBatch, err := readDatabase(l.db)
 	if err != nil {
 		return nil, &UnusableError{Path: l.databasePath(), Err: err}
 	}
-	witnessed, err := l.witness.LastBatch()
+	recorded, err := l.marker.LastBatch()
 	if err != nil {
 		return nil, err
 	}
-	if lastBatch < witnessed {
-		reason := fmt.Sprintf("it ends at batch %d, and batch %d was promised", lastBatch, witnessed)
+	if lastBatch < recorded {
+		reason := fmt.Sprintf("it ends at batch %d, and batch %d was promised", lastBatch, recorded)
 		return nil, &UnusableError{Path: l.databasePath(), Reason: reason}
 	}
 	if err := saved.checkInvariants(); err != nil {
@@ -129,12 +129,12 @@
 	return saved, nil
 }
 
-// create fills a new database and witness, and syncs the folder so that the files themselves survive a crash.
+// create fills a new database and marker, and syncs the folder so that the files themselves survive a crash.
 func (l *Log) create() error {
 	if err := l.db.Update(createBuckets); err != nil {
 		return err
 	}
-	if err := l.witness.Record(0); err != nil {
+	if err := l.marker.Record(0); err != nil {
 		return err
 	}
 	folder, err := os.Open(l.folder)
@@ -157,14 +157,14 @@
 	return l.failure
 }
 
-// write commits a batch to the database, and only then to the witness: a crash between the two leaves the database
+// write commits a batch to the database, and only then to the marker: a crash between the two leaves the database
 // ahead, which has all that was promised.
 func (l *Log) write(batch Batch) error {
 	commit := func(tx *bbolt.Tx) error { return writeBatch(tx, batch, l.lastBatch) }
 	if err := l.db.Update(commit); err != nil {
 		return err
 	}
-	return l.witness.Record(l.lastBatch)
+	return l.marker.Record(l.lastBatch)
 }
 
 // Close closes the files.
@@ -173,15 +173,15 @@
 	if l.db != nil {
 		errs = append(errs, l.db.Close())
 	}
-	if l.witness != nil {
-		errs = append(errs, l.witness.Close())
+	if l.marker != nil {
+		errs = append(errs, l.marker.Close())
 	}
 	return errors.Join(errs...)
 }
 
 func (l *Log) databasePath() string { return filepath.Join(l.folder, databaseName) }
 
-func (l *Log) witnessPath() string { return filepath.Join(l.folder, witnessName) }
+func (l *Log) markerPath() string { return filepath.Join(l.folder, markerName) }
 
 // fileExists reports whether there is a file. The error is that of looking.
 func fileExists(path string) (bool, error) {
--- a/raftlog/log_test.go
+++ b/raftlog/log_test.go
@@ -116,7 +116,7 @@
 	if err := log.Save(Batch{HardState: hardState(2, 1, 0)}); err != nil {
 		t.Fatal(err)
 	}
-	log.witness.Close() // as a disk that fails to sync
+	log.marker.Close() // as a disk that fails to sync
 	first := log.Save(Batch{HardState: hardState(3, 2, 0)})
 	second := log.Save(Batch{HardState: hardState(4, 2, 0)})
 	if first == nil || !errors.Is(second, first) {
--- a/raftlog/read.go
+++ b/raftlog/read.go
@@ -63,8 +63,8 @@
 
 func readEntries(bucket *bbolt.Bucket) ([]*raftpb.Entry, error) {
 	var entries []*raftpb.Entry
-	err := bucket.ForEach(func(key, sealed []byte) error {
-		entry, err := readEntry(key, sealed)
+	err := bucket.ForEach(func(key, stored []byte) error {
+		entry, err := readEntry(key, stored)
 		if err != nil {
 			return fmt.Errorf("entry %x: %w", key, err)
 		}
@@ -75,8 +75,8 @@
 }
 
 // readEntry reads an entry, whose key has to be that of its index.
-func readEntry(key, sealed []byte) (*raftpb.Entry, error) {
-	data, err := unseal(sealed)
+func readEntry(key, stored []byte) (*raftpb.Entry, error) {
+	data, err := verifyChecksum(stored)
 	if err != nil {
 		return nil, err
 	}
@@ -104,11 +104,11 @@
 
 // getValue reads a value, nil if it was never put.
 func getValue(meta *bbolt.Bucket, key []byte) ([]byte, error) {
-	sealed := meta.Get(key)
-	if sealed == nil {
+	stored := meta.Get(key)
+	if stored == nil {
 		return nil, nil
 	}
-	value, err := unseal(sealed)
+	value, err := verifyChecksum(stored)
 	if err != nil {
 		return nil, fmt.Errorf("%s: %w", key, err)
 	}
--- a/raftlog/write.go
+++ b/raftlog/write.go
@@ -73,5 +73,5 @@
 	if err != nil {
 		return err
 	}
-	return bucket.Put(key, seal(data))
+	return bucket.Put(key, addChecksum(data))
 }
--- a/records/model_test.go
+++ b/records/model_test.go
@@ -59,7 +59,7 @@
 	from := uint64(random.IntN(int(newest) + 3))
 	delta := store.Since(from, scope)
 	if want := from >= store.history.compactRevision; delta.Available != want || delta.Revision != newest {
-		t.Errorf("since %d: available %v as of %d, floor %d, newest %d", from, delta.Available, delta.Revision, store.history.compactRevision, newest)
+		t.Errorf("since %d: available %v as of %d, compact revision %d, newest %d", from, delta.Available, delta.Revision, store.history.compactRevision, newest)
 	}
 	if want := plain.routing(scope); view.RoutingRevision != want || delta.RoutingRevision != want {
 		t.Errorf("routes of %+v changed at revision %d, since %d at %d, want %d", scope, view.RoutingRevision, from, delta.RoutingRevision, want)
--- a/records/routingrevisions.go
+++ b/records/routingrevisions.go
@@ -20,9 +20,9 @@
 // Overrides do not count: they are no part of the routes that sidecars get, and they are of zones, so that controllers of
 // different zones would number the same routes differently.
 type routingRevisions struct {
-	byService map[string]uint64 // each over the floor
-	floor     uint64            // that of all services that are not in the map
-	highest   uint64            // the highest of all
+	byService       map[string]uint64 // each over defaultRevision
+	defaultRevision uint64            // that of all services that are not in the map
+	highest         uint64            // the highest of all
 
 	maxServices int
 }
@@ -36,7 +36,7 @@
 	if scope.All {
 		return r.highest
 	}
-	highest := max(r.floor, r.byService[""])
+	highest := max(r.defaultRevision, r.byService[""])
 	for _, service := range scope.Services {
 		highest = max(highest, r.byService[service])
 	}
@@ -60,20 +60,20 @@
 
 // raiseService raises the revision of a service.
 func (r *routingRevisions) raiseService(service string, revision uint64) {
-	if revision > max(r.floor, r.byService[service]) {
+	if revision > max(r.defaultRevision, r.byService[service]) {
 		r.byService[service] = revision
 	}
 	r.highest = max(r.highest, revision)
 }
 
 // raiseAll gives all services at least a revision.
-func (r *routingRevisions) raiseAll(floor uint64) {
-	r.floor = max(r.floor, floor)
-	r.highest = max(r.highest, floor)
-	maps.DeleteFunc(r.byService, func(_ string, revision uint64) bool { return revision <= r.floor })
+func (r *routingRevisions) raiseAll(atLeast uint64) {
+	r.defaultRevision = max(r.defaultRevision, atLeast)
+	r.highest = max(r.highest, atLeast)
+	maps.DeleteFunc(r.byService, func(_ string, revision uint64) bool { return revision <= r.defaultRevision })
 }
 
-// limitServices raises the floor to the revisions of the older half of the services where there are too many of them: no
+// limitServices raises the default revision to the revisions of the older half of the services where there are too many of them: no
 // revision goes down, and it is long until there are too many again.
 func (r *routingRevisions) limitServices() {
 	if len(r.byService) <= r.maxServices {
@@ -101,16 +101,16 @@
 		return fmt.Errorf("its routes changed at revision %d, over the last one, %d", r.highest, revision)
 	}
 	for _, route := range routes {
-		if route.Revision > max(r.floor, r.byService[route.Service]) {
+		if route.Revision > max(r.defaultRevision, r.byService[route.Service]) {
 			return fmt.Errorf("%s has revision %d, over that of its service's routes", route.Key, route.Revision)
 		}
 	}
 	return nil
 }
 
-// appendTo encodes the floor and the services by name.
+// appendTo encodes the default revision and the services by name.
 func (r *routingRevisions) appendTo(out []byte) []byte {
-	out = binary.AppendUvarint(out, r.floor)
+	out = binary.AppendUvarint(out, r.defaultRevision)
 	out = binary.AppendUvarint(out, uint64(len(r.byService)))
 	for _, service := range slices.Sorted(maps.Keys(r.byService)) {
 		out = appendBytes(out, service)
@@ -130,7 +130,7 @@
 			return in.err
 		}
 		inOrder := i == 0 || service > previous
-		if !inOrder || revision <= r.floor {
+		if !inOrder || revision <= r.defaultRevision {
 			return errRoutingOrder
 		}
 		r.raiseService(service, revision)
--- a/records/routingrevisions_test.go
+++ b/records/routingrevisions_test.go
@@ -98,8 +98,8 @@
 	s := storeWithRemovedRoute(t)
 	base := withoutRouting(s)
 	base[0] = snapshotFormat
-	encoded := func(floor uint64, entries ...any) []byte {
-		out := binary.AppendUvarint(slices.Clone(base), floor)
+	encoded := func(defaultRevision uint64, entries ...any) []byte {
+		out := binary.AppendUvarint(slices.Clone(base), defaultRevision)
 		out = binary.AppendUvarint(out, uint64(len(entries)/2))
 		for at := 0; at < len(entries); at += 2 {
 			out = appendBytes(out, entries[at].(string))
@@ -111,13 +111,13 @@
 		t.Fatal("the test does not encode as a snapshot does")
 	}
 	for name, data := range map[string][]byte{
-		"over the revision":       encoded(0, "", 2, "a", 4, "b", 6, "c", 7),
-		"floor over the revision": encoded(7),
-		"out of order":            encoded(0, "", 2, "b", 6, "a", 4, "c", 6),
-		"twice":                   encoded(0, "", 2, "a", 4, "a", 5, "c", 6),
-		"not over the floor":      encoded(2, "", 2, "a", 4, "b", 6, "c", 6),
-		"under a route's":         encoded(0, "", 2, "a", 4, "b", 6, "c", 5),
-		"a service missing":       encoded(0, "", 2, "a", 4, "b", 6),
+		"over the revision":         encoded(0, "", 2, "a", 4, "b", 6, "c", 7),
+		"default over the revision": encoded(7),
+		"out of order":              encoded(0, "", 2, "b", 6, "a", 4, "c", 6),
+		"twice":                     encoded(0, "", 2, "a", 4, "a", 5, "c", 6),
+		"not over the default":      encoded(2, "", 2, "a", 4, "b", 6, "c", 6),
+		"under a route's":           encoded(0, "", 2, "a", 4, "b", 6, "c", 5),
+		"a service missing":         encoded(0, "", 2, "a", 4, "b", 6),
 	} {
 		if err := NewStore().Restore(data); err == nil {
 			t.Errorf("%s: it was accepted", name)
