--- a/cluster/doc.go
+++ b/cluster/doc.go
@@ -35,7 +35,7 @@
 //  2. Node.Propose hands it to Member.Propose, which forwards it to the leader, and repeats it until there is a result.
 //  3. The leader appends it; Member.Advance persists it at each member before the message that acknowledges it leaves.
 //  4. Once a majority has it, Member.applyEntry has State.Apply carry it out at each member.
-//  5. Node.notifyWaiters gives the Result to the callers of Propose; State.OnCommit reports the change of records.
+//  5. Node.notifyProposers gives the Result to the callers of Propose; State.OnCommit reports the change of records.
 //
 // # Where to look
 //
--- a/cluster/messages.go
+++ b/cluster/messages.go
@@ -25,7 +25,7 @@
 // Command is one entry of the log.
 type Command struct {
 	Kind     CommandKind     `json:"kind"`
-	Client   string          `json:"client"` // with Seq it names a proposal: a repeated one gets the first one's result
+	Client   string          `json:"client"` // with Seq it names a proposal, whatever else it has: see State.Apply
 	Seq      uint64          `json:"seq"`
 	Base     uint64          `json:"base,omitempty"`
 	To       uint64          `json:"to,omitempty"`
--- a/cluster/node.go
+++ b/cluster/node.go
@@ -44,13 +44,15 @@
 	// overrides, ordered by key. Such a proposal is rejected. It is called on any goroutine. Nil: nothing is checked.
 	CheckProposal func(proposed []*records.Record) error
 	// OnCommit is called on the loop with each change of the records once Records has it, and with Reset when a snapshot
-	// replaced all of them. It must not block. Nil: no one is notified.
+	// replaced all of them. It must not block. Nil: no one is notified. The daemon has followers sent updates by it.
 	OnCommit func(records.Change)
 	Log      *zap.Logger
-	Changed  chan struct{} // has a value when another version took effect since it was last received from
+	// Changed has a value when another version took effect since it was last received from. The daemon puts the agreed
+	// routes and overrides into effect at this controller by it.
+	Changed chan struct{}
 
 	storage   Storage
-	addresses map[uint64]string // as configured, by member; those that were agreed on come first
+	addresses map[uint64]string // as configured, by member; State.Addresses takes precedence
 	requests  chan func()       // to run on the loop
 	stopped   chan struct{}     // closed when the loop has ended
 
--- a/cluster/proposals.go
+++ b/cluster/proposals.go
@@ -22,9 +22,9 @@
 // Propose has a command agreed on, and proposes it again each second until there is a result; it is carried out once at
 // most. It waits 10 s at most.
 //
-// An error leaves open whether the command was agreed on, and the same command may be proposed again, unless the error
-// says that it never left this member: that of State.Validate, ErrNoLeader or raft.ErrProposalDropped. The others are
-// ErrUnknownOutcome, ErrStopped and ctx's.
+// After an error of State.Validate the command was not proposed. Any other error leaves open whether it was agreed on, and
+// the same command may be proposed again: ErrUnknownOutcome, ErrNoLeader, raft.ErrProposalDropped, ErrStopped or ctx's.
+// ErrNoLeader and raft.ErrProposalDropped tell of the last attempt alone; an earlier one may have reached a leader.
 func (n *Node) Propose(ctx context.Context, c Command) (Result, error) {
 	ctx, cancel := context.WithTimeout(ctx, requestTimeout)
 	defer cancel()
@@ -54,7 +54,7 @@
 	}
 }
 
-// mayRetry reports whether a proposal that the member did not accept may succeed later.
+// mayRetry reports whether an attempt that the member did not accept may succeed later.
 func mayRetry(err error) bool {
 	return errors.Is(err, ErrNoLeader) || errors.Is(err, raft.ErrProposalDropped)
 }
@@ -76,7 +76,8 @@
 	return err
 }
 
-// abandon gives up waiting and says what is known of the outcome. ProposeErr is that of the last attempt.
+// abandon gives up waiting. It returns the error of the last attempt, proposeErr, and ErrUnknownOutcome if that one had
+// none. Both leave the outcome open: an earlier attempt may have been agreed on.
 func (n *Node) abandon(p *pendingProposal, proposeErr error) error {
 	// An error says that the loop has ended, and with it all waiting.
 	ignoreError(n.runOnLoop(context.Background(), func() { n.removeWaiter(p) }))
--- a/cluster/readindex.go
+++ b/cluster/readindex.go
@@ -17,7 +17,8 @@
 }
 
 // RequestReadIndex asks the leader for an index from which on the state is recent enough for a read. Advance returns the
-// read's number once the state has it. The error is ErrNoLeader or ErrTooManyReads.
+// read's number once the state has it. The error is ErrNoLeader or ErrTooManyReads;
+// a node retries after either.
 func (m *Member) RequestReadIndex() (id uint64, err error) {
 	if m.leader == raft.None {
 		return 0, ErrNoLeader
--- a/cluster/reads.go
+++ b/cluster/reads.go
@@ -10,8 +10,9 @@
 )
 
 // ReadLinearizable gives the version in effect, with its text, once this member has all that was agreed when it was
-// called. It waits 10 s at most. The error is ErrNoLeader, ErrStopped, ctx's, or has the code NotFound if the text is not
-// retained.
+// called. It waits 10 s at most. The error is ErrNoLeader if no leader confirmed the read, also where the node stopped, ctx
+// ended or too many reads waited meanwhile; ErrStopped or ctx's if the loop did not take the request; or it has the code
+// NotFound if the text is not retained.
 func (n *Node) ReadLinearizable(ctx context.Context) (Version, error) {
 	version, err := n.confirmedVersion(ctx)
 	if err != nil {
@@ -46,8 +47,8 @@
 	version chan Version // has room for one
 }
 
-// confirmedVersion is ReadLinearizable without the text. It requests the read again each second: the leader that was
-// asked may be gone.
+// confirmedVersion is ReadLinearizable without the text, with the same errors. It requests the read again each second: the
+// leader that was asked may be gone.
 func (n *Node) confirmedVersion(ctx context.Context) (Version, error) {
 	ctx, cancel := context.WithTimeout(ctx, requestTimeout)
 	defer cancel()
@@ -73,12 +74,14 @@
 	}
 }
 
+// requestRead requests a read from the leader. One that cannot be requested, for ErrNoLeader or ErrTooManyReads, has no
+// number and waits for its retry as if the leader had not answered. The error is ErrStopped or ctx's.
 func (n *Node) requestRead(ctx context.Context) (*pendingRead, error) {
 	read := &pendingRead{version: make(chan Version, 1)}
 	err := n.runOnLoop(ctx, func() {
 		id, err := n.member.RequestReadIndex()
 		if err != nil {
-			return // as without a leader: it is requested again
+			return // it is requested again
 		}
 		read.id = id
 		n.readWaiters[id] = read.version
@@ -86,6 +89,7 @@
 	return read, err
 }
 
+// cancelRead forgets a read that was requested. The error is ErrStopped.
 func (n *Node) cancelRead(read *pendingRead) error {
 	if read.id == 0 {
 		return nil
--- a/cluster/requests.go
+++ b/cluster/requests.go
@@ -10,8 +10,8 @@
 	retryInterval  = time.Second // of a proposal or a read without an answer
 )
 
-// runOnLoop has the node's loop run a function and waits for it. The error is ErrStopped or ctx's; then the function was
-// not run.
+// runOnLoop has the node's loop run a function and waits for it. The error is ctx's if the function was
+// not run, or ErrStopped; then it may have been run or not.
 func (n *Node) runOnLoop(ctx context.Context, run func()) error {
 	finished := make(chan struct{})
 	request := func() {
--- a/cluster/state.go
+++ b/cluster/state.go
@@ -42,6 +42,9 @@
 
 // Apply carries out the entry at an index of the log. All members come to the same result, also for an entry that cannot
 // be read and for a proposal that was carried out before.
+//
+// A proposal is the same as an earlier one if Client and Seq are; their contents are not compared. A command with other
+// contents under a name that was used gets the first one's result and is not carried out.
 func (s *State) Apply(index, term uint64, data []byte) (Command, Result) {
 	var command Command
 	if err := json.Unmarshal(data, &command); err != nil {
--- a/records/history.go
+++ b/records/history.go
@@ -7,8 +7,7 @@
 
 const (
 	// maxHistoryBytes bounds the changes that are retained for followers which missed them, and for rolling back. A
-	// change of one tenant counts about 200 bytes, so that some 40,000 are retained: five days of the expected 7,800 a
-	// day.
+	// change of one tenant counts some 160 bytes (TestChangeCostDoesNotGrowWithTheStore), so that some 50,000 are retained.
 	maxHistoryBytes = 8 << 20
 	// changeOverheadBytes is counted for each change beside its records: its revision and number of updates as encoded.
 	changeOverheadBytes = 16
--- a/records/source.go
+++ b/records/source.go
@@ -18,7 +18,9 @@
 type Change struct {
 	Revision uint64
 	Updates  []Update // one a record, ordered by key
-	Reset    bool     // the whole state was replaced by a snapshot: Updates does not tell what differs
+	// Reset says that a snapshot replaced the whole state; Updates is then empty and does not tell what differs. Only tests
+	// read it: configsync takes the revision of a change, and reads what differs from Source.Since.
+	Reset bool
 }
 
 // View is records as of one revision.
--- a/records/transaction.go
+++ b/records/transaction.go
@@ -5,8 +5,8 @@
 	"fmt"
 )
 
-// The bounds of one transaction that an operator proposes. A larger change is made as several transactions; the bound
-// keeps an entry of the log well under one message between members, and one change within a sidecar's readiness timeout.
+// The bounds of one transaction that an operator proposes. A larger change is made as several transactions; the bounds
+// keep an entry of the log well under one message between members.
 const (
 	MaxTransactionWrites = 256
 	MaxTransactionBytes  = 256 << 10 // of names and bodies together
