--- a/cluster/snapshot_fulltexts.go
+++ b/cluster/snapshot_fulltexts.go
@@ -43,7 +43,7 @@
 
 // addFullText adds a version of the first format as records.
 func (s *State) addFullText(version Version) error {
-	transaction, err := s.transaction(Command{Kind: CommandPut, Text: version.Text}, s.FullTexts)
+	transaction, err := s.restampingTransaction(Command{Kind: CommandPut, Text: version.Text})
 	if err != nil {
 		return err
 	}
