--- a/cluster/commands.go
+++ b/cluster/commands.go
@@ -30,10 +30,25 @@
 	return nil
 }
 
+// checkSizes checks the bounds of a command. The error is a *NameSizeError or a *TextSizeError.
 func checkSizes(c Command) error {
-	tooLong := len(c.Client) > maxNameBytes || len(c.By) > maxNameBytes || len(c.Why) > maxReasonBytes || len(c.Identity) > maxNameBytes
-	if c.Client == "" || tooLong {
-		return &NameSizeError{LimitBytes: maxNameBytes}
+	if c.Client == "" {
+		return &NameSizeError{Field: "Client", LimitBytes: maxNameBytes}
+	}
+	names := []struct {
+		field      string
+		value      string
+		limitBytes int
+	}{
+		{"Client", c.Client, maxNameBytes},
+		{"By", c.By, maxNameBytes},
+		{"Why", c.Why, maxReasonBytes},
+		{"Identity", c.Identity, maxNameBytes},
+	}
+	for _, name := range names {
+		if len(name.value) > name.limitBytes {
+			return &NameSizeError{Field: name.field, Bytes: len(name.value), LimitBytes: name.limitBytes}
+		}
 	}
 	if len(c.Text) > maxTextBytes {
 		return &TextSizeError{Bytes: len(c.Text), LimitBytes: maxTextBytes}
--- a/cluster/errors.go
+++ b/cluster/errors.go
@@ -36,14 +36,17 @@
 	ErrRevisionsNotCounted = errors.New("the group does not count revisions of records yet: its leader has it do so within seconds, try again")
 )
 
-// NameSizeError says that a command has no client, or a client, operator, reason or identity that is too long. LimitBytes
-// is that of a name, also where the reason is what is too long: the text is one that peers and results have, and a reason
-// may have five times as much.
-type NameSizeError struct{ LimitBytes int }
+// NameSizeError says that a command has no client, or a client, operator, reason or identity that is too long.
+type NameSizeError struct {
+	Field      string // of the command: Client, By, Why or Identity
+	Bytes      int    // 0: it is missing
+	LimitBytes int    // of this field
+}
 
-// Error states the bound of names.
+// Error states the bound of names, whatever the field: the text is a result that all members have to give alike, also
+// those of the release before.
 func (e *NameSizeError) Error() string {
-	return fmt.Sprintf("a name is missing or over %d bytes", e.LimitBytes)
+	return fmt.Sprintf("a name is missing or over %d bytes", maxNameBytes)
 }
 
 // TextSizeError says that a full text is too long.
--- a/cluster/errors_test.go
+++ b/cluster/errors_test.go
@@ -4,6 +4,7 @@
 	"encoding/json"
 	"errors"
 	"reflect"
+	"strings"
 	"testing"
 	"time"
 
@@ -22,13 +23,19 @@
 
 // TestRejectionsAreTyped has each command rejected for a cause of its own, told apart by errors.As and with its values.
 func TestRejectionsAreTyped(t *testing.T) {
-	longText := string(make([]byte, maxTextBytes+1))
+	longText := strings.Repeat("x", maxTextBytes+1)
+	longName := strings.Repeat("x", maxNameBytes+1)
+	longReason := strings.Repeat("x", maxReasonBytes+1)
 	register := Command{Kind: CommandRegister, Client: "m", Seq: 1, Member: 2, Identity: "first disk"}
 	cases := map[string]struct {
 		command Command
 		want    error
 	}{
-		"no client":         {putCommand("", 1, 12, "three"), &NameSizeError{LimitBytes: maxNameBytes}},
+		"no client":         {putCommand("", 1, 12, "three"), &NameSizeError{Field: "Client", LimitBytes: maxNameBytes}},
+		"long client":       {putCommand(longName, 1, 12, "three"), &NameSizeError{Field: "Client", Bytes: maxNameBytes + 1, LimitBytes: maxNameBytes}},
+		"long operator":     {Command{Kind: CommandPut, Client: "b", By: longName}, &NameSizeError{Field: "By", Bytes: maxNameBytes + 1, LimitBytes: maxNameBytes}},
+		"long reason":       {Command{Kind: CommandPut, Client: "b", Why: longReason}, &NameSizeError{Field: "Why", Bytes: maxReasonBytes + 1, LimitBytes: maxReasonBytes}},
+		"long identity":     {Command{Kind: CommandRegister, Client: "b", Identity: longName}, &NameSizeError{Field: "Identity", Bytes: maxNameBytes + 1, LimitBytes: maxNameBytes}},
 		"long text":         {putCommand("b", 1, 12, longText), &TextSizeError{Bytes: maxTextBytes + 1, LimitBytes: maxTextBytes}},
 		"unknown kind":      {Command{Kind: "dance", Client: "b", Seq: 1}, &UnknownCommandError{Kind: "dance"}},
 		"older base":        {putCommand("b", 1, 11, "three"), &StaleBaseError{Base: 11, InEffect: 12}},
@@ -53,6 +60,19 @@
 	}
 }
 
+// A result is stored and compared over members, also of an earlier release, so its text does not change with the field.
+func TestNameSizeErrorHasOneText(t *testing.T) {
+	const want = "a name is missing or over 200 bytes"
+	for _, err := range []*NameSizeError{
+		{Field: "Client", LimitBytes: maxNameBytes},
+		{Field: "Why", Bytes: maxReasonBytes + 1, LimitBytes: maxReasonBytes},
+	} {
+		if err.Error() != want {
+			t.Errorf("%s: %q, want %q", err.Field, err, want)
+		}
+	}
+}
+
 // TestRollBackErrorKeepsTheRule rolls back to a version that the rules do not allow any more.
 func TestRollBackErrorKeepsTheRule(t *testing.T) {
 	script := newCommandScript(t)
