--- a/cluster/election_test.go
+++ b/cluster/election_test.go
@@ -67,7 +67,7 @@
 	}
 }
 
-// A member's disk was lost, or put back from a copy, and it starts again under its number. It may have forgotten a vote.
+// A member's disk was lost and made anew, and it starts again under its number. It may have forgotten a vote.
 // What it sends has to be dropped, so that it can't vote twice in a term.
 func TestMessagesOfAnotherDiskAreDropped(t *testing.T) {
 	leader := singleMember(t, NewState(nil), &snapshotCounter{})
