--- a/cmd/harehook/configuration.go
+++ b/cmd/harehook/configuration.go
@@ -39,12 +39,12 @@
 
 // configuration is what the platform configures at the start of a controller.
 type configuration struct {
-	Name      string `json:"name"`
-	Listen    string `json:"listen"`    // host:port, for collectors
-	Discovery string `json:"discovery"` // host:port
-	Seed      string `json:"seed"`      // of random numbers, hexadecimal
-	Limits    limits `json:"limits"`
-	Store     struct {
+	Name      string   `json:"name"`
+	Listen    string   `json:"listen"`    // host:port, for collectors
+	Discovery string   `json:"discovery"` // host:port
+	Seed      string   `json:"seed"`      // of random numbers, hexadecimal
+	Limits    limits   `json:"limits"`
+	Relay     struct { // the platform's word for it is store
 		Address string `json:"address"` // of the relay, host:port
 	} `json:"store"`
 	Known    json.RawMessage `json:"known"` // endpoint list as last known, in discovery's form; may be absent
@@ -105,12 +105,12 @@
 		return errNoListen
 	case c.Discovery == "":
 		return errNoDiscovery
-	case c.Store.Address == "":
+	case c.Relay.Address == "":
 		return errNoRelay
 	case len(c.Settings) == 0:
 		return errNoSettings
 	}
-	for _, address := range []string{c.Discovery, c.Store.Address} {
+	for _, address := range []string{c.Discovery, c.Relay.Address} {
 		if _, _, err := net.SplitHostPort(address); err != nil {
 			return err
 		}
--- a/cmd/harehook/main.go
+++ b/cmd/harehook/main.go
@@ -61,7 +61,7 @@
 		Controller:     ctrl,
 		Commands:       commands,
 		Listener:       listener,
-		Relay:          transport.NewParty(config.Store.Address),
+		Relay:          transport.NewParty(config.Relay.Address),
 		Discovery:      transport.NewParty(config.Discovery),
 		MaxSockets:     config.Limits.Sockets,
 		MaxMemoryBytes: int64(config.Limits.MemoryMB * bytesPerMB),
--- a/cmd/harehook/reload.go
+++ b/cmd/harehook/reload.go
@@ -34,7 +34,7 @@
 			continue
 		}
 		config.applyLimits()
-		relayMoved := server.Relay.Move(config.Store.Address)
+		relayMoved := server.Relay.Move(config.Relay.Address)
 		discoveryMoved := server.Discovery.Move(config.Discovery)
 		server.Log.Info("configuration reloaded", zap.Bool("relay_moved", relayMoved),
 			zap.Bool("discovery_moved", discoveryMoved), zap.Strings("needs_restart", started.restartKeys(config)))
