--- a/scaling/list.go
+++ b/scaling/list.go
@@ -75,9 +75,9 @@
 		responses := wire.PollResponseReader{MaxBytes: listBytes}
 		for rest := body; len(rest) > 0; rest = rest[min(len(rest), listPart):] {
 			responses.Feed(rest[:min(len(rest), listPart)])
-			list, _, ok, err := responses.Next(false)
-			if err != nil || ok {
-				return list, err
+			response, err := responses.Next(false)
+			if err != nil || response.Complete {
+				return response.List, err
 			}
 		}
 		return wire.EndpointList{}, errors.New("the response was not whole")
--- a/scaling/scaling_test.go
+++ b/scaling/scaling_test.go
@@ -236,7 +236,7 @@
 		for end := part; ; end += part {
 			responses := wire.PollResponseReader{MaxBytes: listBytes}
 			responses.Feed(body[:min(end, len(body))])
-			if _, _, ok, err := responses.Next(false); ok || err != nil {
+			if response, err := responses.Next(false); response.Complete || err != nil {
 				return err
 			}
 			if end >= len(body) {
