--- a/internal/fakeplatform/call.go
+++ b/internal/fakeplatform/call.go
@@ -47,7 +47,7 @@
 	return fault
 }
 
-// respond spoils the response to a call that was carried out by a fault. The mutex is held, but not while it waits.
+// respond spoils the response to a call that was carried out by a fault. The mutex is held, but not during its waits.
 func (r *Relay) respond(conn net.Conn, fault Fault, response string) (spoilt string, last bool) {
 	switch fault {
 	case ExecutedWithoutResponse:
--- a/internal/fakeplatform/observable.go
+++ b/internal/fakeplatform/observable.go
@@ -13,7 +13,7 @@
 
 func newObservable() observable { return observable{changes: make(chan struct{})} }
 
-// notifyChanged wakes those who wait; the mutex is held.
+// notifyChanged wakes the goroutines in Await; the mutex is held.
 func (o *observable) notifyChanged() {
 	close(o.changes)
 	o.changes = make(chan struct{})
--- a/internal/fakeplatform/proxywatch.go
+++ b/internal/fakeplatform/proxywatch.go
@@ -50,7 +50,7 @@
 	}
 }
 
-// writeLine writes within aliveInterval, so that one who never reads holds up no one else for longer.
+// writeLine writes within aliveInterval, so that a watcher that never reads holds up no other for longer.
 func writeLine(conn net.Conn, line string) {
 	conn.SetWriteDeadline(time.Now().Add(aliveInterval))
 	fmt.Fprint(conn, line)
--- a/internal/fakeplatform/relay.go
+++ b/internal/fakeplatform/relay.go
@@ -14,8 +14,8 @@
 	IsNew bool
 }
 
-// Relay carries out the commands of calls for the proxies that are joined, and reports to those who watch them. The
-// exported state is read under its mutex, as in Await.
+// Relay carries out the commands of calls for the proxies that are joined, and reports to the connections that watch them.
+// The exported state is read under its mutex, as in Await.
 type Relay struct {
 	observable
 	*server
@@ -82,7 +82,7 @@
 
 // Close ends the relay.
 func (r *Relay) Close() {
-	r.Silence(false) // who waits to watch sees the end
+	r.Silence(false) // a connection that waits to watch sees the end
 	r.server.Close()
 }
 
--- a/internal/fakeplatform/responsemode.go
+++ b/internal/fakeplatform/responsemode.go
@@ -23,7 +23,7 @@
 	NoResponse                      // the connection stays open
 	EndlessResponse                 // a byte now and then, and never the last
 	FloodResponse                   // as many bytes as are taken, and never the last
-	UpdatesOnly                     // with an update also who asks for the full list
+	UpdatesOnly                     // with an update, also to a poll for the full list
 	DecreasingVersions              // each poll for an update with a version before the one that is held
 	ImmediateResponse               // each poll for an update at once, with nothing new
 )
