--- a/cmd/harehook-sidecar/main.go
+++ b/cmd/harehook-sidecar/main.go
@@ -68,7 +68,7 @@
 	return nil
 }
 
-func newClient(settings *config.Sidecar, certificates *certs.Store, load *sidecar.LoadRecorder, log *zap.Logger) *sidecar.Client {
+func newClient(settings *config.Sidecar, certificates *certs.Reloader, load *sidecar.LoadRecorder, log *zap.Logger) *sidecar.Client {
 	cache := &sidecar.ResourceCache{
 		ID:             settings.Name,
 		Zone:           settings.Zone,
@@ -96,7 +96,7 @@
 }
 
 // maintain reloads changed certificates and logs counters until ctx ends.
-func maintain(ctx context.Context, client *sidecar.Client, load *sidecar.LoadRecorder, certificates *certs.Store, log *zap.Logger) {
+func maintain(ctx context.Context, client *sidecar.Client, load *sidecar.LoadRecorder, certificates *certs.Reloader, log *zap.Logger) {
 	ticker := time.NewTicker(reloadInterval)
 	defer ticker.Stop()
 	lastCounters := time.Now()
@@ -120,7 +120,7 @@
 		zap.Uint64("streams", client.Streams.Load()),
 		zap.String("held", client.Describe()),
 		zap.Uint64("answered", load.Completed.Load()),
-		zap.Uint64("throttled", load.Throttled.Load()),
+		zap.Uint64("throttled", load.Rejected.Load()),
 		zap.Uint64("failed", load.Failed.Load()),
 		zap.Uint64("again", load.Retried.Load()))
 }
--- a/configsync/cost_test.go
+++ b/configsync/cost_test.go
@@ -80,7 +80,7 @@
 		}
 		t.Log(messages, "messages;", interested, "bytes to the interested follower,", others, "to each other")
 	}
-	if got := c.server.Counts; got.FullScopes != size || got.Changes != 10 || got.Progress != 10*(size-1) {
+	if got := c.server.Counts; got.FullScopes != size || got.Changes != 10 || got.EmptyUpdates != 10*(size-1) {
 		t.Errorf("%+v", got)
 	}
 }
--- a/configsync/follower.go
+++ b/configsync/follower.go
@@ -29,10 +29,10 @@
 // Follower is the state of a controller that follows the group: the records that it has accepted, and its lease. It is not
 // safe for concurrent use.
 type Follower struct {
-	name     string
-	scope    records.Scope
-	lease    time.Duration
-	validate Validator
+	name      string
+	scope     records.Scope
+	lease     time.Duration
+	validator Validator
 
 	revision        uint64
 	routingRevision uint64
@@ -50,11 +50,11 @@
 // all records.
 func NewFollower(name string, scope records.Scope, lease time.Duration, validate Validator) *Follower {
 	return &Follower{
-		name:     name,
-		scope:    scope.Normalized(),
-		lease:    lease,
-		validate: validate,
-		records:  map[records.Key]*records.Record{},
+		name:      name,
+		scope:     scope.Normalized(),
+		lease:     lease,
+		validator: validate,
+		records:   map[records.Key]*records.Record{},
 	}
 }
 
@@ -106,7 +106,7 @@
 		f.handleHeartbeat()
 		return nil, false, nil
 	}
-	if err := f.checkRevision(update); err != nil {
+	if err := f.checkContinuity(update); err != nil {
 		return nil, false, err
 	}
 	err = f.apply(update)
@@ -123,12 +123,12 @@
 	return &discoveryv3.DeltaDiscoveryRequest{TypeUrl: TypeURL, ResponseNonce: update.Nonce}, accepted, nil
 }
 
-// checkRevision returns an error if the member's configuration contradicts what was accepted.
-func (f *Follower) checkRevision(update Update) error {
+// checkContinuity returns an error if the member's configuration contradicts what was accepted.
+func (f *Follower) checkContinuity(update Update) error {
 	if update.Revision < f.revision {
 		return fmt.Errorf("%w: %d, held is %d", ErrOlderRevision, update.Revision, f.revision)
 	}
-	if update.Revision == f.revision && !update.FullScope && !update.empty() {
+	if update.Revision == f.revision && !update.FullScope && !update.isEmpty() {
 		return fmt.Errorf("%w: %d", ErrConflictingContent, update.Revision)
 	}
 	return nil
@@ -170,8 +170,8 @@
 	if update.Revision == f.revision && !equalRecords(next, f.records) {
 		return fmt.Errorf("%w: %d", ErrConflictingContent, update.Revision)
 	}
-	if f.validate != nil {
-		if err := f.validate(update.Revision, next); err != nil {
+	if f.validator != nil {
+		if err := f.validator(update.Revision, next); err != nil {
 			return err
 		}
 	}
@@ -182,7 +182,7 @@
 // applyDelta changes the records in place, so that the cost is that of the delta. It is rolled back if the validator
 // rejects the result.
 func (f *Follower) applyDelta(update Update) error {
-	if update.empty() {
+	if update.isEmpty() {
 		return nil
 	}
 	before := make(map[records.Key]*records.Record, len(update.Records)+len(update.Removed))
@@ -194,10 +194,10 @@
 		before[key] = f.records[key]
 		delete(f.records, key)
 	}
-	if f.validate == nil {
+	if f.validator == nil {
 		return nil
 	}
-	err := f.validate(update.Revision, f.records)
+	err := f.validator(update.Revision, f.records)
 	if err != nil {
 		f.rollBack(before)
 	}
--- a/configsync/messages.go
+++ b/configsync/messages.go
@@ -25,8 +25,8 @@
 	Removed         []records.Key
 }
 
-// empty tells whether an update changes no record.
-func (u Update) empty() bool { return len(u.Records)+len(u.Removed) == 0 }
+// isEmpty tells whether an update changes no record.
+func (u Update) isEmpty() bool { return len(u.Records)+len(u.Removed) == 0 }
 
 // Content summarizes a response, for measurements and checks.
 type Content struct {
--- a/configsync/server.go
+++ b/configsync/server.go
@@ -66,7 +66,7 @@
 type Counts struct {
 	FullScopes     uint64 `json:"Whole"`      // messages with a full scope
 	Changes        uint64 `json:"Changes"`    // messages with a delta that changes records
-	Progress       uint64 `json:"Progress"`   // messages for revisions that change nothing of the scope
+	EmptyUpdates   uint64 `json:"Progress"`   // messages for revisions that change nothing of the scope
 	Heartbeats     uint64 `json:"Heartbeats"` // messages
 	FullScopeBytes uint64 `json:"WholeBytes"`
 	ChangeBytes    uint64 `json:"ChangeBytes"`
@@ -80,11 +80,11 @@
 	case update.FullScope:
 		c.FullScopes++
 		c.FullScopeBytes += uint64(bytes)
-	case !update.empty():
+	case !update.isEmpty():
 		c.Changes++
 		c.ChangeBytes += uint64(bytes)
 	default:
-		c.Progress++
+		c.EmptyUpdates++
 	}
 }
 
--- a/configsync/server_test.go
+++ b/configsync/server_test.go
@@ -64,7 +64,7 @@
 	member.commit(at(5), 9, nil, routeKey("c"))
 	c.settle(at(5))
 	member.checkFollower(f)
-	if got := member.server.Counts; got.FullScopes != 1 || got.Changes != 4 || got.Progress != 1 || got.Accepted != 6 {
+	if got := member.server.Counts; got.FullScopes != 1 || got.Changes != 4 || got.EmptyUpdates != 1 || got.Accepted != 6 {
 		t.Errorf("%+v", got)
 	}
 }
--- a/configsync/transport/client_test.go
+++ b/configsync/transport/client_test.go
@@ -24,7 +24,7 @@
 	c.awaitAccepted(log)
 	log.put(t, "sell", "market", 2000)
 	c.awaitAccepted(log)
-	if counts := m.service.Counts(); counts.FullScopes != 1 || counts.Changes != 1 || counts.Progress != 1 {
+	if counts := m.service.Counts(); counts.FullScopes != 1 || counts.Changes != 1 || counts.EmptyUpdates != 1 {
 		t.Errorf("sent: %+v", counts)
 	}
 	waitFor(t, "the revision has converged", func() bool {
--- a/internal/certs/store.go
+++ b/internal/certs/reloader.go
@@ -41,9 +41,9 @@
 // Files are the paths of PEM files: all, or none.
 type Files struct{ Certificate, Key, Roots string }
 
-// Store has the certificate, key and roots in use. The TLS configurations that it returns may be used by any goroutine;
+// Reloader has the certificate, key and roots in use. The TLS configurations that it returns may be used by any goroutine;
 // Load and the methods that reload are called by one.
-type Store struct {
+type Reloader struct {
 	files    Files
 	now      func() time.Time
 	active   atomic.Pointer[credentials]
@@ -61,38 +61,38 @@
 }
 
 // Load reads the files, which have to be usable at the start. Without files the store is nil.
-func Load(files Files) (*Store, error) {
+func Load(files Files) (*Reloader, error) {
 	if files == (Files{}) {
 		return nil, nil
 	}
-	s := &Store{files: files, now: time.Now}
-	if _, err := s.Reload(); err != nil {
+	r := &Reloader{files: files, now: time.Now}
+	if _, err := r.Reload(); err != nil {
 		return nil, err
 	}
-	return s, nil
+	return r, nil
 }
 
 // Reload reads the files again if one of them has changed. It tells whether new credentials are in use; an error says why
 // those before stay in use: the file's, a mismatch of certificate and key, or a [ValidityError].
-func (s *Store) Reload() (changed bool, err error) {
-	found, err := s.findModTimes()
+func (r *Reloader) Reload() (changed bool, err error) {
+	found, err := r.findModTimes()
 	if err != nil {
 		return false, err
 	}
-	if s.active.Load() != nil && found == s.modTimes {
+	if r.active.Load() != nil && found == r.modTimes {
 		return false, nil
 	}
-	next, err := s.load()
+	next, err := r.load()
 	if err != nil {
 		return false, err // tried again the next time: a pair may be half written
 	}
-	s.modTimes = found
-	s.active.Store(next)
+	r.modTimes = found
+	r.active.Store(next)
 	return true, nil
 }
 
-func (s *Store) findModTimes() (found modTimes, err error) {
-	for index, path := range []string{s.files.Certificate, s.files.Key, s.files.Roots} {
+func (r *Reloader) findModTimes() (found modTimes, err error) {
+	for index, path := range []string{r.files.Certificate, r.files.Key, r.files.Roots} {
 		info, err := os.Stat(path)
 		if err != nil {
 			return found, err
@@ -102,64 +102,64 @@
 	return found, nil
 }
 
-func (s *Store) load() (*credentials, error) {
-	certificate, err := tls.LoadX509KeyPair(s.files.Certificate, s.files.Key)
+func (r *Reloader) load() (*credentials, error) {
+	certificate, err := tls.LoadX509KeyPair(r.files.Certificate, r.files.Key)
 	if err != nil {
-		return nil, fmt.Errorf("%s and %s: %w", s.files.Certificate, s.files.Key, err)
+		return nil, fmt.Errorf("%s and %s: %w", r.files.Certificate, r.files.Key, err)
 	}
 	leaf, err := x509.ParseCertificate(certificate.Certificate[0])
 	if err != nil {
-		return nil, fmt.Errorf("%s: %w", s.files.Certificate, err)
+		return nil, fmt.Errorf("%s: %w", r.files.Certificate, err)
 	}
-	now := s.now()
+	now := r.now()
 	if now.After(leaf.NotAfter) || now.Before(leaf.NotBefore) {
-		return nil, &ValidityError{Path: s.files.Certificate, NotBefore: leaf.NotBefore, NotAfter: leaf.NotAfter}
+		return nil, &ValidityError{Path: r.files.Certificate, NotBefore: leaf.NotBefore, NotAfter: leaf.NotAfter}
 	}
-	pem, err := os.ReadFile(s.files.Roots)
+	pem, err := os.ReadFile(r.files.Roots)
 	if err != nil {
 		return nil, err
 	}
 	roots := x509.NewCertPool()
 	if !roots.AppendCertsFromPEM(pem) {
-		return nil, fmt.Errorf("%s: %w", s.files.Roots, errNoRoots)
+		return nil, fmt.Errorf("%s: %w", r.files.Roots, errNoRoots)
 	}
 	return &credentials{certificate: certificate, roots: roots, expires: leaf.NotAfter}, nil
 }
 
 // ReloadIfChanged reloads changed files and logs what came of it. A nil store has no files.
-func (s *Store) ReloadIfChanged(log *zap.Logger) {
-	if s == nil {
+func (r *Reloader) ReloadIfChanged(log *zap.Logger) {
+	if r == nil {
 		return
 	}
-	changed, err := s.Reload()
+	changed, err := r.Reload()
 	switch {
 	case err != nil:
 		log.Error("keys kept, the new ones can't be used", zap.Error(err))
 	case changed:
-		log.Info("new keys", zap.Time("until", s.Expires()))
+		log.Info("new keys", zap.Time("until", r.Expires()))
 	}
 }
 
 // Expires is when the certificate in use expires.
-func (s *Store) Expires() time.Time { return s.active.Load().expires }
+func (r *Reloader) Expires() time.Time { return r.active.Load().expires }
 
 // ServerConfig returns a server's TLS configuration. Both sides need a certificate that the roots have signed.
-func (s *Store) ServerConfig() *tls.Config {
+func (r *Reloader) ServerConfig() *tls.Config {
 	return &tls.Config{
 		MinVersion: tls.VersionTLS13,
 		NextProtos: []string{alpnHTTP2},
 		ClientAuth: tls.RequireAnyClientCert,
 		GetCertificate: func(*tls.ClientHelloInfo) (*tls.Certificate, error) {
-			return &s.active.Load().certificate, nil
+			return &r.active.Load().certificate, nil
 		},
 		VerifyConnection: func(state tls.ConnectionState) error {
-			return s.verify(state, x509.ExtKeyUsageClientAuth, "")
+			return r.verify(state, x509.ExtKeyUsageClientAuth, "")
 		},
 	}
 }
 
 // ClientConfig returns a client's TLS configuration. The server's certificate has to be for a name.
-func (s *Store) ClientConfig(serverName string) *tls.Config {
+func (r *Reloader) ClientConfig(serverName string) *tls.Config {
 	return &tls.Config{
 		MinVersion: tls.VersionTLS13,
 		NextProtos: []string{alpnHTTP2},
@@ -167,16 +167,16 @@
 		// VerifyConnection verifies instead: it reads the roots at each connection, so that new ones count at once.
 		InsecureSkipVerify: true,
 		GetClientCertificate: func(*tls.CertificateRequestInfo) (*tls.Certificate, error) {
-			return &s.active.Load().certificate, nil
+			return &r.active.Load().certificate, nil
 		},
 		VerifyConnection: func(state tls.ConnectionState) error {
-			return s.verify(state, x509.ExtKeyUsageServerAuth, serverName)
+			return r.verify(state, x509.ExtKeyUsageServerAuth, serverName)
 		},
 	}
 }
 
 // verify returns why the peer's certificate is not valid for a usage and, unless it is empty, a name.
-func (s *Store) verify(state tls.ConnectionState, usage x509.ExtKeyUsage, name string) error {
+func (r *Reloader) verify(state tls.ConnectionState, usage x509.ExtKeyUsage, name string) error {
 	if len(state.PeerCertificates) == 0 {
 		return errNoPeerCertificate
 	}
@@ -185,10 +185,10 @@
 		intermediates.AddCert(certificate)
 	}
 	_, err := state.PeerCertificates[0].Verify(x509.VerifyOptions{
-		Roots:         s.active.Load().roots,
+		Roots:         r.active.Load().roots,
 		Intermediates: intermediates,
 		DNSName:       name,
-		CurrentTime:   s.now(),
+		CurrentTime:   r.now(),
 		KeyUsages:     []x509.ExtKeyUsage{usage},
 	})
 	return err
--- a/internal/certs/store_test.go
+++ b/internal/certs/reloader_test.go
@@ -30,7 +30,7 @@
 }
 
 // handshake runs a TLS handshake over loopback and passes a byte.
-func handshake(t *testing.T, server, client *Store) error {
+func handshake(t *testing.T, server, client *Reloader) error {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
--- a/internal/daemon/follower.go
+++ b/internal/daemon/follower.go
@@ -25,7 +25,7 @@
 }
 
 // newFollower prepares the follower; run drives it.
-func newFollower(settings *config.Controller, w *watcher, certificates *certs.Store, log *zap.Logger) (*follower, error) {
+func newFollower(settings *config.Controller, w *watcher, certificates *certs.Reloader, log *zap.Logger) (*follower, error) {
 	f := &follower{watcher: w, log: log.Named("follow")}
 	clientConfig := transport.Config{
 		Name:         settings.Name,
--- a/internal/daemon/follower_test.go
+++ b/internal/daemon/follower_test.go
@@ -206,7 +206,7 @@
 	if (&sidecar.Store{Path: filepath.Join(in.folder, name+".held")}).Load(holder) != nil {
 		return 0
 	}
-	return holder.AgreedVersion()
+	return holder.RoutingRevision()
 }
 
 // Routes go to sidecars under the revision at which one of them last changed: two controllers that have heard of different
--- a/internal/daemon/group_test.go
+++ b/internal/daemon/group_test.go
@@ -140,10 +140,10 @@
 		if (&sidecar.Store{Path: filepath.Join(g.folder, name+".held")}).Load(h) != nil {
 			continue
 		}
-		version, text := h.AgreedVersion(), ""
+		version, text := h.RoutingRevision(), ""
 		for _, e := range h.Table().Routes {
 			if e.Status == 0 {
-				text += fmt.Sprint(e.Name, e.Prefix, e.Mutating, e.AgreedVersion, " ")
+				text += fmt.Sprint(e.Name, e.Prefix, e.Mutating, e.RoutingRevision, " ")
 			}
 		}
 		if version == 0 {
--- a/internal/daemon/member.go
+++ b/internal/daemon/member.go
@@ -30,7 +30,7 @@
 }
 
 // newMember opens the log and prepares the member. A log that cannot be used ends the start with an error of raftlog.
-func newMember(group *config.Group, w *watcher, certificates *certs.Store, log *zap.Logger) (*member, error) {
+func newMember(group *config.Group, w *watcher, certificates *certs.Reloader, log *zap.Logger) (*member, error) {
 	disk, saved, err := raftlog.Open(group.DataFolder)
 	if err != nil {
 		return nil, err
--- a/internal/daemon/role.go
+++ b/internal/daemon/role.go
@@ -24,7 +24,7 @@
 }
 
 // newRole prepares the role that the configuration states: member of a group, follower of one, or alone.
-func newRole(settings *config.Controller, w *watcher, certificates *certs.Store, log *zap.Logger) (role, error) {
+func newRole(settings *config.Controller, w *watcher, certificates *certs.Reloader, log *zap.Logger) (role, error) {
 	switch {
 	case settings.Group != nil:
 		return newMember(settings.Group, w, certificates, log)
--- a/internal/daemon/server.go
+++ b/internal/daemon/server.go
@@ -12,7 +12,7 @@
 )
 
 // newServer prepares the xDS server, which knows the addresses of nodes. The caller sets its controller.
-func newServer(settings *config.Controller, nodes []config.Node, certificates *certs.Store, log *zap.Logger) *transport.Server {
+func newServer(settings *config.Controller, nodes []config.Node, certificates *certs.Reloader, log *zap.Logger) *transport.Server {
 	server := transport.NewServer(xds.NewCompiler(settings.Routes, settings.ConnectTimeout), settings.MaxSidecars, log)
 	server.ReportInterval = settings.ReportInterval
 	if certificates != nil {
--- a/internal/daemon/watcher.go
+++ b/internal/daemon/watcher.go
@@ -27,7 +27,7 @@
 type watcher struct {
 	settings     *config.Controller
 	server       *transport.Server
-	certificates *certs.Store
+	certificates *certs.Reloader
 	log          *zap.Logger
 	// agreedChanged has one element while agreed overrides wait to be applied by run.
 	agreedChanged chan struct{}
@@ -44,7 +44,7 @@
 	agreedVersion uint64         // under which sidecars get the agreed routes
 }
 
-func newWatcher(settings *config.Controller, nodes []config.Node, server *transport.Server, certificates *certs.Store, log *zap.Logger) *watcher {
+func newWatcher(settings *config.Controller, nodes []config.Node, server *transport.Server, certificates *certs.Reloader, log *zap.Logger) *watcher {
 	w := &watcher{
 		settings:      settings,
 		server:        server,
@@ -152,6 +152,6 @@
 	for _, node := range nodes {
 		addresses = append(addresses, transport.Node{Name: node.Node, Zone: node.Zone, Address: node.Address})
 	}
-	w.server.SetAddresses(addresses)
+	w.server.AddAddresses(addresses)
 	w.server.Controller.ReplaceEndpoints(endpointsOf(nodes))
 }
--- a/scaling/loadreport.go
+++ b/scaling/loadreport.go
@@ -130,7 +130,7 @@
 	parts.Go(func() { front.Controller.Run(ctx) })
 	parts.Go(func() { front.Run(ctx, listener) })
 	r := &reportService{front: front, end: func() { stop(); parts.Wait() }}
-	front.SetAddresses(places)
+	front.AddAddresses(places)
 	if err := r.connect(ctx, listener.Addr().String()); err != nil {
 		r.end()
 		return nil, err
--- a/sidecar/exchange.go
+++ b/sidecar/exchange.go
@@ -10,7 +10,7 @@
 // it is not nil, is called once the first requests were sent. Handle returns the requests that answer a response; accepted
 // is called before they are sent.
 func Exchange[Request, Response any](stream Transport[Request, Response], first []Request, begun func(),
-	handle func(Response) ([]Request, error), accepted func()) error {
+	handle func(Response) ([]Request, error), beforeAnswer func()) error {
 	if err := sendAll(stream, first); err != nil {
 		return err
 	}
@@ -26,7 +26,7 @@
 		if err != nil {
 			return err
 		}
-		accepted()
+		beforeAnswer()
 		if err := sendAll(stream, requests); err != nil {
 			return err
 		}
--- a/sidecar/forward.go
+++ b/sidecar/forward.go
@@ -28,9 +28,9 @@
 		p.Load.Failed.Add(1)
 		return respond(client, http.StatusNotFound, "", "no route\n")
 	case entry.Status != 0:
-		p.Load.Throttled.Add(1)
+		p.Load.Rejected.Add(1)
 		p.Load.addRequest(entry.Name)
-		return respond(client, entry.Status, xds.ThrottledHeader+": "+entry.Name+"\r\n", "throttled\n")
+		return respond(client, entry.Status, xds.RejectedHeader+": "+entry.Name+"\r\n", "throttled\n")
 	}
 	return p.forwardRequest(ctx, client, request, table, entry)
 }
@@ -59,7 +59,7 @@
 	}
 	deadline := time.Now().Add(timeLimit)
 	removeHopHeaders(request.Header)
-	to := p.connect(ctx, table, entry, deadline)
+	to := p.connectWithRetries(ctx, table, entry, deadline)
 	if to == nil {
 		p.Load.Failed.Add(1)
 		p.Load.addRequest(entry.Name)
@@ -78,9 +78,9 @@
 	return reusable
 }
 
-// connect returns a connection to a node of an entry's cluster, nil if none accepts one. An attempt without a connection
+// connectWithRetries returns a connection to a node of an entry's cluster, nil if none accepts one. An attempt without a connection
 // never ran, so a retry is safe on every route.
-func (p *Proxy) connect(ctx context.Context, table *RoutingTable, entry *RouteEntry, deadline time.Time) *attempt {
+func (p *Proxy) connectWithRetries(ctx context.Context, table *RoutingTable, entry *RouteEntry, deadline time.Time) *attempt {
 	var tried []xds.Address
 	for {
 		node, ok := table.Pick(entry.Cluster, tried, p.randomFraction)
@@ -89,7 +89,7 @@
 		}
 		key := NodeKey{Cluster: entry.Cluster, Zone: node.Zone, Address: node.Address}
 		began := time.Now()
-		connected, err := p.upstreams.connect(ctx, node.Address, deadline)
+		connected, err := p.upstreams.get(ctx, node.Address, deadline)
 		if err == nil {
 			return &attempt{upstream: connected, key: key, began: began}
 		}
--- a/sidecar/load_recorder.go
+++ b/sidecar/load_recorder.go
@@ -11,7 +11,7 @@
 // LoadRecorder counts attempts and requests since the last load report. Its methods may be called from any goroutine.
 type LoadRecorder struct {
 	// Requests since the start, by what came of them, and retries.
-	Completed, Throttled, Failed, Retried atomic.Uint64
+	Completed, Rejected, Failed, Retried atomic.Uint64
 
 	reportMutex sync.Mutex // guards all below
 	report      LoadReport
@@ -33,7 +33,7 @@
 
 // NodeLoad counts the attempts at a node.
 type NodeLoad struct {
-	Completed  int           // all, also failed ones
+	Attempts   int           // all, also failed ones
 	Failed     int           // without a response, or with one of status 5xx
 	LatencySum time.Duration // of those that did not fail
 }
@@ -56,7 +56,7 @@
 		node = &NodeLoad{}
 		r.report.Nodes[key] = node
 	}
-	node.Completed++
+	node.Attempts++
 	if failed {
 		node.Failed++
 		return
--- a/sidecar/load_reports.go
+++ b/sidecar/load_reports.go
@@ -99,7 +99,7 @@
 
 func (b *statsBuilder) addNode(key NodeKey, load *NodeLoad) {
 	locality := b.locality(localityKey{cluster: key.Cluster, zone: key.Zone})
-	successful := uint64(load.Completed - load.Failed)
+	successful := uint64(load.Attempts - load.Failed)
 	failed := uint64(load.Failed)
 	locality.TotalSuccessfulRequests += successful
 	locality.TotalErrorRequests += failed
@@ -107,7 +107,7 @@
 		Address:                 key.Address.Message(),
 		TotalSuccessfulRequests: successful,
 		TotalErrorRequests:      failed,
-		TotalIssuedRequests:     uint64(load.Completed),
+		TotalIssuedRequests:     uint64(load.Attempts),
 		LoadMetricStats: []*endpointv3.EndpointLoadMetricStats{{
 			MetricName:                    xds.LatencySumMetric,
 			NumRequestsFinishedWithMetric: successful,
--- a/sidecar/parse.go
+++ b/sidecar/parse.go
@@ -129,15 +129,15 @@
 	if err != nil {
 		return config.GetName(), err
 	}
-	agreedVersion := c.AgreedVersion()
+	routingRevision := c.RoutingRevision()
 	for _, entry := range entries {
 		_, hasCluster := c.accepted[xds.Clusters][entry.Cluster]
 		if entry.Cluster != "" && !hasCluster {
 			return config.GetName(), fmt.Errorf("route %q sends to cluster %q, which is not held", entry.Name, entry.Cluster)
 		}
 		// A controller that lags, or was cut off, must not take a sidecar back to an earlier agreed configuration.
-		if entry.AgreedVersion < agreedVersion {
-			return config.GetName(), fmt.Errorf("it is of the agreed version %d, version %d is held", entry.AgreedVersion, agreedVersion)
+		if entry.RoutingRevision < routingRevision {
+			return config.GetName(), fmt.Errorf("it is of the agreed version %d, version %d is held", entry.RoutingRevision, routingRevision)
 		}
 	}
 	return config.GetName(), nil
--- a/sidecar/parse_routes.go
+++ b/sidecar/parse_routes.go
@@ -53,10 +53,10 @@
 func (c *ResourceCache) parseRoute(route *routev3.Route) (entry RouteEntry, err error) {
 	metadata := route.GetMetadata().GetFilterMetadata()[xds.MetadataKey].GetFields()
 	entry = RouteEntry{
-		Name:          route.GetName(),
-		Prefix:        route.GetMatch().GetPrefix(),
-		Mutating:      isMutating(metadata) || c.MutatingRoutes[route.GetName()],
-		AgreedVersion: uint64(metadata[xds.AgreedKey].GetNumberValue()),
+		Name:            route.GetName(),
+		Prefix:          route.GetMatch().GetPrefix(),
+		Mutating:        isMutating(metadata) || c.MutatingRoutes[route.GetName()],
+		RoutingRevision: uint64(metadata[xds.RoutingRevisionKey].GetNumberValue()),
 	}
 	if !strings.HasPrefix(entry.Prefix, "/") {
 		return entry, fmt.Errorf("route %q has no prefix of a path", entry.Name)
--- a/sidecar/proxy_test.go
+++ b/sidecar/proxy_test.go
@@ -98,7 +98,7 @@
 			break
 		}
 		io.Copy(io.Discard, answer.Body)
-		states = append(states, fmt.Sprint(answer.StatusCode, answer.Header.Get(xds.ThrottledHeader)))
+		states = append(states, fmt.Sprint(answer.StatusCode, answer.Header.Get(xds.RejectedHeader)))
 	}
 	if want := "[200 200 503shut 404 200 501 200]"; fmt.Sprint(states) != want {
 		t.Errorf("%v, want %s\n%s", states, want, got)
@@ -112,7 +112,7 @@
 	report := p.Load.Take(time.Now())
 	attempts := 0
 	for _, node := range report.Nodes {
-		attempts += node.Completed
+		attempts += node.Attempts
 	}
 	if attempts != 4 || report.Routes["q"] != 4 || report.Routes["shut"] != 1 {
 		t.Errorf("%d attempts, routes %v", attempts, report.Routes)
--- a/sidecar/resource_cache.go
+++ b/sidecar/resource_cache.go
@@ -56,12 +56,12 @@
 	c.table = nil
 }
 
-// AgreedVersion is the newest version of the agreed configuration that accepted routes are of, 0 if none was told.
-func (c *ResourceCache) AgreedVersion() (version uint64) {
+// RoutingRevision is the newest version of the agreed configuration that accepted routes are of, 0 if none was told.
+func (c *ResourceCache) RoutingRevision() (newest uint64) {
 	for _, entry := range c.Table().Routes {
-		version = max(version, entry.AgreedVersion)
+		newest = max(newest, entry.RoutingRevision)
 	}
-	return version
+	return newest
 }
 
 // versions returns the accepted versions of a type by name.
--- a/sidecar/routing_table.go
+++ b/sidecar/routing_table.go
@@ -20,14 +20,14 @@
 
 // RouteEntry is a route, or the fraction of it that is rejected.
 type RouteEntry struct {
-	Name, Prefix  string
-	Fraction      float64 // that this entry takes of the requests that reach it
-	Status        int     // answered at once with that, 0: forwarded
-	Cluster       string
-	TimeLimit     time.Duration // 0: none is stated
-	MaxRetries    int           // each only after proof that no attempt before ran
-	Mutating      bool
-	AgreedVersion uint64 // of the agreed configuration that it is of, 0: not told
+	Name, Prefix    string
+	Fraction        float64 // that this entry takes of the requests that reach it
+	Status          int     // answered at once with that, 0: forwarded
+	Cluster         string
+	TimeLimit       time.Duration // 0: none is stated
+	MaxRetries      int           // each only after proof that no attempt before ran
+	Mutating        bool
+	RoutingRevision uint64 // of the agreed configuration that it is of, 0: not told
 }
 
 // RoutingTable is what accepted resources say of requests. It does not change once it is made.
--- a/sidecar/upstream.go
+++ b/sidecar/upstream.go
@@ -39,8 +39,8 @@
 	return &upstreamPool{connectTimeout: connectTimeout, idle: map[xds.Address][]*upstream{}}
 }
 
-// connect returns a connection to a node: an idle one that the node has not closed, or a new one.
-func (p *upstreamPool) connect(ctx context.Context, address xds.Address, deadline time.Time) (*upstream, error) {
+// get returns a connection to a node: an idle one that the node has not closed, or a new one.
+func (p *upstreamPool) get(ctx context.Context, address xds.Address, deadline time.Time) (*upstream, error) {
 	if pooled := p.takeIdle(address); pooled != nil {
 		return pooled, nil
 	}
--- a/xds/compiler.go
+++ b/xds/compiler.go
@@ -22,9 +22,9 @@
 // Compiler has the routing tables as the planner's commands leave them, and turns them into resources. It is not safe for
 // concurrent use.
 type Compiler struct {
-	routes         []Route
-	agreedVersion  uint64 // of the configuration that the routes are of, 0: none was agreed
-	connectTimeout time.Duration
+	routes          []Route
+	routingRevision uint64 // of the configuration that the routes are of, 0: none was agreed
+	connectTimeout  time.Duration
 
 	addresses      map[string]Address // by node
 	zones          map[string]string  // by node
@@ -63,9 +63,9 @@
 }
 
 // SetAgreedRoutes replaces the routes by those of an agreed version; all snapshots may change.
-func (c *Compiler) SetAgreedRoutes(version uint64, routes []Route) {
+func (c *Compiler) SetAgreedRoutes(routingRevision uint64, routes []Route) {
 	c.routes = routes
-	c.agreedVersion = version
+	c.routingRevision = routingRevision
 }
 
 // SetAddress sets the address and zone of a node; snapshots that are made afterwards have them.
--- a/xds/compiler_messages.go
+++ b/xds/compiler_messages.go
@@ -126,8 +126,8 @@
 
 func (c *Compiler) routeMetadata(route Route) *corev3.Metadata {
 	fields := map[string]any{metadataRoute: route.Name, MutatingKey: route.Mutating}
-	if c.agreedVersion > 0 {
-		fields[AgreedKey] = float64(c.agreedVersion)
+	if c.routingRevision > 0 {
+		fields[RoutingRevisionKey] = float64(c.routingRevision)
 	}
 	values, _ := structpb.NewStruct(fields) // fails for other types of values only
 	return &corev3.Metadata{FilterMetadata: map[string]*structpb.Struct{MetadataKey: values}}
@@ -159,7 +159,7 @@
 }
 
 func rejectedEntry(route Route, metadata *corev3.Metadata) *routev3.Route {
-	header := &corev3.HeaderValue{Key: ThrottledHeader, Value: route.Name}
+	header := &corev3.HeaderValue{Key: RejectedHeader, Value: route.Name}
 	return &routev3.Route{
 		Name:                 route.Name,
 		Match:                prefixMatch(route),
--- a/xds/names.go
+++ b/xds/names.go
@@ -10,10 +10,10 @@
 	MetadataKey = "harehook"
 	// MutatingKey is the field there that tells whether the route is mutating.
 	MutatingKey = "mutating"
-	// AgreedKey is the field there with the version of the agreed configuration that the routes are of.
-	AgreedKey = "agreed"
-	// ThrottledHeader is the header of a response to a rejected request; its value is the route's name.
-	ThrottledHeader = "x-harehook-throttled"
+	// RoutingRevisionKey is the field there with the version of the agreed configuration that the routes are of.
+	RoutingRevisionKey = "agreed"
+	// RejectedHeader is the header of a response to a rejected request; its value is the route's name.
+	RejectedHeader = "x-harehook-throttled"
 	// RouteMetric is the prefix of the load metrics that count a route's requests.
 	RouteMetric = "route:"
 	// LatencySumMetric is the load metric of an endpoint that sums the seconds of its successful attempts.
--- a/xds/server_commands.go
+++ b/xds/server_commands.go
@@ -41,8 +41,8 @@
 }
 
 // SetAgreedRoutes sends the routes of an agreed version to all sidecars. The error is that of [Compiler.Snapshot].
-func (s *Server) SetAgreedRoutes(now float64, version uint64, routes []Route) error {
-	s.Compiler.SetAgreedRoutes(version, routes)
+func (s *Server) SetAgreedRoutes(now float64, routingRevision uint64, routes []Route) error {
+	s.Compiler.SetAgreedRoutes(routingRevision, routes)
 	concerned := map[int]bool{}
 	for _, c := range s.sidecars {
 		if c.stream != nil && c.bound {
--- a/xds/server_status.go
+++ b/xds/server_status.go
@@ -2,13 +2,13 @@
 
 // SidecarStatus is the state of one sidecar, for operators.
 type SidecarStatus struct {
-	ID, Zone                  string
-	Number, Table             int // Table: if Bound
-	Bound, Connected, Delta   bool
-	DisconnectedSeconds       float64 // since the end of its last stream
-	Stale, Rejected, Accepted uint64  // answers on its stream: to no pending response, NACKs, ACKs
-	Unacknowledged            int     // nonces of the planner
-	Resources                 []ResourceStatus
+	ID, Zone                      string
+	Number, Table                 int // Table: if Bound
+	Bound, Connected, Delta       bool
+	DisconnectedSeconds           float64 // since the end of its last stream
+	Unmatched, Rejected, Accepted uint64  // answers on its stream: to no pending response, NACKs, ACKs
+	Unacknowledged                int     // nonces of the planner
+	Resources                     []ResourceStatus
 }
 
 // Sidecars lists all sidecars that are known, by id.
@@ -35,7 +35,7 @@
 		return status
 	}
 	status.Delta = c.stream.Delta
-	status.Stale = c.stream.Stale
+	status.Unmatched = c.stream.Unmatched
 	status.Rejected = c.stream.Rejected
 	status.Accepted = c.stream.Accepted
 	status.Resources = c.stream.Resources(now)
--- a/xds/stream.go
+++ b/xds/stream.go
@@ -15,8 +15,8 @@
 	subscriptions [NumResourceTypes]subscription
 	responseCount uint64
 
-	// Stale counts answers to a response that is not pending any more, Rejected NACKs and Accepted ACKs.
-	Stale, Rejected, Accepted uint64
+	// Unmatched counts answers to a response that is not pending any more, Rejected NACKs and Accepted ACKs.
+	Unmatched, Rejected, Accepted uint64
 }
 
 // NewStream returns a stream without subscriptions and without a target.
@@ -47,7 +47,7 @@
 func (s *Stream) handleAnswer(now float64, sub *subscription, nonce string, fault *status.Status) {
 	answered := sub.pending
 	if answered == nil || answered.nonce != nonce {
-		s.Stale++
+		s.Unmatched++
 		return
 	}
 	sub.pending = nil
--- a/xds/stream_sotw.go
+++ b/xds/stream_sotw.go
@@ -23,7 +23,7 @@
 		sub.firstResponseDue = true
 	case nonce != "" && nonce != sub.lastNonce:
 		// Nothing of an answer to an older response counts: one to the newest response follows.
-		s.Stale++
+		s.Unmatched++
 		return nil
 	case nonce != "" && sub.pending != nil:
 		s.handleAnswer(now, sub, nonce, r.GetErrorDetail())
--- a/xds/stream_test.go
+++ b/xds/stream_test.go
@@ -110,7 +110,7 @@
 	for _, name := range sortedKeys(c.s.subscriptions[Clusters].accepted) {
 		accepted = append(accepted, c.names[c.s.subscriptions[Clusters].accepted[name].Version])
 	}
-	fmt.Fprintf(c, "accepted %v complete %t stale %d\n", accepted, c.s.Holds(Clusters, c.target.sequence[Clusters]), c.s.Stale)
+	fmt.Fprintf(c, "accepted %v complete %t stale %d\n", accepted, c.s.Holds(Clusters, c.target.sequence[Clusters]), c.s.Unmatched)
 }
 
 // Each story is a sequence of requests, changes of the target and answers, with the responses that have to follow.
--- a/xds/transport/bench_test.go
+++ b/xds/transport/bench_test.go
@@ -101,7 +101,7 @@
 				batch := []controller.Command{{Kind: controller.SetAdmission, Table: planner.AllTables, Route: "quote", Value: 1}}
 				for n := range nodes {
 					name := fmt.Sprint("node-", n)
-					server.SetAddresses([]Node{{Name: name, Zone: "north", Address: xds.Address{Host: "10.0.0.1", Port: uint32(1000 + n)}}})
+					server.AddAddresses([]Node{{Name: name, Zone: "north", Address: xds.Address{Host: "10.0.0.1", Port: uint32(1000 + n)}}})
 					batch = append(batch, controller.Command{Kind: controller.SetWeight, Node: name, Value: 1})
 				}
 				accepted := func() (n int) {
--- a/xds/transport/hub.go
+++ b/xds/transport/hub.go
@@ -78,8 +78,8 @@
 	}
 }
 
-// SetAddresses sets where nodes take requests. It has to be called before the controller is told of them.
-func (s *Server) SetAddresses(nodes []Node) {
+// AddAddresses sets where nodes take requests. It has to be called before the controller is told of them.
+func (s *Server) AddAddresses(nodes []Node) {
 	s.call(func() {
 		for _, node := range nodes {
 			s.Streams.Compiler.SetAddress(node.Name, node.Zone, node.Address)
@@ -88,9 +88,9 @@
 }
 
 // SetAgreedRoutes sends the routes of an agreed version to all sidecars.
-func (s *Server) SetAgreedRoutes(version uint64, routes []xds.Route) {
+func (s *Server) SetAgreedRoutes(routingRevision uint64, routes []xds.Route) {
 	s.call(func() {
-		if err := s.Streams.SetAgreedRoutes(s.now(), version, routes); err != nil {
+		if err := s.Streams.SetAgreedRoutes(s.now(), routingRevision, routes); err != nil {
 			s.Log.Error("agreed routes make no resources", zap.Error(err))
 		}
 	})
--- a/xds/transport/server_test.go
+++ b/xds/transport/server_test.go
@@ -84,7 +84,7 @@
 	batch := []controller.Command{{Kind: controller.SetAdmission, Table: planner.AllTables, Route: "quote", Value: 1}}
 	for n := range nodes {
 		name := fmt.Sprint("node-", n)
-		server.SetAddresses([]Node{{Name: name, Zone: "north", Address: xds.Address{Host: "127.0.0.1", Port: uint32(1000 + n)}}})
+		server.AddAddresses([]Node{{Name: name, Zone: "north", Address: xds.Address{Host: "127.0.0.1", Port: uint32(1000 + n)}}})
 		batch = append(batch, controller.Command{Kind: controller.SetWeight, Node: name, Value: 1})
 	}
 	server.Enqueue(batch)
--- a/xds/transport/status.go
+++ b/xds/transport/status.go
@@ -22,7 +22,7 @@
 	StatusTable               = "table"
 	StatusDisconnectedSeconds = "away_s"
 	StatusVariant             = "variant"
-	StatusStaleAnswers        = "stale_answers"
+	StatusUnmatchedAnswers    = "stale_answers"
 	StatusRejected            = "refused"
 	StatusAccepted            = "accepted"
 	StatusUnconfirmed         = "unconfirmed"
@@ -111,7 +111,7 @@
 		StatusTable:               table,
 		StatusDisconnectedSeconds: sidecar.DisconnectedSeconds,
 		StatusVariant:             variant,
-		StatusStaleAnswers:        float64(sidecar.Stale),
+		StatusUnmatchedAnswers:    float64(sidecar.Unmatched),
 		StatusRejected:            float64(sidecar.Rejected),
 		StatusAccepted:            float64(sidecar.Accepted),
 		StatusUnconfirmed:         float64(sidecar.Unacknowledged),
