--- a/sidecar/resource_cache.go
+++ b/sidecar/resource_cache.go
@@ -56,7 +56,7 @@
 	c.table = nil
 }
 
-// RoutingRevision is the newest version of the agreed configuration that accepted routes are of, 0 if none was told.
+// RoutingRevision is the newest routing revision of the accepted routes, 0 if none was told.
 func (c *ResourceCache) RoutingRevision() (newest uint64) {
 	for _, entry := range c.Table().Routes {
 		newest = max(newest, entry.RoutingRevision)
--- a/sidecar/routing_table.go
+++ b/sidecar/routing_table.go
@@ -27,7 +27,7 @@
 	TimeLimit       time.Duration // 0: none is stated
 	MaxRetries      int           // each only after proof that no attempt before ran
 	Mutating        bool
-	RoutingRevision uint64 // of the agreed configuration that it is of, 0: not told
+	RoutingRevision uint64 // of the agreed configuration, 0: not told
 }
 
 // RoutingTable is what accepted resources say of requests. It does not change once it is made.
--- a/xds/compiler.go
+++ b/xds/compiler.go
@@ -23,7 +23,7 @@
 // concurrent use.
 type Compiler struct {
 	routes          []Route
-	routingRevision uint64 // of the configuration that the routes are of, 0: none was agreed
+	routingRevision uint64 // of the agreed routes, 0: none were agreed
 	connectTimeout  time.Duration
 
 	addresses      map[string]Address // by node
@@ -62,7 +62,7 @@
 	}
 }
 
-// SetAgreedRoutes replaces the routes by those of an agreed version; all snapshots may change.
+// SetAgreedRoutes replaces the routes by those of a routing revision; all snapshots may change.
 func (c *Compiler) SetAgreedRoutes(routingRevision uint64, routes []Route) {
 	c.routes = routes
 	c.routingRevision = routingRevision
--- a/xds/errors.go
+++ b/xds/errors.go
@@ -6,8 +6,12 @@
 	"strings"
 )
 
-// maxReasonBytes is the part of a text from the wire that is retained or shown.
-const maxReasonBytes = 500
+const (
+	// maxReasonBytes is the part of a text from the wire that is retained or shown.
+	maxReasonBytes = 500
+	// maxNodeIDBytes is the longest node id of a sidecar.
+	maxNodeIDBytes = 500
+)
 
 // ErrNoNodeID says that a stream's first request names no node; [Server.Open] returns it.
 var ErrNoNodeID = errors.New("the first request names no node id")
--- a/xds/errors_test.go
+++ b/xds/errors_test.go
@@ -30,10 +30,10 @@
 			func(err error) bool { return errors.Is(err, ErrNoNodeID) },
 		},
 		"long node id": {
-			func(s *Server) error { return s.Open(1, 2, true, strings.Repeat("x", maxReasonBytes+1), "z") },
+			func(s *Server) error { return s.Open(1, 2, true, strings.Repeat("x", maxNodeIDBytes+1), "z") },
 			func(err error) bool {
 				var tooLong *NodeIDTooLongError
-				return errors.As(err, &tooLong) && tooLong.Bytes == maxReasonBytes+1
+				return errors.As(err, &tooLong) && tooLong.Bytes == maxNodeIDBytes+1
 			},
 		},
 		"one sidecar too many": {
--- a/xds/names.go
+++ b/xds/names.go
@@ -10,7 +10,8 @@
 	MetadataKey = "harehook"
 	// MutatingKey is the field there that tells whether the route is mutating.
 	MutatingKey = "mutating"
-	// RoutingRevisionKey is the field there with the version of the agreed configuration that the routes are of.
+	// RoutingRevisionKey is the field there with the routing revision: that of the agreed configuration at which a route
+	// last changed.
 	RoutingRevisionKey = "agreed"
 	// RejectedHeader is the header of a response to a rejected request; its value is the route's name.
 	RejectedHeader = "x-harehook-throttled"
--- a/xds/server.go
+++ b/xds/server.go
@@ -76,7 +76,7 @@
 	if id == "" {
 		return ErrNoNodeID
 	}
-	if len(id) > maxReasonBytes {
+	if len(id) > maxNodeIDBytes {
 		return &NodeIDTooLongError{Bytes: len(id)}
 	}
 	joining, err := s.sidecarOf(id)
--- a/xds/server_commands.go
+++ b/xds/server_commands.go
@@ -40,7 +40,7 @@
 	return s.setTargets(now, nonce, concerned, rebound)
 }
 
-// SetAgreedRoutes sends the routes of an agreed version to all sidecars. The error is that of [Compiler.Snapshot].
+// SetAgreedRoutes sends the routes of a routing revision to all sidecars. The error is that of [Compiler.Snapshot].
 func (s *Server) SetAgreedRoutes(now float64, routingRevision uint64, routes []Route) error {
 	s.Compiler.SetAgreedRoutes(routingRevision, routes)
 	concerned := map[int]bool{}
@@ -95,11 +95,11 @@
 // acknowledges nothing.
 func (s *Server) sendDue(now float64, c *sidecar) {
 	state, delta := c.stream.Next(now)
-	for _, response := range state {
-		s.sink.Send(c.stream.ID, response)
+	if state != nil {
+		s.sink.Send(c.stream.ID, state)
 	}
-	for _, response := range delta {
-		s.sink.SendDelta(c.stream.ID, response)
+	if delta != nil {
+		s.sink.SendDelta(c.stream.ID, delta)
 	}
 	acknowledged := c.lastAcknowledged()
 	if acknowledged < 0 {
--- a/xds/stream.go
+++ b/xds/stream.go
@@ -15,7 +15,7 @@
 	subscriptions [NumResourceTypes]subscription
 	responseCount uint64
 
-	// Unmatched counts answers to a response that is not pending any more, Rejected NACKs and Accepted ACKs.
+	// Unmatched counts answers to a response that is not pending, Rejected NACKs and Accepted ACKs.
 	Unmatched, Rejected, Accepted uint64
 }
 
@@ -43,7 +43,8 @@
 	}
 }
 
-// handleAnswer handles an ACK, or a NACK if there is a fault. An answer to another response than the pending one is stale.
+// handleAnswer handles an ACK, or a NACK if there is a fault. An answer to another response than the pending one
+// is unmatched: it only counts.
 func (s *Stream) handleAnswer(now float64, sub *subscription, nonce string, fault *status.Status) {
 	answered := sub.pending
 	if answered == nil || answered.nonce != nonce {
--- a/xds/stream_delta.go
+++ b/xds/stream_delta.go
@@ -23,7 +23,7 @@
 	} else if r.GetResponseNonce() != "" {
 		s.handleAnswer(now, sub, r.GetResponseNonce(), r.GetErrorDetail())
 	}
-	// Subscriptions count even if the answer is stale.
+	// Subscriptions count even if the answer is unmatched.
 	sub.subscribe(r.GetResourceNamesSubscribe(), first)
 	sub.unsubscribe(r.GetResourceNamesUnsubscribe())
 	return nil
--- a/xds/stream_next.go
+++ b/xds/stream_next.go
@@ -15,11 +15,13 @@
 	changed  []string    // names that the sidecar has not or at another version
 	removed  []string    // names that it has and is to drop
 	missing  []string    // names that it has subscribed to and that do not exist; delta only
+	// setVersion is the version of after; empty if the response would tell nothing, and is not the first of its type.
+	setVersion string
 }
 
-// Next returns the responses that are due, of the stream's variant, in the order in which they have to be sent. A type waits
-// while one before it is not settled, so that nothing refers to what the sidecar has not.
-func (s *Stream) Next(now float64) (state []*discoveryv3.DiscoveryResponse, delta []*discoveryv3.DeltaDiscoveryResponse) {
+// Next returns the response that is due, of the stream's variant; both are nil if none is. Types are sent in their order,
+// and those after a pending one wait, so that nothing refers to what the sidecar has not.
+func (s *Stream) Next(now float64) (state *discoveryv3.DiscoveryResponse, delta *discoveryv3.DeltaDiscoveryResponse) {
 	if s.target == nil {
 		return nil, nil
 	}
@@ -34,21 +36,37 @@
 		if sub.statedVersion != "" {
 			s.handleStatedVersion(t, sub.statedVersion) // it may have been stated before there was a target
 		}
+		s.learnStatedBodies(t)
 		plan := s.planResponse(t)
-		if !s.startResponse(now, t, plan) {
+		switch {
+		case !sub.isDue(plan):
+			s.markAccepted(t, plan)
+			continue
+		case s.isImplicitRemoval(t, plan):
+			sub.accepted = plan.after
 			continue
 		}
+		s.startResponse(now, t, plan)
 		if s.Delta {
-			delta = append(delta, sub.deltaResponse(t, append(plan.removed, plan.missing...)))
-		} else {
-			state = append(state, sub.stateOfTheWorldResponse(t))
+			return nil, sub.deltaResponse(t, append(plan.removed, plan.missing...))
 		}
-		return state, delta
+		return sub.stateOfTheWorldResponse(t), nil
 	}
 	return nil, nil
 }
 
-// planResponse returns what the next response of a type would bring.
+// learnStatedBodies gives accepted resources of which only the version is known, as the sidecar stated it, the body that the
+// target has at that version.
+func (s *Stream) learnStatedBodies(t ResourceType) {
+	sub := &s.subscriptions[t]
+	for name, resource := range sub.wanted(s.target.Sets[t]) {
+		if sub.accepted.has(resource) && s.maySend(sub, resource) {
+			sub.accepted[name] = resource
+		}
+	}
+}
+
+// planResponse returns what the next response of a type would bring. It changes nothing.
 func (s *Stream) planResponse(t ResourceType) responsePlan {
 	sub := &s.subscriptions[t]
 	after, complete := s.nextResources(t)
@@ -67,20 +85,21 @@
 	if s.Delta {
 		plan.missing = sub.missingNames(plan.after)
 	}
+	if sub.hasNews(plan) {
+		plan.setVersion = plan.after.Version()
+	}
 	return plan
 }
 
 // nextResources returns what a sidecar is to accept next of a type, and whether that is all of the target. It is the target
-// with three exceptions: a version that the sidecar rejected is not sent again, routes wait for the clusters that they refer
-// to, and clusters stay as long as accepted routes refer to them.
+// with three exceptions: a version that the sidecar rejected on this stream is not sent again, routes wait for the clusters
+// that they refer to, and clusters stay as long as accepted routes refer to them.
 func (s *Stream) nextResources(t ResourceType) (next ResourceSet, complete bool) {
 	sub := &s.subscriptions[t]
 	next = sub.wanted(s.target.Sets[t])
 	complete = true
 	for name, resource := range next {
-		rejection, rejected := sub.rejections[name]
-		rejected = rejected && rejection.Version == resource.Version
-		if !rejected && s.dependenciesAccepted(resource) {
+		if s.maySend(sub, resource) {
 			continue
 		}
 		complete = false
@@ -90,17 +109,21 @@
 			delete(next, name)
 		}
 	}
-	for name, resource := range next {
-		if sub.accepted.has(resource) {
-			sub.accepted[name] = resource // of a version that was stated the body is known from now on
-		}
-	}
 	if t == Clusters || t == Endpoints {
 		s.keepUsedClusters(sub, next)
 	}
 	return next, complete
 }
 
+// maySend tells whether the sidecar has not rejected a resource at its version, and has accepted what it refers to.
+func (s *Stream) maySend(sub *subscription, resource *Resource) bool {
+	rejection, rejected := sub.rejections[resource.Name]
+	if rejected && rejection.Version == resource.Version {
+		return false
+	}
+	return s.dependenciesAccepted(resource)
+}
+
 // keepUsedClusters adds the accepted resources of clusters that routes may refer to. In state of the world one of which only
 // the version is known can't be listed again.
 func (s *Stream) keepUsedClusters(sub *subscription, next ResourceSet) {
@@ -159,25 +182,36 @@
 	return missing
 }
 
-// startResponse makes a planned response the pending one if it is due, and tells whether it is.
-func (s *Stream) startResponse(now float64, t ResourceType, plan responsePlan) bool {
-	sub := &s.subscriptions[t]
-	setVersion := ""
-	due := sub.isDue(plan)
-	if due {
-		setVersion = plan.after.Version()
-	}
-	if !due || sub.rejectedSetVersion == setVersion {
-		if plan.complete && sub.accepted.Equal(plan.after) {
-			sub.acceptedSequence = s.target.sequence[t]
-		}
-		return false
+// hasNews tells whether a planned response has something to tell, or is the first of its type.
+func (sub *subscription) hasNews(plan responsePlan) bool {
+	if len(plan.changed)+len(plan.removed)+len(plan.missing) > 0 {
+		return true
 	}
-	if !s.Delta && !t.isFullyListed() && len(plan.changed) == 0 && !sub.firstResponseDue {
-		// Only removals: the sidecar drops these by itself once nothing refers to them.
-		sub.accepted = plan.after
-		return false
+	return sub.firstResponseDue && (sub.wildcard || len(plan.after) > 0)
+}
+
+// isDue tells whether a planned response has news that the sidecar has not rejected as a whole.
+func (sub *subscription) isDue(plan responsePlan) bool {
+	return plan.setVersion != "" && plan.setVersion != sub.rejectedSetVersion
+}
+
+// isImplicitRemoval tells whether a plan only removes resources that the sidecar drops by itself once nothing refers to them,
+// so that no response is needed.
+func (s *Stream) isImplicitRemoval(t ResourceType, plan responsePlan) bool {
+	return !s.Delta && !t.isFullyListed() && len(plan.changed) == 0 && !s.subscriptions[t].firstResponseDue
+}
+
+// markAccepted notes that the sidecar has all of the target's type, if it has: a plan without a response may say so.
+func (s *Stream) markAccepted(t ResourceType, plan responsePlan) {
+	sub := &s.subscriptions[t]
+	if plan.complete && sub.accepted.Equal(plan.after) {
+		sub.acceptedSequence = s.target.sequence[t]
 	}
+}
+
+// startResponse makes a planned response the pending one.
+func (s *Stream) startResponse(now float64, t ResourceType, plan responsePlan) {
+	sub := &s.subscriptions[t]
 	s.responseCount++
 	sub.firstResponseDue = false
 	sub.lastNonce = fmt.Sprintf("%d-%d-%d", s.ID, t, s.responseCount)
@@ -186,19 +220,10 @@
 		sentAt:     now,
 		after:      plan.after,
 		changed:    plan.changed,
-		setVersion: setVersion,
+		setVersion: plan.setVersion,
 	}
 	if plan.complete {
 		sub.pending.sequence = s.target.sequence[t]
 	}
 	clear(sub.unansweredNames)
-	return true
-}
-
-// isDue tells whether a planned response has something to tell, or is the first of its type.
-func (sub *subscription) isDue(plan responsePlan) bool {
-	if len(plan.changed)+len(plan.removed)+len(plan.missing) > 0 {
-		return true
-	}
-	return sub.firstResponseDue && (sub.wildcard || len(plan.after) > 0)
 }
--- a/xds/stream_test.go
+++ b/xds/stream_test.go
@@ -52,26 +52,29 @@
 // next logs what is sent now.
 func (c *streamScript) next() {
 	state, delta := c.s.Next(1)
-	if len(state)+len(delta) == 0 {
+	if state != nil && delta != nil {
+		c.t.Error("responses of both variants")
+	}
+	if state == nil && delta == nil {
 		c.WriteString("nothing\n")
 	}
-	for _, r := range state {
+	if state != nil {
 		var got []string
-		for _, body := range r.GetResources() {
+		for _, body := range state.GetResources() {
 			m, _ := body.UnmarshalNew()
 			one, _ := NewResource(Clusters, m.(*clusterv3.Cluster).GetName(), m)
 			got = append(got, c.names[one.Version])
 		}
 		fmt.Fprintf(c, "sent %v\n", got)
-		c.nonces = append(c.nonces, r.GetNonce())
+		c.nonces = append(c.nonces, state.GetNonce())
 	}
-	for _, r := range delta {
+	if delta != nil {
 		var got []string
-		for _, one := range r.GetResources() {
+		for _, one := range delta.GetResources() {
 			got = append(got, c.names[one.GetVersion()])
 		}
-		fmt.Fprintf(c, "sent %v removed %v\n", got, r.GetRemovedResources())
-		c.nonces = append(c.nonces, r.GetNonce())
+		fmt.Fprintf(c, "sent %v removed %v\n", got, delta.GetRemovedResources())
+		c.nonces = append(c.nonces, delta.GetNonce())
 	}
 }
 
--- a/xds/transport/hub.go
+++ b/xds/transport/hub.go
@@ -78,7 +78,8 @@
 	}
 }
 
-// AddAddresses sets where nodes take requests. It has to be called before the controller is told of them.
+// AddAddresses sets where nodes take requests, and keeps those of all other nodes. It has to be called before the controller
+// is told of them.
 func (s *Server) AddAddresses(nodes []Node) {
 	s.call(func() {
 		for _, node := range nodes {
@@ -87,7 +88,7 @@
 	})
 }
 
-// SetAgreedRoutes sends the routes of an agreed version to all sidecars.
+// SetAgreedRoutes sends the routes of a routing revision to all sidecars.
 func (s *Server) SetAgreedRoutes(routingRevision uint64, routes []xds.Route) {
 	s.call(func() {
 		if err := s.Streams.SetAgreedRoutes(s.now(), routingRevision, routes); err != nil {
