--- a/sidecar/client.go
+++ b/sidecar/client.go
@@ -38,8 +38,11 @@
 	Credentials credentials.TransportCredentials // nil: plain text
 	Log         *zap.Logger
 
+	// Connected is set while a stream is open on which the first requests were sent. Before Run, while a controller is
+	// dialed and during a backoff it is not.
 	Connected atomic.Bool
-	Streams   atomic.Uint64 // begun so far
+	// Streams counts the streams that were begun since the start.
+	Streams atomic.Uint64
 
 	table atomic.Pointer[RoutingTable]
 }
@@ -142,8 +145,8 @@
 		grpc.WithDefaultCallOptions(grpc.MaxCallRecvMsgSize(maxResponseBytes)))
 }
 
-// publishAccepted routes by the accepted resources and persists them. That is done before the controller gets the ACK: what a
-// sidecar has acknowledged it has after a crash as well.
+// publishAccepted routes by the accepted resources and persists them. It is called before each answer, also a NACK, after
+// which some resources may be accepted: what a sidecar has acknowledged it has after a crash as well.
 func (c *Client) publishAccepted() {
 	c.table.Store(c.Cache.Table())
 	if c.Store == nil {
--- a/sidecar/exchange.go
+++ b/sidecar/exchange.go
@@ -7,8 +7,8 @@
 }
 
 // Exchange sends the first requests and then answers each response until the stream ends; it returns the reason. Begun, if
-// it is not nil, is called once the first requests were sent. Handle returns the requests that answer a response; accepted
-// is called before they are sent.
+// it is not nil, is called once the first requests were sent. Handle returns the requests that answer a response, an ACK or a
+// NACK; beforeAnswer is called in either case before they are sent.
 func Exchange[Request, Response any](stream Transport[Request, Response], first []Request, begun func(),
 	handle func(Response) ([]Request, error), beforeAnswer func()) error {
 	if err := sendAll(stream, first); err != nil {
--- a/sidecar/forward.go
+++ b/sidecar/forward.go
@@ -78,8 +78,8 @@
 	return reusable
 }
 
-// connectWithRetries returns a connection to a node of an entry's cluster, nil if none accepts one. An attempt without a connection
-// never ran, so a retry is safe on every route.
+// connectWithRetries returns a connection to a node of an entry's cluster, nil if none accepts one. An attempt without a
+// connection never ran, so a retry is safe on every route. It is the only place with retries.
 func (p *Proxy) connectWithRetries(ctx context.Context, table *RoutingTable, entry *RouteEntry, deadline time.Time) *attempt {
 	var tried []xds.Address
 	for {
@@ -136,8 +136,8 @@
 func writeRequest(to *upstream, request *http.Request) error {
 	request.URL.Scheme = ""
 	request.URL.Host = ""
-	// Whether the client's connection is closed concerns the client and the proxy only. A node that was told of it closed a
-	// connection that was pooled here, and the next request on that was lost.
+	// Whether the client's connection is closed concerns the client and the proxy only: "Connection: close" must not reach
+	// the node, whose connection is pooled.
 	clientCloses := request.Close
 	request.Close = false
 	defer func() { request.Close = clientCloses }()
@@ -176,7 +176,7 @@
 	fmt.Fprintf(client, "HTTP/1.1 %d %s\r\nConnection: close\r\nContent-Length: 0\r\n\r\n", status, http.StatusText(status))
 }
 
-// closeBody closes a response's body. An error has shown when the body was copied.
+// closeBody closes a response's body. Its error is ignored: copying the body has returned it.
 func closeBody(response *http.Response) { _ = response.Body.Close() }
 
 // removeHopHeaders removes the headers that are meant for one connection only.
--- a/sidecar/load_recorder.go
+++ b/sidecar/load_recorder.go
@@ -10,8 +10,11 @@
 
 // LoadRecorder counts attempts and requests since the last load report. Its methods may be called from any goroutine.
 type LoadRecorder struct {
-	// Requests since the start, by what came of them, and retries.
-	Completed, Rejected, Failed, Retried atomic.Uint64
+	// Requests since the start: answered by a node without a status of 5xx, rejected by admission, and all others but those
+	// of methods that are not supported.
+	Completed, Rejected, Failed atomic.Uint64
+	// Retried counts how often another node was looked for after an attempt without a connection.
+	Retried atomic.Uint64
 
 	reportMutex sync.Mutex // guards all below
 	report      LoadReport
@@ -33,7 +36,7 @@
 
 // NodeLoad counts the attempts at a node.
 type NodeLoad struct {
-	Attempts   int           // all, also failed ones
+	Attempts   int           // also failed ones
 	Failed     int           // without a response, or with one of status 5xx
 	LatencySum time.Duration // of those that did not fail
 }
--- a/sidecar/proxy.go
+++ b/sidecar/proxy.go
@@ -84,8 +84,8 @@
 // serveConnection answers a client's requests, one after the other.
 func (p *Proxy) serveConnection(ctx context.Context, client net.Conn) {
 	defer client.Close()
-	// At the end the connection is closed. A deadline set at the end instead would be lost if the wait for the next request
-	// sets its own in that instant: the end then took up to a minute.
+	// The end of ctx closes the connection. A deadline would not do: the wait for the next request sets its own and may
+	// replace it, and the end would take as long as clientIdleTimeout.
 	stop := context.AfterFunc(ctx, func() { client.Close() })
 	defer stop()
 	reader := bufio.NewReader(client)
--- a/sidecar/random.go
+++ b/sidecar/random.go
@@ -19,8 +19,8 @@
 	return float64(mixBits(sum.Sum64())>>11) / (1 << 53)
 }
 
-// mixBits is the finalizer of SplitMix64. Hashes of consecutive counters differ in their lower bits only: without it, all
-// draws of a while were about the same, and one node got all requests.
+// mixBits is the finalizer of SplitMix64: each bit of the input changes about half of the output's. FNV hashes of consecutive
+// counters differ in their lower bits only, and a draw goes by the upper ones.
 func mixBits(x uint64) uint64 {
 	x = (x ^ x>>30) * 0xbf58476d1ce4e5b9
 	x = (x ^ x>>27) * 0x94d049bb133111eb
