--- a/configsync/convergence.go
+++ b/configsync/convergence.go
@@ -44,7 +44,9 @@
 	Live              int              `json:"live"`             // followers with a lease
 	Members           []MemberProgress `json:"members"`          // those that answered, by name
 	Behind            []FollowerStatus `json:"behind,omitempty"` // with a lease and below Revision; by revision, then by name
-	Stale             []FollowerStatus `json:"stale,omitempty"`  // without a lease, by name: they go on with what they have
+	// Stale are the followers whose lease has run out, by name: they go on with what they have. A member forgets a lease
+	// one lease's time after it ran out, so a follower that stays away is listed for that long only.
+	Stale []FollowerStatus `json:"stale,omitempty"`
 }
 
 // Merge combines the statuses of members that were queried at about the same time. Members names all that followers may be
--- a/configsync/cost_test.go
+++ b/configsync/cost_test.go
@@ -111,7 +111,7 @@
 	revision := uint64(1)
 	if got := testing.AllocsPerRun(1000, func() {
 		revision++
-		c.server.Committed(at(0), records.Change{Revision: revision})
+		c.server.Committed(at(0), revision)
 	}); got > 1 {
 		t.Errorf("%v allocations", got)
 	}
@@ -125,7 +125,7 @@
 			revision := uint64(1)
 			for b.Loop() {
 				revision++
-				c.server.Committed(at(0), records.Change{Revision: revision})
+				c.server.Committed(at(0), revision)
 			}
 		})
 	}
--- a/configsync/example_test.go
+++ b/configsync/example_test.go
@@ -53,7 +53,7 @@
 			if err != nil || response == nil {
 				break // nothing is due
 			}
-			request, _, err = follower.Receive(now, response)
+			request, _, err = follower.Receive(response)
 			if err != nil {
 				fmt.Println(err)
 				return
--- a/configsync/follower.go
+++ b/configsync/follower.go
@@ -46,8 +46,8 @@
 	Accepted, Rejected uint64
 }
 
-// NewFollower returns a follower without records. The lease has to be the members', see [Limits]. A nil validator accepts
-// all records.
+// NewFollower returns a follower without records. The lease is at most the members', see [Limits]: a follower
+// must not take itself for up to date for longer than they do. A nil validator accepts all records.
 func NewFollower(name string, scope records.Scope, lease time.Duration, validate Validator) *Follower {
 	return &Follower{
 		name:      name,
@@ -95,38 +95,36 @@
 // Receive handles a response of the stream that the last Begin opened. A reply that is not nil has to be sent; accepted
 // tells whether there is another revision now. After an error ([ErrOlderRevision], [ErrConflictingContent], or a response
 // that can't be read or answered) the stream has to be ended and another member connected to.
-func (f *Follower) Receive(_ time.Time, response *discoveryv3.DeltaDiscoveryResponse) (reply *discoveryv3.DeltaDiscoveryRequest, accepted bool, err error) {
+func (f *Follower) Receive(response *discoveryv3.DeltaDiscoveryResponse) (reply *discoveryv3.DeltaDiscoveryRequest, accepted bool, err error) {
 	update, err := parseUpdate(response)
 	switch {
 	case err != nil && response.GetNonce() == "":
 		return nil, false, err // without a nonce there is no NACK
 	case err != nil:
 		return f.reject(response.GetNonce(), err), false, nil
-	case update.Nonce == "":
+	case update.IsHeartbeat():
 		f.handleHeartbeat()
 		return nil, false, nil
 	}
 	if err := f.checkContinuity(update); err != nil {
 		return nil, false, err
 	}
-	err = f.apply(update)
-	switch {
-	case errors.Is(err, ErrConflictingContent):
+	if err := f.checkApplicable(update); err != nil {
+		return f.reject(update.Nonce, err), false, nil
+	}
+	if err := f.checkSameContent(update); err != nil {
 		return nil, false, err
-	case err != nil:
+	}
+	if err := f.apply(update); err != nil {
 		return f.reject(update.Nonce, err), false, nil
 	}
-	accepted = update.Revision > f.revision
-	f.revision = update.Revision
-	f.routingRevision = max(f.routingRevision, update.RoutingRevision)
-	f.Accepted++
-	return &discoveryv3.DeltaDiscoveryRequest{TypeUrl: TypeURL, ResponseNonce: update.Nonce}, accepted, nil
+	return f.acknowledge(update.Nonce), f.commit(update), nil
 }
 
-// checkContinuity returns an error if the member's configuration contradicts what was accepted.
+// checkContinuity returns an error if the member's configuration contradicts what was accepted, as its revision shows.
 func (f *Follower) checkContinuity(update Update) error {
 	if update.Revision < f.revision {
-		return fmt.Errorf("%w: %d, held is %d", ErrOlderRevision, update.Revision, f.revision)
+		return fmt.Errorf("%w: %d, accepted is %d", ErrOlderRevision, update.Revision, f.revision)
 	}
 	if update.Revision == f.revision && !update.FullScope && !update.isEmpty() {
 		return fmt.Errorf("%w: %d", ErrConflictingContent, update.Revision)
@@ -134,17 +132,6 @@
 	return nil
 }
 
-// apply makes an update's records the accepted ones. After an error these are as before.
-func (f *Follower) apply(update Update) error {
-	if err := f.checkApplicable(update); err != nil {
-		return err
-	}
-	if update.FullScope {
-		return f.applyFullScope(update)
-	}
-	return f.applyDelta(update)
-}
-
 // checkApplicable returns why an update can't follow the accepted revision, whatever its records say.
 func (f *Follower) checkApplicable(update Update) error {
 	if !update.FullScope && f.revision == 0 {
@@ -161,15 +148,28 @@
 	return nil
 }
 
-// applyFullScope replaces all records.
-func (f *Follower) applyFullScope(update Update) error {
-	next := make(map[records.Key]*records.Record, len(update.Records))
-	for _, record := range update.Records {
-		next[record.Key] = record
+// checkSameContent returns an error if a full scope of the accepted revision has other records than were accepted.
+func (f *Follower) checkSameContent(update Update) error {
+	if !update.FullScope || update.Revision != f.revision {
+		return nil
 	}
-	if update.Revision == f.revision && !equalRecords(next, f.records) {
+	if !equalRecords(recordsByKey(update.Records), f.records) {
 		return fmt.Errorf("%w: %d", ErrConflictingContent, update.Revision)
 	}
+	return nil
+}
+
+// apply makes an update's records the accepted ones if the validator accepts the result. After an error these are as before.
+func (f *Follower) apply(update Update) error {
+	if update.FullScope {
+		return f.applyFullScope(update)
+	}
+	return f.applyDelta(update)
+}
+
+// applyFullScope replaces all records.
+func (f *Follower) applyFullScope(update Update) error {
+	next := recordsByKey(update.Records)
 	if f.validator != nil {
 		if err := f.validator(update.Revision, next); err != nil {
 			return err
@@ -204,6 +204,15 @@
 	return err
 }
 
+// commit makes an update's revision the accepted one, and tells whether it is another one than before.
+func (f *Follower) commit(update Update) (advanced bool) {
+	advanced = update.Revision > f.revision
+	f.revision = update.Revision
+	f.routingRevision = max(f.routingRevision, update.RoutingRevision)
+	f.Accepted++
+	return advanced
+}
+
 // rollBack undoes a delta: before has the earlier record of each key that it named, nil if there was none.
 func (f *Follower) rollBack(before map[records.Key]*records.Record) {
 	for key, record := range before {
@@ -215,9 +224,9 @@
 	}
 }
 
-// handleHeartbeat extends the lease. The member's lease starts when it receives the request, so it ends no earlier than one
-// that starts when the request is sent: the follower is never the last to know that its lease has run out. An update does
-// not extend the lease, since the member may have received no request since.
+// handleHeartbeat extends the lease, counted from when the request was sent: it ends no later than the member's, which is
+// counted from when the member receives the request. An update does not extend it, since the member may have received no
+// request since.
 func (f *Follower) handleHeartbeat() {
 	if f.renewalSentAt.IsZero() {
 		return
@@ -229,6 +238,11 @@
 	f.renewalSentAt = time.Time{}
 }
 
+// acknowledge returns the ACK of an update.
+func (f *Follower) acknowledge(nonce string) *discoveryv3.DeltaDiscoveryRequest {
+	return &discoveryv3.DeltaDiscoveryRequest{TypeUrl: TypeURL, ResponseNonce: nonce}
+}
+
 // reject returns the NACK of an update that can't be used; the records stay.
 func (f *Follower) reject(nonce string, reason error) *discoveryv3.DeltaDiscoveryRequest {
 	f.Rejected++
@@ -239,6 +253,14 @@
 	}
 }
 
+func recordsByKey(all []*records.Record) map[records.Key]*records.Record {
+	byKey := make(map[records.Key]*records.Record, len(all))
+	for _, record := range all {
+		byKey[record.Key] = record
+	}
+	return byKey
+}
+
 // equalRecords tells whether two sets have the same records at the same revisions.
 func equalRecords(a, b map[records.Key]*records.Record) bool {
 	return maps.EqualFunc(a, b, func(x, y *records.Record) bool { return x.Revision == y.Revision && x.SameContent(y) })
--- a/configsync/follower_test.go
+++ b/configsync/follower_test.go
@@ -31,7 +31,7 @@
 	follower.Begin(at(0))
 	receive := func(seconds float64) {
 		t.Helper()
-		if _, _, err := follower.Receive(at(seconds), heartbeat); err != nil {
+		if _, _, err := follower.Receive(heartbeat); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -59,7 +59,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if _, accepted, err := follower.Receive(at(1), update); err != nil || !accepted {
+	if _, accepted, err := follower.Receive(update); err != nil || !accepted {
 		t.Fatal(accepted, err)
 	}
 	if !follower.Stale(at(1)) {
@@ -88,7 +88,7 @@
 	f := NewFollower("f", services("s1"), 3*time.Second, nil)
 	f.Begin(at(0))
 	fullScope := encodeUpdate(t, Update{Revision: 5, Nonce: "1", FullScope: true, Records: oneRecord(withRevision(newRouteRecord(t, "a", "s1", 10), 4))})
-	if _, accepted, err := f.Receive(at(0), fullScope); err != nil || !accepted {
+	if _, accepted, err := f.Receive(fullScope); err != nil || !accepted {
 		t.Fatal(accepted, err)
 	}
 	return f
@@ -111,7 +111,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			f := newFollowerWithRecords(t)
-			reply, accepted, err := f.Receive(at(1), encodeUpdate(t, update))
+			reply, accepted, err := f.Receive(encodeUpdate(t, update))
 			if err != nil || accepted || reply.GetErrorDetail() == nil || reply.GetResponseNonce() != "2" {
 				t.Errorf("reply %v, accepted %v, %v", reply, accepted, err)
 			}
@@ -146,14 +146,14 @@
 		t.Run(name, func(t *testing.T) {
 			f, response := newFollowerWithRecords(t), good()
 			spoil(response)
-			reply, accepted, err := f.Receive(at(1), response)
+			reply, accepted, err := f.Receive(response)
 			if err != nil || accepted || reply.GetErrorDetail() == nil || f.Revision() != 5 || f.Rejected != 1 {
 				t.Errorf("reply %v, accepted %v, %v, revision %d", reply, accepted, err, f.Revision())
 			}
 		})
 	}
 	f, response := newFollowerWithRecords(t), good()
-	if _, accepted, err := f.Receive(at(1), response); err != nil || !accepted {
+	if _, accepted, err := f.Receive(response); err != nil || !accepted {
 		t.Errorf("what is good: %v, %v", accepted, err)
 	}
 }
@@ -161,7 +161,7 @@
 // A malformed message without a nonce can't be answered by a NACK: its member is left.
 func TestFollowerLeavesMemberAfterMalformedHeartbeat(t *testing.T) {
 	f := newFollowerWithRecords(t)
-	if reply, _, err := f.Receive(at(1), &discoveryv3.DeltaDiscoveryResponse{TypeUrl: "x"}); err == nil || reply != nil {
+	if reply, _, err := f.Receive(&discoveryv3.DeltaDiscoveryResponse{TypeUrl: "x"}); err == nil || reply != nil {
 		t.Errorf("reply %v, %v", reply, err)
 	}
 	if f.Rejected != 0 {
@@ -173,7 +173,7 @@
 func TestFollowerLeavesMemberWithOlderRevision(t *testing.T) {
 	f := newFollowerWithRecords(t)
 	for _, fullScope := range []bool{true, false} {
-		reply, accepted, err := f.Receive(at(1), encodeUpdate(t, Update{Revision: 4, Nonce: "2", FullScope: fullScope}))
+		reply, accepted, err := f.Receive(encodeUpdate(t, Update{Revision: 4, Nonce: "2", FullScope: fullScope}))
 		if !errors.Is(err, ErrOlderRevision) || accepted || reply != nil || f.Revision() != 5 || len(f.Records()) != 1 {
 			t.Errorf("reply %v, accepted %v, %v", reply, accepted, err)
 		}
@@ -186,7 +186,7 @@
 	for name, update := range map[string]Update{"full scope": same, "progress": {Revision: 5, Nonce: "2"}} {
 		t.Run(name, func(t *testing.T) {
 			f := newFollowerWithRecords(t)
-			if reply, accepted, err := f.Receive(at(1), encodeUpdate(t, update)); err != nil || accepted || reply.GetErrorDetail() != nil {
+			if reply, accepted, err := f.Receive(encodeUpdate(t, update)); err != nil || accepted || reply.GetErrorDetail() != nil {
 				t.Errorf("%s: reply %v, accepted %v, %v", name, reply, accepted, err)
 			}
 		})
@@ -200,7 +200,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			f := newFollowerWithRecords(t)
-			if _, accepted, err := f.Receive(at(1), encodeUpdate(t, update)); !errors.Is(err, ErrConflictingContent) || accepted || len(f.Records()) != 1 {
+			if _, accepted, err := f.Receive(encodeUpdate(t, update)); !errors.Is(err, ErrConflictingContent) || accepted || len(f.Records()) != 1 {
 				t.Errorf("%s: accepted %v, %v", name, accepted, err)
 			}
 		})
@@ -211,7 +211,7 @@
 func TestFollowerRejectsDeltaWithoutBaseRevision(t *testing.T) {
 	f := NewFollower("f", services("s1"), 3*time.Second, nil)
 	for _, update := range []Update{{Revision: 5, Nonce: "1", Records: oneRecord(withRevision(newRouteRecord(t, "a", "s1", 10), 5))}, {Revision: 5, Nonce: "1"}} {
-		if reply, accepted, err := f.Receive(at(0), encodeUpdate(t, update)); err != nil || accepted || reply.GetErrorDetail() == nil {
+		if reply, accepted, err := f.Receive(encodeUpdate(t, update)); err != nil || accepted || reply.GetErrorDetail() == nil {
 			t.Errorf("reply %v, accepted %v, %v", reply, accepted, err)
 		}
 	}
--- a/configsync/fullscope_limiter.go
+++ b/configsync/fullscope_limiter.go
@@ -15,6 +15,10 @@
 	// lateAfter is how long after its time the head of the queue may ask. Then it loses its place: its stream may be
 	// stuck in a write, and must not delay those behind it.
 	lateAfter = time.Second
+	// earlyRetryFactor is the part of the estimated delay after which a stream behind the head of the queue asks again.
+	// The estimate goes by the average size: with 4 scopes of 1 MB ahead at 1 MB/s, the fifth stream asks after 2 s instead
+	// of 4 s. If those turn out to have 0.5 MB it asks just in time, else it is told a new delay.
+	earlyRetryFactor = 0.5
 )
 
 // fullScopeLimiter limits the bytes a second that are sent as full scopes. Streams are served in the order in which they
@@ -86,13 +90,13 @@
 	return dropped
 }
 
-// estimateDelay estimates when the stream at an index may have its scope. Streams behind the head are told half of it, so
-// that the next one asks in time if the scopes before it turn out small.
+// estimateDelay returns after how long the stream at an index asks again: the head when it may have its scope, those behind
+// it by earlyRetryFactor sooner.
 func (l *fullScopeLimiter) estimateDelay(index int) time.Duration {
 	missingBytes := max(0, -l.availableBytes) + float64(index)*l.averageBytes
 	delay := time.Duration(missingBytes / l.bytesPerSecond * float64(time.Second))
 	if index > 0 {
-		delay /= 2
+		delay = time.Duration(earlyRetryFactor * float64(delay))
 	}
 	return max(minRetryDelay, delay)
 }
--- a/configsync/fullscope_limiter_test.go
+++ b/configsync/fullscope_limiter_test.go
@@ -110,7 +110,7 @@
 	limits := testLimits
 	limits.FullScopeBytesPerSecond, limits.FullScopeBurstBytes = 100, 1
 	server := NewServer("m1", source, limits, at(0))
-	server.Committed(at(0), source.commit(1, oneRecord(newRouteRecord(t, "a", "s1", 10))))
+	server.Committed(at(0), source.commit(1, oneRecord(newRouteRecord(t, "a", "s1", 10))).Revision)
 	f := NewFollower("up to date", services("s1"), limits.Lease, nil)
 	inStep := connect(t, server, f, at(0))
 	inStep.settle(at(0))
@@ -123,7 +123,7 @@
 		}
 		waiting = append(waiting, c)
 	}
-	server.Committed(at(0.1), source.commit(2, oneRecord(newRouteRecord(t, "a", "s1", 11))))
+	server.Committed(at(0.1), source.commit(2, oneRecord(newRouteRecord(t, "a", "s1", 11))).Revision)
 	inStep.settle(at(0.1))
 	if f.Revision() != 2 {
 		t.Error("delayed by streams that wait for full scopes")
@@ -146,13 +146,13 @@
 	limits := testLimits
 	limits.FullScopeBytesPerSecond, limits.FullScopeBurstBytes = 1000, 1
 	server := NewServer("m1", source, limits, at(0))
-	server.Committed(at(0), source.commit(1, oneRecord(newRouteRecord(t, "a", "s1", 10))))
+	server.Committed(at(0), source.commit(1, oneRecord(newRouteRecord(t, "a", "s1", 10))).Revision)
 	rejecting := connect(t, server, NewFollower("rejecting", services("s1"), limits.Lease,
 		func(uint64, map[records.Key]*records.Record) error { return fmt.Errorf("never") }), at(0))
 	rejecting.settle(at(0))
 	other := connect(t, server, NewFollower("other", services("s1"), limits.Lease, nil), at(0))
 	other.settle(at(0))
-	server.Committed(at(0), source.commit(2, oneRecord(newRouteRecord(t, "a", "s1", 11))))
+	server.Committed(at(0), source.commit(2, oneRecord(newRouteRecord(t, "a", "s1", 11))).Revision)
 	rejecting.settle(at(0))
 	for tick := range 200 {
 		now := at(float64(tick) / 100)
--- a/configsync/fuzz_test.go
+++ b/configsync/fuzz_test.go
@@ -89,7 +89,7 @@
 			return
 		}
 		follower := newFollowerWithRecords(t)
-		reply, accepted, err := follower.Receive(at(1), response)
+		reply, accepted, err := follower.Receive(response)
 		if (err != nil || reply.GetErrorDetail() != nil) && (accepted || follower.Revision() != 5 || follower.Records()[routeKey("a")].Revision != 4) {
 			t.Errorf("%s: rejected, and revision %d with %v", protojson.Format(response), follower.Revision(), follower.Records())
 		}
--- a/configsync/golden_test.go
+++ b/configsync/golden_test.go
@@ -54,7 +54,7 @@
 			t.Fatal(err)
 		}
 		write(one.name, response)
-		reply, accepted, err := follower.Receive(start, response)
+		reply, accepted, err := follower.Receive(response)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -69,7 +69,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	nack, _, err := follower.Receive(start, response)
+	nack, _, err := follower.Receive(response)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/configsync/hostile_input_test.go
+++ b/configsync/hostile_input_test.go
@@ -43,7 +43,7 @@
 	f := NewFollower("f", services("s1"), testLimits.Lease, nil)
 	c := connect(t, member.server, f, at(0))
 	update := c.nextUpdate(at(0))
-	reply, _, err := f.Receive(at(0), update)
+	reply, _, err := f.Receive(update)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/configsync/lease_test.go
+++ b/configsync/lease_test.go
@@ -37,14 +37,14 @@
 	c.request(at(2.5), f.Renew(at(2.5)))
 	behind(3, 2*time.Second)
 	for revision := uint64(4); revision < 4+maxCommits; revision++ { // more than are remembered
-		member.server.Committed(at(3), records.Change{Revision: revision})
+		member.server.Committed(at(3), revision)
 	}
 	member.source.commit(4+maxCommits, nil)
 	c.request(at(3), f.Renew(at(3)))
 	behind(4, 3*time.Second)
 	reject = false
 	c.settle(at(4))
-	member.server.Committed(at(4), records.Change{Revision: 4 + maxCommits})
+	member.server.Committed(at(4), 4+maxCommits)
 	behind(4, 0)
 }
 
--- a/configsync/messages.go
+++ b/configsync/messages.go
@@ -25,6 +25,9 @@
 	Removed         []records.Key
 }
 
+// IsHeartbeat tells whether an update has no nonce: it renews the lease and is not answered.
+func (u Update) IsHeartbeat() bool { return u.Nonce == "" }
+
 // isEmpty tells whether an update changes no record.
 func (u Update) isEmpty() bool { return len(u.Records)+len(u.Removed) == 0 }
 
--- a/configsync/routing_revision_test.go
+++ b/configsync/routing_revision_test.go
@@ -73,7 +73,7 @@
 		{Update{Revision: 9, RoutingRevision: 9, Nonce: "4", Records: oneRecord(withRevision(newRouteRecord(t, "x", "s2", 1), 9))}, 6}, // another scope's
 		{Update{Revision: 9, RoutingRevision: 9, Nonce: "5"}, 9},
 	} {
-		if _, _, err := f.Receive(at(1), encodeUpdate(t, step.update)); err != nil || f.RoutingRevision() != step.want {
+		if _, _, err := f.Receive(encodeUpdate(t, step.update)); err != nil || f.RoutingRevision() != step.want {
 			t.Errorf("%+v: %d, want %d, %v", step.update, f.RoutingRevision(), step.want, err)
 		}
 	}
@@ -91,7 +91,7 @@
 			for _, records := range [][]*records.Record{nil, oneRecord(withRevision(newRouteRecord(t, "a", "s1", 11), 6))} {
 				f, response := newFollowerWithRecords(t), encodeUpdate(t, Update{Revision: 6, Nonce: "2", Records: records})
 				response.Resources = append(response.Resources[:len(records)], markers...)
-				reply, accepted, err := f.Receive(at(1), response)
+				reply, accepted, err := f.Receive(response)
 				if err != nil || accepted || reply.GetErrorDetail() == nil || f.Revision() != 5 || f.RoutingRevision() != 0 {
 					t.Errorf("%s: reply %v, accepted %v, %v, revision %d", name, reply, accepted, err, f.Revision())
 				}
--- a/configsync/server.go
+++ b/configsync/server.go
@@ -126,10 +126,10 @@
 	}
 }
 
-// Committed has to be called when the source has changed; the caller then calls Send of every stream. Its work grows with
-// the number of leases, by some tens of nanoseconds each.
-func (s *Server) Committed(now time.Time, change records.Change) {
-	s.leases.addCommit(now, change.Revision)
+// Committed has to be called when the source has a new revision; the caller then calls Send of every stream. Its work grows
+// with the number of leases, by some tens of nanoseconds each.
+func (s *Server) Committed(now time.Time, revision uint64) {
+	s.leases.addCommit(now, revision)
 	s.leases.removeExpired(now)
 }
 
--- a/configsync/server_test.go
+++ b/configsync/server_test.go
@@ -22,7 +22,7 @@
 }
 
 func (member *testMember) commit(now time.Time, revision uint64, put []*records.Record, removed ...records.Key) {
-	member.server.Committed(now, member.source.commit(revision, put, removed...))
+	member.server.Committed(now, member.source.commit(revision, put, removed...).Revision)
 }
 
 // checkFollower compares a follower's records with the source's.
@@ -122,7 +122,7 @@
 		member.commit(at(1), 2, oneRecord(newRouteRecord(t, "a", "s1", 11)))
 		update := c.nextUpdate(at(1))
 		if arrived {
-			if _, accepted, err := f.Receive(at(1), update); err != nil || !accepted {
+			if _, accepted, err := f.Receive(update); err != nil || !accepted {
 				t.Fatal(accepted, err)
 			}
 		}
@@ -285,7 +285,7 @@
 	for n := range 20 {
 		many = append(many, newRouteRecord(t, fmt.Sprint("r", n), "s1", 10))
 	}
-	server.Committed(at(0), source.commit(1, many))
+	server.Committed(at(0), source.commit(1, many).Revision)
 	f := NewFollower("f", services("s1"), limits.Lease, nil)
 	c := connect(t, server, f, at(0))
 	c.receive(at(0), c.send(at(0)))
--- a/configsync/source_test.go
+++ b/configsync/source_test.go
@@ -172,7 +172,7 @@
 // receive passes a message to the follower and its answer to the member.
 func (c *connection) receive(now time.Time, response *discoveryv3.DeltaDiscoveryResponse) (accepted bool) {
 	c.t.Helper()
-	reply, accepted, err := c.follower.Receive(now, response)
+	reply, accepted, err := c.follower.Receive(response)
 	if err != nil {
 		c.t.Fatal(err)
 	}
--- a/configsync/transport/client.go
+++ b/configsync/transport/client.go
@@ -173,7 +173,7 @@
 func (c *Client) receive(in *response) (reply *request, err error) {
 	c.stateMutex.Lock()
 	now := time.Now()
-	reply, accepted, err := c.follower.Receive(now, in)
+	reply, accepted, err := c.follower.Receive(in)
 	revision := c.follower.Revision()
 	acceptedRecords := c.follower.Records()
 	recovered := c.stale && !c.follower.Stale(now)
--- a/configsync/transport/service.go
+++ b/configsync/transport/service.go
@@ -40,9 +40,9 @@
 	unavailable    error // why no stream is served, nil: they are
 }
 
-// pendingCommit is a change that the server has not been told of yet.
+// pendingCommit is a revision that the server has not been told of yet.
 type pendingCommit struct {
-	change      records.Change
+	revision    uint64
 	committedAt time.Time
 }
 
@@ -62,17 +62,16 @@
 	registrar.RegisterService(statusDescription(followersService, s.Status), s)
 }
 
-// Committed has to be called when the source has changed; it wakes all streams. It waits for no stream, so the goroutine
-// that applies the group's log may call it.
+// Committed has to be called when the source has changed; it wakes all streams, which query the source. It waits for no
+// stream, so the goroutine that applies the group's log may call it.
 func (s *Service) Committed(change records.Change) {
-	change.Updates = nil // streams query the source
 	now := time.Now()
 	s.pendingMutex.Lock()
 	defer s.pendingMutex.Unlock()
 	if len(s.pendingCommits) >= maxPendingCommits {
 		s.pendingCommits = append(s.pendingCommits[:0], s.pendingCommits[maxPendingCommits/2:]...)
 	}
-	s.pendingCommits = append(s.pendingCommits, pendingCommit{change: change, committedAt: now})
+	s.pendingCommits = append(s.pendingCommits, pendingCommit{revision: change.Revision, committedAt: now})
 	s.wakeStreams()
 }
 
@@ -105,7 +104,7 @@
 	s.serverMutex.Lock()
 	defer s.serverMutex.Unlock()
 	for _, pending := range s.takePendingCommits() {
-		s.server.Committed(pending.committedAt, pending.change)
+		s.server.Committed(pending.committedAt, pending.revision)
 	}
 	use(time.Now())
 }
--- a/scaling/follow.go
+++ b/scaling/follow.go
@@ -97,7 +97,7 @@
 			if response == nil {
 				continue
 			}
-			if answers[n], _, err = f.followers[n].Receive(f.now, response); err != nil {
+			if answers[n], _, err = f.followers[n].Receive(response); err != nil {
 				return err
 			}
 		}
@@ -156,7 +156,7 @@
 		return err
 	}
 	cost.member.start()
-	f.server.Committed(f.now, change)
+	f.server.Committed(f.now, change.Revision)
 	cost.member.stop()
 	if err := f.settle(cost); err != nil {
 		return err
--- a/simulation/followers/member.go
+++ b/simulation/followers/member.go
@@ -54,7 +54,7 @@
 		if err != nil {
 			panic(fmt.Sprintf("%s can't apply an agreed transaction: %v", m.name, err)) // the store is no function of the log
 		}
-		m.server.Committed(m.world.clock.now(), change)
+		m.server.Committed(m.world.clock.now(), change.Revision)
 	}
 	m.pumpAll()
 }
@@ -68,7 +68,7 @@
 		panic(fmt.Sprintf("%s can't restore a snapshot: %v", m.name, err))
 	}
 	m.applied, m.floor = from.applied, from.floor
-	m.server.Committed(m.world.clock.now(), records.Change{Revision: m.store.Revision(), Reset: true})
+	m.server.Committed(m.world.clock.now(), m.store.Revision())
 	m.pumpAll()
 }
 
--- a/simulation/followers/node.go
+++ b/simulation/followers/node.go
@@ -132,11 +132,10 @@
 	if n.session != one {
 		return
 	}
-	now := n.world.clock.now()
 	n.heardAt = n.world.clock.elapsed
 	n.backoff.Succeeded()
 	refused := n.machine.Rejected
-	reply, accepted, err := n.machine.Receive(now, response)
+	reply, accepted, err := n.machine.Receive(response)
 	if err != nil {
 		n.moveOn()
 		return
