--- a/configsync/follower.go
+++ b/configsync/follower.go
@@ -15,12 +15,12 @@
 
 // Reasons for which a follower leaves a member; [Follower.Receive] returns them.
 var (
-	ErrOlderRevision      = errors.New("the member offers an older revision than the one held")
-	ErrConflictingContent = errors.New("the member offers other contents for the revision held")
+	ErrOlderRevision      = errors.New("the member sends an older revision than the accepted one")
+	ErrConflictingContent = errors.New("the member sends other contents for the accepted revision")
 )
 
-// errNoBaseRevision rejects a delta that there is nothing to apply to.
-var errNoBaseRevision = errors.New("a change was offered, but nothing is held")
+// errNoBaseRevision rejects a delta without an accepted revision to apply it to.
+var errNoBaseRevision = errors.New("a delta was sent, but no revision is accepted")
 
 // Validator returns why a follower can't use records, nil if it can. It gets all records that the follower would have, and
 // must not retain the map.
--- a/configsync/wire.go
+++ b/configsync/wire.go
@@ -45,11 +45,11 @@
 
 // Reasons for which a response is no update.
 var (
-	errNoRevision         = errors.New("an offer has no revision")
-	errDuplicateFullScope = errors.New("an offer is marked as a whole scope twice")
-	errFullScopeRemoves   = errors.New("a whole scope removes records")
+	errNoRevision         = errors.New("an update has no revision")
+	errDuplicateFullScope = errors.New("an update is marked as a full scope twice")
+	errFullScopeRemoves   = errors.New("a full scope removes records")
 	// A missing routing revision can't be derived from the newest accepted route: it goes down when that route is removed.
-	errNoRoutingRevision = errors.New("an offer does not have one routing revision")
+	errNoRoutingRevision = errors.New("an update does not have one routing revision")
 )
 
 // errInvalidName rejects names that can't be shown to operators.
--- a/sidecar/client.go
+++ b/sidecar/client.go
@@ -88,7 +88,7 @@
 func (c *Client) loadStored() {
 	if c.Store != nil {
 		if err := c.Store.Load(c.Cache); err != nil {
-			c.Log.Error("stored versions are not used", zap.Error(err))
+			c.Log.Error("stored resources are not used", zap.Error(err))
 		}
 	}
 	c.table.Store(c.Cache.Table())
--- a/sidecar/parse.go
+++ b/sidecar/parse.go
@@ -137,7 +137,7 @@
 		}
 		// A controller that lags, or was cut off, must not take a sidecar back to an earlier agreed configuration.
 		if entry.RoutingRevision < routingRevision {
-			return config.GetName(), fmt.Errorf("it is of the agreed version %d, version %d is held", entry.RoutingRevision, routingRevision)
+			return config.GetName(), fmt.Errorf("its routing revision %d is older than %d, the accepted one", entry.RoutingRevision, routingRevision)
 		}
 	}
 	return config.GetName(), nil
--- a/sidecar/store.go
+++ b/sidecar/store.go
@@ -25,7 +25,7 @@
 
 // Reasons for which a stored file is not used; [Store.Load] returns them with the path.
 var (
-	ErrStoreFormat    = errors.New("not a file of held versions, or of another format")
+	ErrStoreFormat    = errors.New("not a file of accepted resources, or of another format")
 	ErrStoreTruncated = errors.New("cut short")
 	ErrStoreChecksum  = errors.New("the checksum does not fit")
 )
--- a/xds/transport/endpoint_list.go
+++ b/xds/transport/endpoint_list.go
@@ -39,7 +39,7 @@
 // parseEndpoints reads a version as a whole, or not at all: a part of a list would remove nodes that are there.
 func (w *EndpointWatcher) parseEndpoints(r *discoveryv3.DiscoveryResponse) ([]Endpoint, error) {
 	if r.GetTypeUrl() != xds.Endpoints.TypeURL() || len(r.GetResources()) != 1 {
-		return nil, fmt.Errorf("%d resources of type %q, asked for was one cluster's endpoints", len(r.GetResources()), r.GetTypeUrl())
+		return nil, fmt.Errorf("%d resources of type %q, requested was one cluster's endpoints", len(r.GetResources()), r.GetTypeUrl())
 	}
 	var assignment endpointv3.ClusterLoadAssignment
 	err := proto.Unmarshal(r.GetResources()[0].GetValue(), &assignment)
--- a/xds/transport/status.go
+++ b/xds/transport/status.go
@@ -79,7 +79,7 @@
 		}
 	})
 	if !answered {
-		return nil, status.Error(codes.Unavailable, "the conductor stops")
+		return nil, status.Error(codes.Unavailable, "the controller stops")
 	}
 	return response, nil
 }
--- a/xds/transport/stream.go
+++ b/xds/transport/stream.go
@@ -113,7 +113,7 @@
 		case <-ctx.Done():
 			return streamStatus(ctx)
 		case <-s.done:
-			return status.Error(codes.Unavailable, "the conductor stops")
+			return status.Error(codes.Unavailable, "the controller stops")
 		case response := <-to.responses:
 			if err := conn.send(response); err != nil {
 				return err
