--- a/cmd/harehook-sidecar/main.go
+++ b/cmd/harehook-sidecar/main.go
@@ -16,6 +16,7 @@
 	"harehook.dev/harehook/config"
 	"harehook.dev/harehook/internal/certs"
 	"harehook.dev/harehook/internal/logging"
+	"harehook.dev/harehook/internal/program"
 	"harehook.dev/harehook/sidecar"
 )
 
@@ -28,7 +29,7 @@
 )
 
 func main() {
-	config.Main("harehook-sidecar", "Carries HTTP/1.1 calls by accepted versions", "sidecar.kdl", run)
+	program.Main("harehook-sidecar", "Carries HTTP/1.1 calls by accepted versions", "sidecar.kdl", run)
 }
 
 // run runs the sidecar until ctx ends. An error is a start that can't work.
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -21,11 +21,12 @@
 	"harehook.dev/harehook/internal/certs"
 	"harehook.dev/harehook/internal/invariant"
 	"harehook.dev/harehook/internal/logging"
+	"harehook.dev/harehook/internal/program"
 )
 
 // Main runs the program under a name, which is also that of its default configuration.
 func Main(name string) {
-	config.Main(name, "A controller that serves sidecars over xDS", name+".kdl", run)
+	program.Main(name, "A controller that serves sidecars over xDS", name+".kdl", run)
 }
 
 // run serves by the configuration at a path until ctx ends.
--- a/config/main.go
+++ b/internal/program/program.go
@@ -1,4 +1,7 @@
-package config
+// Package program starts and ends the programs of installations without the platform: it reads the command line and runs
+// until a signal tells the process to end. The main functions of harehook-xds (in package daemon) and harehook-sidecar call
+// [Main].
+package program
 
 import (
 	"context"
