--- a/configsync/follower_test.go
+++ b/configsync/follower_test.go
@@ -29,23 +29,23 @@
 		t.Fatal(err)
 	}
 	follower.Begin(at(0))
-	receive := func(seconds float64) {
+	receive := func() {
 		t.Helper()
 		if _, _, err := follower.Receive(heartbeat); err != nil {
 			t.Fatal(err)
 		}
 	}
-	receive(2)
+	receive() // when it arrives does not count
 	if follower.Stale(at(2.9)) || !follower.Stale(at(3)) {
 		t.Error("the lease of a request sent at 0 has to end at 3")
 	}
-	receive(2.5) // answers nothing
+	receive() // answers nothing
 	if !follower.Stale(at(3)) {
 		t.Error("a heartbeat that was not asked for renewed the lease")
 	}
 	follower.Renew(at(3))
 	follower.Renew(at(4))
-	receive(5)
+	receive()
 	if follower.Stale(at(5.9)) || !follower.Stale(at(6)) {
 		t.Error("of two requests under way the older one counts: the lease has to end at 6")
 	}
--- a/sidecar/proxy_test.go
+++ b/sidecar/proxy_test.go
@@ -119,6 +119,33 @@
 	}
 }
 
+// A node that takes a request and gives no response within the route's time limit may have run it: the client has to get a 504
+// at the end of the limit, and the request must not be sent to another node although the route has retries.
+func TestNoRetryOnceConnected(t *testing.T) {
+	address, p := startProxy(t, 3)
+	table := p.Table()
+	for _, name := range []string{"a", "b"} {
+		hanging, err := net.Listen("tcp", "127.0.0.1:0")
+		if err != nil {
+			t.Fatal(err)
+		}
+		t.Cleanup(func() { hanging.Close() }) // connections wait to be accepted: none is ever read
+		host, port, _ := net.SplitHostPort(hanging.Addr().String())
+		number, _ := strconv.Atoi(port)
+		table.Clusters["c"] = append(table.Clusters["c"], WeightedNode{Node: name, Weight: 1, Address: xds.Address{Host: host, Port: uint32(number)}})
+	}
+	began := time.Now()
+	if got := exchange(t, address, requestText("/q", "Connection: close\r\nContent-Length: 0\r\n")); !strings.HasPrefix(got, "HTTP/1.1 504") {
+		t.Errorf("no response: %s", got)
+	}
+	if limit := table.Routes[0].TimeLimit; time.Since(began) < limit {
+		t.Errorf("given up after %s, the time limit is %s", time.Since(began), limit)
+	}
+	if p.Load.Retried.Load() != 0 || p.Load.Failed.Load() != 1 {
+		t.Errorf("%d retries, %d failed", p.Load.Retried.Load(), p.Load.Failed.Load())
+	}
+}
+
 // A node that refuses connections costs a retry if the route has one. One that takes a request and gives no response costs
 // the request: it may have run, so it must not be sent again.
 func TestRetriesOnlyIfNotSent(t *testing.T) {
--- a/xds/stream_test.go
+++ b/xds/stream_test.go
@@ -210,6 +210,19 @@
 			c.next()
 			c.printAccepted()
 		}, "sent [a1 b1] removed []\nsent [a2] removed []\nnothing\naccepted [a1 b1] complete true stale 0\n"},
+		"a rejected version on a new stream": {true, func(c *streamScript) {
+			c.subscribe()
+			c.next()
+			c.answer(0, "")
+			c.setTarget("a2", "b1")
+			c.next()
+			c.answer(0, "bad")
+			c.next()
+			c.s = NewStream(8, true)
+			c.s.SetTarget(c.target, false)
+			c.subscribe()
+			c.next()
+		}, "sent [a1 b1] removed []\nsent [a2] removed []\nnothing\nsent [a2 b1] removed []\n"},
 		"removed": {true, func(c *streamScript) {
 			c.subscribe()
 			c.next()
