--- a/internal/kdl/grammar.go
+++ b/internal/kdl/grammar.go
@@ -14,14 +14,30 @@
 	Nodes []*node `parser:"End* (@@ End*)*"`
 }
 
-// A node ends at End, at the brace that closes its parent, or with the document: what follows may not begin another node.
-// That is a negative lookahead, since participle panics where a positive one (of the brace) is a branch by itself.
 type node struct {
-	Pos      lexer.Position
-	Disabled bool     `parser:"@Slashdash?"`
-	Name     *name    `parser:"@@"`
-	Entries  []*entry `parser:"@@*"`
-	Blocks   []*block `parser:"@@* (?! Ident | String | Slashdash)"`
+	Pos        lexer.Position
+	Disabled   bool       `parser:"@Slashdash?"`
+	Name       *name      `parser:"@@"`
+	Entries    []*entry   `parser:"@@*"`
+	Blocks     []*block   `parser:"@@*"`
+	Terminator terminator `parser:"@@"`
+}
+
+// terminator is what ends a node: End, the end of the document, or the brace that closes the parent, which is left to the
+// parent. It is no rule of the grammar: participle panics on a branch that matches without a token, as a lookahead does.
+type terminator struct{}
+
+// Parse implements participle.Parseable.
+func (*terminator) Parse(tokens *lexer.PeekingLexer) error {
+	next := tokens.Peek()
+	switch {
+	case next.Type == endToken:
+		tokens.Next()
+		return nil
+	case next.EOF() || next.Value == "}":
+		return nil
+	}
+	return &participle.UnexpectedTokenError{Unexpected: *next}
 }
 
 type name struct {
@@ -49,19 +65,24 @@
 	Nodes    []*node `parser:"'{' End* (@@ End*)* '}'"`
 }
 
+var tokenRules = lexer.MustSimple([]lexer.SimpleRule{
+	{Name: "Continued", Pattern: `\\[ \t]*(//[^\n]*)?\r?\n`},
+	{Name: "Comment", Pattern: `//[^\n]*|/\*([^*]|\*+[^*/])*\*+/`},
+	{Name: "Slashdash", Pattern: `/-`},
+	{Name: "String", Pattern: `"(\\.|[^"\\])*"`},
+	{Name: "Number", Pattern: `[-+]?(0x[0-9a-fA-F_]+|0o[0-7_]+|0b[01_]+|[0-9][0-9_]*(\.[0-9][0-9_]*)?([eE][-+]?[0-9]+)?)`},
+	{Name: "Keyword", Pattern: `(true|false|null)\b`},
+	{Name: "Ident", Pattern: `[^\s\\/(){}<>;\[\]=,"0-9+-][^\s\\/(){}<>;\[\]=,"]*|[+-][^\s\\/(){}<>;\[\]=,"0-9]*`},
+	{Name: "Punct", Pattern: `[{}=]`},
+	{Name: "End", Pattern: `[;\n]`},
+	{Name: "Space", Pattern: `[ \t\r\f\v]+`},
+})
+
+// endToken is the type of the tokens that end nodes.
+var endToken = tokenRules.Symbols()["End"]
+
 var grammar = participle.MustBuild[document](
-	participle.Lexer(lexer.MustSimple([]lexer.SimpleRule{
-		{Name: "Continued", Pattern: `\\[ \t]*(//[^\n]*)?\r?\n`},
-		{Name: "Comment", Pattern: `//[^\n]*|/\*([^*]|\*+[^*/])*\*+/`},
-		{Name: "Slashdash", Pattern: `/-`},
-		{Name: "String", Pattern: `"(\\.|[^"\\])*"`},
-		{Name: "Number", Pattern: `[-+]?(0x[0-9a-fA-F_]+|0o[0-7_]+|0b[01_]+|[0-9][0-9_]*(\.[0-9][0-9_]*)?([eE][-+]?[0-9]+)?)`},
-		{Name: "Keyword", Pattern: `(true|false|null)\b`},
-		{Name: "Ident", Pattern: `[^\s\\/(){}<>;\[\]=,"0-9+-][^\s\\/(){}<>;\[\]=,"]*|[+-][^\s\\/(){}<>;\[\]=,"0-9]*`},
-		{Name: "Punct", Pattern: `[{}=]`},
-		{Name: "End", Pattern: `[;\n]`},
-		{Name: "Space", Pattern: `[ \t\r\f\v]+`},
-	})),
+	participle.Lexer(tokenRules),
 	participle.Elide("Continued", "Comment", "Space"),
 	participle.UseLookahead(3),
 )
