--- a/cmd/harehook-sidecar/main.go
+++ b/cmd/harehook-sidecar/main.go
@@ -16,6 +16,7 @@
 	"harehook.dev/harehook/config"
 	"harehook.dev/harehook/internal/certs"
 	"harehook.dev/harehook/internal/logging"
+	"harehook.dev/harehook/internal/program"
 	"harehook.dev/harehook/sidecar"
 )
 
@@ -28,7 +29,7 @@
 )
 
 func main() {
-	config.Main("harehook-sidecar", "Carries HTTP/1.1 calls by accepted versions", "sidecar.kdl", run)
+	program.Main("harehook-sidecar", "Carries HTTP/1.1 calls by accepted versions", "sidecar.kdl", run)
 }
 
 // run runs the sidecar until ctx ends. An error is a start that can't work.
@@ -68,7 +69,7 @@
 	return nil
 }
 
-func newClient(settings *config.Sidecar, certificates *certs.Store, load *sidecar.LoadRecorder, log *zap.Logger) *sidecar.Client {
+func newClient(settings *config.Sidecar, certificates *certs.Reloader, load *sidecar.LoadRecorder, log *zap.Logger) *sidecar.Client {
 	cache := &sidecar.ResourceCache{
 		ID:             settings.Name,
 		Zone:           settings.Zone,
@@ -96,7 +97,7 @@
 }
 
 // maintain reloads changed certificates and logs counters until ctx ends.
-func maintain(ctx context.Context, client *sidecar.Client, load *sidecar.LoadRecorder, certificates *certs.Store, log *zap.Logger) {
+func maintain(ctx context.Context, client *sidecar.Client, load *sidecar.LoadRecorder, certificates *certs.Reloader, log *zap.Logger) {
 	ticker := time.NewTicker(reloadInterval)
 	defer ticker.Stop()
 	lastCounters := time.Now()
@@ -120,7 +121,7 @@
 		zap.Uint64("streams", client.Streams.Load()),
 		zap.String("held", client.Describe()),
 		zap.Uint64("answered", load.Completed.Load()),
-		zap.Uint64("throttled", load.Throttled.Load()),
+		zap.Uint64("throttled", load.Rejected.Load()),
 		zap.Uint64("failed", load.Failed.Load()),
 		zap.Uint64("again", load.Retried.Load()))
 }
--- a/configsync/cost_test.go
+++ b/configsync/cost_test.go
@@ -80,7 +80,7 @@
 		}
 		t.Log(messages, "messages;", interested, "bytes to the interested follower,", others, "to each other")
 	}
-	if got := c.server.Counts; got.FullScopes != size || got.Changes != 10 || got.Progress != 10*(size-1) {
+	if got := c.server.Counts; got.FullScopes != size || got.Changes != 10 || got.EmptyUpdates != 10*(size-1) {
 		t.Errorf("%+v", got)
 	}
 }
@@ -111,7 +111,7 @@
 	revision := uint64(1)
 	if got := testing.AllocsPerRun(1000, func() {
 		revision++
-		c.server.Committed(at(0), records.Change{Revision: revision})
+		c.server.Committed(at(0), revision)
 	}); got > 1 {
 		t.Errorf("%v allocations", got)
 	}
@@ -125,7 +125,7 @@
 			revision := uint64(1)
 			for b.Loop() {
 				revision++
-				c.server.Committed(at(0), records.Change{Revision: revision})
+				c.server.Committed(at(0), revision)
 			}
 		})
 	}
--- a/sidecar/forward.go
+++ b/sidecar/forward.go
@@ -28,9 +28,9 @@
 		p.Load.Failed.Add(1)
 		return respond(client, http.StatusNotFound, "", "no route\n")
 	case entry.Status != 0:
-		p.Load.Throttled.Add(1)
+		p.Load.Rejected.Add(1)
 		p.Load.addRequest(entry.Name)
-		return respond(client, entry.Status, xds.ThrottledHeader+": "+entry.Name+"\r\n", "throttled\n")
+		return respond(client, entry.Status, xds.RejectedHeader+": "+entry.Name+"\r\n", "throttled\n")
 	}
 	return p.forwardRequest(ctx, client, request, table, entry)
 }
@@ -59,7 +59,7 @@
 	}
 	deadline := time.Now().Add(timeLimit)
 	removeHopHeaders(request.Header)
-	to := p.connect(ctx, table, entry, deadline)
+	to := p.connectWithRetries(ctx, table, entry, deadline)
 	if to == nil {
 		p.Load.Failed.Add(1)
 		p.Load.addRequest(entry.Name)
@@ -78,9 +78,9 @@
 	return reusable
 }
 
-// connect returns a connection to a node of an entry's cluster, nil if none accepts one. An attempt without a connection
-// never ran, so a retry is safe on every route.
-func (p *Proxy) connect(ctx context.Context, table *RoutingTable, entry *RouteEntry, deadline time.Time) *attempt {
+// connectWithRetries returns a connection to a node of an entry's cluster, nil if none accepts one. An attempt without a
+// connection never ran, so a retry is safe on every route. It is the only place with retries.
+func (p *Proxy) connectWithRetries(ctx context.Context, table *RoutingTable, entry *RouteEntry, deadline time.Time) *attempt {
 	var tried []xds.Address
 	for {
 		node, ok := table.Pick(entry.Cluster, tried, p.randomFraction)
@@ -89,7 +89,7 @@
 		}
 		key := NodeKey{Cluster: entry.Cluster, Zone: node.Zone, Address: node.Address}
 		began := time.Now()
-		connected, err := p.upstreams.connect(ctx, node.Address, deadline)
+		connected, err := p.upstreams.get(ctx, node.Address, deadline)
 		if err == nil {
 			return &attempt{upstream: connected, key: key, began: began}
 		}
@@ -136,8 +136,8 @@
 func writeRequest(to *upstream, request *http.Request) error {
 	request.URL.Scheme = ""
 	request.URL.Host = ""
-	// Whether the client's connection is closed concerns the client and the proxy only. A node that was told of it closed a
-	// connection that was pooled here, and the next request on that was lost.
+	// Whether the client's connection is closed concerns the client and the proxy only: "Connection: close" must not reach
+	// the node, whose connection is pooled.
 	clientCloses := request.Close
 	request.Close = false
 	defer func() { request.Close = clientCloses }()
@@ -176,7 +176,7 @@
 	fmt.Fprintf(client, "HTTP/1.1 %d %s\r\nConnection: close\r\nContent-Length: 0\r\n\r\n", status, http.StatusText(status))
 }
 
-// closeBody closes a response's body. An error has shown when the body was copied.
+// closeBody closes a response's body. Its error is ignored: copying the body has returned it.
 func closeBody(response *http.Response) { _ = response.Body.Close() }
 
 // removeHopHeaders removes the headers that are meant for one connection only.
--- a/xds/stream_test.go
+++ b/xds/stream_test.go
@@ -52,26 +52,29 @@
 // next logs what is sent now.
 func (c *streamScript) next() {
 	state, delta := c.s.Next(1)
-	if len(state)+len(delta) == 0 {
+	if state != nil && delta != nil {
+		c.t.Error("responses of both variants")
+	}
+	if state == nil && delta == nil {
 		c.WriteString("nothing\n")
 	}
-	for _, r := range state {
+	if state != nil {
 		var got []string
-		for _, body := range r.GetResources() {
+		for _, body := range state.GetResources() {
 			m, _ := body.UnmarshalNew()
 			one, _ := NewResource(Clusters, m.(*clusterv3.Cluster).GetName(), m)
 			got = append(got, c.names[one.Version])
 		}
 		fmt.Fprintf(c, "sent %v\n", got)
-		c.nonces = append(c.nonces, r.GetNonce())
+		c.nonces = append(c.nonces, state.GetNonce())
 	}
-	for _, r := range delta {
+	if delta != nil {
 		var got []string
-		for _, one := range r.GetResources() {
+		for _, one := range delta.GetResources() {
 			got = append(got, c.names[one.GetVersion()])
 		}
-		fmt.Fprintf(c, "sent %v removed %v\n", got, r.GetRemovedResources())
-		c.nonces = append(c.nonces, r.GetNonce())
+		fmt.Fprintf(c, "sent %v removed %v\n", got, delta.GetRemovedResources())
+		c.nonces = append(c.nonces, delta.GetNonce())
 	}
 }
 
@@ -110,7 +113,7 @@
 	for _, name := range sortedKeys(c.s.subscriptions[Clusters].accepted) {
 		accepted = append(accepted, c.names[c.s.subscriptions[Clusters].accepted[name].Version])
 	}
-	fmt.Fprintf(c, "accepted %v complete %t stale %d\n", accepted, c.s.Holds(Clusters, c.target.sequence[Clusters]), c.s.Stale)
+	fmt.Fprintf(c, "accepted %v complete %t stale %d\n", accepted, c.s.Holds(Clusters, c.target.sequence[Clusters]), c.s.Unmatched)
 }
 
 // Each story is a sequence of requests, changes of the target and answers, with the responses that have to follow.
@@ -207,6 +210,19 @@
 			c.next()
 			c.printAccepted()
 		}, "sent [a1 b1] removed []\nsent [a2] removed []\nnothing\naccepted [a1 b1] complete true stale 0\n"},
+		"a rejected version on a new stream": {true, func(c *streamScript) {
+			c.subscribe()
+			c.next()
+			c.answer(0, "")
+			c.setTarget("a2", "b1")
+			c.next()
+			c.answer(0, "bad")
+			c.next()
+			c.s = NewStream(8, true)
+			c.s.SetTarget(c.target, false)
+			c.subscribe()
+			c.next()
+		}, "sent [a1 b1] removed []\nsent [a2] removed []\nnothing\nsent [a2 b1] removed []\n"},
 		"removed": {true, func(c *streamScript) {
 			c.subscribe()
 			c.next()
--- a/xds/transport/status.go
+++ b/xds/transport/status.go
@@ -22,7 +22,7 @@
 	StatusTable               = "table"
 	StatusDisconnectedSeconds = "away_s"
 	StatusVariant             = "variant"
-	StatusStaleAnswers        = "stale_answers"
+	StatusUnmatchedAnswers    = "stale_answers"
 	StatusRejected            = "refused"
 	StatusAccepted            = "accepted"
 	StatusUnconfirmed         = "unconfirmed"
@@ -79,7 +79,7 @@
 		}
 	})
 	if !answered {
-		return nil, status.Error(codes.Unavailable, "the conductor stops")
+		return nil, status.Error(codes.Unavailable, "the controller stops")
 	}
 	return response, nil
 }
@@ -111,7 +111,7 @@
 		StatusTable:               table,
 		StatusDisconnectedSeconds: sidecar.DisconnectedSeconds,
 		StatusVariant:             variant,
-		StatusStaleAnswers:        float64(sidecar.Stale),
+		StatusUnmatchedAnswers:    float64(sidecar.Unmatched),
 		StatusRejected:            float64(sidecar.Rejected),
 		StatusAccepted:            float64(sidecar.Accepted),
 		StatusUnconfirmed:         float64(sidecar.Unacknowledged),
