--- a/simulation/followers/clock.go
+++ b/simulation/followers/clock.go
@@ -1,56 +1,37 @@
 package followers
 
 import (
-	"container/heap"
 	"time"
-)
-
-// event is something to be done at a time of a run; of two at one time the one that was scheduled first comes first.
-type event struct {
-	at    time.Duration
-	order int
-	do    func()
-}
 
-type eventHeap []event
+	"harehook.dev/harehook/simulation/eventqueue"
+)
 
-func (h eventHeap) Len() int { return len(h) }
-func (h eventHeap) Less(i, j int) bool {
-	return h[i].at < h[j].at || h[i].at == h[j].at && h[i].order < h[j].order
-}
-func (h eventHeap) Swap(i, j int) { h[i], h[j] = h[j], h[i] }
-func (h *eventHeap) Push(x any)   { *h = append(*h, x.(event)) }
-func (h *eventHeap) Pop() any {
-	last := (*h)[len(*h)-1]
-	*h = (*h)[:len(*h)-1]
-	return last
-}
+// epoch is when runs begin.
+var epoch = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 
-// clock runs events in the order of their times.
+// clock is the virtual clock of a run: it stands still but for the next event, to whose time it jumps.
 type clock struct {
-	elapsed time.Duration
-	events  eventHeap
-	count   int
+	elapsed time.Duration // since the epoch
+	events  eventqueue.Queue[time.Duration]
 }
 
-// epoch is when runs begin.
-var epoch = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
-
+// now is the time that the machines under test are given.
 func (c *clock) now() time.Time { return epoch.Add(c.elapsed) }
 
 // schedule has something done at a time of the run, at once if that is past.
-func (c *clock) schedule(at time.Duration, do func()) {
-	c.count++
-	heap.Push(&c.events, event{max(at, c.elapsed), c.count, do})
-}
-
-func (c *clock) after(pause time.Duration, do func()) { c.schedule(c.elapsed+pause, do) }
-
-// run does all that is due until a time, or until it is told to stop.
-func (c *clock) run(until time.Duration, stop func() bool) {
-	for len(c.events) > 0 && c.events[0].at <= until && !stop() {
-		next := heap.Pop(&c.events).(event)
-		c.elapsed = next.at
-		next.do()
+func (c *clock) schedule(at time.Duration, run func()) { c.events.Schedule(max(at, c.elapsed), run) }
+
+// after has something done some time from now.
+func (c *clock) after(delay time.Duration, run func()) { c.schedule(c.elapsed+delay, run) }
+
+// runUntil runs all that is due until a time, or until it is told to stop.
+func (c *clock) runUntil(end time.Duration, stop func() bool) {
+	for !stop() {
+		next, due := c.events.PopDue(end)
+		if !due {
+			return
+		}
+		c.elapsed = next.At
+		next.Run()
 	}
 }
--- a/simulation/followers/world.go
+++ b/simulation/followers/world.go
@@ -42,7 +42,7 @@
 	w.every(setup.CommitEvery, w.commit)
 	w.every(setup.FaultEvery, w.inject)
 	w.checkConvergence()
-	w.clock.run(setup.Active, w.broken)
+	w.clock.runUntil(setup.Active, w.broken)
 	if !w.broken() {
 		w.runCalm()
 	}
@@ -88,7 +88,7 @@
 	const step = 100 * time.Millisecond
 	end := w.setup.Active + w.setup.FaultFree
 	for w.clock.elapsed < end && !w.broken() {
-		w.clock.run(w.clock.elapsed+step, w.broken)
+		w.clock.runUntil(w.clock.elapsed+step, w.broken)
 		w.clock.elapsed = min(end, w.clock.elapsed/step*step+step)
 		if w.out.Settled == 0 && w.allInStep() {
 			w.out.Settled = w.clock.elapsed - w.setup.Active
--- a/simulation/world.go
+++ b/simulation/world.go
@@ -9,6 +9,7 @@
 	"github.com/anishathalye/porcupine"
 
 	"harehook.dev/harehook/cluster"
+	"harehook.dev/harehook/simulation/eventqueue"
 )
 
 const runStream = 11 // of the random numbers that a run draws
@@ -17,8 +18,7 @@
 type World struct {
 	setup           Setup
 	now             int
-	order           int
-	queue           events
+	events          eventqueue.Queue[int] // by tick
 	random          *rand.Rand
 	members         []*member
 	cutUntil        map[link]int // until when
