--- /dev/null
+++ b/simulation/charts.go
@@ -0,0 +1,109 @@
+package simulation
+
+import (
+	"fmt"
+	"path/filepath"
+
+	"gonum.org/v1/plot"
+	"gonum.org/v1/plot/plotter"
+	"gonum.org/v1/plot/plotutil"
+	"gonum.org/v1/plot/vg"
+)
+
+const (
+	chartWidth  = 14 * vg.Centimeter
+	chartHeight = 9 * vg.Centimeter
+)
+
+// Charts draws a chart for each metric into a folder, NAME-METRIC.png: the median over the first swept figure, a line for
+// each value of the second, with bars from the 10th to the 90th percentile. Without a swept figure it draws nothing.
+// There has to be at least one row.
+func Charts(folder string, rows []Row) error {
+	if rows[0].X == "" {
+		return nil
+	}
+	for _, metric := range Metrics {
+		if err := drawChart(folder, metric, rows); err != nil {
+			return fmt.Errorf("chart of %q: %w", metric.Name, err)
+		}
+	}
+	return nil
+}
+
+// drawChart draws the chart of a metric, unless no run has a value of it.
+func drawChart(folder string, metric Metric, rows []Row) error {
+	lines := chartLines(metric.spreads(rows))
+	if len(lines) == 0 {
+		return nil
+	}
+	chart := plot.New()
+	chart.Title.Text = rows[0].Experiment + " (simulated)"
+	chart.X.Label.Text = rows[0].X
+	chart.Y.Label.Text = metric.Name + ", ticks"
+	chart.Y.Min = 0
+	for index, line := range lines {
+		if err := line.addTo(chart, index, rows[0].Y); err != nil {
+			return err
+		}
+	}
+	chart.Legend.Top = true
+	chart.Legend.Left = true
+	chart.Add(plotter.NewGrid())
+	file := rows[0].Experiment + "-" + metric.Name + ".png"
+	return chart.Save(chartWidth, chartHeight, filepath.Join(folder, file))
+}
+
+// chartLine is the line of one value of the second swept figure. It implements the interfaces of plotter.NewYErrorBars.
+type chartLine struct {
+	plotter.XYs
+	plotter.YErrors
+	y float64
+}
+
+// chartLines makes the lines from the points that have values, in the order in which the points name them first.
+func chartLines(spreads []pointSpread) (lines []*chartLine) {
+	lineOf := map[float64]*chartLine{}
+	for _, at := range spreads {
+		if at.spread.Count == 0 {
+			continue
+		}
+		line := lineOf[at.point.y]
+		if line == nil {
+			line = &chartLine{y: at.point.y}
+			lineOf[at.point.y] = line
+			lines = append(lines, line)
+		}
+		line.addPoint(at.point.x, at.spread.Percentile)
+	}
+	return lines
+}
+
+// addPoint adds a median with its error bar.
+func (l *chartLine) addPoint(x float64, percentile Percentiles) {
+	bar := struct{ Low, High float64 }{
+		Low:  percentile.P50 - percentile.P10,
+		High: percentile.P90 - percentile.P50,
+	}
+	l.XYs = append(l.XYs, plotter.XY{X: x, Y: percentile.P50})
+	l.YErrors = append(l.YErrors, bar)
+}
+
+// addTo draws the line in the color of its index; it has a legend if a second figure is swept.
+func (l *chartLine) addTo(chart *plot.Plot, index int, figure string) error {
+	line, err := plotter.NewLine(l.XYs)
+	if err != nil {
+		return err
+	}
+	line.Color = plotutil.Color(index)
+	line.Width = vg.Points(1.5)
+	bars, err := plotter.NewYErrorBars(l)
+	if err != nil {
+		return err
+	}
+	bars.Color = plotutil.Color(index)
+	chart.Add(line, bars)
+	if figure != "" {
+		chart.Legend.Add(fmt.Sprintf("%s %v", figure, l.y), line)
+	}
+	return nil
+}
--- /dev/null
+++ b/simulation/experiment_file.go
@@ -0,0 +1,124 @@
+package simulation
+
+import (
+	"fmt"
+
+	"harehook.dev/harehook/cluster"
+	"harehook.dev/harehook/internal/kdl"
+)
+
+const (
+	defaultSeeds   = 10
+	maxMembers     = 9
+	maxFigureValue = 1e6
+)
+
+// defaultSetup is what an experiment plays where its file does not say otherwise.
+func defaultSetup() Setup {
+	return Setup{
+		Members:        3,
+		Ticks:          3000,
+		FaultFreeTicks: 600,
+		Timing:         cluster.Timing{ElectionTicks: 20, HeartbeatTicks: 4, CompactAfterEntries: 100},
+		MaxDelay:       4,
+		ProposeEvery:   30,
+		Sidecars:       6,
+	}
+}
+
+// figures are what an experiment can set or sweep, by their keys in KDL.
+var figures = map[string]func(setup *Setup, value float64){
+	"members":       func(s *Setup, v float64) { s.Members = int(v) },
+	"ticks":         func(s *Setup, v float64) { s.Ticks = int(v) },
+	"calm":          func(s *Setup, v float64) { s.FaultFreeTicks = int(v) },
+	"election":      setElectionTicks,
+	"compact":       func(s *Setup, v float64) { s.Timing.CompactAfterEntries = uint64(v) },
+	"delay":         func(s *Setup, v float64) { s.MaxDelay = int(v) },
+	"loss":          func(s *Setup, v float64) { s.Loss = v },
+	"double":        func(s *Setup, v float64) { s.Duplication = v },
+	"sync":          func(s *Setup, v float64) { s.MaxSyncDelay = int(v) },
+	"fault-every":   func(s *Setup, v float64) { s.FaultEvery = int(v) },
+	"propose-every": func(s *Setup, v float64) { s.ProposeEvery = int(v) },
+	"sidecars":      func(s *Setup, v float64) { s.Sidecars = int(v) },
+}
+
+// setElectionTicks sets the election timeout, and the heartbeat interval in proportion.
+func setElectionTicks(setup *Setup, ticks float64) {
+	setup.Timing.ElectionTicks = int(ticks)
+	setup.Timing.HeartbeatTicks = max(1, int(ticks)/5)
+}
+
+// setFigure sets a figure by its key; the empty key sets nothing.
+func setFigure(setup *Setup, figure string, value float64) {
+	if figure != "" {
+		figures[figure](setup, value)
+	}
+}
+
+// ReadExperiment reads an experiment from KDL: one node "experiment" with a name, whose children set the number of seeds
+// and the figures of a setup. A figure with several values is swept. The error is a kdl.Faults, which names the line of
+// each mistake.
+func ReadExperiment(text string) (*Experiment, error) {
+	nodes, err := kdl.Parse(text)
+	if err != nil {
+		return nil, err
+	}
+	reader := experimentReader{experiment: &Experiment{Seeds: defaultSeeds, Base: defaultSetup()}}
+	if len(nodes) != 1 || nodes[0].Name != "experiment" || len(nodes[0].Args) != 1 {
+		reader.faults.Add(1, "the document is one \"experiment\" with a name")
+		return nil, reader.faults.Err()
+	}
+	reader.experiment.Name = fmt.Sprint(nodes[0].Args[0].V)
+	for _, child := range nodes[0].Children {
+		reader.readFigure(child)
+	}
+	reader.validate(nodes[0].Line)
+	return reader.experiment, reader.faults.Err()
+}
+
+// experimentReader fills an experiment and collects the mistakes of its file.
+type experimentReader struct {
+	experiment *Experiment
+	faults     kdl.Faults
+}
+
+// readFigure reads the line of one figure.
+func (r *experimentReader) readFigure(node *kdl.Node) {
+	values := r.readValues(node)
+	set, known := figures[node.Name]
+	switch {
+	case len(values) == 0:
+		r.faults.Add(node.Line, "%q has no value", node.Name)
+	case node.Name == "seeds":
+		r.experiment.Seeds = int(values[0])
+	case !known:
+		r.faults.Add(node.Line, "%q is no figure of a run", node.Name)
+	case len(values) == 1:
+		set(&r.experiment.Base, values[0])
+	default:
+		r.experiment.Sweeps = append(r.experiment.Sweeps, Sweep{Figure: node.Name, Values: values})
+	}
+}
+
+// readValues reads the numbers of a line.
+func (r *experimentReader) readValues(node *kdl.Node) (values []float64) {
+	for _, argument := range node.Args {
+		value, isNumber := argument.V.(float64)
+		if !isNumber || value < 0 || value > maxFigureValue {
+			r.faults.Add(argument.Line, "%q takes numbers from 0 to %d, not %v", node.Name, int(maxFigureValue), argument.V)
+		}
+		values = append(values, value)
+	}
+	return values
+}
+
+// validate checks what no line says alone; such a mistake is told with the line of the experiment.
+func (r *experimentReader) validate(line int) {
+	base := r.experiment.Base
+	if len(r.experiment.Sweeps) > maxSweeps {
+		r.faults.Add(line, "two figures are swept at most, not %d", len(r.experiment.Sweeps))
+	}
+	if base.Members < 1 || base.Members > maxMembers || base.FaultFreeTicks >= base.Ticks || r.experiment.Seeds < 1 {
+		r.faults.Add(line, "members are 1 to %d, calm is under ticks, seeds are at least 1", maxMembers)
+	}
+}
--- a/simulation/faults.go
+++ b/simulation/faults.go
@@ -123,3 +123,11 @@
 		}
 	}
 }
+
+// plannedFaults are the faults of a run: those that the setup names, or else those that its seed draws.
+func (s Setup) plannedFaults() []Fault {
+	if s.Faults != nil {
+		return s.Faults
+	}
+	return Draw(s)
+}
--- a/simulation/shrink.go
+++ b/simulation/shrink.go
@@ -2,23 +2,21 @@
 
 import "slices"
 
-// Shrink drops faults from a run that fails as long as it still does; it gives those that are left.
-func Shrink(set Setup) []Fault {
-	faults := set.Faults
-	if faults == nil {
-		faults = Draw(set)
+// Shrink drops faults from a run with a violation as long as there still is one, and returns those that are left. The
+// setup's own faults are shrunk, or those that Draw draws from its seed.
+func Shrink(setup Setup) []Fault {
+	faults := setup.plannedFaults()
+	violates := func(faults []Fault) bool {
+		setup.Faults = faults
+		return len(Play(setup).Violations) > 0
 	}
-	fails := func(faults []Fault) bool {
-		set.Faults = faults
-		return len(Play(set).Violations) > 0
-	}
-	for part := max(len(faults)/2, 1); part >= 1; part /= 2 {
-		for at := 0; at < len(faults); {
-			fewer := slices.Delete(slices.Clone(faults), at, min(at+part, len(faults)))
-			if fails(fewer) {
+	for length := max(len(faults)/2, 1); length >= 1; length /= 2 {
+		for from := 0; from < len(faults); {
+			fewer := slices.Delete(slices.Clone(faults), from, min(from+length, len(faults)))
+			if violates(fewer) {
 				faults = fewer
 			} else {
-				at += part
+				from += length
 			}
 		}
 	}
