--- a/simulation/disk.go
+++ b/simulation/disk.go
@@ -68,16 +68,16 @@
 }
 
 // saveToDisk has a member's disk take a batch, which costs time and may end in a crash, before the sync or after it.
-func (w *World) saveToDisk(m *member, b raftlog.Batch) error {
+func (w *world) saveToDisk(m *member, b raftlog.Batch) error {
 	if w.setup.MaxSyncDelay > 0 {
-		m.busyUntil = w.now + w.random.IntN(w.setup.MaxSyncDelay+1)
+		m.busyUntil = w.now + w.rng.IntN(w.setup.MaxSyncDelay+1)
 		if m.slowDisk {
 			m.busyUntil += w.setup.Timing.ElectionTicks / 2
 		}
 	}
 	switch {
-	case w.now < w.calmFrom && w.setup.FaultEvery > 0 && w.random.IntN(crashAtSave*w.setup.FaultEvery) == 0:
-		if w.random.IntN(2) == 0 {
+	case w.now < w.faultFreeFrom && w.setup.FaultEvery > 0 && w.rng.IntN(crashAtSave*w.setup.FaultEvery) == 0:
+		if w.rng.IntN(2) == 0 {
 			m.disk.write(b) // the crash comes after the sync
 		}
 		return errCrashedAtSave
--- a/simulation/faults.go
+++ b/simulation/faults.go
@@ -60,15 +60,15 @@
 }
 
 // startFault has a fault begin, and schedules its end.
-func (w *World) startFault(f Fault) {
+func (w *world) startFault(f Fault) {
 	m := w.members[f.Member-1]
-	w.record("%s %d %v", f.Kind, f.Member, f.Side)
+	w.trace("%s %d %v", f.Kind, f.Member, f.Side)
 	switch f.Kind {
 	case Crash:
 		w.crashMember(m)
 		w.restartAfter(f.For, m)
 	case Cut, CutOne:
-		w.cutSide(f)
+		w.cutGroupOf(f)
 	case Stall:
 		m.busyUntil = w.now + f.For
 	case SlowIO:
@@ -76,7 +76,7 @@
 		w.schedule(f.For, func() { m.slowDisk = false })
 	case TransferLeader:
 		if m.up {
-			m.TransferLeadership(1 + uint64(w.random.IntN(w.setup.Members)))
+			m.TransferLeadership(1 + uint64(w.rng.IntN(w.setup.Members)))
 		}
 	case Replace:
 		w.changeMembers(cluster.MembershipChange{Remove: []uint64{f.Member}}, maxRemoveAttempts)
@@ -84,8 +84,8 @@
 	}
 }
 
-// cutSide cuts the links that leave a side, and those that come to it unless only one way is cut.
-func (w *World) cutSide(f Fault) {
+// cutGroupOf cuts the links that leave a side, and those that come to it unless only one way is cut.
+func (w *world) cutGroupOf(f Fault) {
 	for _, inside := range w.members {
 		for _, outside := range w.members {
 			if !slices.Contains(f.Side, inside.id) || slices.Contains(f.Side, outside.id) {
@@ -101,7 +101,7 @@
 
 // changeMembers has whoever leads change the members. An addition is tried again until it is in force or ticks have
 // passed. A member that was removed goes on with its old log.
-func (w *World) changeMembers(c cluster.MembershipChange, ticks int) {
+func (w *world) changeMembers(c cluster.MembershipChange, ticks int) {
 	for _, m := range w.members {
 		if m.up && m.IsLeader() && (len(c.Remove) == 0 || len(m.Status().Voters) == w.setup.Members) {
 			m.ChangeMembers(c)
@@ -115,7 +115,7 @@
 }
 
 // retryAddition tries an addition again if some leader does not have it.
-func (w *World) retryAddition(c cluster.MembershipChange, ticks int) {
+func (w *world) retryAddition(c cluster.MembershipChange, ticks int) {
 	for _, m := range w.members {
 		if m.up && m.IsLeader() && !slices.Contains(m.Status().Voters, c.Add[0]) {
 			w.changeMembers(c, ticks)
--- a/simulation/followers/check.go
+++ b/simulation/followers/check.go
@@ -27,42 +27,42 @@
 
 // checker watches a run from outside of the machines.
 type checker struct {
-	world    *world
-	contents map[scopedRevision]uint64 // what was accepted first
-	print    hash.Hash64
+	world         *world
+	firstContents map[scopedRevision]uint64 // what was accepted first
+	digest        hash.Hash64
 }
 
 func newChecker(w *world) *checker {
-	return &checker{world: w, contents: map[scopedRevision]uint64{}, print: fnv.New64a()}
+	return &checker{world: w, firstContents: map[scopedRevision]uint64{}, digest: fnv.New64a()}
 }
 
-func (c *checker) violate(kind ViolationKind, format string, values ...any) {
-	out := &c.world.out
+func (c *checker) report(kind ViolationKind, format string, values ...any) {
+	out := &c.world.outcome
 	out.Violations = append(out.Violations, Violation{kind, c.world.clock.elapsed, fmt.Sprintf(format, values...)})
 }
 
-// accepted looks at what a node holds after it accepted a revision.
-func (c *checker) accepted(n *node) {
-	c.world.out.Accepted++
+// checkAccepted looks at what a node holds after it accepted a revision.
+func (c *checker) checkAccepted(n *follower) {
+	c.world.outcome.Accepted++
 	revision, received := n.machine.Revision(), n.machine.Records()
 	switch {
-	case revision < n.highest:
-		c.violate(BrokenOrder, "%s accepted %d after %d", n, revision, n.highest)
-	case revision == n.highest:
-		c.violate(BrokenAgain, "%s accepted %d again", n, revision)
+	case revision < n.highestRevision:
+		c.report(BrokenOrder, "%s accepted %d after %d", n, revision, n.highestRevision)
+	case revision == n.highestRevision:
+		c.report(BrokenAgain, "%s accepted %d again", n, revision)
 	}
-	n.highest = max(n.highest, revision)
+	n.highestRevision = max(n.highestRevision, revision)
 	contents := fingerprint(n.machine.RoutingRevision(), received)
 	at := scopedRevision{fmt.Sprint(n.scope), revision}
-	if first, seen := c.contents[at]; seen && first != contents {
-		c.violate(BrokenTwice, "%s accepted revision %d with other contents than another follower", n, revision)
+	if first, seen := c.firstContents[at]; seen && first != contents {
+		c.report(BrokenTwice, "%s accepted revision %d with other contents than another follower", n, revision)
 	} else if !seen {
-		c.contents[at] = contents
+		c.firstContents[at] = contents
 	}
 	if want := c.world.log.scopeAt(revision, n.scope); !sameRecords(want, received) {
-		c.violate(BrokenContents, "%s at revision %d holds %d records, %d in the log", n, revision, len(received), len(want))
+		c.report(BrokenContents, "%s at revision %d holds %d records, %d in the log", n, revision, len(received), len(want))
 	}
-	fmt.Fprintln(c.print, c.world.clock.elapsed, n.name, revision, contents)
+	fmt.Fprintln(c.digest, c.world.clock.elapsed, n.name, revision, contents)
 }
 
 func sameRecords(a, b map[records.Key]*records.Record) bool {
@@ -86,15 +86,15 @@
 	return sum.Sum64()
 }
 
-// sent looks at what a message costs, by what the log says of the scope between the two revisions.
-func (c *checker) sent(one *session, response *discoveryv3.DeltaDiscoveryResponse) {
+// checkSent looks at what a message costs, by what the log says of the scope between the two revisions.
+func (c *checker) checkSent(one *session, response *discoveryv3.DeltaDiscoveryResponse) {
 	size := proto.Size(response)
 	content := configsync.ContentOf(response)
 	named := content.Records
 	if named == 0 && !content.FullScope {
-		c.world.out.Progress++
+		c.world.outcome.Progress++
 		if size > maxProgressBytes {
-			c.violate(BrokenCost, "%d bytes of progress", size)
+			c.report(BrokenCost, "%d bytes of progress", size)
 		}
 		return
 	}
@@ -107,31 +107,31 @@
 		return
 	}
 	if content.FullScope {
-		c.sentFullScope(one, accepted)
+		c.checkFullScopeSent(one, accepted)
 		return
 	}
-	c.world.out.Changes++
+	c.world.outcome.Changes++
 	scope := one.follower.scope
-	changed := differing(c.world.log.scopeAt(accepted, scope), c.world.log.scopeAt(revision, scope))
+	changed := changedRecords(c.world.log.scopeAt(accepted, scope), c.world.log.scopeAt(revision, scope))
 	allowed := maxProgressBytes
 	for _, record := range changed {
 		allowed += len(record.Name) + len(record.Body) + maxRecordOverhead
 	}
 	if named > len(changed) || size > allowed {
-		c.violate(BrokenCost, "%s from %d to %d: %d records in %d bytes, %d changed in the scope", one.follower, accepted, revision, named, size, len(changed))
+		c.report(BrokenCost, "%s from %d to %d: %d records in %d bytes, %d changed in the scope", one.follower, accepted, revision, named, size, len(changed))
 	}
 }
 
-// sentFullScope looks whether the member still knew the changes since the revision held.
-func (c *checker) sentFullScope(one *session, accepted uint64) {
-	c.world.out.FullScopes++
-	if accepted > 0 && accepted >= one.member.floor {
-		c.violate(BrokenCost, "%s at %d got its scope whole, the member knows the changes since %d", one.follower, accepted, one.member.floor)
+// checkFullScopeSent looks whether the member still knew the changes since the revision held.
+func (c *checker) checkFullScopeSent(one *session, accepted uint64) {
+	c.world.outcome.FullScopes++
+	if accepted > 0 && accepted >= one.member.historyFrom {
+		c.report(BrokenCost, "%s at %d got its scope whole, the member knows the changes since %d", one.follower, accepted, one.member.historyFrom)
 	}
 }
 
-// convergence asks all members at one moment, as an operator does, and compares what they claim with what followers hold.
-func (c *checker) convergence() {
+// checkConvergence asks all members at one moment, as an operator does, and compares what they claim with what followers hold.
+func (c *checker) checkConvergence() {
 	now := c.world.clock.now()
 	var statuses []configsync.MemberStatus
 	for _, one := range c.world.members {
@@ -143,18 +143,18 @@
 	if !force.Known {
 		return
 	}
-	c.world.out.Claims++
-	for _, n := range c.world.nodes {
-		if n.away {
+	c.world.outcome.Claims++
+	for _, n := range c.world.followers {
+		if n.absent {
 			continue
 		}
 		if n.machine.Stale(now) {
-			c.world.out.Stale++
+			c.world.outcome.Stale++
 			continue
 		}
-		c.world.out.LiveAtClaims++
+		c.world.outcome.LiveAtClaims++
 		if n.machine.Revision() < force.ConvergedRevision {
-			c.violate(BrokenConvergence, "%s holds %d with a live lease, %d is told to be in force", n, n.machine.Revision(), force.ConvergedRevision)
+			c.report(BrokenConvergence, "%s holds %d with a live lease, %d is told to be in force", n, n.machine.Revision(), force.ConvergedRevision)
 		}
 	}
 }
@@ -173,12 +173,12 @@
 // crowdSize is how many followers that wait for their whole scope are called a crowd.
 const crowdSize = 5
 
-// committed looks at those in step some time after a commit, whether they have it.
-func (c *checker) committed(before, revision uint64) {
-	var inStep []*node
+// scheduleDelayCheck looks at those in step some time after a commit, whether they have it.
+func (c *checker) scheduleDelayCheck(before, revision uint64) {
+	var inStep []*follower
 	crowd := 0
-	for _, n := range c.world.nodes {
-		if n.inStep(before) && n.session.healthy() && !n.refuses {
+	for _, n := range c.world.followers {
+		if n.inStep(before) && n.session.healthy() && !n.rejecting {
 			inStep = append(inStep, n)
 		}
 		if n.session != nil && n.machine.Revision() == 0 {
@@ -187,30 +187,30 @@
 	}
 	committed := c.world.clock.elapsed
 	for _, n := range inStep {
-		process, one := n.process, n.session
+		process, one := n.incarnation, n.session
 		c.world.clock.after(maxInStepDelay, func() {
-			if n.process != process || n.session != one || n.troubled >= committed || one.member.troubled >= committed || !one.healthy() {
+			if n.incarnation != process || n.session != one || n.disturbedAt >= committed || one.member.disturbedAt >= committed || !one.healthy() {
 				return // something happened to it meanwhile
 			}
-			c.world.out.InStepChecked++
+			c.world.outcome.InStepChecked++
 			if crowd >= crowdSize {
-				c.world.out.InStepBesideCrowd++
+				c.world.outcome.InStepBesideCrowd++
 			}
 			if n.machine.Revision() < revision {
-				c.violate(BrokenDelay, "%s holds %d, %v after the commit of %d", n, n.machine.Revision(), c.world.clock.elapsed-committed, revision)
+				c.report(BrokenDelay, "%s holds %d, %v after the commit of %d", n, n.machine.Revision(), c.world.clock.elapsed-committed, revision)
 			}
 		})
 	}
 }
 
-// recovered says who is not in step at the end.
-func (c *checker) recovered() {
-	for _, n := range c.world.nodes {
+// checkRecovered says who is not in step at the end.
+func (c *checker) checkRecovered() {
+	for _, n := range c.world.followers {
 		if !n.inStep(c.world.log.last) {
-			c.violate(BrokenRecovery, "%s holds %d of %d, connected %v", n, n.machine.Revision(), c.world.log.last, n.session != nil)
+			c.report(BrokenRecovery, "%s holds %d of %d, connected %v", n, n.machine.Revision(), c.world.log.last, n.session != nil)
 		}
 	}
-	if len(c.world.out.Violations) > 0 {
+	if len(c.world.outcome.Violations) > 0 {
 		return
 	}
 	now := c.world.clock.now()
@@ -219,7 +219,7 @@
 		statuses = append(statuses, one.server.Status(now))
 	}
 	force := configsync.Merge(statuses, c.world.memberNames())
-	if !force.Known || force.ConvergedRevision != c.world.log.last || force.Live != len(c.world.nodes) {
-		c.violate(BrokenRecovery, "in force %d of %d, known %v, live %d of %d", force.ConvergedRevision, c.world.log.last, force.Known, force.Live, len(c.world.nodes))
+	if !force.Known || force.ConvergedRevision != c.world.log.last || force.Live != len(c.world.followers) {
+		c.report(BrokenRecovery, "in force %d of %d, known %v, live %d of %d", force.ConvergedRevision, c.world.log.last, force.Known, force.Live, len(c.world.followers))
 	}
 }
--- a/simulation/followers/log.go
+++ b/simulation/followers/log.go
@@ -88,7 +88,7 @@
 
 func (l *agreedLog) writeService(n int) records.Write {
 	spec := records.ServiceSpec{Zones: []string{l.zone(), l.zone()}}
-	return write(records.KindService, fmt.Sprintf("s%d", n), spec)
+	return newWrite(records.KindService, fmt.Sprintf("s%d", n), spec)
 }
 
 func (l *agreedLog) writeRoute(n int) records.Write {
@@ -97,23 +97,23 @@
 		service = ""
 	}
 	spec := records.RouteSpec{Service: service, Prefix: fmt.Sprintf("/r%d", n), TimeLimitMS: float64(1 + l.random.IntN(5000))}
-	return write(records.KindRoute, fmt.Sprintf("r%d", n), spec)
+	return newWrite(records.KindRoute, fmt.Sprintf("r%d", n), spec)
 }
 
 func (l *agreedLog) writeTenant(n int) records.Write {
 	spec := records.TenantSpec{Service: l.service(), Share: float64(1+l.random.IntN(9)) / 1000}
-	return write(records.KindTenant, fmt.Sprintf("t%d", n), spec)
+	return newWrite(records.KindTenant, fmt.Sprintf("t%d", n), spec)
 }
 
 func (l *agreedLog) writeOverride(n int) records.Write {
 	spec := records.OverrideSpec{Service: l.service(), Zone: l.zone(), State: records.StateDraining}
-	return write(records.KindOverride, fmt.Sprintf("o%d", n), spec)
+	return newWrite(records.KindOverride, fmt.Sprintf("o%d", n), spec)
 }
 
 func (l *agreedLog) service() string { return fmt.Sprintf("s%d", l.random.IntN(serviceCount)) }
 func (l *agreedLog) zone() string    { return fmt.Sprintf("z%d", l.random.IntN(zoneCount)) }
 
-func write(kind records.Kind, name string, spec any) records.Write {
+func newWrite(kind records.Kind, name string, spec any) records.Write {
 	body, err := json.Marshal(spec)
 	if err != nil {
 		panic(err) // specs are plain structs
@@ -163,9 +163,9 @@
 	return received
 }
 
-// differing are the records that a scope holds differently at two revisions: as they are later, or were before they
+// changedRecords are the records that a scope holds differently at two revisions: as they are later, or were before they
 // were removed.
-func differing(before, after map[records.Key]*records.Record) (found []*records.Record) {
+func changedRecords(before, after map[records.Key]*records.Record) (found []*records.Record) {
 	for key, record := range after {
 		if before[key] != record {
 			found = append(found, record)
--- a/simulation/followers/member.go
+++ b/simulation/followers/member.go
@@ -11,16 +11,16 @@
 
 // member is a member of the group: its records, which a crash leaves, and its part in telling followers.
 type member struct {
-	world    *world
-	name     string
-	store    *records.Store
-	applied  int // entries of the log
-	floor    uint64
-	server   *configsync.Server // nil while it is down
-	sessions []*session
-	cut      bool          // no message passes between it and any follower
-	lagging  bool          // it gets no entries
-	troubled time.Duration // when it was last disturbed
+	world       *world
+	name        string
+	store       *records.Store
+	applied     int // entries of the log
+	historyFrom uint64
+	server      *configsync.Server // nil while it is down
+	sessions    []*session
+	partitioned bool          // no message passes between it and any follower
+	lagging     bool          // it gets no entries
+	disturbedAt time.Duration // when it was last disturbed
 }
 
 // start begins to serve, as after a crash.
@@ -29,16 +29,16 @@
 	m.catchUp(len(m.world.log.entries))
 }
 
-func (m *member) disturbed() { m.troubled = m.world.clock.elapsed }
+func (m *member) markDisturbed() { m.disturbedAt = m.world.clock.elapsed }
 
 // crash ends its process. The followers' connections are reset, or, if the machine is lost with it, go silent.
 func (m *member) crash(silent bool) {
-	m.disturbed()
+	m.markDisturbed()
 	m.server = nil
 	for _, one := range m.sessions {
-		one.atMember = false
+		one.openAtMember = false
 		one.toFollower.broken = one.toFollower.broken || silent
-		one.toFollower.send(func() { one.follower.lost(one) })
+		one.toFollower.send(func() { one.follower.connectionLost(one) })
 	}
 	m.sessions = nil
 }
@@ -56,7 +56,7 @@
 		}
 		m.server.Committed(m.world.clock.now(), change)
 	}
-	m.pumpAll()
+	m.sendAll()
 }
 
 // takeSnapshot brings a member that was far behind up to date with another one's records in place of entries.
@@ -67,21 +67,21 @@
 	if err := m.store.Restore(from.store.Snapshot()); err != nil {
 		panic(fmt.Sprintf("%s can't restore a snapshot: %v", m.name, err))
 	}
-	m.applied, m.floor = from.applied, from.floor
+	m.applied, m.historyFrom = from.applied, from.historyFrom
 	m.server.Committed(m.world.clock.now(), records.Change{Revision: m.store.Revision(), Reset: true})
-	m.pumpAll()
+	m.sendAll()
 }
 
-// forget drops its history, as hours of changes would.
-func (m *member) forget() {
-	m.disturbed()
+// dropHistory drops its history, as hours of changes would.
+func (m *member) dropHistory() {
+	m.markDisturbed()
 	m.store.Forget()
-	m.floor = m.store.Revision()
+	m.historyFrom = m.store.Revision()
 }
 
-func (m *member) pumpAll() {
+func (m *member) sendAll() {
 	for _, one := range slices.Clone(m.sessions) { // one that ends leaves the list
-		one.pump()
+		one.sendPending()
 	}
 }
 
@@ -91,7 +91,7 @@
 	if err != nil {
 		return false
 	}
-	one.server, one.stream, one.atMember = m.server, stream, true
+	one.server, one.stream, one.openAtMember = m.server, stream, true
 	m.sessions = append(m.sessions, one)
 	return true
 }
--- a/simulation/followers/session.go
+++ b/simulation/followers/session.go
@@ -18,7 +18,7 @@
 
 func (d *direction) send(arrive func()) {
 	world := d.session.member.world
-	if d.session.member.cut {
+	if d.session.member.partitioned {
 		d.broken = true
 	}
 	if d.broken {
@@ -34,17 +34,17 @@
 
 // session is a connection of a follower to a member.
 type session struct {
-	follower   *node
-	member     *member
-	server     *configsync.Server // of the member's process that it is a connection to
-	stream     *configsync.Stream
-	atMember   bool // the member takes it for open
-	toMember   direction
-	toFollower direction
-	pumpAt     time.Duration // when the member looks after it next; 0: not planned
+	follower     *follower
+	member       *member
+	server       *configsync.Server // of the member's process that it is a connection to
+	stream       *configsync.Stream
+	openAtMember bool // the member takes it for open
+	toMember     direction
+	toFollower   direction
+	nextSendAt   time.Duration // when the member looks after it next; 0: not planned
 }
 
-func newSession(follower *node, to *member) *session {
+func newSession(follower *follower, to *member) *session {
 	one := &session{follower: follower, member: to}
 	one.toMember.session, one.toFollower.session = one, one
 	return one
@@ -53,75 +53,75 @@
 // request is one of the follower's on its way.
 func (s *session) request(message *discoveryv3.DeltaDiscoveryRequest) {
 	s.toMember.send(func() {
-		if !s.atMember {
+		if !s.openAtMember {
 			return
 		}
 		if err := s.server.Receive(s.member.world.clock.now(), s.stream, message); err != nil {
 			s.endAtMember()
 			return
 		}
-		s.pump()
+		s.sendPending()
 	})
 }
 
-// pump sends what the member has to say.
-func (s *session) pump() {
+// sendPending sends what the member has to say.
+func (s *session) sendPending() {
 	world := s.member.world
-	for s.atMember {
+	for s.openAtMember {
 		response, wait, err := s.stream.Send(world.clock.now())
 		if err != nil {
 			s.endAtMember()
 			return
 		}
 		if response == nil {
-			s.pumpAfter(wait)
+			s.sendPendingAfter(wait)
 			return
 		}
 		spoil(world.setup.Planted, response)
-		world.check.sent(s, response)
+		world.checker.checkSent(s, response)
 		deliver := func() { s.follower.receive(s, response) }
 		if world.setup.Planted == PlantedSlowChanges && response.GetNonce() != "" {
-			world.clock.after(slowChange, func() { s.toFollower.send(deliver) })
+			world.clock.after(slowChangeDelay, func() { s.toFollower.send(deliver) })
 			continue
 		}
 		s.toFollower.send(deliver)
 	}
 }
 
-// pumpAfter plans the next look, unless an earlier one is planned.
-func (s *session) pumpAfter(wait time.Duration) {
+// sendPendingAfter plans the next look, unless an earlier one is planned.
+func (s *session) sendPendingAfter(wait time.Duration) {
 	clock := &s.member.world.clock
 	at := clock.elapsed + max(wait, time.Millisecond)
-	if s.pumpAt > clock.elapsed && s.pumpAt <= at {
+	if s.nextSendAt > clock.elapsed && s.nextSendAt <= at {
 		return
 	}
-	s.pumpAt = at
+	s.nextSendAt = at
 	clock.schedule(at, func() {
-		if s.pumpAt == at {
-			s.pumpAt = 0
-			s.pump()
+		if s.nextSendAt == at {
+			s.nextSendAt = 0
+			s.sendPending()
 		}
 	})
 }
 
 // endAtMember closes the member's end; the follower learns of it if the network lets it.
 func (s *session) endAtMember() {
-	if !s.atMember {
+	if !s.openAtMember {
 		return
 	}
-	s.atMember = false
+	s.openAtMember = false
 	s.server.Close(s.stream)
 	s.member.sessions = slices.DeleteFunc(s.member.sessions, func(other *session) bool { return other == s })
-	s.toFollower.send(func() { s.follower.lost(s) })
+	s.toFollower.send(func() { s.follower.connectionLost(s) })
 }
 
 // healthy tells whether nothing stands in the way of a change to the follower.
 func (s *session) healthy() bool {
-	return !s.toMember.broken && !s.toFollower.broken && !s.member.cut && !s.member.lagging
+	return !s.toMember.broken && !s.toFollower.broken && !s.member.partitioned && !s.member.lagging
 }
 
-// slowChange is how long the planted fault has a member wait before it tells of a change.
-const slowChange = 600 * time.Millisecond
+// slowChangeDelay is how long the planted fault has a member wait before it tells of a change.
+const slowChangeDelay = 600 * time.Millisecond
 
 // spoil adds a record to what tells of a revision only, as the planted fault has it.
 func spoil(planted Planted, response *discoveryv3.DeltaDiscoveryResponse) {
--- a/simulation/followers/world.go
+++ b/simulation/followers/world.go
@@ -14,43 +14,43 @@
 
 // world is a run.
 type world struct {
-	setup   Setup
-	random  *rand.Rand
-	clock   clock
-	log     *agreedLog
-	members []*member
-	nodes   []*node
-	check   *checker
-	out     Outcome
+	setup     Setup
+	rng       *rand.Rand
+	clock     clock
+	log       *agreedLog
+	members   []*member
+	followers []*follower
+	checker   *checker
+	outcome   Outcome
 }
 
 // Play plays one run.
 func Play(setup Setup) Outcome {
-	w := &world{setup: setup, random: rand.New(rand.NewPCG(setup.Seed, 29))}
-	w.log = newAgreedLog(w.random)
-	w.check = newChecker(w)
+	w := &world{setup: setup, rng: rand.New(rand.NewPCG(setup.Seed, 29))}
+	w.log = newAgreedLog(w.rng)
+	w.checker = newChecker(w)
 	for n := range setup.Members {
 		one := &member{world: w, name: fmt.Sprintf("m%d", n), store: records.NewStore()}
 		w.members = append(w.members, one)
 		one.start()
 	}
 	for n := range setup.Followers {
-		one := &node{world: w, name: fmt.Sprintf("f%02d", n), scope: w.drawScope()}
-		w.nodes = append(w.nodes, one)
+		one := &follower{world: w, name: fmt.Sprintf("f%02d", n), scope: w.drawScope()}
+		w.followers = append(w.followers, one)
 		one.start()
 	}
 	w.every(setup.CommitEvery, w.commit)
-	w.every(setup.FaultEvery, w.inject)
-	w.checkConvergence()
-	w.clock.runUntil(setup.Active, w.broken)
-	if !w.broken() {
+	w.every(setup.FaultEvery, w.injectFault)
+	w.scheduleConvergenceChecks()
+	w.clock.runUntil(setup.Active, w.violated)
+	if !w.violated() {
 		w.runCalm()
 	}
-	w.out.Fingerprint = w.check.print.Sum64()
-	return w.out
+	w.outcome.Fingerprint = w.checker.digest.Sum64()
+	return w.outcome
 }
 
-func (w *world) broken() bool { return len(w.out.Violations) >= maxViolations }
+func (w *world) violated() bool { return len(w.outcome.Violations) >= maxViolations }
 
 // every does something again and again, at random times, while the run is active.
 func (w *world) every(mean time.Duration, do func()) {
@@ -68,18 +68,18 @@
 	if !w.log.propose() {
 		return
 	}
-	w.out.Commits++
-	w.check.committed(before, w.log.last)
+	w.outcome.Commits++
+	w.checker.scheduleDelayCheck(before, w.log.last)
 	place := len(w.log.entries)
 	for _, m := range w.members {
 		w.clock.after(w.drawUpTo(maxReplication), func() { m.catchUp(place) })
 	}
 }
 
-func (w *world) checkConvergence() {
+func (w *world) scheduleConvergenceChecks() {
 	w.clock.after(convergenceCheckInterval, func() {
-		w.check.convergence()
-		w.checkConvergence()
+		w.checker.checkConvergence()
+		w.scheduleConvergenceChecks()
 	})
 }
 
@@ -87,20 +87,20 @@
 func (w *world) runCalm() {
 	const step = 100 * time.Millisecond
 	end := w.setup.Active + w.setup.FaultFree
-	for w.clock.elapsed < end && !w.broken() {
-		w.clock.runUntil(w.clock.elapsed+step, w.broken)
+	for w.clock.elapsed < end && !w.violated() {
+		w.clock.runUntil(w.clock.elapsed+step, w.violated)
 		w.clock.elapsed = min(end, w.clock.elapsed/step*step+step)
-		if w.out.Settled == 0 && w.allInStep() {
-			w.out.Settled = w.clock.elapsed - w.setup.Active
+		if w.outcome.Settled == 0 && w.allInStep() {
+			w.outcome.Settled = w.clock.elapsed - w.setup.Active
 		}
 	}
-	if !w.broken() {
-		w.check.recovered()
+	if !w.violated() {
+		w.checker.checkRecovered()
 	}
 }
 
 func (w *world) allInStep() bool {
-	return !slices.ContainsFunc(w.nodes, func(n *node) bool { return !n.inStep(w.log.last) })
+	return !slices.ContainsFunc(w.followers, func(n *follower) bool { return !n.inStep(w.log.last) })
 }
 
 func (w *world) memberNames() (names []string) {
@@ -117,5 +117,5 @@
 func (w *world) delay() time.Duration { return minDelay + w.drawUpTo(maxDelay-minDelay) }
 
 func (w *world) drawUpTo(limit time.Duration) time.Duration {
-	return time.Duration(w.random.Int64N(int64(limit)))
+	return time.Duration(w.rng.Int64N(int64(limit)))
 }
--- a/simulation/member.go
+++ b/simulation/member.go
@@ -16,23 +16,23 @@
 	up               bool
 	busyUntil        int // until when the disk or a stall holds it
 	slowDisk         bool
-	starts           uint64
+	incarnation      uint64
 	pendingReads     map[uint64]func(number uint64, ok bool) // reads under way
 	pendingProposals map[string]*proposal
 	uncommitted      cluster.Version // planted: told before it is agreed
 }
 
-// isRunning says whether a member's process is up and not held by its disk or a stall.
-func (w *World) isRunning(m *member) bool { return m.up && w.now >= m.busyUntil }
+// isResponsive says whether a member's process is up and not held by its disk or a stall.
+func (w *world) isResponsive(m *member) bool { return m.up && w.now >= m.busyUntil }
 
 // startMember begins a member's process with what its disk has.
-func (w *World) startMember(m *member) {
-	m.starts++
+func (w *world) startMember(m *member) {
+	m.incarnation++
 	var voters []uint64
 	for id := range uint64(w.setup.Members) {
 		voters = append(voters, id+1)
 	}
-	seed := w.setup.Seed*1000 + m.id*100 + m.starts
+	seed := w.setup.Seed*1000 + m.id*100 + m.incarnation
 	started, first, err := cluster.Start(m.id, m.disk.load(), voters, cluster.NewState(plainText{}), w.setup.Timing, seed)
 	if err != nil {
 		w.addViolation("member %d does not start: %v", m.id, err)
@@ -41,15 +41,15 @@
 	m.disk.write(first)
 	m.Member, m.up, m.busyUntil = started, true, 0
 	m.pendingReads, m.pendingProposals = map[uint64]func(uint64, bool){}, map[string]*proposal{}
-	w.record("start %d", m.id)
+	w.trace("start %d", m.id)
 }
 
 // crashMember ends a member's process. What was not synced is lost, and so are the answers to its reads.
-func (w *World) crashMember(m *member) {
+func (w *world) crashMember(m *member) {
 	if !m.up {
 		return
 	}
-	w.record("crash %d", m.id)
+	w.trace("crash %d", m.id)
 	m.up, m.disk.unsynced, m.uncommitted = false, nil, cluster.Version{}
 	for _, answer := range m.pendingReads {
 		answer(0, false)
@@ -58,7 +58,7 @@
 }
 
 // restartAfter starts a member that has crashed some ticks from now, unless it is up by then.
-func (w *World) restartAfter(ticks int, m *member) {
+func (w *world) restartAfter(ticks int, m *member) {
 	w.schedule(ticks, func() {
 		if !m.up {
 			w.startMember(m)
@@ -67,11 +67,11 @@
 }
 
 // advance has a member act and carries what it sends.
-func (w *World) advance(m *member) {
+func (w *world) advance(m *member) {
 	messages, applied, reads, err := m.Advance(func(b raftlog.Batch) error { return w.saveToDisk(m, b) })
 	if err != nil {
 		w.crashMember(m)
-		w.restartAfter(1+w.random.IntN(4*w.setup.Timing.ElectionTicks), m)
+		w.restartAfter(1+w.rng.IntN(4*w.setup.Timing.ElectionTicks), m)
 		return
 	}
 	for _, message := range messages {
@@ -86,7 +86,7 @@
 			answer(m.State.Current().Number, true)
 		}
 	}
-	w.checkLeader(m)
+	w.checkOneLeaderPerTerm(m)
 	if !m.Registered() && m.Leader() != 0 && w.now%registerEvery == int(m.id) {
 		m.Propose(m.RegisterCommand())
 	}
--- a/simulation/network.go
+++ b/simulation/network.go
@@ -9,19 +9,19 @@
 type link struct{ from, to uint64 }
 
 // cutLink has no message pass over a link for some ticks.
-func (w *World) cutLink(from, to uint64, ticks int) {
+func (w *world) cutLink(from, to uint64, ticks int) {
 	l := link{from, to}
 	w.cutUntil[l] = max(w.cutUntil[l], w.now+ticks)
 }
 
 // send puts a message on its way: it is lost, or arrives once or twice after a delay.
-func (w *World) send(from *member, message *raftpb.Message) {
+func (w *world) send(from *member, message *raftpb.Message) {
 	to := message.GetTo()
-	if to == 0 || to > uint64(len(w.members)) || w.now < w.cutUntil[link{from.id, to}] || w.random.Float64() < w.setup.Loss {
+	if to == 0 || to > uint64(len(w.members)) || w.now < w.cutUntil[link{from.id, to}] || w.rng.Float64() < w.setup.Loss {
 		return
 	}
 	copies := 1
-	if w.random.Float64() < w.setup.Duplication {
+	if w.rng.Float64() < w.setup.Duplication {
 		copies = 2
 	}
 	sent := delivery{
@@ -31,7 +31,7 @@
 		message:  proto.CloneOf(message),
 	}
 	for range copies {
-		delay := 1 + w.setup.MinDelay + w.random.IntN(w.setup.MaxDelay-w.setup.MinDelay+1)
+		delay := 1 + w.setup.MinDelay + w.rng.IntN(w.setup.MaxDelay-w.setup.MinDelay+1)
 		w.schedule(delay, func() { w.deliver(sent) })
 	}
 }
@@ -45,7 +45,7 @@
 }
 
 // deliver has a message arrive: a member that is held takes it later, one that is down never.
-func (w *World) deliver(d delivery) {
+func (w *world) deliver(d delivery) {
 	if !d.to.up {
 		return
 	}
@@ -57,11 +57,11 @@
 }
 
 // receive has a member take a message and act on it.
-func (w *World) receive(d delivery) {
+func (w *world) receive(d delivery) {
 	if !d.to.up {
 		return
 	}
-	w.record("%s %d %d", d.message.GetType(), d.message.GetFrom(), d.to.id)
+	w.trace("%s %d %d", d.message.GetType(), d.message.GetFrom(), d.to.id)
 	d.to.Step(d.identity, d.known, proto.CloneOf(d.message))
 	w.advance(d.to)
 }
--- a/simulation/operator.go
+++ b/simulation/operator.go
@@ -15,14 +15,14 @@
 
 // proposal is a change of configuration that an operator waits for.
 type proposal struct {
-	command cluster.Command
-	at      int
-	op      int // its place in the history
-	tries   int
+	command    cluster.Command
+	proposedAt int
+	operation  int // its place in the history
+	attempts   int
 }
 
 // runOperator has one operator propose changes and read, through any member; what gets no answer is asked again elsewhere.
-func (w *World) runOperator() {
+func (w *world) runOperator() {
 	every := w.setup.ProposeEvery
 	if every == 0 || w.now < 2*w.setup.Timing.ElectionTicks {
 		return
@@ -30,8 +30,8 @@
 	if w.now%every == 0 && w.pendingProposal == nil {
 		w.propose()
 	}
-	if p := w.pendingProposal; p != nil && (w.now-p.at)%(2*w.setup.Timing.ElectionTicks) == 0 && w.now > p.at {
-		if p.tries++; p.tries > maxProposeAttempts {
+	if p := w.pendingProposal; p != nil && (w.now-p.proposedAt)%(2*w.setup.Timing.ElectionTicks) == 0 && w.now > p.proposedAt {
+		if p.attempts++; p.attempts > maxProposeAttempts {
 			w.outcome.Unknown++
 			w.pendingProposal = nil // the operator gives up and does not know
 			return
@@ -44,10 +44,10 @@
 }
 
 // propose begins a proposal on the newest version, or on the one before.
-func (w *World) propose() {
+func (w *world) propose() {
 	w.clientCount++
 	base := w.newestVersion()
-	if w.random.IntN(staleBase) == 0 && base > 0 {
+	if w.rng.IntN(staleBase) == 0 && base > 0 {
 		base--
 	}
 	c := cluster.Command{
@@ -58,7 +58,7 @@
 		Text:   fmt.Sprint("text ", w.clientCount),
 		By:     "operator",
 	}
-	w.pendingProposal = &proposal{command: c, at: w.now, op: w.recordCall(input{put: true, base: base})}
+	w.pendingProposal = &proposal{command: c, proposedAt: w.now, operation: w.recordCall(operationInput{isWrite: true, base: base})}
 	w.submit(w.pendingProposal)
 }
 
@@ -66,26 +66,26 @@
 func clientName(client int) string { return fmt.Sprint("operator-", client) }
 
 // recordCall adds an operation of the newest client to the history and returns its place there.
-func (w *World) recordCall(in input) (at int) {
+func (w *world) recordCall(in operationInput) (at int) {
 	w.history = append(w.history, porcupine.Operation{ClientId: w.clientCount, Input: in, Call: int64(2 * w.now), Return: -1})
 	return len(w.history) - 1
 }
 
 // recordAnswer notes what became of an operation.
-func (w *World) recordAnswer(at int, out output) {
+func (w *world) recordAnswer(at int, out operationOutput) {
 	w.history[at].Return = int64(2*w.now + 1)
 	w.history[at].Output = out
 }
 
 // readVersion has an operator read the newest version through any member.
-func (w *World) readVersion() {
-	m := w.members[w.random.IntN(len(w.members))]
-	if !w.isRunning(m) {
+func (w *world) readVersion() {
+	m := w.members[w.rng.IntN(len(w.members))]
+	if !w.isResponsive(m) {
 		return
 	}
 	w.clientCount++
-	at := w.recordCall(input{})
-	answer := func(number uint64, ok bool) { w.recordAnswer(at, output{number: number, ok: ok}) }
+	at := w.recordCall(operationInput{})
+	answer := func(number uint64, ok bool) { w.recordAnswer(at, operationOutput{number: number, ok: ok}) }
 	if w.setup.Planted == StaleRead {
 		answer(m.State.Current().Number, true)
 		return
@@ -100,7 +100,7 @@
 }
 
 // newestVersion is the newest version that any member that is up knows: what an operator sees who looks around.
-func (w *World) newestVersion() (number uint64) {
+func (w *world) newestVersion() (number uint64) {
 	for _, m := range w.members {
 		if m.up {
 			number = max(number, m.State.Current().Number)
@@ -110,9 +110,9 @@
 }
 
 // submit has any member take a proposal.
-func (w *World) submit(p *proposal) {
-	m := w.members[w.random.IntN(len(w.members))]
-	if !w.isRunning(m) {
+func (w *world) submit(p *proposal) {
+	m := w.members[w.rng.IntN(len(w.members))]
+	if !w.isResponsive(m) {
 		return
 	}
 	if m.Propose(p.command) == nil {
@@ -125,15 +125,15 @@
 }
 
 // recordResult ends the proposal that the operator waits for with its result.
-func (w *World) recordResult(p *proposal, r cluster.Result) {
+func (w *world) recordResult(p *proposal, r cluster.Result) {
 	if w.pendingProposal != p {
 		return
 	}
 	w.pendingProposal = nil
-	w.recordAnswer(p.op, output{number: r.Version, ok: r.Rejected == "", known: true})
+	w.recordAnswer(p.operation, operationOutput{number: r.Version, ok: r.Rejected == "", answered: true})
 	if r.Rejected == "" {
 		w.outcome.Agreed++
-		w.outcome.Commit = append(w.outcome.Commit, w.now-p.at)
+		w.outcome.Commit = append(w.outcome.Commit, w.now-p.proposedAt)
 	} else {
 		w.outcome.Rejected++
 	}
--- a/simulation/sidecars.go
+++ b/simulation/sidecars.go
@@ -7,7 +7,7 @@
 
 // updateSidecars has each sidecar look at one member now and then and take what that has published, unless it is older
 // than what it holds.
-func (w *World) updateSidecars() {
+func (w *world) updateSidecars() {
 	for k := range w.sidecars {
 		if (w.now+k)%pollInterval == 0 {
 			w.updateSidecar(k)
@@ -16,9 +16,9 @@
 }
 
 // updateSidecar has a sidecar look at a member.
-func (w *World) updateSidecar(sidecar int) {
+func (w *world) updateSidecar(sidecar int) {
 	m := w.members[(sidecar+w.now/moveInterval)%len(w.members)]
-	if !w.isRunning(m) {
+	if !w.isResponsive(m) {
 		return
 	}
 	v := m.State.Current()
@@ -34,6 +34,6 @@
 	w.textOfVersion[v.Number] = v.Text
 	if v.Number > w.sidecars[sidecar] {
 		w.sidecars[sidecar] = v.Number
-		w.record("sidecar %d holds %d", sidecar, v.Number)
+		w.trace("sidecar %d holds %d", sidecar, v.Number)
 	}
 }
--- a/simulation/world.go
+++ b/simulation/world.go
@@ -14,12 +14,12 @@
 
 const runStream = 11 // of the random numbers that a run draws
 
-// World is a run under way.
-type World struct {
+// world is a run under way.
+type world struct {
 	setup           Setup
 	now             int
 	events          eventqueue.Queue[int] // by tick
-	random          *rand.Rand
+	rng             *rand.Rand
 	members         []*member
 	cutUntil        map[link]int // until when
 	outcome         Outcome
@@ -32,10 +32,10 @@
 	appliedEntry    map[uint64]string         // by index
 	firstResult     map[string]cluster.Result // of each client's proposal, the first time that it was applied
 	sidecars        []uint64                  // the version that each holds
-	agreedAt        map[uint64]int            // by version number; -1 once all sidecars have held it
-	leaderFailedAt  int
+	commitTick      map[uint64]int            // by version number; -1 once all sidecars have held it
+	leaderLostAt    int
 	lastLeader      uint64
-	calmFrom        int
+	faultFreeFrom   int
 }
 
 // Play plays a run.
@@ -59,20 +59,20 @@
 }
 
 // newWorld returns a run in which no member has started.
-func newWorld(set Setup) *World {
-	w := &World{
-		setup:          set,
-		random:         rand.New(rand.NewPCG(set.Seed, runStream)),
-		cutUntil:       map[link]int{},
-		outcome:        Outcome{Settled: -1},
-		textOfVersion:  map[uint64]string{},
-		leaderOfTerm:   map[uint64]uint64{},
-		appliedEntry:   map[uint64]string{},
-		firstResult:    map[string]cluster.Result{},
-		sidecars:       make([]uint64, set.Sidecars),
-		agreedAt:       map[uint64]int{},
-		leaderFailedAt: -1,
-		calmFrom:       set.Ticks - set.FaultFreeTicks,
+func newWorld(set Setup) *world {
+	w := &world{
+		setup:         set,
+		rng:           rand.New(rand.NewPCG(set.Seed, runStream)),
+		cutUntil:      map[link]int{},
+		outcome:       Outcome{Settled: -1},
+		textOfVersion: map[uint64]string{},
+		leaderOfTerm:  map[uint64]uint64{},
+		appliedEntry:  map[uint64]string{},
+		firstResult:   map[string]cluster.Result{},
+		sidecars:      make([]uint64, set.Sidecars),
+		commitTick:    map[uint64]int{},
+		leaderLostAt:  -1,
+		faultFreeFrom: set.Ticks - set.FaultFreeTicks,
 	}
 	for id := range uint64(set.Members) {
 		w.members = append(w.members, &member{id: id + 1, disk: newDisk(id + 1)})
@@ -82,7 +82,7 @@
 
 // step lets one tick pass. What the library finds that can't be, such as an entry that was committed and is gone, it
 // panics at.
-func (w *World) step() {
+func (w *world) step() {
 	defer func() {
 		if p := recover(); p != nil {
 			w.addViolation("panic: %v", p)
@@ -90,12 +90,12 @@
 	}()
 	w.runDue()
 	for _, m := range w.members {
-		if w.isRunning(m) {
+		if w.isResponsive(m) {
 			m.Tick()
 			w.advance(m)
 		}
 	}
 	w.runOperator()
 	w.updateSidecars()
-	w.observe()
+	w.observeGroup()
 }
