--- a/simulation/format.go
+++ b/simulation/format.go
@@ -6,7 +6,7 @@
 	"harehook.dev/harehook/records"
 )
 
-// plainText has every text be a configuration of one route: the lab's operators write texts that tell versions apart.
+// plainText has every text be a configuration of one route: the simulated operators write texts that tell versions apart.
 type plainText struct{}
 
 // Parse implements cluster.TextFormat.
--- /dev/null
+++ b/simulation/measurements.go
@@ -0,0 +1,97 @@
+package simulation
+
+// measurements is what the measurements of a run need to remember.
+type measurements struct {
+	commitTick   map[uint64]int // by number of the agreed version; convergenceMeasured once all sidecars have held it
+	leaderLostAt int            // tick, or noTick while there is a leader
+	lastLeader   uint64         // member id; 0 before the first election
+}
+
+const (
+	noTick              = -1
+	convergenceMeasured = -1
+)
+
+func newMeasurements() measurements {
+	return measurements{commitTick: map[uint64]int{}, leaderLostAt: noTick}
+}
+
+// isAgreed tells whether the group has agreed on a version.
+func (m *measurements) isAgreed(version uint64) bool {
+	_, agreed := m.commitTick[version]
+	return agreed
+}
+
+// newestAgreed is the newest version that the group has agreed on; 0 if there is none.
+func (m *measurements) newestAgreed() (newest uint64) {
+	for version := range m.commitTick {
+		newest = max(newest, version)
+	}
+	return newest
+}
+
+// measureCommit notes when a version was agreed, and how long none was since a leader was lost.
+func (w *world) measureCommit(version uint64) {
+	m := &w.measurements
+	if m.isAgreed(version) {
+		return
+	}
+	m.commitTick[version] = w.now
+	if m.leaderLostAt != noTick && w.now > m.leaderLostAt {
+		w.outcome.Gap = append(w.outcome.Gap, w.now-m.leaderLostAt)
+		m.leaderLostAt = noTick
+	}
+}
+
+// measureLeader notes when the process of the leader is lost.
+func (w *world) measureLeader() {
+	m := &w.measurements
+	leader := uint64(0)
+	for _, candidate := range w.members {
+		if candidate.up && candidate.IsLeader() {
+			leader = candidate.id
+		}
+	}
+	if m.lastLeader != 0 && !w.members[m.lastLeader-1].up && m.leaderLostAt == noTick {
+		m.leaderLostAt = w.now
+	}
+	if leader != 0 {
+		m.lastLeader = leader
+	}
+}
+
+// measureConvergence notes when all sidecars hold the newest version.
+func (w *world) measureConvergence() {
+	newest := w.measurements.newestAgreed()
+	if newest == 0 || !w.allSidecarsHold(newest) {
+		return
+	}
+	committedAt := w.measurements.commitTick[newest]
+	if committedAt == convergenceMeasured {
+		return
+	}
+	w.outcome.Converged = append(w.outcome.Converged, w.now-committedAt)
+	w.measurements.commitTick[newest] = convergenceMeasured
+	if w.outcome.Settled < 0 && committedAt >= w.faultFreeFrom {
+		w.outcome.Settled = w.now - w.faultFreeFrom
+	}
+}
+
+// allSidecarsHold tells whether no sidecar lacks a version.
+func (w *world) allSidecarsHold(version uint64) bool {
+	for _, held := range w.sidecars {
+		if held < version {
+			return false
+		}
+	}
+	return true
+}
+
+// measureLogs notes the longest log.
+func (w *world) measureLogs() {
+	for _, m := range w.members {
+		if m.up {
+			w.outcome.Entries = max(w.outcome.Entries, int(m.Status().Entries))
+		}
+	}
+}
--- a/simulation/member.go
+++ b/simulation/member.go
@@ -10,19 +10,23 @@
 
 // member is a member of the group with its process and its disk.
 type member struct {
-	*cluster.Member
-	id               uint64
-	disk             *disk
-	up               bool
-	busyUntil        int // until when the disk or a stall holds it
-	slowDisk         bool
-	incarnation      uint64
-	pendingReads     map[uint64]func(number uint64, ok bool) // reads under way
-	pendingProposals map[string]*proposal
-	uncommitted      cluster.Version // planted: told before it is agreed
+	*cluster.Member // of the process that runs, or ran last
+	id              uint64
+	disk            *disk
+	up              bool // its process runs
+	busyUntil       int  // tick: until then the disk or a stall holds it
+	slowDisk        bool
+	incarnation     uint64 // counts its processes
+
+	pendingReads     map[uint64]readAnswer // by id of the read
+	pendingProposals map[string]*proposal  // by client
+	uncommitted      cluster.Version       // planted: published before it is agreed
 }
 
-// isResponsive says whether a member's process is up and not held by its disk or a stall.
+// readAnswer takes the answer to a read: the version, or that there is none.
+type readAnswer func(version uint64, ok bool)
+
+// isResponsive tells whether a member's process is up and not held by its disk or a stall.
 func (w *world) isResponsive(m *member) bool { return m.up && w.now >= m.busyUntil }
 
 // startMember begins a member's process with what its disk has.
@@ -35,12 +39,15 @@
 	seed := w.setup.Seed*1000 + m.id*100 + m.incarnation
 	started, first, err := cluster.Start(m.id, m.disk.load(), voters, cluster.NewState(plainText{}), w.setup.Timing, seed)
 	if err != nil {
-		w.addViolation("member %d does not start: %v", m.id, err)
+		w.addViolation(MembersStart, "member %d does not start: %v", m.id, err)
 		return
 	}
 	m.disk.write(first)
-	m.Member, m.up, m.busyUntil = started, true, 0
-	m.pendingReads, m.pendingProposals = map[uint64]func(uint64, bool){}, map[string]*proposal{}
+	m.Member = started
+	m.up = true
+	m.busyUntil = 0
+	m.pendingReads = map[uint64]readAnswer{}
+	m.pendingProposals = map[string]*proposal{}
 	w.trace("start %d", m.id)
 }
 
@@ -50,7 +57,9 @@
 		return
 	}
 	w.trace("crash %d", m.id)
-	m.up, m.disk.unsynced, m.uncommitted = false, nil, cluster.Version{}
+	m.up = false
+	m.disk.unsynced = nil
+	m.uncommitted = cluster.Version{}
 	for _, answer := range m.pendingReads {
 		answer(0, false)
 	}
@@ -66,9 +75,9 @@
 	})
 }
 
-// advance has a member act and carries what it sends.
+// advance has a member do what its machine is ready for: save, send, apply, answer reads.
 func (w *world) advance(m *member) {
-	messages, applied, reads, err := m.Advance(func(b raftlog.Batch) error { return w.saveToDisk(m, b) })
+	messages, applied, reads, err := m.Advance(func(batch raftlog.Batch) error { return w.saveToDisk(m, batch) })
 	if err != nil {
 		w.crashMember(m)
 		w.restartAfter(1+w.rng.IntN(4*w.setup.Timing.ElectionTicks), m)
@@ -77,12 +86,12 @@
 	for _, message := range messages {
 		w.send(m, message)
 	}
-	for _, done := range applied {
-		w.recordApplied(m, done)
+	for _, command := range applied {
+		w.recordApplied(m, command)
 	}
-	for _, r := range reads {
-		if answer := m.pendingReads[r.ID]; answer != nil {
-			delete(m.pendingReads, r.ID)
+	for _, read := range reads {
+		if answer := m.pendingReads[read.ID]; answer != nil {
+			delete(m.pendingReads, read.ID)
 			answer(m.State.Current().Number, true)
 		}
 	}
@@ -91,3 +100,24 @@
 		m.Propose(m.RegisterCommand())
 	}
 }
+
+// recordApplied notes that a member has applied an entry, and answers the operator who proposed it through this member.
+func (w *world) recordApplied(m *member, applied cluster.AppliedCommand) {
+	w.checkEntry(m, applied)
+	w.history.recordApplied(applied)
+	w.trace("apply %d %d", m.id, applied.Index)
+	if makesVersion(applied) {
+		w.measureCommit(applied.Result.Version)
+	}
+	pending := m.pendingProposals[applied.Command.Client]
+	if pending != nil && pending.command.Seq == applied.Command.Seq {
+		delete(m.pendingProposals, applied.Command.Client)
+		w.recordResult(pending, applied.Result)
+	}
+}
+
+// makesVersion tells whether an entry has made a new version of the configuration.
+func makesVersion(applied cluster.AppliedCommand) bool {
+	kind := applied.Command.Kind
+	return applied.Result.Rejected == "" && (kind == cluster.CommandPut || kind == cluster.CommandRollBack)
+}
--- a/simulation/network.go
+++ b/simulation/network.go
@@ -14,10 +14,16 @@
 	w.cutUntil[l] = max(w.cutUntil[l], w.now+ticks)
 }
 
+// isCut tells whether no message passes over a link now.
+func (w *world) isCut(from, to uint64) bool { return w.now < w.cutUntil[link{from, to}] }
+
 // send puts a message on its way: it is lost, or arrives once or twice after a delay.
 func (w *world) send(from *member, message *raftpb.Message) {
 	to := message.GetTo()
-	if to == 0 || to > uint64(len(w.members)) || w.now < w.cutUntil[link{from.id, to}] || w.rng.Float64() < w.setup.Loss {
+	if to == 0 || to > uint64(len(w.members)) || w.isCut(from.id, to) {
+		return
+	}
+	if w.rng.Float64() < w.setup.Loss {
 		return
 	}
 	copies := 1
--- a/simulation/results.go
+++ b/simulation/results.go
@@ -47,7 +47,7 @@
 	r.Settled = int64(outcome.Settled)
 	r.Entries = int64(outcome.Entries)
 	for _, violation := range outcome.Violations {
-		r.Violations += violation + "\n"
+		r.Violations += violation.String() + "\n"
 	}
 }
 
--- a/simulation/setup.go
+++ b/simulation/setup.go
@@ -5,40 +5,32 @@
 // Setup is what a run is played with. Times are in ticks.
 type Setup struct {
 	Seed              uint64
-	Members           int
-	Ticks             int
-	FaultFreeTicks    int // at the end, without faults: all has to be well again
+	Members           int // with the ids from 1 on
+	Ticks             int // length of the run
+	FaultFreeTicks    int // at the end of the run: the group has to recover in them
 	Timing            cluster.Timing
-	MinDelay          int
-	MaxDelay          int
-	Loss, Duplication float64
-	MaxSyncDelay      int     // that a save takes at most: a member does nothing meanwhile
-	Faults            []Fault // in order of time; nil: drawn from the seed
-	FaultEvery        int     // ticks between two drawn faults on average, 0: none
-	ProposeEvery      int
+	MinDelay          int     // of a message, beside the one tick that each takes
+	MaxDelay          int     // of a message, beside the one tick that each takes
+	Loss, Duplication float64 // fractions of messages that are lost, and that arrive twice
+	MaxSyncDelay      int     // that a save takes; a member does nothing meanwhile
+	Faults            []Fault // in order of time; nil: Draw draws them from the seed
+	FaultEvery        int     // mean ticks between two drawn faults; 0: none
+	ProposeEvery      int     // ticks between two proposals of the operator; 0: no operator
 	Sidecars          int
 	Planted           Planted
 }
 
-// Planted is a fault in the program itself, by which a checker is shown to see.
+// Planted is a fault in the program itself, by which a checker is shown to see. Its text is what the flag --planted of
+// harehook-testbed takes.
 type Planted string
 
 // The faults that can be planted.
 const (
-	VoteNotSynced Planted = "vote not synced"          // a save returns before the disk has it
-	BeforeCommit  Planted = "published before commit"  // what a leader proposes is told to sidecars at once
-	StaleRead     Planted = "stale read told as fresh" // a member answers reads by what it has
+	// VoteNotSynced has a save return before the disk has the batch: a crash then loses a vote or an entry that the
+	// member has answered for.
+	VoteNotSynced Planted = "vote not synced"
+	// BeforeCommit has a leader publish to sidecars what it proposes, before the group has agreed.
+	BeforeCommit Planted = "published before commit"
+	// StaleRead has a member answer a linearizable read by what it holds, without asking the leader.
+	StaleRead Planted = "stale read told as fresh"
 )
-
-// Outcome is what a run showed.
-type Outcome struct {
-	Violations  []string
-	Fingerprint uint64 // of all that happened: equal for equal runs
-
-	Agreed, Rejected, Unknown int
-	Commit                    []int // ticks from a proposal to its answer
-	Gap                       []int // ticks from the loss of a leader to the next agreed version
-	Converged                 []int // ticks from a version's commit until all sidecars hold it
-	Settled                   int   // ticks of calm until a version was agreed and held by all; -1: never
-	Entries                   int   // of the longest log at the end
-}
--- a/simulation/sidecars.go
+++ b/simulation/sidecars.go
@@ -1,39 +1,36 @@
 package simulation
 
 const (
-	pollInterval = 7  // ticks between two looks of a sidecar at a member
-	moveInterval = 50 // ticks after which a sidecar looks at another member
+	pollTicks = 7  // between two polls of a sidecar
+	moveTicks = 50 // after which a sidecar polls another member
 )
 
-// updateSidecars has each sidecar look at one member now and then and take what that has published, unless it is older
-// than what it holds.
+// updateSidecars has each sidecar poll one member now and then and take what that has published, unless it is older than
+// what it holds.
 func (w *world) updateSidecars() {
-	for k := range w.sidecars {
-		if (w.now+k)%pollInterval == 0 {
-			w.updateSidecar(k)
+	for sidecar := range w.sidecars {
+		if (w.now+sidecar)%pollTicks == 0 {
+			w.updateSidecar(sidecar)
 		}
 	}
 }
 
-// updateSidecar has a sidecar look at a member.
+// updateSidecar has a sidecar poll a member.
 func (w *world) updateSidecar(sidecar int) {
-	m := w.members[(sidecar+w.now/moveInterval)%len(w.members)]
+	m := w.members[(sidecar+w.now/moveTicks)%len(w.members)]
 	if !w.isResponsive(m) {
 		return
 	}
-	v := m.State.Current()
-	if m.uncommitted.Number > v.Number {
-		v = m.uncommitted
+	version := m.State.Current()
+	if m.uncommitted.Number > version.Number {
+		version = m.uncommitted
 	}
-	if v.Number == 0 {
+	if version.Number == 0 {
 		return
 	}
-	if was, known := w.textOfVersion[v.Number]; known && was != v.Text {
-		w.addViolation("version %d is %q at member %d and %q elsewhere", v.Number, v.Text, m.id, was)
-	}
-	w.textOfVersion[v.Number] = v.Text
-	if v.Number > w.sidecars[sidecar] {
-		w.sidecars[sidecar] = v.Number
-		w.trace("sidecar %d holds %d", sidecar, v.Number)
+	w.checkPublished(m, version)
+	if version.Number > w.sidecars[sidecar] {
+		w.sidecars[sidecar] = version.Number
+		w.trace("sidecar %d holds %d", sidecar, version.Number)
 	}
 }
--- a/simulation/world.go
+++ b/simulation/world.go
@@ -1,57 +1,45 @@
-// Package simulation plays the project's own machines on a clock of its own: members of a group, their disks, a network that
-// delays, loses, doubles, reorders and cuts, operators and sidecars. One seed is one run, byte for byte. Checkers
-// beside it say what must never be.
 package simulation
 
 import (
 	"math/rand/v2"
 
-	"github.com/anishathalye/porcupine"
-
-	"harehook.dev/harehook/cluster"
 	"harehook.dev/harehook/simulation/eventqueue"
 )
 
-const runStream = 11 // of the random numbers that a run draws
+// runStream selects the random numbers that a run draws. Those of its faults are others, so that a run with fewer faults
+// (see Shrink) draws the same network.
+const runStream = 11
 
 // world is a run under way.
 type world struct {
-	setup           Setup
-	now             int
-	events          eventqueue.Queue[int] // by tick
-	rng             *rand.Rand
-	members         []*member
-	cutUntil        map[link]int // until when
-	outcome         Outcome
-	digest          uint64
-	clientCount     int
-	pendingProposal *proposal
-	history         []porcupine.Operation
-	textOfVersion   map[uint64]string         // by version number, of all that anyone told
-	leaderOfTerm    map[uint64]uint64         // by term
-	appliedEntry    map[uint64]string         // by index
-	firstResult     map[string]cluster.Result // of each client's proposal, the first time that it was applied
-	sidecars        []uint64                  // the version that each holds
-	commitTick      map[uint64]int            // by version number; -1 once all sidecars have held it
-	leaderLostAt    int
-	lastLeader      uint64
-	faultFreeFrom   int
+	setup   Setup
+	now     int                   // tick
+	events  eventqueue.Queue[int] // by tick
+	rng     *rand.Rand
+	outcome Outcome
+	digest  uint64 // see trace
+
+	members  []*member
+	cutUntil map[link]int // tick from which messages pass again
+	sidecars []uint64     // version that each holds
+	operator operator
+	history  history
+
+	checks        checks
+	measurements  measurements
+	faultFreeFrom int // tick
 }
 
-// Play plays a run.
-func Play(set Setup) Outcome {
-	w := newWorld(set)
+// Play plays a run to its end, or to the tick of its first violations.
+func Play(setup Setup) Outcome {
+	w := newWorld(setup)
 	for _, m := range w.members {
 		w.startMember(m)
 	}
-	faults := set.Faults
-	if faults == nil {
-		faults = Draw(set)
-	}
-	for _, f := range faults {
-		w.schedule(f.At, func() { w.startFault(f) })
+	for _, fault := range setup.plannedFaults() {
+		w.schedule(fault.At, func() { w.startFault(fault) })
 	}
-	for w.now = 0; w.now < set.Ticks && len(w.outcome.Violations) == 0; w.now++ {
+	for w.now = 0; w.now < setup.Ticks && len(w.outcome.Violations) == 0; w.now++ {
 		w.step()
 	}
 	w.finish()
@@ -59,33 +47,29 @@
 }
 
 // newWorld returns a run in which no member has started.
-func newWorld(set Setup) *world {
+func newWorld(setup Setup) *world {
 	w := &world{
-		setup:         set,
-		rng:           rand.New(rand.NewPCG(set.Seed, runStream)),
+		setup:         setup,
+		rng:           rand.New(rand.NewPCG(setup.Seed, runStream)),
 		cutUntil:      map[link]int{},
 		outcome:       Outcome{Settled: -1},
-		textOfVersion: map[uint64]string{},
-		leaderOfTerm:  map[uint64]uint64{},
-		appliedEntry:  map[uint64]string{},
-		firstResult:   map[string]cluster.Result{},
-		sidecars:      make([]uint64, set.Sidecars),
-		commitTick:    map[uint64]int{},
-		leaderLostAt:  -1,
-		faultFreeFrom: set.Ticks - set.FaultFreeTicks,
+		sidecars:      make([]uint64, setup.Sidecars),
+		checks:        newChecks(),
+		measurements:  newMeasurements(),
+		faultFreeFrom: setup.Ticks - setup.FaultFreeTicks,
 	}
-	for id := range uint64(set.Members) {
+	for id := range uint64(setup.Members) {
 		w.members = append(w.members, &member{id: id + 1, disk: newDisk(id + 1)})
 	}
 	return w
 }
 
-// step lets one tick pass. What the library finds that can't be, such as an entry that was committed and is gone, it
-// panics at.
+// step lets one tick pass. The raft library panics at what can't be, such as an entry that was committed and is gone: the
+// panic is a violation of the run.
 func (w *world) step() {
 	defer func() {
-		if p := recover(); p != nil {
-			w.addViolation("panic: %v", p)
+		if reason := recover(); reason != nil {
+			w.addViolation(NoPanic, "panic: %v", reason)
 		}
 	}()
 	w.runDue()
@@ -97,5 +81,17 @@
 	}
 	w.runOperator()
 	w.updateSidecars()
-	w.observeGroup()
+	w.measureLeader()
+	w.measureConvergence()
 }
+
+// finish checks and measures what only the whole run shows.
+func (w *world) finish() {
+	w.checkHistory()
+	w.checkSidecars()
+	w.measureLogs()
+	w.outcome.Fingerprint = w.digest
+}
+
+// drawMember returns any member.
+func (w *world) drawMember() *member { return w.members[w.rng.IntN(len(w.members))] }
