--- /dev/null
+++ b/simulation/followers/follower.go
@@ -0,0 +1,203 @@
+package followers
+
+import (
+	"errors"
+	"fmt"
+	"math/rand/v2"
+	"time"
+
+	discoveryv3 "github.com/envoyproxy/go-control-plane/envoy/service/discovery/v3"
+
+	"harehook.dev/harehook/configsync"
+	"harehook.dev/harehook/records"
+)
+
+// follower is a controller that receives the configuration. Its name and scope outlast its process.
+type follower struct {
+	world       *world
+	name        string
+	scope       records.Scope
+	incarnation int  // changes when a process ends and when one begins
+	absent      bool // no process runs
+
+	machine         *configsync.Follower // of the process
+	backoff         *configsync.Backoff
+	session         *session      // nil while it is not connected
+	lastMessageAt   time.Duration // when a member was last heard
+	rejecting       bool          // it rejects some of what it receives
+	highestRevision uint64        // that the process has accepted
+	disturbedAt     time.Duration // when a fault last concerned it, or its connection changed
+}
+
+// errRejectedAtRandom is why a follower rejects a revision without a mistake in it.
+var errRejectedAtRandom = errors.New("rejected at random")
+
+// start begins a process, which holds nothing.
+func (f *follower) start() {
+	f.incarnation++
+	f.highestRevision = 0
+	f.newMachine()
+	f.backoff = configsync.NewBackoff(f.world.memberNames(), f.world.rng.Uint64())
+	f.absent = false
+	f.scheduleRenewals(f.incarnation)
+	f.connectAfter(f.world.drawUpTo(maxStartDelay))
+}
+
+// newMachine makes the machine, which holds nothing.
+func (f *follower) newMachine() {
+	rng := rand.New(rand.NewPCG(f.world.rng.Uint64(), 0))
+	lease := plantedLease(f.world.setup.Planted)
+	f.machine = configsync.NewFollower(f.name, f.scope, lease, func(uint64, map[records.Key]*records.Record) error {
+		if f.rejecting && rng.IntN(2) == 0 {
+			return errRejectedAtRandom
+		}
+		return nil
+	})
+}
+
+// stop ends the process.
+func (f *follower) stop() {
+	f.markDisturbed()
+	f.disconnect()
+	f.incarnation++
+	f.absent = true
+}
+
+// restart ends the process and starts another one after a while.
+func (f *follower) restart(after time.Duration) {
+	if f.absent {
+		return
+	}
+	f.stop()
+	f.world.clock.after(after, f.start)
+}
+
+func (f *follower) markDisturbed() { f.disturbedAt = f.world.clock.elapsed }
+
+// connectAfter connects after a while, unless the process has ended or is connected by then.
+func (f *follower) connectAfter(delay time.Duration) {
+	incarnation := f.incarnation
+	f.world.clock.after(delay, func() {
+		if f.incarnation == incarnation && f.session == nil {
+			f.connect()
+		}
+	})
+}
+
+// connect opens a session to the member whose turn it is.
+func (f *follower) connect() {
+	s := newSession(f, f.world.memberNamed(f.backoff.Member()))
+	f.session = s
+	f.lastMessageAt = f.world.clock.elapsed
+	f.markDisturbed()
+	handshake := f.machine.Begin(f.world.clock.now())
+	s.toMember.send(func() {
+		if !s.member.accept(s) {
+			s.toFollower.send(func() { f.connectionLost(s) })
+		}
+	})
+	s.request(handshake)
+	f.world.clock.after(connectTimeout, func() {
+		if f.session == s && !s.openAtMember {
+			f.changeMember()
+		}
+	})
+}
+
+// disconnect ends the session; the member learns of it if the network lets it.
+func (f *follower) disconnect() {
+	s := f.session
+	if s == nil {
+		return
+	}
+	f.markDisturbed()
+	f.session = nil
+	s.toMember.send(s.endAtMember)
+}
+
+// connectionLost is called when the member has ended a session.
+func (f *follower) connectionLost(s *session) {
+	if f.session == s {
+		f.changeMember()
+	}
+}
+
+// changeMember leaves the member and tries another one after a backoff.
+func (f *follower) changeMember() {
+	f.disconnect()
+	f.markDisturbed()
+	if f.world.setup.Planted == PlantedOlderRevision {
+		f.newMachine()
+	}
+	f.connectAfter(f.backoff.Failed())
+}
+
+// goOffline keeps the process without a network for a while, after which it goes on with what it holds.
+func (f *follower) goOffline(duration time.Duration) {
+	incarnation := f.incarnation
+	f.disconnect()
+	f.session = newBrokenSession(f)
+	f.lastMessageAt = f.world.clock.elapsed + duration // so that it does not look for another member meanwhile
+	f.world.clock.after(duration, func() {
+		if f.incarnation == incarnation {
+			f.session = nil
+			f.connectAfter(f.backoff.Failed())
+		}
+	})
+}
+
+// receive handles a message of a member.
+func (f *follower) receive(s *session, response *discoveryv3.DeltaDiscoveryResponse) {
+	if f.session != s {
+		return
+	}
+	f.lastMessageAt = f.world.clock.elapsed
+	f.backoff.Succeeded()
+	rejectedBefore := f.machine.Rejected
+	reply, accepted, err := f.machine.Receive(f.world.clock.now(), response)
+	if err != nil {
+		f.changeMember()
+		return
+	}
+	if f.machine.Rejected > rejectedBefore {
+		f.markDisturbed()
+		f.world.outcome.Rejected++
+	}
+	if accepted {
+		f.world.checker.checkAccepted(f)
+	}
+	if reply != nil {
+		s.request(reply)
+	}
+}
+
+// scheduleRenewals renews the lease again and again while the process runs.
+func (f *follower) scheduleRenewals(incarnation int) {
+	f.world.clock.after(f.machine.RenewEvery(), func() {
+		if f.incarnation != incarnation {
+			return
+		}
+		f.renewLease()
+		f.scheduleRenewals(incarnation)
+	})
+}
+
+// renewLease renews the lease at the member, or leaves a member that was not heard for as long as a lease.
+func (f *follower) renewLease() {
+	if f.session == nil {
+		return
+	}
+	if f.world.clock.elapsed-f.lastMessageAt >= limits(PlantedNone).Lease {
+		f.changeMember()
+		return
+	}
+	f.session.request(f.machine.Renew(f.world.clock.now()))
+}
+
+// inStep tells whether it holds a revision and is connected to a member that serves it.
+func (f *follower) inStep(revision uint64) bool {
+	return !f.absent && f.session != nil && f.session.openAtMember && f.machine.Revision() == revision
+}
+
+// String names the follower for reports.
+func (f *follower) String() string { return fmt.Sprintf("%s (process %d)", f.name, f.incarnation) }
--- a/simulation/followers/log.go
+++ b/simulation/followers/log.go
@@ -28,7 +28,7 @@
 // agreedLog is the group's log, and the states that it leads to as a naive model computes them: a copy of all records
 // at each revision.
 type agreedLog struct {
-	random  *rand.Rand
+	rng     *rand.Rand
 	leader  *records.Store // refuses what the group refuses
 	entries []entry
 	states  map[uint64]map[records.Key]*records.Record
@@ -36,7 +36,7 @@
 }
 
 func newAgreedLog(random *rand.Rand) *agreedLog {
-	log := &agreedLog{random: random, leader: records.NewStore(), states: map[uint64]map[records.Key]*records.Record{0: {}}}
+	log := &agreedLog{rng: random, leader: records.NewStore(), states: map[uint64]map[records.Key]*records.Record{0: {}}}
 	log.commit(log.firstTransaction())
 	return log
 }
@@ -44,13 +44,13 @@
 // firstTransaction creates all that others change.
 func (l *agreedLog) firstTransaction() (first records.Transaction) {
 	for n := range serviceCount {
-		first.Writes = append(first.Writes, l.writeService(n))
+		first.Writes = append(first.Writes, l.drawServiceWrite(n))
 	}
 	for n := range routeCount {
-		first.Writes = append(first.Writes, l.writeRoute(n))
+		first.Writes = append(first.Writes, l.drawRouteWrite(n))
 	}
 	for n := range tenantCount {
-		first.Writes = append(first.Writes, l.writeTenant(n))
+		first.Writes = append(first.Writes, l.drawTenantWrite(n))
 	}
 	return first
 }
@@ -59,7 +59,7 @@
 func (l *agreedLog) propose() bool {
 	var drawn records.Transaction
 	seen := map[records.Key]bool{}
-	for range 1 + l.random.IntN(maxWrites) {
+	for range 1 + l.rng.IntN(maxWrites) {
 		write := l.drawWrite()
 		if !seen[write.Key] {
 			seen[write.Key] = true
@@ -70,48 +70,48 @@
 }
 
 func (l *agreedLog) drawWrite() (write records.Write) {
-	switch l.random.IntN(4) {
+	switch l.rng.IntN(4) {
 	case 0:
-		return l.writeService(l.random.IntN(serviceCount)) // stays: others refer to it
+		return l.drawServiceWrite(l.rng.IntN(serviceCount)) // stays: others refer to it
 	case 1:
-		write = l.writeRoute(l.random.IntN(routeCount))
+		write = l.drawRouteWrite(l.rng.IntN(routeCount))
 	case 2:
-		write = l.writeTenant(l.random.IntN(tenantCount))
+		write = l.drawTenantWrite(l.rng.IntN(tenantCount))
 	default:
-		write = l.writeOverride(l.random.IntN(overrideCount))
+		write = l.drawOverrideWrite(l.rng.IntN(overrideCount))
 	}
-	if l.random.IntN(4) == 0 {
+	if l.rng.IntN(4) == 0 {
 		write.Body = nil // removes it
 	}
 	return write
 }
 
-func (l *agreedLog) writeService(n int) records.Write {
-	spec := records.ServiceSpec{Zones: []string{l.zone(), l.zone()}}
+func (l *agreedLog) drawServiceWrite(n int) records.Write {
+	spec := records.ServiceSpec{Zones: []string{l.drawZone(), l.drawZone()}}
 	return newWrite(records.KindService, fmt.Sprintf("s%d", n), spec)
 }
 
-func (l *agreedLog) writeRoute(n int) records.Write {
-	service := l.service()
-	if l.random.IntN(10) == 0 {
+func (l *agreedLog) drawRouteWrite(n int) records.Write {
+	service := l.drawService()
+	if l.rng.IntN(10) == 0 {
 		service = ""
 	}
-	spec := records.RouteSpec{Service: service, Prefix: fmt.Sprintf("/r%d", n), TimeLimitMS: float64(1 + l.random.IntN(5000))}
+	spec := records.RouteSpec{Service: service, Prefix: fmt.Sprintf("/r%d", n), TimeLimitMS: float64(1 + l.rng.IntN(5000))}
 	return newWrite(records.KindRoute, fmt.Sprintf("r%d", n), spec)
 }
 
-func (l *agreedLog) writeTenant(n int) records.Write {
-	spec := records.TenantSpec{Service: l.service(), Share: float64(1+l.random.IntN(9)) / 1000}
+func (l *agreedLog) drawTenantWrite(n int) records.Write {
+	spec := records.TenantSpec{Service: l.drawService(), Share: float64(1+l.rng.IntN(9)) / 1000}
 	return newWrite(records.KindTenant, fmt.Sprintf("t%d", n), spec)
 }
 
-func (l *agreedLog) writeOverride(n int) records.Write {
-	spec := records.OverrideSpec{Service: l.service(), Zone: l.zone(), State: records.StateDraining}
+func (l *agreedLog) drawOverrideWrite(n int) records.Write {
+	spec := records.OverrideSpec{Service: l.drawService(), Zone: l.drawZone(), State: records.StateDraining}
 	return newWrite(records.KindOverride, fmt.Sprintf("o%d", n), spec)
 }
 
-func (l *agreedLog) service() string { return fmt.Sprintf("s%d", l.random.IntN(serviceCount)) }
-func (l *agreedLog) zone() string    { return fmt.Sprintf("z%d", l.random.IntN(zoneCount)) }
+func (l *agreedLog) drawService() string { return fmt.Sprintf("s%d", l.rng.IntN(serviceCount)) }
+func (l *agreedLog) drawZone() string    { return fmt.Sprintf("z%d", l.rng.IntN(zoneCount)) }
 
 func newWrite(kind records.Kind, name string, spec any) records.Write {
 	body, err := json.Marshal(spec)
@@ -123,7 +123,7 @@
 
 // commit adds a transaction to the log, some places after the last one, and works out the state after it.
 func (l *agreedLog) commit(transaction records.Transaction) bool {
-	revision := l.last + 1 + uint64(l.random.IntN(3))
+	revision := l.last + 1 + uint64(l.rng.IntN(3))
 	if _, err := l.leader.Apply(revision, transaction); err != nil {
 		return false
 	}
--- /dev/null
+++ b/simulation/followers/planted.go
@@ -0,0 +1,98 @@
+package followers
+
+import (
+	"time"
+
+	discoveryv3 "github.com/envoyproxy/go-control-plane/envoy/service/discovery/v3"
+
+	"harehook.dev/harehook/configsync"
+	"harehook.dev/harehook/records"
+)
+
+// Planted is a fault in the program itself, by which a checker is shown to see. Its text is what the flag --planted of
+// harehook-testbed takes.
+type Planted string
+
+// The faults that can be planted.
+const (
+	PlantedNone           Planted = ""
+	PlantedFullScope      Planted = "whole scope at each change"
+	PlantedMissingChange  Planted = "lost change"
+	PlantedOlderRevision  Planted = "follower goes back to an older revision"
+	PlantedLeases         Planted = "in force ignores leases"
+	PlantedContents       Planted = "a member has other contents"
+	PlantedNeverAgain     Planted = "what was refused is not offered again"
+	PlantedSlowChanges    Planted = "changes wait behind the crowd"
+	PlantedOutOfScope     Planted = "records out of scope are sent"
+	PlantedLongLease      Planted = "a follower's lease runs from the answer"
+	PlantedSettledTooSoon Planted = "a member that restarted is settled at once"
+)
+
+const (
+	// plantedSlowChangeDelay is how long PlantedSlowChanges has a member wait before it sends a change.
+	plantedSlowChangeDelay = 600 * time.Millisecond
+	// plantedMissingEvery is the calls of Since of which one lacks a change by PlantedMissingChange.
+	plantedMissingEvery = 20
+	// plantedContentsMember is the member whose contents differ by PlantedContents.
+	plantedContentsMember = "m1"
+)
+
+// plantedSource is a member's store, whose records differ from the store's by the planted fault.
+type plantedSource struct {
+	*records.Store
+	planted    Planted
+	member     string
+	sinceCalls int
+}
+
+// Since is that of the store, but for planted faults.
+func (s *plantedSource) Since(revision uint64, scope records.Scope) records.Delta {
+	delta := s.Store.Since(revision, scope)
+	s.sinceCalls++
+	switch {
+	case s.planted == PlantedFullScope:
+		delta.Updates = nil
+		delta.Available = false
+	case s.planted == PlantedMissingChange && s.sinceCalls%plantedMissingEvery == 0 && len(delta.Updates) > 0:
+		delta.Updates = delta.Updates[1:]
+	}
+	return delta
+}
+
+// InScope is that of the store, but for planted faults.
+func (s *plantedSource) InScope(scope records.Scope) records.View {
+	view := s.Store.InScope(scope)
+	if s.planted == PlantedContents && s.member == plantedContentsMember && len(view.Records) > 0 {
+		view.Records = view.Records[1:]
+	}
+	return view
+}
+
+// plantInResponse adds a record to a message that tells of a revision only, by PlantedOutOfScope.
+func plantInResponse(planted Planted, response *discoveryv3.DeltaDiscoveryResponse) {
+	content := configsync.ContentOf(response)
+	isProgress := response.GetNonce() != "" && !content.FullScope && content.Records == 0
+	if planted == PlantedOutOfScope && isProgress {
+		response.RemovedResources = append(response.RemovedResources, "route/of-others")
+	}
+}
+
+// plantInStatus alters what a member reports of its followers, by PlantedLeases and PlantedSettledTooSoon.
+func plantInStatus(planted Planted, status configsync.MemberStatus) configsync.MemberStatus {
+	switch planted {
+	case PlantedLeases:
+		status.Leases = nil
+	case PlantedSettledTooSoon:
+		status.Settled = true
+	}
+	return status
+}
+
+// plantedLease is the lease of a follower, too long by PlantedLongLease.
+func plantedLease(planted Planted) time.Duration {
+	lease := limits(planted).Lease
+	if planted == PlantedLongLease {
+		lease *= 3
+	}
+	return lease
+}
--- a/simulation/followers/session.go
+++ b/simulation/followers/session.go
@@ -9,13 +9,43 @@
 	"harehook.dev/harehook/configsync"
 )
 
-// direction carries the messages of a connection one way: late, in order, and after a loss none any more.
+// minSendDelay is the least time until a member looks again for what to send.
+const minSendDelay = time.Millisecond
+
+// session is a connection of a follower to a member.
+type session struct {
+	follower     *follower
+	member       *member
+	server       *configsync.Server // of the member's process that accepted it
+	stream       *configsync.Stream
+	openAtMember bool // the member takes it for open
+	toMember     direction
+	toFollower   direction
+	nextSendAt   time.Duration // when the member looks for what to send; 0: not scheduled
+}
+
+func newSession(f *follower, m *member) *session {
+	s := &session{follower: f, member: m}
+	s.toMember.session = s
+	s.toFollower.session = s
+	return s
+}
+
+// newBrokenSession returns a session that leads nowhere, as of a follower without a network.
+func newBrokenSession(f *follower) *session {
+	s := newSession(f, f.world.members[0])
+	s.toMember.broken = true
+	return s
+}
+
+// direction carries the messages of a session one way: late and in order. After a loss none passes any more.
 type direction struct {
-	session *session
-	last    time.Duration
-	broken  bool
+	session     *session
+	lastArrival time.Duration // of the last message that was sent
+	broken      bool
 }
 
+// send has a message arrive after a delay, unless the direction is broken by then.
 func (d *direction) send(arrive func()) {
 	world := d.session.member.world
 	if d.session.member.partitioned {
@@ -24,33 +54,15 @@
 	if d.broken {
 		return
 	}
-	d.last = max(d.last, world.clock.elapsed+world.delay())
-	world.clock.schedule(d.last, func() {
+	d.lastArrival = max(d.lastArrival, world.clock.elapsed+world.drawDelay())
+	world.clock.schedule(d.lastArrival, func() {
 		if !d.broken {
 			arrive()
 		}
 	})
 }
 
-// session is a connection of a follower to a member.
-type session struct {
-	follower     *follower
-	member       *member
-	server       *configsync.Server // of the member's process that it is a connection to
-	stream       *configsync.Stream
-	openAtMember bool // the member takes it for open
-	toMember     direction
-	toFollower   direction
-	nextSendAt   time.Duration // when the member looks after it next; 0: not planned
-}
-
-func newSession(follower *follower, to *member) *session {
-	one := &session{follower: follower, member: to}
-	one.toMember.session, one.toFollower.session = one, one
-	return one
-}
-
-// request is one of the follower's on its way.
+// request sends a message to the member.
 func (s *session) request(message *discoveryv3.DeltaDiscoveryRequest) {
 	s.toMember.send(func() {
 		if !s.openAtMember {
@@ -64,7 +76,7 @@
 	})
 }
 
-// sendPending sends what the member has to say.
+// sendPending sends what the member has for the follower, and schedules the next look.
 func (s *session) sendPending() {
 	world := s.member.world
 	for s.openAtMember {
@@ -77,21 +89,27 @@
 			s.sendPendingAfter(wait)
 			return
 		}
-		spoil(world.setup.Planted, response)
+		plantInResponse(world.setup.Planted, response)
 		world.checker.checkSent(s, response)
-		deliver := func() { s.follower.receive(s, response) }
-		if world.setup.Planted == PlantedSlowChanges && response.GetNonce() != "" {
-			world.clock.after(slowChangeDelay, func() { s.toFollower.send(deliver) })
-			continue
-		}
-		s.toFollower.send(deliver)
+		s.respond(response)
 	}
 }
 
-// sendPendingAfter plans the next look, unless an earlier one is planned.
+// respond sends a message to the follower.
+func (s *session) respond(response *discoveryv3.DeltaDiscoveryResponse) {
+	world := s.member.world
+	deliver := func() { s.follower.receive(s, response) }
+	if world.setup.Planted == PlantedSlowChanges && response.GetNonce() != "" {
+		world.clock.after(plantedSlowChangeDelay, func() { s.toFollower.send(deliver) })
+		return
+	}
+	s.toFollower.send(deliver)
+}
+
+// sendPendingAfter schedules the next look for what to send, unless an earlier one is scheduled.
 func (s *session) sendPendingAfter(wait time.Duration) {
 	clock := &s.member.world.clock
-	at := clock.elapsed + max(wait, time.Millisecond)
+	at := clock.elapsed + max(wait, minSendDelay)
 	if s.nextSendAt > clock.elapsed && s.nextSendAt <= at {
 		return
 	}
@@ -115,19 +133,7 @@
 	s.toFollower.send(func() { s.follower.connectionLost(s) })
 }
 
-// healthy tells whether nothing stands in the way of a change to the follower.
+// healthy tells whether nothing is in the way of a change to the follower.
 func (s *session) healthy() bool {
 	return !s.toMember.broken && !s.toFollower.broken && !s.member.partitioned && !s.member.lagging
 }
-
-// slowChangeDelay is how long the planted fault has a member wait before it tells of a change.
-const slowChangeDelay = 600 * time.Millisecond
-
-// spoil adds a record to what tells of a revision only, as the planted fault has it.
-func spoil(planted Planted, response *discoveryv3.DeltaDiscoveryResponse) {
-	content := configsync.ContentOf(response)
-	progress := response.GetNonce() != "" && !content.FullScope && content.Records == 0
-	if planted == PlantedOutOfScope && progress {
-		response.RemovedResources = append(response.RemovedResources, "route/of-others")
-	}
-}
