--- a/internal/testbed/fleet.go
+++ b/internal/testbed/fleet.go
@@ -148,7 +148,7 @@
 	if err != nil {
 		return err
 	}
-	return brokenBounds(result.Broken())
+	return brokenBounds(result.BrokenBounds())
 }
 
 // brokenBounds makes an error that names each bound that broke on a line of its own.
--- a/loadtest/bounds.go
+++ b/loadtest/bounds.go
@@ -19,8 +19,8 @@
 	return Bounds{ConvergenceS: 7, OverheadBytes: 1024, RestartP90S: 10, RestartAllS: 30, ControllerCPU: 0.011, ControllerMB: 128, ControllerKBS: 16}
 }
 
-// Broken names the bounds that a run broke, one line each.
-func (m *Measured) Broken(b Bounds) (lines []string) {
+// BrokenBounds names the bounds that a run broke, one line each.
+func (m *Measured) BrokenBounds(b Bounds) (lines []string) {
 	hold := func(name string, limit, measured float64, unit string) {
 		if limit > 0 && measured > limit {
 			lines = append(lines, fmt.Sprintf("%s: %.4g %s, bound %.4g", name, measured, unit, limit))
--- a/loadtest/configuration.go
+++ b/loadtest/configuration.go
@@ -21,23 +21,23 @@
 
 // Configuration is what a group agrees on, drawn from a seed, and the changes that are made to it.
 type Configuration struct {
-	plan     Plan
-	random   *rand.Rand
-	services []string
-	zones    []string
-	routes   []string // names
-	tenants  []string
-	service  map[records.Key]string // of routes and tenants
-	share    map[string]float64     // of each tenant of a service at the beginning
-	bodies   map[records.Key][]byte // as last written
-	revision map[records.Key]uint64 // as last agreed
+	plan        Plan
+	rng         *rand.Rand
+	services    []string
+	zones       []string
+	routes      []string // names
+	tenants     []string
+	serviceOf   map[records.Key]string // of routes and tenants
+	tenantShare map[string]float64     // of each tenant of a service at the beginning
+	bodies      map[records.Key][]byte // as last written
+	revision    map[records.Key]uint64 // as last agreed
 }
 
 // Generate draws a configuration.
 func Generate(plan Plan) (*Configuration, error) {
 	c := &Configuration{
-		plan: plan, random: rand.New(rand.NewPCG(plan.Seed, 1)),
-		service: map[records.Key]string{}, share: map[string]float64{},
+		plan: plan, rng: rand.New(rand.NewPCG(plan.Seed, 1)),
+		serviceOf: map[records.Key]string{}, tenantShare: map[string]float64{},
 		bodies: map[records.Key][]byte{}, revision: map[records.Key]uint64{},
 	}
 	for zone := range plan.Zones {
@@ -52,8 +52,8 @@
 	return c, nil
 }
 
-// set notes the body of a record in its canonical form.
-func (c *Configuration) set(key records.Key, spec any) error {
+// setBody notes the body of a record in its canonical form.
+func (c *Configuration) setBody(key records.Key, spec any) error {
 	record, err := records.New(key, spec)
 	if err != nil {
 		return err
@@ -66,16 +66,16 @@
 	for at := range c.plan.Services {
 		name := fmt.Sprintf("service-%03d", at)
 		c.services = append(c.services, name)
-		if err := c.set(records.Key{Kind: records.KindService, Name: name}, records.ServiceSpec{Zones: c.someZones()}); err != nil {
+		if err := c.setBody(records.Key{Kind: records.KindService, Name: name}, records.ServiceSpec{Zones: c.drawZones()}); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-func (c *Configuration) someZones() (zones []string) {
-	count := 1 + c.random.IntN(min(serviceMaxZones, len(c.zones)))
-	for _, at := range c.random.Perm(len(c.zones))[:count] {
+func (c *Configuration) drawZones() (zones []string) {
+	count := 1 + c.rng.IntN(min(serviceMaxZones, len(c.zones)))
+	for _, at := range c.rng.Perm(len(c.zones))[:count] {
 		zones = append(zones, c.zones[at])
 	}
 	return zones
@@ -86,20 +86,20 @@
 		name := fmt.Sprintf("route-%04d", at)
 		c.routes = append(c.routes, name)
 		key := records.Key{Kind: records.KindRoute, Name: name}
-		c.service[key] = c.services[at%len(c.services)]
-		if err := c.set(key, c.route(key)); err != nil {
+		c.serviceOf[key] = c.services[at%len(c.services)]
+		if err := c.setBody(key, c.drawRoute(key)); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// route draws the content of a route; its prefix stays the same.
-func (c *Configuration) route(key records.Key) records.RouteSpec {
+// drawRoute draws the content of a route; its prefix stays the same.
+func (c *Configuration) drawRoute(key records.Key) records.RouteSpec {
 	return records.RouteSpec{
-		Service: c.service[key], Prefix: c.prefix(key),
-		TimeLimitMS: float64(50 + c.random.IntN(5000)), Mutating: c.random.IntN(3) == 0,
-		MaxAdmitted: float64(1+c.random.IntN(1000)) / 1000,
+		Service: c.serviceOf[key], Prefix: c.prefix(key),
+		TimeLimitMS: float64(50 + c.rng.IntN(5000)), Mutating: c.rng.IntN(3) == 0,
+		MaxAdmitted: float64(1+c.rng.IntN(1000)) / 1000,
 	}
 }
 
@@ -113,64 +113,64 @@
 	}
 	count := map[string]int{}
 	for at := range c.plan.Tenants {
-		rank := sort.SearchFloat64s(weights, c.random.Float64()*sum)
+		rank := sort.SearchFloat64s(weights, c.rng.Float64()*sum)
 		name := fmt.Sprintf("tenant-%06d", at)
 		c.tenants = append(c.tenants, name)
-		c.service[records.Key{Kind: records.KindTenant, Name: name}] = c.services[rank]
+		c.serviceOf[records.Key{Kind: records.KindTenant, Name: name}] = c.services[rank]
 		count[c.services[rank]]++
 	}
 	for service, tenants := range count {
-		c.share[service] = allottedQuota / float64(tenants)
+		c.tenantShare[service] = allottedQuota / float64(tenants)
 	}
 	for _, name := range c.tenants {
 		key := records.Key{Kind: records.KindTenant, Name: name}
-		if err := c.set(key, c.tenant(key)); err != nil {
+		if err := c.setBody(key, c.drawTenant(key)); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// tenant draws the content of a tenant. However often that is done, the shares of a service sum to under its capacity.
-func (c *Configuration) tenant(key records.Key) records.TenantSpec {
-	service := c.service[key]
-	share := c.share[service] * (0.2 + 0.8*c.random.Float64())
+// drawTenant draws the content of a tenant. However often that is done, the shares of a service sum to under its capacity.
+func (c *Configuration) drawTenant(key records.Key) records.TenantSpec {
+	service := c.serviceOf[key]
+	share := c.tenantShare[service] * (0.2 + 0.8*c.rng.Float64())
 	steps := max(1, math.Floor(share/quotaStep))
 	return records.TenantSpec{Service: service, Share: steps * quotaStep}
 }
 
 func (c *Configuration) drawOverrides() error {
 	for range int(overriddenNodes * float64(c.plan.Nodes)) {
-		if err := c.set(c.override(), c.overrideSpec()); err != nil {
+		if err := c.setBody(c.drawOverrideKey(), c.drawOverride()); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-func (c *Configuration) override() records.Key {
-	return records.Key{Kind: records.KindOverride, Name: fmt.Sprintf("node-%05d", c.random.IntN(c.plan.Nodes))}
+func (c *Configuration) drawOverrideKey() records.Key {
+	return records.Key{Kind: records.KindOverride, Name: fmt.Sprintf("node-%05d", c.rng.IntN(c.plan.Nodes))}
 }
 
-func (c *Configuration) overrideSpec() records.OverrideSpec {
+func (c *Configuration) drawOverride() records.OverrideSpec {
 	spec := records.OverrideSpec{State: records.StateDraining}
-	spec.Service = c.services[c.random.IntN(len(c.services))]
-	spec.Zone = c.zones[c.random.IntN(len(c.zones))]
-	if c.random.IntN(2) == 0 {
+	spec.Service = c.services[c.rng.IntN(len(c.services))]
+	spec.Zone = c.zones[c.rng.IntN(len(c.zones))]
+	if c.rng.IntN(2) == 0 {
 		spec.State = records.StateGone
 	}
 	return spec
 }
 
-// Load gives the transactions that write the whole configuration; records come after those that they refer to.
-func (c *Configuration) Load() (transactions []records.Transaction) {
+// LoadTransactions gives the transactions that write the whole configuration; records come after those that they refer to.
+func (c *Configuration) LoadTransactions() (transactions []records.Transaction) {
 	keys := make([]records.Key, 0, len(c.bodies))
 	for key := range c.bodies {
 		keys = append(keys, key)
 	}
 	slices.SortFunc(keys, func(a, b records.Key) int {
 		if a.Kind != b.Kind && (a.Kind == records.KindService || b.Kind == records.KindService) {
-			return loadRank(a.Kind) - loadRank(b.Kind)
+			return rankToLoad(a.Kind) - rankToLoad(b.Kind)
 		}
 		return a.Compare(b)
 	})
@@ -187,15 +187,15 @@
 // loadBatch is the number of records that are written by one transaction as the group is loaded.
 const loadBatch = records.MaxTransactionWrites
 
-func loadRank(kind records.Kind) int {
+func rankToLoad(kind records.Kind) int {
 	if kind == records.KindService {
 		return 0
 	}
 	return int(kind) + 1
 }
 
-// Agreed notes the revision that set the records of a transaction.
-func (c *Configuration) Agreed(transaction records.Transaction, revision uint64) {
+// RecordAgreed notes the revision that set the records of a transaction.
+func (c *Configuration) RecordAgreed(transaction records.Transaction, revision uint64) {
 	for _, write := range transaction.Writes {
 		if len(write.Body) == 0 {
 			delete(c.bodies, write.Key)
@@ -214,10 +214,10 @@
 	serviceChanges = 5 // the rest are overrides
 )
 
-// Next draws a change of one record, whose content will differ.
-func (c *Configuration) Next() (records.Transaction, error) {
+// NextChange draws a change of one record, whose content will differ.
+func (c *Configuration) NextChange() (records.Transaction, error) {
 	for {
-		key, spec := c.draw()
+		key, spec := c.drawChange()
 		var body json.RawMessage
 		if spec != nil {
 			record, err := records.New(key, spec)
@@ -233,25 +233,25 @@
 	}
 }
 
-// draw gives a record and its new content; nil removes it.
-func (c *Configuration) draw() (records.Key, any) {
-	kind := c.random.IntN(100)
+// drawChange gives a record and its new content; nil removes it.
+func (c *Configuration) drawChange() (records.Key, any) {
+	kind := c.rng.IntN(100)
 	switch {
 	case kind < routeChanges:
-		key := records.Key{Kind: records.KindRoute, Name: c.routes[c.random.IntN(len(c.routes))]}
-		return key, c.route(key)
+		key := records.Key{Kind: records.KindRoute, Name: c.routes[c.rng.IntN(len(c.routes))]}
+		return key, c.drawRoute(key)
 	case kind < routeChanges+tenantChanges && len(c.tenants) > 0:
-		key := records.Key{Kind: records.KindTenant, Name: c.tenants[c.random.IntN(len(c.tenants))]}
-		return key, c.tenant(key)
+		key := records.Key{Kind: records.KindTenant, Name: c.tenants[c.rng.IntN(len(c.tenants))]}
+		return key, c.drawTenant(key)
 	case kind < routeChanges+tenantChanges+serviceChanges:
-		key := records.Key{Kind: records.KindService, Name: c.services[c.random.IntN(len(c.services))]}
-		return key, records.ServiceSpec{Zones: c.someZones()}
+		key := records.Key{Kind: records.KindService, Name: c.services[c.rng.IntN(len(c.services))]}
+		return key, records.ServiceSpec{Zones: c.drawZones()}
 	}
-	key := c.override()
-	if _, received := c.bodies[key]; received && c.random.IntN(2) == 0 {
+	key := c.drawOverrideKey()
+	if _, received := c.bodies[key]; received && c.rng.IntN(2) == 0 {
 		return key, nil
 	}
-	return key, c.overrideSpec()
+	return key, c.drawOverride()
 }
 
 // Controller is one that follows the group.
@@ -276,5 +276,5 @@
 }
 
 func (c *Configuration) prefix(route records.Key) string {
-	return "/" + c.service[route] + "/" + route.Name
+	return "/" + c.serviceOf[route] + "/" + route.Name
 }
--- a/loadtest/controllerprocess.go
+++ b/loadtest/controllerprocess.go
@@ -38,9 +38,9 @@
 		close(p.ready)
 	}
 	if report.Failed != "" {
-		r.recorder.fail(fmt.Errorf("a worker of conductors ended: %s", report.Failed))
+		r.recorder.recordFailure(fmt.Errorf("a worker of conductors ended: %s", report.Failed))
 	}
-	r.recorder.note(report.Events)
+	r.recorder.recordEvents(report.Events)
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	if report.Messages != nil {
@@ -63,7 +63,7 @@
 			hollow = append(hollow, at)
 		}
 	}
-	if r.program == "" {
+	if r.controllerProgram == "" {
 		if err := r.startWorker(ctx, []int{measuredController}); err != nil {
 			return err
 		}
@@ -74,7 +74,7 @@
 		}
 	}
 	began := time.Now()
-	if err := r.command(actionRestart, 0, func(int) bool { return true }); err != nil {
+	if err := r.commandControllers(actionRestart, 0, func(int) bool { return true }); err != nil {
 		return err
 	}
 	if err := r.startProgram(ctx); err != nil {
@@ -84,7 +84,7 @@
 		return err
 	}
 	r.logProgress("%d conductors in step after %.1f s", len(r.controllers), time.Since(began).Seconds())
-	return r.noteStart(ctx)
+	return r.recordStartUsage(ctx)
 }
 
 func (r *run) startWorker(ctx context.Context, indexes []int) error {
@@ -93,33 +93,33 @@
 		return err
 	}
 	p := &controllerProcess{worker: started, indexes: indexes, ready: make(chan struct{}), finished: make(chan struct{})}
-	r.workers = append(r.workers, p)
-	r.crew.add(started, func(report *workerReport) { r.handleReport(p, report) })
+	r.controllerProcesses = append(r.controllerProcesses, p)
+	r.workers.add(started, func(report *workerReport) { r.handleReport(p, report) })
 	setup := &controllersSetup{Members: r.addresses(), Lease: configsync.DefaultLimits.Lease, Seed: r.plan.Seed}
 	for _, at := range indexes {
-		setup.Controllers = append(setup.Controllers, numbered{at, r.controllers[at]})
+		setup.Controllers = append(setup.Controllers, indexedController{at, r.controllers[at]})
 	}
 	if err := started.commands.write(workerCommand{Controllers: setup}); err != nil {
 		return err
 	}
-	return r.wait(ctx, p.ready, startTimeout, "a worker of conductors is not ready")
+	return r.waitFor(ctx, p.ready, startTimeout, "a worker of conductors is not ready")
 }
 
-// wait waits for something that a worker tells.
-func (r *run) wait(ctx context.Context, done <-chan struct{}, timeout time.Duration, otherwise string) error {
+// waitFor waits for something that a worker tells.
+func (r *run) waitFor(ctx context.Context, done <-chan struct{}, timeout time.Duration, otherwise string) error {
 	select {
 	case <-done:
 		return nil
 	case <-ctx.Done():
 		return ctx.Err()
 	case <-time.After(timeout):
-		return errors.Join(fmt.Errorf("%s after %s", otherwise, timeout), r.recorder.failed())
+		return errors.Join(fmt.Errorf("%s after %s", otherwise, timeout), r.recorder.firstFailure())
 	}
 }
 
-// command has something done to the controllers that are chosen, in all workers evenly over a time.
-func (r *run) command(kind actionKind, over time.Duration, chosen func(controller int) bool) error {
-	for _, p := range r.workers {
+// commandControllers has something done to the controllers that are chosen, in all workers evenly over a time.
+func (r *run) commandControllers(kind actionKind, over time.Duration, chosen func(controller int) bool) error {
+	for _, p := range r.controllerProcesses {
 		one := &action{Kind: kind, Over: over}
 		for _, at := range p.indexes {
 			if chosen(at) {
@@ -138,18 +138,18 @@
 
 // waitConverged waits until all controllers hold what was agreed when it was called.
 func (r *run) waitConverged(ctx context.Context, timeout time.Duration) error {
-	want := r.recorder.newest()
+	want := r.recorder.newestRevision()
 	deadline := time.Now().Add(timeout)
 	for {
-		behind := r.recorder.behind(want)
+		behind := r.recorder.countBehind(want)
 		if behind == 0 {
 			return nil
 		}
-		if err := r.recorder.failed(); err != nil {
+		if err := r.recorder.firstFailure(); err != nil {
 			return err
 		}
 		if time.Now().After(deadline) {
-			return fmt.Errorf("%d of %d conductors are not in step after %s; %s", behind, len(r.controllers), timeout, r.group.describe(ctx))
+			return fmt.Errorf("%d of %d conductors are not in step after %s; %s", behind, len(r.controllers), timeout, r.group.describeStatus(ctx))
 		}
 		if err := sleep(ctx, pollInterval); err != nil {
 			return err
@@ -159,7 +159,7 @@
 
 // finish ends all controllers and has the workers tell what they measured.
 func (r *run) finish(ctx context.Context) error {
-	for _, p := range r.workers {
+	for _, p := range r.controllerProcesses {
 		if p.external {
 			continue
 		}
@@ -167,11 +167,11 @@
 			return err
 		}
 	}
-	for _, p := range r.workers {
+	for _, p := range r.controllerProcesses {
 		if p.external {
 			continue
 		}
-		if err := r.wait(ctx, p.finished, finishTimeout, "a worker has not told what it measured"); err != nil {
+		if err := r.waitFor(ctx, p.finished, finishTimeout, "a worker has not told what it measured"); err != nil {
 			return err
 		}
 	}
--- a/loadtest/controllers.go
+++ b/loadtest/controllers.go
@@ -23,8 +23,8 @@
 	event func(*event) // may change what a controller tells
 }
 
-// controllers is the worker that plays controllers without a data plane.
-type controllers struct {
+// controllersWorker is the worker that plays controllers without a data plane.
+type controllersWorker struct {
 	setup      *controllersSetup
 	hooks      controllerHooks
 	out        *lineWriter
@@ -39,34 +39,34 @@
 
 // simulatedController is one controller: the real client, and nothing behind it.
 type simulatedController struct {
-	worker *controllers
-	numbered
-	meter *meter
+	worker *controllersWorker
+	indexedController
+	meter *connectionMeter
 
-	mutex       sync.Mutex
-	stop        context.CancelFunc // of the present life
-	stopped     chan struct{}      // closed at the end of that
-	incarnation int
-	rejecting   bool
-	last        event // what was accepted last
-	records     map[records.Key]*records.Record
+	mutex        sync.Mutex
+	cancel       context.CancelFunc // of the present life
+	stopped      chan struct{}      // closed at the end of that
+	incarnation  int
+	rejecting    bool
+	lastAccepted event // what was accepted last
+	records      map[records.Key]*records.Record
 }
 
-func newControllers(setup *controllersSetup, hooks controllerHooks, out *lineWriter) *controllers {
-	w := &controllers{
+func newControllers(setup *controllersSetup, hooks controllerHooks, out *lineWriter) *controllersWorker {
+	w := &controllersWorker{
 		setup: setup, hooks: hooks, out: out, messages: newMessageMeter(),
 		events: make(chan event, maxQueuedEvents), simulated: map[int]*simulatedController{},
 	}
 	for _, one := range setup.Controllers {
-		h := &simulatedController{worker: w, numbered: one}
-		h.meter = newMeter(&w.wire, w.messages, h.joined)
+		h := &simulatedController{worker: w, indexedController: one}
+		h.meter = newConnectionMeter(&w.wire, w.messages, h.handleJoined)
 		w.simulated[one.Index] = h
 	}
 	return w
 }
 
 // run plays the controllers until ctx ends; actions come meanwhile.
-func (w *controllers) run(ctx context.Context, actions <-chan *action) error {
+func (w *controllersWorker) run(ctx context.Context, actions <-chan *action) error {
 	ctx, stop := context.WithCancel(ctx)
 	defer w.running.Wait()
 	defer stop()
@@ -91,7 +91,7 @@
 }
 
 // reportEvents writes events and the wire's counters until ctx ends.
-func (w *controllers) reportEvents(ctx context.Context) error {
+func (w *controllersWorker) reportEvents(ctx context.Context) error {
 	tick, wire := time.NewTicker(reportInterval), time.NewTicker(wireReportInterval)
 	defer tick.Stop()
 	defer wire.Stop()
@@ -112,7 +112,7 @@
 }
 
 // reportQueued writes the events that wait, and further ones.
-func (w *controllers) reportQueued(further []event) error {
+func (w *controllersWorker) reportQueued(further []event) error {
 	w.reportLock.Lock()
 	defer w.reportLock.Unlock()
 	var events []event
@@ -126,7 +126,7 @@
 }
 
 // perform does something to controllers. What takes its time goes on in the background.
-func (w *controllers) perform(ctx context.Context, one *action) error {
+func (w *controllersWorker) perform(ctx context.Context, one *action) error {
 	switch one.Kind {
 	case actionReport:
 		return w.report(false)
@@ -150,7 +150,7 @@
 	return nil
 }
 
-func (w *controllers) report(finished bool) error {
+func (w *controllersWorker) report(finished bool) error {
 	messages, err := w.messages.report()
 	if err != nil {
 		return err
@@ -159,13 +159,13 @@
 }
 
 // finish ends all clients and tells what each held.
-func (w *controllers) finish() error {
+func (w *controllersWorker) finish() error {
 	var final []event
 	for _, h := range w.simulated {
-		h.end()
+		h.stopAndWait()
 	}
 	for _, h := range w.simulated {
-		final = append(final, h.final())
+		final = append(final, h.finalEvent())
 	}
 	if err := w.reportQueued(final); err != nil {
 		return err
@@ -176,8 +176,8 @@
 func (h *simulatedController) perform(ctx context.Context, kind actionKind) {
 	switch kind {
 	case actionRestart:
-		h.end()
-		h.begin(ctx)
+		h.stopAndWait()
+		h.start(ctx)
 	case actionReconnect:
 		h.meter.closeAll()
 	case actionCut:
@@ -191,11 +191,11 @@
 	}
 }
 
-// end ends the present life, if there is one.
-func (h *simulatedController) end() {
+// stopAndWait ends the present life, if there is one.
+func (h *simulatedController) stopAndWait() {
 	h.mutex.Lock()
-	stop, stopped := h.stop, h.stopped
-	h.stop, h.stopped = nil, nil
+	stop, stopped := h.cancel, h.stopped
+	h.cancel, h.stopped = nil, nil
 	h.mutex.Unlock()
 	if stop == nil {
 		return
@@ -205,22 +205,22 @@
 	<-stopped
 }
 
-// begin starts a life in which nothing is held yet.
-func (h *simulatedController) begin(ctx context.Context) {
+// start starts a life in which nothing is held yet.
+func (h *simulatedController) start(ctx context.Context) {
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
-	ctx, h.stop = context.WithCancel(ctx)
+	ctx, h.cancel = context.WithCancel(ctx)
 	stopped := make(chan struct{})
 	h.stopped = stopped
 	h.incarnation++
-	h.records, h.last = nil, event{}
-	h.meter.holds.Store(false)
-	h.report(event{Kind: eventStarted, Incarnation: h.incarnation})
+	h.records, h.lastAccepted = nil, event{}
+	h.meter.hasAccepted.Store(false)
+	h.reportEvent(event{Kind: eventStarted, Incarnation: h.incarnation})
 	client, err := front.NewClient(front.Config{
 		Name: h.Name, Scope: h.Scope, Members: h.worker.setup.Members, Lease: h.worker.setup.Lease,
 		Seed:        h.worker.setup.Seed<<20 + uint64(h.Index)<<4 + uint64(h.incarnation),
-		Check:       h.check,
-		Accepted:    h.accepted,
+		Check:       h.checkRevision,
+		Accepted:    h.handleAccepted,
 		DialOptions: h.meter.options(),
 	})
 	if err != nil {
@@ -232,8 +232,8 @@
 	})
 }
 
-// report queues an event. It waits while the queue is full, so that nothing is lost.
-func (h *simulatedController) report(one event) {
+// reportEvent queues an event. It waits while the queue is full, so that nothing is lost.
+func (h *simulatedController) reportEvent(one event) {
 	one.Controller = h.Index
 	if one.At == 0 {
 		one.At = time.Now().UnixNano()
@@ -247,12 +247,12 @@
 	}
 }
 
-func (h *simulatedController) joined(member string) {
-	h.report(event{Kind: eventJoined, Member: member})
+func (h *simulatedController) handleJoined(member string) {
+	h.reportEvent(event{Kind: eventJoined, Member: member})
 }
 
-// check refuses one change in some while the controller is to refuse.
-func (h *simulatedController) check(revision uint64, _ map[records.Key]*records.Record) error {
+// checkRevision refuses one change in some while the controller is to refuse.
+func (h *simulatedController) checkRevision(revision uint64, _ map[records.Key]*records.Record) error {
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
 	if !h.rejecting {
@@ -266,32 +266,32 @@
 	return fmt.Errorf("revision %d is refused by the experiment", revision)
 }
 
-// accepted tells the revision held and the digest of its records, which is computed where records have come.
-func (h *simulatedController) accepted(revision uint64, received map[records.Key]*records.Record) {
+// handleAccepted tells the revision held and the digest of its records, which is computed where records have come.
+func (h *simulatedController) handleAccepted(revision uint64, received map[records.Key]*records.Record) {
 	at := time.Now().UnixNano()
 	h.mutex.Lock()
-	one := event{Kind: eventAccepted, At: at, Incarnation: h.incarnation, Revision: revision, Digest: h.last.Digest, Outside: h.last.Outside}
-	if h.meter.changed.Swap(false) || h.records == nil {
-		one.Digest, one.Outside = DigestOfAll(received), outside(h.Scope, received)
+	one := event{Kind: eventAccepted, At: at, Incarnation: h.incarnation, Revision: revision, Digest: h.lastAccepted.Digest, Outside: h.lastAccepted.Outside}
+	if h.meter.recordsReceived.Swap(false) || h.records == nil {
+		one.Digest, one.Outside = DigestOfAll(received), countOutside(h.Scope, received)
 	}
-	h.last, h.records = one, received
-	h.meter.holds.Store(true)
+	h.lastAccepted, h.records = one, received
+	h.meter.hasAccepted.Store(true)
 	h.mutex.Unlock()
-	h.report(one)
+	h.reportEvent(one)
 }
 
-// final is what the controller held at its end, its digest computed anew.
-func (h *simulatedController) final() event {
+// finalEvent is what the controller held at its end, its digest computed anew.
+func (h *simulatedController) finalEvent() event {
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
 	return event{
 		Kind: eventFinal, Controller: h.Index, At: time.Now().UnixNano(), Incarnation: h.incarnation,
-		Revision: h.last.Revision, Digest: DigestOfAll(h.records), Outside: outside(h.Scope, h.records),
+		Revision: h.lastAccepted.Revision, Digest: DigestOfAll(h.records), Outside: countOutside(h.Scope, h.records),
 	}
 }
 
-// outside counts records that are held but not of a scope.
-func outside(scope records.Scope, received map[records.Key]*records.Record) (count int) {
+// countOutside counts records that are held but not of a scope.
+func countOutside(scope records.Scope, received map[records.Key]*records.Record) (count int) {
 	for _, record := range received {
 		if !scope.Contains(record) {
 			count++
--- a/loadtest/experiment.go
+++ b/loadtest/experiment.go
@@ -63,7 +63,7 @@
 
 // readFigure reads a figure; one with several values is swept.
 func (e *Experiment) readFigure(node *kdl.Node, faults *kdl.Faults) {
-	setting, known := setting(node.Name)
+	setting, known := findSetting(node.Name)
 	if !known {
 		faults.Add(node.Line, "%q is no figure of a fleet", node.Name)
 		return
@@ -94,7 +94,7 @@
 	if e.Figure == "" {
 		return []Plan{e.Plan}
 	}
-	setting, _ := setting(e.Figure)
+	setting, _ := findSetting(e.Figure)
 	for _, value := range e.Values {
 		plan := e.Plan
 		setting.Set(&plan, value)
--- a/loadtest/experiment_test.go
+++ b/loadtest/experiment_test.go
@@ -152,7 +152,7 @@
 	if err != nil || len(charts) != len(metrics) {
 		t.Errorf("%d charts, want %d: %v", len(charts), len(metrics), err)
 	}
-	if broken := sweep.Broken(); len(broken) != 1 || broken[0] != "conductors 20: a bound" {
+	if broken := sweep.BrokenBounds(); len(broken) != 1 || broken[0] != "conductors 20: a bound" {
 		t.Errorf("broken: %q", broken)
 	}
 }
--- a/loadtest/faults.go
+++ b/loadtest/faults.go
@@ -9,8 +9,8 @@
 	"harehook.dev/harehook/configsync"
 )
 
-// weight is the part of the time that a fault is played for, beside the other faults.
-var weight = map[Fault]float64{FaultReconnect: 1, FaultMemberKilled: 3, FaultRejecting: 1, FaultRegionCut: 2, FaultAllRestarted: 4}
+// slotWeights is the part of the time that a fault is played for, beside the other faults.
+var slotWeights = map[Fault]float64{FaultReconnect: 1, FaultMemberKilled: 3, FaultRejecting: 1, FaultRegionCut: 2, FaultAllRestarted: 4}
 
 const (
 	faultFreeFraction  = 0.25 // of the time, before the first fault
@@ -21,7 +21,7 @@
 	cutFraction        = 0.6 // of the fault's time for which a region is cut off
 	rejectFraction     = 0.6 // of the fault's time in which changes are refused
 	memberDownFraction = 1.0 / 6
-	longestDowntime    = 5 * time.Second
+	maxDowntime        = 5 * time.Second
 )
 
 // playFaults plays one fault after the other until the plan's time is over.
@@ -34,7 +34,7 @@
 	}
 	sum := 0.0
 	for _, fault := range faults {
-		sum += weight[fault]
+		sum += slotWeights[fault]
 	}
 	steady := time.Duration(faultFreeFraction * float64(end.Sub(r.playStart)))
 	r.faultFreeUntil = r.playStart.Add(steady)
@@ -43,11 +43,11 @@
 	if err := sleep(ctx, steady); err != nil {
 		return err
 	}
-	defer r.recorder.enter("")
+	defer r.recorder.setPhase("")
 	for _, fault := range faults {
-		slot := time.Duration(weight[fault]) * unit
+		slot := time.Duration(slotWeights[fault]) * unit
 		r.logProgress("%s, %.0f s", fault, slot.Seconds())
-		r.recorder.enter(fault)
+		r.recorder.setPhase(fault)
 		until := time.Now().Add(slot)
 		if err := r.playFault(ctx, fault, slot, random); err != nil {
 			return err
@@ -79,9 +79,9 @@
 	return time.Duration(share * float64(of))
 }
 
-// choose gives the controllers that are chosen. The one with a process of its own is left alone: its steady running is
+// chooseControllers gives the controllers that are chosen. The one with a process of its own is left alone: its steady running is
 // measured.
-func (r *run) choose(chosen func(controller int) bool) (indexes []int, has func(int) bool) {
+func (r *run) chooseControllers(chosen func(controller int) bool) (indexes []int, has func(int) bool) {
 	set := map[int]bool{}
 	for at := range r.controllers {
 		if at != measuredController && chosen(at) {
@@ -97,10 +97,10 @@
 }
 
 func (r *run) reconnect(random *rand.Rand) error {
-	indexes, has := r.choose(oneIn(random, reconnectOneIn))
+	indexes, has := r.chooseControllers(oneIn(random, reconnectOneIn))
 	now := time.Now()
-	r.recorder.open(FaultReconnect, indexes, now, now)
-	return r.command(actionReconnect, 0, has)
+	r.recorder.recordFault(FaultReconnect, indexes, now, now)
+	return r.commandControllers(actionReconnect, 0, has)
 }
 
 // killMembers kills a member that follows, and the leader in the second half.
@@ -120,7 +120,7 @@
 		if !leader {
 			victim = lead%uint64(r.plan.Members) + 1
 		}
-		if err := r.killMember(ctx, victim, min(longestDowntime, scaleDuration(slot, memberDownFraction))); err != nil {
+		if err := r.killMember(ctx, victim, min(maxDowntime, scaleDuration(slot, memberDownFraction))); err != nil {
 			return err
 		}
 	}
@@ -128,10 +128,10 @@
 }
 
 func (r *run) killMember(ctx context.Context, id uint64, down time.Duration) error {
-	member := r.members[id-1]
+	member := r.memberProcesses[id-1]
 	now := time.Now()
-	r.recorder.open(FaultMemberKilled, r.recorder.following(member.address), now, now)
-	if err := member.die(); err != nil {
+	r.recorder.recordFault(FaultMemberKilled, r.recorder.controllersOf(member.address), now, now)
+	if err := member.kill(); err != nil {
 		return err
 	}
 	if err := sleep(ctx, down); err != nil {
@@ -142,37 +142,37 @@
 
 // rejectChanges has some controllers refuse some changes for a while.
 func (r *run) rejectChanges(ctx context.Context, over time.Duration, random *rand.Rand) error {
-	indexes, has := r.choose(oneIn(random, rejectingOneIn))
+	indexes, has := r.chooseControllers(oneIn(random, rejectingOneIn))
 	now := time.Now()
-	r.recorder.open(FaultRejecting, indexes, now, now.Add(over+configsync.DefaultLimits.RejectedBackoff))
-	if err := r.command(actionReject, 0, has); err != nil {
+	r.recorder.recordFault(FaultRejecting, indexes, now, now.Add(over+configsync.DefaultLimits.RejectedBackoff))
+	if err := r.commandControllers(actionReject, 0, has); err != nil {
 		return err
 	}
 	if err := sleep(ctx, over); err != nil {
 		return err
 	}
-	return r.command(actionAccept, 0, has)
+	return r.commandControllers(actionAccept, 0, has)
 }
 
 // cutRegion cuts the controllers of one region off.
 func (r *run) cutRegion(ctx context.Context, over time.Duration, random *rand.Rand) error {
 	region := random.IntN(r.plan.Regions)
-	indexes, has := r.choose(func(at int) bool { return r.controllers[at].Region == region })
+	indexes, has := r.chooseControllers(func(at int) bool { return r.controllers[at].Region == region })
 	now := time.Now()
-	r.recorder.open(FaultRegionCut, indexes, now, now.Add(over))
-	if err := r.command(actionCut, 0, has); err != nil {
+	r.recorder.recordFault(FaultRegionCut, indexes, now, now.Add(over))
+	if err := r.commandControllers(actionCut, 0, has); err != nil {
 		return err
 	}
 	if err := sleep(ctx, over); err != nil {
 		return err
 	}
-	return r.command(actionHeal, 0, has)
+	return r.commandControllers(actionHeal, 0, has)
 }
 
 // restartAll restarts all controllers evenly over a time.
 func (r *run) restartAll(ctx context.Context, over time.Duration) error {
-	_, has := r.choose(func(int) bool { return true })
-	if err := r.command(actionRestart, over, has); err != nil {
+	_, has := r.chooseControllers(func(int) bool { return true })
+	if err := r.commandControllers(actionRestart, over, has); err != nil {
 		return err
 	}
 	return sleep(ctx, over)
--- a/loadtest/fleet_test.go
+++ b/loadtest/fleet_test.go
@@ -16,8 +16,8 @@
 	return plan
 }
 
-// play carries out a plan in this process.
-func play(t *testing.T, plan Plan, planted hooks) *Report {
+// playInProcess carries out a plan in this process.
+func playInProcess(t *testing.T, plan Plan, planted hooks) *Report {
 	t.Helper()
 	ctx, cancel := context.WithTimeout(t.Context(), 3*time.Minute)
 	defer cancel()
@@ -35,8 +35,8 @@
 	return len(line), nil
 }
 
-// wantInOrder holds a report to have all bounds kept and the counts that follow from its plan.
-func wantInOrder(t *testing.T, report *Report, wholeScopes int64) {
+// checkInOrder holds a report to have all bounds kept and the counts that follow from its plan.
+func checkInOrder(t *testing.T, report *Report, wholeScopes int64) {
 	t.Helper()
 	for _, line := range report.Broken {
 		t.Error(line)
@@ -72,7 +72,7 @@
 func TestSmallFleet(t *testing.T) {
 	t.Parallel()
 	plan := smallPlan()
-	wantInOrder(t, play(t, plan, hooks{}), int64(plan.Controllers))
+	checkInOrder(t, playInProcess(t, plan, hooks{}), int64(plan.Controllers))
 }
 
 func TestSmallFleetThroughFaults(t *testing.T) {
@@ -80,9 +80,9 @@
 	plan := smallPlan()
 	plan.Members, plan.Seconds = 3, 8
 	plan.Faults = AllFaults
-	report := play(t, plan, hooks{})
+	report := playInProcess(t, plan, hooks{})
 	restarted := int64(plan.Controllers - 1) // all but the one with a process of its own
-	wantInOrder(t, report, int64(plan.Controllers)+restarted)
+	checkInOrder(t, report, int64(plan.Controllers)+restarted)
 	if report.Measured.Restarted.Count != restarted {
 		t.Errorf("%d conductors were in step after their restart, want %d", report.Measured.Restarted.Count, restarted)
 	}
@@ -102,9 +102,9 @@
 	t.Parallel()
 	small, large := smallPlan(), smallPlan()
 	large.Controllers, large.Tenants, large.Routes = 4*small.Controllers, 10*small.Tenants, 4*small.Routes
-	few, many := play(t, small, hooks{}), play(t, large, hooks{})
-	wantInOrder(t, few, int64(small.Controllers))
-	wantInOrder(t, many, int64(large.Controllers))
+	few, many := playInProcess(t, small, hooks{}), playInProcess(t, large, hooks{})
+	checkInOrder(t, few, int64(small.Controllers))
+	checkInOrder(t, many, int64(large.Controllers))
 	if before, after := few.Measured.Messages.RecordOverhead, many.Measured.Messages.RecordOverhead; after.Worst > before.Worst+revisionDigits {
 		t.Errorf("beside a record: %d bytes in the small fleet, %d in the large one", before.Worst, after.Worst)
 	}
--- a/loadtest/group.go
+++ b/loadtest/group.go
@@ -19,18 +19,18 @@
 const (
 	proposeTimeout = 2 * time.Second  // of one try at one member
 	answerTimeout  = 60 * time.Second // of all tries: a leader that was killed has to be replaced
-	tryAgainAfter  = 50 * time.Millisecond
+	retryInterval  = 50 * time.Millisecond
 )
 
-// group proposes transactions as an operator does: to any member, and to the next one where that does not answer.
-type group struct {
-	conns []*grpc.ClientConn // by member
-	next  int
-	count uint64 // of proposals
+// groupClient proposes transactions as an operator does: to any member, and to the next one where that does not answer.
+type groupClient struct {
+	conns     []*grpc.ClientConn // by member
+	next      int
+	proposals uint64 // of proposals
 }
 
-func newGroup(addresses []string) (*group, error) {
-	g := &group{}
+func newGroupClient(addresses []string) (*groupClient, error) {
+	g := &groupClient{}
 	for _, address := range addresses {
 		conn, err := cluster.Dial(address, nil)
 		if err != nil {
@@ -41,7 +41,7 @@
 	return g, nil
 }
 
-func (g *group) close() {
+func (g *groupClient) close() {
 	if g == nil {
 		return
 	}
@@ -52,14 +52,14 @@
 
 // propose has the group agree on a transaction and gives its revision. A proposal that got no answer is made again
 // under its own name, so that it is applied once.
-func (g *group) propose(ctx context.Context, transaction records.Transaction) (revision uint64, err error) {
+func (g *groupClient) propose(ctx context.Context, transaction records.Transaction) (revision uint64, err error) {
 	ctx, cancel := context.WithTimeout(ctx, answerTimeout)
 	defer cancel()
-	g.count++
+	g.proposals++
 	for {
 		call, stop := context.WithTimeout(ctx, proposeTimeout)
 		var result cluster.Result
-		result, err = proposeOnce(call, g.conns[g.next], g.count, transaction)
+		result, err = proposeOnce(call, g.conns[g.next], g.proposals, transaction)
 		stop()
 		switch {
 		case err == nil && result.Rejected != "":
@@ -70,14 +70,14 @@
 			return 0, err
 		}
 		g.next = (g.next + 1) % len(g.conns)
-		if waiting := sleep(ctx, tryAgainAfter); waiting != nil {
+		if waiting := sleep(ctx, retryInterval); waiting != nil {
 			return 0, fmt.Errorf("%w: %w", waiting, err)
 		}
 	}
 }
 
 // leader waits until a member says that it leads.
-func (g *group) leader(ctx context.Context) (id uint64, err error) {
+func (g *groupClient) leader(ctx context.Context) (id uint64, err error) {
 	for {
 		for _, conn := range g.conns {
 			call, stop := context.WithTimeout(ctx, proposeTimeout)
@@ -88,14 +88,14 @@
 			}
 			err = failed
 		}
-		if waiting := sleep(ctx, tryAgainAfter); waiting != nil {
+		if waiting := sleep(ctx, retryInterval); waiting != nil {
 			return 0, fmt.Errorf("no leader: %w: %w", waiting, err)
 		}
 	}
 }
 
-// describe tells where each member stands, for an error.
-func (g *group) describe(ctx context.Context) string {
+// describeStatus tells where each member stands, for an error.
+func (g *groupClient) describeStatus(ctx context.Context) string {
 	var lines []string
 	for at, conn := range g.conns {
 		call, stop := context.WithTimeout(ctx, proposeTimeout)
@@ -111,12 +111,12 @@
 	return strings.Join(lines, "; ")
 }
 
-// client names this operator's proposals together with their number.
-const client = "harehook-lab fleet"
+// proposerName names this operator's proposals together with their number.
+const proposerName = "harehook-lab fleet"
 
 // proposeOnce makes a proposal at one member.
 func proposeOnce(ctx context.Context, conn *grpc.ClientConn, number uint64, transaction records.Transaction) (cluster.Result, error) {
-	command := cluster.Command{Kind: cluster.CommandRecords, Client: client, Seq: number, Writes: transaction.Writes, By: client, Why: "a change of the experiment"}
+	command := cluster.Command{Kind: cluster.CommandRecords, Client: proposerName, Seq: number, Writes: transaction.Writes, By: proposerName, Why: "a change of the experiment"}
 	return cluster.Call[cluster.Result](ctx, conn, "Propose", command)
 }
 
--- a/loadtest/member.go
+++ b/loadtest/member.go
@@ -23,8 +23,8 @@
 // countsInterval is how often a member reports what it has sent.
 const countsInterval = 500 * time.Millisecond
 
-// member is the worker that is a member of the group, as harehook-xds has it but without a data plane.
-type member struct {
+// memberWorker is the worker that is a member of the group, as harehook-xds has it but without a data plane.
+type memberWorker struct {
 	node    *cluster.Node
 	service *front.Service
 	out     *lineWriter
@@ -47,7 +47,7 @@
 		source = planted.source(source)
 	}
 	address := setup.Addresses[setup.ID]
-	m := &member{node, front.NewService(address, source, configsync.DefaultLimits, zap.NewNop()), out}
+	m := &memberWorker{node, front.NewService(address, source, configsync.DefaultLimits, zap.NewNop()), out}
 	node.OnCommit = m.service.Committed
 	listener, err := net.Listen("tcp", address)
 	if err != nil {
@@ -65,7 +65,7 @@
 }
 
 // run serves until ctx ends or the node does.
-func (m *member) run(ctx context.Context, listener net.Listener) error {
+func (m *memberWorker) run(ctx context.Context, listener net.Listener) error {
 	ctx, stop := context.WithCancel(ctx)
 	server := cluster.NewServer(nil)
 	m.node.Register(server)
@@ -87,7 +87,7 @@
 }
 
 // reportCounts reports what was sent until ctx ends.
-func (m *member) reportCounts(ctx context.Context) {
+func (m *memberWorker) reportCounts(ctx context.Context) {
 	for sleep(ctx, countsInterval) == nil {
 		counts := m.service.Counts()
 		if m.out.write(workerReport{Counts: &counts}) != nil {
@@ -96,7 +96,7 @@
 	}
 }
 
-func (m *member) hasLeader(ctx context.Context) bool {
+func (m *memberWorker) hasLeader(ctx context.Context) bool {
 	report, err := m.node.Status(ctx)
 	return err == nil && report.Status.Leader != 0
 }
--- a/loadtest/members.go
+++ b/loadtest/members.go
@@ -18,7 +18,7 @@
 	address string
 
 	mutex     sync.Mutex
-	crew      *crew
+	workers   *workerSet
 	worker    *worker // nil while it is down
 	ready     chan struct{}
 	sent      configsync.Counts
@@ -35,14 +35,14 @@
 		if err != nil {
 			return err
 		}
-		r.members = append(r.members, &memberProcess{id: id + 1, address: address, crew: &r.crew})
+		r.memberProcesses = append(r.memberProcesses, &memberProcess{id: id + 1, address: address, workers: &r.workers})
 	}
-	for _, member := range r.members {
+	for _, member := range r.memberProcesses {
 		if err := r.startMember(ctx, member); err != nil {
 			return err
 		}
 	}
-	group, err := newGroup(r.addresses())
+	group, err := newGroupClient(r.addresses())
 	if err != nil {
 		return err
 	}
@@ -64,7 +64,7 @@
 }
 
 func (r *run) addresses() (all []string) {
-	for _, member := range r.members {
+	for _, member := range r.memberProcesses {
 		all = append(all, member.address)
 	}
 	return all
@@ -80,15 +80,15 @@
 	member.mutex.Lock()
 	member.worker, member.ready = started, ready
 	member.mutex.Unlock()
-	r.crew.add(started, func(report *workerReport) { member.handleReport(started, report, r.recorder) })
+	r.workers.add(started, func(report *workerReport) { member.handleReport(started, report, r.recorder) })
 	setup := &memberSetup{ID: member.id, Folder: filepath.Join(r.folder, fmt.Sprint("member-", member.id)), Addresses: map[uint64]string{}}
-	for _, other := range r.members {
+	for _, other := range r.memberProcesses {
 		setup.Addresses[other.id] = other.address
 	}
 	if err := started.commands.write(workerCommand{Member: setup}); err != nil {
 		return err
 	}
-	return r.wait(ctx, ready, startTimeout, fmt.Sprintf("member %d does not serve", member.id))
+	return r.waitFor(ctx, ready, startTimeout, fmt.Sprintf("member %d does not serve", member.id))
 }
 
 // handleReport notes what the member tells.
@@ -105,12 +105,12 @@
 		m.sent = *report.Counts
 	}
 	if report.Failed != "" {
-		to.fail(errors.New("member " + fmt.Sprint(m.id) + " ended: " + report.Failed))
+		to.recordFailure(errors.New("member " + fmt.Sprint(m.id) + " ended: " + report.Failed))
 	}
 }
 
-// die kills the member.
-func (m *memberProcess) die() error {
+// kill kills the member.
+func (m *memberProcess) kill() error {
 	m.mutex.Lock()
 	killed := m.worker
 	m.worker = nil
@@ -120,5 +120,5 @@
 	if killed == nil {
 		return nil
 	}
-	return m.crew.kill(killed)
+	return m.workers.kill(killed)
 }
--- a/loadtest/message.go
+++ b/loadtest/message.go
@@ -33,14 +33,14 @@
 
 // controllersSetup says which controllers a worker plays.
 type controllersSetup struct {
-	Members     []string      `json:"members"` // addresses
-	Lease       time.Duration `json:"lease_ns"`
-	Seed        uint64        `json:"seed"`
-	Controllers []numbered    `json:"conductors"`
+	Members     []string            `json:"members"` // addresses
+	Lease       time.Duration       `json:"lease_ns"`
+	Seed        uint64              `json:"seed"`
+	Controllers []indexedController `json:"conductors"`
 }
 
-// numbered is a controller with its place in the fleet.
-type numbered struct {
+// indexedController is a controller with its place in the fleet.
+type indexedController struct {
 	Index int `json:"index"`
 	Controller
 }
--- a/loadtest/meter.go
+++ b/loadtest/meter.go
@@ -39,8 +39,8 @@
 	return n, err
 }
 
-// meter stands between a controller's client and the network: it counts what comes, and cuts connections.
-type meter struct {
+// connectionMeter stands between a controller's client and the network: it counts what comes, and cuts connections.
+type connectionMeter struct {
 	wire     *wireCounter
 	messages *messageMeter
 	joined   func(member string) // called at the first answer on each stream
@@ -50,20 +50,20 @@
 	conns  map[*meteredConn]struct{}
 	healed chan struct{} // closed at the end of a cut; nil: not cut
 
-	changed atomic.Bool // records have come since this was asked last
-	holds   atomic.Bool // something was accepted in the present life
+	recordsReceived atomic.Bool // records have come since this was asked last
+	hasAccepted     atomic.Bool // something was accepted in the present life
 }
 
-func newMeter(wire *wireCounter, messages *messageMeter, joined func(member string)) *meter {
-	return &meter{wire: wire, messages: messages, joined: joined, conns: map[*meteredConn]struct{}{}}
+func newConnectionMeter(wire *wireCounter, messages *messageMeter, joined func(member string)) *connectionMeter {
+	return &connectionMeter{wire: wire, messages: messages, joined: joined, conns: map[*meteredConn]struct{}{}}
 }
 
 // options are those that have a client's connections metered.
-func (m *meter) options() []grpc.DialOption {
+func (m *connectionMeter) options() []grpc.DialOption {
 	return []grpc.DialOption{grpc.WithContextDialer(m.dial), grpc.WithStatsHandler(streamStats{m})}
 }
 
-func (m *meter) dial(ctx context.Context, address string) (net.Conn, error) {
+func (m *connectionMeter) dial(ctx context.Context, address string) (net.Conn, error) {
 	if healed := m.cutOff(); healed != nil {
 		select {
 		case <-healed:
@@ -85,14 +85,14 @@
 }
 
 // cutOff gives the channel that ends a cut, nil if there is none.
-func (m *meter) cutOff() <-chan struct{} {
+func (m *connectionMeter) cutOff() <-chan struct{} {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	return m.healed
 }
 
 // cut has nothing come through any more.
-func (m *meter) cut() {
+func (m *connectionMeter) cut() {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	if m.healed == nil {
@@ -101,7 +101,7 @@
 }
 
 // heal ends a cut. Connections that were cut have lost bytes and are closed.
-func (m *meter) heal() {
+func (m *connectionMeter) heal() {
 	m.mutex.Lock()
 	healed := m.healed
 	m.healed = nil
@@ -114,7 +114,7 @@
 }
 
 // closeAll closes all connections.
-func (m *meter) closeAll() {
+func (m *connectionMeter) closeAll() {
 	m.mutex.Lock()
 	var conns []*meteredConn
 	for conn := range m.conns {
@@ -129,7 +129,7 @@
 // meteredConn is a connection whose bytes are counted and that may be cut.
 type meteredConn struct {
 	net.Conn
-	meter  *meter
+	meter  *connectionMeter
 	once   sync.Once
 	closed chan struct{}
 }
@@ -167,14 +167,14 @@
 }
 
 // streamStats is told by gRPC of each message of a client's streams.
-type streamStats struct{ meter *meter }
+type streamStats struct{ meter *connectionMeter }
 
 type streamKey struct{}
 
 // streamState is what is known of a stream.
 type streamState struct {
-	heard   bool // a message has come
-	offered bool // an offer has come
+	hasMessage bool // a message has come
+	hasUpdate  bool // an offer has come
 }
 
 // TagRPC implements stats.Handler.
@@ -193,8 +193,8 @@
 	if !is || !known {
 		return
 	}
-	if !stream.heard {
-		stream.heard = true
+	if !stream.hasMessage {
+		stream.hasMessage = true
 		s.meter.mutex.Lock()
 		member := s.meter.member
 		s.meter.mutex.Unlock()
@@ -202,10 +202,10 @@
 	}
 	if response.GetNonce() != "" {
 		if content := configsync.ContentOf(response); content.FullScope || content.Records > 0 {
-			s.meter.changed.Store(true)
+			s.meter.recordsReceived.Store(true)
 		}
-		s.meter.messages.record(response, payload.WireLength, !stream.offered, s.meter.holds.Load())
-		stream.offered = true
+		s.meter.messages.record(response, payload.WireLength, !stream.hasUpdate, s.meter.hasAccepted.Load())
+		stream.hasUpdate = true
 		return
 	}
 	s.meter.messages.recordHeartbeat(payload.WireLength)
--- a/loadtest/model.go
+++ b/loadtest/model.go
@@ -55,15 +55,15 @@
 
 // Load notes the transactions that were agreed on before the first controller came.
 func (m *Model) Load(transaction records.Transaction, revision uint64) error {
-	if _, err := m.write(transaction, revision); err != nil {
+	if _, err := m.apply(transaction, revision); err != nil {
 		return err
 	}
 	m.loaded = revision
 	return nil
 }
 
-// Loaded ends the load: from here on each change is followed by itself.
-func (m *Model) Loaded() {
+// FinishLoad ends the load: from here on each change is followed by itself.
+func (m *Model) FinishLoad() {
 	sums := map[scopeKey]Digest{}
 	for _, record := range m.records {
 		sums[scopeKey{record.Service, record.Zone}] += digestOf(record)
@@ -79,9 +79,9 @@
 	}
 }
 
-// Change notes a transaction and gives the controllers whose scope it touches.
-func (m *Model) Change(transaction records.Transaction, revision uint64) (interested []int, err error) {
-	updates, err := m.write(transaction, revision)
+// ApplyChange notes a transaction and gives the controllers whose scope it touches.
+func (m *Model) ApplyChange(transaction records.Transaction, revision uint64) (interested []int, err error) {
+	updates, err := m.apply(transaction, revision)
 	if err != nil {
 		return nil, err
 	}
@@ -106,7 +106,7 @@
 	return interested, nil
 }
 
-func (m *Model) write(transaction records.Transaction, revision uint64) (updates []records.Update, err error) {
+func (m *Model) apply(transaction records.Transaction, revision uint64) (updates []records.Update, err error) {
 	for _, write := range transaction.Writes {
 		update := records.Update{Before: m.records[write.Key]}
 		if len(write.Body) == 0 {
@@ -123,8 +123,8 @@
 	return updates, nil
 }
 
-// At is the digest that a controller has to hold at a revision; known is false for revisions before the end of the load.
-func (m *Model) At(controller int, revision uint64) (digest Digest, known bool) {
+// DigestAt is the digest that a controller has to hold at a revision; known is false for revisions before the end of the load.
+func (m *Model) DigestAt(controller int, revision uint64) (digest Digest, known bool) {
 	versions := m.versions[controller]
 	after, _ := slices.BinarySearchFunc(versions, revision+1, func(v version, want uint64) int {
 		switch {
--- a/loadtest/model_test.go
+++ b/loadtest/model_test.go
@@ -29,22 +29,22 @@
 			if _, err := store.Apply(revision, transaction); err != nil {
 				t.Fatal(err)
 			}
-			configuration.Agreed(transaction, revision)
+			configuration.RecordAgreed(transaction, revision)
 		}
-		for _, transaction := range configuration.Load() {
+		for _, transaction := range configuration.LoadTransactions() {
 			apply(transaction)
 			if err := model.Load(transaction, revision); err != nil {
 				t.Fatal(err)
 			}
 		}
-		model.Loaded()
+		model.FinishLoad()
 		for range 300 {
-			transaction, err := configuration.Next()
+			transaction, err := configuration.NextChange()
 			if err != nil {
 				t.Fatal(err)
 			}
 			apply(transaction)
-			if _, err := model.Change(transaction, revision); err != nil {
+			if _, err := model.ApplyChange(transaction, revision); err != nil {
 				t.Fatal(err)
 			}
 			for at, controller := range controllers {
@@ -52,7 +52,7 @@
 				for _, record := range store.InScope(controller.Scope).Records {
 					received[record.Key] = record
 				}
-				if digest, known := model.At(at, revision); !known || digest != DigestOfAll(received) {
+				if digest, known := model.DigestAt(at, revision); !known || digest != DigestOfAll(received) {
 					t.Fatalf("seed %d, revision %d, %s: the model says otherwise than the store", seed, revision, controller.Name)
 				}
 			}
@@ -71,16 +71,16 @@
 	if err := model.Load(write("0.5"), 4); err != nil {
 		t.Fatal(err)
 	}
-	model.Loaded()
-	if _, err := model.Change(write("0.6"), 7); err != nil {
+	model.FinishLoad()
+	if _, err := model.ApplyChange(write("0.6"), 7); err != nil {
 		t.Fatal(err)
 	}
-	if _, known := model.At(0, 3); known {
+	if _, known := model.DigestAt(0, 3); known {
 		t.Error("a revision before the load is known")
 	}
-	before, _ := model.At(0, 6)
-	loaded, _ := model.At(0, 4)
-	after, _ := model.At(0, 9)
+	before, _ := model.DigestAt(0, 6)
+	loaded, _ := model.DigestAt(0, 4)
+	after, _ := model.DigestAt(0, 9)
 	if before != loaded || after == before {
 		t.Errorf("digests %x at 4, %x at 6, %x at 9", loaded, before, after)
 	}
@@ -95,9 +95,9 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		transactions := configuration.Load()
+		transactions := configuration.LoadTransactions()
 		for range 20 {
-			next, err := configuration.Next()
+			next, err := configuration.NextChange()
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -123,7 +123,7 @@
 	}
 	count := map[string]int{}
 	for _, name := range configuration.tenants {
-		count[configuration.service[records.Key{Kind: records.KindTenant, Name: name}]]++
+		count[configuration.serviceOf[records.Key{Kind: records.KindTenant, Name: name}]]++
 	}
 	first, middle := count[configuration.services[0]], count[configuration.services[plan.Services/2]]
 	if first < 20*max(1, middle) {
--- a/loadtest/plan.go
+++ b/loadtest/plan.go
@@ -148,8 +148,8 @@
 	floatSetting("bound-conductor-kbs", "bound: kilobytes a second of that conductor, in and out", func(p *Plan) *float64 { return &p.Bounds.ControllerKBS }),
 }
 
-// setting finds a figure by its name.
-func setting(name string) (Setting, bool) {
+// findSetting finds a figure by its name.
+func findSetting(name string) (Setting, bool) {
 	at := slices.IndexFunc(Settings, func(s Setting) bool { return s.Name == name })
 	if at < 0 {
 		return Setting{}, false
--- a/loadtest/planted_test.go
+++ b/loadtest/planted_test.go
@@ -10,38 +10,38 @@
 	"harehook.dev/harehook/records"
 )
 
-// wantBroken holds a report to have broken a bound whose line has a text.
-func wantBroken(t *testing.T, report *Report, text string) {
+// checkBroken holds a report to have broken a bound whose line has a text.
+func checkBroken(t *testing.T, report *Report, text string) {
 	t.Helper()
 	if !slices.ContainsFunc(report.Broken, func(line string) bool { return strings.Contains(line, text) }) {
 		t.Errorf("no bound with %q broke: %q", text, report.Broken)
 	}
 }
 
-// forgetful keeps no history, so that a member tells whole scopes.
-type forgetful struct{ records.Source }
+// forgetfulSource keeps no history, so that a member tells whole scopes.
+type forgetfulSource struct{ records.Source }
 
-func (forgetful) Since(uint64, records.Scope) records.Delta { return records.Delta{} }
+func (forgetfulSource) Since(uint64, records.Scope) records.Delta { return records.Delta{} }
 
 func TestPlantedWholeScopeAtEachChange(t *testing.T) {
 	t.Parallel()
-	plant := memberHooks{source: func(s records.Source) records.Source { return forgetful{s} }}
-	report := play(t, smallPlan(), hooks{member: plant})
-	wantBroken(t, report, "bytes to an interested conductor beside the record")
+	plant := memberHooks{source: func(s records.Source) records.Source { return forgetfulSource{s} }}
+	report := playInProcess(t, smallPlan(), hooks{member: plant})
+	checkBroken(t, report, "bytes to an interested conductor beside the record")
 	if report.Measured.Messages.FullScopeInStep == 0 || report.Measured.Messages.FullScopeAgain == 0 {
 		t.Error("no whole scope was counted as sent in place of a change")
 	}
 }
 
-// losing leaves the updates of one answer in some out.
-type losing struct {
+// losingSource leaves the updates of one answer in some out.
+type losingSource struct {
 	records.Source
 	asked *atomic.Int64
 }
 
 const loseOneIn = 20
 
-func (l losing) Since(revision uint64, scope records.Scope) records.Delta {
+func (l losingSource) Since(revision uint64, scope records.Scope) records.Delta {
 	delta := l.Source.Since(revision, scope)
 	if len(delta.Updates) > 0 && l.asked.Add(1)%loseOneIn == 0 {
 		delta.Updates = nil
@@ -52,17 +52,17 @@
 func TestPlantedLostChange(t *testing.T) {
 	t.Parallel()
 	asked := &atomic.Int64{}
-	plant := memberHooks{source: func(s records.Source) records.Source { return losing{s, asked} }}
-	wantBroken(t, play(t, smallPlan(), hooks{member: plant}), "has other contents than agreed")
+	plant := memberHooks{source: func(s records.Source) records.Source { return losingSource{s, asked} }}
+	checkBroken(t, playInProcess(t, smallPlan(), hooks{member: plant}), "has other contents than agreed")
 }
 
 // The events of controller 3 are changed as they would be if it went wrong.
-const plantedConductor = 3
+const plantedController = 3
 
 func plantEvents(change func(accepted int, one *event)) hooks {
 	accepted := 0 // only the planted controller's goroutine counts
 	return hooks{controller: controllerHooks{event: func(one *event) {
-		if one.Controller == plantedConductor && one.Kind == eventAccepted {
+		if one.Controller == plantedController && one.Kind == eventAccepted {
 			accepted++
 			change(accepted, one)
 		}
@@ -72,7 +72,7 @@
 func TestPlantedConductorGoesBack(t *testing.T) {
 	t.Parallel()
 	var first event
-	report := play(t, smallPlan(), plantEvents(func(accepted int, one *event) {
+	report := playInProcess(t, smallPlan(), plantEvents(func(accepted int, one *event) {
 		switch accepted {
 		case 1:
 			first = *one
@@ -80,19 +80,19 @@
 			one.Revision, one.Digest = first.Revision, first.Digest
 		}
 	}))
-	wantBroken(t, report, "it went back to revision")
+	checkBroken(t, report, "it went back to revision")
 }
 
 // The real follower refuses records outside its scope, so one that does not is planted.
 func TestPlantedRecordsOutsideTheScope(t *testing.T) {
 	t.Parallel()
-	report := play(t, smallPlan(), plantEvents(func(accepted int, one *event) {
+	report := playInProcess(t, smallPlan(), plantEvents(func(accepted int, one *event) {
 		if accepted == 4 {
 			one.Outside = 2
 		}
 	}))
-	wantBroken(t, report, "records to uninterested conductors: 2")
-	wantBroken(t, report, "2 records outside its scope")
+	checkBroken(t, report, "records to uninterested conductors: 2")
+	checkBroken(t, report, "2 records outside its scope")
 }
 
 func TestRecordsOutsideAScopeAreCounted(t *testing.T) {
@@ -106,31 +106,31 @@
 		}
 		received[key] = record
 	}
-	if count := outside(records.Scope{Services: []string{"b"}}, received); count != 2 {
+	if count := countOutside(records.Scope{Services: []string{"b"}}, received); count != 2 {
 		t.Errorf("%d records outside the scope, want 2", count)
 	}
 }
 
 func TestPlantedOtherContents(t *testing.T) {
 	t.Parallel()
-	report := play(t, smallPlan(), plantEvents(func(accepted int, one *event) {
+	report := playInProcess(t, smallPlan(), plantEvents(func(accepted int, one *event) {
 		if accepted == 4 {
 			one.Digest++
 		}
 	}))
-	wantBroken(t, report, "has other contents than agreed")
+	checkBroken(t, report, "has other contents than agreed")
 }
 
 func TestPlantedLateConductor(t *testing.T) {
 	t.Parallel()
 	plan := smallPlan()
 	plan.Bounds.ConvergenceS = DefaultBounds().ConvergenceS
-	report := play(t, plan, plantEvents(func(accepted int, one *event) {
+	report := playInProcess(t, plan, plantEvents(func(accepted int, one *event) {
 		if accepted > 1 {
 			one.At += (8 * time.Second).Nanoseconds()
 		}
 	}))
-	wantBroken(t, report, "in force at the worst")
+	checkBroken(t, report, "in force at the worst")
 }
 
 func TestEachBoundNamesWhatBreaksIt(t *testing.T) {
@@ -138,14 +138,14 @@
 	bounds := DefaultBounds()
 	within := func() Measured {
 		return Measured{
-			Convergence: Times{WorstMS: 7000},
-			Messages:    Messages{RecordOverhead: Bytes{Worst: 1024}},
-			Restarted:   &Times{P90MS: 10000, WorstMS: 30000},
+			Convergence: DurationSummary{WorstMS: 7000},
+			Messages:    Messages{RecordOverhead: SizeSummary{Worst: 1024}},
+			Restarted:   &DurationSummary{P90MS: 10000, WorstMS: 30000},
 			Controller:  &ControllerUsage{ProcessUsage: ProcessUsage{BusiestCPU: 0.011, WorstMB: 128}, BusiestKBS: 16},
 		}
 	}
-	if m := within(); len(m.Broken(bounds)) != 0 {
-		t.Errorf("at the bounds: %q", m.Broken(bounds))
+	if m := within(); len(m.BrokenBounds(bounds)) != 0 {
+		t.Errorf("at the bounds: %q", m.BrokenBounds(bounds))
 	}
 	for name, over := range map[string]func(m *Measured){
 		"in force at the worst":         func(m *Measured) { m.Convergence.WorstMS++ },
@@ -160,11 +160,11 @@
 	} {
 		m := within()
 		over(&m)
-		if lines := m.Broken(bounds); len(lines) != 1 || !strings.Contains(lines[0], name) {
+		if lines := m.BrokenBounds(bounds); len(lines) != 1 || !strings.Contains(lines[0], name) {
 			t.Errorf("%s: %q", name, lines)
 		}
 		if name == "in force at the worst" {
-			if lines := m.Broken(Bounds{}); len(lines) != 0 {
+			if lines := m.BrokenBounds(Bounds{}); len(lines) != 0 {
 				t.Errorf("a bound of 0 is held: %q", lines)
 			}
 		}
--- a/loadtest/program.go
+++ b/loadtest/program.go
@@ -25,15 +25,15 @@
 	Routes     []string `json:"routes"` // lines of its file
 }
 
-// program is the worker that runs harehook-xds behind proxies, which count what it is sent and sends.
-type program struct {
+// programWorker is the worker that runs harehook-xds behind proxies, which count what it is sent and sends.
+type programWorker struct {
 	setup *programSetup
 	out   *lineWriter
 	wire  wireCounter
 }
 
 // run starts the program and ends it when ctx ends. That the program ends by itself is a failure.
-func (p *program) run(ctx context.Context) error {
+func (p *programWorker) run(ctx context.Context) error {
 	ctx, stop := context.WithCancel(ctx)
 	var proxies sync.WaitGroup
 	defer proxies.Wait()
@@ -77,7 +77,7 @@
 }
 
 // execute runs the program until it or ctx ends. Its thread lives as long, so that the program ends with this process.
-func (p *program) execute(ctx context.Context, config string, started chan<- int) error {
+func (p *programWorker) execute(ctx context.Context, config string, started chan<- int) error {
 	runtime.LockOSThread()
 	defer runtime.UnlockOSThread()
 	log, err := os.Create(filepath.Join(p.setup.Folder, "harehookd.log"))
@@ -96,7 +96,7 @@
 }
 
 // configure writes the program's files: the routes of its scope, a list of nodes, and whom it follows.
-func (p *program) configure(members []string) (path string, err error) {
+func (p *programWorker) configure(members []string) (path string, err error) {
 	if err := os.MkdirAll(p.setup.Folder, 0o700); err != nil {
 		return "", err
 	}
--- a/loadtest/recorder.go
+++ b/loadtest/recorder.go
@@ -29,18 +29,18 @@
 	return r
 }
 
-func (r *recorder) note(events []event) {
+func (r *recorder) recordEvents(events []event) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	for _, one := range events {
 		if one.Controller >= 0 && one.Controller < len(r.histories) {
-			r.histories[one.Controller].note(one)
+			r.histories[one.Controller].recordEvent(one)
 		}
 	}
 }
 
-// fail notes the first failure.
-func (r *recorder) fail(err error) {
+// recordFailure notes the first failure.
+func (r *recorder) recordFailure(err error) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	if r.failure == nil {
@@ -48,21 +48,21 @@
 	}
 }
 
-func (r *recorder) failed() error {
+func (r *recorder) firstFailure() error {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	return r.failure
 }
 
-// agree notes a revision.
-func (r *recorder) agree(revision uint64, at time.Time) {
+// recordAgreed notes a revision.
+func (r *recorder) recordAgreed(revision uint64, at time.Time) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	r.agreed = append(r.agreed, agreement{revision, at})
 }
 
-// change notes one that was played.
-func (r *recorder) change(revision uint64, at time.Time, interested []int) {
+// recordChange notes one that was played.
+func (r *recorder) recordChange(revision uint64, at time.Time, interested []int) {
 	one := change{revision: revision, answered: at, interested: map[int]bool{}}
 	for _, controller := range interested {
 		one.interested[controller] = true
@@ -74,24 +74,24 @@
 	r.agreed = append(r.agreed, agreement{revision, at})
 }
 
-// enter begins to play a fault; an empty one ends it.
-func (r *recorder) enter(fault Fault) {
+// setPhase begins to play a fault; an empty one ends it.
+func (r *recorder) setPhase(fault Fault) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	r.phase = fault
 }
 
-// open notes that a fault concerns controllers between two times.
-func (r *recorder) open(fault Fault, controllers []int, from, to time.Time) {
+// recordFault notes that a fault concerns controllers between two times.
+func (r *recorder) recordFault(fault Fault, controllers []int, from, to time.Time) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	for _, at := range controllers {
-		r.histories[at].windows = append(r.histories[at].windows, window{fault, from, to})
+		r.histories[at].windows = append(r.histories[at].windows, faultWindow{fault, from, to})
 	}
 }
 
-// following gives the controllers that a member answered last.
-func (r *recorder) following(member string) (controllers []int) {
+// controllersOf gives the controllers that a member answered last.
+func (r *recorder) controllersOf(member string) (controllers []int) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	for at, one := range r.histories {
@@ -102,8 +102,8 @@
 	return controllers
 }
 
-// newest is the revision agreed on last.
-func (r *recorder) newest() uint64 {
+// newestRevision is the revision agreed on last.
+func (r *recorder) newestRevision() uint64 {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	if len(r.agreed) == 0 {
@@ -112,8 +112,8 @@
 	return r.agreed[len(r.agreed)-1].revision
 }
 
-// newestAt is the revision that was agreed on last at a time. Workers have ended when it is asked.
-func (r *recorder) newestAt(at time.Time) (revision uint64) {
+// newestRevisionAt is the revision that was agreed on last at a time. Workers have ended when it is asked.
+func (r *recorder) newestRevisionAt(at time.Time) (revision uint64) {
 	for _, one := range r.agreed {
 		if one.at.After(at) {
 			break
@@ -123,12 +123,12 @@
 	return revision
 }
 
-// behind counts the controllers that don't hold a revision yet.
-func (r *recorder) behind(revision uint64) (count int) {
+// countBehind counts the controllers that don't hold a revision yet.
+func (r *recorder) countBehind(revision uint64) (count int) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	for _, one := range r.histories {
-		if !one.external && one.held() < revision {
+		if !one.external && one.heldRevision() < revision {
 			count++
 		}
 	}
--- a/loadtest/run.go
+++ b/loadtest/run.go
@@ -34,30 +34,30 @@
 
 func (o Options) launcher() launcher {
 	if o.WorkerProgram == "" {
-		return inProcess(o.planted)
+		return launchGoroutines(o.planted)
 	}
-	return processes(o.WorkerProgram, o.WorkerArguments...)
+	return launchProcesses(o.WorkerProgram, o.WorkerArguments...)
 }
 
 // run is a fleet that is played.
 type run struct {
-	plan           Plan
-	progress       io.Writer
-	launch         func(role string) (*worker, error) // a worker that lives as long as the run, whichever stage starts it
-	separate       bool                               // workers are processes
-	program        string                             // harehook-xds's path, empty if there is none
-	folder         string                             // of the members' logs
-	configuration  *Configuration
-	controllers    []Controller
-	model          *Model
-	recorder       *recorder
-	crew           crew
-	group          *group
-	members        []*memberProcess
-	workers        []*controllerProcess
-	playStart      time.Time // since when changes are played
-	faultFreeUntil time.Time // no fault was played until then
-	programFault   string    // that harehook-xds did not hold what was agreed at the end
+	plan                Plan
+	progress            io.Writer
+	launch              func(role string) (*worker, error) // a worker that lives as long as the run, whichever stage starts it
+	separateProcesses   bool                               // workers are processes
+	controllerProgram   string                             // harehook-xds's path, empty if there is none
+	folder              string                             // of the members' logs
+	configuration       *Configuration
+	controllers         []Controller
+	model               *Model
+	recorder            *recorder
+	workers             workerSet
+	group               *groupClient
+	memberProcesses     []*memberProcess
+	controllerProcesses []*controllerProcess
+	playStart           time.Time // since when changes are played
+	faultFreeUntil      time.Time // no fault was played until then
+	programViolation    string    // that harehook-xds did not hold what was agreed at the end
 }
 
 // Play carries out a plan and tells what was asked and measured. The error is of a run that could not be carried out;
@@ -76,7 +76,7 @@
 	}
 	r.folder = folder
 	defer os.RemoveAll(folder)
-	defer r.crew.endAll()
+	defer r.workers.endAll()
 	defer func() { r.group.close() }()
 	if err := r.prepare(); err != nil {
 		return nil, err
@@ -84,10 +84,10 @@
 	stages := []func(context.Context) error{r.startMembers, r.load, r.startControllers, r.play, r.drain, r.finish}
 	for _, stage := range stages {
 		if err := stage(ctx); err != nil {
-			return nil, errors.Join(err, r.recorder.failed())
+			return nil, errors.Join(err, r.recorder.firstFailure())
 		}
 	}
-	if err := r.crew.endAll(); err != nil {
+	if err := r.workers.endAll(); err != nil {
 		return nil, err
 	}
 	return r.report()
@@ -97,7 +97,7 @@
 func newRun(ctx context.Context, plan Plan, options Options) *run {
 	launch := options.launcher()
 	return &run{
-		plan: plan, progress: options.Progress, separate: options.WorkerProgram != "", program: options.ControllerProgram,
+		plan: plan, progress: options.Progress, separateProcesses: options.WorkerProgram != "", controllerProgram: options.ControllerProgram,
 		launch: func(role string) (*worker, error) { return launch(ctx, role) },
 	}
 }
@@ -113,26 +113,26 @@
 	r.controllers = r.configuration.Controllers()
 	r.model = NewModel(r.controllers)
 	r.recorder = newRecorder(len(r.controllers))
-	r.recorder.histories[measuredController].external = r.program != ""
+	r.recorder.histories[measuredController].external = r.controllerProgram != ""
 	return nil
 }
 
 // load has the group agree on the whole configuration.
 func (r *run) load(ctx context.Context) error {
 	began := time.Now()
-	transactions := r.configuration.Load()
+	transactions := r.configuration.LoadTransactions()
 	for _, transaction := range transactions {
 		revision, err := r.group.propose(ctx, transaction)
 		if err != nil {
 			return fmt.Errorf("load: %w", err)
 		}
-		r.configuration.Agreed(transaction, revision)
+		r.configuration.RecordAgreed(transaction, revision)
 		if err := r.model.Load(transaction, revision); err != nil {
 			return err
 		}
-		r.recorder.agree(revision, time.Now())
+		r.recorder.recordAgreed(revision, time.Now())
 	}
-	r.model.Loaded()
+	r.model.FinishLoad()
 	r.logProgress("%d records loaded by %d transactions in %.1f s", len(r.configuration.bodies), len(transactions), time.Since(began).Seconds())
 	return nil
 }
@@ -155,7 +155,7 @@
 	ctx, stop := context.WithCancel(ctx)
 	defer stop()
 	var sampling sync.WaitGroup
-	sampling.Go(func() { r.sample(ctx) })
+	sampling.Go(func() { r.sampleUsage(ctx) })
 	faults := make(chan error, 1)
 	go func() { faults <- r.playFaults(ctx) }()
 	err := r.playChanges(ctx)
@@ -165,7 +165,7 @@
 	faultErr := <-faults
 	stop()
 	sampling.Wait()
-	return errors.Join(err, faultErr, r.recorder.failed())
+	return errors.Join(err, faultErr, r.recorder.firstFailure())
 }
 
 // playChanges makes one change after the other. A change that is answered late, as while a leader is missing, delays
@@ -176,7 +176,7 @@
 		if err := sleep(ctx, time.Until(r.playStart.Add(time.Duration(at)*r.plan.interval()))); err != nil {
 			return err
 		}
-		transaction, err := r.configuration.Next()
+		transaction, err := r.configuration.NextChange()
 		if err != nil {
 			return err
 		}
@@ -185,12 +185,12 @@
 			return fmt.Errorf("change %d: %w", at, err)
 		}
 		answered := time.Now()
-		r.configuration.Agreed(transaction, revision)
-		interested, err := r.model.Change(transaction, revision)
+		r.configuration.RecordAgreed(transaction, revision)
+		interested, err := r.model.ApplyChange(transaction, revision)
 		if err != nil {
 			return err
 		}
-		r.recorder.change(revision, answered, interested)
+		r.recorder.recordChange(revision, answered, interested)
 	}
 	return nil
 }
@@ -201,9 +201,9 @@
 	if err := r.waitConverged(ctx, drainTimeout); err != nil {
 		r.logProgress("%v", err)
 	}
-	if r.program != "" {
+	if r.controllerProgram != "" {
 		if err := r.waitProgramConverged(ctx, drainTimeout); err != nil {
-			r.programFault = err.Error()
+			r.programViolation = err.Error()
 		}
 	}
 	return ctx.Err()
--- a/loadtest/run_test.go
+++ b/loadtest/run_test.go
@@ -13,7 +13,7 @@
 	defer cancel()
 	r := newRun(ctx, smallPlan(), Options{Progress: testLog{t}})
 	r.folder = t.TempDir()
-	defer r.crew.endAll()
+	defer r.workers.endAll()
 	defer func() { r.group.close() }()
 	if err := r.prepare(); err != nil {
 		t.Fatal(err)
--- a/loadtest/sampling.go
+++ b/loadtest/sampling.go
@@ -5,17 +5,17 @@
 	"time"
 )
 
-// sample reads what all processes use, every second until ctx ends.
-func (r *run) sample(ctx context.Context) {
-	if !r.separate {
+// sampleUsage reads what all processes use, every second until ctx ends.
+func (r *run) sampleUsage(ctx context.Context) {
+	if !r.separateProcesses {
 		return
 	}
 	for {
-		for _, p := range r.workers {
-			p.sample()
+		for _, p := range r.controllerProcesses {
+			p.sampleUsage()
 		}
-		for _, member := range r.members {
-			member.sample()
+		for _, member := range r.memberProcesses {
+			member.sampleUsage()
 		}
 		if sleep(ctx, sampleInterval) != nil {
 			return
@@ -23,8 +23,8 @@
 	}
 }
 
-func (p *controllerProcess) sample() {
-	used, err := readUsage(p.pid)
+func (p *controllerProcess) sampleUsage() {
+	used, err := readProcess(p.pid)
 	if err != nil {
 		return
 	}
@@ -34,16 +34,16 @@
 	p.resident = max(p.resident, used.resident)
 }
 
-// noteStart keeps what the start took of each worker, once each has told its bytes.
-func (r *run) noteStart(ctx context.Context) error {
-	if !r.separate {
+// recordStartUsage keeps what the start took of each worker, once each has told its bytes.
+func (r *run) recordStartUsage(ctx context.Context) error {
+	if !r.separateProcesses {
 		return nil
 	}
 	if err := sleep(ctx, wireReportInterval+reportInterval); err != nil {
 		return err
 	}
-	for _, p := range r.workers {
-		p.sample()
+	for _, p := range r.controllerProcesses {
+		p.sampleUsage()
 		p.mutex.Lock()
 		if len(p.samples) > 0 {
 			p.startCPU = p.samples[len(p.samples)-1].amount
@@ -57,15 +57,15 @@
 	return nil
 }
 
-// sample reads what the member's process uses. A process that was started again counts from nothing; its time is put
+// sampleUsage reads what the member's process uses. A process that was started again counts from nothing; its time is put
 // behind that of the one before.
-func (m *memberProcess) sample() {
+func (m *memberProcess) sampleUsage() {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	if m.worker == nil {
 		return
 	}
-	used, err := readUsage(m.worker.pid)
+	used, err := readProcess(m.worker.pid)
 	if err != nil {
 		return
 	}
@@ -78,5 +78,5 @@
 func (m *memberProcess) usage() MemberUsage {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
-	return MemberUsage{ID: m.id, ProcessUsage: usageOf(m.samples, m.resident, time.Time{}), Sent: m.sent}
+	return MemberUsage{ID: m.id, ProcessUsage: summarizeUsage(m.samples, m.resident, time.Time{}), Sent: m.sent}
 }
--- a/loadtest/startprogram.go
+++ b/loadtest/startprogram.go
@@ -17,7 +17,7 @@
 
 // startProgram starts harehook-xds, if there is one, as the controller with a process of its own.
 func (r *run) startProgram(ctx context.Context) error {
-	if r.program == "" {
+	if r.controllerProgram == "" {
 		return nil
 	}
 	began := time.Now()
@@ -26,17 +26,17 @@
 		return err
 	}
 	p := &controllerProcess{worker: started, indexes: []int{measuredController}, external: true, ready: make(chan struct{})}
-	r.workers = append(r.workers, p)
-	r.crew.add(started, func(report *workerReport) { r.handleReport(p, report) })
+	r.controllerProcesses = append(r.controllerProcesses, p)
+	r.workers.add(started, func(report *workerReport) { r.handleReport(p, report) })
 	controller := r.controllers[measuredController]
 	setup := &programSetup{
-		Program: r.program, Folder: filepath.Join(r.folder, "harehookd"), Members: r.addresses(),
+		Program: r.controllerProgram, Folder: filepath.Join(r.folder, "harehookd"), Members: r.addresses(),
 		Controller: controller, Routes: r.configuration.routeLines(controller.Scope),
 	}
 	if err := started.commands.write(workerCommand{Program: setup}); err != nil {
 		return err
 	}
-	if err := r.wait(ctx, p.ready, startTimeout, "harehookd does not start"); err != nil {
+	if err := r.waitFor(ctx, p.ready, startTimeout, "harehookd does not start"); err != nil {
 		return err
 	}
 	if err := r.waitProgramConverged(ctx, stepTimeout); err != nil {
@@ -51,7 +51,7 @@
 func (c *Configuration) routeLines(scope records.Scope) (lines []string) {
 	for _, name := range c.routes {
 		key := records.Key{Kind: records.KindRoute, Name: name}
-		if !slices.Contains(scope.Services, c.service[key]) {
+		if !slices.Contains(scope.Services, c.serviceOf[key]) {
 			continue
 		}
 		lines = append(lines, fmt.Sprintf("route %q { prefix %q; limit-ms 2000; }", name, c.prefix(key)))
@@ -61,7 +61,7 @@
 
 // waitProgramConverged waits until a member knows that harehook-xds holds what was agreed when this was called.
 func (r *run) waitProgramConverged(ctx context.Context, timeout time.Duration) error {
-	want := r.recorder.newest()
+	want := r.recorder.newestRevision()
 	name := r.controllers[measuredController].Name
 	deadline := time.Now().Add(timeout)
 	for {
@@ -69,7 +69,7 @@
 		if found && lease.Accepted >= want {
 			return nil
 		}
-		if err := r.recorder.failed(); err != nil {
+		if err := r.recorder.firstFailure(); err != nil {
 			return err
 		}
 		if time.Now().After(deadline) {
--- a/loadtest/sweep.go
+++ b/loadtest/sweep.go
@@ -51,7 +51,7 @@
 // metric is a column that charts and slopes show over the swept figure.
 type metric struct {
 	name, unit string
-	of         func(r *Row) float64
+	value      func(r *Row) float64
 }
 
 var metrics = []metric{
@@ -84,7 +84,7 @@
 
 // Rows gives a row for each run.
 func (s *Sweep) Rows() (rows []Row) {
-	setting, _ := setting(s.Figure)
+	setting, _ := findSetting(s.Figure)
 	for _, report := range s.Reports {
 		rows = append(rows, row(s, setting.Get(&report.Plan), report))
 	}
@@ -113,8 +113,8 @@
 	return r
 }
 
-// minFit is the number of sizes that a slope is fitted to at least.
-const minFit = 4
+// minSizes is the number of sizes that a slope is fitted to at least.
+const minSizes = 4
 
 // Slope is how a metric grows with the swept figure: linearly, and as a power of it.
 type Slope struct {
@@ -131,14 +131,14 @@
 	for _, one := range metrics {
 		var x, y, logX, logY []float64
 		for k := range rows {
-			value := one.of(&rows[k])
+			value := one.value(&rows[k])
 			if value <= 0 || rows[k].Value <= 0 {
 				continue
 			}
 			x, y = append(x, rows[k].Value), append(y, value)
 			logX, logY = append(logX, math.Log(rows[k].Value)), append(logY, math.Log(value))
 		}
-		if len(x) < minFit {
+		if len(x) < minSizes {
 			continue
 		}
 		slope := Slope{Metric: one.name, Unit: one.unit, Sizes: len(x)}
@@ -150,9 +150,9 @@
 	return found
 }
 
-// Broken names the bounds that broke, each with the value at which it did.
-func (s *Sweep) Broken() (lines []string) {
-	setting, _ := setting(s.Figure)
+// BrokenBounds names the bounds that broke, each with the value at which it did.
+func (s *Sweep) BrokenBounds() (lines []string) {
+	setting, _ := findSetting(s.Figure)
 	for _, report := range s.Reports {
 		for _, line := range report.Broken {
 			lines = append(lines, fmt.Sprintf("%s %g: %s", s.Figure, setting.Get(&report.Plan), line))
@@ -181,7 +181,7 @@
 func (s *Sweep) chart(folder string, one metric, rows []Row) error {
 	var points plotter.XYs
 	for k := range rows {
-		points = append(points, plotter.XY{X: rows[k].Value, Y: one.of(&rows[k])})
+		points = append(points, plotter.XY{X: rows[k].Value, Y: one.value(&rows[k])})
 	}
 	p := plot.New()
 	p.Title.Text = s.Name + " (one machine, hollow conductors)"
@@ -214,7 +214,7 @@
 	for k := range rows {
 		fmt.Fprintf(w, "%g\t", rows[k].Value)
 		for _, one := range metrics {
-			fmt.Fprintf(w, "%.4g\t", one.of(&rows[k]))
+			fmt.Fprintf(w, "%.4g\t", one.value(&rows[k]))
 		}
 		fmt.Fprintln(w)
 	}
--- a/loadtest/table.go
+++ b/loadtest/table.go
@@ -35,7 +35,7 @@
 
 func (m *Measured) writeTimes(w io.Writer) {
 	fmt.Fprint(w, "TIME\tCOUNT\tMEDIAN\t9 IN 10\t99 IN 100\tWORST\t\n")
-	row := func(name string, t Times) {
+	row := func(name string, t DurationSummary) {
 		fmt.Fprintf(w, "%s\t%d\t%s\t%s\t%s\t%s\t\n", name, t.Count, inMS(t.MedianMS), inMS(t.P90MS), inMS(t.P99MS), inMS(t.WorstMS))
 	}
 	row("from answer to in force", m.Convergence)
@@ -61,7 +61,7 @@
 
 func (m *Measured) writeBytes(w io.Writer) {
 	fmt.Fprint(w, "MESSAGES, BYTES\tCOUNT\tMEDIAN\t\t99 IN 100\tWORST\t\n")
-	row := func(name string, b Bytes) {
+	row := func(name string, b SizeSummary) {
 		fmt.Fprintf(w, "%s\t%d\t%d\t\t%d\t%d\t\n", name, b.Count, b.Median, b.P99, b.Worst)
 	}
 	row("change, to interested", m.Messages.Change)
--- a/loadtest/timeline.go
+++ b/loadtest/timeline.go
@@ -14,40 +14,40 @@
 	phase      Fault        // that was played meanwhile, empty if none
 }
 
-// window is a time in which a fault concerns a controller. It ends when the controller has accepted something on a stream
+// faultWindow is a time in which a fault concerns a controller. It ends when the controller has accepted something on a stream
 // that it opened after the fault, or else after the fault's end.
-type window struct {
+type faultWindow struct {
 	fault    Fault
 	from, to time.Time
 }
 
 // acceptance is a revision that a controller held from a time on.
 type acceptance struct {
-	at       time.Time
-	life     int
-	revision uint64
-	digest   Digest
-	outside  int
+	at          time.Time
+	incarnation int
+	revision    uint64
+	digest      Digest
+	outside     int
 }
 
 // history is what one controller told.
 type history struct {
-	external bool        // it is harehook-xds, which tells nothing
-	lives    []time.Time // when each began
-	joined   []time.Time // when a member answered on a new stream
-	member   string      // that answered last
-	accepted []acceptance
-	final    *acceptance
-	windows  []window
+	external          bool        // it is harehook-xds, which tells nothing
+	incarnationStarts []time.Time // when each began
+	joined            []time.Time // when a member answered on a new stream
+	member            string      // that answered last
+	accepted          []acceptance
+	final             *acceptance
+	windows           []faultWindow
 }
 
-// note takes an event.
-func (h *history) note(one event) {
+// recordEvent takes an event.
+func (h *history) recordEvent(one event) {
 	at := time.Unix(0, one.At)
 	observed := acceptance{at, one.Incarnation, one.Revision, one.Digest, one.Outside}
 	switch one.Kind {
 	case eventStarted:
-		h.lives = append(h.lives, at)
+		h.incarnationStarts = append(h.incarnationStarts, at)
 	case eventJoined:
 		h.joined = append(h.joined, at)
 		h.member = one.Member
@@ -58,33 +58,33 @@
 	}
 }
 
-// held is the revision held in the present life.
-func (h *history) held() uint64 {
+// heldRevision is the revision held in the present life.
+func (h *history) heldRevision() uint64 {
 	if len(h.accepted) == 0 {
 		return 0
 	}
 	last := h.accepted[len(h.accepted)-1]
-	if last.life < len(h.lives) {
+	if last.incarnation < len(h.incarnationStarts) {
 		return 0
 	}
 	return last.revision
 }
 
-// allWindows gives the times in which faults concerned the controller, each until it was back.
-func (h *history) allWindows() (windows []window) {
+// faultWindows gives the times in which faults concerned the controller, each until it was back.
+func (h *history) faultWindows() (windows []faultWindow) {
 	for _, w := range h.windows {
-		windows = append(windows, h.extend(w))
+		windows = append(windows, h.extendUntilBack(w))
 	}
-	for at, began := range h.lives {
+	for at, began := range h.incarnationStarts {
 		if at > 0 { // the first is the start
-			windows = append(windows, h.extend(window{FaultAllRestarted, began, began}))
+			windows = append(windows, h.extendUntilBack(faultWindow{FaultAllRestarted, began, began}))
 		}
 	}
 	return windows
 }
 
-// extend has a window last until the controller is back: it has accepted something on a stream of after the fault.
-func (h *history) extend(w window) window {
+// extendUntilBack has a window last until the controller is back: it has accepted something on a stream of after the fault.
+func (h *history) extendUntilBack(w faultWindow) faultWindow {
 	rejoined := slices.IndexFunc(h.joined, func(at time.Time) bool { return at.After(w.from) })
 	back := w.to
 	if w.fault != FaultRejecting && rejoined >= 0 && h.joined[rejoined].After(back) {
@@ -100,16 +100,16 @@
 	return w
 }
 
-// rank orders faults by how much they excuse.
-var rank = map[Fault]int{FaultReconnect: 1, FaultMemberKilled: 2, FaultRejecting: 3, FaultRegionCut: 4, FaultAllRestarted: 5}
+// excuseRank orders faults by how much they excuse.
+var excuseRank = map[Fault]int{FaultReconnect: 1, FaultMemberKilled: 2, FaultRejecting: 3, FaultRegionCut: 4, FaultAllRestarted: 5}
 
-// concerned is the window that says most about a time, if there is one.
-func concerned(windows []window, from, to time.Time) (found window) {
+// strongestFault is the window that says most about a time, if there is one.
+func strongestFault(windows []faultWindow, from, to time.Time) (found faultWindow) {
 	for _, w := range windows {
 		if w.from.After(to) || w.to.Before(from) {
 			continue
 		}
-		if rank[w.fault] > rank[found.fault] {
+		if excuseRank[w.fault] > excuseRank[found.fault] {
 			found = w
 		}
 	}
@@ -146,7 +146,7 @@
 func (h *history) check(model *Model, controller int, newest uint64) (faults []string) {
 	before := acceptance{}
 	for _, one := range h.accepted {
-		if one.life == before.life && one.revision < before.revision {
+		if one.incarnation == before.incarnation && one.revision < before.revision {
 			faults = append(faults, fmt.Sprintf("it went back to revision %d after %d", one.revision, before.revision))
 		}
 		if fault := one.check(model, controller); fault != "" {
@@ -172,7 +172,7 @@
 	if a.outside > 0 {
 		return fmt.Sprintf("revision %d has %d records outside its scope", a.revision, a.outside)
 	}
-	if digest, known := model.At(controller, a.revision); known && digest != a.digest {
+	if digest, known := model.DigestAt(controller, a.revision); known && digest != a.digest {
 		return fmt.Sprintf("revision %d has other contents than agreed: something is lost or wrong", a.revision)
 	}
 	return ""
@@ -196,19 +196,19 @@
 
 // timings are the times of a run, by what was going on.
 type timings struct {
-	convergence        *times           // of each change: until all that it was due from have accepted it
-	convergenceByFault map[Fault]*times // empty: no fault was played
-	followers          map[Fault]*times // of each change and controller, by the fault that concerned it
-	affected           map[Fault]int    // how often a fault concerned a controller
-	interested         *times           // likewise, of controllers whose scope the change touched and no fault concerned
+	convergence        *durationHistogram           // of each change: until all that it was due from have accepted it
+	convergenceByFault map[Fault]*durationHistogram // empty: no fault was played
+	followers          map[Fault]*durationHistogram // of each change and controller, by the fault that concerned it
+	affected           map[Fault]int                // how often a fault concerned a controller
+	interested         *durationHistogram           // likewise, of controllers whose scope the change touched and no fault concerned
 }
 
-// timeline works out the times of all changes.
-func timeline(changes []change, histories []*history, lease time.Duration) *timings {
-	t := &timings{convergence: newTimes(), convergenceByFault: map[Fault]*times{}, followers: map[Fault]*times{}, affected: map[Fault]int{}, interested: newTimes()}
+// newTimings works out the times of all changes.
+func newTimings(changes []change, histories []*history, lease time.Duration) *timings {
+	t := &timings{convergence: newDurationHistogram(), convergenceByFault: map[Fault]*durationHistogram{}, followers: map[Fault]*durationHistogram{}, affected: map[Fault]int{}, interested: newDurationHistogram()}
 	worst := make([]time.Duration, len(changes))
 	for controller, one := range histories {
-		windows := one.allWindows()
+		windows := one.faultWindows()
 		for _, w := range windows {
 			t.affected[w.fault]++
 		}
@@ -218,24 +218,24 @@
 			}
 			c := changes[k]
 			delay := max(0, accepted.Sub(c.answered))
-			concern := concerned(windows, c.answered, accepted)
-			byFault(t.followers, concern.fault).record(delay)
+			concern := strongestFault(windows, c.answered, accepted)
+			histogramOf(t.followers, concern.fault).record(delay)
 			if concern.fault == "" && c.interested[controller] {
 				t.interested.record(delay)
 			}
-			worst[k] = max(worst[k], dueAfter(c, concern, delay, lease))
+			worst[k] = max(worst[k], convergenceDelay(c, concern, delay, lease))
 		}
 	}
 	for k, c := range changes {
 		t.convergence.record(worst[k])
-		byFault(t.convergenceByFault, c.phase).record(worst[k])
+		histogramOf(t.convergenceByFault, c.phase).record(worst[k])
 	}
 	return t
 }
 
-// dueAfter is for how long a controller kept a change from being in force everywhere. One that is cut off does so until
+// convergenceDelay is for how long a controller kept a change from being in force everywhere. One that is cut off does so until
 // its lease has run out. One that was restarted or refuses is told by itself.
-func dueAfter(c change, concern window, delay, lease time.Duration) time.Duration {
+func convergenceDelay(c change, concern faultWindow, delay, lease time.Duration) time.Duration {
 	switch concern.fault {
 	case FaultAllRestarted, FaultRejecting:
 		return 0
@@ -245,31 +245,31 @@
 	return delay
 }
 
-func byFault(all map[Fault]*times, fault Fault) *times {
+func histogramOf(all map[Fault]*durationHistogram, fault Fault) *durationHistogram {
 	if all[fault] == nil {
-		all[fault] = newTimes()
+		all[fault] = newDurationHistogram()
 	}
 	return all[fault]
 }
 
-// untilInStep gives, for each controller and some of its lives, the time from a life's beginning until it held what was
+// durationsUntilInStep gives, for each controller and some of its lives, the time from a life's beginning until it held what was
 // agreed when that began. Lives count from one.
-func untilInStep(histories []*history, first, last int, newestAt func(time.Time) uint64) *times {
-	found := newTimes()
+func durationsUntilInStep(histories []*history, first, last int, newestAt func(time.Time) uint64) *durationHistogram {
+	found := newDurationHistogram()
 	for _, one := range histories {
-		for life := first; life <= min(last, len(one.lives)); life++ {
-			if converged := one.inStep(life, newestAt(one.lives[life-1])); !converged.IsZero() {
-				found.record(converged.Sub(one.lives[life-1]))
+		for life := first; life <= min(last, len(one.incarnationStarts)); life++ {
+			if converged := one.inStepAt(life, newestAt(one.incarnationStarts[life-1])); !converged.IsZero() {
+				found.record(converged.Sub(one.incarnationStarts[life-1]))
 			}
 		}
 	}
 	return found
 }
 
-// inStep is when the controller first held a revision or a later one in a life, zero if it never did.
-func (h *history) inStep(life int, revision uint64) time.Time {
+// inStepAt is when the controller first held a revision or a later one in a life, zero if it never did.
+func (h *history) inStepAt(life int, revision uint64) time.Time {
 	for _, one := range h.accepted {
-		if one.life == life && one.revision >= revision {
+		if one.incarnation == life && one.revision >= revision {
 			return one.at
 		}
 	}
--- a/loadtest/times.go
+++ b/loadtest/times.go
@@ -6,21 +6,21 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// times is a histogram of durations.
-type times struct{ histogram *hdrhistogram.Histogram } // of microseconds
+// durationHistogram is a histogram of durations.
+type durationHistogram struct{ histogram *hdrhistogram.Histogram } // of microseconds
 
-const longestTime = time.Hour
+const maxRecordedDuration = time.Hour
 
-func newTimes() *times {
-	return &times{hdrhistogram.New(1, longestTime.Microseconds(), significantDigits)}
+func newDurationHistogram() *durationHistogram {
+	return &durationHistogram{hdrhistogram.New(1, maxRecordedDuration.Microseconds(), significantDigits)}
 }
 
-func (t *times) record(d time.Duration) {
-	t.histogram.RecordValue(min(max(d.Microseconds(), 1), longestTime.Microseconds()))
+func (t *durationHistogram) record(d time.Duration) {
+	t.histogram.RecordValue(min(max(d.Microseconds(), 1), maxRecordedDuration.Microseconds()))
 }
 
-// Times is a distribution of durations as it is told.
-type Times struct {
+// DurationSummary is a distribution of durations as it is told.
+type DurationSummary struct {
 	Count    int64   `json:"count"`
 	MedianMS float64 `json:"median_ms"`
 	P90MS    float64 `json:"nine_in_ten_ms"`
@@ -28,16 +28,16 @@
 	WorstMS  float64 `json:"worst_ms"`
 }
 
-func (t *times) summary() Times {
+func (t *durationHistogram) summary() DurationSummary {
 	at := func(quantile float64) float64 { return float64(t.histogram.ValueAtQuantile(quantile)) / 1000 }
 	if t.histogram.TotalCount() == 0 {
-		return Times{}
+		return DurationSummary{}
 	}
-	return Times{t.histogram.TotalCount(), at(50), at(90), at(99), float64(t.histogram.Max()) / 1000}
+	return DurationSummary{t.histogram.TotalCount(), at(50), at(90), at(99), float64(t.histogram.Max()) / 1000}
 }
 
-// Bytes is a distribution of sizes as it is told.
-type Bytes struct {
+// SizeSummary is a distribution of sizes as it is told.
+type SizeSummary struct {
 	Count  int64 `json:"count"`
 	Median int64 `json:"median"`
 	P99    int64 `json:"p99"`
@@ -45,9 +45,9 @@
 	Sum    int64 `json:"sum"`
 }
 
-func summarizeBytes(h *hdrhistogram.Histogram) Bytes {
+func summarizeSizes(h *hdrhistogram.Histogram) SizeSummary {
 	if h.TotalCount() == 0 {
-		return Bytes{}
+		return SizeSummary{}
 	}
-	return Bytes{h.TotalCount(), h.ValueAtQuantile(50), h.ValueAtQuantile(99), h.Max(), int64(h.Mean() * float64(h.TotalCount()))}
+	return SizeSummary{h.TotalCount(), h.ValueAtQuantile(50), h.ValueAtQuantile(99), h.Max(), int64(h.Mean() * float64(h.TotalCount()))}
 }
--- a/loadtest/usage.go
+++ b/loadtest/usage.go
@@ -11,37 +11,37 @@
 // clockTicks is the unit of processor time in /proc, a second's part: Linux has it fixed for programs.
 const clockTicks = 100
 
-// usage is what a process has used until a time.
-type usage struct {
+// processReading is what a process has used until a time.
+type processReading struct {
 	at       time.Time
 	cpu      time.Duration
 	resident int64 // bytes
 }
 
-// readUsage reads what the kernel tells of a process.
-func readUsage(pid int) (usage, error) {
+// readProcess reads what the kernel tells of a process.
+func readProcess(pid int) (processReading, error) {
 	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", pid))
 	if err != nil {
-		return usage{}, err
+		return processReading{}, err
 	}
 	// The name is in parentheses and may hold anything; what follows it begins with the third field.
 	fields := bytes.Fields(text[bytes.LastIndexByte(text, ')')+1:])
 	const user, system, pages = 14 - 3, 15 - 3, 24 - 3
 	if len(fields) <= pages {
-		return usage{}, fmt.Errorf("/proc/%d/stat has %d fields", pid, len(fields))
+		return processReading{}, fmt.Errorf("/proc/%d/stat has %d fields", pid, len(fields))
 	}
 	var values [3]int64
 	for at, field := range []int{user, system, pages} {
 		if values[at], err = strconv.ParseInt(string(fields[field]), 10, 64); err != nil {
-			return usage{}, err
+			return processReading{}, err
 		}
 	}
 	cpu := time.Duration(values[0]+values[1]) * time.Second / clockTicks
-	return usage{time.Now(), cpu, values[2] * int64(os.Getpagesize())}, nil
+	return processReading{time.Now(), cpu, values[2] * int64(os.Getpagesize())}, nil
 }
 
-// busiestSpan is the time over which the most that is used is taken.
-const busiestSpan = 10 * time.Second
+// maxRateSpan is the time over which the most that is used is taken.
+const maxRateSpan = 10 * time.Second
 
 // sample is an amount that grew until a time.
 type sample struct {
@@ -49,13 +49,13 @@
 	amount float64
 }
 
-// busiest is the most that an amount grew a second over the span, or over all samples if they are over a shorter time.
-func busiest(samples []sample) (rate float64) {
+// maxRate is the most that an amount grew a second over the span, or over all samples if they are over a shorter time.
+func maxRate(samples []sample) (rate float64) {
 	if len(samples) < 2 {
 		return 0
 	}
 	all := samples[len(samples)-1].at.Sub(samples[0].at)
-	span := min(busiestSpan, all)
+	span := min(maxRateSpan, all)
 	from := 0
 	for to := range samples {
 		for samples[to].at.Sub(samples[from+1].at) >= span && from+1 < to {
@@ -68,8 +68,8 @@
 	return rate
 }
 
-// mean is how much an amount grew a second.
-func mean(samples []sample) float64 {
+// meanRate is how much an amount grew a second.
+func meanRate(samples []sample) float64 {
 	if len(samples) < 2 {
 		return 0
 	}
--- a/loadtest/usage_test.go
+++ b/loadtest/usage_test.go
@@ -11,30 +11,30 @@
 	var samples []sample
 	amount := 0.0
 	for second := range 61 {
-		samples = append(samples, sample{at(float64(second)), amount})
+		samples = append(samples, sample{testTime(float64(second)), amount})
 		if second >= 30 && second < 40 {
 			amount += 5
 		} else {
 			amount++
 		}
 	}
-	if rate := busiest(samples); rate < 4.99 || rate > 5.01 {
+	if rate := maxRate(samples); rate < 4.99 || rate > 5.01 {
 		t.Errorf("busiest %g a second, want 5", rate)
 	}
-	if rate := mean(samples); rate < 1.66 || rate > 1.67 {
+	if rate := meanRate(samples); rate < 1.66 || rate > 1.67 {
 		t.Errorf("mean %g a second, want 100 in 60", rate)
 	}
-	if rate := busiest(samples[:6]); rate != 1 {
+	if rate := maxRate(samples[:6]); rate != 1 {
 		t.Errorf("over a shorter time than the span: %g, want 1", rate)
 	}
-	if busiest(nil) != 0 || busiest(samples[:1]) != 0 || mean(nil) != 0 {
+	if maxRate(nil) != 0 || maxRate(samples[:1]) != 0 || meanRate(nil) != 0 {
 		t.Error("a rate of no time")
 	}
 }
 
 func TestUsageOfThisProcess(t *testing.T) {
 	t.Parallel()
-	before, err := readUsage(os.Getpid())
+	before, err := readProcess(os.Getpid())
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -44,7 +44,7 @@
 	// Processor time passes while this process is at work, however slowly.
 	deadline := time.Now().Add(time.Minute)
 	for {
-		after, err := readUsage(os.Getpid())
+		after, err := readProcess(os.Getpid())
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/loadtest/worker.go
+++ b/loadtest/worker.go
@@ -55,7 +55,7 @@
 	case role == RoleControllers && setup.Controllers != nil:
 		err = newControllers(setup.Controllers, planted.controller, writer).run(ctx, actions)
 	case role == RoleProgram && setup.Program != nil:
-		err = (&program{setup: setup.Program, out: writer}).run(ctx)
+		err = (&programWorker{setup: setup.Program, out: writer}).run(ctx)
 	default:
 		err = fmt.Errorf("no worker has the role %q, or its setup does not fit", role)
 	}
@@ -81,8 +81,8 @@
 	killTimeout = 30 * time.Second // that one may take to be gone once it is killed
 )
 
-// die ends a worker at once.
-func (w *worker) die() error {
+// killAndWait ends a worker at once.
+func (w *worker) killAndWait() error {
 	w.kill()
 	defer w.input.Close()
 	select {
@@ -100,12 +100,12 @@
 	case <-w.ended:
 		return nil
 	case <-time.After(stopTimeout):
-		return w.die()
+		return w.killAndWait()
 	}
 }
 
-// follow hands on what the worker tells until it ends.
-func (w *worker) follow(take func(*workerReport)) {
+// readReports hands on what the worker tells until it ends.
+func (w *worker) readReports(take func(*workerReport)) {
 	decoder := json.NewDecoder(bufio.NewReader(w.output))
 	for {
 		var report workerReport
@@ -119,8 +119,8 @@
 // launcher starts a worker of a role.
 type launcher func(ctx context.Context, role string) (*worker, error)
 
-// processes starts each worker as a process of a program, which has to hand its input and output to Work.
-func processes(program string, arguments ...string) launcher {
+// launchProcesses starts each worker as a process of a program, which has to hand its input and output to Work.
+func launchProcesses(program string, arguments ...string) launcher {
 	return func(_ context.Context, role string) (*worker, error) {
 		command := exec.Command(program, append(arguments, role)...)
 		command.Stderr = os.Stderr
@@ -150,8 +150,8 @@
 	}
 }
 
-// inProcess starts each worker as a goroutine.
-func inProcess(planted hooks) launcher {
+// launchGoroutines starts each worker as a goroutine.
+func launchGoroutines(planted hooks) launcher {
 	return func(ctx context.Context, role string) (*worker, error) {
 		ctx, kill := context.WithCancel(ctx)
 		in, orders := io.Pipe()
@@ -173,34 +173,34 @@
 	}
 }
 
-// crew is all workers of a run.
-type crew struct {
+// workerSet is all workers of a run.
+type workerSet struct {
 	mutex   sync.Mutex
 	workers map[*worker]struct{}
-	reading sync.WaitGroup
+	readers sync.WaitGroup
 }
 
 // add has a worker's news taken until it ends.
-func (c *crew) add(w *worker, take func(*workerReport)) {
+func (c *workerSet) add(w *worker, take func(*workerReport)) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	if c.workers == nil {
 		c.workers = map[*worker]struct{}{}
 	}
 	c.workers[w] = struct{}{}
-	c.reading.Go(func() { w.follow(take) })
+	c.readers.Go(func() { w.readReports(take) })
 }
 
 // kill ends one worker at once.
-func (c *crew) kill(w *worker) error {
+func (c *workerSet) kill(w *worker) error {
 	c.mutex.Lock()
 	delete(c.workers, w)
 	c.mutex.Unlock()
-	return w.die()
+	return w.killAndWait()
 }
 
 // endAll ends all workers and waits until all that they told is taken.
-func (c *crew) endAll() error {
+func (c *workerSet) endAll() error {
 	c.mutex.Lock()
 	workers := c.workers
 	c.workers = nil
@@ -216,6 +216,6 @@
 	if err := errors.Join(failures...); err != nil {
 		return err // what it tells is not waited for
 	}
-	c.reading.Wait()
+	c.readers.Wait()
 	return nil
 }
