--- a/loadtest/program.go
+++ b/loadtest/program.go
@@ -16,15 +16,6 @@
 	"time"
 )
 
-// programSetup says how to start harehook-xds as a controller that follows the group.
-type programSetup struct {
-	Program    string   `json:"program"`
-	Folder     string   `json:"folder"` // of its files
-	Members    []string `json:"members"`
-	Controller          // whose name and scope it has
-	Routes     []string `json:"routes"` // lines of its file
-}
-
 // programWorker is the worker that runs harehook-xds behind proxies, which count what it is sent and sends.
 type programWorker struct {
 	setup *programSetup
--- a/loadtest/message.go
+++ b/loadtest/protocol.go
@@ -9,14 +9,18 @@
 	"harehook.dev/harehook/configsync"
 )
 
-// The roles of a worker, which is a process of its own or, in tests, a goroutine.
+// This file has the protocol between a run and its workers, which are processes of the same program or, in tests,
+// goroutines: one JSON object a line, commands on a worker's standard input, reports on its standard output. A worker ends
+// when its input does. The names in JSON are those of the first release.
+
+// The roles of a worker. The first command has the setup of its role.
 const (
-	RoleMember      = "member"
-	RoleControllers = "conductors"
-	RoleProgram     = "program" // one controller, which is harehook-xds
+	RoleMember      = "member"     // a member of the group
+	RoleControllers = "conductors" // simulated controllers
+	RoleProgram     = "program"    // one controller, which is harehook-xds
 )
 
-// workerCommand is what a worker is told, one JSON object a line on its standard input. A worker ends when its input does.
+// workerCommand is a line to a worker; one of its fields is set.
 type workerCommand struct {
 	Member      *memberSetup      `json:"member,omitempty"`
 	Controllers *controllersSetup `json:"conductors,omitempty"`
@@ -39,7 +43,16 @@
 	Controllers []indexedController `json:"conductors"`
 }
 
-// indexedController is a controller with its place in the fleet.
+// programSetup says how to start harehook-xds as a controller that follows the group.
+type programSetup struct {
+	Program    string   `json:"program"` // path
+	Folder     string   `json:"folder"`  // of its files
+	Members    []string `json:"members"` // addresses
+	Controller          // whose name and scope it has
+	Routes     []string `json:"routes"` // lines of its file
+}
+
+// indexedController is a controller with its index in the fleet.
 type indexedController struct {
 	Index int `json:"index"`
 	Controller
@@ -49,24 +62,24 @@
 type actionKind string
 
 const (
-	actionRestart   actionKind = "restart"   // also the first start: a controller begins anew and holds nothing
-	actionReconnect actionKind = "reconnect" // the connection is closed
-	actionCut       actionKind = "cut"       // nothing comes through any more, without a word
+	actionRestart   actionKind = "restart"   // also the first start: a new incarnation, which holds nothing
+	actionReconnect actionKind = "reconnect" // the connections are closed
+	actionCut       actionKind = "cut"       // nothing comes through any more, without notice
 	actionHeal      actionKind = "heal"      // ends a cut; what was cut is closed
-	actionReject    actionKind = "refuse"    // some changes are refused from now on
+	actionReject    actionKind = "refuse"    // some changes are rejected from now on
 	actionAccept    actionKind = "accept"    // ends that
-	actionReport    actionKind = "report"    // what was measured until now
-	actionFinish    actionKind = "finish"    // ends all clients and tells what they hold
+	actionReport    actionKind = "report"    // the worker reports what it has measured until now
+	actionFinish    actionKind = "finish"    // ends all clients; the worker reports what they hold
 )
 
-// action is done to the controllers of a worker at these places in the fleet, evenly over a time.
+// action is done to controllers of a worker, evenly over a time.
 type action struct {
 	Kind        actionKind    `json:"kind"`
-	Controllers []int         `json:"conductors,omitempty"`
+	Controllers []int         `json:"conductors,omitempty"` // indices in the fleet
 	Over        time.Duration `json:"over_ns,omitempty"`
 }
 
-// workerReport is what a worker tells, one JSON object a line on its standard output.
+// workerReport is a line of a worker.
 type workerReport struct {
 	Ready    bool               `json:"ready,omitempty"`    // the member serves, or the controllers are set up
 	PID      int                `json:"pid,omitempty"`      // of the program that the worker runs
@@ -82,16 +95,16 @@
 type eventKind string
 
 const (
-	eventStarted  eventKind = "life"     // it was started, and holds nothing
+	eventStarted  eventKind = "life"     // an incarnation was started, and holds nothing
 	eventJoined   eventKind = "joined"   // a member has answered on a new stream
 	eventAccepted eventKind = "accepted" // it holds another revision
 	eventFinal    eventKind = "final"    // what it held at the end
 )
 
-// event is told by the time of the machine that all workers run on.
+// event is what a controller reports. Its time is that of the machine, which all workers run on.
 type event struct {
 	Kind        eventKind `json:"k"`
-	Controller  int       `json:"c"`
+	Controller  int       `json:"c"` // index in the fleet
 	At          int64     `json:"t"` // Unix time in ns
 	Incarnation int       `json:"l,omitempty"`
 	Revision    uint64    `json:"r,omitempty"`
@@ -100,6 +113,18 @@
 	Member      string    `json:"m,omitempty"` // address
 }
 
+// messageReport is what a messageMeter has counted. Its histograms are encoded.
+type messageReport struct {
+	FullScope         []byte `json:"FullScope"`
+	Change            []byte `json:"Change"`
+	Progress          []byte `json:"Progress"`
+	Overhead          []byte `json:"Overhead"`
+	Heartbeats        int64  `json:"Heartbeats"`
+	ChangeRecords     int64  `json:"ChangeRecords"`
+	FullScopeRepeated int64  `json:"FullScopeRepeated"`
+	FullScopeAgain    int64  `json:"FullScopeAgain"`
+}
+
 // wireReading is what went over a worker's connections since it began, with all framing above TCP.
 type wireReading struct {
 	At  int64  `json:"t"` // Unix time in ns
@@ -109,14 +134,15 @@
 
 // lineWriter writes JSON objects, one a line, from any goroutine.
 type lineWriter struct {
-	mutex   sync.Mutex
-	encoder *json.Encoder
+	encoderMutex sync.Mutex
+	encoder      *json.Encoder
 }
 
 func newLineWriter(out io.Writer) *lineWriter { return &lineWriter{encoder: json.NewEncoder(out)} }
 
+// write writes one line.
 func (w *lineWriter) write(line any) error {
-	w.mutex.Lock()
-	defer w.mutex.Unlock()
+	w.encoderMutex.Lock()
+	defer w.encoderMutex.Unlock()
 	return w.encoder.Encode(line)
 }
--- a/loadtest/report.go
+++ b/loadtest/report.go
@@ -130,7 +130,7 @@
 		}
 	}
 	m.Messages = Messages{
-		Change: summarizeSizes(all.change), Progress: summarizeSizes(all.progress), FullScope: summarizeSizes(all.fullScope),
+		Change: summarizeSizes(all.change), Progress: summarizeSizes(all.progress), FullScope: summarizeSizes(all.full),
 		RecordOverhead: summarizeSizes(all.overhead), Heartbeats: all.heartbeats, FullScopeInStep: all.fullScopeRepeated, FullScopeAgain: all.fullScopeAgain,
 	}
 	for _, one := range r.recorder.histories {
--- /dev/null
+++ b/loadtest/violations.go
@@ -0,0 +1,75 @@
+package loadtest
+
+import "fmt"
+
+// Violation is a property that a controller broke and that holds in each run, whatever its bounds.
+type Violation struct {
+	Controller string `json:"conductor"` // name
+	What       string `json:"what"`
+}
+
+// String names the controller and what it did.
+func (v Violation) String() string { return "never: " + v.Controller + ": " + v.What }
+
+// maxViolations is how many are reported: one fault of the program shows at many controllers.
+const maxViolations = 20
+
+// checkHistories compares all that controllers accepted with what was agreed.
+func checkHistories(model *Model, histories []*history, newestRevision uint64) (violations []Violation) {
+	for controller, h := range histories {
+		if h.external {
+			continue
+		}
+		for _, what := range h.check(model, controller, newestRevision) {
+			violations = append(violations, Violation{Controller: model.controllers[controller].Name, What: what})
+			if len(violations) >= maxViolations {
+				return violations
+			}
+		}
+	}
+	return violations
+}
+
+// check returns what is wrong with a history, one line each.
+func (h *history) check(model *Model, controller int, newestRevision uint64) (mistakes []string) {
+	before := acceptance{}
+	for _, accepted := range h.accepted {
+		if accepted.incarnation == before.incarnation && accepted.revision < before.revision {
+			mistakes = append(mistakes, fmt.Sprintf("it went back to revision %d after %d", accepted.revision, before.revision))
+		}
+		if mistake := accepted.check(model, controller); mistake != "" {
+			mistakes = append(mistakes, mistake)
+		}
+		before = accepted
+	}
+	if mistake := h.checkFinal(model, controller, newestRevision); mistake != "" {
+		mistakes = append(mistakes, mistake)
+	}
+	return mistakes
+}
+
+// checkFinal returns what is wrong with what the controller held at the end.
+func (h *history) checkFinal(model *Model, controller int, newestRevision uint64) string {
+	if h.final == nil {
+		return "it did not tell what it held at the end"
+	}
+	if h.final.revision < newestRevision {
+		return fmt.Sprintf("it held revision %d at the end, %d was agreed", h.final.revision, newestRevision)
+	}
+	if mistake := h.final.check(model, controller); mistake != "" {
+		return "at the end: " + mistake
+	}
+	return ""
+}
+
+// check returns what is wrong with the contents of a revision.
+func (a acceptance) check(model *Model, controller int) string {
+	if a.outside > 0 {
+		return fmt.Sprintf("revision %d has %d records outside its scope", a.revision, a.outside)
+	}
+	digest, known := model.DigestAt(controller, a.revision)
+	if known && digest != a.digest {
+		return fmt.Sprintf("revision %d has other contents than agreed: something is lost or wrong", a.revision)
+	}
+	return ""
+}
