--- a/loadtest/controllerprocess.go
+++ b/loadtest/controllerprocess.go
@@ -11,25 +11,25 @@
 	"harehook.dev/harehook/configsync"
 )
 
-// controllerProcess is a worker that plays controllers.
+// controllerProcess is a worker that plays controllers, as the run sees it.
 type controllerProcess struct {
 	*worker
-	indexes  []int
-	external bool // it runs harehook-xds, which tells no events and takes no orders
-	ready    chan struct{}
-	finished chan struct{}
+	indexes  []int         // of its controllers in the fleet
+	external bool          // it runs harehook-xds, which reports no events and takes no actions
+	ready    chan struct{} // closed once it is set up
+	finished chan struct{} // closed once it has reported what it measured
 
-	mutex     sync.Mutex
-	messages  *messageReport
+	mutex     sync.Mutex     // guards all below
+	messages  *messageReport // the newest one
 	wire      []*wireReading
-	resident  int64
-	samples   []sample // processor time
-	startCPU  float64  // seconds until all were in step
-	startWire float64  // bytes in and out until then
-	startTime time.Duration
+	resident  int64         // bytes, the most that was seen
+	samples   []sample      // processor time in seconds
+	startCPU  float64       // seconds of processor time until all were in step
+	startWire float64       // bytes in and out until then
+	startTime time.Duration // until a member knew it to be in step; harehook-xds only
 }
 
-// handleReport notes what the worker tells.
+// handleReport notes what the worker reports.
 func (r *run) handleReport(p *controllerProcess, report *workerReport) {
 	if report.PID != 0 {
 		p.pid = report.PID
@@ -54,27 +54,15 @@
 	}
 }
 
-// startControllers starts the one controller's process and those of the simulated ones, all controllers at once, and waits
-// until all are in step.
+// startControllers starts the processes of the controllers, then all controllers at once, and waits until all are in
+// step.
 func (r *run) startControllers(ctx context.Context) error {
-	var hollow []int
-	for at := range r.controllers {
-		if at != measuredController {
-			hollow = append(hollow, at)
-		}
-	}
-	if r.controllerProgram == "" {
-		if err := r.startWorker(ctx, []int{measuredController}); err != nil {
-			return err
-		}
-	}
-	for indexes := range slices.Chunk(hollow, controllersPerWorker) {
-		if err := r.startWorker(ctx, indexes); err != nil {
-			return err
-		}
+	if err := r.startWorkers(ctx); err != nil {
+		return err
 	}
 	began := time.Now()
-	if err := r.commandControllers(actionRestart, 0, func(int) bool { return true }); err != nil {
+	all := func(int) bool { return true }
+	if err := r.commandControllers(actionRestart, 0, all); err != nil {
 		return err
 	}
 	if err := r.startProgram(ctx); err != nil {
@@ -87,25 +75,53 @@
 	return r.recordStartUsage(ctx)
 }
 
+// startWorkers starts the process of the measured controller, unless that is harehook-xds, and those of the simulated
+// controllers.
+func (r *run) startWorkers(ctx context.Context) error {
+	if r.controllerProgram == "" {
+		if err := r.startWorker(ctx, []int{measuredController}); err != nil {
+			return err
+		}
+	}
+	var simulated []int
+	for index := range r.controllers {
+		if index != measuredController {
+			simulated = append(simulated, index)
+		}
+	}
+	for indexes := range slices.Chunk(simulated, controllersPerWorker) {
+		if err := r.startWorker(ctx, indexes); err != nil {
+			return err
+		}
+	}
+	return nil
+}
+
+// startWorker starts a worker of some controllers and waits until it is set up.
 func (r *run) startWorker(ctx context.Context, indexes []int) error {
 	started, err := r.launch(RoleControllers)
 	if err != nil {
 		return err
 	}
-	p := &controllerProcess{worker: started, indexes: indexes, ready: make(chan struct{}), finished: make(chan struct{})}
+	p := &controllerProcess{
+		worker:   started,
+		indexes:  indexes,
+		ready:    make(chan struct{}),
+		finished: make(chan struct{}),
+	}
 	r.controllerProcesses = append(r.controllerProcesses, p)
 	r.workers.add(started, func(report *workerReport) { r.handleReport(p, report) })
 	setup := &controllersSetup{Members: r.addresses(), Lease: configsync.DefaultLimits.Lease, Seed: r.plan.Seed}
-	for _, at := range indexes {
-		setup.Controllers = append(setup.Controllers, indexedController{at, r.controllers[at]})
+	for _, index := range indexes {
+		setup.Controllers = append(setup.Controllers, indexedController{Index: index, Controller: r.controllers[index]})
 	}
 	if err := started.commands.write(workerCommand{Controllers: setup}); err != nil {
-		return err
+		return fmt.Errorf("set up a worker of %d conductors: %w", len(indexes), err)
 	}
 	return r.waitFor(ctx, p.ready, startTimeout, "a worker of conductors is not ready")
 }
 
-// waitFor waits for something that a worker tells.
+// waitFor waits for something that a worker reports. The error after the timeout begins with otherwise.
 func (r *run) waitFor(ctx context.Context, done <-chan struct{}, timeout time.Duration, otherwise string) error {
 	select {
 	case <-done:
@@ -120,17 +136,17 @@
 // commandControllers has something done to the controllers that are chosen, in all workers evenly over a time.
 func (r *run) commandControllers(kind actionKind, over time.Duration, chosen func(controller int) bool) error {
 	for _, p := range r.controllerProcesses {
-		one := &action{Kind: kind, Over: over}
-		for _, at := range p.indexes {
-			if chosen(at) {
-				one.Controllers = append(one.Controllers, at)
+		a := &action{Kind: kind, Over: over}
+		for _, index := range p.indexes {
+			if chosen(index) {
+				a.Controllers = append(a.Controllers, index)
 			}
 		}
-		if len(one.Controllers) == 0 || p.external {
+		if len(a.Controllers) == 0 || p.external {
 			continue
 		}
-		if err := p.commands.write(workerCommand{Action: one}); err != nil {
-			return err
+		if err := p.commands.write(workerCommand{Action: a}); err != nil {
+			return fmt.Errorf("command %q to a worker of conductors: %w", kind, err)
 		}
 	}
 	return nil
@@ -157,20 +173,15 @@
 	}
 }
 
-// finish ends all controllers and has the workers tell what they measured.
+// finish ends all controllers and has the workers report what they measured.
 func (r *run) finish(ctx context.Context) error {
-	for _, p := range r.controllerProcesses {
-		if p.external {
-			continue
-		}
+	ownWorkers := slices.DeleteFunc(slices.Clone(r.controllerProcesses), func(p *controllerProcess) bool { return p.external })
+	for _, p := range ownWorkers {
 		if err := p.commands.write(workerCommand{Action: &action{Kind: actionFinish}}); err != nil {
-			return err
+			return fmt.Errorf("command %q to a worker of conductors: %w", actionFinish, err)
 		}
 	}
-	for _, p := range r.controllerProcesses {
-		if p.external {
-			continue
-		}
+	for _, p := range ownWorkers {
 		if err := r.waitFor(ctx, p.finished, finishTimeout, "a worker has not told what it measured"); err != nil {
 			return err
 		}
--- a/loadtest/members.go
+++ b/loadtest/memberprocess.go
@@ -2,7 +2,6 @@
 
 import (
 	"context"
-	"errors"
 	"fmt"
 	"net"
 	"path/filepath"
@@ -12,20 +11,20 @@
 	"harehook.dev/harehook/configsync"
 )
 
-// memberProcess is a member of the group, which may be killed and started again.
+// memberProcess is a member of the group as the run sees it. It may be killed and started again.
 type memberProcess struct {
 	id      uint64
 	address string
+	workers *workerSet
 
-	mutex     sync.Mutex
-	workers   *workerSet
-	worker    *worker // nil while it is down
-	ready     chan struct{}
+	mutex     sync.Mutex    // guards all below
+	worker    *worker       // nil while it is down
+	ready     chan struct{} // closed once the worker serves
 	sent      configsync.Counts
-	samples   []sample      // processor time, of all its processes
+	samples   []sample      // processor time in seconds, of all its processes
 	cpu       time.Duration // of the present process
-	cpuBefore time.Duration // of those before
-	resident  int64
+	cpuBefore time.Duration // of the processes before
+	resident  int64         // bytes, the most that was seen
 }
 
 // startMembers starts the group and waits until it has a leader.
@@ -53,7 +52,7 @@
 	return err
 }
 
-// freeAddress is one on loopback that nothing listens on.
+// freeAddress returns one on loopback that nothing listens on.
 func freeAddress() (string, error) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -63,11 +62,12 @@
 	return listener.Addr().String(), nil
 }
 
-func (r *run) addresses() (all []string) {
+// addresses are those of all members.
+func (r *run) addresses() (addresses []string) {
 	for _, member := range r.memberProcesses {
-		all = append(all, member.address)
+		addresses = append(addresses, member.address)
 	}
-	return all
+	return addresses
 }
 
 // startMember starts a member with what its folder has, and waits until it serves.
@@ -78,25 +78,35 @@
 	}
 	ready := make(chan struct{})
 	member.mutex.Lock()
-	member.worker, member.ready = started, ready
+	member.worker = started
+	member.ready = ready
 	member.mutex.Unlock()
 	r.workers.add(started, func(report *workerReport) { member.handleReport(started, report, r.recorder) })
-	setup := &memberSetup{ID: member.id, Folder: filepath.Join(r.folder, fmt.Sprint("member-", member.id)), Addresses: map[uint64]string{}}
+	if err := started.commands.write(workerCommand{Member: r.memberSetup(member)}); err != nil {
+		return fmt.Errorf("set up member %d: %w", member.id, err)
+	}
+	return r.waitFor(ctx, ready, startTimeout, fmt.Sprintf("member %d does not serve", member.id))
+}
+
+// memberSetup says how to start a member.
+func (r *run) memberSetup(member *memberProcess) *memberSetup {
+	setup := &memberSetup{
+		ID:        member.id,
+		Folder:    filepath.Join(r.folder, fmt.Sprint("member-", member.id)),
+		Addresses: map[uint64]string{},
+	}
 	for _, other := range r.memberProcesses {
 		setup.Addresses[other.id] = other.address
 	}
-	if err := started.commands.write(workerCommand{Member: setup}); err != nil {
-		return err
-	}
-	return r.waitFor(ctx, ready, startTimeout, fmt.Sprintf("member %d does not serve", member.id))
+	return setup
 }
 
-// handleReport notes what the member tells.
-func (m *memberProcess) handleReport(from *worker, report *workerReport, to *recorder) {
+// handleReport notes what a worker of the member reports, unless it was killed.
+func (m *memberProcess) handleReport(from *worker, report *workerReport, recorder *recorder) {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	if m.worker != from {
-		return // it was killed
+		return
 	}
 	if report.Ready {
 		close(m.ready)
@@ -105,11 +115,11 @@
 		m.sent = *report.Counts
 	}
 	if report.Failed != "" {
-		to.recordFailure(errors.New("member " + fmt.Sprint(m.id) + " ended: " + report.Failed))
+		recorder.recordFailure(fmt.Errorf("member %d ended: %s", m.id, report.Failed))
 	}
 }
 
-// kill kills the member.
+// kill ends the member's process at once.
 func (m *memberProcess) kill() error {
 	m.mutex.Lock()
 	killed := m.worker
--- a/loadtest/member.go
+++ b/loadtest/memberworker.go
@@ -2,6 +2,7 @@
 
 import (
 	"context"
+	"fmt"
 	"net"
 	"sync"
 	"time"
@@ -10,14 +11,14 @@
 
 	"harehook.dev/harehook/cluster"
 	"harehook.dev/harehook/configsync"
-	front "harehook.dev/harehook/configsync/transport"
+	"harehook.dev/harehook/configsync/transport"
 	"harehook.dev/harehook/raftlog"
 	"harehook.dev/harehook/records"
 )
 
 // memberHooks are where tests plant faults.
 type memberHooks struct {
-	source func(records.Source) records.Source // stands between the member's records and its followers
+	source func(records.Source) records.Source // wraps what the member's followers receive
 }
 
 // countsInterval is how often a member reports what it has sent.
@@ -26,7 +27,7 @@
 // memberWorker is the worker that is a member of the group, as harehook-xds has it but without a data plane.
 type memberWorker struct {
 	node    *cluster.Node
-	service *front.Service
+	service *transport.Service
 	out     *lineWriter
 }
 
@@ -34,25 +35,26 @@
 func runMember(ctx context.Context, setup *memberSetup, planted memberHooks, out *lineWriter) error {
 	disk, saved, err := raftlog.Open(setup.Folder)
 	if err != nil {
-		return err
+		return fmt.Errorf("log of member %d: %w", setup.ID, err)
 	}
 	defer disk.Close()
 	state := cluster.NewState(nil)
 	node, err := cluster.NewNode(setup.ID, disk, saved, setup.voters(), setup.Addresses, state, zap.NewNop())
 	if err != nil {
-		return err
+		return fmt.Errorf("node of member %d: %w", setup.ID, err)
 	}
 	source := node.Records()
 	if planted.source != nil {
 		source = planted.source(source)
 	}
 	address := setup.Addresses[setup.ID]
-	m := &memberWorker{node, front.NewService(address, source, configsync.DefaultLimits, zap.NewNop()), out}
-	node.OnCommit = m.service.Committed
+	service := transport.NewService(address, source, configsync.DefaultLimits, zap.NewNop())
+	node.OnCommit = service.Committed
 	listener, err := net.Listen("tcp", address)
 	if err != nil {
 		return err
 	}
+	m := &memberWorker{node: node, service: service, out: out}
 	return m.run(ctx, listener)
 }
 
@@ -70,20 +72,25 @@
 	server := cluster.NewServer(nil)
 	m.node.Register(server)
 	m.service.Register(server)
-	var parts sync.WaitGroup
-	defer parts.Wait()
+	guard := transport.LeaderGuard{
+		Service:   m.service,
+		HasLeader: m.hasLeader,
+		Lease:     configsync.DefaultLimits.Lease,
+		Log:       zap.NewNop(),
+	}
+	nodeEnded := make(chan error, 1)
+	var tasks sync.WaitGroup
+	defer tasks.Wait()
 	defer server.Stop()
 	defer stop()
-	parts.Go(func() { server.Serve(listener) })
-	stopped := make(chan error, 1)
-	parts.Go(func() { stopped <- m.node.Run(ctx) })
-	parts.Go(func() { m.reportCounts(ctx) })
-	guard := front.LeaderGuard{Service: m.service, HasLeader: m.hasLeader, Lease: configsync.DefaultLimits.Lease, Log: zap.NewNop()}
-	parts.Go(func() { guard.Run(ctx) })
+	tasks.Go(func() { server.Serve(listener) })
+	tasks.Go(func() { nodeEnded <- m.node.Run(ctx) })
+	tasks.Go(func() { m.reportCounts(ctx) })
+	tasks.Go(func() { guard.Run(ctx) })
 	if err := m.out.write(workerReport{Ready: true}); err != nil {
 		return err
 	}
-	return <-stopped
+	return <-nodeEnded
 }
 
 // reportCounts reports what was sent until ctx ends.
@@ -96,6 +103,7 @@
 	}
 }
 
+// hasLeader tells whether the member knows a leader.
 func (m *memberWorker) hasLeader(ctx context.Context) bool {
 	report, err := m.node.Status(ctx)
 	return err == nil && report.Status.Leader != 0
