--- a/loadtest/programprocess.go
+++ b/loadtest/programprocess.go
@@ -8,11 +8,10 @@
 	"time"
 
 	"harehook.dev/harehook/configsync"
-	front "harehook.dev/harehook/configsync/transport"
 	"harehook.dev/harehook/records"
 )
 
-// programPollInterval is how often members are asked whether harehook-xds is in step, which it does not tell by itself.
+// programPollInterval is how often members are asked whether harehook-xds is in step, which it does not report by itself.
 const programPollInterval = 100 * time.Millisecond
 
 // startProgram starts harehook-xds, if there is one, as the controller with a process of its own.
@@ -25,18 +24,26 @@
 	if err != nil {
 		return err
 	}
-	p := &controllerProcess{worker: started, indexes: []int{measuredController}, external: true, ready: make(chan struct{})}
+	p := &controllerProcess{
+		worker:   started,
+		indexes:  []int{measuredController},
+		external: true,
+		ready:    make(chan struct{}),
+	}
 	r.controllerProcesses = append(r.controllerProcesses, p)
 	r.workers.add(started, func(report *workerReport) { r.handleReport(p, report) })
 	controller := r.controllers[measuredController]
 	setup := &programSetup{
-		Program: r.controllerProgram, Folder: filepath.Join(r.folder, "harehookd"), Members: r.addresses(),
-		Controller: controller, Routes: r.configuration.routeLines(controller.Scope),
+		Program:    r.controllerProgram,
+		Folder:     filepath.Join(r.folder, "harehookd"),
+		Members:    r.addresses(),
+		Controller: controller,
+		Routes:     r.configuration.routeLines(controller.Scope),
 	}
 	if err := started.commands.write(workerCommand{Program: setup}); err != nil {
-		return err
+		return fmt.Errorf("set up the worker of harehook-xds: %w", err)
 	}
-	if err := r.waitFor(ctx, p.ready, startTimeout, "harehookd does not start"); err != nil {
+	if err := r.waitFor(ctx, p.ready, startTimeout, "harehook-xds does not start"); err != nil {
 		return err
 	}
 	if err := r.waitProgramConverged(ctx, stepTimeout); err != nil {
@@ -46,8 +53,8 @@
 	return nil
 }
 
-// routeLines are the routes of a scope as harehook-xds's file has them. Their prefixes stay, and what is not mutating
-// there may become so.
+// routeLines are the routes of a scope as harehook-xds's file has them. The agreed routes have the same prefixes, and may
+// be mutating, which these are not.
 func (c *Configuration) routeLines(scope records.Scope) (lines []string) {
 	for _, name := range c.routes {
 		key := records.Key{Kind: records.KindRoute, Name: name}
@@ -65,7 +72,7 @@
 	name := r.controllers[measuredController].Name
 	deadline := time.Now().Add(timeout)
 	for {
-		lease, found := r.lease(ctx, name)
+		lease, found := r.latestLease(ctx, name)
 		if found && lease.Accepted >= want {
 			return nil
 		}
@@ -82,18 +89,13 @@
 	}
 }
 
-// lease is what the members know of a follower: the lease with the latest revision.
-func (r *run) lease(ctx context.Context, name string) (latest configsync.LeaseStatus, found bool) {
-	for _, conn := range r.group.conns {
-		call, stop := context.WithTimeout(ctx, proposeTimeout)
-		status, err := front.FetchMemberStatus(call, conn)
-		stop()
-		if err != nil {
-			continue
-		}
+// latestLease is what the members know of a follower: the lease with the latest revision.
+func (r *run) latestLease(ctx context.Context, name string) (latest configsync.LeaseStatus, found bool) {
+	for _, status := range r.group.memberStatuses(ctx) {
 		for _, lease := range status.Leases {
 			if lease.Name == name && (!found || lease.Accepted > latest.Accepted) {
-				latest, found = lease, true
+				latest = lease
+				found = true
 			}
 		}
 	}
--- a/loadtest/programworker.go
+++ b/loadtest/programworker.go
@@ -4,7 +4,6 @@
 	"context"
 	"errors"
 	"fmt"
-	"io"
 	"net"
 	"os"
 	"os/exec"
@@ -16,58 +15,81 @@
 	"time"
 )
 
-// programWorker is the worker that runs harehook-xds behind proxies, which count what it is sent and sends.
+// programWorker is the worker that runs harehook-xds behind proxies, which count what it receives and sends.
 type programWorker struct {
 	setup *programSetup
 	out   *lineWriter
 	wire  wireCounter
 }
 
-// run starts the program and ends it when ctx ends. That the program ends by itself is a failure.
+// run starts the program and ends it when ctx ends. That the program ends by itself is an error.
 func (p *programWorker) run(ctx context.Context) error {
 	ctx, stop := context.WithCancel(ctx)
 	var proxies sync.WaitGroup
 	defer proxies.Wait()
 	defer stop()
-	var members []string
-	for _, member := range p.setup.Members {
-		listener, err := net.Listen("tcp", "127.0.0.1:0")
-		if err != nil {
-			return err
-		}
-		members = append(members, listener.Addr().String())
-		proxies.Go(func() { (&proxy{member, &p.wire}).serve(ctx, listener) })
-	}
-	path, err := p.configure(members)
+	members, err := p.startProxies(ctx, &proxies)
 	if err != nil {
 		return err
 	}
-	started, stopped := make(chan int, 1), make(chan error, 1)
-	go func() { stopped <- p.execute(ctx, path, started) }()
-	tick := time.NewTicker(wireReportInterval)
-	defer tick.Stop()
+	config, err := p.writeConfig(members)
+	if err != nil {
+		return fmt.Errorf("configure %s: %w", p.setup.Program, err)
+	}
+	started := make(chan int, 1) // process id
+	ended := make(chan error, 1)
+	go func() { ended <- p.execute(ctx, config, started) }()
+	err = p.report(ctx, started, ended)
+	if errors.Is(err, errReport) {
+		stop()
+		return errors.Join(err, <-ended)
+	}
+	return err
+}
+
+// errReport is what a worker returns whose reports cannot be written: whoever reads them is gone.
+var errReport = errors.New("write a report")
+
+// report reports the process and the wire's counters until the program has ended. The error is errReport where a report
+// could not be written; the program then goes on.
+func (p *programWorker) report(ctx context.Context, started <-chan int, ended <-chan error) error {
+	ticker := time.NewTicker(wireReportInterval)
+	defer ticker.Stop()
 	for {
+		var report workerReport
 		select {
 		case pid := <-started:
-			if err := p.out.write(workerReport{Ready: true, PID: pid}); err != nil {
-				stop()
-				return errors.Join(err, <-stopped)
-			}
-		case err := <-stopped:
+			report = workerReport{Ready: true, PID: pid}
+		case err := <-ended:
 			if ctx.Err() != nil {
 				return nil
 			}
 			return fmt.Errorf("%s ended: %w", p.setup.Program, err)
-		case <-tick.C:
-			if err := p.out.write(workerReport{Wire: p.wire.reading()}); err != nil {
-				stop()
-				return errors.Join(err, <-stopped)
-			}
+		case <-ticker.C:
+			report = workerReport{Wire: p.wire.reading()}
+		}
+		if err := p.out.write(report); err != nil {
+			return fmt.Errorf("%w: %w", errReport, err)
 		}
 	}
 }
 
-// execute runs the program until it or ctx ends. Its thread lives as long, so that the program ends with this process.
+// startProxies starts a proxy for each member and returns their addresses.
+func (p *programWorker) startProxies(ctx context.Context, tasks *sync.WaitGroup) (addresses []string, err error) {
+	for _, member := range p.setup.Members {
+		listener, err := net.Listen("tcp", "127.0.0.1:0")
+		if err != nil {
+			return nil, fmt.Errorf("proxy of member %s: %w", member, err)
+		}
+		addresses = append(addresses, listener.Addr().String())
+		proxy := &countingProxy{address: member, wire: &p.wire}
+		tasks.Go(func() { proxy.serve(ctx, listener) })
+	}
+	return addresses, nil
+}
+
+// execute runs the program until it or ctx ends. The kernel kills the program when the thread that started it ends: the
+// goroutine keeps its thread, so that this happens with the end of this process and not before.
 func (p *programWorker) execute(ctx context.Context, config string, started chan<- int) error {
 	runtime.LockOSThread()
 	defer runtime.UnlockOSThread()
@@ -77,7 +99,8 @@
 	}
 	defer log.Close()
 	command := exec.CommandContext(ctx, p.setup.Program, "--config", config)
-	command.Stdout, command.Stderr = log, log
+	command.Stdout = log
+	command.Stderr = log
 	command.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL}
 	if err := command.Start(); err != nil {
 		return err
@@ -86,8 +109,8 @@
 	return command.Wait()
 }
 
-// configure writes the program's files: the routes of its scope, a list of nodes, and whom it follows.
-func (p *programWorker) configure(members []string) (path string, err error) {
+// writeConfig writes the program's files and returns the path of its configuration.
+func (p *programWorker) writeConfig(members []string) (path string, err error) {
 	if err := os.MkdirAll(p.setup.Folder, 0o700); err != nil {
 		return "", err
 	}
@@ -95,69 +118,40 @@
 	if err != nil {
 		return "", err
 	}
-	var text, nodes strings.Builder
-	fmt.Fprintf(&text, "conductor %q {\n  listen %q\n  seed 1\n  nodes \"nodes.kdl\"\n", p.setup.Name, listen)
-	for _, zone := range p.setup.Scope.Zones {
-		fmt.Fprintf(&text, "  zone %q\n", zone)
-		fmt.Fprintf(&nodes, "node \"own-%s\" zone=%q address=\"127.0.0.1:9\"\n", zone, zone)
-	}
-	for _, route := range p.setup.Routes {
-		fmt.Fprintf(&text, "  %s\n", route)
-	}
-	text.WriteString("  follow {\n")
-	for _, one := range []struct {
-		name   string
-		values []string
-	}{{"member", members}, {"service", p.setup.Scope.Services}, {"zone", p.setup.Scope.Zones}} {
-		for _, value := range one.values {
-			fmt.Fprintf(&text, "    %s %q\n", one.name, value)
-		}
-	}
-	text.WriteString("  }\n}\n")
-	if err := os.WriteFile(filepath.Join(p.setup.Folder, "nodes.kdl"), []byte(nodes.String()), 0o600); err != nil {
+	nodesPath := filepath.Join(p.setup.Folder, "nodes.kdl")
+	if err := os.WriteFile(nodesPath, []byte(p.nodesText()), 0o600); err != nil {
 		return "", err
 	}
 	path = filepath.Join(p.setup.Folder, "conductor.kdl")
-	return path, os.WriteFile(path, []byte(text.String()), 0o600)
+	return path, os.WriteFile(path, []byte(p.configText(listen, members)), 0o600)
 }
 
-// proxy hands connections on to an address and counts what goes through. The counts are those of who connects.
-type proxy struct {
-	address string
-	wire    *wireCounter
+// nodesText is the program's list of nodes: one a zone of its scope, where nothing listens.
+func (p *programWorker) nodesText() string {
+	var text strings.Builder
+	for _, zone := range p.setup.Scope.Zones {
+		fmt.Fprintf(&text, "node \"own-%s\" zone=%q address=\"127.0.0.1:9\"\n", zone, zone)
+	}
+	return text.String()
 }
 
-// serve takes connections until ctx ends.
-func (p *proxy) serve(ctx context.Context, listener net.Listener) {
-	defer context.AfterFunc(ctx, func() { listener.Close() })()
-	var carrying sync.WaitGroup
-	defer carrying.Wait()
-	for {
-		near, err := listener.Accept()
-		if err != nil {
-			return
+// configText is the program's configuration: the routes of its scope, its list of nodes, and whom it follows.
+func (p *programWorker) configText(listen string, members []string) string {
+	var text strings.Builder
+	fmt.Fprintf(&text, "conductor %q {\n  listen %q\n  seed 1\n  nodes \"nodes.kdl\"\n", p.setup.Name, listen)
+	writeLines := func(indent, key string, values []string) {
+		for _, value := range values {
+			fmt.Fprintf(&text, "%s%s %q\n", indent, key, value)
 		}
-		carrying.Go(func() { p.carry(ctx, near) })
 	}
-}
-
-// carry hands on one connection until either side ends it.
-func (p *proxy) carry(ctx context.Context, near net.Conn) {
-	defer near.Close()
-	dialer := net.Dialer{Timeout: dialTimeout}
-	far, err := dialer.DialContext(ctx, "tcp", p.address)
-	if err != nil {
-		return
+	writeLines("  ", "zone", p.setup.Scope.Zones)
+	for _, route := range p.setup.Routes {
+		fmt.Fprintf(&text, "  %s\n", route)
 	}
-	defer far.Close()
-	closeBoth := func() { near.Close(); far.Close() }
-	defer context.AfterFunc(ctx, closeBoth)()
-	var other sync.WaitGroup
-	defer other.Wait()
-	other.Go(func() {
-		defer closeBoth()
-		io.Copy(countingWriter{far, &p.wire.out}, near)
-	})
-	defer closeBoth()
-	io.Copy(countingWriter{near, &p.wire.in}, far)
+	text.WriteString("  follow {\n")
+	writeLines("    ", "member", members)
+	writeLines("    ", "service", p.setup.Scope.Services)
+	writeLines("    ", "zone", p.setup.Scope.Zones)
+	text.WriteString("  }\n}\n")
+	return text.String()
 }
