--- /dev/null
+++ b/loadtest/controller.go
@@ -0,0 +1,41 @@
+package loadtest
+
+import (
+	"fmt"
+	"math/rand/v2"
+
+	"harehook.dev/harehook/records"
+)
+
+// scopeServices is the number of services of a controller's scope.
+const scopeServices = 6
+
+// Controller is a controller of the fleet.
+type Controller struct {
+	Name   string        `json:"name"`
+	Region int           `json:"region"`
+	Scope  records.Scope `json:"scope"`
+}
+
+// Controllers spreads the controllers over the zones and draws the services that each needs.
+func (c *Configuration) Controllers() (controllers []Controller) {
+	rng := rand.New(rand.NewPCG(c.plan.Seed, scopeStream))
+	for index := range c.plan.Controllers {
+		zone := index % len(c.zones)
+		controllers = append(controllers, Controller{
+			Name:   fmt.Sprintf("conductor-%04d", index),
+			Region: zone % c.plan.Regions,
+			Scope:  c.drawScope(rng, c.zones[zone]),
+		})
+	}
+	return controllers
+}
+
+// drawScope draws the services of a controller in a zone.
+func (c *Configuration) drawScope(rng *rand.Rand, zone string) records.Scope {
+	scope := records.Scope{Zones: []string{zone}}
+	for _, service := range rng.Perm(len(c.services))[:min(scopeServices, len(c.services))] {
+		scope.Services = append(scope.Services, c.services[service])
+	}
+	return scope.Normalized()
+}
--- /dev/null
+++ b/loadtest/draw.go
@@ -0,0 +1,139 @@
+package loadtest
+
+import (
+	"fmt"
+	"math"
+	"sort"
+
+	"harehook.dev/harehook/records"
+)
+
+const (
+	tenantTail       = 0.8  // exponent by which a service's part of the tenants falls with its rank
+	serviceMaxZones  = 6    // zones that a service runs in at most
+	allottedQuota    = 0.9  // part of a service's capacity that its tenants are given together
+	quotaStep        = 1e-6 // shares are integral multiples of it
+	overriddenNodes  = 0.01 // part of the nodes that are overridden at the beginning
+	minTimeLimitMS   = 50   // of a route
+	timeLimitRangeMS = 5000 // of a route, above the least
+	mutatingOneIn    = 3    // of the routes
+)
+
+func (c *Configuration) drawServices() error {
+	for index := range c.plan.Services {
+		name := fmt.Sprintf("service-%03d", index)
+		c.services = append(c.services, name)
+		key := records.Key{Kind: records.KindService, Name: name}
+		if err := c.setBody(key, records.ServiceSpec{Zones: c.drawZones()}); err != nil {
+			return err
+		}
+	}
+	return nil
+}
+
+// drawZones draws the zones of a service.
+func (c *Configuration) drawZones() (zones []string) {
+	count := 1 + c.rng.IntN(min(serviceMaxZones, len(c.zones)))
+	for _, zone := range c.rng.Perm(len(c.zones))[:count] {
+		zones = append(zones, c.zones[zone])
+	}
+	return zones
+}
+
+func (c *Configuration) drawRoutes() error {
+	for index := range c.plan.Routes {
+		name := fmt.Sprintf("route-%04d", index)
+		c.routes = append(c.routes, name)
+		key := records.Key{Kind: records.KindRoute, Name: name}
+		c.serviceOf[key] = c.services[index%len(c.services)]
+		if err := c.setBody(key, c.drawRoute(key)); err != nil {
+			return err
+		}
+	}
+	return nil
+}
+
+// drawRoute draws the spec of a route; its prefix stays the same.
+func (c *Configuration) drawRoute(key records.Key) records.RouteSpec {
+	return records.RouteSpec{
+		Service:     c.serviceOf[key],
+		Prefix:      c.prefix(key),
+		TimeLimitMS: float64(minTimeLimitMS + c.rng.IntN(timeLimitRangeMS)),
+		Mutating:    c.rng.IntN(mutatingOneIn) == 0,
+		MaxAdmitted: float64(1+c.rng.IntN(1000)) / 1000,
+	}
+}
+
+// prefix is that of a route, whose name is unique.
+func (c *Configuration) prefix(route records.Key) string {
+	return "/" + c.serviceOf[route] + "/" + route.Name
+}
+
+// drawTenants divides the tenants among the services: a few services have many, most have few.
+func (c *Configuration) drawTenants() error {
+	tenantsOf := map[string]int{}
+	cumulated := cumulatedWeights(len(c.services))
+	sum := cumulated[len(cumulated)-1]
+	for index := range c.plan.Tenants {
+		rank := sort.SearchFloat64s(cumulated, c.rng.Float64()*sum)
+		service := c.services[rank]
+		name := fmt.Sprintf("tenant-%06d", index)
+		c.tenants = append(c.tenants, name)
+		c.serviceOf[records.Key{Kind: records.KindTenant, Name: name}] = service
+		tenantsOf[service]++
+	}
+	for service, tenants := range tenantsOf {
+		c.tenantShare[service] = allottedQuota / float64(tenants)
+	}
+	for _, name := range c.tenants {
+		key := records.Key{Kind: records.KindTenant, Name: name}
+		if err := c.setBody(key, c.drawTenant(key)); err != nil {
+			return err
+		}
+	}
+	return nil
+}
+
+// cumulatedWeights are the weights of services in the division of tenants, each with those before it.
+func cumulatedWeights(services int) []float64 {
+	cumulated := make([]float64, services)
+	sum := 0.0
+	for rank := range services {
+		sum += math.Pow(float64(rank+1), -tenantTail)
+		cumulated[rank] = sum
+	}
+	return cumulated
+}
+
+// drawTenant draws the spec of a tenant. However often that is done, the shares of a service sum to under its capacity.
+func (c *Configuration) drawTenant(key records.Key) records.TenantSpec {
+	service := c.serviceOf[key]
+	share := c.tenantShare[service] * (0.2 + 0.8*c.rng.Float64())
+	steps := max(1, math.Floor(share/quotaStep))
+	return records.TenantSpec{Service: service, Share: steps * quotaStep}
+}
+
+func (c *Configuration) drawOverrides() error {
+	for range int(overriddenNodes * float64(c.plan.Nodes)) {
+		if err := c.setBody(c.drawOverrideKey(), c.drawOverride()); err != nil {
+			return err
+		}
+	}
+	return nil
+}
+
+// drawOverrideKey draws the node of an override.
+func (c *Configuration) drawOverrideKey() records.Key {
+	return records.Key{Kind: records.KindOverride, Name: fmt.Sprintf("node-%05d", c.rng.IntN(c.plan.Nodes))}
+}
+
+// drawOverride draws the spec of an override.
+func (c *Configuration) drawOverride() records.OverrideSpec {
+	spec := records.OverrideSpec{State: records.StateDraining}
+	spec.Service = c.services[c.rng.IntN(len(c.services))]
+	spec.Zone = c.zones[c.rng.IntN(len(c.zones))]
+	if c.rng.IntN(2) == 0 {
+		spec.State = records.StateGone
+	}
+	return spec
+}
