--- a/loadtest/faults.go
+++ b/loadtest/faults.go
@@ -2,6 +2,7 @@
 
 import (
 	"context"
+	"fmt"
 	"math/rand/v2"
 	"slices"
 	"time"
@@ -9,171 +10,194 @@
 	"harehook.dev/harehook/configsync"
 )
 
-// slotWeights is the part of the time that a fault is played for, beside the other faults.
-var slotWeights = map[Fault]float64{FaultReconnect: 1, FaultMemberKilled: 3, FaultRejecting: 1, FaultRegionCut: 2, FaultAllRestarted: 4}
+// slotWeights are the parts of the time that faults are played for, beside one another.
+var slotWeights = map[Fault]float64{
+	FaultReconnect:    1,
+	FaultMemberKilled: 3,
+	FaultRejecting:    1,
+	FaultRegionCut:    2,
+	FaultAllRestarted: 4,
+}
 
 const (
 	faultFreeFraction  = 0.25 // of the time, before the first fault
-	reconnectOneIn     = 10
-	rejectingOneIn     = 5
-	restartFraction    = 0.6 // of the fault's time in which all are restarted
-	maxRestartSpread   = time.Minute
-	cutFraction        = 0.6 // of the fault's time for which a region is cut off
-	rejectFraction     = 0.6 // of the fault's time in which changes are refused
+	reconnectOneIn     = 10   // of the controllers
+	rejectingOneIn     = 5    // of the controllers
+	restartFraction    = 0.6  // of the fault's slot in which all are restarted
+	cutFraction        = 0.6  // of the fault's slot for which a region is cut off
+	rejectFraction     = 0.6  // of the fault's slot in which changes are rejected
 	memberDownFraction = 1.0 / 6
-	maxDowntime        = 5 * time.Second
+	maxRestartSpread   = time.Minute
+	maxDowntime        = 5 * time.Second // of a member
 )
 
 // playFaults plays one fault after the other until the plan's time is over.
 func (r *run) playFaults(ctx context.Context) error {
-	end := r.playStart.Add(time.Duration(r.plan.Seconds) * time.Second)
+	duration := time.Duration(r.plan.Seconds) * time.Second
 	faults := slices.DeleteFunc(slices.Clone(AllFaults), func(f Fault) bool { return !slices.Contains(r.plan.Faults, f) })
 	if len(faults) == 0 {
-		r.faultFreeUntil = end
+		r.faultFreeUntil = r.playStart.Add(duration)
 		return nil
 	}
-	sum := 0.0
-	for _, fault := range faults {
-		sum += slotWeights[fault]
-	}
-	steady := time.Duration(faultFreeFraction * float64(end.Sub(r.playStart)))
-	r.faultFreeUntil = r.playStart.Add(steady)
-	unit := time.Duration(float64(end.Sub(r.faultFreeUntil)) / sum)
-	random := rand.New(rand.NewPCG(r.plan.Seed, 3))
-	if err := sleep(ctx, steady); err != nil {
+	faultFree := scaleDuration(duration, faultFreeFraction)
+	r.faultFreeUntil = r.playStart.Add(faultFree)
+	if err := sleep(ctx, faultFree); err != nil {
 		return err
 	}
+	rng := rand.New(rand.NewPCG(r.plan.Seed, faultStream))
+	slots := faultSlots(faults, duration-faultFree)
 	defer r.recorder.setPhase("")
 	for _, fault := range faults {
-		slot := time.Duration(slotWeights[fault]) * unit
-		r.logProgress("%s, %.0f s", fault, slot.Seconds())
-		r.recorder.setPhase(fault)
-		until := time.Now().Add(slot)
-		if err := r.playFault(ctx, fault, slot, random); err != nil {
-			return err
-		}
-		if err := sleep(ctx, time.Until(until)); err != nil {
+		if err := r.playSlot(ctx, fault, slots[fault], rng); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-func (r *run) playFault(ctx context.Context, fault Fault, slot time.Duration, random *rand.Rand) error {
+// faultSlots divides a time among faults.
+func faultSlots(faults []Fault, duration time.Duration) map[Fault]time.Duration {
+	sum := 0.0
+	for _, fault := range faults {
+		sum += slotWeights[fault]
+	}
+	unit := time.Duration(float64(duration) / sum)
+	slots := map[Fault]time.Duration{}
+	for _, fault := range faults {
+		slots[fault] = time.Duration(slotWeights[fault]) * unit
+	}
+	return slots
+}
+
+// playSlot plays a fault and waits for the end of its slot.
+func (r *run) playSlot(ctx context.Context, fault Fault, slot time.Duration, rng *rand.Rand) error {
+	r.logProgress("%s, %.0f s", fault, slot.Seconds())
+	r.recorder.setPhase(fault)
+	end := time.Now().Add(slot)
+	if err := r.playFault(ctx, fault, slot, rng); err != nil {
+		return fmt.Errorf("fault %q: %w", fault, err)
+	}
+	return sleep(ctx, time.Until(end))
+}
+
+// playFault brings a fault about, and ends it within its slot.
+func (r *run) playFault(ctx context.Context, fault Fault, slot time.Duration, rng *rand.Rand) error {
 	switch fault {
 	case FaultReconnect:
-		return r.reconnect(random)
+		return r.reconnect(rng)
 	case FaultMemberKilled:
 		return r.killMembers(ctx, slot)
 	case FaultRejecting:
-		return r.rejectChanges(ctx, scaleDuration(slot, rejectFraction), random)
+		return r.rejectChanges(ctx, scaleDuration(slot, rejectFraction), rng)
 	case FaultRegionCut:
-		return r.cutRegion(ctx, scaleDuration(slot, cutFraction), random)
+		return r.cutRegion(ctx, scaleDuration(slot, cutFraction), rng)
 	case FaultAllRestarted:
 		return r.restartAll(ctx, min(maxRestartSpread, scaleDuration(slot, restartFraction)))
+	default:
+		return fmt.Errorf("no fault of that name")
 	}
-	return nil
 }
 
-func scaleDuration(of time.Duration, share float64) time.Duration {
-	return time.Duration(share * float64(of))
+func scaleDuration(d time.Duration, fraction float64) time.Duration {
+	return time.Duration(fraction * float64(d))
 }
 
-// chooseControllers gives the controllers that are chosen. The one with a process of its own is left alone: its steady running is
-// measured.
-func (r *run) chooseControllers(chosen func(controller int) bool) (indexes []int, has func(int) bool) {
-	set := map[int]bool{}
-	for at := range r.controllers {
-		if at != measuredController && chosen(at) {
-			indexes = append(indexes, at)
-			set[at] = true
+// chooseControllers returns the controllers that are chosen, and whether one is among them. The one with a process of its
+// own is left alone: its steady running is measured.
+func (r *run) chooseControllers(choose func(controller int) bool) (indexes []int, isChosen func(int) bool) {
+	chosen := map[int]bool{}
+	for index := range r.controllers {
+		if index != measuredController && choose(index) {
+			indexes = append(indexes, index)
+			chosen[index] = true
 		}
 	}
-	return indexes, func(controller int) bool { return set[controller] }
+	return indexes, func(controller int) bool { return chosen[controller] }
 }
 
-func oneIn(random *rand.Rand, count int) func(int) bool {
-	return func(int) bool { return random.IntN(count) == 0 }
+// oneIn chooses a controller with the chance of one in a count.
+func oneIn(rng *rand.Rand, count int) func(int) bool {
+	return func(int) bool { return rng.IntN(count) == 0 }
 }
 
-func (r *run) reconnect(random *rand.Rand) error {
-	indexes, has := r.chooseControllers(oneIn(random, reconnectOneIn))
+// reconnect closes the connections of some controllers.
+func (r *run) reconnect(rng *rand.Rand) error {
+	indexes, isChosen := r.chooseControllers(oneIn(rng, reconnectOneIn))
 	now := time.Now()
 	r.recorder.recordFault(FaultReconnect, indexes, now, now)
-	return r.commandControllers(actionReconnect, 0, has)
+	return r.commandControllers(actionReconnect, 0, isChosen)
 }
 
-// killMembers kills a member that follows, and the leader in the second half.
+// killMembers kills a member that follows, and the leader in the second half of the slot.
 func (r *run) killMembers(ctx context.Context, slot time.Duration) error {
-	half := time.Now().Add(slot / 2)
-	for _, leader := range []bool{false, true} {
-		if leader {
-			if err := sleep(ctx, time.Until(half)); err != nil {
-				return err
-			}
-		}
-		lead, err := r.group.leader(ctx)
-		if err != nil {
-			return err
-		}
-		victim := lead
-		if !leader {
-			victim = lead%uint64(r.plan.Members) + 1
-		}
-		if err := r.killMember(ctx, victim, min(maxDowntime, scaleDuration(slot, memberDownFraction))); err != nil {
-			return err
-		}
+	secondHalf := time.Now().Add(slot / 2)
+	downtime := min(maxDowntime, scaleDuration(slot, memberDownFraction))
+	leader, err := r.group.leader(ctx)
+	if err != nil {
+		return err
 	}
-	return nil
+	nextToLeader := leader%uint64(r.plan.Members) + 1
+	if err := r.killMember(ctx, nextToLeader, downtime); err != nil {
+		return err
+	}
+	if err := sleep(ctx, time.Until(secondHalf)); err != nil {
+		return err
+	}
+	leader, err = r.group.leader(ctx)
+	if err != nil {
+		return err
+	}
+	return r.killMember(ctx, leader, downtime)
 }
 
-func (r *run) killMember(ctx context.Context, id uint64, down time.Duration) error {
+// killMember kills a member and starts it again after some time. The fault concerns the controllers that it served.
+func (r *run) killMember(ctx context.Context, id uint64, downtime time.Duration) error {
 	member := r.memberProcesses[id-1]
 	now := time.Now()
 	r.recorder.recordFault(FaultMemberKilled, r.recorder.controllersOf(member.address), now, now)
 	if err := member.kill(); err != nil {
 		return err
 	}
-	if err := sleep(ctx, down); err != nil {
+	if err := sleep(ctx, downtime); err != nil {
 		return err
 	}
 	return r.startMember(ctx, member)
 }
 
-// rejectChanges has some controllers refuse some changes for a while.
-func (r *run) rejectChanges(ctx context.Context, over time.Duration, random *rand.Rand) error {
-	indexes, has := r.chooseControllers(oneIn(random, rejectingOneIn))
+// rejectChanges has some controllers reject some changes for a while.
+func (r *run) rejectChanges(ctx context.Context, duration time.Duration, rng *rand.Rand) error {
+	indexes, isChosen := r.chooseControllers(oneIn(rng, rejectingOneIn))
 	now := time.Now()
-	r.recorder.recordFault(FaultRejecting, indexes, now, now.Add(over+configsync.DefaultLimits.RejectedBackoff))
-	if err := r.commandControllers(actionReject, 0, has); err != nil {
+	r.recorder.recordFault(FaultRejecting, indexes, now, now.Add(duration+configsync.DefaultLimits.RejectedBackoff))
+	if err := r.commandControllers(actionReject, 0, isChosen); err != nil {
 		return err
 	}
-	if err := sleep(ctx, over); err != nil {
+	if err := sleep(ctx, duration); err != nil {
 		return err
 	}
-	return r.commandControllers(actionAccept, 0, has)
+	return r.commandControllers(actionAccept, 0, isChosen)
 }
 
 // cutRegion cuts the controllers of one region off.
-func (r *run) cutRegion(ctx context.Context, over time.Duration, random *rand.Rand) error {
-	region := random.IntN(r.plan.Regions)
-	indexes, has := r.chooseControllers(func(at int) bool { return r.controllers[at].Region == region })
+func (r *run) cutRegion(ctx context.Context, duration time.Duration, rng *rand.Rand) error {
+	region := rng.IntN(r.plan.Regions)
+	indexes, isChosen := r.chooseControllers(func(index int) bool { return r.controllers[index].Region == region })
 	now := time.Now()
-	r.recorder.recordFault(FaultRegionCut, indexes, now, now.Add(over))
-	if err := r.commandControllers(actionCut, 0, has); err != nil {
+	r.recorder.recordFault(FaultRegionCut, indexes, now, now.Add(duration))
+	if err := r.commandControllers(actionCut, 0, isChosen); err != nil {
 		return err
 	}
-	if err := sleep(ctx, over); err != nil {
+	if err := sleep(ctx, duration); err != nil {
 		return err
 	}
-	return r.commandControllers(actionHeal, 0, has)
+	return r.commandControllers(actionHeal, 0, isChosen)
 }
 
 // restartAll restarts all controllers evenly over a time.
-func (r *run) restartAll(ctx context.Context, over time.Duration) error {
-	_, has := r.chooseControllers(func(int) bool { return true })
-	if err := r.commandControllers(actionRestart, over, has); err != nil {
+func (r *run) restartAll(ctx context.Context, spread time.Duration) error {
+	_, isChosen := r.chooseControllers(func(int) bool { return true })
+	if err := r.commandControllers(actionRestart, spread, isChosen); err != nil {
 		return err
 	}
-	return sleep(ctx, over)
+	return sleep(ctx, spread)
 }
