--- a/loadtest/experiment.go
+++ b/loadtest/experiment.go
@@ -11,15 +11,15 @@
 type Experiment struct {
 	Name   string
 	Plan   Plan
-	Figure string    // that is swept, empty if none
-	Values []float64 // that it takes
+	Figure string    // name of the Setting that is swept, empty if none
+	Values []float64 // that the figure takes
 }
 
 // maxValue is the largest that an experiment may set a figure to.
 const maxValue = 1e9
 
-// ReadExperiment reads an experiment in KDL. What it does not set is as at the operators' size, without faults; each
-// fault of the text names its line.
+// ReadExperiment reads an experiment in KDL: one node "experiment" with a name, whose children are settings and faults.
+// What it does not set is as in OperatorsPlan. The error is a kdl.Faults, which names the line of each mistake.
 func ReadExperiment(text string) (*Experiment, error) {
 	nodes, err := kdl.Parse(text)
 	if err != nil {
@@ -50,6 +50,7 @@
 	return e, faults.Err()
 }
 
+// readFaults reads the line of the faults.
 func (e *Experiment) readFaults(node *kdl.Node, faults *kdl.Faults) {
 	for _, argument := range node.Args {
 		name := Fault(fmt.Sprint(argument.V))
@@ -61,22 +62,14 @@
 	}
 }
 
-// readFigure reads a figure; one with several values is swept.
+// readFigure reads the line of a figure; one with several values is swept.
 func (e *Experiment) readFigure(node *kdl.Node, faults *kdl.Faults) {
 	setting, known := findSetting(node.Name)
 	if !known {
 		faults.Add(node.Line, "%q is no figure of a fleet", node.Name)
 		return
 	}
-	var values []float64
-	for _, argument := range node.Args {
-		value, is := argument.V.(float64)
-		if !is || !(value >= 0 && value <= maxValue) {
-			faults.Add(argument.Line, "%q takes numbers from 0 to %.0f, not %v", node.Name, maxValue, argument.V)
-			continue
-		}
-		values = append(values, value)
-	}
+	values := readValues(node, faults)
 	switch {
 	case len(values) == 0:
 		faults.Add(node.Line, "%q has no value", node.Name)
@@ -85,11 +78,26 @@
 	case e.Figure != "":
 		faults.Add(node.Line, "one figure is swept at most: %q is already", e.Figure)
 	default:
-		e.Figure, e.Values = node.Name, values
+		e.Figure = node.Name
+		e.Values = values
+	}
+}
+
+// readValues reads the numbers of a line.
+func readValues(node *kdl.Node, faults *kdl.Faults) (values []float64) {
+	for _, argument := range node.Args {
+		value, isNumber := argument.V.(float64)
+		inRange := value >= 0 && value <= maxValue // NaN is not
+		if !isNumber || !inRange {
+			faults.Add(argument.Line, "%q takes numbers from 0 to %.0f, not %v", node.Name, maxValue, argument.V)
+			continue
+		}
+		values = append(values, value)
 	}
+	return values
 }
 
-// plans gives one plan for each value of the figure that is swept.
+// plans returns one plan for each value of the figure that is swept.
 func (e *Experiment) plans() (plans []Plan) {
 	if e.Figure == "" {
 		return []Plan{e.Plan}
--- a/loadtest/experiment_test.go
+++ b/loadtest/experiment_test.go
@@ -114,7 +114,7 @@
 		report.Measured.Controller = &ControllerUsage{ProcessUsage: ProcessUsage{WorstMB: n * n}, BusiestKBS: 5 + 2*n}
 		s.Reports = append(s.Reports, report)
 	}
-	s.Slopes = slopes(s.Rows())
+	s.Slopes = fitSlopes(s.Rows())
 	return s
 }
 
--- a/loadtest/report.go
+++ b/loadtest/report.go
@@ -1,17 +1,14 @@
 package loadtest
 
 import (
-	"cmp"
 	"encoding/json"
-	"fmt"
 	"io"
-	"slices"
-	"time"
 
 	"harehook.dev/harehook/configsync"
 )
 
-// Report is what a run was asked to do and what it measured.
+// Report is what a run was asked to do and what it measured. Its names in JSON are those of the first release: "in_force"
+// stands for convergence, "hollow" for simulated controllers, "whole" for a full scope, "concerned" for affected.
 type Report struct {
 	Plan     Plan     `json:"asked"`
 	Measured Measured `json:"measured"`
@@ -46,7 +43,7 @@
 	FullScope           SizeSummary `json:"whole"`
 	Heartbeats          int64       `json:"heartbeats"`
 	RecordOverhead      SizeSummary `json:"beside_record"`  // of a message with changes, for each record in it, without its body
-	FullScopeInStep     int64       `json:"whole_in_place"` // whole scopes sent to controllers that were in step
+	FullScopeInStep     int64       `json:"whole_in_place"` // full scopes sent to controllers that were in step
 	FullScopeAgain      int64       `json:"whole_again"`    // likewise to those that held something, also as they reconnected
 	UninterestedRecords int64       `json:"uninterested_records"`
 	InterestedPerChange float64     `json:"interested_per_change"` // controllers
@@ -59,7 +56,7 @@
 	WorstMB    float64 `json:"worst_mb"`    // resident
 }
 
-// MemberUsage is what a member used. One that was killed and started again is told as one.
+// MemberUsage is what a member used, all its processes together.
 type MemberUsage struct {
 	ID uint64 `json:"id"`
 	ProcessUsage
@@ -77,145 +74,12 @@
 	StartS     float64 `json:"start_s,omitempty"` // until a member knew it to be in step; harehook-xds only
 }
 
-const (
-	kilobyte        = 1 << 10
-	megabyte        = 1 << 20
-	maxIncarnations = 1 << 10 // of a controller in a run
-)
-
-// report works out what was measured. All workers have ended.
-func (r *run) report() (*Report, error) {
-	lease := configsync.DefaultLimits.Lease
-	rec := r.recorder
-	line := newTimings(rec.changes, rec.histories, lease)
-	m := Measured{
-		Separate: r.separateProcesses, Records: len(r.configuration.bodies), Changes: len(rec.changes),
-		Convergence: line.convergence.summary(), ConvergenceByFault: summarizeByFault(line.convergenceByFault), Followers: summarizeByFault(line.followers),
-		Affected: line.affected, Interested: line.interested.summary(), Notes: r.notes(),
-		Violations: checkHistories(r.model, rec.histories, rec.newestRevision()),
-	}
-	if r.programViolation != "" {
-		m.Violations = append(m.Violations, Violation{r.controllers[measuredController].Name, r.programViolation})
-	}
-	start := durationsUntilInStep(rec.histories, 1, 1, rec.newestRevisionAt)
-	m.Start = start.summary()
-	if slices.Contains(r.plan.Faults, FaultAllRestarted) {
-		restarted := durationsUntilInStep(rec.histories, 2, maxIncarnations, rec.newestRevisionAt)
-		summary := restarted.summary()
-		m.Restarted = &summary
-	}
-	if err := r.reportMessages(&m); err != nil {
-		return nil, err
-	}
-	r.reportUsage(&m)
-	return &Report{Plan: r.plan, Measured: m, Broken: m.BrokenBounds(r.plan.Bounds)}, nil
-}
-
-func summarizeByFault(all map[Fault]*durationHistogram) map[Fault]DurationSummary {
-	summaries := map[Fault]DurationSummary{}
-	for fault, one := range all {
-		summaries[cmp.Or(fault, "none")] = one.summary()
-	}
-	return summaries
-}
-
-func (r *run) reportMessages(m *Measured) error {
-	all := newMessageMeter()
-	for _, p := range r.controllerProcesses {
-		if p.external {
-			continue
-		}
-		if err := all.add(p.messages); err != nil {
-			return err
-		}
-	}
-	m.Messages = Messages{
-		Change: summarizeSizes(all.change), Progress: summarizeSizes(all.progress), FullScope: summarizeSizes(all.full),
-		RecordOverhead: summarizeSizes(all.overhead), Heartbeats: all.heartbeats, FullScopeInStep: all.fullScopeRepeated, FullScopeAgain: all.fullScopeAgain,
-	}
-	for _, one := range r.recorder.histories {
-		for _, accepted := range one.accepted {
-			m.Messages.UninterestedRecords += int64(accepted.outside)
-		}
-	}
-	interested := 0
-	for _, one := range r.recorder.changes {
-		interested += len(one.interested)
-	}
-	m.Messages.InterestedPerChange = float64(interested) / float64(max(1, len(r.recorder.changes)))
-	return nil
-}
-
-func (r *run) reportUsage(m *Measured) {
-	bytes, seconds := 0.0, 0.0
-	for _, p := range r.controllerProcesses {
-		wire := p.wireSamples(r.playStart)
-		use := p.usageSince(r.playStart)
-		if p.indexes[0] == measuredController {
-			m.Controller = &ControllerUsage{
-				IsProgram: p.external, ProcessUsage: use, KBS: meanRate(wire) / kilobyte, BusiestKBS: maxRate(wire) / kilobyte,
-				StartCPU: p.startCPU, StartKB: p.startWire / kilobyte, StartS: p.startTime.Seconds(),
-			}
-			continue
-		}
-		m.SimulatedProcesses = append(m.SimulatedProcesses, use)
-		steady := slices.DeleteFunc(wire, func(s sample) bool { return s.at.After(r.faultFreeUntil) })
-		bytes += meanRate(steady)
-		seconds += float64(len(p.indexes))
-	}
-	if seconds > 0 {
-		m.SimulatedKBS = bytes / seconds / kilobyte
-	}
-	if !r.separateProcesses {
-		m.Controller, m.SimulatedProcesses = nil, nil // all shared one process
-		return
-	}
-	for _, member := range r.memberProcesses {
-		m.Members = append(m.Members, member.usage())
-	}
-}
-
-func (r *run) notes() []string {
-	if !r.separateProcesses {
-		return []string{"all members and conductors shared one process: no processor time or memory is told of them"}
-	}
-	own := "measured: one conductor in a process of its own, which is the real client and follower alone: no data plane, serves no sidecars"
-	if r.controllerProgram != "" {
-		own = "measured: one conductor in a process of its own, which is harehookd that follows the group; it serves no sidecars"
-	}
-	return []string{
-		fmt.Sprintf("measured: %d members, each a process with its log on disk, on loopback", r.plan.Members),
-		own,
-		fmt.Sprintf("hollow: %d conductors in %d processes, the real client and follower each with its own stream, no data plane", len(r.controllers)-1, len(r.controllerProcesses)-1),
-		"all ran on one machine, so delays of the network are those of loopback",
-	}
-}
-
 // WriteJSON writes the report as one object.
-func (r *Report) WriteJSON(out io.Writer) error {
+func (r *Report) WriteJSON(out io.Writer) error { return writeJSON(out, r) }
+
+// writeJSON writes a value as people read it.
+func writeJSON(out io.Writer, value any) error {
 	encoder := json.NewEncoder(out)
 	encoder.SetIndent("", "  ")
-	return encoder.Encode(r)
-}
-
-// usageSince is what a worker of controllers used since a time.
-func (p *controllerProcess) usageSince(since time.Time) ProcessUsage {
-	return summarizeUsage(p.samples, p.resident, since)
-}
-
-func summarizeUsage(samples []sample, resident int64, since time.Time) ProcessUsage {
-	samples = samplesSince(samples, since)
-	return ProcessUsage{CPU: meanRate(samples), BusiestCPU: maxRate(samples), WorstMB: float64(resident) / megabyte}
-}
-
-func samplesSince(samples []sample, since time.Time) []sample {
-	return slices.DeleteFunc(slices.Clone(samples), func(s sample) bool { return s.at.Before(since) })
-}
-
-// wireSamples are the bytes of a worker in and out since a time.
-func (p *controllerProcess) wireSamples(since time.Time) (samples []sample) {
-	for _, one := range p.wire {
-		samples = append(samples, sample{time.Unix(0, one.At), float64(one.In + one.Out)})
-	}
-	return samplesSince(samples, since)
+	return encoder.Encode(value)
 }
--- a/loadtest/table.go
+++ b/loadtest/reporttable.go
@@ -10,18 +10,16 @@
 
 // WriteTable writes the report as tables for people.
 func (r *Report) WriteTable(out io.Writer) error {
-	a, m := r.Plan, r.Measured
-	fmt.Fprintf(out, "%d conductors, %d members, %d records (%d services, %d routes, %d tenants), %d regions, %d zones; %d changes at %g a second; faults %v; seed %d\n\n",
-		a.Controllers, a.Members, m.Records, a.Services, a.Routes, a.Tenants, a.Regions, a.Zones, m.Changes, a.Changes, a.Faults, a.Seed)
+	r.writeHeading(out)
 	w := tabwriter.NewWriter(out, 0, 4, 2, ' ', tabwriter.AlignRight)
-	m.writeTimes(w)
-	m.writeBytes(w)
-	m.writeUsage(w)
+	r.Measured.writeTimes(w)
+	r.Measured.writeMessages(w)
+	r.Measured.writeUsage(w)
 	if err := w.Flush(); err != nil {
 		return err
 	}
 	fmt.Fprintln(out)
-	for _, note := range m.Notes {
+	for _, note := range r.Measured.Notes {
 		fmt.Fprintln(out, note)
 	}
 	if len(r.Broken) == 0 {
@@ -33,10 +31,20 @@
 	return nil
 }
 
+// writeHeading says what was played.
+func (r *Report) writeHeading(out io.Writer) {
+	plan := r.Plan
+	fmt.Fprintf(out, "%d conductors, %d members, %d records (%d services, %d routes, %d tenants), %d regions, %d zones; ",
+		plan.Controllers, plan.Members, r.Measured.Records, plan.Services, plan.Routes, plan.Tenants, plan.Regions, plan.Zones)
+	fmt.Fprintf(out, "%d changes at %g a second; faults %v; seed %d\n\n",
+		r.Measured.Changes, plan.Changes, plan.Faults, plan.Seed)
+}
+
+// writeTimes writes how long changes, starts and restarts took.
 func (m *Measured) writeTimes(w io.Writer) {
 	fmt.Fprint(w, "TIME\tCOUNT\tMEDIAN\t9 IN 10\t99 IN 100\tWORST\t\n")
-	row := func(name string, t DurationSummary) {
-		fmt.Fprintf(w, "%s\t%d\t%s\t%s\t%s\t%s\t\n", name, t.Count, inMS(t.MedianMS), inMS(t.P90MS), inMS(t.P99MS), inMS(t.WorstMS))
+	row := func(name string, d DurationSummary) {
+		fmt.Fprintf(w, "%s\t%d\t%s\t%s\t%s\t%s\t\n", name, d.Count, inMS(d.MedianMS), inMS(d.P90MS), inMS(d.P99MS), inMS(d.WorstMS))
 	}
 	row("from answer to in force", m.Convergence)
 	for _, fault := range slices.Sorted(maps.Keys(m.ConvergenceByFault)) {
@@ -57,12 +65,14 @@
 	fmt.Fprintln(w, "\t\t\t\t\t\t")
 }
 
+// inMS writes milliseconds with four digits.
 func inMS(value float64) string { return fmt.Sprintf("%.4g ms", value) }
 
-func (m *Measured) writeBytes(w io.Writer) {
+// writeMessages writes the sizes of messages.
+func (m *Measured) writeMessages(w io.Writer) {
 	fmt.Fprint(w, "MESSAGES, BYTES\tCOUNT\tMEDIAN\t\t99 IN 100\tWORST\t\n")
-	row := func(name string, b SizeSummary) {
-		fmt.Fprintf(w, "%s\t%d\t%d\t\t%d\t%d\t\n", name, b.Count, b.Median, b.P99, b.Worst)
+	row := func(name string, size SizeSummary) {
+		fmt.Fprintf(w, "%s\t%d\t%d\t\t%d\t%d\t\n", name, size.Count, size.Median, size.P99, size.Worst)
 	}
 	row("change, to interested", m.Messages.Change)
 	row("  beside each record", m.Messages.RecordOverhead)
@@ -73,26 +83,27 @@
 	fmt.Fprintln(w, "\t\t\t\t\t\t")
 }
 
+// writeUsage writes what the processes used, if they were measured.
 func (m *Measured) writeUsage(w io.Writer) {
 	if m.Controller == nil {
 		return
 	}
 	fmt.Fprint(w, "PROCESS\tCPU\tBUSIEST 10 S\tMB\tKB/S\tBUSIEST 10 S\t\n")
-	row := func(name string, u ProcessUsage, kbs, busiest string) {
-		fmt.Fprintf(w, "%s\t%.2f%%\t%.2f%%\t%.1f\t%s\t%s\t\n", name, 100*u.CPU, 100*u.BusiestCPU, u.WorstMB, kbs, busiest)
+	row := func(name string, u ProcessUsage, kbs, busiestKBS string) {
+		fmt.Fprintf(w, "%s\t%.2f%%\t%.2f%%\t%.1f\t%s\t%s\t\n", name, 100*u.CPU, 100*u.BusiestCPU, u.WorstMB, kbs, busiestKBS)
 	}
-	c := m.Controller
 	name := "client alone, own process"
-	if c.IsProgram {
+	if m.Controller.IsProgram {
 		name = "harehookd, own process"
 	}
-	row(name, c.ProcessUsage, fmt.Sprintf("%.2f", c.KBS), fmt.Sprintf("%.2f", c.BusiestKBS))
-	fmt.Fprintf(w, "its start: CPU %.0f ms\t\t\t\t%.0f KB\t\t\n", 1000*c.StartCPU, c.StartKB)
+	controller := m.Controller
+	row(name, controller.ProcessUsage, fmt.Sprintf("%.2f", controller.KBS), fmt.Sprintf("%.2f", controller.BusiestKBS))
+	fmt.Fprintf(w, "its start: CPU %.0f ms\t\t\t\t%.0f KB\t\t\n", 1000*controller.StartCPU, controller.StartKB)
 	for _, member := range m.Members {
 		row(fmt.Sprintf("member %d", member.ID), member.ProcessUsage, "", "")
 	}
-	for _, use := range m.SimulatedProcesses {
-		row("hollow conductors", use, "", "")
+	for _, usage := range m.SimulatedProcesses {
+		row("hollow conductors", usage, "", "")
 	}
 	fmt.Fprintf(w, "hollow conductor, on average\t\t\t\t%.2f\t\t\n", m.SimulatedKBS)
 }
--- a/loadtest/run.go
+++ b/loadtest/run.go
@@ -40,6 +40,15 @@
 	planted hooks // faults that tests plant; workers are goroutines then
 }
 
+// withDefaults has progress always written to somewhere.
+func (o Options) withDefaults() Options {
+	if o.Progress == nil {
+		o.Progress = io.Discard
+	}
+	return o
+}
+
+// launcher starts workers as the options say.
 func (o Options) launcher() launcher {
 	if o.WorkerProgram == "" {
 		return launchGoroutines(o.planted)
@@ -77,9 +86,7 @@
 	if err := plan.Validate(); err != nil {
 		return nil, err
 	}
-	if options.Progress == nil {
-		options.Progress = io.Discard
-	}
+	options = options.withDefaults()
 	folder, err := os.MkdirTemp("", "harehook-fleet-")
 	if err != nil {
 		return nil, err
--- a/loadtest/usagesampling.go
+++ b/loadtest/usagesampling.go
@@ -1,9 +1,6 @@
 package loadtest
 
-import (
-	"context"
-	"time"
-)
+import "context"
 
 // sampleUsage reads what all processes use, every second until ctx ends.
 func (r *run) sampleUsage(ctx context.Context) {
@@ -23,6 +20,7 @@
 	}
 }
 
+// sampleUsage reads what the worker's process uses.
 func (p *controllerProcess) sampleUsage() {
 	used, err := readProcess(p.pid)
 	if err != nil {
@@ -30,11 +28,11 @@
 	}
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
-	p.samples = append(p.samples, sample{used.at, used.cpu.Seconds()})
+	p.samples = append(p.samples, sample{at: used.at, amount: used.cpu.Seconds()})
 	p.resident = max(p.resident, used.resident)
 }
 
-// recordStartUsage keeps what the start took of each worker, once each has told its bytes.
+// recordStartUsage notes what the start took of each worker, once each has reported its bytes.
 func (r *run) recordStartUsage(ctx context.Context) error {
 	if !r.separateProcesses {
 		return nil
@@ -44,21 +42,26 @@
 	}
 	for _, p := range r.controllerProcesses {
 		p.sampleUsage()
-		p.mutex.Lock()
-		if len(p.samples) > 0 {
-			p.startCPU = p.samples[len(p.samples)-1].amount
-		}
-		if len(p.wire) > 0 {
-			last := p.wire[len(p.wire)-1]
-			p.startWire = float64(last.In + last.Out)
-		}
-		p.mutex.Unlock()
+		p.recordStartUsage()
 	}
 	return nil
 }
 
-// sampleUsage reads what the member's process uses. A process that was started again counts from nothing; its time is put
-// behind that of the one before.
+// recordStartUsage notes what the worker has used until now.
+func (p *controllerProcess) recordStartUsage() {
+	p.mutex.Lock()
+	defer p.mutex.Unlock()
+	if len(p.samples) > 0 {
+		p.startCPU = p.samples[len(p.samples)-1].amount
+	}
+	if len(p.wire) > 0 {
+		last := p.wire[len(p.wire)-1]
+		p.startWire = float64(last.In + last.Out)
+	}
+}
+
+// sampleUsage reads what the member's process uses. A process that was started again counts from 0; its processor time is
+// added to that of those before.
 func (m *memberProcess) sampleUsage() {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
@@ -69,14 +72,7 @@
 	if err != nil {
 		return
 	}
-	m.samples = append(m.samples, sample{used.at, (m.cpuBefore + used.cpu).Seconds()})
+	m.samples = append(m.samples, sample{at: used.at, amount: (m.cpuBefore + used.cpu).Seconds()})
 	m.cpu = used.cpu
 	m.resident = max(m.resident, used.resident)
 }
-
-// usage is what the member used while changes were played.
-func (m *memberProcess) usage() MemberUsage {
-	m.mutex.Lock()
-	defer m.mutex.Unlock()
-	return MemberUsage{ID: m.id, ProcessUsage: summarizeUsage(m.samples, m.resident, time.Time{}), Sent: m.sent}
-}
