--- a/loadtest/planted_test.go
+++ b/loadtest/checkers_test.go
@@ -10,7 +10,9 @@
 	"harehook.dev/harehook/records"
 )
 
-// checkBroken holds a report to have broken a bound whose line has a text.
+// These tests break the program on purpose: the checks of a run have to see it.
+
+// checkBroken checks that a report has a broken bound whose line has a text.
 func checkBroken(t *testing.T, report *Report, text string) {
 	t.Helper()
 	if !slices.ContainsFunc(report.Broken, func(line string) bool { return strings.Contains(line, text) }) {
@@ -18,77 +20,83 @@
 	}
 }
 
-// forgetfulSource keeps no history, so that a member tells whole scopes.
+// forgetfulSource keeps no history, so that a member sends full scopes.
 type forgetfulSource struct{ records.Source }
 
 func (forgetfulSource) Since(uint64, records.Scope) records.Delta { return records.Delta{} }
 
-func TestPlantedWholeScopeAtEachChange(t *testing.T) {
+// A member sends full scopes in place of what changed: the fleet works, at a cost that grows with its configuration.
+func TestFullScopeAtEachChangeBreaksTheOverheadBound(t *testing.T) {
 	t.Parallel()
 	plant := memberHooks{source: func(s records.Source) records.Source { return forgetfulSource{s} }}
 	report := playInProcess(t, smallPlan(), hooks{member: plant})
 	checkBroken(t, report, "bytes to an interested conductor beside the record")
 	if report.Measured.Messages.FullScopeInStep == 0 || report.Measured.Messages.FullScopeAgain == 0 {
-		t.Error("no whole scope was counted as sent in place of a change")
+		t.Error("no full scope was counted as sent in place of a change")
 	}
 }
 
 // losingSource leaves the updates of one answer in some out.
 type losingSource struct {
 	records.Source
-	asked *atomic.Int64
+	answers *atomic.Int64
 }
 
 const loseOneIn = 20
 
 func (l losingSource) Since(revision uint64, scope records.Scope) records.Delta {
 	delta := l.Source.Since(revision, scope)
-	if len(delta.Updates) > 0 && l.asked.Add(1)%loseOneIn == 0 {
+	if len(delta.Updates) > 0 && l.answers.Add(1)%loseOneIn == 0 {
 		delta.Updates = nil
 	}
 	return delta
 }
 
-func TestPlantedLostChange(t *testing.T) {
+// A member forgets a change now and then: the revision goes on, the contents are old.
+func TestLostChangeIsAViolation(t *testing.T) {
 	t.Parallel()
-	asked := &atomic.Int64{}
-	plant := memberHooks{source: func(s records.Source) records.Source { return losingSource{s, asked} }}
+	answers := &atomic.Int64{}
+	plant := memberHooks{source: func(s records.Source) records.Source { return losingSource{s, answers} }}
 	checkBroken(t, playInProcess(t, smallPlan(), hooks{member: plant}), "has other contents than agreed")
 }
 
-// The events of controller 3 are changed as they would be if it went wrong.
+// plantedController is the controller whose events are changed as they would be if it went wrong.
 const plantedController = 3
 
-func plantEvents(change func(accepted int, one *event)) hooks {
+// plantEvents changes the events of the planted controller; they are counted from 1.
+func plantEvents(change func(accepted int, e *event)) hooks {
 	accepted := 0 // only the planted controller's goroutine counts
-	return hooks{controller: controllerHooks{event: func(one *event) {
-		if one.Controller == plantedController && one.Kind == eventAccepted {
+	return hooks{controller: controllerHooks{event: func(e *event) {
+		if e.Controller == plantedController && e.Kind == eventAccepted {
 			accepted++
-			change(accepted, one)
+			change(accepted, e)
 		}
 	}}}
 }
 
-func TestPlantedConductorGoesBack(t *testing.T) {
+// A controller goes back to what it accepted first.
+func TestOlderRevisionIsAViolation(t *testing.T) {
 	t.Parallel()
 	var first event
-	report := playInProcess(t, smallPlan(), plantEvents(func(accepted int, one *event) {
+	report := playInProcess(t, smallPlan(), plantEvents(func(accepted int, e *event) {
 		switch accepted {
 		case 1:
-			first = *one
+			first = *e
 		case 6:
-			one.Revision, one.Digest = first.Revision, first.Digest
+			e.Revision = first.Revision
+			e.Digest = first.Digest
 		}
 	}))
 	checkBroken(t, report, "it went back to revision")
 }
 
-// The real follower refuses records outside its scope, so one that does not is planted.
-func TestPlantedRecordsOutsideTheScope(t *testing.T) {
+// A controller holds records that are none of its business. The real follower rejects such records, so one that does not
+// is planted.
+func TestRecordsOutsideTheScopeAreAViolation(t *testing.T) {
 	t.Parallel()
-	report := playInProcess(t, smallPlan(), plantEvents(func(accepted int, one *event) {
+	report := playInProcess(t, smallPlan(), plantEvents(func(accepted int, e *event) {
 		if accepted == 4 {
-			one.Outside = 2
+			e.Outside = 2
 		}
 	}))
 	checkBroken(t, report, "records to uninterested conductors: 2")
@@ -111,23 +119,25 @@
 	}
 }
 
-func TestPlantedOtherContents(t *testing.T) {
+// A controller holds other contents than its revision has.
+func TestOtherContentsAreAViolation(t *testing.T) {
 	t.Parallel()
-	report := playInProcess(t, smallPlan(), plantEvents(func(accepted int, one *event) {
+	report := playInProcess(t, smallPlan(), plantEvents(func(accepted int, e *event) {
 		if accepted == 4 {
-			one.Digest++
+			e.Digest++
 		}
 	}))
 	checkBroken(t, report, "has other contents than agreed")
 }
 
-func TestPlantedLateConductor(t *testing.T) {
+// One controller accepts all changes 8 s late.
+func TestLateControllerBreaksTheConvergenceBound(t *testing.T) {
 	t.Parallel()
 	plan := smallPlan()
 	plan.Bounds.ConvergenceS = DefaultBounds().ConvergenceS
-	report := playInProcess(t, plan, plantEvents(func(accepted int, one *event) {
+	report := playInProcess(t, plan, plantEvents(func(accepted int, e *event) {
 		if accepted > 1 {
-			one.At += (8 * time.Second).Nanoseconds()
+			e.At += (8 * time.Second).Nanoseconds()
 		}
 	}))
 	checkBroken(t, report, "in force at the worst")
@@ -158,15 +168,20 @@
 		"records to uninterested":       func(m *Measured) { m.Messages.UninterestedRecords++ },
 		"never: conductor-0001: a word": func(m *Measured) { m.Violations = []Violation{{"conductor-0001", "a word"}} },
 	} {
-		m := within()
-		over(&m)
-		if lines := m.BrokenBounds(bounds); len(lines) != 1 || !strings.Contains(lines[0], name) {
-			t.Errorf("%s: %q", name, lines)
-		}
-		if name == "in force at the worst" {
-			if lines := m.BrokenBounds(Bounds{}); len(lines) != 0 {
-				t.Errorf("a bound of 0 is held: %q", lines)
+		t.Run(name, func(t *testing.T) {
+			m := within()
+			over(&m)
+			if lines := m.BrokenBounds(bounds); len(lines) != 1 || !strings.Contains(lines[0], name) {
+				t.Errorf("%q", lines)
 			}
-		}
+		})
+	}
+}
+
+func TestABoundOfZeroIsNotChecked(t *testing.T) {
+	t.Parallel()
+	m := Measured{Convergence: DurationSummary{WorstMS: 7001}}
+	if lines := m.BrokenBounds(Bounds{}); len(lines) != 0 {
+		t.Errorf("%q", lines)
 	}
 }
--- a/loadtest/fleet_test.go
+++ b/loadtest/fleet_test.go
@@ -9,9 +9,16 @@
 // smallPlan is played in a few seconds. Its bounds are those that don't depend on the machine.
 func smallPlan() Plan {
 	plan := OperatorsPlan()
-	plan.Controllers, plan.Nodes, plan.Services, plan.Routes, plan.Tenants = 20, 100, 12, 60, 500
-	plan.Regions, plan.Zones, plan.Members = 2, 4, 1
-	plan.Changes, plan.Seconds = 20, 2
+	plan.Controllers = 20
+	plan.Nodes = 100
+	plan.Services = 12
+	plan.Routes = 60
+	plan.Tenants = 500
+	plan.Regions = 2
+	plan.Zones = 4
+	plan.Members = 1
+	plan.Changes = 20
+	plan.Seconds = 2
 	plan.Bounds = Bounds{OverheadBytes: DefaultBounds().OverheadBytes}
 	return plan
 }
@@ -28,6 +35,7 @@
 	return report
 }
 
+// testLog writes progress to the log of a test.
 type testLog struct{ t *testing.T }
 
 func (l testLog) Write(line []byte) (int, error) {
@@ -35,8 +43,8 @@
 	return len(line), nil
 }
 
-// checkInOrder holds a report to have all bounds kept and the counts that follow from its plan.
-func checkInOrder(t *testing.T, report *Report, wholeScopes int64) {
+// checkInOrder checks that a report has all bounds kept and the counts that follow from its plan.
+func checkInOrder(t *testing.T, report *Report, minFullScopes int64) {
 	t.Helper()
 	for _, line := range report.Broken {
 		t.Error(line)
@@ -50,68 +58,75 @@
 		counted += times.Count
 	}
 	if want := int64(m.Changes * plan.Controllers); counted != want {
-		t.Errorf("%d times of conductors for changes, want %d", counted, want)
+		t.Errorf("%d times of controllers for changes, want %d", counted, want)
 	}
 	// On a slow machine a controller may give a member up, and ask another one, before it has accepted its scope.
-	if m.Messages.FullScope.Count < wholeScopes || m.Messages.FullScopeAgain != 0 {
-		t.Errorf("%d whole scopes, %d of them to conductors that held something; want %d or more, none of them so",
-			m.Messages.FullScope.Count, m.Messages.FullScopeAgain, wholeScopes)
+	if m.Messages.FullScope.Count < minFullScopes || m.Messages.FullScopeAgain != 0 {
+		t.Errorf("%d full scopes, %d of them to controllers that held something; want %d or more, none of them so",
+			m.Messages.FullScope.Count, m.Messages.FullScopeAgain, minFullScopes)
 	}
 	// A message tells one change or more, so there are as many as interested controllers at the most.
 	if most := int64(m.Messages.InterestedPerChange*float64(m.Changes) + 0.5); m.Messages.Change.Count == 0 || m.Messages.Change.Count > most {
 		t.Errorf("%d messages with changes, want 1 to %d", m.Messages.Change.Count, most)
 	}
-	if m.Messages.Progress.Worst > progressBytes {
-		t.Errorf("a message of progress has %d bytes, %d at most", m.Messages.Progress.Worst, progressBytes)
+	if m.Messages.Progress.Worst > maxProgressBytes {
+		t.Errorf("a message of progress has %d bytes, %d at most", m.Messages.Progress.Worst, maxProgressBytes)
 	}
 }
 
-// progressBytes is the most that a message with a revision alone takes.
-const progressBytes = 100
+// maxProgressBytes is the most that a message with a revision alone takes.
+const maxProgressBytes = 100
 
-func TestSmallFleet(t *testing.T) {
+// A fleet without faults: all changes reach all controllers, and messages have only what changed.
+func TestSmallFleetKeepsAllBounds(t *testing.T) {
 	t.Parallel()
 	plan := smallPlan()
 	checkInOrder(t, playInProcess(t, plan, hooks{}), int64(plan.Controllers))
 }
 
-func TestSmallFleetThroughFaults(t *testing.T) {
+// Connections are lost, members killed, changes rejected, a region cut off, all controllers restarted. All changes reach
+// all controllers nevertheless, each fault concerns somebody, and no controller gets a full scope without need.
+func TestSmallFleetKeepsAllBoundsThroughFaults(t *testing.T) {
 	t.Parallel()
 	plan := smallPlan()
-	plan.Members, plan.Seconds = 3, 8
+	plan.Members = 3
+	plan.Seconds = 8
 	plan.Faults = AllFaults
 	report := playInProcess(t, plan, hooks{})
 	restarted := int64(plan.Controllers - 1) // all but the one with a process of its own
 	checkInOrder(t, report, int64(plan.Controllers)+restarted)
 	if report.Measured.Restarted.Count != restarted {
-		t.Errorf("%d conductors were in step after their restart, want %d", report.Measured.Restarted.Count, restarted)
+		t.Errorf("%d controllers were in step after their restart, want %d", report.Measured.Restarted.Count, restarted)
 	}
-	concerned := report.Measured.Affected
+	affected := report.Measured.Affected
 	for _, fault := range AllFaults {
-		if concerned[fault] == 0 {
+		if affected[fault] == 0 {
 			t.Errorf("%s concerned nobody", fault)
 		}
 	}
-	if concerned[FaultAllRestarted] != int(restarted) {
-		t.Errorf("%d conductors were restarted, want %d", concerned[FaultAllRestarted], restarted)
+	if affected[FaultAllRestarted] != int(restarted) {
+		t.Errorf("%d controllers were restarted, want %d", affected[FaultAllRestarted], restarted)
 	}
 }
 
 // What a change costs on the wire does not grow with the fleet or with what it agrees on.
-func TestBytesOfAChangeDoNotGrow(t *testing.T) {
+func TestBytesOfAChangeDoNotGrowWithTheFleet(t *testing.T) {
 	t.Parallel()
 	small, large := smallPlan(), smallPlan()
-	large.Controllers, large.Tenants, large.Routes = 4*small.Controllers, 10*small.Tenants, 4*small.Routes
-	few, many := playInProcess(t, small, hooks{}), playInProcess(t, large, hooks{})
+	large.Controllers *= 4
+	large.Tenants *= 10
+	large.Routes *= 4
+	few := playInProcess(t, small, hooks{})
+	many := playInProcess(t, large, hooks{})
 	checkInOrder(t, few, int64(small.Controllers))
 	checkInOrder(t, many, int64(large.Controllers))
-	if before, after := few.Measured.Messages.RecordOverhead, many.Measured.Messages.RecordOverhead; after.Worst > before.Worst+revisionDigits {
+	if before, after := few.Measured.Messages.RecordOverhead, many.Measured.Messages.RecordOverhead; after.Worst > before.Worst+revisionDigitBytes {
 		t.Errorf("beside a record: %d bytes in the small fleet, %d in the large one", before.Worst, after.Worst)
 	}
-	if before, after := few.Measured.Messages.Progress, many.Measured.Messages.Progress; after.Worst > before.Worst+revisionDigits {
+	if before, after := few.Measured.Messages.Progress, many.Measured.Messages.Progress; after.Worst > before.Worst+revisionDigitBytes {
 		t.Errorf("progress: %d bytes in the small fleet, %d in the large one", before.Worst, after.Worst)
 	}
 }
 
-// revisionDigits is by how much a message may grow because it names revisions and nonces with more digits.
-const revisionDigits = 8
+// revisionDigitBytes is by how much a message may grow because it names revisions and nonces with more digits.
+const revisionDigitBytes = 8
--- a/loadtest/model_test.go
+++ b/loadtest/model_test.go
@@ -7,7 +7,8 @@
 	"harehook.dev/harehook/records"
 )
 
-// The model's digests are those of what the records' own store gives for each scope, and all changes are taken.
+// The model checks the fleet, so it has to be right itself. It is compared with the records' own store, after each change
+// and for each scope; the store also has to accept all drawn changes.
 func TestModelAgreesWithTheStore(t *testing.T) {
 	t.Parallel()
 	for seed := range uint64(5) {
@@ -18,7 +19,8 @@
 			t.Fatal(err)
 		}
 		controllers := configuration.Controllers()
-		model, store := NewModel(controllers), records.NewStore()
+		model := NewModel(controllers)
+		store := records.NewStore()
 		revision := uint64(0)
 		apply := func(transaction records.Transaction) {
 			t.Helper()
@@ -47,12 +49,12 @@
 			if _, err := model.ApplyChange(transaction, revision); err != nil {
 				t.Fatal(err)
 			}
-			for at, controller := range controllers {
+			for index, controller := range controllers {
 				received := map[records.Key]*records.Record{}
 				for _, record := range store.InScope(controller.Scope).Records {
 					received[record.Key] = record
 				}
-				if digest, known := model.DigestAt(at, revision); !known || digest != DigestOfAll(received) {
+				if digest, known := model.DigestAt(index, revision); !known || digest != DigestOfAll(received) {
 					t.Fatalf("seed %d, revision %d, %s: the model says otherwise than the store", seed, revision, controller.Name)
 				}
 			}
@@ -86,7 +88,7 @@
 	}
 }
 
-func TestConfigurationBySeed(t *testing.T) {
+func TestOneSeedDrawsOneConfiguration(t *testing.T) {
 	t.Parallel()
 	draw := func(seed uint64) []records.Transaction {
 		plan := smallPlan()
--- /dev/null
+++ b/loadtest/sweep_test.go
@@ -0,0 +1,62 @@
+package loadtest
+
+import (
+	"path/filepath"
+	"reflect"
+	"testing"
+
+	"github.com/parquet-go/parquet-go"
+)
+
+// sweepOf makes a sweep whose controller's bytes grow linearly and whose memory grows by the square.
+func sweepOf(sizes ...int) *Sweep {
+	s := &Sweep{Name: "synthetic", Figure: "conductors"}
+	for _, size := range sizes {
+		n := float64(size)
+		report := &Report{Plan: OperatorsPlan()}
+		report.Plan.Controllers = size
+		report.Measured.Controller = &ControllerUsage{ProcessUsage: ProcessUsage{WorstMB: n * n}, BusiestKBS: 5 + 2*n}
+		s.Reports = append(s.Reports, report)
+	}
+	s.Slopes = fitSlopes(s.Rows())
+	return s
+}
+
+func TestSlopesOfKnownGrowth(t *testing.T) {
+	t.Parallel()
+	found := map[string]Slope{}
+	for _, slope := range sweepOf(10, 100, 1000, 3000).Slopes {
+		found[slope.Metric] = slope
+	}
+	wire, memory := found["conductor-wire"], found["conductor-memory"]
+	if wire.PerUnit < 1.999 || wire.PerUnit > 2.001 || wire.Intercept < 4.99 || wire.Intercept > 5.01 || wire.R2 < 0.999 {
+		t.Errorf("linear growth: %+v", wire)
+	}
+	if memory.Exponent < 1.999 || memory.Exponent > 2.001 {
+		t.Errorf("growth by the square: %+v", memory)
+	}
+	if few := sweepOf(10, 100, 1000).Slopes; len(few) != 0 {
+		t.Errorf("slopes fitted to three sizes: %+v", few)
+	}
+}
+
+func TestSweepIsSavedAndReadBack(t *testing.T) {
+	t.Parallel()
+	sweep := sweepOf(10, 20, 40, 80)
+	sweep.Reports[1].Broken = []string{"a bound"}
+	folder := t.TempDir()
+	if err := sweep.Save(folder); err != nil {
+		t.Fatal(err)
+	}
+	rows, err := parquet.ReadFile[Row](filepath.Join(folder, "synthetic.parquet"))
+	if err != nil || !reflect.DeepEqual(rows, sweep.Rows()) {
+		t.Errorf("read back: %v, %+v", err, rows)
+	}
+	charts, err := filepath.Glob(filepath.Join(folder, "synthetic-*.png"))
+	if err != nil || len(charts) != len(metrics) {
+		t.Errorf("%d charts, want %d: %v", len(charts), len(metrics), err)
+	}
+	if broken := sweep.BrokenBounds(); len(broken) != 1 || broken[0] != "conductors 20: a bound" {
+		t.Errorf("broken: %q", broken)
+	}
+}
--- a/loadtest/timeline_test.go
+++ b/loadtest/timings_test.go
@@ -1,11 +1,11 @@
 package loadtest
 
 import (
-	"strings"
 	"testing"
 	"time"
 )
 
+// testEpoch is when the histories of these tests begin.
 var testEpoch = time.Unix(1_000_000, 0)
 
 // testTime is a time of these tests, in seconds from their beginning.
@@ -13,6 +13,7 @@
 	return testEpoch.Add(time.Duration(seconds * float64(time.Second)))
 }
 
+// worstOf is the longest duration of a histogram.
 func worstOf(t *durationHistogram) time.Duration {
 	return time.Duration(t.summary().WorstMS * float64(time.Millisecond))
 }
@@ -22,21 +23,24 @@
 	return got >= want-want/100-time.Microsecond && got <= want+want/100+time.Microsecond
 }
 
-func TestInForceOnceTheLastHasAccepted(t *testing.T) {
+// A change has converged when the last controller that it was due from has accepted it, alone or with later ones.
+func TestConvergesOnceTheLastHasAccepted(t *testing.T) {
 	t.Parallel()
 	changes := []change{{revision: 5, answered: testTime(1)}, {revision: 8, answered: testTime(2)}}
 	quick := &history{accepted: []acceptance{{at: testTime(0.9), revision: 5}, {at: testTime(2.1), revision: 8}}}
 	slow := &history{accepted: []acceptance{{at: testTime(4), revision: 9}}} // both changes as one
 	line := newTimings(changes, []*history{quick, slow}, 3*time.Second)
 	if worst := worstOf(line.convergence); !near(worst, 3*time.Second) {
-		t.Errorf("in force after %s, want 3s", worst)
+		t.Errorf("converged after %s, want 3s", worst)
 	}
 	if count := line.followers[""].summary().Count; count != 4 {
-		t.Errorf("%d times, want one of each conductor and change", count)
+		t.Errorf("%d times, want one of each controller and change", count)
 	}
 }
 
-func TestCutConductorHoldsUpUntilItsLeaseEnds(t *testing.T) {
+// A region is cut off without notice. The members wait for its controllers until their leases have run out, 3 s after the
+// cut: a change within that time converges at their end, a later one does not wait for them.
+func TestCutControllerDelaysConvergenceUntilItsLeaseEnds(t *testing.T) {
 	t.Parallel()
 	changes := []change{{revision: 5, answered: testTime(11)}, {revision: 6, answered: testTime(14)}}
 	cut := &history{
@@ -46,14 +50,16 @@
 	}
 	line := newTimings(changes, []*history{cut}, 3*time.Second)
 	if worst := worstOf(line.convergence); !near(worst, 2*time.Second) {
-		t.Errorf("in force after %s, want 2s: its lease ran until 13", worst)
+		t.Errorf("converged after %s, want 2s: its lease ran until 13", worst)
 	}
 	if worst := worstOf(line.followers[FaultRegionCut]); !near(worst, 20*time.Second) {
 		t.Errorf("it accepted after %s, want 20s", worst)
 	}
 }
 
-func TestRestartedConductorIsToldByItself(t *testing.T) {
+// A controller is restarted and holds nothing for a while. Changes do not wait for it; how long it takes to be in step is
+// reported as a time of its own.
+func TestRestartedControllerIsReportedApart(t *testing.T) {
 	t.Parallel()
 	changes := []change{{revision: 5, answered: testTime(10)}, {revision: 6, answered: testTime(30)}}
 	restarted := &history{
@@ -65,7 +71,7 @@
 	}
 	line := newTimings(changes, []*history{restarted}, 3*time.Second)
 	if worst := worstOf(line.convergence); !near(worst, 500*time.Millisecond) {
-		t.Errorf("in force after %s, want 500ms", worst)
+		t.Errorf("converged after %s, want 500ms", worst)
 	}
 	newestAt := func(when time.Time) uint64 {
 		if when.Before(testTime(8)) {
@@ -81,7 +87,8 @@
 	}
 }
 
-func TestReconnectedConductorIsToldApartUntilItIsBack(t *testing.T) {
+// A controller loses its connection. Until it is back its delay is reported under that fault; changes wait for it.
+func TestReconnectedControllerIsReportedApartUntilItIsBack(t *testing.T) {
 	t.Parallel()
 	changes := []change{{revision: 5, answered: testTime(10)}, {revision: 6, answered: testTime(20)}}
 	one := &history{
@@ -91,55 +98,9 @@
 	}
 	line := newTimings(changes, []*history{one}, 3*time.Second)
 	if line.followers[FaultReconnect].summary().Count != 1 || line.followers[""].summary().Count != 1 {
-		t.Errorf("told apart: %v", summarizeByFault(line.followers))
+		t.Errorf("reported apart: %v", summarizeByFault(line.followers))
 	}
 	if worst := worstOf(line.convergence); !near(worst, 2*time.Second) {
-		t.Errorf("in force after %s, want 2s: who reconnects counts", worst)
-	}
-}
-
-func TestChecksOfHistories(t *testing.T) {
-	t.Parallel()
-	model := NewModel([]Controller{{Name: "one"}})
-	model.versions[0] = []version{{4, 40}, {7, 70}}
-	accept := func(revision uint64, digest Digest) acceptance {
-		return acceptance{at: testTime(float64(revision)), incarnation: 1, revision: revision, digest: digest}
-	}
-	final := accept(9, 70)
-	for name, test := range map[string]struct {
-		history history
-		want    string // empty: nothing is wrong
-	}{
-		"in order": {history{accepted: []acceptance{accept(5, 40), accept(7, 70), accept(9, 70)}, final: &final}, ""},
-		"a restart": {history{accepted: []acceptance{accept(9, 70), {at: testTime(10), incarnation: 2, revision: 4, digest: 40}, accept(9, 70)},
-			final: &final}, ""},
-		"back":           {history{accepted: []acceptance{accept(7, 70), accept(5, 40)}, final: &final}, "went back to revision 5 after 7"},
-		"lost":           {history{accepted: []acceptance{accept(7, 40)}, final: &final}, "revision 7 has other contents"},
-		"twice":          {history{accepted: []acceptance{accept(7, 70), accept(7, 71)}, final: &final}, "revision 7 has other contents"},
-		"behind":         {history{accepted: []acceptance{accept(7, 70)}, final: &acceptance{revision: 7, digest: 70}}, "held revision 7 at the end, 9 was agreed"},
-		"wrong at end":   {history{accepted: []acceptance{accept(9, 70)}, final: &acceptance{revision: 9, digest: 71}}, "at the end"},
-		"nothing at end": {history{accepted: []acceptance{accept(9, 70)}}, "did not tell"},
-		"outside":        {history{accepted: []acceptance{{incarnation: 1, revision: 7, digest: 70, outside: 2}}, final: &final}, "2 records outside its scope"},
-	} {
-		violations := checkHistories(model, []*history{&test.history}, 9)
-		switch {
-		case test.want == "" && len(violations) > 0:
-			t.Errorf("%s: %v", name, violations)
-		case test.want != "" && (len(violations) == 0 || !strings.Contains(violations[0].What, test.want)):
-			t.Errorf("%s: %v, want %q", name, violations, test.want)
-		}
-	}
-}
-
-func TestViolationsAreBounded(t *testing.T) {
-	t.Parallel()
-	var controllers []Controller
-	var histories []*history
-	for range 5 * maxViolations {
-		controllers = append(controllers, Controller{Name: "one"})
-		histories = append(histories, &history{})
-	}
-	if got := len(checkHistories(NewModel(controllers), histories, 1)); got != maxViolations {
-		t.Errorf("%d violations, want %d", got, maxViolations)
+		t.Errorf("converged after %s, want 2s: who reconnects counts", worst)
 	}
 }
--- a/loadtest/usage_test.go
+++ b/loadtest/usage_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-func TestBusiestSpan(t *testing.T) {
+func TestMaxRateIsThatOfTheBusiestSpan(t *testing.T) {
 	t.Parallel()
 	var samples []sample
 	amount := 0.0
@@ -32,7 +32,7 @@
 	}
 }
 
-func TestUsageOfThisProcess(t *testing.T) {
+func TestProcessorTimeAndMemoryOfThisProcessAreRead(t *testing.T) {
 	t.Parallel()
 	before, err := readProcess(os.Getpid())
 	if err != nil {
--- /dev/null
+++ b/loadtest/violations_test.go
@@ -0,0 +1,57 @@
+package loadtest
+
+import (
+	"strings"
+	"testing"
+)
+
+// A controller that loses a change, holds other contents or goes back to an older revision decides by a configuration that
+// nobody agreed on. Each of these has to be a violation, and nothing else may be one.
+func TestViolationsOfHistories(t *testing.T) {
+	t.Parallel()
+	model := NewModel([]Controller{{Name: "one"}})
+	model.versions[0] = []version{{4, 40}, {7, 70}}
+	accept := func(revision uint64, digest Digest) acceptance {
+		return acceptance{at: testTime(float64(revision)), incarnation: 1, revision: revision, digest: digest}
+	}
+	final := accept(9, 70)
+	for name, test := range map[string]struct {
+		history history
+		want    string // empty: nothing is wrong
+	}{
+		"in order": {history{accepted: []acceptance{accept(5, 40), accept(7, 70), accept(9, 70)}, final: &final}, ""},
+		"a restart": {history{accepted: []acceptance{accept(9, 70), {at: testTime(10), incarnation: 2, revision: 4, digest: 40}, accept(9, 70)},
+			final: &final}, ""},
+		"back":           {history{accepted: []acceptance{accept(7, 70), accept(5, 40)}, final: &final}, "went back to revision 5 after 7"},
+		"lost":           {history{accepted: []acceptance{accept(7, 40)}, final: &final}, "revision 7 has other contents"},
+		"twice":          {history{accepted: []acceptance{accept(7, 70), accept(7, 71)}, final: &final}, "revision 7 has other contents"},
+		"behind":         {history{accepted: []acceptance{accept(7, 70)}, final: &acceptance{revision: 7, digest: 70}}, "held revision 7 at the end, 9 was agreed"},
+		"wrong at end":   {history{accepted: []acceptance{accept(9, 70)}, final: &acceptance{revision: 9, digest: 71}}, "at the end"},
+		"nothing at end": {history{accepted: []acceptance{accept(9, 70)}}, "did not tell"},
+		"outside":        {history{accepted: []acceptance{{incarnation: 1, revision: 7, digest: 70, outside: 2}}, final: &final}, "2 records outside its scope"},
+	} {
+		t.Run(name, func(t *testing.T) {
+			violations := checkHistories(model, []*history{&test.history}, 9)
+			switch {
+			case test.want == "" && len(violations) > 0:
+				t.Errorf("%v", violations)
+			case test.want != "" && (len(violations) == 0 || !strings.Contains(violations[0].What, test.want)):
+				t.Errorf("%v, want %q", violations, test.want)
+			}
+		})
+	}
+}
+
+// One fault of the program shows at all controllers of a fleet: a report with thousands of lines helps nobody.
+func TestViolationsAreBounded(t *testing.T) {
+	t.Parallel()
+	var controllers []Controller
+	var histories []*history
+	for range 5 * maxViolations {
+		controllers = append(controllers, Controller{Name: "one"})
+		histories = append(histories, &history{})
+	}
+	if got := len(checkHistories(NewModel(controllers), histories, 1)); got != maxViolations {
+		t.Errorf("%d violations, want %d", got, maxViolations)
+	}
+}
--- a/loadtest/run_test.go
+++ b/loadtest/workers_test.go
@@ -6,8 +6,9 @@
 	"time"
 )
 
-// A member that is started within a stage of a run, as after it was killed, goes on when that stage is over.
-func TestWorkersOutliveTheirStage(t *testing.T) {
+// A member is killed and started again while changes are played. A worker that is bound to the context of that stage ends
+// with it, and the run waits for a member that is gone. A worker has to live as long as the run.
+func TestWorkersOutliveTheStageThatStartsThem(t *testing.T) {
 	t.Parallel()
 	ctx, cancel := context.WithTimeout(t.Context(), 30*time.Second)
 	defer cancel()
