--- a/scaling/race_test.go
+++ b/scaling/race_test.go
@@ -1,6 +1,6 @@
 //go:build race
 
-package capacity
+package scaling
 
 // Under the race detector pools forget what they hold at random, and memory has shadows: allocations and memory that
 // stays are not the program's then.
