--- a/internal/testbed/fleet.go
+++ b/internal/testbed/fleet.go
@@ -2,6 +2,7 @@
 
 import (
 	"context"
+	"errors"
 	"fmt"
 	"io"
 	"os"
@@ -16,37 +17,40 @@
 	"harehook.dev/harehook/loadtest"
 )
 
-// workerCommand is the hidden command whose processes are the members and controllers of a fleet.
-const workerCommand = "fleet-worker"
+const (
+	controllerFlag = "controller"
+	// formerControllerFlag is its name in earlier releases; scripts go on to use it.
+	formerControllerFlag = "conductor"
+	faultsFlag           = "faults"
+)
 
-// fleetCommand plays a fleet of controllers that follow a group.
+// fleetCommand runs the load test.
 func fleetCommand() *cobra.Command {
 	options := &fleetOptions{}
 	command := &cobra.Command{
 		Use:   "fleet [EXPERIMENT.kdl]",
-		Short: "Play a fleet of controllers that follow a group on this machine, and hold it to its bounds",
+		Short: "Run a fleet of controllers that follow a group on this machine, and hold it to its bounds",
 		Args:  cobra.MaximumNArgs(1),
 		RunE:  options.run,
 	}
+	flags := command.Flags()
 	plan := loadtest.OperatorsPlan()
 	for _, setting := range loadtest.Settings {
-		command.Flags().Float64(setting.Name, setting.Get(&plan), setting.Usage)
+		flags.Float64(setting.Name, setting.Get(&plan), setting.Usage)
 	}
-	command.Flags().StringVar(&options.faults, "faults", "", fmt.Sprintf("faults to play, separated by commas: %v", loadtest.AllFaults))
-	command.Flags().StringVar(&options.controllerPath, "controller", "", "the program harehook-xds, for the controller with a process of its own; by default the one in this program's folder, and a client alone where there is none")
-	command.Flags().StringVar(&options.controllerPath, formerControllerFlag, "", "")
-	if err := command.Flags().MarkHidden(formerControllerFlag); err != nil {
+	flags.StringVar(&options.faults, faultsFlag, "", fmt.Sprintf("faults to play, separated by commas: %v", loadtest.AllFaults))
+	flags.StringVar(&options.controllerPath, controllerFlag, "", "path of harehook-xds, for the controller with a process of its own; "+
+		"by default the one in this program's folder, and a client alone where there is none")
+	flags.StringVar(&options.controllerPath, formerControllerFlag, "", "")
+	if err := flags.MarkHidden(formerControllerFlag); err != nil {
 		panic(err) // it was defined just before
 	}
-	command.Flags().BoolVar(&options.json, "json", false, "print one object with what was asked and measured")
-	command.Flags().StringVar(&options.folder, "out", "found/lab", "folder for the results of a sweep")
+	flags.BoolVar(&options.json, "json", false, "print one object with what was asked and measured")
+	flags.StringVar(&options.folder, "out", defaultFolder, "folder for the results of a sweep")
 	return command
 }
 
-// formerControllerFlag is what the flag "controller" was called in earlier releases; scripts go on to use it.
-const formerControllerFlag = "conductor"
-
-// fleetOptions are the flags of the load test.
+// fleetOptions are the flags of the load test beside its settings.
 type fleetOptions struct {
 	faults         string
 	controllerPath string // of the program for the controller with a process of its own
@@ -54,20 +58,22 @@
 	folder         string
 }
 
-// controllerProgram is the program that is asked for, or else harehook-xds beside this program, if it is there.
+// controllerProgram is the path that is asked for, or else that of harehook-xds beside this program, by its present or
+// former name. It is empty where there is none.
 func (o *fleetOptions) controllerProgram(self string) string {
 	if o.controllerPath != "" {
 		return o.controllerPath
 	}
 	for _, name := range []string{"harehook-xds", "harehookd"} {
-		beside := filepath.Join(filepath.Dir(self), name)
-		if _, err := os.Stat(beside); err == nil {
-			return beside
+		path := filepath.Join(filepath.Dir(self), name)
+		if _, err := os.Stat(path); err == nil {
+			return path
 		}
 	}
 	return ""
 }
 
+// run plays the experiment until it is over, or interrupted.
 func (o *fleetOptions) run(command *cobra.Command, arguments []string) error {
 	ctx, stop := signal.NotifyContext(command.Context(), os.Interrupt, syscall.SIGTERM)
 	defer stop()
@@ -79,92 +85,118 @@
 	if err != nil {
 		return err
 	}
-	options := loadtest.Options{WorkerProgram: program, WorkerArguments: []string{workerCommand}, ControllerProgram: o.controllerProgram(program), Progress: command.ErrOrStderr()}
+	options := loadtest.Options{
+		WorkerProgram:     program,
+		WorkerArguments:   []string{workerCommandName},
+		ControllerProgram: o.controllerProgram(program),
+		Progress:          command.ErrOrStderr(),
+	}
 	if len(experiment.Values) > 0 {
 		return o.sweep(ctx, command.OutOrStdout(), experiment, options)
 	}
-	report, err := loadtest.Play(ctx, experiment.Plan, options)
-	if err != nil {
-		return err
-	}
-	if err := o.write(command.OutOrStdout(), report); err != nil {
-		return err
-	}
-	return brokenBounds(report.Broken)
+	return o.play(ctx, command.OutOrStdout(), experiment.Plan, options)
 }
 
 // experiment reads the file, if one is named, and then the flags that are given.
 func (o *fleetOptions) experiment(flags *pflag.FlagSet, arguments []string) (*loadtest.Experiment, error) {
 	experiment := &loadtest.Experiment{Name: "fleet", Plan: loadtest.OperatorsPlan()}
 	if len(arguments) > 0 {
-		text, err := os.ReadFile(arguments[0])
+		read, err := readFleetExperiment(arguments[0])
 		if err != nil {
 			return nil, err
 		}
-		if experiment, err = loadtest.ReadExperiment(string(text)); err != nil {
-			return nil, fmt.Errorf("%s: %w", arguments[0], err)
-		}
+		experiment = read
+	}
+	if err := o.applyFlags(&experiment.Plan, flags); err != nil {
+		return nil, err
+	}
+	return experiment, experiment.Plan.Validate()
+}
+
+// readFleetExperiment reads the file of an experiment.
+func readFleetExperiment(path string) (*loadtest.Experiment, error) {
+	text, err := os.ReadFile(path)
+	if err != nil {
+		return nil, err
+	}
+	experiment, err := loadtest.ReadExperiment(string(text))
+	if err != nil {
+		return nil, fmt.Errorf("%s: %w", path, err)
 	}
+	return experiment, nil
+}
+
+// applyFlags sets in a plan what flags are given for.
+func (o *fleetOptions) applyFlags(plan *loadtest.Plan, flags *pflag.FlagSet) error {
 	for _, setting := range loadtest.Settings {
 		if !flags.Changed(setting.Name) {
 			continue
 		}
 		value, err := flags.GetFloat64(setting.Name)
 		if err != nil {
-			return nil, err
+			return err
 		}
-		setting.Set(&experiment.Plan, value)
+		setting.Set(plan, value)
 	}
-	if flags.Changed("faults") {
-		faults, err := loadtest.ParseFaults(o.faults)
-		if err != nil {
-			return nil, err
-		}
-		experiment.Plan.Faults = faults
+	if !flags.Changed(faultsFlag) {
+		return nil
 	}
-	return experiment, experiment.Plan.Validate()
+	faults, err := loadtest.ParseFaults(o.faults)
+	if err != nil {
+		return err
+	}
+	plan.Faults = faults
+	return nil
 }
 
-func (o *fleetOptions) write(out io.Writer, report *loadtest.Report) error {
+// play runs one plan and prints its report.
+func (o *fleetOptions) play(ctx context.Context, out io.Writer, plan loadtest.Plan, options loadtest.Options) error {
+	report, err := loadtest.Play(ctx, plan, options)
+	if err != nil {
+		return err
+	}
+	if err := o.write(out, report); err != nil {
+		return err
+	}
+	return brokenBoundsError(report.Broken)
+}
+
+// results are the report of a run or of a sweep.
+type results interface {
+	WriteJSON(out io.Writer) error
+	WriteTable(out io.Writer) error
+}
+
+// write prints results in the form that is asked for.
+func (o *fleetOptions) write(out io.Writer, r results) error {
 	if o.json {
-		return report.WriteJSON(out)
+		return r.WriteJSON(out)
 	}
-	return report.WriteTable(out)
+	return r.WriteTable(out)
 }
 
+// sweep runs a plan for each value of a figure, saves the results and prints them.
 func (o *fleetOptions) sweep(ctx context.Context, out io.Writer, experiment *loadtest.Experiment, options loadtest.Options) error {
-	result, err := experiment.Sweep(ctx, options)
+	sweep, err := experiment.Sweep(ctx, options)
 	if err != nil {
 		return err
 	}
-	if err := result.Save(o.folder); err != nil {
+	if err := sweep.Save(o.folder); err != nil {
 		return err
 	}
-	if o.json {
-		err = result.WriteJSON(out)
-	} else {
-		err = result.WriteTable(out)
-	}
-	if err != nil {
+	if err := o.write(out, sweep); err != nil {
 		return err
 	}
-	return brokenBounds(result.BrokenBounds())
+	return brokenBoundsError(sweep.BrokenBounds())
 }
 
-// brokenBounds makes an error that names each bound that broke on a line of its own.
-func brokenBounds(lines []string) error {
+// errBoundsBroke is what the load test ends with where bounds broke; the error has a line for each.
+var errBoundsBroke = errors.New("bounds broke")
+
+// brokenBoundsError is nil where no bound broke.
+func brokenBoundsError(lines []string) error {
 	if len(lines) == 0 {
 		return nil
 	}
-	return fmt.Errorf("bounds broke:\n%s", strings.Join(lines, "\n"))
-}
-
-// fleetWorker is started by fleetCommand.
-func fleetWorker() *cobra.Command {
-	return &cobra.Command{Use: workerCommand + " ROLE", Hidden: true, Args: cobra.ExactArgs(1),
-		RunE: func(command *cobra.Command, arguments []string) error {
-			// An interrupt from the terminal reaches the process that started this one, which then ends the orders.
-			signal.Ignore(os.Interrupt)
-			return loadtest.Work(command.Context(), arguments[0], os.Stdin, os.Stdout)
-		}}
+	return fmt.Errorf("%w:\n%s", errBoundsBroke, strings.Join(lines, "\n"))
 }
--- a/internal/testbed/follow.go
+++ b/internal/testbed/follow.go
@@ -3,6 +3,7 @@
 import (
 	"errors"
 	"fmt"
+	"io"
 	"time"
 
 	"github.com/spf13/cobra"
@@ -10,17 +11,25 @@
 	"harehook.dev/harehook/simulation/followers"
 )
 
-// errBroken says that a run has broken a property. Which one has been printed.
-var errBroken = errors.New("a violation")
+// followOptions are the flags of the simulation of followers.
+type followOptions struct {
+	setup followers.Setup
+	first uint64 // seed
+	seeds uint64
+}
 
 // followCommand plays followers of a group over many seeds, or one seed again.
 func followCommand() *cobra.Command {
-	setup := followers.DefaultSetup(0)
-	from, seeds := uint64(0), uint64(200)
-	command := &cobra.Command{Use: "follow", Short: "Play followers of a group: crashes, cuts, lags, refusals, crowds", Args: cobra.NoArgs}
+	options := &followOptions{setup: followers.DefaultSetup(0), seeds: 200}
+	setup := &options.setup
+	command := &cobra.Command{
+		Use:   "follow",
+		Short: "Play simulated followers of a group through crashes, partitions, lags, rejections and crowds",
+		Args:  cobra.NoArgs,
+	}
 	flags := command.Flags()
-	flags.Uint64Var(&from, "from", from, "first seed")
-	flags.Uint64Var(&seeds, "seeds", seeds, "how many; with 1 the first seed is played again")
+	flags.Uint64Var(&options.first, "from", options.first, "first seed")
+	flags.Uint64Var(&options.seeds, "seeds", options.seeds, "how many seeds; with 1 the first seed is played again")
 	flags.IntVar(&setup.Members, "members", setup.Members, "members of the group")
 	flags.IntVar(&setup.Followers, "followers", setup.Followers, "followers")
 	flags.DurationVar(&setup.Active, "active", setup.Active, "time with commits and faults")
@@ -29,38 +38,56 @@
 	flags.DurationVar(&setup.FaultEvery, "fault-every", setup.FaultEvery, "mean time between two faults")
 	flags.StringVar((*string)(&setup.Planted), "planted", "", "a fault in the program itself, to see that it is found")
 	command.RunE = func(command *cobra.Command, _ []string) error {
-		if setup.Members < 1 || setup.Followers < 1 || setup.CommitEvery <= 0 || setup.FaultEvery <= 0 || seeds < 1 {
-			return errors.New("members, followers, seeds and both mean times have to be over 0")
-		}
-		began := time.Now()
-		outcomes := followers.PlayAll(setup, from, seeds)
-		var sum followers.Outcome
-		broken := 0
-		for n, outcome := range outcomes {
-			if len(outcome.Violations) > 0 {
-				broken++
-				fmt.Fprintf(command.OutOrStdout(), "seed %d: %s\n", from+uint64(n), outcome.Violations[0])
-			}
-			sum = sum.Add(outcome)
-		}
-		fmt.Fprintf(command.OutOrStdout(), "simulated: %d seeds, %d with a violation, in %v\n", seeds, broken, time.Since(began).Round(time.Millisecond))
-		if seeds == 1 {
-			fmt.Fprintf(command.OutOrStdout(), "print %x\n", outcomes[0].Fingerprint)
-		}
-		return printOutcome(command, sum, broken)
+		return options.run(command.OutOrStdout())
 	}
 	return command
 }
 
-func printOutcome(command *cobra.Command, sum followers.Outcome, broken int) error {
-	out := command.OutOrStdout()
+// errFollowFlags says which flags cannot be played.
+var errFollowFlags = errors.New("members, followers, seeds and both mean times have to be over 0")
+
+// validate checks what the flags' types don't.
+func (o *followOptions) validate() error {
+	setup := o.setup
+	if setup.Members < 1 || setup.Followers < 1 || setup.CommitEvery <= 0 || setup.FaultEvery <= 0 || o.seeds < 1 {
+		return errFollowFlags
+	}
+	return nil
+}
+
+// run plays the seeds and prints what they showed together.
+func (o *followOptions) run(out io.Writer) error {
+	if err := o.validate(); err != nil {
+		return err
+	}
+	began := time.Now()
+	outcomes := followers.PlayAll(o.setup, o.first, o.seeds)
+	var sum followers.Outcome
+	violating := 0
+	for index, outcome := range outcomes {
+		if len(outcome.Violations) > 0 {
+			violating++
+			fmt.Fprintf(out, "seed %d: %s\n", o.first+uint64(index), outcome.Violations[0])
+		}
+		sum = sum.Add(outcome)
+	}
+	elapsed := time.Since(began).Round(time.Millisecond)
+	fmt.Fprintf(out, "simulated: %d seeds, %d with a violation, in %v\n", o.seeds, violating, elapsed)
+	if o.seeds == 1 {
+		fmt.Fprintf(out, "print %x\n", outcomes[0].Fingerprint)
+	}
+	printFollowers(out, sum)
+	if violating > 0 {
+		return errViolation
+	}
+	return nil
+}
+
+// printFollowers prints how much the runs have tried.
+func printFollowers(out io.Writer, sum followers.Outcome) {
 	fmt.Fprintf(out, "commits %d, faults %d, accepted %d, refused %d\n", sum.Commits, sum.Faults, sum.Accepted, sum.Rejected)
 	fmt.Fprintf(out, "messages: %d whole scopes, %d changes, %d of progress only\n", sum.FullScopes, sum.Changes, sum.Progress)
 	fmt.Fprintf(out, "in force: %d claims compared with %d live followers; %d times a follower was stale\n", sum.Claims, sum.LiveAtClaims, sum.Stale)
 	fmt.Fprintf(out, "in step: %d changes checked for delay, %d of them beside a crowd\n", sum.InStepChecked, sum.InStepBesideCrowd)
 	fmt.Fprintf(out, "all in step within %v of calm at the latest\n", sum.Settled)
-	if broken > 0 {
-		return errBroken
-	}
-	return nil
 }
--- /dev/null
+++ b/internal/testbed/hunt.go
@@ -0,0 +1,47 @@
+package testbed
+
+import (
+	"fmt"
+	"io"
+
+	"github.com/spf13/cobra"
+
+	"harehook.dev/harehook/simulation"
+)
+
+// huntCommand looks for a seed with a violation.
+func huntCommand() *cobra.Command {
+	const defaultSeeds = 1000
+	first := uint64(0)
+	seeds := uint64(0)
+	command := &cobra.Command{
+		Use:   "hunt",
+		Short: "Look for a seed of a simulated group that breaks a property, and for the faults that it takes",
+		Args:  cobra.NoArgs,
+	}
+	setup := setupFlags(command)
+	command.Flags().Uint64Var(&first, "from", 0, "first seed")
+	command.Flags().Uint64Var(&seeds, "seeds", defaultSeeds, "how many seeds")
+	command.RunE = func(command *cobra.Command, _ []string) error {
+		return hunt(command.OutOrStdout(), *setup, first, seeds)
+	}
+	return command
+}
+
+// hunt plays one seed after the other until one has a violation.
+func hunt(out io.Writer, setup simulation.Setup, first, seeds uint64) error {
+	maxSettled := 0
+	for setup.Seed = first; setup.Seed < first+seeds; setup.Seed++ {
+		outcome := simulation.Play(setup)
+		if len(outcome.Violations) > 0 {
+			fmt.Fprintf(out, "seed %d: %s\nleast faults:\n", setup.Seed, outcome.Violations[0])
+			for _, fault := range simulation.Shrink(setup) {
+				fmt.Fprintf(out, "  %+v\n", fault)
+			}
+			return errViolation
+		}
+		maxSettled = max(maxSettled, outcome.Settled)
+	}
+	fmt.Fprintf(out, "%d seeds without a violation; settled within %d ticks of calm\n", seeds, maxSettled)
+	return nil
+}
--- /dev/null
+++ b/internal/testbed/replay.go
@@ -0,0 +1,42 @@
+package testbed
+
+import (
+	"fmt"
+	"io"
+
+	"github.com/spf13/cobra"
+
+	"harehook.dev/harehook/simulation"
+)
+
+// replayCommand plays one seed again.
+func replayCommand() *cobra.Command {
+	command := &cobra.Command{
+		Use:   "replay",
+		Short: "Play one seed of a simulated group and print its faults and outcome",
+		Args:  cobra.NoArgs,
+	}
+	setup := setupFlags(command)
+	command.Flags().Uint64Var(&setup.Seed, "seed", 0, "the seed")
+	command.RunE = func(command *cobra.Command, _ []string) error {
+		return replay(command.OutOrStdout(), *setup)
+	}
+	return command
+}
+
+// replay prints the faults of a run and what it showed.
+func replay(out io.Writer, setup simulation.Setup) error {
+	for _, fault := range simulation.Draw(setup) {
+		fmt.Fprintf(out, "%+v\n", fault)
+	}
+	outcome := simulation.Play(setup)
+	fmt.Fprintf(out, "print %x, agreed %d, refused %d, unknown %d, settled %d\n",
+		outcome.Fingerprint, outcome.Agreed, outcome.Rejected, outcome.Unknown, outcome.Settled)
+	for _, violation := range outcome.Violations {
+		fmt.Fprintln(out, violation)
+	}
+	if len(outcome.Violations) > 0 {
+		return errViolation
+	}
+	return nil
+}
