--- a/internal/daemon/daemon_test.go
+++ b/internal/daemon/daemon_test.go
@@ -47,20 +47,20 @@
 
 // installation is a controller, sidecars and nodes in a folder.
 type installation struct {
-	t      *testing.T
-	folder string
-	listen string
-	keys   string
-	nodes  map[string]*fakeplatform.NodeServer
-	state  map[string]string // of nodes, as listed
-	logs   map[string]*safeBuffer
+	t                *testing.T
+	folder           string
+	listen           string
+	certificatesText string
+	nodes            map[string]*fakeplatform.NodeServer
+	nodeStates       map[string]string // of nodes, as listed
+	logs             map[string]*safeBuffer
 }
 
-const within = 20 * time.Second // for what takes a second at most on an idle machine
+const testTimeout = 20 * time.Second // for what takes a second at most on an idle machine
 
-func setUp(t *testing.T, nodes ...string) *installation {
+func newInstallation(t *testing.T, nodes ...string) *installation {
 	t.Parallel()
-	in := &installation{t: t, folder: t.TempDir(), listen: free(t), nodes: map[string]*fakeplatform.NodeServer{}, state: map[string]string{},
+	in := &installation{t: t, folder: t.TempDir(), listen: freeAddress(t), nodes: map[string]*fakeplatform.NodeServer{}, nodeStates: map[string]string{},
 		logs: map[string]*safeBuffer{}}
 	for _, name := range nodes {
 		n, err := fakeplatform.NewNodeServer(name, "127.0.0.1:0")
@@ -68,25 +68,25 @@
 			t.Fatal(err)
 		}
 		t.Cleanup(n.Close)
-		in.nodes[name], in.state[name] = n, "ready"
+		in.nodes[name], in.nodeStates[name] = n, "ready"
 	}
-	in.list()
+	in.writeNodes()
 	in.configure("")
 	return in
 }
 
-// ports are counted up below those that the system gives to connections: one of these could take a port between its
+// portCount are counted up below those that the system gives to connections: one of these could take a port between its
 // choice and its use.
-var ports atomic.Int32
+var portCount atomic.Int32
 
 const (
-	portFirst = 20000
-	portMost  = 12000
+	firstPort = 20000
+	maxPorts  = 12000
 )
 
-func free(t *testing.T) string {
-	for range portMost {
-		port := portFirst + (int32(os.Getpid())*37%portMost+ports.Add(1))%portMost
+func freeAddress(t *testing.T) string {
+	for range maxPorts {
+		port := firstPort + (int32(os.Getpid())*37%maxPorts+portCount.Add(1))%maxPorts
 		if l, err := net.Listen("tcp", fmt.Sprint("127.0.0.1:", port)); err == nil {
 			defer l.Close()
 			return l.Addr().String()
@@ -107,18 +107,18 @@
 	return path
 }
 
-// list writes the nodes' list.
-func (in *installation) list() {
+// writeNodes writes the nodes' list.
+func (in *installation) writeNodes() {
 	var text strings.Builder
 	for name, n := range in.nodes {
-		if in.state[name] != "" {
-			fmt.Fprintf(&text, "node %q zone=%q address=%q state=%q\n", name, zoneOf(name), n.Address(), in.state[name])
+		if in.nodeStates[name] != "" {
+			fmt.Fprintf(&text, "node %q zone=%q address=%q state=%q\n", name, zoneOfNode(name), n.Address(), in.nodeStates[name])
 		}
 	}
 	in.write("nodes.kdl", text.String())
 }
 
-func zoneOf(name string) string { return map[byte]string{'n': "north", 's': "south"}[name[0]] }
+func zoneOfNode(name string) string { return map[byte]string{'n': "north", 's': "south"}[name[0]] }
 
 func (in *installation) configure(more string) {
 	in.write("conductor.kdl", fmt.Sprintf(`conductor "c" { listen %q; seed 3; zone "north"; zone "south"; nodes "nodes.kdl"; report-ms 100
@@ -154,32 +154,32 @@
 
 // safeBuffer keeps a program's log while it is read.
 type safeBuffer struct {
-	lock sync.Mutex
-	text bytes.Buffer
+	textMutex sync.Mutex
+	text      bytes.Buffer
 }
 
 func (b *safeBuffer) Write(p []byte) (int, error) {
-	b.lock.Lock()
-	defer b.lock.Unlock()
+	b.textMutex.Lock()
+	defer b.textMutex.Unlock()
 	return b.text.Write(p)
 }
 
 func (b *safeBuffer) String() string {
-	b.lock.Lock()
-	defer b.lock.Unlock()
+	b.textMutex.Lock()
+	defer b.textMutex.Unlock()
 	return b.text.String()
 }
 
-// sidecar starts one and gives where it takes calls.
-func (in *installation) sidecar(name, zone, variant string) (address string, stop func()) {
-	address = free(in.t)
+// startSidecar starts one and gives where it takes calls.
+func (in *installation) startSidecar(name, zone, variant string) (address string, stop func()) {
+	address = freeAddress(in.t)
 	in.write(name+".kdl", fmt.Sprintf("sidecar %q { zone %q; listen %q; conductor %q; variant %q; keep %q; mutating \"issue\"; connect-ms 500; %s; }\n",
-		name, zone, address, in.listen, variant, name+".held", in.keys))
+		name, zone, address, in.listen, variant, name+".held", in.certificatesText))
 	return address, in.start("harehook-sidecar", name+".kdl")
 }
 
-// ask makes a call and gives who answered and the status.
-func ask(address, path, body string) (who string, status int) {
+// call makes a call and gives who answered and the status.
+func call(address, path, body string) (who string, status int) {
 	conn, err := net.DialTimeout("tcp", address, time.Second)
 	if err != nil {
 		return err.Error(), 0
@@ -196,31 +196,31 @@
 	return string(text), answer.StatusCode
 }
 
-// until waits for what must come.
-func (in *installation) until(what string, ok func() bool) {
+// waitUntil waits for what must come.
+func (in *installation) waitUntil(what string, ok func() bool) {
 	in.t.Helper()
-	for end := time.Now().Add(within); !ok(); time.Sleep(20 * time.Millisecond) {
+	for end := time.Now().Add(testTimeout); !ok(); time.Sleep(20 * time.Millisecond) {
 		if time.Now().After(end) {
-			out, _ := in.ctl("sidecars")
-			in.t.Fatalf("not within %s: %s\n%s", within, what, out)
+			out, _ := in.runCtl("sidecars")
+			in.t.Fatalf("not within %s: %s\n%s", testTimeout, what, out)
 		}
 	}
 }
 
-func (in *installation) ctl(args ...string) (out string, code int) {
-	ctx, stop := context.WithTimeout(context.Background(), within)
+func (in *installation) runCtl(args ...string) (out string, code int) {
+	ctx, stop := context.WithTimeout(context.Background(), testTimeout)
 	defer stop()
 	cmd := exec.CommandContext(ctx, filepath.Join(programs, "harehookctl"), append([]string{"--conductor", in.listen}, args...)...)
 	text, _ := cmd.CombinedOutput()
 	return string(text), cmd.ProcessState.ExitCode()
 }
 
-// spread makes calls and counts who answered; they have to be answered all.
-func (in *installation) spread(address, path string, calls int) map[string]int {
+// callAll makes calls and counts who answered; they have to be answered all.
+func (in *installation) callAll(address, path string, calls int) map[string]int {
 	in.t.Helper()
 	got := map[string]int{}
 	for range calls {
-		who, status := ask(address, path, "seat")
+		who, status := call(address, path, "seat")
 		if status != http.StatusOK {
 			in.t.Fatalf("%s: %d %s", path, status, who)
 		}
@@ -229,61 +229,61 @@
 	return got
 }
 
-func answers(address string) func() bool {
-	return func() bool { _, status := ask(address, "/quote", ""); return status == http.StatusOK }
+func isAnswering(address string) func() bool {
+	return func() bool { _, status := call(address, "/quote", ""); return status == http.StatusOK }
 }
 
 // Calls go where the controller decided; a node that drains gets none once sidecars hold that; a controller that dies is
 // not missed, and one that comes back finds that sidecars hold its versions.
-func TestInstallation(t *testing.T) {
-	in := setUp(t, "n-1", "n-2", "s-1")
+func TestSidecarsFollowTheirControllerAndOutliveIt(t *testing.T) {
+	in := newInstallation(t, "n-1", "n-2", "s-1")
 	stop := in.start("harehook-xds", "conductor.kdl")
-	first, _ := in.sidecar("till-1", "north", "delta")
-	second, stopSecond := in.sidecar("till-2", "south", "state")
-	in.until("both answer", func() bool { return answers(first)() && answers(second)() })
-	if got := in.spread(first, "/quote/7", 60); got["n-1"] == 0 || got["n-2"] == 0 {
+	first, _ := in.startSidecar("till-1", "north", "delta")
+	second, stopSecond := in.startSidecar("till-2", "south", "state")
+	in.waitUntil("both answer", func() bool { return isAnswering(first)() && isAnswering(second)() })
+	if got := in.callAll(first, "/quote/7", 60); got["n-1"] == 0 || got["n-2"] == 0 {
 		t.Errorf("the north's calls went to %v", got)
 	}
-	if got := in.spread(second, "/issue", 10); got["s-1"] == 0 {
+	if got := in.callAll(second, "/issue", 10); got["s-1"] == 0 {
 		t.Errorf("the south's calls went to %v", got)
 	}
-	if who, status := ask(first, "/nothing", ""); status != http.StatusNotFound {
+	if who, status := call(first, "/nothing", ""); status != http.StatusNotFound {
 		t.Errorf("no route: %d %s", status, who)
 	}
 
-	in.state["n-1"] = "draining"
-	in.list()
+	in.nodeStates["n-1"] = "draining"
+	in.writeNodes()
 	synced := func(without string) func() bool {
 		return func() bool {
-			out, code := in.ctl("tables")
-			return code == 0 && strings.Contains(out, "n-2") && !strings.Contains(out, without) && in.synced(2)
+			out, code := in.runCtl("tables")
+			return code == 0 && strings.Contains(out, "n-2") && !strings.Contains(out, without) && in.isSynced(2)
 		}
 	}
-	in.until("the drain is held", synced("n-1"))
+	in.waitUntil("the drain is held", synced("n-1"))
 	before := in.nodes["n-1"].Calls("/quote")
-	in.spread(first, "/quote", 20)
+	in.callAll(first, "/quote", 20)
 	if in.nodes["n-1"].Calls("/quote") != before {
 		t.Error("a drained node got calls")
 	}
 
 	stop()
-	in.spread(first, "/quote", 10)
+	in.callAll(first, "/quote", 10)
 	stopSecond()
-	second, _ = in.sidecar("till-2", "south", "state") // its controller is away: it goes by what it kept
-	in.until("answers by what it kept", answers(second))
-	if out, code := in.ctl("sidecars"); code != exitAway {
+	second, _ = in.startSidecar("till-2", "south", "state") // its controller is away: it goes by what it kept
+	in.waitUntil("answers by what it kept", isAnswering(second))
+	if out, code := in.runCtl("sidecars"); code != exitUnavailable {
 		t.Errorf("a conductor that is away: exit %d, %s", code, out)
 	}
 	in.start("harehook-xds", "conductor.kdl")
-	in.until("all are back", func() bool { return in.synced(2) })
-	in.spread(second, "/quote", 10)
+	in.waitUntil("all are back", func() bool { return in.isSynced(2) })
+	in.callAll(second, "/quote", 10)
 }
 
-const exitAway = 3
+const exitUnavailable = 3
 
-// synced tells whether so many sidecars have joined and hold all that they are to hold.
-func (in *installation) synced(want int) bool {
-	out, code := in.ctl("sidecars", "-o", "json")
+// isSynced tells whether so many sidecars have joined and hold all that they are to hold.
+func (in *installation) isSynced(want int) bool {
+	out, code := in.runCtl("sidecars", "-o", "json")
 	var rows []struct {
 		Joined   bool   `json:"joined"`
 		Table    string `json:"table"`
@@ -309,21 +309,21 @@
 }
 
 // A try that never ran is made at another node, on a mutating route as well; one that may have run is not.
-func TestTries(t *testing.T) {
-	in := setUp(t, "n-1", "n-2", "s-1")
+func TestOnlyAttemptsThatNeverRanAreRetriedOnMutatingRoutes(t *testing.T) {
+	in := newInstallation(t, "n-1", "n-2", "s-1")
 	in.start("harehook-xds", "conductor.kdl")
-	address, _ := in.sidecar("till", "north", "delta")
-	in.until("answers", answers(address))
-	in.until("further tries are let", func() bool {
+	address, _ := in.startSidecar("till", "north", "delta")
+	in.waitUntil("answers", isAnswering(address))
+	in.waitUntil("further tries are let", func() bool {
 		for range 20 {
-			ask(address, "/quote", "") // until calls tell of a calm fleet there are none
+			call(address, "/quote", "") // until calls tell of a calm fleet there are none
 		}
-		out, _ := in.ctl("tables")
+		out, _ := in.runCtl("tables")
 		return strings.Count(out, "connect-failure") >= 2
 	})
 	in.nodes["n-1"].Close()
 	for range 20 {
-		if who, status := ask(address, "/issue", "seat"); status != http.StatusOK {
+		if who, status := call(address, "/issue", "seat"); status != http.StatusOK {
 			t.Fatalf("a node refuses connections: %d %s", status, who)
 		}
 	}
@@ -332,7 +332,7 @@
 		n.Fail.Store(-1)
 	}
 	for k := range 10 {
-		if _, status := ask(address, "/issue/one", "seat"); status == http.StatusOK {
+		if _, status := call(address, "/issue/one", "seat"); status == http.StatusOK {
 			t.Error("an answer from a node that gives none")
 		}
 		if ran() > k+1 {
@@ -342,8 +342,8 @@
 }
 
 // Who has no certificate of the roots gets nothing, and new keys are taken over while streams stand.
-func TestKeys(t *testing.T) {
-	in := setUp(t, "n-1", "s-1")
+func TestSidecarsNeedCertificatesOfTheRoots(t *testing.T) {
+	in := newInstallation(t, "n-1", "s-1")
 	authority := fakeplatform.NewAuthority(t)
 	put := func(who string) string {
 		cert, key := authority.Issue(who, time.Now().Add(-time.Hour), time.Now().Add(time.Hour))
@@ -358,34 +358,34 @@
 	}
 	in.configure(keys("conductor"))
 	in.start("harehook-xds", "conductor.kdl")
-	stranger, _ := in.sidecar("stranger", "north", "delta")
-	in.keys = keys("till")
-	address, _ := in.sidecar("till", "north", "delta")
-	in.until("answers", answers(address))
-	if _, status := ask(stranger, "/quote", ""); status == http.StatusOK {
+	stranger, _ := in.startSidecar("stranger", "north", "delta")
+	in.certificatesText = keys("till")
+	address, _ := in.startSidecar("till", "north", "delta")
+	in.waitUntil("answers", isAnswering(address))
+	if _, status := call(stranger, "/quote", ""); status == http.StatusOK {
 		t.Error("a sidecar without keys was served")
 	}
 	put("conductor")
 	put("till")
-	in.until("a sidecar joins by the new keys", func() bool {
-		other, stop := in.sidecar("other", "south", "state")
+	in.waitUntil("a sidecar joins by the new keys", func() bool {
+		other, stop := in.startSidecar("other", "south", "state")
 		defer stop()
 		for range 50 {
-			if answers(other)() {
+			if isAnswering(other)() {
 				return true
 			}
 			time.Sleep(20 * time.Millisecond)
 		}
 		return false
 	})
-	in.spread(address, "/quote", 5)
+	in.callAll(address, "/quote", 5)
 }
 
 // A configuration with faults is refused with the line of each; the exit code says so.
-func TestCheck(t *testing.T) {
-	in := setUp(t, "n-1")
+func TestCheckNamesTheLineOfEachMistake(t *testing.T) {
+	in := newInstallation(t, "n-1")
 	path := in.write("bad.kdl", "conductor \"c\" {\n listen \"nowhere\"\n zone \"north\"\n zone \"north\"\n nodes \"nodes.kdl\"\n route \"a\" { prefix \"/a\"; limit-ms 10; }\n route \"b\" { prefix \"/a/b\"; limit-ms 2000; mutatin; }\n}\n")
-	out, code := in.ctl("check", path)
+	out, code := in.runCtl("check", path)
 	for _, want := range []string{"line 2: \"listen\" takes an address", "line 4: zone \"north\" is there twice", "line 6: route \"a\" has a time limit under its SLO time",
 		"line 7: \"mutatin\" is not known", "line 7: route \"b\" is never reached"} {
 		if !strings.Contains(out, want) {
@@ -395,14 +395,14 @@
 	if code != 1 {
 		t.Errorf("exit %d", code)
 	}
-	if out, code := in.ctl("check", filepath.Join(in.folder, "conductor.kdl")); code != 1 || !strings.Contains(out, `zone "south" has no node`) {
+	if out, code := in.runCtl("check", filepath.Join(in.folder, "conductor.kdl")); code != 1 || !strings.Contains(out, `zone "south" has no node`) {
 		t.Errorf("exit %d: %s", code, out)
 	}
 	told := in.write("told.kdl", "conductor \"c\" { listen \"127.0.0.1:1\"; zone \"north\"; nodes-from \"127.0.0.1:2\" cluster=\"x\"; route \"a\" { prefix \"/a\"; limit-ms 1000; }; }\n")
-	if out, code := in.ctl("check", told); code != 0 {
+	if out, code := in.runCtl("check", told); code != 0 {
 		t.Errorf("its nodes are told: exit %d: %s", code, out)
 	}
-	if _, code := in.ctl("chek"); code != 2 {
+	if _, code := in.runCtl("chek"); code != 2 {
 		t.Errorf("exit %d", code)
 	}
 }
--- a/internal/daemon/follower_test.go
+++ b/internal/daemon/follower_test.go
@@ -60,7 +60,7 @@
 }
 
 func newTestMember(t *testing.T, secure *tls.Config) *testMember {
-	m := &testMember{t: t, address: free(t), secure: secure, held: map[records.Key]*records.Record{}}
+	m := &testMember{t: t, address: freeAddress(t), secure: secure, held: map[records.Key]*records.Record{}}
 	m.service = transport.NewService("1", m, machine.DefaultLimits, zap.NewNop())
 	m.start()
 	return m
@@ -125,42 +125,42 @@
 	return revision
 }
 
-// routes are the installation's two, with a prefix of the first that tells versions apart.
-func routes(prefix string) map[records.Key]any {
+// twoRoutes are the installation's two, with a prefix of the first that tells versions apart.
+func twoRoutes(prefix string) map[records.Key]any {
 	return map[records.Key]any{
 		{Kind: records.KindRoute, Name: "quote"}: records.RouteSpec{Prefix: prefix, TimeLimitMS: 2000},
 		{Kind: records.KindRoute, Name: "issue"}: records.RouteSpec{Prefix: "/issue", TimeLimitMS: 2000, Mutating: true},
 	}
 }
 
-func override(node, state string) map[records.Key]any {
+func overrideRecord(node, state string) map[records.Key]any {
 	return map[records.Key]any{{Kind: records.KindOverride, Name: node}: records.OverrideSpec{State: state}}
 }
 
 // A controller that follows goes by its own file until something was agreed on, then by that; it refuses what it can't
 // use, and says so when it is stale.
-func TestFollower(t *testing.T) {
-	in := setUp(t, "n-1", "n-2", "s-1")
+func TestFollowerGoesByWhatWasAgreed(t *testing.T) {
+	in := newInstallation(t, "n-1", "n-2", "s-1")
 	m := newTestMember(t, nil)
 	in.configure(fmt.Sprintf("follow { member %q; }", m.address))
 	in.start("harehook-xds", "conductor.kdl")
 	log := in.logs["conductor.kdl"]
-	address, _ := in.sidecar("till", "north", "delta")
-	in.until("its own routes count", answers(address))
+	address, _ := in.startSidecar("till", "north", "delta")
+	in.waitUntil("its own routes count", isAnswering(address))
 	serves := func(prefix string) func() bool {
 		return func() bool {
-			_, status := ask(address, prefix, "")
+			_, status := call(address, prefix, "")
 			return status == http.StatusOK
 		}
 	}
-	m.set(override("n-9", records.StateGone)) // no route is agreed on yet, and the node is not listed
-	m.set(routes("/v1"))
-	in.until("the agreed routes count", serves("/v1"))
+	m.set(overrideRecord("n-9", records.StateGone)) // no route is agreed on yet, and the node is not listed
+	m.set(twoRoutes("/v1"))
+	in.waitUntil("the agreed routes count", serves("/v1"))
 
-	m.set(override("n-1", records.StateGone))
-	in.until("the node gets no calls", func() bool {
+	m.set(overrideRecord("n-1", records.StateGone))
+	in.waitUntil("the node gets no calls", func() bool {
 		for range 20 {
-			if who, status := ask(address, "/v1", ""); status != http.StatusOK || who == "n-1" {
+			if who, status := call(address, "/v1", ""); status != http.StatusOK || who == "n-1" {
 				return false
 			}
 		}
@@ -168,18 +168,18 @@
 	})
 
 	refused := m.set(map[records.Key]any{{Kind: records.KindRoute, Name: "third"}: records.RouteSpec{Prefix: "/third", TimeLimitMS: 9}})
-	in.until("the refusal is known", func() bool {
+	in.waitUntil("the refusal is known", func() bool {
 		leases := m.service.Status().Leases
 		return len(leases) == 1 && leases[0].RejectedRevision == refused && leases[0].Accepted == refused-1 &&
 			strings.Contains(leases[0].Reason, `route "third" is not configured at conductor "c"`)
 	})
-	in.until("its log says so", func() bool { return strings.Contains(log.String(), "revision refused") })
+	in.waitUntil("its log says so", func() bool { return strings.Contains(log.String(), "revision refused") })
 	if !serves("/v1")() {
 		t.Error("what was in use before does not count any more")
 	}
 
 	report := func() (report transport.FollowerReport, code int) {
-		out, code := in.ctl("--conductor", in.listen, "-o", "json", "following")
+		out, code := in.runCtl("--conductor", in.listen, "-o", "json", "following")
 		if err := json.NewDecoder(strings.NewReader(out)).Decode(&report); err != nil { // a reason may follow
 			t.Fatalf("exit %d: %s", code, out)
 		}
@@ -189,7 +189,7 @@
 		t.Errorf("exit %d: %+v", code, told)
 	}
 	m.server.Stop()
-	in.until("it says that it is stale", func() bool { return strings.Contains(log.String(), "stale: no member was heard") })
+	in.waitUntil("it says that it is stale", func() bool { return strings.Contains(log.String(), "stale: no member was heard") })
 	if told, code := report(); code != 1 || !told.Stale || told.Revision != refused-1 {
 		t.Errorf("exit %d: %+v", code, told)
 	}
@@ -197,11 +197,11 @@
 		t.Error("the last good revision is not in use while it is stale")
 	}
 	m.start()
-	in.until("it is not stale any more", func() bool { _, code := report(); return code == 0 })
+	in.waitUntil("it is not stale any more", func() bool { _, code := report(); return code == 0 })
 }
 
-// heldNumber is the number of the routes that a sidecar holds, 0 if none.
-func (in *installation) heldNumber(name string) uint64 {
+// heldRouteVersion is the number of the routes that a sidecar holds, 0 if none.
+func (in *installation) heldRouteVersion(name string) uint64 {
 	holder := &sidecar.ResourceCache{ID: name}
 	if (&sidecar.Store{Path: filepath.Join(in.folder, name+".held")}).Load(holder) != nil {
 		return 0
@@ -211,46 +211,46 @@
 
 // Routes go to sidecars under the revision at which one of them last changed: two controllers that have heard of different
 // revisions since tell the same number, and a sidecar refuses neither.
-func TestFollowerNumbersRoutes(t *testing.T) {
-	in := setUp(t, "n-1", "n-2")
+func TestFollowersNumberRoutesAlike(t *testing.T) {
+	in := newInstallation(t, "n-1", "n-2")
 	m := newTestMember(t, nil)
 	tenant := func(share float64) uint64 {
 		return m.set(map[records.Key]any{{Kind: records.KindTenant, Name: "tenant"}: records.TenantSpec{Service: "other", Share: share}})
 	}
 	tenant(0.1)
-	number := m.set(routes("/v1"))
+	number := m.set(twoRoutes("/v1"))
 	tenant(0.2)
 	in.configure(fmt.Sprintf("follow { member %q; }", m.address))
 	stop := in.start("harehook-xds", "conductor.kdl")
-	address, _ := in.sidecar("till", "north", "delta")
-	held := func() uint64 { return in.heldNumber("till") }
-	in.until("the agreed routes are held", func() bool { _, status := ask(address, "/v1", ""); return status == http.StatusOK && held() > 0 })
+	address, _ := in.startSidecar("till", "north", "delta")
+	held := func() uint64 { return in.heldRouteVersion("till") }
+	in.waitUntil("the agreed routes are held", func() bool { _, status := call(address, "/v1", ""); return status == http.StatusOK && held() > 0 })
 	if got := held(); got != number {
 		t.Errorf("routes held under number %d, agreed on as revision %d", got, number)
 	}
 	stop()
 	tenant(0.3)
 	in.start("harehook-xds", "conductor.kdl")
-	in.until("all is held from the one that was started anew", func() bool { return in.synced(1) })
+	in.waitUntil("all is held from the one that was started anew", func() bool { return in.isSynced(1) })
 	if got := held(); got != number {
 		t.Errorf("routes held under number %d after a restart, agreed on as revision %d", got, number)
 	}
 }
 
 // Sidecars are told of revisions that change routes, and of no others.
-func TestFollowerTellsWhatDiffers(t *testing.T) {
-	in := setUp(t, "n-1", "n-2")
+func TestFollowerSendsSidecarsOnlyWhatDiffers(t *testing.T) {
+	in := newInstallation(t, "n-1", "n-2")
 	m := newTestMember(t, nil)
-	m.set(routes("/v1"))
+	m.set(twoRoutes("/v1"))
 	in.configure(fmt.Sprintf("follow { member %q; }", m.address))
 	in.start("harehook-xds", "conductor.kdl")
-	address, _ := in.sidecar("till", "north", "delta")
-	in.until("the agreed routes count", func() bool { _, status := ask(address, "/v1", ""); return status == http.StatusOK })
+	address, _ := in.startSidecar("till", "north", "delta")
+	in.waitUntil("the agreed routes count", func() bool { _, status := call(address, "/v1", ""); return status == http.StatusOK })
 	for share := range 5 {
 		m.set(map[records.Key]any{{Kind: records.KindTenant, Name: "tenant"}: records.TenantSpec{Service: "other", Share: 0.1 + float64(share)/100}})
 	}
-	last := m.set(routes("/v2"))
-	in.until("the next routes count", func() bool { _, status := ask(address, "/v2", ""); return status == http.StatusOK })
+	last := m.set(twoRoutes("/v2"))
+	in.waitUntil("the next routes count", func() bool { _, status := call(address, "/v2", ""); return status == http.StatusOK })
 	var used []string
 	for line := range strings.SplitSeq(in.logs["conductor.kdl"].String(), "\n") {
 		if strings.Contains(line, "revision in use") {
@@ -263,8 +263,8 @@
 }
 
 // Followers and members show each other certificates of the installation's roots; one without is not served.
-func TestFollowerKeys(t *testing.T) {
-	in := setUp(t, "n-1", "n-2")
+func TestFollowersNeedCertificatesOfTheRoots(t *testing.T) {
+	in := newInstallation(t, "n-1", "n-2")
 	authority := fakeplatform.NewAuthority(t)
 	certificate, private := authority.Issue("conductor", time.Now().Add(-time.Hour), time.Now().Add(time.Hour))
 	files := certs.Files{Certificate: in.write("c.crt", string(certificate)), Key: in.write("c.key", string(private)),
@@ -274,11 +274,11 @@
 		t.Fatal(err)
 	}
 	m := newTestMember(t, held.Server())
-	m.set(routes("/v1"))
+	m.set(twoRoutes("/v1"))
 	settings := fmt.Sprintf("follow { member %q; }", m.address)
 	in.configure(settings)
 	stop := in.start("harehook-xds", "conductor.kdl")
-	in.until("one without keys is told why", func() bool {
+	in.waitUntil("one without keys is told why", func() bool {
 		return strings.Contains(in.logs["conductor.kdl"].String(), "member left")
 	})
 	if live := m.service.Status().Live; live != 0 {
@@ -287,7 +287,7 @@
 	stop()
 	in.configure(settings + `; keys certificate="c.crt" key="c.key" roots="roots.pem"`)
 	in.start("harehook-xds", "conductor.kdl")
-	in.until("one with keys follows", func() bool {
+	in.waitUntil("one with keys follows", func() bool {
 		status := m.service.Status()
 		return status.Live == 1 && status.ConvergedRevision == 1
 	})
--- a/internal/daemon/followers_test.go
+++ b/internal/daemon/followers_test.go
@@ -33,7 +33,7 @@
 func (noRecords) Since(uint64, records.Scope) records.Delta { return records.Delta{Available: true} }
 
 // A member that has known no leader for a lease's time extends no lease, and does again once there is one.
-func TestFollowersSentAwayWithoutLeader(t *testing.T) {
+func TestFollowersAreSentAwayWithoutALeader(t *testing.T) {
 	t.Parallel()
 	limits := machine.DefaultLimits
 	group := &fakeGroup{}
@@ -63,7 +63,7 @@
 	})
 	until := func(what string, stale bool) {
 		t.Helper()
-		for end := time.Now().Add(3 * within); client.Status().Stale != stale; time.Sleep(10 * time.Millisecond) {
+		for end := time.Now().Add(3 * testTimeout); client.Status().Stale != stale; time.Sleep(10 * time.Millisecond) {
 			if time.Now().After(end) {
 				t.Fatal(what)
 			}
--- a/internal/daemon/member_test.go
+++ b/internal/daemon/member_test.go
@@ -11,8 +11,8 @@
 
 // A member's node tells the followers' service of commits: without that they would hear of them only as they are heard
 // themselves.
-func TestMemberTellsOfCommits(t *testing.T) {
-	address := free(t)
+func TestMemberNotifiesFollowersOfCommits(t *testing.T) {
+	address := freeAddress(t)
 	group := &config.Group{ID: 1, Listen: address, DataFolder: filepath.Join(t.TempDir(), "data"), Addresses: map[uint64]string{1: address}, Voters: []uint64{1}}
 	m, err := newMember(group, &watcher{}, nil, zap.NewNop())
 	if err != nil {
--- a/internal/daemon/watcher_test.go
+++ b/internal/daemon/watcher_test.go
@@ -14,7 +14,7 @@
 )
 
 // A list of a service comes while an older one is just being told: the newer one is told last.
-func TestListsInOrder(t *testing.T) {
+func TestListsAreAppliedInOrder(t *testing.T) {
 	holds, release := make(chan struct{}), make(chan struct{})
 	var told [][]config.Node
 	first := true
