--- /dev/null
+++ b/internal/daemon/certificates_test.go
@@ -0,0 +1,50 @@
+package daemon
+
+import (
+	"fmt"
+	"net/http"
+	"testing"
+	"time"
+
+	"harehook.dev/harehook/internal/fakeplatform"
+)
+
+// Who has no certificate of the roots gets nothing, and new keys are taken over while streams stand.
+func TestSidecarsNeedCertificatesOfTheRoots(t *testing.T) {
+	in := newInstallation(t, "n-1", "s-1")
+	authority := fakeplatform.NewAuthority(t)
+	put := func(who string) string {
+		cert, key := authority.Issue(who, time.Now().Add(-time.Hour), time.Now().Add(time.Hour))
+		in.write(who+".key", string(key))
+		in.write("roots.pem", string(authority.Roots()))
+		return in.write(who+".crt", string(cert))
+	}
+	put("conductor")
+	put("till")
+	keys := func(who string) string {
+		return fmt.Sprintf("keys certificate=%q key=%q roots=\"roots.pem\"", who+".crt", who+".key")
+	}
+	in.configure(keys("conductor"))
+	in.start("harehook-xds", "conductor.kdl")
+	stranger, _ := in.startSidecar("stranger", "north", "delta")
+	in.certificatesText = keys("till")
+	address, _ := in.startSidecar("till", "north", "delta")
+	in.waitUntil("answers", isAnswering(address))
+	if _, status := call(stranger, "/quote", ""); status == http.StatusOK {
+		t.Error("a sidecar without keys was served")
+	}
+	put("conductor")
+	put("till")
+	in.waitUntil("a sidecar joins by the new keys", func() bool {
+		other, stop := in.startSidecar("other", "south", "state")
+		defer stop()
+		for range 50 {
+			if isAnswering(other)() {
+				return true
+			}
+			time.Sleep(20 * time.Millisecond)
+		}
+		return false
+	})
+	in.callAll(address, "/quote", 5)
+}
--- /dev/null
+++ b/internal/daemon/check_test.go
@@ -0,0 +1,33 @@
+package daemon
+
+import (
+	"path/filepath"
+	"strings"
+	"testing"
+)
+
+// A configuration with faults is refused with the line of each; the exit code says so.
+func TestCheckNamesTheLineOfEachMistake(t *testing.T) {
+	in := newInstallation(t, "n-1")
+	path := in.write("bad.kdl", "conductor \"c\" {\n listen \"nowhere\"\n zone \"north\"\n zone \"north\"\n nodes \"nodes.kdl\"\n route \"a\" { prefix \"/a\"; limit-ms 10; }\n route \"b\" { prefix \"/a/b\"; limit-ms 2000; mutatin; }\n}\n")
+	out, code := in.runCtl("check", path)
+	for _, want := range []string{"line 2: \"listen\" takes an address", "line 4: zone \"north\" is there twice", "line 6: route \"a\" has a time limit under its SLO time",
+		"line 7: \"mutatin\" is not known", "line 7: route \"b\" is never reached"} {
+		if !strings.Contains(out, want) {
+			t.Errorf("%q is not in:\n%s", want, out)
+		}
+	}
+	if code != 1 {
+		t.Errorf("exit %d", code)
+	}
+	if out, code := in.runCtl("check", filepath.Join(in.folder, "conductor.kdl")); code != 1 || !strings.Contains(out, `zone "south" has no node`) {
+		t.Errorf("exit %d: %s", code, out)
+	}
+	told := in.write("told.kdl", "conductor \"c\" { listen \"127.0.0.1:1\"; zone \"north\"; nodes-from \"127.0.0.1:2\" cluster=\"x\"; route \"a\" { prefix \"/a\"; limit-ms 1000; }; }\n")
+	if out, code := in.runCtl("check", told); code != 0 {
+		t.Errorf("its nodes are told: exit %d: %s", code, out)
+	}
+	if _, code := in.runCtl("chek"); code != 2 {
+		t.Errorf("exit %d", code)
+	}
+}
