--- a/internal/daemon/certificates_test.go
+++ b/internal/daemon/certificates_test.go
@@ -9,7 +9,8 @@
 	"harehook.dev/harehook/internal/fakeplatform"
 )
 
-// Who has no certificate of the roots gets nothing, and new keys are taken over while streams stand.
+// A sidecar without a certificate of the installation's roots must get nothing. Certificates are replaced while streams are
+// connected: these go on, and new sidecars join by the new ones.
 func TestSidecarsNeedCertificatesOfTheRoots(t *testing.T) {
 	in := newInstallation(t, "n-1", "s-1")
 	authority := fakeplatform.NewAuthority(t)
--- a/internal/daemon/check_test.go
+++ b/internal/daemon/check_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-// A configuration with faults is refused with the line of each; the exit code says so.
+// A configuration with several mistakes is rejected with the line of each, and the exit code says so.
 func TestCheckNamesTheLineOfEachMistake(t *testing.T) {
 	in := newInstallation(t, "n-1")
 	path := in.write("bad.kdl", "conductor \"c\" {\n listen \"nowhere\"\n zone \"north\"\n zone \"north\"\n nodes \"nodes.kdl\"\n route \"a\" { prefix \"/a\"; limit-ms 10; }\n route \"b\" { prefix \"/a/b\"; limit-ms 2000; mutatin; }\n}\n")
--- a/internal/daemon/group_test.go
+++ b/internal/daemon/group_test.go
@@ -9,8 +9,9 @@
 	"time"
 )
 
-// The leader dies just after a version was agreed: all sidecars get that version, and the rest agree again within the
-// time stated. A minority that is cut off goes on with what was agreed, says so and agrees on nothing.
+// The leader dies just after a version was agreed. All sidecars have to get that version, and the rest of the group has to
+// agree again within the time that docs/raft.md states. Then a minority is cut off: it goes on with what was agreed, says
+// that this may be stale, and agrees on nothing. Once it is back, all hold what the majority agreed on.
 func TestGroupRecoversFromALostLeaderAndAPartition(t *testing.T) {
 	g := newTestGroup(t, 3)
 	lead := g.leader()
@@ -28,7 +29,7 @@
 		t.Errorf("agreed again after %s (%s), %s is stated", took, since, maxRecovery)
 	}
 	g.waitUntil("both hold the next", func() bool { return g.holdsPrefix(atLeader, prefix)() && g.holdsPrefix(atOther, prefix)() })
-	g.stops[lead] = g.start("harehook-xds", fmt.Sprintf("c-%d.kdl", lead+1))
+	g.stops[lead] = g.start("harehook-xds", configFile(lead))
 	g.waitUntil("it is back and has all", func() bool {
 		out, code := g.runCtlAt(lead, "config")
 		return code == 0 && strings.Contains(out, prefix+"\"")
@@ -59,8 +60,9 @@
 	}
 }
 
-// A member whose disk was lost under the same number is not listened to: it may have forgotten a vote. It is removed and
-// its successor is added as a learner, then given a vote.
+// A member's disk is lost and the member is started again under the same number. It may have forgotten a vote, with which
+// two leaders could be elected in one term: the others must not listen to it, and it has to end and say what to do. It is
+// removed; its successor is added as a learner, then given a vote, and can lead.
 func TestMemberWithALostDiskIsReplaced(t *testing.T) {
 	g := newTestGroup(t, 3)
 	lead := g.leader()
@@ -72,18 +74,19 @@
 	})
 	g.stops[lost]()
 	g.configureController(lost, g.memberText(lost, "data-lost", false))
-	stop := g.start("harehook-xds", fmt.Sprintf("c-%d.kdl", lost+1))
+	stop := g.start("harehook-xds", configFile(lost))
 	g.waitUntil("it ends, and says why", func() bool {
-		return strings.Contains(g.logs[fmt.Sprintf("c-%d.kdl", lost+1)].String(), "remove it and add this one under a new number")
+		return strings.Contains(g.logs[configFile(lost)].String(), "remove it and add this one under a new number")
 	})
 	g.agree(lead)
 	stop()
 	g.atLeader("members", "remove", fmt.Sprint(lost+1))
 	// The successor is member 4, at an address of its own.
 	g.members = 4
-	g.sidecarAddresses, g.groupAddresses = append(g.sidecarAddresses, freeAddress(t)), append(g.groupAddresses, freeAddress(t))
+	g.sidecarAddresses = append(g.sidecarAddresses, freeAddress(t))
+	g.groupAddresses = append(g.groupAddresses, freeAddress(t))
 	g.configureController(3, g.memberText(3, "data-4", true))
-	g.start("harehook-xds", "c-4.kdl")
+	g.start("harehook-xds", configFile(3))
 	g.atLeader("members", "add", "4", g.groupAddresses[3])
 	prefix, _ := g.agree(lead)
 	g.waitUntil("the successor has all", func() bool {
@@ -97,8 +100,8 @@
 	g.agree(3)
 }
 
-// Five are cut into two, two and one: no part agrees on anything, all sidecars go on with what was agreed, and once the
-// cuts end they agree again within the time stated.
+// Five members are cut into two, two and one, so that no part has a majority. No part may agree on anything, and sidecars
+// have to go on with what was agreed. Once the cuts end, the group agrees again within the time stated.
 func TestFiveMembersRecoverFromAPartitionWithoutMajority(t *testing.T) {
 	g := newTestGroup(t, 5)
 	g.leader()
@@ -108,8 +111,8 @@
 	g.waitUntil("it holds what was agreed", g.holdsPrefix(address, prefix))
 	part := []int{0, 0, 1, 1, 2}
 	between := func(yes bool) {
-		for pair, gate := range g.gates {
-			if part[pair[0]] != part[pair[1]] {
+		for way, gate := range g.gates {
+			if part[way.from] != part[way.to] {
 				gate.Cut(yes)
 			}
 		}
--- a/internal/daemon/installation_test.go
+++ b/internal/daemon/installation_test.go
@@ -45,38 +45,48 @@
 	os.Exit(code)
 }
 
-// installation is a controller, sidecars and nodes in a folder.
+// installation is a controller, sidecars and nodes, with their files in a folder.
 type installation struct {
 	t                *testing.T
 	folder           string
-	listen           string
-	certificatesText string
-	nodes            map[string]*fakeplatform.NodeServer
-	nodeStates       map[string]string // of nodes, as listed
-	logs             map[string]*safeBuffer
+	listen           string                              // where the controller takes sidecars
+	certificatesText string                              // of sidecars, in KDL; empty: none
+	nodes            map[string]*fakeplatform.NodeServer // by name
+	nodeStates       map[string]string                   // as listed, by name; empty: not listed
+	logs             map[string]*safeBuffer              // by the program's configuration file
 }
 
-const testTimeout = 20 * time.Second // for what takes a second at most on an idle machine
+// testTimeout is for what takes a second at most on an idle machine.
+const testTimeout = 20 * time.Second
 
+// newInstallation prepares the files of a controller and starts nodes; the first letter of a node's name is its zone's.
 func newInstallation(t *testing.T, nodes ...string) *installation {
+	t.Helper()
 	t.Parallel()
-	in := &installation{t: t, folder: t.TempDir(), listen: freeAddress(t), nodes: map[string]*fakeplatform.NodeServer{}, nodeStates: map[string]string{},
-		logs: map[string]*safeBuffer{}}
+	in := &installation{
+		t:          t,
+		folder:     t.TempDir(),
+		listen:     freeAddress(t),
+		nodes:      map[string]*fakeplatform.NodeServer{},
+		nodeStates: map[string]string{},
+		logs:       map[string]*safeBuffer{},
+	}
 	for _, name := range nodes {
-		n, err := fakeplatform.NewNodeServer(name, "127.0.0.1:0")
+		node, err := fakeplatform.NewNodeServer(name, "127.0.0.1:0")
 		if err != nil {
 			t.Fatal(err)
 		}
-		t.Cleanup(n.Close)
-		in.nodes[name], in.nodeStates[name] = n, "ready"
+		t.Cleanup(node.Close)
+		in.nodes[name] = node
+		in.nodeStates[name] = "ready"
 	}
 	in.writeNodes()
 	in.configure("")
 	return in
 }
 
-// portCount are counted up below those that the system gives to connections: one of these could take a port between its
-// choice and its use.
+// portCount counts the ports that were chosen. They are below those that the system gives to connections: one of these
+// could take a port between its choice and its use.
 var portCount atomic.Int32
 
 const (
@@ -84,7 +94,9 @@
 	maxPorts  = 12000
 )
 
+// freeAddress returns one on loopback that nothing listens on.
 func freeAddress(t *testing.T) string {
+	t.Helper()
 	for range maxPorts {
 		port := firstPort + (int32(os.Getpid())*37%maxPorts+portCount.Add(1))%maxPorts
 		if l, err := net.Listen("tcp", fmt.Sprint("127.0.0.1:", port)); err == nil {
@@ -96,7 +108,9 @@
 	return ""
 }
 
+// write replaces a file at once and returns its path.
 func (in *installation) write(name, text string) string {
+	in.t.Helper()
 	path := filepath.Join(in.folder, name)
 	if err := os.WriteFile(path+".part", []byte(text), 0o600); err != nil {
 		in.t.Fatal(err)
@@ -118,8 +132,10 @@
 	in.write("nodes.kdl", text.String())
 }
 
+// zoneOfNode is "north" for names with n, "south" for those with s.
 func zoneOfNode(name string) string { return map[byte]string{'n': "north", 's': "south"}[name[0]] }
 
+// configure writes the controller's file, with further lines.
 func (in *installation) configure(more string) {
 	in.write("conductor.kdl", fmt.Sprintf(`conductor "c" { listen %q; seed 3; zone "north"; zone "south"; nodes "nodes.kdl"; report-ms 100
   route "quote" { prefix "/quote"; limit-ms 2000; }
@@ -128,13 +144,14 @@
 }`, in.listen, more))
 }
 
-// start runs a program until the function that it gives is called, or the test ends.
+// start runs a program until stop is called, or the test ends. The log of a test that fails has the program's.
 func (in *installation) start(program, config string) (stop func()) {
 	in.t.Helper()
 	cmd := exec.Command(filepath.Join(programs, program), "--config", filepath.Join(in.folder, config))
 	log := &safeBuffer{}
 	in.logs[config] = log
-	cmd.Stdout, cmd.Stderr = log, log
+	cmd.Stdout = log
+	cmd.Stderr = log
 	if err := cmd.Start(); err != nil {
 		in.t.Fatal(err)
 	}
@@ -152,25 +169,27 @@
 	return stop
 }
 
-// safeBuffer keeps a program's log while it is read.
+// safeBuffer is a program's log, which tests read while it is written.
 type safeBuffer struct {
 	textMutex sync.Mutex
 	text      bytes.Buffer
 }
 
+// Write implements io.Writer.
 func (b *safeBuffer) Write(p []byte) (int, error) {
 	b.textMutex.Lock()
 	defer b.textMutex.Unlock()
 	return b.text.Write(p)
 }
 
+// String is the log until now.
 func (b *safeBuffer) String() string {
 	b.textMutex.Lock()
 	defer b.textMutex.Unlock()
 	return b.text.String()
 }
 
-// startSidecar starts one and gives where it takes calls.
+// startSidecar starts a sidecar and returns where it takes calls.
 func (in *installation) startSidecar(name, zone, variant string) (address string, stop func()) {
 	address = freeAddress(in.t)
 	in.write(name+".kdl", fmt.Sprintf("sidecar %q { zone %q; listen %q; conductor %q; variant %q; keep %q; mutating \"issue\"; connect-ms 500; %s; }\n",
@@ -178,7 +197,7 @@
 	return address, in.start("harehook-sidecar", name+".kdl")
 }
 
-// call makes a call and gives who answered and the status.
+// call makes a call and returns who answered, or why nobody did, and the status, which is 0 without an answer.
 func call(address, path, body string) (who string, status int) {
 	conn, err := net.DialTimeout("tcp", address, time.Second)
 	if err != nil {
@@ -196,7 +215,7 @@
 	return string(text), answer.StatusCode
 }
 
-// waitUntil waits for what must come.
+// waitUntil waits until something holds, and fails the test if it does not in time.
 func (in *installation) waitUntil(what string, ok func() bool) {
 	in.t.Helper()
 	for end := time.Now().Add(testTimeout); !ok(); time.Sleep(20 * time.Millisecond) {
@@ -207,6 +226,7 @@
 	}
 }
 
+// runCtl runs harehookctl against the controller and returns its output and exit code.
 func (in *installation) runCtl(args ...string) (out string, code int) {
 	ctx, stop := context.WithTimeout(context.Background(), testTimeout)
 	defer stop()
@@ -215,7 +235,7 @@
 	return string(text), cmd.ProcessState.ExitCode()
 }
 
-// callAll makes calls and counts who answered; they have to be answered all.
+// callAll makes calls and counts them by who answered; all have to be answered.
 func (in *installation) callAll(address, path string, calls int) map[string]int {
 	in.t.Helper()
 	got := map[string]int{}
@@ -229,13 +249,18 @@
 	return got
 }
 
+// isAnswering tells, when it is called, whether a sidecar has a call answered.
 func isAnswering(address string) func() bool {
-	return func() bool { _, status := call(address, "/quote", ""); return status == http.StatusOK }
+	return func() bool {
+		_, status := call(address, "/quote", "")
+		return status == http.StatusOK
+	}
 }
 
+// exitUnavailable is the exit code of harehookctl where a controller is away, or has no majority of its group.
 const exitUnavailable = 3
 
-// isSynced tells whether so many sidecars have joined and hold all that they are to hold.
+// isSynced tells whether so many sidecars have joined, and all hold what they are to hold.
 func (in *installation) isSynced(want int) bool {
 	out, code := in.runCtl("sidecars", "-o", "json")
 	var rows []struct {
--- a/internal/daemon/operators_test.go
+++ b/internal/daemon/operators_test.go
@@ -7,8 +7,9 @@
 	"testing"
 )
 
-// What must not be agreed is refused before it is proposed, with the reason; two operators who change the same version
-// do not overwrite each other; roll-back and restore go forward under new numbers.
+// An operator proposes what would lose protection, leave no node, or name what is not there: it has to be rejected before it
+// is proposed, with the reason. Two operators change the same version: the second must not overwrite the first unseen. A
+// proposal whose answer was lost is repeated: it counts once. Roll-back and restore go forward under new numbers.
 func TestProposalsOfOperatorsAreCheckedAndDoNotOverwriteOneAnother(t *testing.T) {
 	g := newTestGroup(t, 3)
 	g.leader()
@@ -20,10 +21,12 @@
 		"missing route": {`agreed { route "issue" { prefix "/i"; limit-ms 9; mutating; }; }`, `route "quote" is missing`},
 		"its line":      {"agreed {\n route \"quote\" { prefix \"q\"; limit-ms 9; }\n}", "line 2: route \"quote\" has no prefix"},
 	} {
-		out, code := g.runCtlAt(1, "propose", g.write("bad.kdl", c.text))
-		if code != 1 || !strings.Contains(out, c.want) {
-			t.Errorf("%s: exit %d, %s", name, code, out)
-		}
+		t.Run(name, func(t *testing.T) {
+			out, code := g.runCtlAt(1, "propose", g.write("bad.kdl", c.text))
+			if code != 1 || !strings.Contains(out, c.want) {
+				t.Errorf("exit %d, %s, want %q", code, out, c.want)
+			}
+		})
 	}
 	out, _ := g.runCtlAt(0, "history", "-o", "json")
 	base := out[strings.Index(out, `"number": `)+10:]
@@ -61,8 +64,9 @@
 	}
 }
 
-// Records are changed one by one beside whole texts: what changed since it was read is refused with its revision, what
-// does not fit a controller or breaks a rule is refused with the reason, and a sidecar holds what was agreed.
+// Operators change records one by one beside full texts. What was changed since it was read has to be rejected with its
+// revision, what does not fit a controller or breaks a rule with the reason; a sidecar holds what was agreed, and a text
+// that names no services or tenants leaves them as they are.
 func TestRecordsAreChangedOneByOneBesideFullTexts(t *testing.T) {
 	g := newTestGroup(t, 3)
 	g.leader()
@@ -100,9 +104,12 @@
 		"node not listed":  {`override "n-9" state="gone"`, `"n-9" of an override is not listed`},
 		"service not held": {`tenant "two" service="none" share=0.5`, `service "none" does not exist`},
 	} {
-		if out, code := apply(0, c.text); code != 1 || !strings.Contains(out, c.want) {
-			t.Errorf("%s: exit %d, %s, want %q", name, code, out, c.want)
-		}
+		t.Run(name, func(t *testing.T) {
+			out, code := apply(0, c.text)
+			if code != 1 || !strings.Contains(out, c.want) {
+				t.Errorf("exit %d, %s, want %q", code, out, c.want)
+			}
+		})
 	}
 	if out, code := apply(2, `remove "tenant/one"`); code != 0 {
 		t.Errorf("exit %d: %s", code, out)
--- a/internal/daemon/sidecars_test.go
+++ b/internal/daemon/sidecars_test.go
@@ -6,8 +6,8 @@
 	"testing"
 )
 
-// Calls go where the controller decided; a node that drains gets none once sidecars hold that; a controller that dies is
-// not missed, and one that comes back finds that sidecars hold its versions.
+// Calls go where the controller decided. A node that drains must get none once sidecars hold that. The controller dies:
+// sidecars go on, also one that starts anew with what it has on disk. The controller comes back: sidecars hold its versions.
 func TestSidecarsFollowTheirControllerAndOutliveIt(t *testing.T) {
 	in := newInstallation(t, "n-1", "n-2", "s-1")
 	stop := in.start("harehook-xds", "conductor.kdl")
@@ -36,7 +36,7 @@
 	before := in.nodes["n-1"].Calls("/quote")
 	in.callAll(first, "/quote", 20)
 	if in.nodes["n-1"].Calls("/quote") != before {
-		t.Error("a drained node got calls")
+		t.Error("a draining node got calls")
 	}
 
 	stop()
@@ -52,7 +52,8 @@
 	in.callAll(second, "/quote", 10)
 }
 
-// A try that never ran is made at another node, on a mutating route as well; one that may have run is not.
+// A call on a mutating route must not run twice. An attempt that never reached its node is retried at another one, on
+// mutating routes as well; one that may have run is not.
 func TestOnlyAttemptsThatNeverRanAreRetriedOnMutatingRoutes(t *testing.T) {
 	in := newInstallation(t, "n-1", "n-2", "s-1")
 	in.start("harehook-xds", "conductor.kdl")
--- a/internal/daemon/testgroup_test.go
+++ b/internal/daemon/testgroup_test.go
@@ -16,52 +16,75 @@
 // maxRecovery is the time within which a group has a leader again and takes proposals, as docs/raft.md states it.
 const maxRecovery = 5 * time.Second
 
-// testGroup are controllers that agree, each way between two of them through a gate.
+// testGroup is an installation with several controllers that are members of a group. They are counted from 0 here; the
+// group has them under the numbers from 1 on.
 type testGroup struct {
 	*installation
 	members          int
-	sidecarAddresses []string // where they take sidecars
-	groupAddresses   []string // where members and operators reach them
-	gates            map[[2]int]*fakeplatform.Gate
-	stops            []func()
+	sidecarAddresses []string // where members take sidecars
+	groupAddresses   []string // where members and operators reach members
+	gates            map[direction]*fakeplatform.Gate
+	stops            []func() // of the members' programs
+
+	sidecars         []string          // names
 	textOfVersion    map[uint64]string // of each agreed version that any sidecar held
 	newestVersion    map[string]uint64 // by sidecar
-	sidecars         []string
 	proposedVersions int
 }
 
-func newTestGroup(t *testing.T, n int) *testGroup {
-	g := &testGroup{installation: newInstallation(t, "n-1", "n-2", "s-1"), members: n, gates: map[[2]int]*fakeplatform.Gate{}, textOfVersion: map[uint64]string{},
-		newestVersion: map[string]uint64{}, stops: make([]func(), n)}
-	for range n {
-		g.sidecarAddresses, g.groupAddresses = append(g.sidecarAddresses, freeAddress(t)), append(g.groupAddresses, freeAddress(t))
+// direction is the way from one member to another, which a gate can cut.
+type direction struct{ from, to int }
+
+// newTestGroup starts a group.
+func newTestGroup(t *testing.T, members int) *testGroup {
+	t.Helper()
+	g := &testGroup{
+		installation:  newInstallation(t, "n-1", "n-2", "s-1"),
+		members:       members,
+		gates:         map[direction]*fakeplatform.Gate{},
+		stops:         make([]func(), members),
+		textOfVersion: map[uint64]string{},
+		newestVersion: map[string]uint64{},
 	}
-	for a := range n {
-		for b := range n {
-			if a != b {
-				gate, err := fakeplatform.NewGate(g.groupAddresses[b])
-				if err != nil {
-					t.Fatal(err)
-				}
-				t.Cleanup(gate.Close)
-				g.gates[[2]int{a, b}] = gate
+	for range members {
+		g.sidecarAddresses = append(g.sidecarAddresses, freeAddress(t))
+		g.groupAddresses = append(g.groupAddresses, freeAddress(t))
+	}
+	for from := range members {
+		for to := range members {
+			if from != to {
+				g.gates[direction{from, to}] = newGate(t, g.groupAddresses[to])
 			}
 		}
 	}
-	for k := range n {
-		g.configureController(k, g.memberText(k, fmt.Sprintf("data-%d", k+1), false))
-		g.stops[k] = g.start("harehook-xds", fmt.Sprintf("c-%d.kdl", k+1))
+	for member := range members {
+		g.configureController(member, g.memberText(member, fmt.Sprintf("data-%d", member+1), false))
+		g.stops[member] = g.start("harehook-xds", configFile(member))
 	}
 	return g
 }
 
+// newGate returns a gate to an address, which the end of the test closes.
+func newGate(t *testing.T, address string) *fakeplatform.Gate {
+	t.Helper()
+	gate, err := fakeplatform.NewGate(address)
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(gate.Close)
+	return gate
+}
+
+// configFile is the name of a member's configuration.
+func configFile(member int) string { return fmt.Sprintf("c-%d.kdl", member+1) }
+
 // memberText is a controller's part in the group, as it is configured.
 func (g *testGroup) memberText(k int, data string, later bool) string {
 	var text strings.Builder
 	fmt.Fprintf(&text, "group { id %d; listen %q; data %q; ", k+1, g.groupAddresses[k], data)
 	for other := range g.members {
 		address := g.groupAddresses[other]
-		if gate := g.gates[[2]int{k, other}]; gate != nil {
+		if gate := g.gates[direction{k, other}]; gate != nil {
 			address = gate.Address()
 		}
 		fmt.Fprintf(&text, "member %d %q; ", other+1, address)
@@ -72,17 +95,18 @@
 	return text.String() + "}"
 }
 
+// configureController writes the file of a member, with its part in the group.
 func (g *testGroup) configureController(k int, group string) {
-	listen := g.installation.listen
-	g.installation.listen = g.sidecarAddresses[k]
+	listen := g.listen
+	g.listen = g.sidecarAddresses[k]
 	g.configure(group)
-	g.installation.listen = listen
+	g.listen = listen
 	path := filepath.Join(g.folder, "conductor.kdl")
 	text, err := os.ReadFile(path)
 	if err != nil {
 		g.t.Fatal(err)
 	}
-	g.write(fmt.Sprintf("c-%d.kdl", k+1), string(text))
+	g.write(configFile(k), string(text))
 }
 
 // runCtlAt runs harehookctl against one member.
@@ -103,7 +127,7 @@
 	return address
 }
 
-// propose has a version agreed that is told by its prefix, and gives that.
+// propose proposes a version that is known by its prefix at a member.
 func (g *testGroup) propose(k int) (prefix, out string, code int) {
 	g.proposedVersions++
 	prefix = fmt.Sprintf("/v%d", g.proposedVersions)
@@ -116,7 +140,7 @@
 	return prefix, out, code
 }
 
-// agree proposes until it is agreed; it gives how long that took.
+// agree proposes versions until one is agreed. It returns that one's prefix, and how long it took.
 func (g *testGroup) agree(k int) (prefix string, took time.Duration) {
 	g.t.Helper()
 	began := time.Now()
@@ -131,7 +155,8 @@
 	}
 }
 
-// checkSidecars reads what the sidecars hold and checks it: one text a version over all of them, and none goes back.
+// checkSidecars reads what the sidecars hold and checks it: a version has one text at all of them, and none goes back to an
+// older one.
 func (g *testGroup) checkSidecars() {
 	g.t.Helper()
 	for _, name := range g.sidecars {
@@ -159,10 +184,10 @@
 	}
 }
 
-// cut has a member reach no other, and none it, or lets it again.
+// cut cuts a member off from all others, or ends that.
 func (g *testGroup) cut(k int, yes bool) {
-	for pair, gate := range g.gates {
-		if pair[0] == k || pair[1] == k {
+	for way, gate := range g.gates {
+		if way.from == k || way.to == k {
 			gate.Cut(yes)
 		}
 	}
@@ -183,6 +208,7 @@
 	return out
 }
 
+// leader waits until a member that leads says so, and returns it.
 func (g *testGroup) leader() int {
 	g.t.Helper()
 	lead := -1
@@ -202,6 +228,7 @@
 	return lead
 }
 
+// holdsPrefix tells, when it is called, whether a sidecar has the agreed version with a prefix.
 func (g *testGroup) holdsPrefix(address, prefix string) func() bool {
 	return func() bool {
 		g.checkSidecars()
