--- a/internal/daemon/follower_test.go
+++ b/internal/daemon/follower_test.go
@@ -35,7 +35,7 @@
 	server  *grpc.Server
 	secure  *tls.Config // nil: plain
 
-	mutex    sync.Mutex
+	mutex    sync.Mutex // guards all below
 	revision uint64
 	routing  uint64 // of all scopes: the followers of these tests have one
 	held     map[records.Key]*records.Record
@@ -137,8 +137,8 @@
 	return map[records.Key]any{{Kind: records.KindOverride, Name: node}: records.OverrideSpec{State: state}}
 }
 
-// A controller that follows goes by its own file until something was agreed on, then by that; it refuses what it can't
-// use, and says so when it is stale.
+// A controller that follows goes by its own file until something was agreed on, then by that. It has to reject what it can't
+// use and go on with what it has, and to say so when it is stale.
 func TestFollowerGoesByWhatWasAgreed(t *testing.T) {
 	in := newInstallation(t, "n-1", "n-2", "s-1")
 	m := newTestMember(t, nil)
@@ -209,8 +209,8 @@
 	return holder.Agreed()
 }
 
-// Routes go to sidecars under the revision at which one of them last changed: two controllers that have heard of different
-// revisions since tell the same number, and a sidecar refuses neither.
+// Sidecars refuse routes of a lower version than they hold, also from another controller. Two controllers that have received
+// different revisions since must have the same version for the same routes: the revision at which one of them last changed.
 func TestFollowersNumberRoutesAlike(t *testing.T) {
 	in := newInstallation(t, "n-1", "n-2")
 	m := newTestMember(t, nil)
@@ -237,7 +237,7 @@
 	}
 }
 
-// Sidecars are told of revisions that change routes, and of no others.
+// Most revisions change nothing that sidecars need. These must get revisions that change routes, and no others.
 func TestFollowerSendsSidecarsOnlyWhatDiffers(t *testing.T) {
 	in := newInstallation(t, "n-1", "n-2")
 	m := newTestMember(t, nil)
@@ -262,7 +262,7 @@
 	}
 }
 
-// Followers and members show each other certificates of the installation's roots; one without is not served.
+// Followers and members show each other certificates of the installation's roots. One without must not be served.
 func TestFollowersNeedCertificatesOfTheRoots(t *testing.T) {
 	in := newInstallation(t, "n-1", "n-2")
 	authority := fakeplatform.NewAuthority(t)
--- a/internal/testbed/fleet_test.go
+++ b/internal/testbed/fleet_test.go
@@ -28,11 +28,11 @@
 	os.Exit(m.Run())
 }
 
-// patience is for a machine that is busy.
-const patience = 2 * time.Minute
+// testTimeout is for what takes seconds on an idle machine.
+const testTimeout = 2 * time.Minute
 
-// labCommand prepares harehook-testbed with its temporary files in a folder of the test.
-func labCommand(t *testing.T, arguments ...string) (command *exec.Cmd, folder string) {
+// testbedCommand prepares harehook-testbed with its temporary files in a folder of the test.
+func testbedCommand(t *testing.T, arguments ...string) (command *exec.Cmd, folder string) {
 	t.Helper()
 	program, err := os.Executable()
 	if err != nil {
@@ -51,9 +51,10 @@
 	return append(strings.Fields(flags), further...)
 }
 
-func TestFleetAsProcesses(t *testing.T) {
+// Members and controllers are processes of the program; its JSON is one object, and nothing is left behind.
+func TestFleetRunsAsProcesses(t *testing.T) {
 	t.Parallel()
-	command, folder := labCommand(t, smallFleet("--json")...)
+	command, folder := testbedCommand(t, smallFleet("--json")...)
 	var out, progress bytes.Buffer
 	command.Stdout, command.Stderr = &out, &progress
 	if err := command.Run(); err != nil {
@@ -79,13 +80,13 @@
 	if len(report.Broken) != 0 {
 		t.Errorf("broken: %q", report.Broken)
 	}
-	wantNothingLeft(t, folder)
+	checkNothingLeft(t, folder)
 }
 
-// Members that are killed are processes that get SIGKILL here, the leader among them.
-func TestFleetWhoseMembersAreKilled(t *testing.T) {
+// Members are killed (SIGKILL), the leader among them, while changes are played. All bounds have to hold nevertheless.
+func TestFleetKeepsItsBoundsWhileMembersAreKilled(t *testing.T) {
 	t.Parallel()
-	command, folder := labCommand(t, smallFleet("--seconds", "6", "--faults", "member-killed,reconnect", "--json")...)
+	command, folder := testbedCommand(t, smallFleet("--seconds", "6", "--faults", "member-killed,reconnect", "--json")...)
 	var out, progress bytes.Buffer
 	command.Stdout, command.Stderr = &out, &progress
 	if err := command.Run(); err != nil {
@@ -96,14 +97,15 @@
 		t.Fatal(err)
 	}
 	if m := report.Measured; m.Changes != 60 || m.Affected[loadtest.FaultMemberKilled] == 0 || len(report.Broken) != 0 {
-		t.Errorf("%d changes, concerned %v, broken %q", m.Changes, m.Affected, report.Broken)
+		t.Errorf("%d changes, affected %v, broken %q", m.Changes, m.Affected, report.Broken)
 	}
-	wantNothingLeft(t, folder)
+	checkNothingLeft(t, folder)
 }
 
+// A bound breaks: the program has to end with 1 and name it, so that a script notices.
 func TestFleetNamesTheBoundThatBroke(t *testing.T) {
 	t.Parallel()
-	command, _ := labCommand(t, smallFleet("--bound-bytes-beside", "1")...)
+	command, _ := testbedCommand(t, smallFleet("--bound-bytes-beside", "1")...)
 	output, err := command.CombinedOutput()
 	var exit *exec.ExitError
 	if !errors.As(err, &exit) || exit.ExitCode() != 1 {
@@ -114,13 +116,14 @@
 	}
 }
 
-// All processes and folders go with a fleet that is interrupted or killed.
-func TestFleetThatIsEnded(t *testing.T) {
+// A fleet is interrupted or killed while it runs. Processes that are left behind would load the machine until somebody
+// notices: all have to end with it, and where it can clean up, its folder has to be gone as well.
+func TestNothingIsLeftOfAFleetThatIsEnded(t *testing.T) {
 	t.Parallel()
 	for _, signal := range []syscall.Signal{syscall.SIGINT, syscall.SIGTERM, syscall.SIGKILL} {
 		t.Run(signal.String(), func(t *testing.T) {
 			t.Parallel()
-			command, folder := labCommand(t, smallFleet("--seconds", "600")...)
+			command, folder := testbedCommand(t, smallFleet("--seconds", "600")...)
 			progress, err := command.StderrPipe()
 			if err != nil {
 				t.Fatal(err)
@@ -128,27 +131,27 @@
 			if err := command.Start(); err != nil {
 				t.Fatal(err)
 			}
-			untilPlayed(t, progress)
-			workers := children(t, command.Process.Pid)
+			waitUntilInStep(t, progress)
+			workers := childProcesses(t, command.Process.Pid)
 			if len(workers) != 5 {
-				t.Errorf("%d workers, want three members and two of conductors", len(workers))
+				t.Errorf("%d workers, want three members and two of controllers", len(workers))
 			}
 			if err := command.Process.Signal(signal); err != nil {
 				t.Fatal(err)
 			}
 			command.Wait()
 			for _, worker := range workers {
-				untilEnded(t, worker)
+				waitUntilEnded(t, worker)
 			}
 			if signal != syscall.SIGKILL {
-				wantNothingLeft(t, folder)
+				checkNothingLeft(t, folder)
 			}
 		})
 	}
 }
 
-// untilPlayed waits until a fleet says that its controllers are in step, and reads on.
-func untilPlayed(t *testing.T, progress io.Reader) {
+// waitUntilInStep waits until a fleet says that its controllers are in step, and reads on.
+func waitUntilInStep(t *testing.T, progress io.Reader) {
 	t.Helper()
 	played := make(chan struct{})
 	go func() {
@@ -166,13 +169,13 @@
 	}()
 	select {
 	case <-played:
-	case <-time.After(patience):
-		t.Fatal("the conductors are not in step")
+	case <-time.After(testTimeout):
+		t.Fatal("the controllers are not in step")
 	}
 }
 
-// children lists the processes that one has started.
-func children(t *testing.T, pid int) (pids []string) {
+// childProcesses lists the processes that one has started.
+func childProcesses(t *testing.T, pid int) (pids []string) {
 	t.Helper()
 	paths, err := filepath.Glob(fmt.Sprintf("/proc/%d/task/*/children", pid))
 	if err != nil {
@@ -188,10 +191,10 @@
 	return pids
 }
 
-// untilEnded waits until a process runs no more; one that nobody waits for may be left as a zombie.
-func untilEnded(t *testing.T, pid string) {
+// waitUntilEnded waits until a process runs no more; one that nobody waits for may be left as a zombie.
+func waitUntilEnded(t *testing.T, pid string) {
 	t.Helper()
-	deadline := time.Now().Add(patience)
+	deadline := time.Now().Add(testTimeout)
 	for time.Now().Before(deadline) {
 		status, err := os.ReadFile("/proc/" + pid + "/status")
 		if err != nil || bytes.Contains(status, []byte("State:\tZ")) {
@@ -199,10 +202,11 @@
 		}
 		time.Sleep(20 * time.Millisecond)
 	}
-	t.Errorf("process %s goes on", pid)
+	t.Errorf("process %s still runs", pid)
 }
 
-func wantNothingLeft(t *testing.T, folder string) {
+// checkNothingLeft checks that a temporary folder is empty.
+func checkNothingLeft(t *testing.T, folder string) {
 	t.Helper()
 	left, err := os.ReadDir(folder)
 	if err != nil || len(left) > 0 {
