--- a/scaling/agreed.go
+++ b/scaling/agreed.go
@@ -33,8 +33,15 @@
 
 // agreedCommand proposes a text over the version in force.
 func agreedCommand(state *cluster.State, seq uint64, text string) ([]byte, error) {
-	return json.Marshal(cluster.Command{Kind: cluster.CommandPut, Client: operatorClient, Seq: seq, Base: state.Latest().Number, Text: text,
-		By: operatorClient, Why: "one route's limit changes"})
+	return json.Marshal(cluster.Command{
+		Kind:   cluster.CommandPut,
+		Client: operatorClient,
+		Seq:    seq,
+		Base:   state.Latest().Number,
+		Text:   text,
+		By:     operatorClient,
+		Why:    "one route's limit changes",
+	})
 }
 
 // agreedTexts are two texts that differ in one route.
@@ -61,7 +68,8 @@
 
 // agreedState is a state with so many versions of a text.
 func agreedState(routes int) (*cluster.State, error) {
-	state, texts := cluster.NewState(config.TextFormat{}), agreedTexts(routes)
+	state := cluster.NewState(config.TextFormat{})
+	texts := agreedTexts(routes)
 	for index := range uint64(historyVersions) {
 		if _, err := agreedChange(state, texts, index+1); err != nil {
 			return nil, err
@@ -70,7 +78,7 @@
 	return state, nil
 }
 
-// agreedRejected says why a text of so many routes is refused, nil if it is not.
+// agreedRejected returns why a text of so many routes is rejected, nil if it is not.
 func agreedRejected(routes int) error {
 	return cluster.NewState(config.TextFormat{}).Validate(cluster.Command{Kind: cluster.CommandPut, Client: operatorClient, Text: agreedText(routes, 0)})
 }
@@ -93,7 +101,8 @@
 		return s, err
 	}
 	s.Values[Stored] = float64(len(snapshot))
-	texts, index := agreedTexts(routes), uint64(historyVersions)
+	texts := agreedTexts(routes)
+	index := uint64(historyVersions)
 	return s, repeat(&s, effort, func() error {
 		index++
 		entry, err := agreedChange(state, texts, index)
@@ -104,16 +113,17 @@
 
 // MaxAgreedRoutes is the largest number of routes of this form that one agreed text can hold.
 func MaxAgreedRoutes() int {
-	least, most := 1, 2*OperatorsRoutes
-	for least+1 < most {
-		middle := (least + most) / 2
+	accepted := 1
+	rejected := 2 * OperatorsRoutes
+	for accepted+1 < rejected {
+		middle := (accepted + rejected) / 2
 		if agreedRejected(middle) == nil {
-			least = middle
+			accepted = middle
 		} else {
-			most = middle
+			rejected = middle
 		}
 	}
-	return least
+	return accepted
 }
 
 func agreedSlopes() []Slope {
--- a/scaling/follow.go
+++ b/scaling/follow.go
@@ -45,7 +45,7 @@
 	return records.Scope{Services: []string{serviceName(service)}, Zones: []string{"zone-0"}}
 }
 
-// followedMember is a member with followers, without sockets, on a clock of its own that stands still.
+// followedMember is a member with followers, without sockets, on a virtual clock that stands still.
 type followedMember struct {
 	*changingStore
 	server    *configsync.Server
@@ -68,7 +68,9 @@
 		return nil, err
 	}
 	limits := configsync.DefaultLimits
-	limits.MaxStreams, limits.FullScopeBytesPerSecond, limits.FullScopeBurstBytes = followers, unlimitedFullScopeBytes, unlimitedFullScopeBytes
+	limits.MaxStreams = followers
+	limits.FullScopeBytesPerSecond = unlimitedFullScopeBytes
+	limits.FullScopeBurstBytes = unlimitedFullScopeBytes
 	f := &followedMember{changingStore: source, now: time.Unix(1e9, 0), scope: scope}
 	f.server = configsync.NewServer("member", source.store, limits, f.now)
 	for n := range followers {
@@ -85,7 +87,7 @@
 	return f, f.settle(&followCost{})
 }
 
-// settle carries responses and answers until no follower is to be told anything.
+// settle carries responses and answers until the member has nothing to send.
 func (f *followedMember) settle(cost *followCost) error {
 	for {
 		pending, err := f.send(cost)
@@ -107,9 +109,10 @@
 	}
 }
 
-// send takes the next message for each follower, nil if there is none for any.
+// send returns the next message for each follower, nil for those without one; all of it is nil if there is none.
 func (f *followedMember) send(cost *followCost) ([]*discoveryv3.DeltaDiscoveryResponse, error) {
-	pending, some := make([]*discoveryv3.DeltaDiscoveryResponse, len(f.streams)), false
+	pending := make([]*discoveryv3.DeltaDiscoveryResponse, len(f.streams))
+	isSending := false
 	cost.member.start()
 	defer cost.member.stop()
 	for n, stream := range f.streams {
@@ -124,11 +127,12 @@
 		if err != nil {
 			return nil, err
 		}
-		pending[n], some = response, true
+		pending[n] = response
+		isSending = true
 		cost.bytes += len(body)
 		cost.messages++
 	}
-	if !some {
+	if !isSending {
 		return nil, nil
 	}
 	return pending, nil
@@ -191,7 +195,8 @@
 	}
 	notifications := commits * len(f.followers)
 	cost.member.recordPerOperation(s, notifications)
-	s.Values[Wire], s.Values[Messages] = float64(cost.bytes)/float64(notifications), float64(cost.messages)/float64(notifications)
+	s.Values[Wire] = float64(cost.bytes) / float64(notifications)
+	s.Values[Messages] = float64(cost.messages) / float64(notifications)
 	return nil
 }
 
--- a/scaling/log.go
+++ b/scaling/log.go
@@ -32,7 +32,8 @@
 		return s, err
 	}
 	defer log.Close()
-	data, index := []byte(strings.Repeat("x", size)), uint64(0)
+	data := []byte(strings.Repeat("x", size))
+	index := uint64(0)
 	save := func() error {
 		index++
 		term, vote, commit := uint64(1), uint64(1), index-1
--- a/scaling/plantedfaults_test.go
+++ b/scaling/plantedfaults_test.go
@@ -4,8 +4,6 @@
 	"errors"
 	"testing"
 
-	discoveryv3 "github.com/envoyproxy/go-control-plane/envoy/service/discovery/v3"
-
 	"harehook.dev/harehook/cluster"
 	"harehook.dev/harehook/controller"
 	"harehook.dev/harehook/platform/wire"
@@ -63,13 +61,13 @@
 	}
 	var cost pushCost
 	var orders []controller.Command
-	for k, holder := range p.caches {
-		holder.Clear()
-		p.server.Close(0, uint64(k+1))
-		if err := p.server.Open(0, uint64(k+1), true, holder.ID, holder.Zone); err != nil {
+	for k, cache := range p.caches {
+		cache.Clear()
+		p.server.Close(0, streamOf(k))
+		if err := p.server.Open(0, streamOf(k), true, cache.ID, cache.Zone); err != nil {
 			return s, err
 		}
-		if err := handleRequests(p, k, holder.BeginDelta()); err != nil {
+		if err := p.handleRequests(streamOf(k), cache.BeginDelta()); err != nil {
 			return s, err
 		}
 		orders = append(orders, controller.Command{Kind: controller.BindProxy, Proxy: k})
@@ -81,20 +79,11 @@
 		return s, err
 	}
 	cost.server.recordPerOperation(&s, size)
-	s.Values[Wire], s.Values[Messages] = float64(cost.bytes)/float64(size), float64(cost.messages)/float64(size)
+	s.Values[Wire] = float64(cost.bytes) / float64(size)
+	s.Values[Messages] = float64(cost.messages) / float64(size)
 	return s, nil
 }
 
-// handleRequests has the server handle what a sidecar sends.
-func handleRequests(p *pushServer, sidecar int, requests []*discoveryv3.DeltaDiscoveryRequest) error {
-	for _, request := range requests {
-		if err := p.server.HandleDelta(0, uint64(sidecar+1), request); err != nil {
-			return err
-		}
-	}
-	return nil
-}
-
 // textTwice has an entry carry its text twice.
 func textTwice(size int) (Sample, error) {
 	s, err := agreedSample(size, Brief)
@@ -156,13 +145,15 @@
 	if err != nil {
 		return s, err
 	}
-	g.messages, g.bytes = 0, 0
+	g.messages = 0
+	g.bytes = 0
 	for range ticksPerSecond {
 		if err := g.tick(); err != nil {
 			return s, err
 		}
 	}
-	s.Values[Messages], s.Values[Wire] = float64(g.messages), float64(g.bytes)
+	s.Values[Messages] = float64(g.messages)
+	s.Values[Wire] = float64(g.bytes)
 	return s, nil
 }
 
--- a/scaling/race_test.go
+++ b/scaling/race_test.go
@@ -4,4 +4,4 @@
 
 // Under the race detector pools forget what they hold at random, and memory has shadows: allocations and memory that
 // stays are not the program's then.
-const raced = true
+const underRace = true
--- a/scaling/record.go
+++ b/scaling/record.go
@@ -33,9 +33,13 @@
 
 // newRecordState loads so many tenants with the routes and services that go with them, by transactions.
 func newRecordState(tenants int) (*recordState, error) {
-	part := float64(tenants) / OperatorsTenants
-	r := &recordState{state: cluster.NewState(config.TextFormat{}), tenants: tenants,
-		services: max(minServices, int(math.Round(part*OperatorsServices))), routes: max(1, int(math.Round(part*OperatorsRoutes)))}
+	fraction := float64(tenants) / OperatorsTenants
+	r := &recordState{
+		state:    cluster.NewState(config.TextFormat{}),
+		services: max(minServices, int(math.Round(fraction*OperatorsServices))),
+		routes:   max(1, int(math.Round(fraction*OperatorsRoutes))),
+		tenants:  tenants,
+	}
 	var writes []records.Write
 	for n := range r.services {
 		writes = append(writes, newWrite(records.KindService, serviceName(n), records.ServiceSpec{Zones: []string{fmt.Sprint("zone-", n%OperatorsZones)}}))
@@ -152,7 +156,8 @@
 		return s, err
 	}
 	count := float64(r.services + r.routes + r.tenants)
-	s.Values[Heap], s.Values[Stored] = heap/count, float64(len(snapshot))/count
+	s.Values[Heap] = heap / count
+	s.Values[Stored] = float64(len(snapshot)) / count
 	return s, nil
 }
 
--- a/scaling/socket.go
+++ b/scaling/socket.go
@@ -12,7 +12,7 @@
 
 	"harehook.dev/harehook/cluster"
 	"harehook.dev/harehook/configsync"
-	frontfollow "harehook.dev/harehook/configsync/transport"
+	"harehook.dev/harehook/configsync/transport"
 	"harehook.dev/harehook/records"
 )
 
@@ -30,8 +30,8 @@
 // socketMember is a member's service on loopback with followers, each a real client with its own connection.
 type socketMember struct {
 	*changingStore
-	service     *frontfollow.Service
-	clients     []*frontfollow.Client
+	service     *transport.Service
+	clients     []*transport.Client
 	stopAndWait func()
 }
 
@@ -45,14 +45,21 @@
 		return nil, err
 	}
 	limits := configsync.DefaultLimits
-	limits.Lease, limits.MaxStreams, limits.FullScopeBytesPerSecond, limits.FullScopeBurstBytes = lease, followers, unlimitedFullScopeBytes, unlimitedFullScopeBytes
-	m := &socketMember{changingStore: source, service: frontfollow.NewService("member", source.store, limits, zap.NewNop())}
+	limits.Lease = lease
+	limits.MaxStreams = followers
+	limits.FullScopeBytesPerSecond = unlimitedFullScopeBytes
+	limits.FullScopeBurstBytes = unlimitedFullScopeBytes
+	m := &socketMember{changingStore: source, service: transport.NewService("member", source.store, limits, zap.NewNop())}
 	server := cluster.NewServer(nil)
 	m.service.Register(server)
 	ctx, stop := context.WithCancel(context.Background())
-	var parts sync.WaitGroup
-	parts.Go(func() { server.Serve(listener) })
-	m.stopAndWait = func() { stop(); server.Stop(); parts.Wait() }
+	var tasks sync.WaitGroup
+	tasks.Go(func() { server.Serve(listener) })
+	m.stopAndWait = func() {
+		stop()
+		server.Stop()
+		tasks.Wait()
+	}
 	for n := range followers {
 		client, err := newSocketClient(n, listener.Addr().String(), lease)
 		if err != nil {
@@ -60,7 +67,7 @@
 			return nil, err
 		}
 		m.clients = append(m.clients, client)
-		parts.Go(func() { client.Run(ctx) })
+		tasks.Go(func() { client.Run(ctx) })
 	}
 	if err := m.waitInStep(); err != nil {
 		m.stopAndWait()
@@ -70,9 +77,14 @@
 }
 
 // newSocketClient is a follower of the changed service.
-func newSocketClient(n int, member string, lease time.Duration) (*frontfollow.Client, error) {
-	return frontfollow.NewClient(frontfollow.Config{Name: fmt.Sprint("conductor-", n), Scope: scopeOf(changedService),
-		Members: []string{member}, Lease: lease, Seed: uint64(n + 1)})
+func newSocketClient(n int, member string, lease time.Duration) (*transport.Client, error) {
+	return transport.NewClient(transport.Config{
+		Name:    fmt.Sprint("conductor-", n),
+		Scope:   scopeOf(changedService),
+		Members: []string{member},
+		Lease:   lease,
+		Seed:    uint64(n + 1),
+	})
 }
 
 // waitInStep waits until the member knows that all followers have accepted its revision.
--- a/scaling/xdspush.go
+++ b/scaling/xdspush.go
@@ -24,30 +24,47 @@
 	response *discoveryv3.DeltaDiscoveryResponse
 }
 
-// pushServer is an xDS server with delta sidecars that hold everything; streams are numbered from 1 as sidecars are from 0.
+// pushServer is an xDS server with delta sidecars that hold everything. Sidecars are numbered from 0, and their streams from
+// 1 in the same order. It implements the server's callbacks.
 type pushServer struct {
 	server  *xds.Server
-	caches  []*sidecar.ResourceCache
+	caches  []*sidecar.ResourceCache // by sidecar
 	pending []pendingResponse
 	nodes   int
 	changes int
-	failure error
+	failure error // of a sidecar that rejected something, or lost its stream
 }
 
+// Send is for sidecars of the other variant, of which there are none.
 func (p *pushServer) Send(uint64, *discoveryv3.DiscoveryResponse) {}
-func (p *pushServer) SendDelta(stream uint64, r *discoveryv3.DeltaDiscoveryResponse) {
-	p.pending = append(p.pending, pendingResponse{stream, r})
+
+// SendDelta puts a response on its way.
+func (p *pushServer) SendDelta(stream uint64, response *discoveryv3.DeltaDiscoveryResponse) {
+	p.pending = append(p.pending, pendingResponse{stream: stream, response: response})
 }
+
+// CloseStream notes a failure.
 func (p *pushServer) CloseStream(stream uint64, why string) {
 	p.failure = fmt.Errorf("stream %d ended: %s", stream, why)
 }
-func (p *pushServer) Joined(int, string)    {}
-func (p *pushServer) Left(int)              {}
+
+// Joined is not needed here.
+func (p *pushServer) Joined(int, string) {}
+
+// Left is not needed here.
+func (p *pushServer) Left(int) {}
+
+// Acknowledged is not needed here.
 func (p *pushServer) Acknowledged(int, int) {}
+
+// Rejected notes a failure.
 func (p *pushServer) Rejected(id string, kind xds.Kind, why string) {
-	p.failure = fmt.Errorf("%s refused %s: %s", id, kind, why)
+	p.failure = fmt.Errorf("%s rejected %s: %s", id, kind, why)
 }
 
+// streamOf is the stream of a sidecar.
+func streamOf(sidecar int) uint64 { return uint64(sidecar + 1) }
+
 func nodeName(n int) string { return fmt.Sprintf("node-%05d", n) }
 
 func nodeAddress(n int) xds.Address {
@@ -56,40 +73,58 @@
 
 func pushRoutes(n int) (routes []xds.Route) {
 	for r := range n {
-		routes = append(routes, xds.Route{Name: fmt.Sprintf("r%04d", r), Prefix: fmt.Sprintf("/service-%03d/r%04d", r%570, r), TimeLimit: 2 * time.Second})
+		routes = append(routes, xds.Route{
+			Name:      fmt.Sprintf("r%04d", r),
+			Prefix:    fmt.Sprintf("/service-%03d/r%04d", r%OperatorsServices, r),
+			TimeLimit: 2 * time.Second,
+		})
 	}
 	return routes
 }
 
-// newPushServer has all sidecars joined and bound to one table of all nodes, and in step.
+// newPushServer has all sidecars joined, bound to one table of all nodes, and in step.
 func newPushServer(sidecars, nodes, routes int) (*pushServer, error) {
 	p := &pushServer{nodes: nodes}
 	compiler := xds.NewCompiler(pushRoutes(routes), time.Second)
 	p.server = xds.NewServer(compiler, p, sidecars)
-	var batch []controller.Command
+	var commands []controller.Command
 	for n := range nodes {
 		compiler.SetAddress(nodeName(n), fmt.Sprint("zone-", n%OperatorsZones), nodeAddress(n))
-		batch = append(batch, controller.Command{Kind: controller.SetWeight, Node: nodeName(n), Value: 1})
+		commands = append(commands, controller.Command{Kind: controller.SetWeight, Node: nodeName(n), Value: 1})
 	}
-	for k := range sidecars {
-		holder := &sidecar.ResourceCache{ID: fmt.Sprint("sidecar-", k), Zone: "zone-0", Delta: true}
-		p.caches = append(p.caches, holder)
-		if err := p.server.Open(0, uint64(k+1), true, holder.ID, holder.Zone); err != nil {
-			return nil, err
-		}
-		for _, request := range holder.BeginDelta() {
-			if err := p.server.HandleDelta(0, uint64(k+1), request); err != nil {
-				return nil, err
-			}
+	for index := range sidecars {
+		if err := p.join(index); err != nil {
+			return nil, fmt.Errorf("sidecar %d: %w", index, err)
 		}
-		batch = append(batch, controller.Command{Kind: controller.BindProxy, Proxy: k})
+		commands = append(commands, controller.Command{Kind: controller.BindProxy, Proxy: index})
 	}
-	if err := p.server.ApplyCommands(0, append(batch, controller.Command{Kind: controller.RequestAck, Nonce: 1})); err != nil {
+	commands = append(commands, controller.Command{Kind: controller.RequestAck, Nonce: 1})
+	if err := p.server.ApplyCommands(0, commands); err != nil {
 		return nil, err
 	}
 	return p, p.settle(&pushCost{})
 }
 
+// join opens the stream of a sidecar.
+func (p *pushServer) join(index int) error {
+	cache := &sidecar.ResourceCache{ID: fmt.Sprint("sidecar-", index), Zone: "zone-0", Delta: true}
+	p.caches = append(p.caches, cache)
+	if err := p.server.Open(0, streamOf(index), true, cache.ID, cache.Zone); err != nil {
+		return err
+	}
+	return p.handleRequests(streamOf(index), cache.BeginDelta())
+}
+
+// handleRequests has the server handle what a sidecar sends.
+func (p *pushServer) handleRequests(stream uint64, requests []*discoveryv3.DeltaDiscoveryRequest) error {
+	for _, request := range requests {
+		if err := p.server.HandleDelta(0, stream, request); err != nil {
+			return err
+		}
+	}
+	return nil
+}
+
 // pushCost is what pushes cost: the server's side with the bytes of its responses written, and the sidecars' side.
 type pushCost struct {
 	server, sidecars meter
@@ -116,45 +151,62 @@
 func (p *pushServer) exchange(cost *pushCost) error {
 	arrived := p.pending
 	p.pending = nil
-	answers := make([][]*discoveryv3.DeltaDiscoveryRequest, len(arrived))
+	if err := cost.writeResponses(arrived); err != nil {
+		return err
+	}
+	answers, err := p.handleResponses(cost, arrived)
+	if err != nil {
+		return err
+	}
 	cost.server.start()
-	for _, one := range arrived {
-		body, err := proto.Marshal(one.response)
-		if err != nil {
+	defer cost.server.stop()
+	for index, pending := range arrived {
+		if err := p.handleRequests(pending.stream, answers[index]); err != nil {
 			return err
 		}
-		cost.bytes += len(body)
-		cost.messages++
 	}
-	cost.server.stop()
-	cost.sidecars.start()
-	for k, one := range arrived {
-		out, err := p.caches[one.stream-1].HandleDelta(one.response)
+	return nil
+}
+
+// writeResponses meters the encoding of responses.
+func (c *pushCost) writeResponses(responses []pendingResponse) error {
+	c.server.start()
+	defer c.server.stop()
+	for _, pending := range responses {
+		body, err := proto.Marshal(pending.response)
 		if err != nil {
 			return err
 		}
-		answers[k] = out
+		c.bytes += len(body)
+		c.messages++
 	}
-	cost.sidecars.stop()
-	cost.server.start()
-	for k, one := range arrived {
-		for _, request := range answers[k] {
-			if err := p.server.HandleDelta(0, one.stream, request); err != nil {
-				return err
-			}
+	return nil
+}
+
+// handleResponses meters the sidecars, and returns their answers by response.
+func (p *pushServer) handleResponses(cost *pushCost, arrived []pendingResponse) ([][]*discoveryv3.DeltaDiscoveryRequest, error) {
+	answers := make([][]*discoveryv3.DeltaDiscoveryRequest, len(arrived))
+	cost.sidecars.start()
+	defer cost.sidecars.stop()
+	for index, pending := range arrived {
+		requests, err := p.caches[pending.stream-1].HandleDelta(pending.response)
+		if err != nil {
+			return nil, err
 		}
+		answers[index] = requests
 	}
-	cost.server.stop()
-	return nil
+	return answers, nil
 }
 
 // change sets one node's weight and has all sidecars accept it.
 func (p *pushServer) change(cost *pushCost) error {
 	p.changes++
-	order := []controller.Command{{Kind: controller.SetWeight, Table: 0, Node: nodeName(p.nodes / 2), Value: 1 + float64(p.changes%2)},
-		{Kind: controller.RequestAck, Nonce: 1 + p.changes%maxNonce}}
+	commands := []controller.Command{
+		{Kind: controller.SetWeight, Table: 0, Node: nodeName(p.nodes / 2), Value: 1 + float64(p.changes%2)},
+		{Kind: controller.RequestAck, Nonce: 1 + p.changes%maxNonce},
+	}
 	cost.server.start()
-	err := p.server.ApplyCommands(0, order)
+	err := p.server.ApplyCommands(0, commands)
 	cost.server.stop()
 	if err != nil {
 		return err
