--- /dev/null
+++ b/internal/daemon/testgroup_test.go
@@ -0,0 +1,238 @@
+package daemon
+
+import (
+	"fmt"
+	"net/http"
+	"os"
+	"path/filepath"
+	"strings"
+	"testing"
+	"time"
+
+	"harehook.dev/harehook/internal/fakeplatform"
+	"harehook.dev/harehook/sidecar"
+)
+
+// maxRecovery is the time within which a group has a leader again and takes proposals, as docs/raft.md states it.
+const maxRecovery = 5 * time.Second
+
+// testGroup is an installation with several controllers that are members of a group. They are counted from 0 here; the
+// group has them under the numbers from 1 on.
+type testGroup struct {
+	*installation
+	members          int
+	sidecarAddresses []string // where members take sidecars
+	groupAddresses   []string // where members and operators reach members
+	gates            map[direction]*fakeplatform.Forwarder
+	stops            []func() // of the members' programs
+
+	sidecars         []string          // names
+	textOfVersion    map[uint64]string // of each agreed version that any sidecar held
+	newestVersion    map[string]uint64 // by sidecar
+	proposedVersions int
+}
+
+// direction is the way from one member to another, which a gate can cut.
+type direction struct{ from, to int }
+
+// newTestGroup starts a group.
+func newTestGroup(t *testing.T, members int) *testGroup {
+	t.Helper()
+	g := &testGroup{
+		installation:  newInstallation(t, "n-1", "n-2", "s-1"),
+		members:       members,
+		gates:         map[direction]*fakeplatform.Forwarder{},
+		stops:         make([]func(), members),
+		textOfVersion: map[uint64]string{},
+		newestVersion: map[string]uint64{},
+	}
+	for range members {
+		g.sidecarAddresses = append(g.sidecarAddresses, freeAddress(t))
+		g.groupAddresses = append(g.groupAddresses, freeAddress(t))
+	}
+	for from := range members {
+		for to := range members {
+			if from != to {
+				g.gates[direction{from, to}] = newGate(t, g.groupAddresses[to])
+			}
+		}
+	}
+	for member := range members {
+		g.configureController(member, g.memberText(member, fmt.Sprintf("data-%d", member+1), false))
+		g.stops[member] = g.start("harehook-xds", configFile(member))
+	}
+	return g
+}
+
+// newGate returns a gate to an address, which the end of the test closes.
+func newGate(t *testing.T, address string) *fakeplatform.Forwarder {
+	t.Helper()
+	gate, err := fakeplatform.NewForwarder(address)
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(gate.Close)
+	return gate
+}
+
+// configFile is the name of a member's configuration.
+func configFile(member int) string { return fmt.Sprintf("c-%d.kdl", member+1) }
+
+// memberText is a controller's part in the group, as it is configured.
+func (g *testGroup) memberText(k int, data string, later bool) string {
+	var text strings.Builder
+	fmt.Fprintf(&text, "group { id %d; listen %q; data %q; ", k+1, g.groupAddresses[k], data)
+	for other := range g.members {
+		address := g.groupAddresses[other]
+		if gate := g.gates[direction{k, other}]; gate != nil {
+			address = gate.Address()
+		}
+		fmt.Fprintf(&text, "member %d %q; ", other+1, address)
+	}
+	if later {
+		text.WriteString("added-later; ")
+	}
+	return text.String() + "}"
+}
+
+// configureController writes the file of a member, with its part in the group.
+func (g *testGroup) configureController(k int, group string) {
+	listen := g.listen
+	g.listen = g.sidecarAddresses[k]
+	g.configure(group)
+	g.listen = listen
+	path := filepath.Join(g.folder, "conductor.kdl")
+	text, err := os.ReadFile(path)
+	if err != nil {
+		g.t.Fatal(err)
+	}
+	g.write(configFile(k), string(text))
+}
+
+// runCtlAt runs harehookctl against one member.
+func (g *testGroup) runCtlAt(k int, args ...string) (string, int) {
+	return g.runCtl(append([]string{"--conductor", g.groupAddresses[k]}, args...)...)
+}
+
+// startGroupSidecar starts a sidecar that asks the controllers in an order of its own.
+func (g *testGroup) startGroupSidecar(name string, conductors ...int) string {
+	address := freeAddress(g.t)
+	var asks strings.Builder
+	for _, k := range conductors {
+		fmt.Fprintf(&asks, "conductor %q; ", g.sidecarAddresses[k])
+	}
+	g.write(name+".kdl", fmt.Sprintf("sidecar %q { zone \"north\"; listen %q; %s keep %q; }\n", name, address, asks.String(), name+".held"))
+	g.start("harehook-sidecar", name+".kdl")
+	g.sidecars = append(g.sidecars, name)
+	return address
+}
+
+// propose proposes a version that is known by its prefix at a member.
+func (g *testGroup) propose(k int) (prefix, out string, code int) {
+	g.proposedVersions++
+	prefix = fmt.Sprintf("/v%d", g.proposedVersions)
+	file := g.write(fmt.Sprintf("agreed-%d.kdl", g.proposedVersions), fmt.Sprintf(`agreed {
+  route "quote" { prefix %q; limit-ms 2000; }
+  route "issue" { prefix "/issue"; limit-ms 2000; mutating; }
+}
+`, prefix))
+	out, code = g.runCtlAt(k, "propose", file, "--why", prefix)
+	return prefix, out, code
+}
+
+// agree proposes versions until one is agreed. It returns that one's prefix, and how long it took.
+func (g *testGroup) agree(k int) (prefix string, took time.Duration) {
+	g.t.Helper()
+	began := time.Now()
+	for {
+		prefix, out, code := g.propose(k)
+		if code == 0 {
+			return prefix, time.Since(began)
+		}
+		if time.Since(began) > testTimeout {
+			g.t.Fatalf("not agreed at member %d: exit %d, %s", k+1, code, out)
+		}
+	}
+}
+
+// checkSidecars reads what the sidecars hold and checks it: a version has one text at all of them, and none goes back to an
+// older one.
+func (g *testGroup) checkSidecars() {
+	g.t.Helper()
+	for _, name := range g.sidecars {
+		h := &sidecar.ResourceCache{ID: name}
+		if (&sidecar.Store{Path: filepath.Join(g.folder, name+".held")}).Load(h) != nil {
+			continue
+		}
+		version, text := h.RoutingRevision(), ""
+		for _, e := range h.Table().Routes {
+			if e.Status == 0 {
+				text += fmt.Sprint(e.Name, e.Prefix, e.Mutating, e.RoutingRevision, " ")
+			}
+		}
+		if version == 0 {
+			continue
+		}
+		if was, known := g.textOfVersion[version]; known && was != text {
+			g.t.Errorf("version %d is %q at %s, %q elsewhere", version, text, name, was)
+		}
+		g.textOfVersion[version] = text
+		if version < g.newestVersion[name] {
+			g.t.Errorf("%s went back from version %d to %d", name, g.newestVersion[name], version)
+		}
+		g.newestVersion[name] = version
+	}
+}
+
+// cut cuts a member off from all others, or ends that.
+func (g *testGroup) cut(k int, yes bool) {
+	for way, gate := range g.gates {
+		if way.from == k || way.to == k {
+			gate.Cut(yes)
+		}
+	}
+}
+
+// atLeader has the leader take a command, which has to succeed. Only a refusal because another member leads by now is
+// followed to that one: on a busy machine the lead changes hands.
+func (g *testGroup) atLeader(args ...string) (out string) {
+	g.t.Helper()
+	g.waitUntil(strings.Join(args, " ")+" is taken by the leader", func() bool {
+		code := 0
+		out, code = g.runCtlAt(g.leader(), args...)
+		if code != 0 && !strings.Contains(out, "the leader, which is") {
+			g.t.Fatalf("exit %d: %s", code, out)
+		}
+		return code == 0
+	})
+	return out
+}
+
+// leader waits until a member that leads says so, and returns it.
+func (g *testGroup) leader() int {
+	g.t.Helper()
+	lead := -1
+	g.waitUntil("a leader", func() bool {
+		for k := range g.members {
+			out, code := g.runCtlAt(k, "status")
+			var id, leader int
+			if n, _ := fmt.Sscanf(out, "member %d, leader %d,", &id, &leader); code == 0 && n == 2 && leader > 0 {
+				if again, _ := g.runCtlAt(leader-1, "status"); strings.HasPrefix(again, fmt.Sprintf("member %d, leader %d,", leader, leader)) {
+					lead = leader - 1
+					return true
+				}
+			}
+		}
+		return false
+	})
+	return lead
+}
+
+// holdsPrefix tells, when it is called, whether a sidecar has the agreed version with a prefix.
+func (g *testGroup) holdsPrefix(address, prefix string) func() bool {
+	return func() bool {
+		g.checkSidecars()
+		_, status := call(address, prefix, "")
+		return status == http.StatusOK
+	}
+}
--- a/loadtest/recorder.go
+++ b/loadtest/recorder.go
@@ -5,17 +5,17 @@
 	"time"
 )
 
-// recorder keeps what workers tell, and what was agreed, until the run is over.
+// recorder collects what workers report, and what was agreed, until the run is over.
 type recorder struct {
-	mutex     sync.Mutex
-	histories []*history
-	changes   []change
-	agreed    []agreement // ascending
-	phase     Fault
+	mutex     sync.Mutex // guards all below
+	histories []*history // by index of the controller
+	changes   []change   // by revision, ascending
+	agreed    []agreement
+	phase     Fault // that is played; empty: none
 	failure   error // of a worker that should have gone on
 }
 
-// agreement is a revision that was agreed on and when that was answered.
+// agreement is a revision that was agreed on and when that was answered. Agreements are in ascending order.
 type agreement struct {
 	revision uint64
 	at       time.Time
@@ -29,18 +29,19 @@
 	return r
 }
 
-func (r *recorder) note(events []event) {
+// recordEvents adds what controllers reported.
+func (r *recorder) recordEvents(events []event) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	for _, one := range events {
-		if one.Controller >= 0 && one.Controller < len(r.histories) {
-			r.histories[one.Controller].note(one)
+	for _, e := range events {
+		if e.Controller >= 0 && e.Controller < len(r.histories) {
+			r.histories[e.Controller].recordEvent(e)
 		}
 	}
 }
 
-// fail notes the first failure.
-func (r *recorder) fail(err error) {
+// recordFailure notes the failure of a worker; only the first one counts.
+func (r *recorder) recordFailure(err error) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	if r.failure == nil {
@@ -48,62 +49,64 @@
 	}
 }
 
-func (r *recorder) failed() error {
+// firstFailure is the failure of a worker, nil if there is none.
+func (r *recorder) firstFailure() error {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	return r.failure
 }
 
-// agree notes a revision.
-func (r *recorder) agree(revision uint64, at time.Time) {
+// recordAgreed adds a revision that was agreed on as the group was loaded.
+func (r *recorder) recordAgreed(revision uint64, at time.Time) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	r.agreed = append(r.agreed, agreement{revision, at})
+	r.agreed = append(r.agreed, agreement{revision: revision, at: at})
 }
 
-// change notes one that was played.
-func (r *recorder) change(revision uint64, at time.Time, interested []int) {
-	one := change{revision: revision, answered: at, interested: map[int]bool{}}
+// recordChange adds a change that was played, with the controllers whose scope it touches.
+func (r *recorder) recordChange(revision uint64, at time.Time, interested []int) {
+	c := change{revision: revision, answered: at, interested: map[int]bool{}}
 	for _, controller := range interested {
-		one.interested[controller] = true
+		c.interested[controller] = true
 	}
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	one.phase = r.phase
-	r.changes = append(r.changes, one)
-	r.agreed = append(r.agreed, agreement{revision, at})
+	c.phase = r.phase
+	r.changes = append(r.changes, c)
+	r.agreed = append(r.agreed, agreement{revision: revision, at: at})
 }
 
-// enter begins to play a fault; an empty one ends it.
-func (r *recorder) enter(fault Fault) {
+// setPhase notes which fault is played from now on; an empty one: none.
+func (r *recorder) setPhase(fault Fault) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	r.phase = fault
 }
 
-// open notes that a fault concerns controllers between two times.
-func (r *recorder) open(fault Fault, controllers []int, from, to time.Time) {
+// recordFault notes that a fault concerns controllers between two times, at least.
+func (r *recorder) recordFault(fault Fault, controllers []int, from, to time.Time) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	for _, at := range controllers {
-		r.histories[at].windows = append(r.histories[at].windows, window{fault, from, to})
+	for _, controller := range controllers {
+		h := r.histories[controller]
+		h.windows = append(h.windows, faultWindow{fault: fault, from: from, to: to})
 	}
 }
 
-// following gives the controllers that a member answered last.
-func (r *recorder) following(member string) (controllers []int) {
+// controllersOf returns the controllers that a member, by its address, answered last.
+func (r *recorder) controllersOf(member string) (controllers []int) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	for at, one := range r.histories {
-		if one.member == member {
-			controllers = append(controllers, at)
+	for controller, h := range r.histories {
+		if h.member == member {
+			controllers = append(controllers, controller)
 		}
 	}
 	return controllers
 }
 
-// newest is the revision agreed on last.
-func (r *recorder) newest() uint64 {
+// newestRevision is the revision agreed on last; 0 if there is none.
+func (r *recorder) newestRevision() uint64 {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	if len(r.agreed) == 0 {
@@ -112,23 +115,23 @@
 	return r.agreed[len(r.agreed)-1].revision
 }
 
-// newestAt is the revision that was agreed on last at a time. Workers have ended when it is asked.
-func (r *recorder) newestAt(at time.Time) (revision uint64) {
-	for _, one := range r.agreed {
-		if one.at.After(at) {
+// newestRevisionAt is the revision that was agreed on last at a time. Workers have ended when it is asked.
+func (r *recorder) newestRevisionAt(at time.Time) (revision uint64) {
+	for _, a := range r.agreed {
+		if a.at.After(at) {
 			break
 		}
-		revision = one.revision
+		revision = a.revision
 	}
 	return revision
 }
 
-// behind counts the controllers that don't hold a revision yet.
-func (r *recorder) behind(revision uint64) (count int) {
+// countBehind counts the controllers that don't hold a revision yet.
+func (r *recorder) countBehind(revision uint64) (count int) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	for _, one := range r.histories {
-		if !one.external && one.held() < revision {
+	for _, h := range r.histories {
+		if !h.external && h.heldRevision() < revision {
 			count++
 		}
 	}
--- a/loadtest/report.go
+++ b/loadtest/report.go
@@ -1,17 +1,14 @@
 package loadtest
 
 import (
-	"cmp"
 	"encoding/json"
-	"fmt"
 	"io"
-	"slices"
-	"time"
 
 	"harehook.dev/harehook/configsync"
 )
 
-// Report is what a run was asked to do and what it measured.
+// Report is what a run was asked to do and what it measured. Its names in JSON are those of the first release: "in_force"
+// stands for convergence, "hollow" for simulated controllers, "whole" for a full scope, "concerned" for affected.
 type Report struct {
 	Plan     Plan     `json:"asked"`
 	Measured Measured `json:"measured"`
@@ -20,36 +17,36 @@
 
 // Measured is what a run measured.
 type Measured struct {
-	Separate           bool             `json:"separate"` // members and controllers were processes of their own
-	Records            int              `json:"records"`
-	Changes            int              `json:"changes"`
-	Convergence        Times            `json:"in_force"`          // from a change's answer until all have accepted it that it was due from
-	ConvergenceByFault map[Fault]Times  `json:"in_force_by_phase"` // by the fault that was played
-	Followers          map[Fault]Times  `json:"followers"`         // of each follower and change, by the fault that concerned the follower
-	Affected           map[Fault]int    `json:"concerned"`         // how often a fault concerned a controller
-	Interested         Times            `json:"interested"`        // of those in whose scope the change was, while no fault concerned them
-	Start              Times            `json:"start"`             // until in step, from each controller's start; all start at once
-	Restarted          *Times           `json:"restarted,omitempty"`
-	Messages           Messages         `json:"messages"`
-	SimulatedKBS       float64          `json:"hollow_kbs"` // of a simulated controller, in and out, on average while no fault was played
-	Members            []MemberUsage    `json:"members"`
-	SimulatedProcesses []ProcessUsage   `json:"hollow_processes"`
-	Controller         *ControllerUsage `json:"conductor,omitempty"`
-	Violations         []Violation      `json:"violations"`
-	Notes              []string         `json:"notes"` // what is measured and what is simulated
+	Separate           bool                      `json:"separate"` // members and controllers were processes of their own
+	Records            int                       `json:"records"`
+	Changes            int                       `json:"changes"`
+	Convergence        DurationSummary           `json:"in_force"`          // from a change's answer until all have accepted it that it was due from
+	ConvergenceByFault map[Fault]DurationSummary `json:"in_force_by_phase"` // by the fault that was played
+	Followers          map[Fault]DurationSummary `json:"followers"`         // of each follower and change, by the fault that concerned the follower
+	Affected           map[Fault]int             `json:"concerned"`         // how often a fault concerned a controller
+	Interested         DurationSummary           `json:"interested"`        // of those in whose scope the change was, while no fault concerned them
+	Start              DurationSummary           `json:"start"`             // until in step, from each controller's start; all start at once
+	Restarted          *DurationSummary          `json:"restarted,omitempty"`
+	Messages           Messages                  `json:"messages"`
+	SimulatedKBS       float64                   `json:"hollow_kbs"` // of a simulated controller, in and out, on average while no fault was played
+	Members            []MemberUsage             `json:"members"`
+	SimulatedProcesses []ProcessUsage            `json:"hollow_processes"`
+	Controller         *ControllerUsage          `json:"conductor,omitempty"`
+	Violations         []Violation               `json:"violations"`
+	Notes              []string                  `json:"notes"` // what is measured and what is simulated
 }
 
 // Messages are those that controllers got. Their bytes are those of the messages; HTTP/2's framing comes on top.
 type Messages struct {
-	Change              Bytes   `json:"change"`   // to controllers in whose scope something changed
-	Progress            Bytes   `json:"progress"` // to all others: the revision alone
-	FullScope           Bytes   `json:"whole"`
-	Heartbeats          int64   `json:"heartbeats"`
-	RecordOverhead      Bytes   `json:"beside_record"`  // of a message with changes, for each record in it, without its body
-	FullScopeInStep     int64   `json:"whole_in_place"` // whole scopes sent to controllers that were in step
-	FullScopeAgain      int64   `json:"whole_again"`    // likewise to those that held something, also as they reconnected
-	UninterestedRecords int64   `json:"uninterested_records"`
-	InterestedPerChange float64 `json:"interested_per_change"` // controllers
+	Change              SizeSummary `json:"change"`   // to controllers in whose scope something changed
+	Progress            SizeSummary `json:"progress"` // to all others: the revision alone
+	FullScope           SizeSummary `json:"whole"`
+	Heartbeats          int64       `json:"heartbeats"`
+	RecordOverhead      SizeSummary `json:"beside_record"`  // of a message with changes, for each record in it, without its body
+	FullScopeInStep     int64       `json:"whole_in_place"` // full scopes sent to controllers that were in step
+	FullScopeAgain      int64       `json:"whole_again"`    // likewise to those that held something, also as they reconnected
+	UninterestedRecords int64       `json:"uninterested_records"`
+	InterestedPerChange float64     `json:"interested_per_change"` // controllers
 }
 
 // ProcessUsage is what a process used while changes were played.
@@ -59,7 +56,7 @@
 	WorstMB    float64 `json:"worst_mb"`    // resident
 }
 
-// MemberUsage is what a member used. One that was killed and started again is told as one.
+// MemberUsage is what a member used, all its processes together.
 type MemberUsage struct {
 	ID uint64 `json:"id"`
 	ProcessUsage
@@ -77,145 +74,12 @@
 	StartS     float64 `json:"start_s,omitempty"` // until a member knew it to be in step; harehook-xds only
 }
 
-const (
-	kilobyte = 1 << 10
-	megabyte = 1 << 20
-	maxLives = 1 << 10 // of a controller in a run
-)
-
-// report works out what was measured. All workers have ended.
-func (r *run) report() (*Report, error) {
-	lease := configsync.DefaultLimits.Lease
-	rec := r.recorder
-	line := timeline(rec.changes, rec.histories, lease)
-	m := Measured{
-		Separate: r.separate, Records: len(r.configuration.bodies), Changes: len(rec.changes),
-		Convergence: line.convergence.summary(), ConvergenceByFault: summarizeByFault(line.convergenceByFault), Followers: summarizeByFault(line.followers),
-		Affected: line.affected, Interested: line.interested.summary(), Notes: r.notes(),
-		Violations: checkHistories(r.model, rec.histories, rec.newest()),
-	}
-	if r.programFault != "" {
-		m.Violations = append(m.Violations, Violation{r.controllers[measuredController].Name, r.programFault})
-	}
-	start := untilInStep(rec.histories, 1, 1, rec.newestAt)
-	m.Start = start.summary()
-	if slices.Contains(r.plan.Faults, FaultAllRestarted) {
-		restarted := untilInStep(rec.histories, 2, maxLives, rec.newestAt)
-		summary := restarted.summary()
-		m.Restarted = &summary
-	}
-	if err := r.reportMessages(&m); err != nil {
-		return nil, err
-	}
-	r.reportUsage(&m)
-	return &Report{Plan: r.plan, Measured: m, Broken: m.Broken(r.plan.Bounds)}, nil
-}
-
-func summarizeByFault(all map[Fault]*times) map[Fault]Times {
-	summaries := map[Fault]Times{}
-	for fault, one := range all {
-		summaries[cmp.Or(fault, "none")] = one.summary()
-	}
-	return summaries
-}
-
-func (r *run) reportMessages(m *Measured) error {
-	all := newMessageMeter()
-	for _, p := range r.workers {
-		if p.external {
-			continue
-		}
-		if err := all.add(p.messages); err != nil {
-			return err
-		}
-	}
-	m.Messages = Messages{
-		Change: summarizeBytes(all.change), Progress: summarizeBytes(all.progress), FullScope: summarizeBytes(all.fullScope),
-		RecordOverhead: summarizeBytes(all.overhead), Heartbeats: all.heartbeats, FullScopeInStep: all.fullScopeRepeated, FullScopeAgain: all.fullScopeAgain,
-	}
-	for _, one := range r.recorder.histories {
-		for _, accepted := range one.accepted {
-			m.Messages.UninterestedRecords += int64(accepted.outside)
-		}
-	}
-	interested := 0
-	for _, one := range r.recorder.changes {
-		interested += len(one.interested)
-	}
-	m.Messages.InterestedPerChange = float64(interested) / float64(max(1, len(r.recorder.changes)))
-	return nil
-}
-
-func (r *run) reportUsage(m *Measured) {
-	bytes, seconds := 0.0, 0.0
-	for _, p := range r.workers {
-		wire := p.wireSamples(r.playStart)
-		use := p.use(r.playStart)
-		if p.indexes[0] == measuredController {
-			m.Controller = &ControllerUsage{
-				IsProgram: p.external, ProcessUsage: use, KBS: mean(wire) / kilobyte, BusiestKBS: busiest(wire) / kilobyte,
-				StartCPU: p.startCPU, StartKB: p.startWire / kilobyte, StartS: p.startTime.Seconds(),
-			}
-			continue
-		}
-		m.SimulatedProcesses = append(m.SimulatedProcesses, use)
-		steady := slices.DeleteFunc(wire, func(s sample) bool { return s.at.After(r.faultFreeUntil) })
-		bytes += mean(steady)
-		seconds += float64(len(p.indexes))
-	}
-	if seconds > 0 {
-		m.SimulatedKBS = bytes / seconds / kilobyte
-	}
-	if !r.separate {
-		m.Controller, m.SimulatedProcesses = nil, nil // all shared one process
-		return
-	}
-	for _, member := range r.members {
-		m.Members = append(m.Members, member.usage())
-	}
-}
-
-func (r *run) notes() []string {
-	if !r.separate {
-		return []string{"all members and conductors shared one process: no processor time or memory is told of them"}
-	}
-	own := "measured: one conductor in a process of its own, which is the real client and follower alone: no data plane, serves no sidecars"
-	if r.program != "" {
-		own = "measured: one conductor in a process of its own, which is harehookd that follows the group; it serves no sidecars"
-	}
-	return []string{
-		fmt.Sprintf("measured: %d members, each a process with its log on disk, on loopback", r.plan.Members),
-		own,
-		fmt.Sprintf("hollow: %d conductors in %d processes, the real client and follower each with its own stream, no data plane", len(r.controllers)-1, len(r.workers)-1),
-		"all ran on one machine, so delays of the network are those of loopback",
-	}
-}
-
 // WriteJSON writes the report as one object.
-func (r *Report) WriteJSON(out io.Writer) error {
+func (r *Report) WriteJSON(out io.Writer) error { return writeJSON(out, r) }
+
+// writeJSON writes a value as people read it.
+func writeJSON(out io.Writer, value any) error {
 	encoder := json.NewEncoder(out)
 	encoder.SetIndent("", "  ")
-	return encoder.Encode(r)
-}
-
-// use is what a worker of controllers used since a time.
-func (p *controllerProcess) use(since time.Time) ProcessUsage {
-	return usageOf(p.samples, p.resident, since)
-}
-
-func usageOf(samples []sample, resident int64, since time.Time) ProcessUsage {
-	samples = after(samples, since)
-	return ProcessUsage{CPU: mean(samples), BusiestCPU: busiest(samples), WorstMB: float64(resident) / megabyte}
-}
-
-func after(samples []sample, since time.Time) []sample {
-	return slices.DeleteFunc(slices.Clone(samples), func(s sample) bool { return s.at.Before(since) })
-}
-
-// wireSamples are the bytes of a worker in and out since a time.
-func (p *controllerProcess) wireSamples(since time.Time) (samples []sample) {
-	for _, one := range p.wire {
-		samples = append(samples, sample{time.Unix(0, one.At), float64(one.In + one.Out)})
-	}
-	return after(samples, since)
+	return encoder.Encode(value)
 }
--- /dev/null
+++ b/loadtest/usagesampling.go
@@ -0,0 +1,78 @@
+package loadtest
+
+import "context"
+
+// sampleUsage reads what all processes use, every second until ctx ends.
+func (r *run) sampleUsage(ctx context.Context) {
+	if !r.separateProcesses {
+		return
+	}
+	for {
+		for _, p := range r.controllerProcesses {
+			p.sampleUsage()
+		}
+		for _, member := range r.memberProcesses {
+			member.sampleUsage()
+		}
+		if sleep(ctx, sampleInterval) != nil {
+			return
+		}
+	}
+}
+
+// sampleUsage reads what the worker's process uses.
+func (p *controllerProcess) sampleUsage() {
+	used, err := readProcess(p.pid)
+	if err != nil {
+		return
+	}
+	p.mutex.Lock()
+	defer p.mutex.Unlock()
+	p.samples = append(p.samples, sample{at: used.at, amount: used.cpu.Seconds()})
+	p.resident = max(p.resident, used.resident)
+}
+
+// recordStartUsage notes what the start took of each worker, once each has reported its bytes.
+func (r *run) recordStartUsage(ctx context.Context) error {
+	if !r.separateProcesses {
+		return nil
+	}
+	if err := sleep(ctx, wireReportInterval+reportInterval); err != nil {
+		return err
+	}
+	for _, p := range r.controllerProcesses {
+		p.sampleUsage()
+		p.recordStartUsage()
+	}
+	return nil
+}
+
+// recordStartUsage notes what the worker has used until now.
+func (p *controllerProcess) recordStartUsage() {
+	p.mutex.Lock()
+	defer p.mutex.Unlock()
+	if len(p.samples) > 0 {
+		p.startCPU = p.samples[len(p.samples)-1].amount
+	}
+	if len(p.wire) > 0 {
+		last := p.wire[len(p.wire)-1]
+		p.startWire = float64(last.In + last.Out)
+	}
+}
+
+// sampleUsage reads what the member's process uses. A process that was started again counts from 0; its processor time is
+// added to that of those before.
+func (m *memberProcess) sampleUsage() {
+	m.mutex.Lock()
+	defer m.mutex.Unlock()
+	if m.worker == nil {
+		return
+	}
+	used, err := readProcess(m.worker.pid)
+	if err != nil {
+		return
+	}
+	m.samples = append(m.samples, sample{at: used.at, amount: (m.cpuBefore + used.cpu).Seconds()})
+	m.cpu = used.cpu
+	m.resident = max(m.resident, used.resident)
+}
