--- a/scaling/list.go
+++ b/scaling/list.go
@@ -55,8 +55,16 @@
 	}{Index: 17, Snapshot: true}
 	for n := range nodes {
 		address := nodeAddress(n)
-		list.Endpoints = append(list.Endpoints, endpoint{Name: nodeName(n), Address: fmt.Sprint(address.Host, ":", address.Port),
-			Zone: fmt.Sprint("zone-", n%listZones), Type: "large", Group: n % 570, Status: "in_service", Weight: 1, SinceMS: 1764650000000})
+		list.Endpoints = append(list.Endpoints, endpoint{
+			Name:    nodeName(n),
+			Address: fmt.Sprint(address.Host, ":", address.Port),
+			Zone:    fmt.Sprint("zone-", n%listZones),
+			Type:    "large",
+			Group:   n % OperatorsServices,
+			Status:  "in_service",
+			Weight:  1,
+			SinceMS: 1764650000000,
+		})
 	}
 	body, err := json.Marshal(list)
 	head := fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nContent-Length: %d\r\n\r\n", len(body))
@@ -106,8 +114,12 @@
 		address := nodeAddress(n)
 		fmt.Fprintf(&b, "node %q zone=\"zone-%d\" kind=\"large\" address=\"%s:%d\"\n", nodeName(n), n%listZones, address.Host, address.Port)
 	}
-	c := &config.Controller{NodesFile: filepath.Join(folder, "nodes.kdl"), Deployment: settings.Deployment{MachineTypes: []string{"large"}},
-		MachineTypes: map[string]bool{"large": true}, Zones: map[string]bool{}}
+	c := &config.Controller{
+		NodesFile:    filepath.Join(folder, "nodes.kdl"),
+		Deployment:   settings.Deployment{MachineTypes: []string{"large"}},
+		MachineTypes: map[string]bool{"large": true},
+		Zones:        map[string]bool{},
+	}
 	for z := range listZones {
 		c.Zones[fmt.Sprint("zone-", z)] = true
 	}
@@ -184,8 +196,16 @@
 		KnowsZone: func(string) bool { return true }, Accepted: func(_ string, list []frontxds.Endpoint) { taken <- len(list) }}
 	ctx, stop := context.WithCancel(context.Background())
 	followed := make(chan struct{})
-	go func() { members.Run(ctx); close(followed) }()
-	defer func() { stop(); <-followed; server.Stop(); <-served }()
+	go func() {
+		defer close(followed)
+		members.Run(ctx)
+	}()
+	defer func() {
+		stop()
+		<-followed
+		server.Stop()
+		<-served
+	}()
 	version := 0
 	bodies := [2]*discoveryv3.DiscoveryResponse{}
 	for k := range bodies {
--- a/scaling/loadreport.go
+++ b/scaling/loadreport.go
@@ -75,7 +75,7 @@
 	return s, err
 }
 
-// takeReports hands all whole messages to the module, as the front and the core do.
+// takeReports hands all complete messages to the planner, as the transport and the controller do.
 func takeReports(frames *wire.FrameReader, f *plannerFleet, numbers map[string]uint32) (taken int, err error) {
 	for {
 		body, err := frames.Next()
@@ -118,7 +118,7 @@
 		known = append(known, controller.Endpoint{Node: nodeName(n), Zone: "zone-0", MachineType: "large", Weight: 1, State: planner.Ready})
 		places = append(places, frontxds.Node{Name: nodeName(n), Zone: "zone-0", Address: nodeAddress(n)})
 	}
-	// Sliced: the module takes reports in and orders nothing by itself.
+	// Sharded: the planner takes reports in and commands nothing by itself.
 	front.Controller = controller.New(settings.Deployment{Planner: planner.Config{Zones: 1, MachineTypes: 1, Proxies: 1, Sharded: true, Routes: []planner.Route{{}}},
 		Zones: []string{"zone-0"}, MachineTypes: []string{"large"}, Routes: []string{"r0000"}, EventInterval: 0.004}, known, front, zap.NewNop())
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -126,10 +126,13 @@
 		return nil, err
 	}
 	ctx, stop := context.WithCancel(context.Background())
-	var parts sync.WaitGroup
-	parts.Go(func() { front.Controller.Run(ctx) })
-	parts.Go(func() { front.Run(ctx, listener) })
-	r := &reportService{front: front, end: func() { stop(); parts.Wait() }}
+	var tasks sync.WaitGroup
+	tasks.Go(func() { front.Controller.Run(ctx) })
+	tasks.Go(func() { front.Run(ctx, listener) })
+	r := &reportService{front: front, end: func() {
+		stop()
+		tasks.Wait()
+	}}
 	front.SetAddresses(places)
 	if err := r.connect(ctx, listener.Addr().String()); err != nil {
 		r.end()
