--- a/cmd/harehookctl/followers.go
+++ b/cmd/harehookctl/followers.go
@@ -15,7 +15,7 @@
 	"github.com/spf13/cobra"
 
 	"harehook.dev/harehook/cluster"
-	machine "harehook.dev/harehook/configsync"
+	"harehook.dev/harehook/configsync"
 	"harehook.dev/harehook/configsync/transport"
 )
 
@@ -35,22 +35,22 @@
 			if err != nil {
 				return err
 			}
-			force := o.fetchStatuses(c.Context(), report)
+			convergence := o.fetchStatuses(c.Context(), report)
 			if o.output == "json" {
-				err = write(c.OutOrStdout(), force)
+				err = write(c.OutOrStdout(), convergence)
 			} else {
-				err = showConvergence(c.OutOrStdout(), force)
+				err = showConvergence(c.OutOrStdout(), convergence)
 			}
 			if err != nil {
 				return err
 			}
-			return convergenceFault(force)
+			return convergenceFault(convergence)
 		},
 	}
 }
 
 // fetchStatuses asks all members at the same time what their followers hold, and joins the answers.
-func (o *options) fetchStatuses(ctx context.Context, report cluster.StatusReport) machine.Convergence {
+func (o *options) fetchStatuses(ctx context.Context, report cluster.StatusReport) configsync.Convergence {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	ids := slices.Concat(report.Status.Voters, report.Status.Learners)
@@ -58,7 +58,7 @@
 	var (
 		asking   sync.WaitGroup
 		mutex    sync.Mutex
-		statuses []machine.MemberStatus
+		statuses []configsync.MemberStatus
 	)
 	for at, id := range ids {
 		names[at] = strconv.FormatUint(id, 10)
@@ -73,10 +73,10 @@
 		})
 	}
 	asking.Wait()
-	return machine.Merge(statuses, names)
+	return configsync.Merge(statuses, names)
 }
 
-func (o *options) fetchStatus(ctx context.Context, address string) (status machine.MemberStatus, err error) {
+func (o *options) fetchStatus(ctx context.Context, address string) (status configsync.MemberStatus, err error) {
 	conn, err := o.dialTo(address)
 	if err != nil {
 		return status, err
@@ -86,10 +86,10 @@
 }
 
 // convergenceFault says what of it is not in order.
-func convergenceFault(force machine.Convergence) error {
+func convergenceFault(convergence configsync.Convergence) error {
 	var faults []string
 	late := 0
-	for _, one := range force.Behind {
+	for _, one := range convergence.Behind {
 		if one.Behind > maxBehind {
 			late++
 		}
@@ -97,8 +97,8 @@
 	if late > 0 {
 		faults = append(faults, fmt.Sprintf("%d followers have been behind for over %s", late, maxBehind))
 	}
-	for _, doubt := range force.UnknownMembers {
-		faults = append(faults, fmt.Sprintf("member %s %s", doubt.Member, doubt.Reason))
+	for _, unknown := range convergence.UnknownMembers {
+		faults = append(faults, fmt.Sprintf("member %s %s", unknown.Member, unknown.Reason))
 	}
 	if len(faults) == 0 {
 		return nil
@@ -106,34 +106,34 @@
 	return fault(errors.New(strings.Join(faults, "; ")))
 }
 
-func showConvergence(out io.Writer, force machine.Convergence) error {
-	inForce := strconv.FormatUint(force.ConvergedRevision, 10)
-	if !force.Known {
+func showConvergence(out io.Writer, convergence configsync.Convergence) error {
+	inForce := strconv.FormatUint(convergence.ConvergedRevision, 10)
+	if !convergence.Known {
 		inForce = "unknown"
 	}
 	fmt.Fprintf(out, "in force everywhere: %s, newest revision: %d, followers: %d live, %d behind, %d stale\n",
-		inForce, force.Revision, force.Live, len(force.Behind), len(force.Stale))
-	for _, doubt := range force.UnknownMembers {
-		fmt.Fprintf(out, "member %s %s\n", doubt.Member, doubt.Reason)
+		inForce, convergence.Revision, convergence.Live, len(convergence.Behind), len(convergence.Stale))
+	for _, unknown := range convergence.UnknownMembers {
+		fmt.Fprintf(out, "member %s %s\n", unknown.Member, unknown.Reason)
 	}
 	w := tabwriter.NewWriter(out, 0, 4, 2, ' ', 0)
 	fmt.Fprintln(w, "MEMBER\tREVISION\tFOLLOWERS")
-	for _, member := range force.Members {
+	for _, member := range convergence.Members {
 		fmt.Fprintf(w, "%s\t%d\t%d\n", member.Member, member.Revision, member.Live)
 	}
-	if len(force.Behind)+len(force.Stale) > 0 {
+	if len(convergence.Behind)+len(convergence.Stale) > 0 {
 		fmt.Fprintln(w, "\nFOLLOWER\tSTATE\tACCEPTED\tBEHIND\tMEMBER\tREFUSED")
 	}
-	for _, one := range force.Behind {
+	for _, one := range convergence.Behind {
 		showFollower(w, "behind", one)
 	}
-	for _, one := range force.Stale {
+	for _, one := range convergence.Stale {
 		showFollower(w, "stale", one)
 	}
 	return w.Flush()
 }
 
-func showFollower(w io.Writer, state string, one machine.FollowerStatus) {
+func showFollower(w io.Writer, state string, one configsync.FollowerStatus) {
 	refused := ""
 	if one.RejectedRevision > 0 {
 		refused = fmt.Sprintf("%d: %s", one.RejectedRevision, one.Reason)
--- a/cmd/harehookctl/group.go
+++ b/cmd/harehookctl/group.go
@@ -35,5 +35,5 @@
 }
 
 func (o *options) clusterCommands() []*cobra.Command {
-	return []*cobra.Command{o.status(), o.config(), o.propose(), o.history(), o.diff(), o.rollback(), o.members(), o.lead(), o.snapshot(), o.records()}
+	return []*cobra.Command{o.status(), o.config(), o.proposeCommand(), o.history(), o.diff(), o.rollback(), o.members(), o.lead(), o.snapshot(), o.records()}
 }
--- a/cmd/harehookctl/propose.go
+++ b/cmd/harehookctl/propose.go
@@ -13,14 +13,14 @@
 	"harehook.dev/harehook/config"
 )
 
-// put proposes and prints what became of it.
-func (o *options) put(c *cobra.Command, command cluster.Command) error {
+// propose proposes and prints what became of it.
+func (o *options) propose(c *cobra.Command, command cluster.Command) error {
 	r, err := callGroup[cluster.Result](c.Context(), o, "Propose", command)
 	if err != nil {
 		return err
 	}
 	if r.Rejected != "" {
-		return refusal(r.Rejected)
+		return rejection(r.Rejected)
 	}
 	if o.output == "json" {
 		return write(c.OutOrStdout(), r)
@@ -41,8 +41,8 @@
 	return cluster.Command{Kind: kind, Client: id, Seq: 1, Base: base, By: by, Why: why, At: time.Now().Unix()}
 }
 
-// propose has a configuration file agreed on.
-func (o *options) propose() *cobra.Command {
+// proposeCommand has a configuration file agreed on.
+func (o *options) proposeCommand() *cobra.Command {
 	base, why, id := int64(-1), "", ""
 	c := &cobra.Command{Use: "propose FILE", Short: "Have a configuration agreed on", Args: cobra.ExactArgs(1), RunE: func(c *cobra.Command, files []string) error {
 		text, err := os.ReadFile(files[0])
@@ -61,7 +61,7 @@
 		}
 		put := command(cluster.CommandPut, uint64(base), id, why)
 		put.Text = string(text)
-		return o.put(c, put)
+		return o.propose(c, put)
 	}}
 	c.Flags().Int64Var(&base, "base", base, "the version that it changes; without it the one in force")
 	c.Flags().StringVar(&why, "why", "", "the reason, for the history")
@@ -85,7 +85,7 @@
 		if back.To = to; why == "" {
 			back.Why = fmt.Sprint("back to version ", to)
 		}
-		return o.put(c, back)
+		return o.propose(c, back)
 	}}
 	c.Flags().StringVar(&why, "why", "", "the reason, for the history")
 	return c
--- a/cmd/harehookctl/records.go
+++ b/cmd/harehookctl/records.go
@@ -124,7 +124,7 @@
 			}
 			proposal := command(cluster.CommandRecords, 0, id, why)
 			proposal.Writes = transaction.Writes
-			return o.put(c, proposal)
+			return o.propose(c, proposal)
 		}}
 	c.Flags().StringVar(&why, "why", "", "the reason, for the history")
 	c.Flags().StringVar(&id, "id", "", "name of this proposal: one that got no answer may be made again under it")
@@ -184,8 +184,8 @@
 	return revisions, nil
 }
 
-// refusal is why a proposal was refused, and what to do where the reason alone does not tell.
-func refusal(reason string) error {
+// rejection is why a proposal was refused, and what to do where the reason alone does not tell.
+func rejection(reason string) error {
 	if strings.HasPrefix(reason, "changed since it was read") {
 		reason += "\nnothing was changed; look at them with \"records get\", and apply again with what you want now"
 	}
--- a/cmd/harehookctl/snapshot.go
+++ b/cmd/harehookctl/snapshot.go
@@ -54,7 +54,7 @@
 		}
 		put := command(cluster.CommandPut, r.Versions[0].Number, "", fmt.Sprintf("restored: version %d of another history, by %s: %s", last.Number, last.By, last.Why))
 		put.Text = last.Text
-		return o.put(c, put)
+		return o.propose(c, put)
 	}})
 	return c
 }
--- a/internal/daemon/agreed.go
+++ b/internal/daemon/agreed.go
@@ -51,14 +51,14 @@
 // publish puts routes and overrides into effect if they differ from those in effect, and reports whether they did. Most
 // revisions change neither. Without an agreed route the controller's own routes stay.
 //
-// version is the routing revision, which is the same at all controllers of the same scope whatever else each has
-// received. Sidecars refuse routes of a lower version than they hold, also from another controller.
-func (w *watcher) publish(version uint64, agreed *config.Agreed) (changed bool) {
-	former, formerVersion := w.setAgreed(version, agreed)
-	routesChanged := len(agreed.Routes) > 0 && (version != formerVersion || !slices.Equal(agreed.Routes, former.Routes))
+// revision is the routing revision, which is the same at all controllers of the same scope whatever else each has
+// received. Sidecars reject routes of a lower one than they have accepted, also from another controller.
+func (w *watcher) publish(revision uint64, agreed *config.Agreed) (changed bool) {
+	former, formerRevision := w.setAgreed(revision, agreed)
+	routesChanged := len(agreed.Routes) > 0 && (revision != formerRevision || !slices.Equal(agreed.Routes, former.Routes))
 	overridesChanged := !maps.Equal(agreed.Overrides, former.Overrides)
 	if routesChanged {
-		w.server.SetAgreedRoutes(version, agreed.Routes)
+		w.server.SetAgreedRoutes(revision, agreed.Routes)
 	}
 	if overridesChanged {
 		select {
@@ -70,15 +70,15 @@
 }
 
 // setAgreed replaces the agreed configuration and returns the former one, which is empty if there was none.
-func (w *watcher) setAgreed(version uint64, agreed *config.Agreed) (former *config.Agreed, formerVersion uint64) {
+func (w *watcher) setAgreed(revision uint64, agreed *config.Agreed) (former *config.Agreed, formerRevision uint64) {
 	w.stateLock.Lock()
 	defer w.stateLock.Unlock()
 	former = w.agreed
-	formerVersion = w.agreedVersion
+	formerRevision = w.routingRevision
 	w.agreed = agreed
-	w.agreedVersion = version
+	w.routingRevision = revision
 	if former == nil {
 		former = &config.Agreed{}
 	}
-	return former, formerVersion
+	return former, formerRevision
 }
--- a/internal/daemon/follower.go
+++ b/internal/daemon/followerrole.go
@@ -14,8 +14,8 @@
 	"harehook.dev/harehook/records"
 )
 
-// follower is the role of a controller that follows a group without being a member.
-type follower struct {
+// followerRole is the role of a controller that follows a group without being a member.
+type followerRole struct {
 	client  *transport.Client
 	watcher *watcher
 	log     *zap.Logger
@@ -24,9 +24,9 @@
 	revision  atomic.Uint64  // in effect
 }
 
-// newFollower prepares the follower; run drives it.
-func newFollower(settings *config.Controller, w *watcher, certificates *certs.Reloader, log *zap.Logger) (*follower, error) {
-	f := &follower{watcher: w, log: log.Named("follow")}
+// newFollowerRole prepares the follower; run drives it.
+func newFollowerRole(settings *config.Controller, w *watcher, certificates *certs.Reloader, log *zap.Logger) (*followerRole, error) {
+	f := &followerRole{watcher: w, log: log.Named("follow")}
 	clientConfig := transport.Config{
 		Name:         settings.Name,
 		Scope:        settings.Follower.Scope,
@@ -57,14 +57,14 @@
 	return hash.Sum64() ^ settings.Seed
 }
 
-func (f *follower) run(ctx context.Context) error {
+func (f *followerRole) run(ctx context.Context) error {
 	f.log.Info("follows a group", zap.Strings("members", f.watcher.settings.Follower.Members))
 	f.client.Run(ctx)
 	return nil
 }
 
 // check returns why records cannot be used here. It runs on the client's goroutine, as accepted does.
-func (f *follower) check(revision uint64, received map[records.Key]*records.Record) error {
+func (f *followerRole) check(revision uint64, received map[records.Key]*records.Record) error {
 	agreed, err := config.AgreedFromFollower(received)
 	if err == nil {
 		err = f.watcher.checkChange(agreed)
@@ -79,7 +79,7 @@
 
 // accepted puts an accepted revision into effect. Sidecars are updated only where routes or overrides differ: most
 // revisions change nothing that this controller needs.
-func (f *follower) accepted(revision uint64, _ map[records.Key]*records.Record) {
+func (f *followerRole) accepted(revision uint64, _ map[records.Key]*records.Record) {
 	f.revision.Store(revision)
 	if f.candidate == nil || !f.watcher.publish(f.client.RoutingRevision(), f.candidate) {
 		return
@@ -91,7 +91,7 @@
 }
 
 // setStale logs that the lease has run out, or that there is one again.
-func (f *follower) setStale(stale bool) {
+func (f *followerRole) setStale(stale bool) {
 	if stale {
 		f.log.Warn("stale: no member was heard for a lease's time, what was accepted last stays in use",
 			zap.Uint64("revision", f.revision.Load()))
--- a/internal/daemon/follower_test.go
+++ b/internal/daemon/followerrole_test.go
@@ -19,7 +19,7 @@
 	"google.golang.org/grpc"
 
 	"harehook.dev/harehook/cluster"
-	machine "harehook.dev/harehook/configsync"
+	"harehook.dev/harehook/configsync"
 	"harehook.dev/harehook/configsync/transport"
 	"harehook.dev/harehook/internal/certs"
 	"harehook.dev/harehook/internal/fakeplatform"
@@ -61,7 +61,7 @@
 
 func newTestMember(t *testing.T, secure *tls.Config) *testMember {
 	m := &testMember{t: t, address: freeAddress(t), secure: secure, held: map[records.Key]*records.Record{}}
-	m.service = transport.NewService("1", m, machine.DefaultLimits, zap.NewNop())
+	m.service = transport.NewService("1", m, configsync.DefaultLimits, zap.NewNop())
 	m.start()
 	return m
 }
--- a/internal/daemon/followers.go
+++ b/internal/daemon/followerservice.go
@@ -17,23 +17,23 @@
 	Status(ctx context.Context) (cluster.StatusReport, error)
 }
 
-// followers is the part of a member that serves the controllers that follow the group.
-type followers struct {
+// followerService is the part of a member that serves the controllers that follow the group.
+type followerService struct {
 	service *transport.Service
 	guard   transport.LeaderGuard
 }
 
-// newFollowers prepares the service. The caller registers it on the member's server and has the member's node notify it
+// newFollowerService prepares the service. The caller registers it on the member's server and has the member's node notify it
 // of commits.
-func newFollowers(group followedGroup, address string, limits configsync.Limits, log *zap.Logger) *followers {
+func newFollowerService(group followedGroup, address string, limits configsync.Limits, log *zap.Logger) *followerService {
 	service := transport.NewService(address, group.Records(), limits, log)
 	hasLeader := func(ctx context.Context) bool {
 		report, err := group.Status(ctx)
 		return err == nil && report.Status.Leader != 0
 	}
 	guard := transport.LeaderGuard{Service: service, HasLeader: hasLeader, Lease: limits.Lease, Log: log}
-	return &followers{service: service, guard: guard}
+	return &followerService{service: service, guard: guard}
 }
 
 // run pauses the service while the member knows no leader, until ctx ends.
-func (f *followers) run(ctx context.Context) { f.guard.Run(ctx) }
+func (f *followerService) run(ctx context.Context) { f.guard.Run(ctx) }
--- a/internal/daemon/followers_test.go
+++ b/internal/daemon/followerservice_test.go
@@ -10,7 +10,7 @@
 	"go.uber.org/zap"
 
 	"harehook.dev/harehook/cluster"
-	machine "harehook.dev/harehook/configsync"
+	"harehook.dev/harehook/configsync"
 	"harehook.dev/harehook/configsync/transport"
 	"harehook.dev/harehook/records"
 )
@@ -35,14 +35,14 @@
 // A member that has known no leader for a lease's time extends no lease, and does again once there is one.
 func TestFollowersAreSentAwayWithoutALeader(t *testing.T) {
 	t.Parallel()
-	limits := machine.DefaultLimits
+	limits := configsync.DefaultLimits
 	group := &fakeGroup{}
 	group.leader.Store(1)
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	served := newFollowers(group, listener.Addr().String(), limits, zap.NewNop())
+	served := newFollowerService(group, listener.Addr().String(), limits, zap.NewNop())
 	server := cluster.NewServer(nil)
 	served.service.Register(server)
 	client, err := transport.NewClient(transport.Config{Name: "c", Members: []string{listener.Addr().String()}, Lease: limits.Lease})
--- a/internal/daemon/member.go
+++ b/internal/daemon/memberrole.go
@@ -18,19 +18,19 @@
 	"harehook.dev/harehook/records"
 )
 
-// member is the role of a controller that is a member of a group.
-type member struct {
-	node      *cluster.Node
-	agreed    *records.Store
-	followers *followers
-	disk      *raftlog.Log
-	server    *grpc.Server
-	listener  net.Listener
-	watcher   *watcher
+// memberRole is the role of a controller that is a member of a group.
+type memberRole struct {
+	node            *cluster.Node
+	agreed          *records.Store
+	followerService *followerService
+	disk            *raftlog.Log
+	server          *grpc.Server
+	listener        net.Listener
+	watcher         *watcher
 }
 
-// newMember opens the log and prepares the member. A log that cannot be used ends the start with an error of raftlog.
-func newMember(group *config.Group, w *watcher, certificates *certs.Reloader, log *zap.Logger) (*member, error) {
+// newMemberRole opens the log and prepares the member. A log that cannot be used ends the start with an error of raftlog.
+func newMemberRole(group *config.Group, w *watcher, certificates *certs.Reloader, log *zap.Logger) (*memberRole, error) {
 	disk, saved, err := raftlog.Open(group.DataFolder)
 	if err != nil {
 		return nil, err
@@ -52,25 +52,25 @@
 		disk.Close()
 		return nil, err
 	}
-	m := &member{node: node, agreed: state.Store(), disk: disk, server: cluster.NewServer(serverTLS), listener: listener, watcher: w}
+	m := &memberRole{node: node, agreed: state.Store(), disk: disk, server: cluster.NewServer(serverTLS), listener: listener, watcher: w}
 	node.Register(m.server)
-	m.followers = newFollowers(node, strconv.FormatUint(group.ID, 10), configsync.DefaultLimits, log.Named("followers"))
-	m.followers.service.Register(m.server)
-	node.OnCommit = m.followers.service.Committed
+	m.followerService = newFollowerService(node, strconv.FormatUint(group.ID, 10), configsync.DefaultLimits, log.Named("followers"))
+	m.followerService.service.Register(m.server)
+	node.OnCommit = m.followerService.service.Committed
 	log.Info("member of a group", zap.Uint64("id", group.ID), zap.Stringer("listen", listener.Addr()), zap.String("disk", saved.Identity))
 	return m, nil
 }
 
 // run serves the group until ctx ends, and puts what is agreed into effect here. Its error is that of the node, such as a
 // disk that failed.
-func (m *member) run(ctx context.Context) error {
+func (m *memberRole) run(ctx context.Context) error {
 	var parts sync.WaitGroup
 	parts.Go(func() { m.server.Serve(m.listener) })
 	stopServer := context.AfterFunc(ctx, m.server.Stop)
 	defer stopServer()
 	guardContext, stopGuard := context.WithCancel(ctx)
 	defer stopGuard()
-	parts.Go(func() { m.followers.run(guardContext) })
+	parts.Go(func() { m.followerService.run(guardContext) })
 	stopped := make(chan error, 1)
 	parts.Go(func() { stopped <- m.node.Run(ctx) })
 	applied := uint64(0) // the revision as of which routes and overrides are in effect here
@@ -90,7 +90,7 @@
 
 // apply puts routes and overrides into effect if they have changed since a revision. It returns the revision as of which
 // they are in effect. Changes of other records do not show in this controller's tables.
-func (m *member) apply(applied uint64) uint64 {
+func (m *memberRole) apply(applied uint64) uint64 {
 	if m.agreed.LastChange(records.KindRoute, records.KindOverride) <= applied {
 		return applied
 	}
--- a/internal/daemon/member_test.go
+++ b/internal/daemon/memberrole_test.go
@@ -14,7 +14,7 @@
 func TestMemberNotifiesFollowersOfCommits(t *testing.T) {
 	address := freeAddress(t)
 	group := &config.Group{ID: 1, Listen: address, DataFolder: filepath.Join(t.TempDir(), "data"), Addresses: map[uint64]string{1: address}, Voters: []uint64{1}}
-	m, err := newMember(group, &watcher{}, nil, zap.NewNop())
+	m, err := newMemberRole(group, &watcher{}, nil, zap.NewNop())
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/daemon/role.go
+++ b/internal/daemon/role.go
@@ -15,10 +15,10 @@
 	run(ctx context.Context) error
 }
 
-// alone is the role of a controller without a group.
-type alone struct{}
+// aloneRole is the role of a controller without a group.
+type aloneRole struct{}
 
-func (alone) run(ctx context.Context) error {
+func (aloneRole) run(ctx context.Context) error {
 	<-ctx.Done()
 	return nil
 }
@@ -27,15 +27,15 @@
 func newRole(settings *config.Controller, w *watcher, certificates *certs.Reloader, log *zap.Logger) (role, error) {
 	switch {
 	case settings.Group != nil:
-		return newMember(settings.Group, w, certificates, log)
+		return newMemberRole(settings.Group, w, certificates, log)
 	case settings.Follower != nil:
-		f, err := newFollower(settings, w, certificates, log)
+		f, err := newFollowerRole(settings, w, certificates, log)
 		if err != nil {
 			return nil, err
 		}
 		w.server.RegisterServices = f.client.Register
 		return f, nil
 	default:
-		return alone{}, nil
+		return aloneRole{}, nil
 	}
 }
--- a/internal/daemon/testgroup_test.go
+++ b/internal/daemon/testgroup_test.go
@@ -164,23 +164,23 @@
 		if (&sidecar.Store{Path: filepath.Join(g.folder, name+".held")}).Load(h) != nil {
 			continue
 		}
-		version, text := h.RoutingRevision(), ""
+		revision, text := h.RoutingRevision(), ""
 		for _, e := range h.Table().Routes {
 			if e.Status == 0 {
 				text += fmt.Sprint(e.Name, e.Prefix, e.Mutating, e.RoutingRevision, " ")
 			}
 		}
-		if version == 0 {
+		if revision == 0 {
 			continue
 		}
-		if was, known := g.textOfVersion[version]; known && was != text {
-			g.t.Errorf("version %d is %q at %s, %q elsewhere", version, text, name, was)
+		if was, known := g.textOfVersion[revision]; known && was != text {
+			g.t.Errorf("version %d is %q at %s, %q elsewhere", revision, text, name, was)
 		}
-		g.textOfVersion[version] = text
-		if version < g.newestVersion[name] {
-			g.t.Errorf("%s went back from version %d to %d", name, g.newestVersion[name], version)
+		g.textOfVersion[revision] = text
+		if revision < g.newestVersion[name] {
+			g.t.Errorf("%s went back from version %d to %d", name, g.newestVersion[name], revision)
 		}
-		g.newestVersion[name] = version
+		g.newestVersion[name] = revision
 	}
 }
 
--- a/internal/daemon/watcher.go
+++ b/internal/daemon/watcher.go
@@ -31,17 +31,17 @@
 	log          *zap.Logger
 	// agreedChanged has one element while agreed overrides wait to be applied by run.
 	agreedChanged chan struct{}
-	// apply hands the nodes in effect to the server and the controller.
-	apply func([]config.Node)
+	// setNodesInEffect hands the nodes in effect to the server and the controller; tests replace it.
+	setNodesInEffect func([]config.Node)
 
 	// applyLock is held from reading the nodes in effect until they are applied: an older list must not overtake a newer
 	// one.
 	applyLock sync.Mutex
 
-	stateLock     sync.Mutex     // guards what follows
-	listed        []config.Node  // the list as read or received
-	agreed        *config.Agreed // nil: nothing was agreed
-	agreedVersion uint64         // under which sidecars get the agreed routes
+	stateLock       sync.Mutex     // guards what follows
+	listed          []config.Node  // the list as read or received
+	agreed          *config.Agreed // nil: nothing was agreed
+	routingRevision uint64         // under which sidecars get the agreed routes
 }
 
 func newWatcher(settings *config.Controller, nodes []config.Node, server *transport.Server, certificates *certs.Reloader, log *zap.Logger) *watcher {
@@ -53,7 +53,7 @@
 		agreedChanged: make(chan struct{}, 1),
 		listed:        nodes,
 	}
-	w.apply = w.setNodes
+	w.setNodesInEffect = w.setNodes
 	return w
 }
 
@@ -111,7 +111,7 @@
 }
 
 // acceptList takes a list that the service of nodes has sent.
-func (w *watcher) acceptList(version string, endpoints []transport.Endpoint) {
+func (w *watcher) acceptList(revision string, endpoints []transport.Endpoint) {
 	var nodes []config.Node
 	for _, endpoint := range endpoints {
 		nodes = append(nodes, config.Node{
@@ -126,7 +126,7 @@
 		})
 	}
 	w.setListed(nodes)
-	w.log.Info("list of nodes received", zap.String("version", version), zap.Int("nodes", len(nodes)))
+	w.log.Info("list of nodes received", zap.String("version", revision), zap.Int("nodes", len(nodes)))
 	w.applyNodes()
 }
 
@@ -134,7 +134,7 @@
 func (w *watcher) applyNodes() {
 	w.applyLock.Lock()
 	defer w.applyLock.Unlock()
-	w.apply(w.nodesInEffect())
+	w.setNodesInEffect(w.nodesInEffect())
 }
 
 func (w *watcher) nodesInEffect() []config.Node {
--- a/internal/daemon/watcher_test.go
+++ b/internal/daemon/watcher_test.go
@@ -20,7 +20,7 @@
 	first := true
 	w := &watcher{settings: &config.Controller{Deployment: settings.Deployment{MachineTypes: []string{"any"}}}, log: zap.NewNop(),
 		listed: []config.Node{{Endpoint: controller.Endpoint{Node: "old"}}}}
-	w.apply = func(nodes []config.Node) {
+	w.setNodesInEffect = func(nodes []config.Node) {
 		if first {
 			first = false
 			close(holds)
