--- a/cmd/simhost/main.go
+++ b/cmd/simhost/main.go
@@ -1,5 +1,6 @@
-// Command simhost hosts planners on the simulator's wire: batches on standard input, replies on standard output, stacks
-// of panics on standard error. It ends with status 1 and a line on standard error if a batch is malformed.
+// Command simhost hosts planners on the simulator's binary wire. It reads batches from standard input, writes replies
+// to standard output and writes the stack traces of panics to standard error. If a batch is malformed or contains a record
+// that cannot be applied, or if reading or writing fails, it prints one line to standard error and exits with status 1.
 package main
 
 import (
--- a/internal/invariant/debug.go
+++ b/internal/invariant/debug.go
@@ -2,7 +2,7 @@
 
 package invariant
 
-// Debug reports whether a breach panics. Code may also do costly checks only if it is set.
+// Debug reports whether a breach panics. Expensive checks should run only when it is true.
 const Debug = true
 
 func breached(what string) { panic("invariant: " + what) }
--- a/internal/invariant/invariant.go
+++ b/internal/invariant/invariant.go
@@ -1,6 +1,7 @@
-// Package invariant states in the code what must hold. A breach is a fault of the program. Built with the tag debug, as
-// CI tests it, the program panics; in release builds the breach is counted and reported, and the program goes
-// on. Any package may call Holds; the programs' main functions set Watch, and their counters show Breaches.
+// Package invariant checks conditions that are always true in a correct program. A breach is a bug in the program. In
+// builds with the debug tag, which CI uses for tests, a breach is counted and reported, and then panics. In release
+// builds it is counted and reported, and the program continues. Any package may call Holds; the main functions of the
+// programs call Watch, and their counters include Breaches.
 package invariant
 
 import "sync/atomic"
@@ -10,7 +11,8 @@
 	watcher  atomic.Pointer[func(what string)]
 )
 
-// Holds checks a condition; what names it as it should be, such as "the clock moves forward".
+// Holds checks that condition is true. The parameter what describes the expected condition, for example "the clock
+// moves forward".
 func Holds(condition bool, what string) {
 	if condition {
 		return
@@ -22,8 +24,9 @@
 	breached(what)
 }
 
-// Watch has report called at each later breach, on the goroutine that met it. It replaces the one that was set before.
+// Watch registers report, which is called on each subsequent breach, on the goroutine that detected it. It replaces the
+// previously registered function.
 func Watch(report func(what string)) { watcher.Store(&report) }
 
-// Breaches is the number of breaches since the start.
+// Breaches returns the number of breaches since the program started.
 func Breaches() uint64 { return breaches.Load() }
--- a/internal/invariant/invariant_test.go
+++ b/internal/invariant/invariant_test.go
@@ -5,6 +5,8 @@
 	"testing"
 )
 
+// A breach must be counted and reported in every build, so that it does not go unnoticed in production. It panics only
+// in builds with the debug tag.
 func TestBreachIsCountedReportedAndPanicsUnderDebug(t *testing.T) {
 	var reported []string
 	Watch(func(what string) { reported = append(reported, what) })
@@ -16,12 +18,12 @@
 	}()
 	Holds(true, "this one holds")
 	if got := Breaches() - before; got != 1 {
-		t.Errorf("%d breaches, want 1", got)
+		t.Errorf("got %d breaches, want 1", got)
 	}
 	if want := []string{"the clock moves forward"}; !slices.Equal(reported, want) {
-		t.Errorf("reported %q, want %q", reported, want)
+		t.Errorf("got reports %q, want %q", reported, want)
 	}
 	if panicked != Debug {
-		t.Errorf("panicked %t, built with the tag debug %t", panicked, Debug)
+		t.Errorf("got panic %t, want %t (debug build)", panicked, Debug)
 	}
 }
