--- a/internal/invariant/debug.go
+++ b/internal/invariant/debug.go
@@ -5,4 +5,4 @@
 // Debug reports whether a breach panics. Expensive checks should run only when it is true.
 const Debug = true
 
-func breached(what string) { panic("invariant: " + what) }
+func handleBreach(description string) { panic("invariant: " + description) }
--- a/internal/invariant/invariant.go
+++ b/internal/invariant/invariant.go
@@ -8,25 +8,25 @@
 
 var (
 	breaches atomic.Uint64
-	watcher  atomic.Pointer[func(what string)]
+	watcher  atomic.Pointer[func(description string)]
 )
 
-// Holds checks that condition is true. The parameter what describes the expected condition, for example "the clock
-// moves forward".
-func Holds(condition bool, what string) {
+// Holds checks that condition is true. The description states the expected condition, for example "the clock moves
+// forward".
+func Holds(condition bool, description string) {
 	if condition {
 		return
 	}
 	breaches.Add(1)
 	if report := watcher.Load(); report != nil {
-		(*report)(what)
+		(*report)(description)
 	}
-	breached(what)
+	handleBreach(description)
 }
 
 // Watch registers report, which is called on each subsequent breach, on the goroutine that detected it. It replaces the
 // previously registered function.
-func Watch(report func(what string)) { watcher.Store(&report) }
+func Watch(report func(description string)) { watcher.Store(&report) }
 
 // Breaches returns the number of breaches since the program started.
 func Breaches() uint64 { return breaches.Load() }
--- a/internal/invariant/release.go
+++ b/internal/invariant/release.go
@@ -5,4 +5,4 @@
 // Debug reports whether a breach panics. Expensive checks should run only when it is true.
 const Debug = false
 
-func breached(string) {}
+func handleBreach(string) {}
