--- a/planner/admission.go
+++ b/planner/admission.go
@@ -6,76 +6,78 @@
 	"slices"
 )
 
-// The work budget.
+// Constants of the work budget.
 const (
-	// budgetCut is the factor on min(budget, peak throughput) at a cut; under 1, so that full queues empty.
+	// budgetCut is the factor applied to min(budget, peak throughput) at a cut. It is less than 1 so that full queues
+	// drain.
 	budgetCut = 0.95
-	// cutIntervalSeconds is the time between two cuts: load reports reach back some seconds, come late and are
-	// averaged, so that a cut shows only then.
+	// cutIntervalSeconds is the minimum time between two cuts. Load reports cover the last few seconds, arrive late and
+	// are averaged, so the effect of a cut is visible only after this time.
 	cutIntervalSeconds = 5.0
-	// budgetGrowthPerSecond is the part by which the budget grows each second while the fleet is idle: queues fill
-	// later than load reports tell.
+	// budgetGrowthPerSecond is the fraction by which the budget grows each second while the fleet is idle. Growth is
+	// slow because load reports lag behind the queues.
 	budgetGrowthPerSecond = 0.05
-	// budgetRecoveryPerSecond is the extra growth each second when the budget is 0. It falls linearly to 0 where the
-	// budget is at the peak throughput.
+	// budgetRecoveryPerSecond is the additional growth each second at a budget of 0. It falls linearly to 0 at a budget
+	// equal to the peak throughput.
 	budgetRecoveryPerSecond = 0.5
-	// minWindowCoverage is the part of loadWindowSeconds that has to be covered by reports before they tell the
-	// throughput.
+	// minWindowCoverage is the fraction of loadWindowSeconds that reports must cover before the throughput is computed
+	// from them.
 	minWindowCoverage = 0.5
-	// capacityTargetFraction is the part of what busy endpoints could answer that is admitted: requests arrive at
-	// random.
+	// capacityTargetFraction is the fraction of the capacity of busy endpoints that is admitted. The remaining capacity
+	// absorbs random variation of arrivals.
 	capacityTargetFraction = 0.65
-	// unboundBudgetRatio is the budget, as a multiple of the original work, above which it does not bind.
+	// unboundBudgetRatio is the ratio of the budget to the original work above which the budget does not bind.
 	unboundBudgetRatio = 1.3
 )
 
-// Admission levels.
+// Constants of the admission levels.
 const (
-	// priorityTierRatio is the part of a route's priority per cost that another needs to share its level.
+	// priorityTierRatio is the minimum fraction of a tier's highest priority per cost that a route needs to share the
+	// level of that tier.
 	priorityTierRatio = 0.8
-	// minLevel is the lowest admission level: 0 would also stop the requests that a proxy holds.
+	// minLevel is the lowest admission level. A level of 0 would also stop the requests that are held at a proxy.
 	minLevel = 0.02
-	// minLevelChangeFraction is the part by which a level has to change before it is published.
+	// minLevelChangeFraction is the relative change of a level that must be exceeded before it is published.
 	minLevelChangeFraction = 0.05
 )
 
-// admissionControl decides how much of each route the proxies admit. It guards against full queues, in which requests
-// wait until their objective is missed: it admits the work that the fleet has shown it can answer, and of that the
-// routes with the highest priority per cost first. A route's latency objective stands for the work of a request, as
-// nothing else is known of it; work is counted in latency objectives a second.
+// admissionControl decides which part of each route's requests the proxies admit. It guards against full queues, in
+// which requests wait until they miss their latency objective. It admits the amount of work that the fleet is known to
+// answer, and serves the routes with the highest priority per cost first. A route's latency objective is the estimate
+// of the work of a request, as no better one is available; work is counted in latency objectives a second.
 type admissionControl struct {
 	kind            AdmissionKind
-	utilization     bool // whether endpoints report it
+	utilization     bool // whether endpoints report their utilization
 	routes          []Route
-	byPriority      []int     // routes, that with the highest priority per cost first
+	byPriority      []int     // route indices in descending order of priority per cost
 	priorityPerCost []float64 // by route
 
-	workBudget     float64 // work admitted, +Inf while it does not bind
-	peakThroughput float64 // best work answered of late
-	budgetScale    float64 // weight of the endpoints times servedBaselineRate that both are for
-	noCutBefore    float64 // s
+	workBudget     float64 // work that is admitted, +Inf while the budget does not bind
+	peakThroughput float64 // highest throughput measured, scaled like the budget
+	budgetScale    float64 // weight of the endpoints times servedBaselineRate at the last scaling
+	noCutBefore    float64 // s, earliest time of the next cut
 
-	// servedBaselineRate is the baseline rate of our proxies, those that left of late included.
+	// servedBaselineRate is the baseline rate of this controller's proxies, including those that left recently.
 	servedBaselineRate float64
 
 	throttling      bool    // whether the budget binds
 	throttlingSince float64 // s
 
-	levels        []float64 // by route, the part of its requests to admit
+	levels        []float64 // by route, the fraction of its requests to admit
 	clientRetries clientRetryEstimate
 }
 
-// admissionInput is what an update of admission control is decided by.
+// admissionInput holds the input of an update of admission control.
 type admissionInput struct {
 	now            float64
 	demand         []float64 // requests a second by route
-	meanObjective  float64   // s, of that demand
-	subsets        []subset  // their demand and published levels
-	baselineRate   float64   // requests a second that the connected proxies usually get
+	meanObjective  float64   // s, averaged over that demand
+	subsets        []subset  // with their demand and published levels
+	baselineRate   float64   // requests a second that the connected proxies usually receive
 	fleet          fleetLoad
 	saturation     float64
-	windowCoverage float64 // part of loadWindowSeconds that reports cover
-	attempts       float64 // attempts a second that completed
+	windowCoverage float64 // fraction of loadWindowSeconds that reports cover
+	attempts       float64 // completed attempts a second
 }
 
 func newAdmissionControl(config Config) admissionControl {
@@ -91,7 +93,7 @@
 	}
 }
 
-// rankRoutes orders the routes by priority per cost and admits all of them.
+// rankRoutes sorts the routes by priority per cost and admits all of them in full.
 func (a *admissionControl) rankRoutes() {
 	for r, route := range a.routes {
 		a.byPriority = append(a.byPriority, r)
@@ -103,12 +105,14 @@
 	})
 }
 
-// update decides the levels, every updateIntervalSeconds. It reports whether throttling has begun or ended.
+// update computes the admission levels. It runs every updateIntervalSeconds and reports whether throttling has started
+// or stopped.
 //
-// The order counts. The client retries are estimated with the throttling and the baseline rate known before this
-// update, the original work from them. The budget is scaled to the endpoints and proxies of now before the throughput
-// of now may raise the peak, and moved only then, as a cut starts from that peak. The bounds come last, so that no
-// growth passes them, and throttling is told from the budget that results.
+// The order of the steps matters. Client retries are estimated from the throttling state before this update and from
+// the updated baseline rate; the original work is derived from that estimate. The budget is scaled to the current
+// endpoints and proxies before the current throughput may raise the peak, and is adjusted after that, as a cut starts
+// from the peak. The bounds are applied last so that growth cannot exceed them. The throttling state follows from the
+// resulting budget.
 func (a *admissionControl) update(in admissionInput) (throttlingChanged bool) {
 	a.followBaselineRate(in.baselineRate)
 	a.clientRetries.update(clientRetryInput{
@@ -124,7 +128,8 @@
 	originalWork := a.originalWork()
 	a.scaleBudget(in.fleet.weight * a.servedBaselineRate)
 	if in.windowCoverage > minWindowCoverage {
-		// Before, a few answers would pass for all that the fleet can do, and throttle an idle one.
+		// With less coverage, a few answers would be mistaken for the maximum throughput, and an idle fleet would be
+		// throttled.
 		throughput := in.fleet.answers / loadWindowSeconds / in.windowCoverage * in.meanObjective
 		a.peakThroughput = max(a.peakThroughput, throughput)
 	}
@@ -143,8 +148,8 @@
 	return throttlingChanged
 }
 
-// budgetUnbound reports whether the budget need not bind: admission is off, or the fleet is relieved and the budget far
-// over the original work.
+// budgetUnbound reports whether the budget does not need to bind: admission is off, or the fleet is relieved and the
+// budget is well above the original work.
 func (a *admissionControl) budgetUnbound(saturation, originalWork float64) bool {
 	if a.kind == AdmissionOff {
 		return true
@@ -152,18 +157,19 @@
 	return saturation < relievedLatencyRatio && a.workBudget > unboundBudgetRatio*originalWork
 }
 
-// followBaselineRate follows the proxies that join at once, and those that leave as slowly as their demand decays:
-// another controller serves them from then on, or they go on sending.
+// followBaselineRate updates servedBaselineRate. Proxies that join count immediately. The rate of proxies that leave
+// decays as slowly as their demand: another controller serves them now, or they continue to send requests.
 func (a *admissionControl) followBaselineRate(connected float64) {
 	connected = max(connected, 1e-9)
 	left := a.servedBaselineRate - connected
 	a.servedBaselineRate = max(connected, connected+left*math.Exp(-updateIntervalSeconds/demandWindowSeconds))
 }
 
-// scaleBudget scales the budget with the weight of the endpoints and the baseline rate of our proxies. It guards against
-// a budget that was learned for another fleet, as after a zone is lost, a release, or the stop of another controller:
-// too much would be admitted to the endpoints that are left, or requests rejected by an idle fleet once they are back.
-// What the endpoints can answer of our requests is in proportion to both, so that the scaled budget fits at once.
+// scaleBudget scales the budget with the weight of the endpoints and the baseline rate of this controller's proxies. It
+// guards against a budget that was learned for a different fleet, for example after the loss of a zone, a release, or
+// the stop of another controller: the remaining endpoints would be sent too many requests, or requests would be
+// rejected although the fleet is idle once the endpoints are back. The capacity of the endpoints for this controller's
+// requests is in proportion to both factors, so the scaled budget fits immediately.
 func (a *admissionControl) scaleBudget(scale float64) {
 	if a.budgetScale > 0 {
 		a.workBudget = a.workBudget * scale / a.budgetScale
@@ -172,8 +178,8 @@
 	a.budgetScale = scale
 }
 
-// moveBudget cuts the budget while the fleet is saturated, and lets it grow while the fleet is relieved: the faster,
-// the farther it is under the peak throughput.
+// moveBudget cuts the budget while the fleet is saturated and raises it while the fleet is relieved. Growth is faster
+// the further the budget is below the peak throughput.
 func (a *admissionControl) moveBudget(in admissionInput) {
 	switch {
 	case in.saturation > saturatedLatencyRatio && in.now >= a.noCutBefore && a.peakThroughput > 0:
@@ -187,9 +193,9 @@
 	}
 }
 
-// limitByUtilization bounds the budget by what busy endpoints could answer. Where utilization is reported that is
-// known, and a burst shows in what is asked before any queue tells. Capacity that is learned from latencies is too
-// rough for it.
+// limitByUtilization limits the budget to the capacity of fully busy endpoints. That capacity is known where endpoints
+// report utilization, and a burst is then visible in the demand before queues fill. Capacity that is learned from
+// latencies is too inaccurate for this limit.
 func (a *admissionControl) limitByUtilization(in admissionInput, originalWork float64) {
 	limit := in.fleet.capacity * (capacityTargetFraction * in.meanObjective)
 	if a.utilization && originalWork > limit {
@@ -197,7 +203,7 @@
 	}
 }
 
-// originalWork is the work that is asked with original requests.
+// originalWork returns the work of the original requests, which excludes client retries.
 func (a *admissionControl) originalWork() (work float64) {
 	for r, requests := range a.clientRetries.original {
 		work += requests * a.routes[r].LatencyObjective
@@ -205,8 +211,8 @@
 	return work
 }
 
-// assignLevels spends the budget on the routes by priority per cost. Routes of about the same share one level, as
-// priority per cost is known only roughly.
+// assignLevels distributes the budget over the routes in descending order of priority per cost. Routes with similar
+// priority per cost form a tier and share one level, as priority per cost is only a rough estimate.
 func (a *admissionControl) assignLevels() {
 	left := a.workBudget
 	level := 1.0
@@ -227,7 +233,7 @@
 	}
 }
 
-// tierWork is the work of the routes that share the level of the first one.
+// tierWork returns the work of the routes that are in the same tier as the first one.
 func (a *admissionControl) tierWork(routes []int) (work float64) {
 	first := a.priorityPerCost[routes[0]]
 	for _, r := range routes {
--- a/planner/admission_test.go
+++ b/planner/admission_test.go
@@ -2,8 +2,8 @@
 
 import "testing"
 
-// All endpoints are full, and requests wait until their objective is missed. The routes with the highest priority per
-// cost have to be admitted first, and all again once the fleet is empty.
+// All endpoints are full, and requests wait until they miss their latency objective. The routes with the highest
+// priority per cost must be admitted first, and all routes must be admitted again once the fleet is idle.
 func TestOverloadAdmitsByPriority(t *testing.T) {
 	tr := newScene(t, testConfig(), 4)
 	tr.run(2)
@@ -16,8 +16,9 @@
 	tr.check()
 }
 
-// Half of the endpoints go while the fleet is throttled, and come back. A budget that stays would admit too much to
-// those that are left, and reject too much afterwards. It has to fall and rise with them.
+// Half of the endpoints are removed while the fleet is throttled, and are added again later. An unchanged budget would
+// admit too many requests to the remaining endpoints and reject too many afterwards. The budget must decrease and
+// increase with the endpoints.
 func TestBudgetFollowsEndpoints(t *testing.T) {
 	tr := newScene(t, testConfig(), 8)
 	tr.reportAll(LoadReport{Completed: 5, Failed: 1, MeanLatency: 0.9})
@@ -32,8 +33,8 @@
 	tr.check()
 }
 
-// Two routes have about the same priority per cost, which is known only roughly: they have to share a level. Where
-// levels are rates, each proxy has to get its max-min fair share of the rate that is admitted.
+// Two routes with similar priority per cost, which is only a rough estimate, must share a level. Where levels are
+// rates, each proxy must receive its max-min fair share of the admitted rate.
 func TestRoutesOfOneTierShareLevel(t *testing.T) {
 	config := testConfig()
 	config.Admission = AdmissionRate
@@ -45,8 +46,8 @@
 	tr.check()
 }
 
-// Six of eight proxies leave while the fleet is throttled. They go on sending and may come back. What is admitted
-// must not jump as they go.
+// Six of eight proxies leave while the fleet is throttled. They continue to send requests and may return. The admission
+// levels must not jump when they leave.
 func TestLevelsStayAsProxiesLeave(t *testing.T) {
 	tr := newScene(t, testConfig(), 4)
 	for p := 2; p < 8; p++ {
@@ -65,8 +66,9 @@
 	tr.check()
 }
 
-// Another controller stops, its proxies join this one, and go back later. The endpoints' part that was theirs comes
-// and goes with them: taken for a burst, their requests were rejected at an idle fleet. Levels have to stay.
+// Another controller stops, its proxies join this one and return later. The share of the endpoints' capacity that
+// serves them moves with them. When their requests were mistaken for a burst, they were rejected although the fleet was
+// idle. The levels must not change.
 func TestLevelsStayAsProxiesAreTakenOver(t *testing.T) {
 	tr := newScene(t, testConfig(), 4)
 	tr.run(2)
@@ -87,9 +89,9 @@
 	tr.check()
 }
 
-// A controller starts during an overload. The first few load reports cover a part of the window only: taken for all
-// that the fleet can answer, they would throttle it long after the overload. Once all is answered quickly, the levels
-// have to come back.
+// A controller starts during an overload. The first load reports cover only a part of the window. If they were mistaken
+// for the maximum throughput of the fleet, the fleet would be throttled long after the overload. Once all requests are
+// answered quickly, the levels must rise again.
 func TestStartDuringOverload(t *testing.T) {
 	tr := newScene(t, testConfig(), 4)
 	tr.reportAll(LoadReport{Completed: 10, Failed: 4, MeanLatency: 1.1})
--- a/planner/allocation.go
+++ b/planner/allocation.go
@@ -2,33 +2,33 @@
 
 import "math"
 
-// subsetLoad is what the allocation knows of a subset.
+// subsetLoad holds the demand and the capacity of a subset, as input of the allocation.
 type subsetLoad struct {
 	zone     int
-	demand   float64 // requests a second of its members; the weight of its share
-	capacity float64 // of its endpoints, in any unit that is the same for all
+	demand   float64 // requests a second of its members; its share is in proportion
+	capacity float64 // of its endpoints, in any unit that all subsets share
 }
 
-// allocation says how much of each subset's traffic goes to the endpoints of each, in the unit of their capacity.
+// allocation is the traffic that each subset may send to the endpoints of each subset, in the unit of their capacity.
 type allocation struct {
 	subsets int
-	granted []float64 // by from*subsets+to
+	granted []float64 // indexed by from*subsets+to
 }
 
-// get returns what one subset is granted at another.
+// get returns the capacity that subset from is granted at subset to.
 func (a *allocation) get(from, to int) float64 { return a.granted[from*a.subsets+to] }
 
-// take reduces what one subset is granted at another.
+// take reduces the capacity that subset from is granted at subset to.
 func (a *allocation) take(from, to int, amount float64) { a.granted[from*a.subsets+to] -= amount }
 
-// allocate splits the subsets' demand over their capacity by the water-fill of "B4 and After" (SIGCOMM 2018, §4.3,
-// Algorithm 1): a subset is a supernode, and all capacity together is the sink.
+// allocate distributes the subsets' demand over their capacity with the water-fill of "B4 and After" (SIGCOMM 2018,
+// §4.3, Algorithm 1): each subset is a supernode, and the total capacity is the sink.
 //
-// In each round every subset sends along its first path with remaining capacity: to its own endpoints; else evenly to
-// all subsets of its zone that have some; else, unless localZoneOnly, evenly to all that have some. All traffic grows
-// in proportion to demand until some subset is full, and the next round begins without it. The fill ends when the
-// traffic of some subset finds no path: all subsets are then granted the same part of their demand, the max-min fair
-// one.
+// In each round every subset sends along its first path with remaining capacity: to its own endpoints; otherwise evenly
+// to all subsets of its zone with remaining capacity; otherwise, unless localZoneOnly is set, evenly to all subsets
+// with remaining capacity. All traffic grows in proportion to demand until a subset is full, and the next round
+// excludes that subset. The fill ends when a subset with demand has no path left. All subsets are then granted the same
+// fraction of their demand, which is the max-min fair allocation.
 func allocate(loads []subsetLoad, zones int, localZoneOnly bool) allocation {
 	n := len(loads)
 	fill := waterFill{
@@ -56,25 +56,26 @@
 	return allocation{subsets: n, granted: fill.granted}
 }
 
-// minRemainingFraction is the part of all capacity below which a subset counts as full: rounding leaves as much.
+// minRemainingFraction is the fraction of the total capacity at or below which a subset's remaining capacity counts as
+// none: rounding errors are of that size.
 const minRemainingFraction = 1e-9
 
-// waterFill is the state of an allocation between two rounds.
+// waterFill is the state of a water-fill.
 type waterFill struct {
 	loads         []subsetLoad
 	localZoneOnly bool
-	minRemaining  float64   // up to which a subset counts as full
-	remaining     []float64 // by subset, capacity that is not granted yet
-	granted       []float64 // by from*n+to
+	minRemaining  float64   // capacity at or below which a subset is full
+	remaining     []float64 // by subset, the capacity not granted yet
+	granted       []float64 // indexed by from*n+to
 
-	// Of the round under way.
-	link       []float64 // weight of each path, by from*n+to
-	inbound    []float64 // sum of the weights of the paths to a subset
+	// State of the current round.
+	link       []float64 // weight of each path, indexed by from*n+to
+	inbound    []float64 // by subset, the sum of the weights of the paths to it
 	openInZone [][]int   // subsets with remaining capacity, by zone
 	open       []int     // subsets with remaining capacity
 }
 
-// findPaths weighs the paths of a round. It reports false if the traffic of some subset finds none.
+// findPaths computes the path weights of a round. It reports whether every subset with demand has a path.
 func (f *waterFill) findPaths() bool {
 	f.findOpen()
 	clear(f.link)
@@ -117,7 +118,8 @@
 	}
 }
 
-// bottleneck returns the part of demand that can be granted before some subset is full, +Inf if there is no demand.
+// bottleneck returns the fraction of demand that can be granted until the first subset is full, or +Inf if there is no
+// demand.
 func (f *waterFill) bottleneck() float64 {
 	bottleneck := math.Inf(1)
 	for to, inbound := range f.inbound {
@@ -128,7 +130,7 @@
 	return bottleneck
 }
 
-// grant gives every path its weight times the bottleneck.
+// grant grants every path its weight times the bottleneck.
 func (f *waterFill) grant(bottleneck float64) {
 	n := len(f.loads)
 	for from := range n {
--- a/planner/allocation_test.go
+++ b/planner/allocation_test.go
@@ -7,8 +7,8 @@
 	"testing"
 )
 
-// maxMinFraction finds the largest fraction of their demand that all subsets can get at once, by trying every set of
-// subsets: what a set gets is at most the capacity of all subsets that its members may use (the min cut).
+// maxMinFraction returns the largest fraction of their demand that all subsets can be granted simultaneously. It tries
+// every set of subsets: a set is granted at most the capacity of all subsets that its members may use (the min cut).
 func maxMinFraction(loads []subsetLoad, localZoneOnly bool) float64 {
 	fraction := math.Inf(1)
 	for set := 1; set < 1<<len(loads); set++ {
@@ -35,7 +35,7 @@
 	return fraction
 }
 
-// randomLoads draws a few subsets of some zones; some are without demand or capacity.
+// randomLoads generates a few subsets in random zones; some have no demand or no capacity.
 func randomLoads(random *rand.Rand) (loads []subsetLoad, zones int) {
 	zones = 1 + random.IntN(3)
 	for z := range zones * (1 + random.IntN(2)) {
@@ -51,10 +51,10 @@
 	return loads, zones
 }
 
-// The allocation decides where all requests go. An unfair one would show as endpoints of one subset that are full while
-// others idle. So: no subset is granted over its capacity, every subset is granted the fraction of its demand that is
-// the largest possible for all, and where requests may go anywhere no capacity is left while there is demand. Then
-// nobody can be granted more without taking from one who has the same or less.
+// The allocation decides where all requests are sent. With an unfair allocation, endpoints of one subset are full while
+// others are idle. The test verifies that no subset's capacity is exceeded, that every subset is granted the largest
+// fraction of its demand that is possible for all, and that no capacity is left while there is demand if requests may
+// be sent to any zone. Then no subset can be granted more without reducing the grant of one that has the same or less.
 func TestAllocationIsMaxMinFair(t *testing.T) {
 	const tolerance = 1e-6
 	for seed := range uint64(400) {
@@ -70,15 +70,15 @@
 				for from := range loads {
 					amount := granted.get(from, to)
 					if amount < 0 {
-						t.Errorf("subset %d is granted %v at subset %d", from, amount, to)
+						t.Errorf("grant of subset %d at subset %d: got %v, want at least 0", from, to, amount)
 					}
 					if localZoneOnly && amount > 0 && loads[from].zone != load.zone {
-						t.Errorf("subset %d of zone %d is granted %v in zone %d", from, loads[from].zone, amount, load.zone)
+						t.Errorf("grant of subset %d of zone %d in zone %d: got %v, want 0", from, loads[from].zone, load.zone, amount)
 					}
 					used += amount
 				}
 				if used > load.capacity+tolerance {
-					t.Errorf("subset %d is used with %v of %v", to, used, load.capacity)
+					t.Errorf("used capacity of subset %d: got %v, want at most %v", to, used, load.capacity)
 				}
 				free += load.capacity - used
 				demand += load.demand
@@ -89,20 +89,20 @@
 					total += granted.get(from, to)
 				}
 				if want := load.demand * fraction; load.demand > 0 && math.Abs(total-want) > tolerance {
-					t.Errorf("subset %d with demand %v is granted %v, the fair share is %v", from, load.demand, total, want)
+					t.Errorf("grant of subset %d with demand %v: got %v, want %v", from, load.demand, total, want)
 				}
 				if load.demand == 0 && total > 0 {
-					t.Errorf("subset %d without demand is granted %v", from, total)
+					t.Errorf("grant of subset %d without demand: got %v, want 0", from, total)
 				}
 			}
 			if !localZoneOnly && demand > 0 && free > tolerance {
-				t.Errorf("%v of capacity is left while there is demand", free)
+				t.Errorf("remaining capacity with demand %v: got %v, want 0", demand, free)
 			}
 		})
 	}
 }
 
-// A subset with capacity of its own sends nothing to others: requests that leave their zone are slower.
+// A subset with capacity of its own must not send requests to other subsets: requests that leave their zone are slower.
 func TestAllocationPrefersOwnEndpoints(t *testing.T) {
 	loads := []subsetLoad{{zone: 0, demand: 1, capacity: 5}, {zone: 1, demand: 1, capacity: 5}}
 	granted := allocate(loads, 2, false)
@@ -113,14 +113,15 @@
 				want = 5
 			}
 			if got := granted.get(from, to); got != want {
-				t.Errorf("subset %d is granted %v at subset %d, want %v", from, got, to, want)
+				t.Errorf("grant of subset %d at subset %d: got %v, want %v", from, to, got, want)
 			}
 		}
 	}
 }
 
-// Requests that find no room in their own zone would overload one other zone if they all went there. They have to go
-// evenly to the zones that have room, after what these need themselves, until no room is left.
+// If all requests that exceed the capacity of their zone were sent to a single other zone, they would overload it. They
+// must be spread evenly over the zones with remaining capacity, after the demand of these zones is served, until no
+// capacity remains.
 func TestAllocationSpillsEvenly(t *testing.T) {
 	tr := &trace{t: t}
 	for _, fill := range []struct {
@@ -150,7 +151,7 @@
 				used += granted[from*n+to]
 			}
 			if used > capacity+1e-9 {
-				t.Errorf("%s: zone %d is used with %v, over its capacity %v", fill.name, to, used, capacity)
+				t.Errorf("%s: used capacity of zone %d: got %v, want at most %v", fill.name, to, used, capacity)
 			}
 		}
 	}
--- a/planner/proxies.go
+++ b/planner/proxies.go
@@ -5,28 +5,28 @@
 	"slices"
 )
 
-// proxy is what the planner knows of one proxy. It is kept when its stream breaks: its demand decays.
+// proxy is the state of a proxy. It is kept after its stream breaks, as its demand decays only gradually.
 type proxy struct {
 	connected    bool
 	subset       int
-	baselineRate float64   // requests a second that it usually gets, as told when it joined; 0 while it is away
-	demand       []float64 // requests a second by route; nil before it joined for the first time
+	baselineRate float64   // requests a second that it usually receives, as stated when it joined; 0 while disconnected
+	demand       []float64 // requests a second by route; nil before it joins for the first time
 }
 
-// proxyRegistry holds the proxies by their number.
+// proxyRegistry holds the proxies, indexed by number.
 type proxyRegistry struct {
 	all     []proxy
-	unbound []int // those that joined and wait to be bound, the first one first
+	unbound []int // proxies that joined and wait to be bound, in the order of joining
 }
 
-// grow extends the registry to a proxy's number.
+// grow extends the registry to include the given proxy number.
 func (r *proxyRegistry) grow(number int) {
 	for len(r.all) <= number {
 		r.all = append(r.all, proxy{})
 	}
 }
 
-// connected lists the proxies whose streams are connected.
+// connected returns the numbers of the proxies whose streams are connected.
 func (r *proxyRegistry) connected() []int {
 	var numbers []int
 	for number := range r.all {
@@ -37,20 +37,21 @@
 	return numbers
 }
 
-// dequeue takes a proxy off those that wait to be bound.
+// dequeue removes a proxy from the queue of proxies that wait to be bound.
 func (r *proxyRegistry) dequeue(number int) {
 	r.unbound = slices.DeleteFunc(r.unbound, func(waiting int) bool { return waiting == number })
 }
 
-// ProxyJoined says that a proxy's stream is connected, and how many requests a second it usually gets. The proxy is
-// bound to a table in any case, as it may hold the one of another controller.
+// ProxyJoined handles the connection of a proxy's stream. rate is the number of requests a second that the proxy
+// usually receives. The proxy is always bound to a table, as it may hold the table of another controller.
 func (p *Planner) ProxyJoined(now float64, proxy, zone int, rate float64) {
 	p.now = now
 	p.proxies.grow(proxy)
 	zone = min(zone, p.config.Zones-1)
 	if known := &p.proxies.all[proxy]; known.connected && p.zoneOf(known.subset) == zone {
-		// A connected proxy is notified again after a gap in the watch. Its stream may never have broken: then what
-		// is in flight to it still is, and it gets its table's entries. Releasing that would overrun the channel.
+		// A connected proxy is announced again after a gap in the proxy watch. Its stream may never have broken. In
+		// that case its entries are still in flight, and releasing them would overrun the channel; it also continues
+		// to receive its table's entries.
 		if !slices.Contains(p.proxies.unbound, proxy) {
 			p.proxies.unbound = append(p.proxies.unbound, proxy)
 		}
@@ -65,24 +66,26 @@
 	}
 }
 
-// connect gives a proxy its subset and its demand until reports tell it.
+// connect marks a proxy as connected and assigns its subset and an initial demand until reports arrive.
 func (p *Planner) connect(proxy, zone int, rate float64) {
 	joined := &p.proxies.all[proxy]
 	joined.connected = true
 	joined.baselineRate = rate
 	p.assignSubset(proxy, zone)
 	if s := &p.subsets[joined.subset]; len(s.members) == 0 {
-		// All its proxies were away, and the time until now tells nothing of their demand: else the first report
-		// would take off their baseline rates, and the allocation would spill into the subset's own endpoints.
+		// All proxies of the subset were disconnected, so the time since the last report must not decay their demand.
+		// Otherwise the first report would remove their baseline rates, and the allocation would let other subsets
+		// spill into the subset's own endpoints.
 		s.demandReportedAt = p.now
 	}
 	if joined.demand == nil || sum(joined.demand) < rate {
-		// A proxy that is back counts for its baseline rate at once: its reports come seconds later.
+		// A returning proxy counts with its baseline rate immediately, as its reports arrive seconds later.
 		joined.demand = slices.Repeat([]float64{rate / float64(len(p.config.Routes))}, len(p.config.Routes))
 	}
 }
 
-// ProxyLeft says that a proxy's stream broke. Its demand decays, so that a short break moves no subset's share.
+// ProxyLeft handles the break of a proxy's stream. The proxy's demand decays gradually, so a short break does not
+// change the subsets' shares.
 func (p *Planner) ProxyLeft(now float64, proxy int) {
 	p.now = now
 	if proxy >= len(p.proxies.all) || !p.proxies.all[proxy].connected {
@@ -98,13 +101,14 @@
 	p.flow.account.proxyLeft(proxy)
 }
 
-// bindWaiting binds proxies that joined, as flow control lets it: a whole fleet at once would overrun the channel.
-// Before the first endpoint is known it binds none: an empty table would take from them what they hold.
+// bindWaiting binds waiting proxies as flow control permits: binding an entire fleet in one batch would overrun the
+// channel. It binds no proxy before the first endpoint is known, as an empty table would remove the entries that the
+// proxies hold.
 //
-// Proxies are bound in the order in which they joined; one that does not fit holds back those behind it. A proxy gets
-// its table as published so far. publishUrgent binds before it publishes the entries that fill the table, so that the
-// new members get these as well. If they do not fit, the members keep the table as it was, empty at the first list, and
-// the entries are due again at each step.
+// Proxies are bound in the order in which they joined; a proxy that does not fit delays those behind it. A proxy
+// receives its table as published so far. publishUrgent binds proxies before it publishes the entries that fill the
+// table, so the new members receive these as well. If the entries do not fit, the members keep the table as it was,
+// which is empty at the first list, and the entries are due again at each step.
 func (p *Planner) bindWaiting() {
 	for len(p.proxies.unbound) > 0 && len(p.endpoints.all) > 0 {
 		proxy := p.proxies.unbound[0]
@@ -116,7 +120,8 @@
 	}
 }
 
-// bindCost is the entries that a proxy is sent when it is bound: the bind, the admission levels and the table.
+// bindCost returns the number of entries that binding a proxy sends to it: the bind, the admission levels and the
+// table.
 func (p *Planner) bindCost(proxy int) float64 {
 	entries := 1 + float64(len(p.config.Routes))
 	for _, weight := range p.subsets[p.proxies.all[proxy].subset].table.published {
@@ -125,7 +130,7 @@
 	return entries
 }
 
-// bind puts a proxy on its subset's table.
+// bind binds a proxy to the table of its subset.
 func (p *Planner) bind(proxy int) {
 	subset := p.proxies.all[proxy].subset
 	p.host.BindProxy(proxy, subset)
--- a/planner/proxies_test.go
+++ b/planner/proxies_test.go
@@ -5,19 +5,19 @@
 	"testing"
 )
 
-// A proxy that joins may hold the table of another controller. It has to be bound at once, to a table that has
-// entries.
+// A proxy that joins may hold the table of another controller. It must be bound immediately, to a table with entries.
 func TestJoiningProxiesAreBoundAtOnce(t *testing.T) {
 	tr := newScene(t, testConfig(), 4)
 	tr.check()
 }
 
-// Proxies join before the endpoint list has come, or after an empty one. Bound to an empty table they would lose what
-// they hold. They have to be bound once a list has come, to subsets of the number that its size asks for.
+// Proxies join before the endpoint list arrives, or after an empty list. If they were bound to an empty table, they
+// would lose the entries that they hold. They must be bound once a list with endpoints has arrived, and the number of
+// subsets must match the size of that list.
 func TestProxiesWaitForFirstList(t *testing.T) {
 	for _, c := range []struct {
 		name  string
-		empty bool // whether an empty list comes first
+		empty bool // whether an empty list arrives first
 	}{
 		{"no list", false},
 		{"an empty list", true},
@@ -33,25 +33,26 @@
 			}
 			tr.run(1)
 			if strings.Contains(tr.String(), "bind") {
-				t.Errorf("bound without an endpoint:\n%s", tr)
+				t.Errorf("got a bind without an endpoint, want none:\n%s", tr)
 			}
 			tr.planner.ReplaceEndpoints(tr.now, endpointList(40))
 			tr.run(2)
 			for k := range tr.planner.subsets {
 				s := &tr.planner.subsets[k]
 				if len(s.members) != 3 {
-					t.Errorf("subset %d of %d has %d members", k, len(tr.planner.subsets), len(s.members))
+					t.Errorf("members of subset %d of %d: got %d, want 3", k, len(tr.planner.subsets), len(s.members))
 				}
 				if total := sum(s.table.published); total == 0 {
-					t.Errorf("the table of subset %d has no weight", k)
+					t.Errorf("sum of published weights of subset %d: got %v, want greater than 0", k, total)
 				}
 			}
 		})
 	}
 }
 
-// A whole fleet joins at once while nothing is acknowledged. Its tables overrun the channel unless they are sent as
-// flow control lets them, and an endpoint that drains meanwhile still has to leave the tables at once.
+// An entire fleet joins simultaneously while no message is acknowledged. Its tables overrun the channel unless they are
+// sent as flow control permits. An endpoint that starts draining meanwhile must still be removed from the tables
+// immediately.
 func TestCrowdIsBoundAsChannelAllows(t *testing.T) {
 	config := testConfig()
 	config.Proxies = 12
@@ -69,9 +70,9 @@
 	tr.check()
 }
 
-// A zone is lost with its proxy and starts again. The proxy's demand has decayed, and its reports come seconds later:
-// counted as nothing it would leave the capacity of its zone's cold endpoints to others. It has to count for its
-// baseline rate.
+// A zone is lost together with its proxy and starts again. The proxy's demand has decayed, and its reports arrive
+// seconds later. If its demand counted as 0, the capacity of its zone's cold endpoints would be granted to others. It
+// must count with its baseline rate.
 func TestReturningProxyCountsForBaselineRate(t *testing.T) {
 	tr := newScene(t, testConfig(), 4)
 	tr.run(2)
@@ -90,9 +91,9 @@
 	tr.check()
 }
 
-// The only proxy of a subset is back after 10 s. The first demand report took the time without any off its baseline
-// rate, the allocation took the zone for idle, and the cold endpoints there got the requests of all. The proxy has to
-// count for its baseline rate after that report as well.
+// The only proxy of a subset returns after 10 s. The first demand report decayed its baseline rate by the time without
+// reports, the allocation considered the zone idle, and the cold endpoints there received the requests of all zones.
+// The proxy must count with its baseline rate after that report as well.
 func TestReturningZoneKeepsBaselineRate(t *testing.T) {
 	tr := newScene(t, testConfig(), 4)
 	tr.run(3)
@@ -108,8 +109,8 @@
 	tr.check()
 }
 
-// After a gap in the proxy watch, connected proxies are notified again. Taken for proxies that left and came back,
-// they would move the baseline rate and with it the admission levels. Levels have to stay.
+// After a gap in the proxy watch, connected proxies are announced again. If they were mistaken for proxies that left
+// and returned, the baseline rate would change and with it the admission levels. The levels must not change.
 func TestRepeatedJoinKeepsLevels(t *testing.T) {
 	tr := newScene(t, testConfig(), 4)
 	tr.run(10)
@@ -124,9 +125,9 @@
 	tr.check()
 }
 
-// Connected proxies are notified again while the channel is full. Their streams never broke, and what is in flight to
-// them still is: released, it would overrun the channel. They have to keep getting their table's entries, and be
-// bound again only as the channel has room.
+// Connected proxies are announced again while the channel is full. Their streams never broke, so their entries are
+// still in flight, and releasing these would overrun the channel. The proxies must continue to receive their table's
+// entries, and must be bound again only as the channel has capacity.
 func TestRepeatedJoinReleasesNothing(t *testing.T) {
 	config := testConfig()
 	config.Proxies = 40
--- a/planner/publishlevels.go
+++ b/planner/publishlevels.go
@@ -5,24 +5,27 @@
 	"slices"
 )
 
-// maxLevelsFraction is the most of the channel's rate that admission levels take: tables have to move on as well.
+// maxLevelsFraction is the maximum fraction of the channel's rate that admission levels may use, so that routing tables
+// can be published as well.
 const maxLevelsFraction = 0.5
 
-// publishedAdmission is what the members of a subset were last sent.
+// publishedAdmission holds the admission levels and the retry policy that were last sent to the members of a subset.
 type publishedAdmission struct {
-	levels      []float64 // by route, before they are turned into rates
+	levels      []float64 // by route, before conversion to rates
 	retryPolicy RetryPolicy
-	at          float64 // s
+	at          float64 // s, time of the last publication
 }
 
-// newPublishedAdmission is what proxies do until they are told: they admit all, and retry.
+// newPublishedAdmission returns the defaults of a proxy that has received no levels: it admits all requests and
+// retries.
 func newPublishedAdmission(routes int) publishedAdmission {
 	return publishedAdmission{levels: slices.Repeat([]float64{1}, routes), retryPolicy: RetryIfNotSent}
 }
 
-// publishLevels sends the admission levels and the retry policy, subset by subset as flow control lets it, and before
-// tables that may wait: in one piece for all proxies they may not fit beside tables for many seconds, during which an
-// overload goes on with all admitted. It reports whether all that were due fit into the queue.
+// publishLevels sends the admission levels and the retry policy to one subset after the other, as flow control permits,
+// and before tables that are not urgent. A single publication for all proxies may not fit beside the tables for many
+// seconds, during which an overload continues with all requests admitted. It reports whether all due publications fit
+// into the queue.
 func (p *Planner) publishLevels() (allFit bool) {
 	allFit = true
 	for k := range p.subsets {
@@ -36,7 +39,7 @@
 		if !fits {
 			continue
 		}
-		// A subset whose proxies got all the messages that they may get holds no other back.
+		// A subset whose proxies have reached their message limit does not delay other subsets.
 		s.forgetOldMessages(p.now, p.config.MessageWindow)
 		if p.flow.mayPublish(p.now, s, entries, urgentQueueFraction) {
 			p.publishSubsetLevels(k)
@@ -45,11 +48,12 @@
 	return allFit
 }
 
-// levelsDue reports whether a subset's levels or retry policy have changed and may be sent again.
+// levelsDue reports whether a subset's levels or retry policy have changed and the minimum interval since their last
+// publication has passed.
 func (p *Planner) levelsDue(subset int) bool {
 	s := &p.subsets[subset]
 	entriesEach := p.config.MessageOverhead + 1 + float64(len(p.admission.byPriority))
-	entries := float64(len(s.members)*len(p.subsets)) * entriesEach // as though all subsets were as large
+	entries := float64(len(s.members)*len(p.subsets)) * entriesEach // as if all subsets had this size
 	interval := max(publishIntervalSeconds, entries/(maxLevelsFraction*max(p.config.EntriesPerSecond, 1)))
 	if p.now < s.admission.at+interval {
 		return false
@@ -57,7 +61,7 @@
 	return s.admission.retryPolicy != p.retryControl.policy() || !slices.Equal(s.admission.levels, p.admission.levels)
 }
 
-// publishSubsetLevels sends a subset the levels that changed, or all with a changed retry policy.
+// publishSubsetLevels sends a subset its changed levels, or all levels if the retry policy has changed.
 func (p *Planner) publishSubsetLevels(subset int) {
 	s := &p.subsets[subset]
 	policy := p.retryControl.policy()
@@ -76,8 +80,9 @@
 	s.admission.retryPolicy = policy
 }
 
-// admissionRate is the max-min fair rate of each proxy, in requests a second, that admits a route's level of its
-// original requests. Client retries use none of it. A route that is admitted in full has no bound.
+// admissionRate returns the rate limit of each proxy, in requests a second, that admits the fraction of a route's
+// original requests given by its level. The limit is max-min fair; client retries are not counted. A route that is
+// admitted in full has no limit.
 func (p *Planner) admissionRate(route int) float64 {
 	original := p.admission.clientRetries.original[route]
 	var rates []float64 // original requests a second, by connected proxy
--- a/planner/subsets.go
+++ b/planner/subsets.go
@@ -2,25 +2,26 @@
 
 import "math"
 
-// maxSubsetEndpoints is the most endpoints of a subset, on average over the zone. At ten, one endpoint is a tenth of
-// the subset's capacity, and each still gets many of a proxy's requests.
+// maxSubsetEndpoints is the maximum number of endpoints in a subset, on average over the subsets. At ten, one endpoint
+// is a tenth of the subset's capacity, and each endpoint still receives many of a proxy's requests.
 const maxSubsetEndpoints = 10.0
 
-// subset is some endpoints and proxies of a zone. These proxies, its members, share one routing table.
+// subset is a group of endpoints and proxies of a zone. Its proxies are its members and share one routing table.
 type subset struct {
 	members      []int     // proxies that are bound to its table
-	baselineRate float64   // requests a second that its connected proxies usually get
+	baselineRate float64   // requests a second that its connected proxies usually receive
 	messageTimes []float64 // s, of the messages written to its members within Config.MessageWindow
 
-	demand           float64 // requests a second, as of the last step
-	demandReportedAt float64 // s, when one of its proxies last reported demand
+	demand           float64 // requests a second, updated at each step
+	demandReportedAt float64 // s, time of the last demand report of one of its proxies
 
 	admission publishedAdmission
 	table     routingTable
 }
 
-// makeSubsets makes the subsets for a list of some endpoints. A zone is one subset unless that would have more than
-// maxSubsetEndpoints: a long table would take the channel too long and give the proxies too many connections.
+// makeSubsets creates the subsets for a list of the given number of endpoints. A zone is a single subset unless the
+// zones have more than maxSubsetEndpoints on average: a long table would occupy the channel for too long and require
+// too many connections of the proxies.
 func (p *Planner) makeSubsets(endpoints int) {
 	perZone := max(1, int(math.Ceil(float64(endpoints)/float64(p.config.Zones)/maxSubsetEndpoints)))
 	p.subsets = make([]subset, p.config.Zones*perZone)
@@ -33,14 +34,14 @@
 	p.endpoints.assignedByZone = make([]int, p.config.Zones)
 }
 
-// zoneOf is the zone of a subset. Subsets are numbered round the zones: subset k belongs to zone k % Zones, so that the
-// first Zones subsets are the first of each zone, in order.
+// zoneOf returns the zone of a subset. Subsets are numbered round-robin over the zones: subset k belongs to zone
+// k % Zones, so the first Zones subsets are the first subset of each zone, in order.
 func (p *Planner) zoneOf(subset int) int { return subset % p.config.Zones }
 
-// nthSubset is the subset of a zone at a place among those of the zone, counted round.
+// nthSubset returns the nth subset of a zone, modulo the number of subsets of the zone.
 func (p *Planner) nthSubset(zone, n int) int { return (zone + p.config.Zones*n) % len(p.subsets) }
 
-// assignSubset gives a proxy the subset of its zone with the lowest baseline rate.
+// assignSubset assigns a proxy to the subset of its zone with the lowest baseline rate.
 func (p *Planner) assignSubset(proxy, zone int) {
 	best := zone
 	for candidate := best; candidate < len(p.subsets); candidate += p.config.Zones {
@@ -52,7 +53,7 @@
 	p.subsets[best].baselineRate += p.proxies.all[proxy].baselineRate
 }
 
-// baselineRate is the requests a second that the connected proxies usually get.
+// baselineRate returns the requests a second that all connected proxies usually receive.
 func (p *Planner) baselineRate() (total float64) {
 	for k := range p.subsets {
 		total += p.subsets[k].baselineRate
@@ -60,7 +61,7 @@
 	return total
 }
 
-// totalDemand is the demand of all subsets, in requests a second.
+// totalDemand returns the demand of all subsets, in requests a second.
 func totalDemand(subsets []subset) (total float64) {
 	for k := range subsets {
 		total += subsets[k].demand
--- a/planner/subsets_test.go
+++ b/planner/subsets_test.go
@@ -2,8 +2,8 @@
 
 import "testing"
 
-// One table for a zone of many endpoints takes the channel too long. The zone has to be divided, and its subsets have
-// to take each other's requests before those of another zone do.
+// A single table for a zone with many endpoints would occupy the channel for too long. The zone must be divided, and
+// requests must spill to other subsets of the same zone before they spill to another zone.
 func TestLargeZoneIsDivided(t *testing.T) {
 	tr := newScene(t, testConfig(), 24)
 	tr.planner.ProxyJoined(tr.now, 2, 0, 10)
--- a/planner/tables.go
+++ b/planner/tables.go
@@ -6,17 +6,17 @@
 	"slices"
 )
 
-// maxSpillFraction is the most of an endpoint that requests of other subsets take, unless these need more of its
-// subset.
+// maxSpillFraction is the maximum fraction of an endpoint's capacity that other subsets use, unless they are granted a
+// larger fraction of its subset.
 const maxSpillFraction = 0.50
 
-// routingTable is the weights of endpoints for the members of a subset, by the endpoints' indices.
+// routingTable holds the weights of endpoints for the members of a subset, indexed by endpoint.
 type routingTable struct {
-	desired   []float64 // as planned; they add up to 1, or to 0
-	published []float64 // as sent, of any sum
+	desired   []float64 // as planned; the sum is 1 or 0
+	published []float64 // as sent; the sum is arbitrary
 }
 
-// grow extends the table to an endpoint's index.
+// grow appends an entry for the endpoint with the given index if the table ends there.
 func (t *routingTable) grow(index int) {
 	if index == len(t.desired) {
 		t.desired = append(t.desired, 0)
@@ -24,11 +24,11 @@
 	}
 }
 
-// scale returns the factor from desired to published weights, by the median of their ratios. Weights count only beside
-// each other, so that an entry that goes or changes moves no other.
+// scale returns the factor from desired to published weights, which is the weighted median of their ratios. Only ratios
+// between weights matter, so a removed or changed entry does not require new weights for the other entries.
 func (t *routingTable) scale() float64 {
-	var common []int // entries of both
-	half := 0.0      // of their desired weights
+	var common []int // entries with both weights greater than 0
+	half := 0.0      // of the sum of their desired weights
 	for i, weight := range t.desired {
 		if weight > 0 && t.published[i] > 0 {
 			common = append(common, i)
@@ -47,8 +47,8 @@
 	return 1
 }
 
-// changedEntries lists the entries whose published weights are off by more than a part of the greater one, the one that
-// is off most first.
+// changedEntries returns the entries whose published weight differs from the scaled desired weight by more than the
+// fraction part of the larger of the two, sorted by descending difference.
 func (t *routingTable) changedEntries(part float64) []int {
 	scale := t.scale()
 	change := func(i int) float64 { return math.Abs(t.desired[i]*scale - t.published[i]) }
@@ -62,8 +62,8 @@
 	return entries
 }
 
-// misplaced returns the part of the table's requests that go to other endpoints than desired, and the sum of the
-// published weights of the entries that stay.
+// misplaced returns the fraction of the table's requests that are sent to other endpoints than desired, and the sum of
+// the published weights of the entries that remain in the desired table.
 func (t *routingTable) misplaced() (part, staying float64) {
 	for i, weight := range t.published {
 		if t.desired[i] > 0 {
@@ -76,8 +76,8 @@
 	return part, staying
 }
 
-// overloads reports whether the table leads to an endpoint that is to get nothing, or to a cold one that gets twice its
-// part since others went, and would be overloaded.
+// overloads reports whether the published table includes an endpoint that must not receive requests, or a cold endpoint
+// that receives at least twice its desired fraction because other endpoints were removed, and would be overloaded.
 func (t *routingTable) overloads(staying float64, warmingUp func(i int) bool) bool {
 	for i, weight := range t.published {
 		if weight <= 0 {
@@ -92,8 +92,8 @@
 	return false
 }
 
-// planTables sets the desired weights of all tables: it allocates the subsets' demand to their capacity and lays out
-// what each is granted.
+// planTables sets the desired weights of all tables: it allocates the subsets' demand to their capacity and distributes
+// the granted capacity over endpoints.
 func (p *Planner) planTables() {
 	capacity := make([]float64, len(p.endpoints.all)) // by endpoint
 	loads := make([]subsetLoad, len(p.subsets))
@@ -113,17 +113,18 @@
 	p.normalizeTables(capacity, loads, total)
 }
 
-// layOutTables turns what subsets are granted into capacity by endpoint. What a subset grants to others takes few of
-// its endpoints, from the end of the list: an entry costs one at every proxy of the table. But it takes none whole: if
-// the other subsets are lost, the subset's own members still have entries for all its endpoints.
+// layOutTables distributes the capacity that subsets are granted over endpoints. Grants to other subsets use few
+// endpoints of a subset, from the end of the list, because each entry is sent to every proxy of the table. They do not
+// use the full capacity of an endpoint, so the subset's own members keep entries for all its endpoints in case the
+// other subsets are lost.
 func (p *Planner) layOutTables(capacity []float64, loads []subsetLoad, granted *allocation) {
 	n := len(p.subsets)
-	maxSpill := make([]float64, n) // by subset, the part of an endpoint that others may take
+	maxSpill := make([]float64, n) // by subset, the fraction of an endpoint that others may use
 	for k := range p.subsets {
 		maxSpill[k] = max(maxSpillFraction, 1-granted.get(k, k)/max(loads[k].capacity, 1e-9))
 		clear(p.subsets[k].table.desired)
 	}
-	nextReceiver := make([]int, n) // by subset, how many of the subsets that follow it have what they were granted
+	nextReceiver := make([]int, n) // by subset, the number of subsets following it whose grants are served
 	for i := len(capacity) - 1; i >= 0; i-- {
 		k := p.endpoints.all[i].subset
 		own := p.spillEndpoint(i, capacity[i], maxSpill[k]*capacity[i], granted, &nextReceiver[k])
@@ -133,9 +134,9 @@
 	}
 }
 
-// spillEndpoint lays out up to spill of an endpoint's capacity for other subsets that were granted some at its subset.
-// These take in turn, from the one at nextReceiver on, which moves past those that have all that they were granted. It
-// returns the capacity that is left to the subset's own members.
+// spillEndpoint distributes at most spill of an endpoint's capacity to the other subsets that were granted capacity at
+// its subset. It serves them in order, starting at nextReceiver, and advances nextReceiver past the subsets whose
+// grants are served. It returns the capacity that remains for the subset's own members.
 func (p *Planner) spillEndpoint(i int, capacity, spill float64, granted *allocation, nextReceiver *int) (own float64) {
 	n := len(p.subsets)
 	k := p.endpoints.all[i].subset
@@ -144,7 +145,7 @@
 		receiver := (k + 1 + *nextReceiver) % n
 		rest := granted.get(receiver, k)
 		if rest < minWeightChangeFraction*capacity {
-			*nextReceiver++ // less is not worth an entry
+			*nextReceiver++ // a smaller amount does not justify an entry
 			continue
 		}
 		taken := min(spill, rest)
@@ -156,7 +157,8 @@
 	return own
 }
 
-// normalizeTables makes each table's weights add up to 1, and fills the tables that were granted nothing.
+// normalizeTables scales the desired weights of each table to a sum of 1, and fills the tables of subsets that were
+// granted no capacity.
 func (p *Planner) normalizeTables(capacity []float64, loads []subsetLoad, totalCapacity float64) {
 	for k := range p.subsets {
 		s := &p.subsets[k]
@@ -166,10 +168,10 @@
 			case granted > 0:
 				s.table.desired[i] /= granted
 			case totalCapacity == 0 && p.endpoints.all[i].state == Ready:
-				// No endpoint has capacity: the published table stays but for endpoints that drain or were removed.
+				// No endpoint has capacity: the published table is kept, without endpoints that drain or were removed.
 				s.table.desired[i] = s.table.published[i]
 			case p.endpoints.all[i].subset == k || loads[k].capacity == 0:
-				// Its own endpoints, or all where it has none: a proxy that joins must find an entry.
+				// Its own endpoints, or all endpoints if its own have no capacity: a proxy that joins needs entries.
 				s.table.desired[i] = capacity[i] / max(totalCapacity, 1e-9)
 			}
 		}
--- a/planner/tables_test.go
+++ b/planner/tables_test.go
@@ -2,9 +2,9 @@
 
 import "testing"
 
-// A subset sends requests to another zone. An entry costs one at every proxy, so that its table has to lead to few
-// endpoints there. The other zone's own members have to keep entries for these, as they would have none if the
-// borrowing zone were lost.
+// A subset sends requests to another zone. Each entry is sent to every proxy of the table, so the table must include
+// only a few endpoints of that zone. The other zone's own members must keep entries for these endpoints, as these would
+// otherwise receive no requests if the sending zone were lost.
 func TestSpillTakesFewEndpoints(t *testing.T) {
 	tr := newScene(t, testConfig(), 12)
 	tr.requests[0] = []int{15, 15}
