--- a/planner/admission.go
+++ b/planner/admission.go
@@ -55,7 +55,7 @@
 	workBudget     float64 // work that is admitted, +Inf while the budget does not bind
 	peakThroughput float64 // highest throughput measured, scaled like the budget
 	budgetScale    float64 // weight of the endpoints times servedBaselineRate at the last scaling
-	noCutBefore    float64 // s, earliest time of the next cut
+	earliestCutAt  float64 // s, earliest time of the next cut
 
 	// servedBaselineRate is the baseline rate of this controller's proxies, including those that left recently.
 	servedBaselineRate float64
@@ -114,7 +114,7 @@
 // from the peak. The bounds are applied last so that growth cannot exceed them. The throttling state follows from the
 // resulting budget.
 func (a *admissionControl) update(in admissionInput) (throttlingChanged bool) {
-	a.followBaselineRate(in.baselineRate)
+	a.updateBaselineRate(in.baselineRate)
 	a.clientRetries.update(clientRetryInput{
 		now:                in.now,
 		demand:             in.demand,
@@ -133,7 +133,7 @@
 		throughput := in.fleet.answers / loadWindowSeconds / in.windowCoverage * in.meanObjective
 		a.peakThroughput = max(a.peakThroughput, throughput)
 	}
-	a.moveBudget(in)
+	a.adjustBudget(in)
 	a.limitByUtilization(in, originalWork)
 	if a.budgetUnbound(in.saturation, originalWork) {
 		a.workBudget = math.Inf(1)
@@ -157,12 +157,12 @@
 	return saturation < relievedLatencyRatio && a.workBudget > unboundBudgetRatio*originalWork
 }
 
-// followBaselineRate updates servedBaselineRate. Proxies that join count immediately. The rate of proxies that leave
+// updateBaselineRate updates servedBaselineRate. Proxies that join count immediately. The rate of proxies that leave
 // decays as slowly as their demand: another controller serves them now, or they continue to send requests.
-func (a *admissionControl) followBaselineRate(connected float64) {
+func (a *admissionControl) updateBaselineRate(connected float64) {
 	connected = max(connected, 1e-9)
-	left := a.servedBaselineRate - connected
-	a.servedBaselineRate = max(connected, connected+left*math.Exp(-updateIntervalSeconds/demandWindowSeconds))
+	departed := a.servedBaselineRate - connected
+	a.servedBaselineRate = max(connected, connected+departed*math.Exp(-updateIntervalSeconds/demandWindowSeconds))
 }
 
 // scaleBudget scales the budget with the weight of the endpoints and the baseline rate of this controller's proxies. It
@@ -178,13 +178,13 @@
 	a.budgetScale = scale
 }
 
-// moveBudget cuts the budget while the fleet is saturated and raises it while the fleet is relieved. Growth is faster
+// adjustBudget cuts the budget while the fleet is saturated and raises it while the fleet is relieved. Growth is faster
 // the further the budget is below the peak throughput.
-func (a *admissionControl) moveBudget(in admissionInput) {
+func (a *admissionControl) adjustBudget(in admissionInput) {
 	switch {
-	case in.saturation > saturatedLatencyRatio && in.now >= a.noCutBefore && a.peakThroughput > 0:
+	case in.saturation > saturatedLatencyRatio && in.now >= a.earliestCutAt && a.peakThroughput > 0:
 		a.workBudget = budgetCut * min(a.workBudget, a.peakThroughput)
-		a.noCutBefore = in.now + cutIntervalSeconds
+		a.earliestCutAt = in.now + cutIntervalSeconds
 	case in.saturation < relievedLatencyRatio:
 		deficit := max(0, 1-a.workBudget/max(a.peakThroughput, 1e-9))
 		growth := budgetGrowthPerSecond + budgetRecoveryPerSecond*deficit
@@ -214,19 +214,19 @@
 // assignLevels distributes the budget over the routes in descending order of priority per cost. Routes with similar
 // priority per cost form a tier and share one level, as priority per cost is only a rough estimate.
 func (a *admissionControl) assignLevels() {
-	left := a.workBudget
+	remainingBudget := a.workBudget
 	level := 1.0
 	tierPriority := math.Inf(1)
 	for k, r := range a.byPriority {
 		if a.priorityPerCost[r] < priorityTierRatio*tierPriority {
 			tierPriority = a.priorityPerCost[r]
 			work := a.tierWork(a.byPriority[k:])
-			level = max(minLevel, min(1, left/max(work, 1e-9)))
-			left = max(0, left-work)
+			level = max(minLevel, min(1, remainingBudget/max(work, 1e-9)))
+			remainingBudget = max(0, remainingBudget-work)
 		}
-		before := a.levels[r]
-		changed := math.Abs(level-before) > minLevelChangeFraction*before
-		restored := level == 1 && before < 1
+		current := a.levels[r]
+		changed := math.Abs(level-current) > minLevelChangeFraction*current
+		restored := level == 1 && current < 1
 		if changed || restored {
 			a.levels[r] = level
 		}
--- a/planner/allocation.go
+++ b/planner/allocation.go
@@ -15,11 +15,11 @@
 	granted []float64 // indexed by from*subsets+to
 }
 
-// get returns the capacity that subset from is granted at subset to.
-func (a *allocation) get(from, to int) float64 { return a.granted[from*a.subsets+to] }
+// at returns the capacity that subset from is granted at subset to.
+func (a *allocation) at(from, to int) float64 { return a.granted[from*a.subsets+to] }
 
-// take reduces the capacity that subset from is granted at subset to.
-func (a *allocation) take(from, to int, amount float64) { a.granted[from*a.subsets+to] -= amount }
+// reduce subtracts amount from the capacity that subset from is granted at subset to.
+func (a *allocation) reduce(from, to int, amount float64) { a.granted[from*a.subsets+to] -= amount }
 
 // allocate distributes the subsets' demand over their capacity with the water-fill of "B4 and After" (SIGCOMM 2018,
 // §4.3, Algorithm 1): each subset is a supernode, and the total capacity is the sink.
@@ -32,13 +32,13 @@
 func allocate(loads []subsetLoad, zones int, localZoneOnly bool) allocation {
 	n := len(loads)
 	fill := waterFill{
-		loads:         loads,
-		localZoneOnly: localZoneOnly,
-		remaining:     make([]float64, n),
-		link:          make([]float64, n*n),
-		inbound:       make([]float64, n),
-		granted:       make([]float64, n*n),
-		openInZone:    make([][]int, zones),
+		loads:           loads,
+		localZoneOnly:   localZoneOnly,
+		remaining:       make([]float64, n),
+		pathWeights:     make([]float64, n*n),
+		inboundWeights:  make([]float64, n),
+		granted:         make([]float64, n*n),
+		availableByZone: make([][]int, zones),
 	}
 	total := 0.0
 	for to, load := range loads {
@@ -69,51 +69,51 @@
 	granted       []float64 // indexed by from*n+to
 
 	// State of the current round.
-	link       []float64 // weight of each path, indexed by from*n+to
-	inbound    []float64 // by subset, the sum of the weights of the paths to it
-	openInZone [][]int   // subsets with remaining capacity, by zone
-	open       []int     // subsets with remaining capacity
+	pathWeights     []float64 // weight of each path, indexed by from*n+to
+	inboundWeights  []float64 // by subset, the sum of the weights of the paths to it
+	availableByZone [][]int   // subsets with remaining capacity, by zone
+	available       []int     // subsets with remaining capacity
 }
 
 // findPaths computes the path weights of a round. It reports whether every subset with demand has a path.
 func (f *waterFill) findPaths() bool {
-	f.findOpen()
-	clear(f.link)
-	clear(f.inbound)
+	f.findAvailable()
+	clear(f.pathWeights)
+	clear(f.inboundWeights)
 	n := len(f.loads)
 	var direct [1]int
 	for from, load := range f.loads {
-		targets := f.openInZone[load.zone]
+		targets := f.availableByZone[load.zone]
 		switch {
 		case f.remaining[from] > f.minRemaining:
 			direct[0] = from
 			targets = direct[:]
 		case len(targets) == 0 && !f.localZoneOnly:
-			targets = f.open
+			targets = f.available
 		}
 		if load.demand > 0 && len(targets) == 0 {
 			return false
 		}
 		for _, to := range targets {
 			weight := load.demand / float64(len(targets))
-			f.link[from*n+to] += weight
-			f.inbound[to] += weight
+			f.pathWeights[from*n+to] += weight
+			f.inboundWeights[to] += weight
 		}
 	}
 	return true
 }
 
-// findOpen lists the subsets that have remaining capacity.
-func (f *waterFill) findOpen() {
-	f.open = f.open[:0]
-	for zone := range f.openInZone {
-		f.openInZone[zone] = f.openInZone[zone][:0]
+// findAvailable lists the subsets that have remaining capacity.
+func (f *waterFill) findAvailable() {
+	f.available = f.available[:0]
+	for zone := range f.availableByZone {
+		f.availableByZone[zone] = f.availableByZone[zone][:0]
 	}
 	for to, remaining := range f.remaining {
 		if remaining > f.minRemaining {
 			zone := f.loads[to].zone
-			f.openInZone[zone] = append(f.openInZone[zone], to)
-			f.open = append(f.open, to)
+			f.availableByZone[zone] = append(f.availableByZone[zone], to)
+			f.available = append(f.available, to)
 		}
 	}
 }
@@ -122,7 +122,7 @@
 // demand.
 func (f *waterFill) bottleneck() float64 {
 	bottleneck := math.Inf(1)
-	for to, inbound := range f.inbound {
+	for to, inbound := range f.inboundWeights {
 		if inbound > 0 {
 			bottleneck = min(bottleneck, f.remaining[to]/inbound)
 		}
@@ -135,7 +135,7 @@
 	n := len(f.loads)
 	for from := range n {
 		row := f.granted[from*n : from*n+n]
-		for to, weight := range f.link[from*n : from*n+n] {
+		for to, weight := range f.pathWeights[from*n : from*n+n] {
 			amount := weight * bottleneck
 			row[to] += amount
 			f.remaining[to] -= amount
--- a/planner/allocation_test.go
+++ b/planner/allocation_test.go
@@ -21,8 +21,8 @@
 		for _, to := range loads {
 			reached := false
 			for from, load := range loads {
-				uses := set&(1<<from) != 0 && load.demand > 0 && (!localZoneOnly || load.zone == to.zone)
-				reached = reached || uses
+				usable := set&(1<<from) != 0 && load.demand > 0 && (!localZoneOnly || load.zone == to.zone)
+				reached = reached || usable
 			}
 			if reached {
 				capacity += to.capacity
@@ -64,11 +64,11 @@
 		t.Run(fmt.Sprintf("seed %d", seed), func(t *testing.T) {
 			granted := allocate(loads, zones, localZoneOnly)
 			fraction := maxMinFraction(loads, localZoneOnly)
-			free, demand := 0.0, 0.0
+			remaining, demand := 0.0, 0.0
 			for to, load := range loads {
 				used := 0.0
 				for from := range loads {
-					amount := granted.get(from, to)
+					amount := granted.at(from, to)
 					if amount < 0 {
 						t.Errorf("grant of subset %d at subset %d: got %v, want at least 0", from, to, amount)
 					}
@@ -80,13 +80,13 @@
 				if used > load.capacity+tolerance {
 					t.Errorf("used capacity of subset %d: got %v, want at most %v", to, used, load.capacity)
 				}
-				free += load.capacity - used
+				remaining += load.capacity - used
 				demand += load.demand
 			}
 			for from, load := range loads {
 				total := 0.0
 				for to := range loads {
-					total += granted.get(from, to)
+					total += granted.at(from, to)
 				}
 				if want := load.demand * fraction; load.demand > 0 && math.Abs(total-want) > tolerance {
 					t.Errorf("grant of subset %d with demand %v: got %v, want %v", from, load.demand, total, want)
@@ -95,8 +95,8 @@
 					t.Errorf("grant of subset %d without demand: got %v, want 0", from, total)
 				}
 			}
-			if !localZoneOnly && demand > 0 && free > tolerance {
-				t.Errorf("remaining capacity with demand %v: got %v, want 0", demand, free)
+			if !localZoneOnly && demand > 0 && remaining > tolerance {
+				t.Errorf("remaining capacity with demand %v: got %v, want 0", demand, remaining)
 			}
 		})
 	}
@@ -112,7 +112,7 @@
 			if from == to {
 				want = 5
 			}
-			if got := granted.get(from, to); got != want {
+			if got := granted.at(from, to); got != want {
 				t.Errorf("grant of subset %d at subset %d: got %v, want %v", from, to, got, want)
 			}
 		}
@@ -124,7 +124,7 @@
 // capacity remains.
 func TestAllocationSpillsEvenly(t *testing.T) {
 	tr := &trace{t: t}
-	for _, fill := range []struct {
+	for _, test := range []struct {
 		name               string
 		demand, capacities []float64
 	}{
@@ -135,23 +135,23 @@
 		{"no traffic", []float64{0, 0}, []float64{3, 3}},
 		{"one zone only", []float64{7}, []float64{3}},
 	} {
-		n := len(fill.capacities)
+		n := len(test.capacities)
 		loads := make([]subsetLoad, n)
 		for z := range loads {
-			loads[z] = subsetLoad{zone: z, demand: fill.demand[z], capacity: fill.capacities[z]}
+			loads[z] = subsetLoad{zone: z, demand: test.demand[z], capacity: test.capacities[z]}
 		}
 		granted := allocate(loads, n, false).granted
-		tr.say("%s: shares %v rooms %v", fill.name, fill.demand, fill.capacities)
+		tr.say("%s: shares %v rooms %v", test.name, test.demand, test.capacities)
 		for from := range n {
 			tr.say("  zone %d gives %.2f", from, granted[from*n:from*n+n])
 		}
-		for to, capacity := range fill.capacities {
+		for to, capacity := range test.capacities {
 			used := 0.0
 			for from := range n {
 				used += granted[from*n+to]
 			}
 			if used > capacity+1e-9 {
-				t.Errorf("%s: used capacity of zone %d: got %v, want at most %v", fill.name, to, used, capacity)
+				t.Errorf("%s: used capacity of zone %d: got %v, want at most %v", test.name, to, used, capacity)
 			}
 		}
 	}
--- a/planner/proxies.go
+++ b/planner/proxies.go
@@ -39,7 +39,7 @@
 
 // dequeue removes a proxy from the queue of proxies that wait to be bound.
 func (r *proxyRegistry) dequeue(number int) {
-	r.unbound = slices.DeleteFunc(r.unbound, func(waiting int) bool { return waiting == number })
+	r.unbound = slices.DeleteFunc(r.unbound, func(queued int) bool { return queued == number })
 }
 
 // ProxyJoined handles the connection of a proxy's stream. rate is the number of requests a second that the proxy
@@ -48,7 +48,7 @@
 	p.now = now
 	p.proxies.grow(proxy)
 	zone = min(zone, p.config.Zones-1)
-	if known := &p.proxies.all[proxy]; known.connected && p.zoneOf(known.subset) == zone {
+	if existing := &p.proxies.all[proxy]; existing.connected && p.zoneOf(existing.subset) == zone {
 		// A connected proxy is announced again after a gap in the proxy watch. Its stream may never have broken. In
 		// that case its entries are still in flight, and releasing them would overrun the channel; it also continues
 		// to receive its table's entries.
@@ -91,13 +91,13 @@
 	if proxy >= len(p.proxies.all) || !p.proxies.all[proxy].connected {
 		return
 	}
-	left := &p.proxies.all[proxy]
-	s := &p.subsets[left.subset]
-	s.baselineRate -= left.baselineRate
+	departed := &p.proxies.all[proxy]
+	s := &p.subsets[departed.subset]
+	s.baselineRate -= departed.baselineRate
 	s.members = slices.DeleteFunc(s.members, func(member int) bool { return member == proxy })
 	p.proxies.dequeue(proxy)
-	left.connected = false
-	left.baselineRate = 0
+	departed.connected = false
+	departed.baselineRate = 0
 	p.flow.account.proxyLeft(proxy)
 }
 
--- a/planner/proxies_test.go
+++ b/planner/proxies_test.go
@@ -98,8 +98,8 @@
 	tr := newScene(t, testConfig(), 4)
 	tr.run(3)
 	tr.planner.ProxyLeft(tr.now, 1)
-	calls := tr.requests
-	tr.requests = calls[:1]
+	allRequests := tr.requests
+	tr.requests = allRequests[:1]
 	tr.run(10)
 	tr.say("-- proxy 1 is back after 10 s")
 	tr.planner.ProxyJoined(tr.now, 1, 1, 40)
@@ -140,22 +140,22 @@
 			tr.planner.ProxyJoined(tr.now, p, p%2, 1)
 		}
 	}
-	sayInFlight := func(when string) {
+	traceInFlight := func(when string) {
 		bound := len(tr.planner.subsets[0].members) + len(tr.planner.subsets[1].members)
 		tr.say("%s: %.0f of %.0f lines wait, %d bound", when, tr.planner.flow.account.entries, config.MaxInFlightEntries, bound)
 	}
 	join()
-	sayInFlight("joined")
+	traceInFlight("joined")
 	tr.run(2)
-	sayInFlight("later")
+	traceInFlight("later")
 	join()
-	sayInFlight("told again")
+	traceInFlight("told again")
 	tr.run(1)
-	sayInFlight("later")
+	traceInFlight("later")
 	tr.planner.ProxyLeft(tr.now, 0)
 	tr.planner.ProxyJoined(tr.now, 0, 0, 1)
-	sayInFlight("one was renewed")
+	traceInFlight("one was renewed")
 	tr.planner.Acknowledged(tr.now, 1, tr.nonce)
-	sayInFlight("the last mark was confirmed")
+	traceInFlight("the last mark was confirmed")
 	tr.check()
 }
--- a/planner/publishlevels.go
+++ b/planner/publishlevels.go
@@ -52,8 +52,8 @@
 // publication has passed.
 func (p *Planner) levelsDue(subset int) bool {
 	s := &p.subsets[subset]
-	entriesEach := p.config.MessageOverhead + 1 + float64(len(p.admission.byPriority))
-	entries := float64(len(s.members)*len(p.subsets)) * entriesEach // as if all subsets had this size
+	entriesPerMember := p.config.MessageOverhead + 1 + float64(len(p.admission.byPriority))
+	entries := float64(len(s.members)*len(p.subsets)) * entriesPerMember // as if all subsets had this size
 	interval := max(publishIntervalSeconds, entries/(maxLevelsFraction*max(p.config.EntriesPerSecond, 1)))
 	if p.now < s.admission.at+interval {
 		return false
@@ -93,13 +93,13 @@
 	}
 	slices.Sort(rates)
 	level := p.admission.levels[route]
-	left := level * sum(rates)
+	remainingRate := level * sum(rates)
 	for k, rate := range rates {
-		equalShare := left / float64(len(rates)-k)
+		equalShare := remainingRate / float64(len(rates)-k)
 		if level < 1 && rate >= equalShare {
 			return equalShare
 		}
-		left -= rate
+		remainingRate -= rate
 	}
 	return math.MaxFloat32
 }
--- a/planner/tables.go
+++ b/planner/tables.go
@@ -27,20 +27,20 @@
 // scale returns the factor from desired to published weights, which is the weighted median of their ratios. Only ratios
 // between weights matter, so a removed or changed entry does not require new weights for the other entries.
 func (t *routingTable) scale() float64 {
-	var common []int // entries with both weights greater than 0
-	half := 0.0      // of the sum of their desired weights
+	var common []int  // entries with both weights greater than 0
+	halfWeight := 0.0 // half the sum of their desired weights
 	for i, weight := range t.desired {
 		if weight > 0 && t.published[i] > 0 {
 			common = append(common, i)
-			half += weight / 2
+			halfWeight += weight / 2
 		}
 	}
 	slices.SortFunc(common, func(i, j int) int {
 		return cmp.Compare(t.published[i]/t.desired[i], t.published[j]/t.desired[j])
 	})
 	for _, i := range common {
-		half -= t.desired[i]
-		if half <= 0 {
+		halfWeight -= t.desired[i]
+		if halfWeight <= 0 {
 			return t.published[i] / t.desired[i]
 		}
 	}
@@ -48,13 +48,13 @@
 }
 
 // changedEntries returns the entries whose published weight differs from the scaled desired weight by more than the
-// fraction part of the larger of the two, sorted by descending difference.
-func (t *routingTable) changedEntries(part float64) []int {
+// fraction tolerance of the larger of the two, sorted by descending difference.
+func (t *routingTable) changedEntries(tolerance float64) []int {
 	scale := t.scale()
 	change := func(i int) float64 { return math.Abs(t.desired[i]*scale - t.published[i]) }
 	var entries []int
 	for i, weight := range t.desired {
-		if change(i) > part*max(weight*scale, t.published[i]) {
+		if change(i) > tolerance*max(weight*scale, t.published[i]) {
 			entries = append(entries, i)
 		}
 	}
@@ -64,27 +64,27 @@
 
 // misplaced returns the fraction of the table's requests that are sent to other endpoints than desired, and the sum of
 // the published weights of the entries that remain in the desired table.
-func (t *routingTable) misplaced() (part, staying float64) {
+func (t *routingTable) misplaced() (fraction, retainedWeight float64) {
 	for i, weight := range t.published {
 		if t.desired[i] > 0 {
-			staying += weight
+			retainedWeight += weight
 		}
 	}
 	for i, weight := range t.published {
-		part += math.Abs(t.desired[i]-weight/max(staying, 1e-9)) / 2
+		fraction += math.Abs(t.desired[i]-weight/max(retainedWeight, 1e-9)) / 2
 	}
-	return part, staying
+	return fraction, retainedWeight
 }
 
 // overloads reports whether the published table includes an endpoint that must not receive requests, or a cold endpoint
 // that receives at least twice its desired fraction because other endpoints were removed, and would be overloaded.
-func (t *routingTable) overloads(staying float64, warmingUp func(i int) bool) bool {
+func (t *routingTable) overloads(retainedWeight float64, warmingUp func(i int) bool) bool {
 	for i, weight := range t.published {
 		if weight <= 0 {
 			continue
 		}
 		desired := t.desired[i]
-		doubled := 2*desired*staying <= weight
+		doubled := 2*desired*retainedWeight <= weight
 		if desired == 0 || doubled && warmingUp(i) {
 			return true
 		}
@@ -101,16 +101,16 @@
 		loads[k].zone = p.zoneOf(k)
 		loads[k].demand = p.subsets[k].demand
 	}
-	total := 0.0
+	totalCapacity := 0.0
 	for i := range capacity {
 		capacity[i] = p.availableCapacity(&p.endpoints.all[i])
 		loads[p.endpoints.all[i].subset].capacity += capacity[i]
-		total += capacity[i]
+		totalCapacity += capacity[i]
 	}
 	p.addUnseenDemand(loads)
 	granted := allocate(loads, p.config.Zones, p.localZoneOnly)
 	p.layOutTables(capacity, loads, &granted)
-	p.normalizeTables(capacity, loads, total)
+	p.normalizeTables(capacity, loads, totalCapacity)
 }
 
 // layOutTables distributes the capacity that subsets are granted over endpoints. Grants to other subsets use few
@@ -121,15 +121,15 @@
 	n := len(p.subsets)
 	maxSpill := make([]float64, n) // by subset, the fraction of an endpoint that others may use
 	for k := range p.subsets {
-		maxSpill[k] = max(maxSpillFraction, 1-granted.get(k, k)/max(loads[k].capacity, 1e-9))
+		maxSpill[k] = max(maxSpillFraction, 1-granted.at(k, k)/max(loads[k].capacity, 1e-9))
 		clear(p.subsets[k].table.desired)
 	}
 	nextReceiver := make([]int, n) // by subset, the number of subsets following it whose grants are served
 	for i := len(capacity) - 1; i >= 0; i-- {
 		k := p.endpoints.all[i].subset
-		own := p.spillEndpoint(i, capacity[i], maxSpill[k]*capacity[i], granted, &nextReceiver[k])
-		if granted.get(k, k) > 0 {
-			p.subsets[k].table.desired[i] = own
+		ownCapacity := p.spillEndpoint(i, capacity[i], maxSpill[k]*capacity[i], granted, &nextReceiver[k])
+		if granted.at(k, k) > 0 {
+			p.subsets[k].table.desired[i] = ownCapacity
 		}
 	}
 }
@@ -137,24 +137,24 @@
 // spillEndpoint distributes at most spill of an endpoint's capacity to the other subsets that were granted capacity at
 // its subset. It serves them in order, starting at nextReceiver, and advances nextReceiver past the subsets whose
 // grants are served. It returns the capacity that remains for the subset's own members.
-func (p *Planner) spillEndpoint(i int, capacity, spill float64, granted *allocation, nextReceiver *int) (own float64) {
+func (p *Planner) spillEndpoint(i int, capacity, spill float64, granted *allocation, nextReceiver *int) (remaining float64) {
 	n := len(p.subsets)
 	k := p.endpoints.all[i].subset
-	own = capacity
+	remaining = capacity
 	for spill > 0 && *nextReceiver < n-1 {
 		receiver := (k + 1 + *nextReceiver) % n
-		rest := granted.get(receiver, k)
-		if rest < minWeightChangeFraction*capacity {
+		outstanding := granted.at(receiver, k)
+		if outstanding < minWeightChangeFraction*capacity {
 			*nextReceiver++ // a smaller amount does not justify an entry
 			continue
 		}
-		taken := min(spill, rest)
-		p.subsets[receiver].table.desired[i] += taken
-		granted.take(receiver, k, taken)
-		own -= taken
-		spill -= taken
+		amount := min(spill, outstanding)
+		p.subsets[receiver].table.desired[i] += amount
+		granted.reduce(receiver, k, amount)
+		remaining -= amount
+		spill -= amount
 	}
-	return own
+	return remaining
 }
 
 // normalizeTables scales the desired weights of each table to a sum of 1, and fills the tables of subsets that were
