--- a/planner/capacity.go
+++ b/planner/capacity.go
@@ -3,30 +3,31 @@
 import "math"
 
 const (
-	// capacityWindowSeconds is the time in s over which answers and busy time are remembered: work varies between
-	// requests.
+	// capacityWindowSeconds is the time constant in s with which answered requests and busy time decay. It averages over
+	// requests whose work varies.
 	capacityWindowSeconds = 8.0
-	// capacityPriorSeconds is the busy time in s that the capacity of the machine type counts for: a few dozen
-	// requests tell as much.
+	// capacityPriorSeconds is the busy time in s that the machine type's capacity counts for as a prior. It is worth as
+	// much as a few dozen requests.
 	capacityPriorSeconds = 1.5
-	// baselineLatencyGrowthPerSecond is the part by which the best mean latency seen grows each second, as work may
-	// change.
+	// baselineLatencyGrowthPerSecond is the fraction by which the lowest observed mean latency grows each second, because
+	// the work for each request may change.
 	baselineLatencyGrowthPerSecond = 0.01
-	// minUtilization is the least utilization that is believed: less tells nothing of capacity.
+	// minUtilization is the lower bound of the utilization used for learning. Lower values say nothing about capacity.
 	minUtilization = 0.30
 )
 
-// capacityEvidence is what an endpoint's capacity is learned from. It decays over capacityWindowSeconds.
+// capacityEvidence holds the statistics that an endpoint's capacity is learned from. It decays over
+// capacityWindowSeconds.
 type capacityEvidence struct {
 	answered        float64 // requests
-	busySeconds     float64 // s that it was busy meanwhile, times its weight
-	baselineLatency float64 // s, the best mean latency seen
+	busySeconds     float64 // s that it was busy with them, times its weight
+	baselineLatency float64 // s, the lowest observed mean latency
 }
 
-// capacityEstimate learns how many requests a second the endpoints can answer: what they answered over how long they
-// were busy. It is a quotient and no control loop, as load reports are seconds old.
+// capacityEstimate learns how many requests a second the endpoints can answer: the answered requests divided by the
+// busy time. It is a quotient rather than a control loop because load reports are seconds old.
 type capacityEstimate struct {
-	byType              []float64 // requests a second of being busy and of weight, by machine type
+	byType              []float64 // by machine type, requests for each second of busy time and unit of weight
 	utilizationReported bool
 }
 
@@ -38,7 +39,8 @@
 	return capacityEstimate{byType: byType, utilizationReported: config.UtilizationIndex >= 0}
 }
 
-// learn adds what healthy, warm endpoints answered since the last update, and averages it by machine type.
+// learn adds the requests that healthy, warm endpoints answered since the last update, and averages the evidence by
+// machine type.
 func (c *capacityEstimate) learn(now float64, endpoints []endpoint, start slowStart, meanObjective float64) {
 	keep := math.Exp(-updateIntervalSeconds / capacityWindowSeconds)
 	for i := range endpoints {
@@ -62,8 +64,8 @@
 //
 //	utilization = 1 - baseline/latency
 //
-// A failed attempt counts in the mean latency with a latency objective. The baseline is the baseline latency, and
-// idleLatencyRatio of an objective at most.
+// A failed attempt counts in the mean latency as one latency objective. The baseline is the baseline latency, but at
+// most idleLatencyRatio times the objective.
 func (e *endpoint) utilizationByLatency(meanObjective float64) float64 {
 	if answers := e.load.answers(); answers >= minAttempts {
 		grown := e.evidence.baselineLatency * (1 + baselineLatencyGrowthPerSecond*updateIntervalSeconds)
@@ -74,8 +76,8 @@
 	return 1 - baseline/max(baseline, latency)
 }
 
-// averageByType averages the evidence over the endpoints of each machine type. Where it is little, it counts beside the
-// average of all.
+// averageByType averages the evidence over the endpoints of each machine type, with the average of all endpoints as the
+// prior.
 func (c *capacityEstimate) averageByType(endpoints []endpoint) {
 	answered := make([]float64, len(c.byType))
 	busySeconds := make([]float64, len(c.byType))
@@ -95,15 +97,15 @@
 	}
 }
 
-// learned is the requests a second that an endpoint can answer when warm: its weight times what is learned of it, and
-// of its machine type where that is little.
+// learned returns the requests a second that an endpoint can answer when warm. The estimate is based on the endpoint's
+// own evidence, with the average of its machine type as the prior, and scales with its weight.
 func (c *capacityEstimate) learned(e *endpoint) float64 {
 	prior := capacityPriorSeconds * e.weight
 	return e.weight * (e.evidence.answered + prior*c.byType[e.machineType]) / (e.evidence.busySeconds + prior)
 }
 
-// availableCapacity is the requests a second that an endpoint is to get at most: what it can answer, less in slow
-// start, while it fails attempts, and on probation.
+// availableCapacity returns the maximum requests a second that an endpoint should get: its learned capacity, reduced
+// during slow start, while it fails attempts, and on probation.
 func (p *Planner) availableCapacity(e *endpoint) float64 {
 	if e.state != Ready || e.health == Ejected {
 		return 0
@@ -115,8 +117,8 @@
 		usualFailureRatio = 0
 	}
 	if e.load.completed >= minAttempts {
-		// An endpoint that has become far slower than its peers, or is cold, fails attempts long before its capacity is
-		// learned: unless it gets less at once, it goes on failing them.
+		// An endpoint that is cold or has become far slower than its peers fails attempts long before its capacity is
+		// learned. It continues to fail them unless its capacity is reduced immediately.
 		excess := max(0, e.load.failed/e.load.completed-usualFailureRatio)
 		capacity *= max(minCapacityFraction, 1-excess)
 	}
--- a/planner/capacity_test.go
+++ b/planner/capacity_test.go
@@ -2,8 +2,9 @@
 
 import "testing"
 
-// An endpoint becomes far slower than its peers, and fails attempts for many seconds before its capacity is learned.
-// It has to get less at once, by what it fails more than its peers. Where all fail alike, no endpoint may get less.
+// An endpoint becomes far slower than its peers and fails attempts for many seconds before its capacity is learned. Its
+// weight must fall immediately, by the excess of its failure ratio over that of its peers. If all endpoints fail alike,
+// no weight may fall.
 func TestSlowEndpointGetsLessAtOnce(t *testing.T) {
 	tr := newScene(t, testConfig(), 6)
 	tr.run(4)
--- a/planner/clientretries.go
+++ b/planner/clientretries.go
@@ -1,24 +1,25 @@
 package planner
 
 const (
-	// admissionLagSeconds is the time in s over which a level shows in demand: its way to the proxies, the report's
-	// way back and demandWindowSeconds.
+	// admissionLagSeconds is the time in s that an admission level needs to show in reported demand: the delay to the
+	// proxies, the delay of their reports, and demandWindowSeconds.
 	admissionLagSeconds = 3.0
-	// clientRetryWindowSeconds is the time in s after throttling began in which client retries are told from a change
-	// of demand.
+	// clientRetryWindowSeconds is the time in s from the start of throttling in which additional demand is attributed to
+	// client retries.
 	clientRetryWindowSeconds = 8.0
-	// minRejectedDemand is the part of demand that has to be rejected before client retries are estimated.
+	// minRejectedDemand is the fraction of demand that must be rejected before client retries are estimated.
 	minRejectedDemand = 0.1
-	// maxClientRetries bounds the client retries for each rejected request.
+	// maxClientRetries is the maximum estimate of client retries for each rejected request.
 	maxClientRetries = 3.0
 )
 
-// clientRetryEstimate tells original requests from client retries. Clients repeat what is rejected, and the retries
-// are rejected as well: taken for demand, they would lower the levels further, and go on after the burst.
+// clientRetryEstimate distinguishes original requests from client retries. Clients retry rejected requests, and the
+// retries are rejected as well. If they counted as demand, they would lower the levels further and keep them low after
+// a burst.
 type clientRetryEstimate struct {
 	original          []float64 // requests a second by route without the retries
-	unthrottledDemand []float64 // requests a second by route before throttling, for each of servedBaselineRate
-	rejected          []float64 // by route, the part that was rejected, as old as the demand that is reported
+	unthrottledDemand []float64 // by route, the demand before throttling as a multiple of servedBaselineRate
+	rejected          []float64 // by route, the rejected fraction, delayed like the reported demand
 	perRejection      float64   // retries for each rejected request
 }
 
@@ -30,7 +31,7 @@
 	}
 }
 
-// clientRetryInput is what an update of the estimate is made from.
+// clientRetryInput is the input of clientRetryEstimate.update.
 type clientRetryInput struct {
 	now                float64   // s
 	demand             []float64 // requests a second by route
@@ -42,11 +43,11 @@
 	attempts           float64 // attempts a second that completed
 }
 
-// update estimates the original requests, and for the next time the retries for each rejected request.
+// update estimates the original requests, and then the retries for each rejected request, which the next update uses.
 func (e *clientRetryEstimate) update(in clientRetryInput) {
-	expected := 0.0         // demand as it was before throttling
-	expectedRejected := 0.0 // of that, what is rejected
-	rejectedDemand := 0.0   // of the demand now, what is rejected
+	expected := 0.0         // demand before throttling
+	expectedRejected := 0.0 // rejected part of expected
+	rejectedDemand := 0.0   // rejected part of the current demand
 	subsetDemand := max(totalDemand(in.subsets), 1e-9)
 	for r, rate := range in.demand {
 		published := publishedRejection(in.subsets, r, subsetDemand)
@@ -62,19 +63,19 @@
 	demand := sum(in.demand)
 	throttlingBegan := in.throttling && in.now < in.throttlingSince+clientRetryWindowSeconds
 	if throttlingBegan && expectedRejected > minRejectedDemand*expected {
-		// So soon, demand beside what the same clients asked before tells how often they retry.
+		// Shortly after throttling began, demand above its earlier level is attributed to retries of the same clients.
 		seen := min(max((demand-expected)/expectedRejected, 0), maxClientRetries)
 		e.perRejection += (seen - e.perRejection) * updateIntervalSeconds / admissionLagSeconds
 	}
 	if in.saturation < idleLatencyRatio && rejectedDemand > 0 {
-		// Client retries alone could keep an idle fleet throttled. Where nothing waits, what completed is all that was
-		// admitted, and the rest of demand are retries.
+		// Client retries alone could keep an idle fleet throttled. If no requests wait, the completed attempts are all the
+		// admitted requests, and the remaining demand consists of retries.
 		e.perRejection = min(max((demand-rejectedDemand)/in.attempts-1, 0)*demand/rejectedDemand, maxClientRetries)
 	}
 }
 
-// publishedRejection is the part of a route's requests that proxies reject, as the levels were published: the mean over
-// the subsets by their demand.
+// publishedRejection returns the fraction of a route's requests that proxies reject according to the published levels:
+// the mean over the subsets, weighted by their demand.
 func publishedRejection(subsets []subset, route int, subsetDemand float64) (rejected float64) {
 	for k := range subsets {
 		s := &subsets[k]
--- a/planner/clientretries_test.go
+++ b/planner/clientretries_test.go
@@ -2,8 +2,9 @@
 
 import "testing"
 
-// Clients repeat what is rejected, and demand grows threefold while nothing waits. Taken for demand, retries would
-// lower the levels further. The levels have to come back at once, and follow when the original requests fall.
+// Clients retry rejected requests, and demand grows threefold while no requests wait. If retries counted as demand,
+// they would lower the levels further. The levels must recover immediately, and must follow when the original requests
+// fall.
 func TestClientRetriesAreNotDemand(t *testing.T) {
 	tr := newScene(t, testConfig(), 4)
 	tr.run(2)
@@ -20,8 +21,8 @@
 	tr.check()
 }
 
-// A burst ends while the fleet is throttled, and each rejected request comes again twice. The retries alone kept the
-// fleet throttled. Throttling has to end.
+// A burst ends while the fleet is throttled, and clients retry each rejected request twice. The retries alone kept the
+// fleet throttled. Throttling must end.
 func TestThrottlingEndsWithBurst(t *testing.T) {
 	tr := newScene(t, testConfig(), 4)
 	tr.run(2)
--- a/planner/demand.go
+++ b/planner/demand.go
@@ -2,18 +2,18 @@
 
 import "math"
 
-// demandWindowSeconds is the time in s over which a proxy's demand is averaged: long enough for the few requests of one
-// proxy, short enough as clients come and go.
+// demandWindowSeconds is the time in s over which a proxy's demand is averaged. It is long enough to average the few
+// requests of one proxy and short enough to follow clients that come and go.
 const demandWindowSeconds = 3.0
 
-// demandEstimate is how many requests arrive at the proxies, as of the last step.
+// demandEstimate is the request rate at the proxies, as of the last step.
 type demandEstimate struct {
 	byRoute       []float64 // requests a second
 	meanObjective float64   // s, the mean latency objective of these requests; 0 if there are none
 }
 
-// AddDemandReport handles the requests that a proxy got on one route. Reports on unknown proxies and routes are
-// ignored.
+// AddDemandReport handles a report of the requests that arrived at a proxy for one route. Reports on unknown proxies or
+// routes are ignored.
 func (p *Planner) AddDemandReport(now float64, report DemandReport) {
 	p.now = now
 	unknown := report.Proxy >= len(p.proxies.all) || p.proxies.all[report.Proxy].demand == nil
@@ -22,13 +22,13 @@
 	}
 	reporter := &p.proxies.all[report.Proxy]
 	p.decaySubsetDemand(&p.subsets[reporter.subset])
-	// Reports that were held up come all at once. Each counts for the window that is averaged at most: else they would
-	// pass for a burst.
+	// Delayed reports arrive together. Each counts for at most the demand window, so that they do not look like a
+	// burst.
 	reporter.demand[report.Route] += float64(report.Requests) / max(report.Interval, demandWindowSeconds)
 }
 
-// decaySubsetDemand decays the demand of a subset's members, as one of its proxies reports. A proxy without requests
-// reports nothing: its demand decays as others of the subset report, and stays while none does.
+// decaySubsetDemand decays the demand of a subset's members when one of them reports. A proxy without requests sends no
+// reports: its demand decays when other proxies of the subset report, and stays unchanged while none does.
 func (p *Planner) decaySubsetDemand(s *subset) {
 	keep := math.Exp((s.demandReportedAt - p.now) / demandWindowSeconds)
 	s.demandReportedAt = p.now
@@ -43,8 +43,8 @@
 	}
 }
 
-// update adds the demand up by subset and by route. That of proxies that left decays with each step: a short break of
-// a stream moves neither the subsets' shares nor the admission levels.
+// update sums the demand by subset and by route. The demand of disconnected proxies decays with each step, so that a
+// brief interruption of a stream changes neither the subsets' shares nor the admission levels.
 func (d *demandEstimate) update(proxies []proxy, subsets []subset, routes []Route) {
 	keep := math.Exp(-stepIntervalSeconds / demandWindowSeconds)
 	for k := range subsets {
--- a/planner/demand_test.go
+++ b/planner/demand_test.go
@@ -2,9 +2,9 @@
 
 import "testing"
 
-// A proxy without requests reports nothing. Its demand has to decay as others of its subset report, and to stay while
-// none does, as the collector may have stalled. Reports that were held up and come all at once must not pass for a
-// burst, neither of demand nor of answers.
+// A proxy without requests sends no reports. Its demand must decay when other proxies of its subset report, and must
+// stay unchanged while none does, because the collector may have stalled. Delayed reports that arrive together must not
+// look like a burst of demand or of answers.
 func TestDemandDecaysWithReportsOfSubset(t *testing.T) {
 	tr := newScene(t, testConfig(), 4)
 	tr.planner.ProxyJoined(tr.now, 2, 0, 40)
@@ -32,9 +32,9 @@
 	tr.check()
 }
 
-// Each proxy joins a controller of its own zone, and this one sees no proxy of the other zone. Taken for empty, that
-// zone got most of the requests. They have to stay in their zone, until it is asked for far more than usual and its
-// endpoints are slow.
+// Each proxy joins a controller of its own zone, and this controller sees no proxy of the other zone. Treated as idle,
+// the other zone got most of the requests. Requests must stay in their zone until its demand is far above the usual and
+// its endpoints are slow.
 func TestUnseenDemandKeepsRequestsInZone(t *testing.T) {
 	config := testConfig()
 	config.LocalZoneProxies = true
--- a/planner/endpoints.go
+++ b/planner/endpoints.go
@@ -5,14 +5,14 @@
 	"math"
 )
 
-// endpoint is what the planner knows of one endpoint of the list.
+// endpoint is the state of one listed endpoint.
 type endpoint struct {
 	node        uint32
 	machineType int
-	subset      int // whose members' table leads to it first
+	subset      int // assigned subset, whose members use the endpoint first
 	state       EndpointState
 	weight      float64 // as listed
-	startTime   float64 // s; its slow start begins there, -1 before the list has told
+	startTime   float64 // s, when its process and its slow start began; -1 until it is listed
 
 	health      Health
 	healthSince float64 // s
@@ -21,15 +21,15 @@
 	evidence capacityEvidence
 }
 
-// endpointRegistry holds the endpoints under dense indices, which the routing tables share.
+// endpointRegistry stores the endpoints by dense indices that the routing tables share.
 type endpointRegistry struct {
 	all            []endpoint
 	indexOf        map[uint32]int // by node
 	unused         []int          // indices of released endpoints
-	assignedByZone []int          // endpoints of a zone that were assigned round-robin to its subsets so far
+	assignedByZone []int          // by zone, the endpoints assigned round-robin to its subsets so far
 }
 
-// sum adds a figure up over all endpoints, in the order of their indices.
+// sum returns the sum of figure over all endpoints, added in the order of their indices.
 func (r *endpointRegistry) sum(figure func(*endpoint) float64) (total float64) {
 	for i := range r.all {
 		total += figure(&r.all[i])
@@ -37,7 +37,7 @@
 	return total
 }
 
-// add gives a new endpoint an index, one of a released endpoint if there is any.
+// add stores a new endpoint and returns its index. It reuses the index of a released endpoint if there is one.
 func (r *endpointRegistry) add(listed Endpoint, subset int) int {
 	i := len(r.all)
 	if n := len(r.unused); n > 0 {
@@ -59,29 +59,29 @@
 	return i
 }
 
-// release frees an endpoint's index.
+// release makes an endpoint's index available for reuse.
 func (r *endpointRegistry) release(i int) {
 	delete(r.indexOf, r.all[i].node)
 	r.unused = append(r.unused, i)
 }
 
-// resetStatistics forgets what was seen of an endpoint's process.
+// resetStatistics discards the statistics of an endpoint's process.
 func (e *endpoint) resetStatistics() {
 	e.load = endpointLoad{}
 	e.evidence = capacityEvidence{baselineLatency: math.Inf(1)}
 }
 
-// endpointWatch is when to subscribe to the list's changes, where a controller has to.
+// endpointWatch schedules new subscriptions to the list's changes (Config.MustSubscribe).
 type endpointWatch struct {
 	subscribeAt float64 // s, +Inf unless a subscription failed
 	failures    float64 // since the last update
 }
 
-// initialBackoffSeconds is the mean time in s from the first failure of the list's watch to the next subscription.
+// initialBackoffSeconds is the mean delay in s between the first failure of the list's watch and the next subscription.
 const initialBackoffSeconds = 0.2
 
-// ReplaceEndpoints handles a full list, which at the start may be the one last known: endpoints that it lacks are
-// removed.
+// ReplaceEndpoints handles a full list, which at the start may be the last known one. Endpoints that are not on the
+// list are removed.
 func (p *Planner) ReplaceEndpoints(now float64, list []Endpoint) {
 	for i := range p.endpoints.all {
 		p.endpoints.all[i].state = Removed
@@ -89,8 +89,8 @@
 	p.UpdateEndpoints(now, list)
 }
 
-// UpdateEndpoints handles endpoints that are new or have changed. Those of a zone or machine type that the Config
-// does not have are ignored.
+// UpdateEndpoints handles new and changed endpoints. Endpoints whose zone or machine type is out of the range of the
+// Config are ignored.
 func (p *Planner) UpdateEndpoints(now float64, list []Endpoint) {
 	p.now = now
 	p.watch.failures = 0
@@ -98,8 +98,9 @@
 		p.makeSubsets(len(list))
 		for number := range p.proxies.all {
 			if p.proxies.all[number].connected {
-				// Before the first list each zone is one subset: the proxy's subset is the number of its zone. That does
-				// not hold behind a list of unknown zones only, which made more subsets; the controller passes none.
+				// Before the first list each zone is one subset, so the proxy's subset equals its zone. This does not hold
+				// after a list that contains only unknown zones, as it already creates more subsets; the controller never
+				// passes such a list.
 				p.assignSubset(number, p.proxies.all[number].subset)
 			}
 		}
@@ -113,7 +114,7 @@
 	p.publishUrgent()
 }
 
-// updateEndpoint takes over what the list says of one endpoint.
+// updateEndpoint applies the listed state of one endpoint.
 func (p *Planner) updateEndpoint(listed Endpoint) {
 	i, known := p.endpoints.indexOf[listed.Node]
 	if !known {
@@ -121,7 +122,7 @@
 	}
 	e := &p.endpoints.all[i]
 	if listed.StartTime > e.startTime {
-		// A restart under the same name is a new, cold process: what was seen of the former one tells nothing of it.
+		// A restart under the same name is a new, cold process. Statistics of the former process do not apply to it.
 		e.startTime = listed.StartTime
 		p.setHealth(i, Healthy)
 		e.resetStatistics()
@@ -130,7 +131,8 @@
 	e.weight = cmp.Or(max(listed.Weight, 0), 1)
 }
 
-// addEndpoint assigns new endpoints round-robin to the subsets of their zone, and extends all tables to their indices.
+// addEndpoint adds an endpoint, extends all tables to its index and returns the index. New endpoints are assigned
+// round-robin to the subsets of their zone.
 func (p *Planner) addEndpoint(listed Endpoint) int {
 	subset := p.nthSubset(listed.Zone, p.endpoints.assignedByZone[listed.Zone])
 	i := p.endpoints.add(listed, subset)
@@ -140,8 +142,8 @@
 	return i
 }
 
-// ReleaseEndpoint forgets an endpoint that was removed for good. Without it memory and work would grow with each
-// release of the service. It reports false, and keeps the endpoint, while a published table still has its entry.
+// ReleaseEndpoint deletes an endpoint that was removed permanently. Otherwise memory and work would grow with each
+// release of the service. It returns false and keeps the endpoint while a published table still contains its entry.
 func (p *Planner) ReleaseEndpoint(node uint32) bool {
 	i, known := p.endpoints.indexOf[node]
 	if !known {
@@ -158,19 +160,21 @@
 	return true
 }
 
-// EndpointWatchFailed says that a subscription to the list failed or broke. The next one follows after a backoff.
+// EndpointWatchFailed handles a subscription to the list that failed or broke. The planner subscribes again after a
+// backoff.
 func (p *Planner) EndpointWatchFailed(now float64) {
 	p.now = now
 	if !p.config.MustSubscribe || p.inactive() || !math.IsInf(p.watch.subscribeAt, 1) {
 		return
 	}
-	// The backoff grows and is random: the service is one for all controllers and rejects crowds.
+	// The backoff grows and is random because all controllers share the service, which rejects many simultaneous
+	// subscriptions.
 	backoff := min(initialBackoffSeconds*math.Exp2(p.watch.failures), p.config.SubscribeTimeout/4)
 	p.watch.subscribeAt = now + backoff*(0.5+p.random.next())
 	p.watch.failures++
 }
 
-// resubscribe subscribes to the list again when the backoff is over.
+// resubscribe subscribes to the list again once the backoff has elapsed.
 func (p *Planner) resubscribe() {
 	if p.now >= p.watch.subscribeAt {
 		p.watch.subscribeAt = math.Inf(1)
--- a/planner/endpoints_test.go
+++ b/planner/endpoints_test.go
@@ -5,8 +5,8 @@
 	"testing"
 )
 
-// A draining endpoint fails the requests that come after its grace. Its entries have to leave every table at once,
-// also where it is the last one of its zone and the zone's table then leads to others.
+// A draining endpoint fails requests that arrive after its grace period. Its entries must be removed from every table
+// immediately, even if it is the last endpoint of its zone and the zone's table must then use other zones.
 func TestDrainingEndpointLeavesAllTables(t *testing.T) {
 	tr := newScene(t, testConfig(), 3)
 	tr.run(1)
@@ -15,8 +15,8 @@
 	tr.check()
 }
 
-// The list's service fails, as all controllers subscribe to it at once after a restart. Each failure has to be
-// followed by one subscription, after a backoff that grows and stays within Config.SubscribeTimeout.
+// The list's service fails because all controllers subscribe simultaneously after a restart. Each failure must be
+// followed by exactly one subscription, after a backoff that grows and stays within Config.SubscribeTimeout.
 func TestFailedSubscriptionBacksOff(t *testing.T) {
 	config := testConfig()
 	config.MustSubscribe = true
@@ -28,9 +28,9 @@
 	tr.check()
 }
 
-// Lists that are empty or swing, whole fleets that join and leave in one batch, reports and acknowledgements of what
-// is not known: nothing that the list, the streams or reports may bring ends in a panic, or in more entries than the
-// queue takes.
+// The planner gets empty and alternating lists, fleets that join and leave in one batch, and reports and
+// acknowledgements for unknown nodes and proxies. None of these may cause a panic or more entries than fit into the
+// queue.
 func TestUnexpectedEventsKeepQueueBounded(t *testing.T) {
 	config := testConfig()
 	config.Proxies = 300
--- a/planner/load.go
+++ b/planner/load.go
@@ -3,50 +3,50 @@
 import "math"
 
 const (
-	// loadWindowSeconds is the time in s over which the attempts at an endpoint are remembered: a few dozen of them,
-	// and a few reports.
+	// loadWindowSeconds is the time constant in s with which the attempts at an endpoint decay. It covers a few dozen
+	// attempts and a few reports.
 	loadWindowSeconds = 2.5
-	// maxReportDelaySeconds is the most that a load report comes late, in s, as the platform's pages tell.
+	// maxReportDelaySeconds is the maximum delay of a load report in s, as documented by the platform.
 	maxReportDelaySeconds = 1.6
-	// minAttempts is how many attempts must have completed before an endpoint, or the fleet, is judged by them.
+	// minAttempts is the minimum number of completed attempts for statistics of an endpoint, or the fleet, to be used.
 	minAttempts = 4.0
 )
 
-// Saturation, the mean latency of attempts as part of the latency objective.
+// Saturation: the mean latency of attempts as a fraction of the latency objective.
 const (
-	idleLatencyRatio      = 0.30 // of an attempt that does not wait, for all that is known
-	relievedLatencyRatio  = 0.45 // under which more is admitted
-	saturatedLatencyRatio = 0.55 // over which less is admitted
+	idleLatencyRatio      = 0.30 // assumed for an attempt that does not wait
+	relievedLatencyRatio  = 0.45 // below it more is admitted
+	saturatedLatencyRatio = 0.55 // above it less is admitted
 )
 
-// endpointLoad is what load reports tell of an endpoint. The attempts decay over loadWindowSeconds.
+// endpointLoad is an endpoint's load according to load reports. The attempts decay over loadWindowSeconds.
 type endpointLoad struct {
 	completed   float64 // attempts
 	failed      float64 // of these
 	latencySum  float64 // s, of those that did not fail
-	queueLength float64 // requests that wait, as last reported
-	utilization float64 // busy part of its cores, as reported, averaged
+	queueLength float64 // waiting requests, as last reported
+	utilization float64 // moving average of the reported busy fraction of its cores
 }
 
-// answers are the attempts that did not fail.
+// answers returns the number of attempts that did not fail.
 func (l *endpointLoad) answers() float64 { return l.completed - l.failed }
 
-// decay takes a factor of the attempts off.
+// decay multiplies the attempts by keep.
 func (l *endpointLoad) decay(keep float64) {
 	l.completed *= keep
 	l.failed *= keep
 	l.latencySum *= keep
 }
 
-// loadStatistics is what load reports tell of the fleet.
+// loadStatistics is the fleet's load according to load reports.
 type loadStatistics struct {
 	decayedAt      float64 // s
-	successRatio   float64 // part of all attempts that did not fail, 0 while too few completed
-	windowCoverage float64 // part of loadWindowSeconds that reports have covered since the planner started
-	saturation     float64 // mean latency of attempts as part of the latency objective, as of the last update
+	successRatio   float64 // fraction of all attempts that did not fail, 0 while too few have completed
+	windowCoverage float64 // fraction of loadWindowSeconds that reports have covered since the planner started
+	saturation     float64 // mean latency of attempts as a fraction of the latency objective, at the last update
 }
 
-// AddLoadReport handles what the proxies of a zone got from an endpoint. Reports on unknown endpoints are ignored.
+// AddLoadReport handles a load report on an endpoint. Reports on unknown endpoints are ignored.
 func (p *Planner) AddLoadReport(now float64, report LoadReport) {
 	p.now = now
 	i, known := p.endpoints.indexOf[report.Node]
@@ -55,12 +55,12 @@
 	}
 	e := &p.endpoints.all[i]
 	if now-report.Interval-maxReportDelaySeconds < e.startTime {
-		// The report may reach back to the former process. Its failures would eject the new one, and a zone that comes
-		// back would lose its endpoints again. A report that surely began after the start has none of them.
+		// The report may cover the former process. Its failures would eject the new process, and a returning zone would
+		// lose its endpoints again. A report whose interval certainly began after the start contains none of them.
 		return
 	}
-	// Reports that were held up come all at once. Each counts for the window that is averaged at most: else they would
-	// pass for a throughput that was never reached.
+	// Delayed reports arrive together. Each counts for at most the load window. Otherwise their sum would look like a
+	// throughput that was never reached.
 	part := min(1, loadWindowSeconds/max(report.Interval, 1e-9))
 	completed := float64(report.Completed) * part
 	failed := float64(report.Failed) * part
@@ -76,7 +76,8 @@
 	}
 }
 
-// update decays the attempts, but those of endpoints on probation, where few must tell, and sees how many succeed.
+// update decays the attempts and recomputes the success ratio. The attempts at endpoints on probation do not decay,
+// because these endpoints get too few.
 func (s *loadStatistics) update(now float64, endpoints *endpointRegistry) {
 	keep := math.Exp((s.decayedAt - now) / loadWindowSeconds)
 	s.decayedAt = now
@@ -94,29 +95,30 @@
 	}
 }
 
-// fleetLoad is what load reports and the list tell of the endpoints in service.
+// fleetLoad is the load and capacity of the endpoints in service.
 type fleetLoad struct {
 	answers  float64 // attempts within loadWindowSeconds that did not fail
-	weight   float64 // listed weight, as far as slow start gives it
+	weight   float64 // listed weight, reduced by slow start
 	capacity float64 // requests a second that they can answer
 }
 
-// fleetInput is what the fleet's load is measured by.
+// fleetInput is the input of measureFleet.
 type fleetInput struct {
 	now           float64
 	endpoints     []endpoint
 	capacity      *capacityEstimate
 	slowStart     slowStart
 	meanObjective float64 // s
-	queueReported bool    // whether endpoints report the requests that wait
-	controllers   int     // whose requests wait there
+	queueReported bool    // whether endpoints report their waiting requests
+	controllers   int     // whose requests share the endpoints' queues
 }
 
-// measureFleet measures the load of the endpoints in service and their saturation:
+// measureFleet returns the load of the endpoints in service and updates their saturation:
 //
 //	saturation = sum(answers * min(latency, 1)) / sum(answers), with the latency in latency objectives
 //
-// The bound of 1 limits what a few full endpoints add: the weights relieve them, and the fleet need not be throttled.
+// The bound of 1 limits the influence of a few full endpoints. Their weights are reduced instead, so the fleet need not
+// be throttled.
 func (s *loadStatistics) measureFleet(in fleetInput) fleetLoad {
 	var fleet fleetLoad
 	latency := 0.0 // in latency objectives
@@ -136,16 +138,16 @@
 	return fleet
 }
 
-// endpointLatency is the mean latency of attempts at an endpoint as part of the latency objective.
+// endpointLatency returns the mean latency of attempts at an endpoint as a fraction of the latency objective.
 func (in *fleetInput) endpointLatency(e *endpoint) float64 {
 	answers := max(e.load.answers(), 1)
 	if in.queueReported {
-		// Requests that wait tell of a queue before those that have waited do.
+		// Waiting requests reveal a queue earlier than the latency of completed requests does.
 		wait := e.load.queueLength * loadWindowSeconds / answers / float64(in.controllers) / in.meanObjective
 		return idleLatencyRatio + wait
 	}
-	// A failed attempt counts for an objective where the answers are slow. Where they are quick it tells of no queue,
-	// but of rejected connections or a fault.
+	// A failed attempt counts as one latency objective if successful attempts are slow. If these are quick, failures
+	// indicate rejected connections or a fault, not a queue.
 	answerLatency := e.load.latencySum / answers / in.meanObjective
 	slow := min(1, max(0, (answerLatency-idleLatencyRatio)/(saturatedLatencyRatio-idleLatencyRatio)))
 	return (e.load.latencySum/in.meanObjective + slow*e.load.failed) / max(e.load.completed, minAttempts)
--- a/planner/load_test.go
+++ b/planner/load_test.go
@@ -2,9 +2,9 @@
 
 import "testing"
 
-// A zone restarts under the same names, and late load reports tell of the failures of the processes that were lost.
-// The new ones would be ejected for them. Reports that reach back before an endpoint's start have to be ignored,
-// later ones have to count.
+// A zone restarts under the same names, and late load reports contain the failures of the former processes. These
+// failures would eject the new processes. Reports that cover time before an endpoint's start must be ignored, and later
+// reports must count.
 func TestReportOnFormerProcessIsIgnored(t *testing.T) {
 	tr := newScene(t, testConfig(), 6)
 	tr.run(3)
@@ -17,8 +17,8 @@
 	tr.check()
 }
 
-// Half of the endpoints reject connections while all answers are quick. That is no queue, and admitting less would
-// not help: levels have to stay. Nor are the endpoints outliers, as there are too many of them.
+// Half of the endpoints reject connections while all answers are quick. There is no queue and admitting less would not
+// help, so the levels must not change. The endpoints must not be ejected as outliers, because there are too many.
 func TestQuickRejectionsAreNotLoad(t *testing.T) {
 	tr := newScene(t, testConfig(), 12)
 	tr.run(2)
--- a/planner/outlier.go
+++ b/planner/outlier.go
@@ -6,20 +6,20 @@
 )
 
 const (
-	// ejectFailureRatio is the part of its attempts that an endpoint may fail, above medianFailureMultiple times what
-	// the median endpoint fails.
+	// ejectFailureRatio is the fraction of its attempts that an endpoint may fail, in addition to medianFailureMultiple
+	// times the failure ratio of the median endpoint.
 	ejectFailureRatio     = 0.25
 	medianFailureMultiple = 1.5
-	// deadFailureRatio is the part of failed attempts that no load explains: a full endpoint answers some.
+	// deadFailureRatio is the failure ratio that load alone does not explain: even a full endpoint answers some requests.
 	deadFailureRatio = 0.95
-	// minOverloadQueue is the queue length, where reported, that tells of load rather than of a fault.
+	// minOverloadQueue is the minimum reported queue length that indicates load rather than a fault.
 	minOverloadQueue = 1.0
-	// maxEjectedFraction is the part of the listed weight that may be ejected at once if all attempts fail there, and
-	// less in proportion if fewer do.
+	// maxEjectedFraction is the maximum fraction of the listed weight that may be ejected at the same time if an endpoint
+	// fails all attempts. The limit falls in proportion to its failure ratio.
 	maxEjectedFraction = 0.40
-	// ejectionSeconds is how long an endpoint is ejected before its probation: most faults last longer.
+	// ejectionSeconds is the time in s that an endpoint is ejected before its probation. Most faults last longer.
 	ejectionSeconds = 4.0
-	// probationFraction is the part of its capacity that an endpoint gets on probation, as a new one does.
+	// probationFraction is the fraction of its capacity that an endpoint gets on probation, the same as a new endpoint.
 	probationFraction = 0.25
 )
 
@@ -30,7 +30,7 @@
 const (
 	Healthy   Health = iota
 	Ejected          // it gets no requests for ejectionSeconds
-	Probation        // it gets few requests, to be judged by
+	Probation        // it gets a few requests to show whether it has recovered
 )
 
 // String returns the health's name.
@@ -46,20 +46,20 @@
 	return fmt.Sprintf("health(%d)", uint8(h))
 }
 
-// healthChange is a decision on an endpoint, by its index.
+// healthChange is a decision to change the health of the endpoint with an index.
 type healthChange struct {
 	endpoint int
 	health   Health
 }
 
-// outlierDetector ejects endpoints that fail far more attempts than their peers, and tries them again. An
-// outlier that stays in service fails its part of all requests until the list says that it is gone.
+// outlierDetector ejects endpoints that fail far more attempts than their peers, and tries them again later. An
+// outlier that stayed in service would fail its share of all requests until the list removes it.
 type outlierDetector struct {
-	medianFailureRatio float64 // part of its attempts that the median healthy endpoint fails
+	medianFailureRatio float64 // fraction of its attempts that the median healthy endpoint fails
 }
 
-// judge decides which endpoints change their health. If most endpoints fail at once, the cause is not at one of them
-// (a late report, a network partition): the fleet's median and maxEjectedFraction keep them in service.
+// judge returns the health changes that are due. If most endpoints fail at the same time, the cause is not a single
+// endpoint (a late report, a network partition): the fleet's median and maxEjectedFraction keep them in service.
 func (d *outlierDetector) judge(now float64, endpoints []endpoint, meanObjective float64) []healthChange {
 	survey := surveyHealth(endpoints)
 	d.medianFailureRatio = median(survey.failureRatios)
@@ -89,11 +89,11 @@
 	return changes
 }
 
-// healthSurvey is what outlier detection compares an endpoint with.
+// healthSurvey is the state of the fleet that outlier detection compares an endpoint with.
 type healthSurvey struct {
-	weight          float64   // listed, of the endpoints that are ready
-	unhealthyWeight float64   // of these, ejected or on probation
-	failureRatios   []float64 // of the healthy ones with enough attempts
+	weight          float64   // listed weight of the ready endpoints
+	unhealthyWeight float64   // of this, ejected or on probation
+	failureRatios   []float64 // of the healthy endpoints with enough attempts
 }
 
 func surveyHealth(endpoints []endpoint) healthSurvey {
@@ -114,9 +114,9 @@
 	return survey
 }
 
-// failing reports whether an endpoint fails far more attempts than the median one, and not for being full. A full
-// endpoint rejects requests as well, but those that it answers take long: the weights relieve it, while to eject it
-// would only fill the next one.
+// failing reports whether an endpoint fails far more attempts than the median endpoint for a reason other than being
+// full. A full endpoint also rejects requests, but answers the others slowly. The weights relieve it; ejecting it would
+// only overload the next endpoint.
 func (d *outlierDetector) failing(e *endpoint, meanObjective float64) bool {
 	if e.load.completed < minAttempts {
 		return false
@@ -130,7 +130,8 @@
 	return !full || e.load.failed >= deadFailureRatio*e.load.completed
 }
 
-// median sorts values and returns the middle one, of two the greater, and 0 if there is none.
+// median sorts values and returns the middle one, or the greater of the two middle ones. It returns 0 if values is
+// empty.
 func median(values []float64) float64 {
 	if len(values) == 0 {
 		return 0
--- a/planner/outlier_test.go
+++ b/planner/outlier_test.go
@@ -2,8 +2,8 @@
 
 import "testing"
 
-// An endpoint takes requests and answers none. It shows as failed attempts when these time out. The endpoint has to
-// be ejected then, and to come back over a probation once it answers.
+// An endpoint accepts requests but answers none, so the attempts fail when they time out. The endpoint must then be
+// ejected, and must return to service through probation once it answers.
 func TestSilentEndpointIsEjectedAndComesBack(t *testing.T) {
 	tr := newScene(t, testConfig(), 6)
 	tr.run(3)
@@ -16,8 +16,8 @@
 	tr.check()
 }
 
-// Load reports of all endpoints stop at once, as the collector stalls. No endpoint is at fault, and none may be
-// ejected.
+// The collector stalls, and the load reports on all endpoints stop at the same time. No endpoint is faulty, so none may
+// be ejected.
 func TestMissingReportsEjectNobody(t *testing.T) {
 	tr := newScene(t, testConfig(), 6)
 	tr.run(3)
@@ -27,8 +27,8 @@
 	tr.check()
 }
 
-// One endpoint fails quickly, another is full and answers slowly. Both fail most attempts. The first has to be
-// ejected, as it draws requests; the second must stay, as ejecting it would only fill the next one.
+// One endpoint fails quickly, another is full and answers slowly. Both fail most attempts. The first must be ejected,
+// because it attracts requests; the second must stay, because ejecting it would only overload the next endpoint.
 func TestFailingEndpointIsEjectedAndFullOneIsNot(t *testing.T) {
 	tr := newScene(t, testConfig(), 6)
 	tr.run(3)
@@ -39,8 +39,8 @@
 	tr.check()
 }
 
-// Two endpoints fail most attempts and answer the rest quickly; at one of them requests wait. That one is full and
-// has to stay in service, the other is at fault and has to be ejected.
+// Two endpoints fail most attempts and answer the others quickly; one of them has a queue. The endpoint with the queue
+// is full and must stay in service, the other is faulty and must be ejected.
 func TestEndpointWithQueueIsNotEjected(t *testing.T) {
 	config := testConfig()
 	config.QueueLengthIndex = 0
--- a/planner/random.go
+++ b/planner/random.go
@@ -5,13 +5,13 @@
 	"hash/fnv"
 )
 
-// randomSource draws numbers that are the same in each run with the same seed.
+// randomSource generates a deterministic sequence of random numbers from a seed.
 type randomSource struct {
 	seed  uint64
 	draws uint64
 }
 
-// next returns a number from 0 up to 1, which is not reached.
+// next returns a number greater than or equal to 0 and less than 1.
 func (r *randomSource) next() float64 {
 	r.draws++
 	h := fnv.New64a()
--- a/planner/slowstart_test.go
+++ b/planner/slowstart_test.go
@@ -2,8 +2,8 @@
 
 import "testing"
 
-// An endpoint restarts under its own name. Its caches are empty, and at its former weight it would be overloaded. It
-// has to start with a quarter of its weight at once, and to get the rest over the slow-start window.
+// An endpoint restarts under its own name. Its caches are empty, and its former weight would overload it. Its weight
+// must immediately fall to a quarter, and rise to the full weight over the slow-start window.
 func TestRestartedEndpointStartsSlowly(t *testing.T) {
 	tr := newScene(t, testConfig(), 4)
 	tr.run(1)
@@ -13,8 +13,8 @@
 	tr.check()
 }
 
-// An endpoint restarts while the fleet fails most attempts. The clients' retries come to the cold endpoint, which still
-// admits them, and push it over. It has to get less than its slow start gives it.
+// An endpoint restarts while the fleet fails most attempts. Client retries reach the cold endpoint, which still admits
+// them, and overload it. Its weight must be below its slow-start fraction.
 func TestColdEndpointIsDampedInOverload(t *testing.T) {
 	tr := newScene(t, testConfig(), 4)
 	tr.reportAll(LoadReport{Completed: 20, Failed: 15, MeanLatency: 1})
@@ -24,8 +24,8 @@
 	tr.check()
 }
 
-// The other endpoints reject half of the attempts, quickly. Their retries come to a cold endpoint that takes them. It
-// has to get little of the table.
+// The other endpoints quickly reject half of the attempts. The retries reach a cold endpoint that accepts them. Its
+// weight in the table must be small.
 func TestColdEndpointIsDampedWhileOthersReject(t *testing.T) {
 	tr := newScene(t, testConfig(), 6)
 	tr.reportAll(LoadReport{Completed: 12, Failed: 6, MeanLatency: 0.2})
--- a/planner/sum.go
+++ b/planner/sum.go
@@ -1,6 +1,6 @@
 package planner
 
-// sum adds up values in their order.
+// sum returns the sum of values, added in their order.
 func sum(values []float64) (total float64) {
 	for _, value := range values {
 		total += value
--- a/planner/trace_test.go
+++ b/planner/trace_test.go
@@ -14,16 +14,16 @@
 
 var update = flag.Bool("update", false, "write the traces to testdata")
 
-// trace is a Host that prints what a planner commands, in the words of the traces under testdata. It keeps the clock of
-// one scene and what its endpoints and proxies report.
+// trace is a Host that prints a planner's commands in the format of the traces under testdata. It also contains the
+// clock of a test and the reports of its endpoints and proxies.
 type trace struct {
 	strings.Builder
 	t            *testing.T
 	planner      *Planner
 	now          float64
 	wakeAt       float64
-	withholdAcks bool                  // whether proxies acknowledge nothing
-	nonce        int                   // the last one to acknowledge
+	withholdAcks bool                  // whether proxies send no acknowledgements
+	nonce        int                   // last nonce that the planner requested
 	reports      map[uint32]LoadReport // by node, for each report interval
 	requests     [][]int               // by proxy and route, for each report interval
 }
@@ -46,14 +46,14 @@
 func (tr *trace) Wake(at float64)      { tr.wakeAt = at }
 func (tr *trace) Subscribe()           { tr.say("subscribe") }
 
-// EndpointHealthChanged prints the words of the traces, which are those of the simulator's wire.
+// EndpointHealthChanged prints the health in the simulator's wire names, which the traces contain.
 func (tr *trace) EndpointHealthChanged(node uint32, health Health) {
 	tr.say("log node %d %s", node, [...]string{Healthy: "well", Ejected: "out", Probation: "on trial"}[health])
 }
 
 func (tr *trace) ThrottlingChanged(active bool) { tr.say("log throttling: %t", active) }
 
-// testConfig is a small deployment with two zones and two routes.
+// testConfig returns the Config of a small deployment with two zones and two routes.
 func testConfig() Config {
 	return Config{
 		Seed:               1,
@@ -79,7 +79,7 @@
 	}
 }
 
-// endpointList lists endpoints 1 to n, in turn in the two zones of testConfig.
+// endpointList returns endpoints 1 to n, which alternate between the two zones of testConfig.
 func endpointList(n int) (list []Endpoint) {
 	for i := range n {
 		list = append(list, Endpoint{Node: uint32(i + 1), Zone: i % 2, State: Ready})
@@ -87,7 +87,7 @@
 	return list
 }
 
-// newScene starts a planner with n endpoints and a proxy in each zone. All endpoints answer quickly.
+// newScene returns a trace of a planner with n endpoints and one proxy in each zone. All endpoints answer quickly.
 func newScene(t *testing.T, config Config, n int) *trace {
 	t.Helper()
 	tr := &trace{t: t, now: 100, reports: map[uint32]LoadReport{}, requests: [][]int{{10, 10}, {10, 10}}}
@@ -102,14 +102,15 @@
 	return tr
 }
 
-// reportAll makes all endpoints report alike.
+// reportAll sets the same report for all endpoints.
 func (tr *trace) reportAll(report LoadReport) {
 	for node := range tr.reports {
 		tr.reports[node] = report
 	}
 }
 
-// run lets time pass, with a step whenever the planner asked for it, reports in their interval, and acknowledgements.
+// run advances the clock by seconds. It calls Step whenever the planner asked for it, adds reports at their interval,
+// and acknowledges nonces.
 func (tr *trace) run(seconds float64) {
 	nextReport := tr.now + tr.planner.config.ReportInterval
 	for end := tr.now + seconds; tr.now < end; {
@@ -128,7 +129,7 @@
 	}
 }
 
-// report brings the load and demand reports of an interval.
+// report adds the load and demand reports of one interval.
 func (tr *trace) report() {
 	for node := uint32(1); int(node) <= len(tr.planner.endpoints.all); node++ {
 		report := tr.reports[node]
@@ -150,7 +151,7 @@
 	}
 }
 
-// check compares what was printed with the test's trace under testdata.
+// check compares the printed trace with the test's trace under testdata.
 func (tr *trace) check() {
 	tr.t.Helper()
 	file := filepath.Join("testdata", snakeCase(strings.TrimPrefix(tr.t.Name(), "Test"))+".txt")
@@ -164,11 +165,11 @@
 		tr.t.Fatal(err)
 	}
 	if diff := cmp.Diff(strings.Split(string(want), "\n"), strings.Split(tr.String(), "\n")); diff != "" {
-		tr.t.Errorf("decisions (-kept +now):\n%s", diff)
+		tr.t.Errorf("trace differs from %s (-want +got):\n%s", file, diff)
 	}
 }
 
-// snakeCase turns a name in camel case into one with underscores.
+// snakeCase converts a name from camel case to snake case.
 func snakeCase(name string) string {
 	var b strings.Builder
 	for k, letter := range name {
--- a/planner/unseendemand.go
+++ b/planner/unseendemand.go
@@ -1,12 +1,13 @@
 package planner
 
-// unseenDemandPriorProxies is how many connected proxies tell as much as is assumed of those that are not seen.
+// unseenDemandPriorProxies is the number of connected proxies whose demand weighs as much as the prior that unseen
+// proxies have no demand.
 const unseenDemandPriorProxies = 20.0
 
-// addUnseenDemand adds the demand of proxies that other controllers serve, where each proxy joins a controller of its
-// own zone. A controller that allocates with the demand of its own zone alone takes the other zones for empty, and
-// spills most requests to them. The proxies that are not seen are assumed to be in number and demand as ours usually
-// are, and where the capacity is.
+// addUnseenDemand adds an estimate of the demand at proxies that other controllers serve, if each proxy joins a
+// controller of its own zone (Config.LocalZoneProxies). A controller that knew only the demand of its own zone would
+// treat the other zones as idle and spill most requests to them. Unseen proxies are assumed to have the usual demand of
+// the connected proxies and to be distributed in proportion to capacity.
 func (p *Planner) addUnseenDemand(loads []subsetLoad) {
 	if !p.config.LocalZoneProxies {
 		return
@@ -19,14 +20,14 @@
 	proxies := float64(p.config.Proxies)
 	seen := 0.0
 	totalMissing := 0.0
-	missing := make([]float64, len(loads)) // by subset, proxies that its capacity suggests and that are not seen
+	missing := make([]float64, len(loads)) // by subset, unseen proxies expected from its share of the capacity
 	for k := range p.subsets {
 		members := float64(len(p.subsets[k].members))
 		seen += members
 		missing[k] = max(0, proxies*loads[k].capacity/totalCapacity-members)
 		totalMissing += missing[k]
 	}
-	// The fuller our own endpoints are, the likelier it is that others have capacity left.
+	// The more saturated the endpoints that serve our proxies are, the more likely others have capacity left.
 	weight := max(0, min(1, (saturatedLatencyRatio-p.load.saturation)/(saturatedLatencyRatio-relievedLatencyRatio)))
 	unseen := weight * p.baselineRate() / (seen + unseenDemandPriorProxies) * max(0, proxies-seen)
 	for k := range loads {
