--- a/planner/admission.go
+++ b/planner/admission.go
@@ -130,7 +130,7 @@
 	if in.windowCoverage > minWindowCoverage {
 		// With less coverage, a few answers would be mistaken for the maximum throughput, and an idle fleet would be
 		// throttled.
-		throughput := in.fleet.answers / loadWindowSeconds / in.windowCoverage * in.meanObjective
+		throughput := in.fleet.succeeded / loadWindowSeconds / in.windowCoverage * in.meanObjective
 		a.peakThroughput = max(a.peakThroughput, throughput)
 	}
 	a.adjustBudget(in)
--- a/planner/allocation_test.go
+++ b/planner/allocation_test.go
@@ -141,9 +141,9 @@
 			loads[z] = subsetLoad{zone: z, demand: test.demand[z], capacity: test.capacities[z]}
 		}
 		granted := allocate(loads, n, false).granted
-		tr.say("%s: shares %v rooms %v", test.name, test.demand, test.capacities)
+		tr.logf("%s: shares %v rooms %v", test.name, test.demand, test.capacities)
 		for from := range n {
-			tr.say("  zone %d gives %.2f", from, granted[from*n:from*n+n])
+			tr.logf("  zone %d gives %.2f", from, granted[from*n:from*n+n])
 		}
 		for to, capacity := range test.capacities {
 			used := 0.0
--- a/planner/capacity.go
+++ b/planner/capacity.go
@@ -42,7 +42,7 @@
 // learn adds the requests that healthy, warm endpoints answered since the last update, and averages the evidence by
 // machine type.
 func (c *capacityEstimate) learn(now float64, endpoints []endpoint, start slowStart, meanObjective float64) {
-	keep := math.Exp(-updateIntervalSeconds / capacityWindowSeconds)
+	decayFactor := math.Exp(-updateIntervalSeconds / capacityWindowSeconds)
 	for i := range endpoints {
 		e := &endpoints[i]
 		inService := e.state == Ready && e.health == Healthy
@@ -53,9 +53,9 @@
 		if !c.utilizationReported {
 			utilization = e.utilizationByLatency(meanObjective)
 		}
-		e.evidence.answered = e.evidence.answered*keep + e.load.answers()/loadWindowSeconds*updateIntervalSeconds
+		e.evidence.answered = e.evidence.answered*decayFactor + e.load.succeeded()/loadWindowSeconds*updateIntervalSeconds
 		busy := max(utilization, minUtilization) * e.weight * updateIntervalSeconds
-		e.evidence.busySeconds = e.evidence.busySeconds*keep + busy
+		e.evidence.busySeconds = e.evidence.busySeconds*decayFactor + busy
 	}
 	c.averageByType(endpoints)
 }
@@ -67,9 +67,9 @@
 // A failed attempt counts in the mean latency as one latency objective. The baseline is the baseline latency, but at
 // most idleLatencyRatio times the objective.
 func (e *endpoint) utilizationByLatency(meanObjective float64) float64 {
-	if answers := e.load.answers(); answers >= minAttempts {
-		grown := e.evidence.baselineLatency * (1 + baselineLatencyGrowthPerSecond*updateIntervalSeconds)
-		e.evidence.baselineLatency = min(grown, e.load.latencySum/answers)
+	if succeeded := e.load.succeeded(); succeeded >= minAttempts {
+		grownBaseline := e.evidence.baselineLatency * (1 + baselineLatencyGrowthPerSecond*updateIntervalSeconds)
+		e.evidence.baselineLatency = min(grownBaseline, e.load.latencySum/succeeded)
 	}
 	baseline := min(e.evidence.baselineLatency, idleLatencyRatio*meanObjective)
 	latency := (e.load.latencySum + e.load.failed*meanObjective) / e.load.completed
@@ -111,15 +111,15 @@
 		return 0
 	}
 	capacity := p.capacity.learned(e)
-	usualFailureRatio := p.outliers.medianFailureRatio
+	expectedFailureRatio := p.outliers.medianFailureRatio
 	if fraction := p.slowStart.fraction(p.now, e.startTime); fraction < 1 {
 		capacity = capacity * fraction * p.slowStart.damping(p.load.successRatio, p.load.saturation)
-		usualFailureRatio = 0
+		expectedFailureRatio = 0
 	}
 	if e.load.completed >= minAttempts {
 		// An endpoint that is cold or has become far slower than its peers fails attempts long before its capacity is
 		// learned. It continues to fail them unless its capacity is reduced immediately.
-		excess := max(0, e.load.failed/e.load.completed-usualFailureRatio)
+		excess := max(0, e.load.failed/e.load.completed-expectedFailureRatio)
 		capacity *= max(minCapacityFraction, 1-excess)
 	}
 	if e.health == Probation {
--- a/planner/clientretries.go
+++ b/planner/clientretries.go
@@ -45,8 +45,8 @@
 
 // update estimates the original requests, and then the retries for each rejected request, which the next update uses.
 func (e *clientRetryEstimate) update(in clientRetryInput) {
-	expected := 0.0         // demand before throttling
-	expectedRejected := 0.0 // rejected part of expected
+	expectedDemand := 0.0   // demand before throttling
+	expectedRejected := 0.0 // rejected part of expectedDemand
 	rejectedDemand := 0.0   // rejected part of the current demand
 	subsetDemand := max(totalDemand(in.subsets), 1e-9)
 	for r, rate := range in.demand {
@@ -55,17 +55,17 @@
 		if !in.throttling {
 			e.unthrottledDemand[r] = rate / in.servedBaselineRate
 		}
-		expected += e.unthrottledDemand[r] * in.servedBaselineRate
+		expectedDemand += e.unthrottledDemand[r] * in.servedBaselineRate
 		expectedRejected += e.unthrottledDemand[r] * in.servedBaselineRate * e.rejected[r]
 		rejectedDemand += rate * e.rejected[r]
 		e.original[r] = rate / (1 + e.perRejection*e.rejected[r])
 	}
 	demand := sum(in.demand)
-	throttlingBegan := in.throttling && in.now < in.throttlingSince+clientRetryWindowSeconds
-	if throttlingBegan && expectedRejected > minRejectedDemand*expected {
+	recentlyThrottled := in.throttling && in.now < in.throttlingSince+clientRetryWindowSeconds
+	if recentlyThrottled && expectedRejected > minRejectedDemand*expectedDemand {
 		// Shortly after throttling began, demand above its earlier level is attributed to retries of the same clients.
-		seen := min(max((demand-expected)/expectedRejected, 0), maxClientRetries)
-		e.perRejection += (seen - e.perRejection) * updateIntervalSeconds / admissionLagSeconds
+		observedRetries := min(max((demand-expectedDemand)/expectedRejected, 0), maxClientRetries)
+		e.perRejection += (observedRetries - e.perRejection) * updateIntervalSeconds / admissionLagSeconds
 	}
 	if in.saturation < idleLatencyRatio && rejectedDemand > 0 {
 		// Client retries alone could keep an idle fleet throttled. If no requests wait, the completed attempts are all the
--- a/planner/demand.go
+++ b/planner/demand.go
@@ -30,15 +30,15 @@
 // decaySubsetDemand decays the demand of a subset's members when one of them reports. A proxy without requests sends no
 // reports: its demand decays when other proxies of the subset report, and stays unchanged while none does.
 func (p *Planner) decaySubsetDemand(s *subset) {
-	keep := math.Exp((s.demandReportedAt - p.now) / demandWindowSeconds)
+	decayFactor := math.Exp((s.demandReportedAt - p.now) / demandWindowSeconds)
 	s.demandReportedAt = p.now
-	if keep >= 1 {
+	if decayFactor >= 1 {
 		return
 	}
 	for _, member := range s.members {
 		demand := p.proxies.all[member].demand
 		for route := range demand {
-			demand[route] *= keep
+			demand[route] *= decayFactor
 		}
 	}
 }
@@ -46,7 +46,7 @@
 // update sums the demand by subset and by route. The demand of disconnected proxies decays with each step, so that a
 // brief interruption of a stream changes neither the subsets' shares nor the admission levels.
 func (d *demandEstimate) update(proxies []proxy, subsets []subset, routes []Route) {
-	keep := math.Exp(-stepIntervalSeconds / demandWindowSeconds)
+	decayFactor := math.Exp(-stepIntervalSeconds / demandWindowSeconds)
 	for k := range subsets {
 		subsets[k].demand = 0
 	}
@@ -57,7 +57,7 @@
 			subsets[member.subset].demand += rate
 			d.byRoute[route] += rate
 			if !member.connected {
-				member.demand[route] *= keep
+				member.demand[route] *= decayFactor
 			}
 		}
 	}
--- a/planner/demand_test.go
+++ b/planner/demand_test.go
@@ -6,16 +6,16 @@
 // stay unchanged while none does, because the collector may have stalled. Delayed reports that arrive together must not
 // look like a burst of demand or of answers.
 func TestDemandDecaysWithReportsOfSubset(t *testing.T) {
-	tr := newScene(t, testConfig(), 4)
+	tr := newTrace(t, testConfig(), 4)
 	tr.planner.ProxyJoined(tr.now, 2, 0, 40)
 	show := func(what string) {
-		tr.say("%s: %.0f and %.0f calls a second", what, sum(tr.planner.proxies.all[0].demand), sum(tr.planner.proxies.all[2].demand))
+		tr.logf("%s: %.0f and %.0f calls a second", what, sum(tr.planner.proxies.all[0].demand), sum(tr.planner.proxies.all[2].demand))
 	}
 	for _, step := range []struct {
-		what  string
-		calls [][]int
+		what          string
+		proxyRequests [][]int
 	}{{"both are asked", [][]int{{10, 10}, {10, 10}, {10, 10}}}, {"one is not", [][]int{{10, 10}}}, {"no reports", nil}} {
-		tr.requests = step.calls
+		tr.requests = step.proxyRequests
 		tr.run(6)
 		show(step.what)
 	}
@@ -28,7 +28,7 @@
 	for node := range tr.reports {
 		tr.planner.AddLoadReport(tr.now, LoadReport{Node: node, Completed: 120, MeanLatency: 0.2, Interval: 6})
 	}
-	tr.say("answered: %.0f a second", tr.planner.endpoints.sum(func(e *endpoint) float64 { return e.load.completed })/loadWindowSeconds)
+	tr.logf("answered: %.0f a second", tr.planner.endpoints.sum(func(e *endpoint) float64 { return e.load.completed })/loadWindowSeconds)
 	tr.check()
 }
 
@@ -40,16 +40,16 @@
 	config.LocalZoneProxies = true
 	config.Proxies = 60
 	config.Controllers = 2
-	tr := newScene(t, config, 12)
+	tr := newTrace(t, config, 12)
 	tr.planner.ProxyLeft(tr.now, 1)
 	for p := 2; p < 30; p++ {
 		tr.planner.ProxyJoined(tr.now, p, 0, 10)
 	}
 	tr.run(3)
-	tr.say("-- proxy 0 is asked for far more")
+	tr.logf("-- proxy 0 is asked for far more")
 	tr.requests[0] = []int{150, 150}
 	tr.run(2)
-	tr.say("-- and its nodes are slow")
+	tr.logf("-- and its nodes are slow")
 	for node := uint32(1); node < 12; node += 2 {
 		tr.reports[node] = LoadReport{Completed: 20, MeanLatency: 0.6}
 	}
--- a/planner/endpoints.go
+++ b/planner/endpoints.go
@@ -29,10 +29,10 @@
 	assignedByZone []int          // by zone, the endpoints assigned round-robin to its subsets so far
 }
 
-// sum returns the sum of figure over all endpoints, added in the order of their indices.
-func (r *endpointRegistry) sum(figure func(*endpoint) float64) (total float64) {
+// sum returns the sum of value over all endpoints, added in the order of their indices.
+func (r *endpointRegistry) sum(value func(*endpoint) float64) (total float64) {
 	for i := range r.all {
-		total += figure(&r.all[i])
+		total += value(&r.all[i])
 	}
 	return total
 }
--- a/planner/endpoints_test.go
+++ b/planner/endpoints_test.go
@@ -8,9 +8,9 @@
 // A draining endpoint fails requests that arrive after its grace period. Its entries must be removed from every table
 // immediately, even if it is the last endpoint of its zone and the zone's table must then use other zones.
 func TestDrainingEndpointLeavesAllTables(t *testing.T) {
-	tr := newScene(t, testConfig(), 3)
+	tr := newTrace(t, testConfig(), 3)
 	tr.run(1)
-	tr.say("-- node 2, alone in its zone, drains")
+	tr.logf("-- node 2, alone in its zone, drains")
 	tr.planner.UpdateEndpoints(tr.now, []Endpoint{{Node: 2, Zone: 1, State: Draining}})
 	tr.check()
 }
@@ -20,7 +20,7 @@
 func TestFailedSubscriptionBacksOff(t *testing.T) {
 	config := testConfig()
 	config.MustSubscribe = true
-	tr := newScene(t, config, 2)
+	tr := newTrace(t, config, 2)
 	for range 4 {
 		tr.planner.EndpointWatchFailed(tr.now)
 		tr.run(3)
@@ -38,8 +38,8 @@
 	tr := &trace{t: t, now: 100, reports: map[uint32]LoadReport{}}
 	tr.planner = New(tr, config, tr.now)
 	events := []struct {
-		name string
-		do   func()
+		name  string
+		apply func()
 	}{
 		{"an empty list", func() { tr.planner.ReplaceEndpoints(tr.now, nil) }},
 		{"300 proxies in one batch", func() {
@@ -75,13 +75,13 @@
 	}
 	summary := ""
 	for _, step := range events {
-		step.do()
-		leastAvailable := tr.planner.flow.available(1)
+		step.apply()
+		minAvailable := tr.planner.flow.available(1)
 		for range 30 {
 			tr.run(0.1)
-			leastAvailable = min(leastAvailable, tr.planner.flow.available(1))
+			minAvailable = min(minAvailable, tr.planner.flow.available(1))
 		}
-		entries, bound := 0, 0
+		entries, boundProxies := 0, 0
 		for subset := range tr.planner.subsets {
 			for _, weight := range tr.planner.subsets[subset].table.published {
 				if weight > 0 {
@@ -90,10 +90,10 @@
 			}
 		}
 		for _, subset := range tr.planner.subsets {
-			bound += len(subset.members)
+			boundProxies += len(subset.members)
 		}
 		summary += fmt.Sprintf("%s: %d lines, %d proxies bound, %.0f lines free at least\n", step.name, entries,
-			bound, leastAvailable)
+			boundProxies, minAvailable)
 	}
 	tr.Reset()
 	tr.WriteString(summary)
--- a/planner/flowcontrol_test.go
+++ b/planner/flowcontrol_test.go
@@ -11,12 +11,12 @@
 	config := testConfig()
 	config.MaxInFlightEntries = 100
 	config.EntriesPerSecond = 50
-	tr := newScene(t, config, 8)
+	tr := newTrace(t, config, 8)
 	tr.withholdAcks = true
-	tr.say("-- zone 0 is asked for more")
+	tr.logf("-- zone 0 is asked for more")
 	tr.requests[0] = []int{30, 30}
 	tr.run(4)
-	tr.say("-- node 2 drains")
+	tr.logf("-- node 2 drains")
 	tr.planner.UpdateEndpoints(tr.now, []Endpoint{{Node: 2, Zone: 1, State: Draining}})
 	tr.check()
 }
@@ -28,15 +28,15 @@
 	config := testConfig()
 	config.MaxInFlightEntries = 60
 	config.EntriesPerSecond = 30
-	tr := newScene(t, config, 8)
+	tr := newTrace(t, config, 8)
 	tr.withholdAcks = true
 	for k := range 30 {
 		tr.planner.UpdateEndpoints(tr.now, []Endpoint{{Node: 1, StartTime: tr.now, State: EndpointState(1 + k%2)}})
 		tr.run(2)
 	}
-	tr.say("free %.0f", tr.planner.flow.available(1))
+	tr.logf("free %.0f", tr.planner.flow.available(1))
 	tr.planner.ProxyLeft(tr.now, 0)
-	tr.say("free %.0f", tr.planner.flow.available(1))
+	tr.logf("free %.0f", tr.planner.flow.available(1))
 	tr.check()
 }
 
@@ -44,8 +44,8 @@
 // its nonce may be of the first time. Both have to count until a later nonce is acknowledged.
 func TestRetriedCallCountsTwice(t *testing.T) {
 	config := testConfig()
-	tr := newScene(t, config, 4)
-	sayInFlight := func(when string) { tr.say("%s: %.0f lines wait", when, tr.planner.flow.account.entries) }
+	tr := newTrace(t, config, 4)
+	sayInFlight := func(when string) { tr.logf("%s: %.0f lines wait", when, tr.planner.flow.account.entries) }
 	tr.run(1)
 	sayInFlight("calm")
 	tr.withholdAcks = true
@@ -101,7 +101,7 @@
 	kept = append(kept, fmt.Sprintf("the drain is behind %.1f s", before/config.EntriesPerSecond))
 	tr.Reset()
 	for _, line := range kept {
-		tr.say("%s", line)
+		tr.logf("%s", line)
 	}
 	tr.check()
 }
--- a/planner/load.go
+++ b/planner/load.go
@@ -28,14 +28,14 @@
 	utilization float64 // moving average of the reported busy fraction of its cores
 }
 
-// answers returns the number of attempts that did not fail.
-func (l *endpointLoad) answers() float64 { return l.completed - l.failed }
+// succeeded returns the number of attempts that did not fail.
+func (l *endpointLoad) succeeded() float64 { return l.completed - l.failed }
 
-// decay multiplies the attempts by keep.
-func (l *endpointLoad) decay(keep float64) {
-	l.completed *= keep
-	l.failed *= keep
-	l.latencySum *= keep
+// decay multiplies the attempts by factor.
+func (l *endpointLoad) decay(factor float64) {
+	l.completed *= factor
+	l.failed *= factor
+	l.latencySum *= factor
 }
 
 // loadStatistics is the fleet's load according to load reports.
@@ -61,9 +61,9 @@
 	}
 	// Delayed reports arrive together. Each counts for at most the load window. Otherwise their sum would look like a
 	// throughput that was never reached.
-	part := min(1, loadWindowSeconds/max(report.Interval, 1e-9))
-	completed := float64(report.Completed) * part
-	failed := float64(report.Failed) * part
+	scale := min(1, loadWindowSeconds/max(report.Interval, 1e-9))
+	completed := float64(report.Completed) * scale
+	failed := float64(report.Failed) * scale
 	e.load.completed += completed
 	e.load.failed += failed
 	e.load.latencySum += (completed - failed) * report.MeanLatency
@@ -79,11 +79,11 @@
 // update decays the attempts and recomputes the success ratio. The attempts at endpoints on probation do not decay,
 // because these endpoints get too few.
 func (s *loadStatistics) update(now float64, endpoints *endpointRegistry) {
-	keep := math.Exp((s.decayedAt - now) / loadWindowSeconds)
+	decayFactor := math.Exp((s.decayedAt - now) / loadWindowSeconds)
 	s.decayedAt = now
 	for i := range endpoints.all {
 		if e := &endpoints.all[i]; e.health != Probation {
-			e.load.decay(keep)
+			e.load.decay(decayFactor)
 		}
 	}
 	s.successRatio = 0
@@ -91,15 +91,15 @@
 	if completed >= minAttempts {
 		failed := endpoints.sum(func(e *endpoint) float64 { return e.load.failed })
 		s.successRatio = 1 - failed/completed
-		s.windowCoverage += (1 - s.windowCoverage) * (1 - keep)
+		s.windowCoverage += (1 - s.windowCoverage) * (1 - decayFactor)
 	}
 }
 
 // fleetLoad is the load and capacity of the endpoints in service.
 type fleetLoad struct {
-	answers  float64 // attempts within loadWindowSeconds that did not fail
-	weight   float64 // listed weight, reduced by slow start
-	capacity float64 // requests a second that they can answer
+	succeeded float64 // attempts within loadWindowSeconds that did not fail
+	weight    float64 // listed weight, reduced by slow start
+	capacity  float64 // requests a second that they can answer
 }
 
 // fleetInput is the input of measureFleet.
@@ -115,7 +115,7 @@
 
 // measureFleet returns the load of the endpoints in service and updates their saturation:
 //
-//	saturation = sum(answers * min(latency, 1)) / sum(answers), with the latency in latency objectives
+//	saturation = sum(succeeded * min(latency, 1)) / sum(succeeded), with the latency in latency objectives
 //
 // The bound of 1 limits the influence of a few full endpoints. Their weights are reduced instead, so the fleet need not
 // be throttled.
@@ -128,27 +128,27 @@
 			continue
 		}
 		fraction := in.slowStart.fraction(in.now, e.startTime)
-		answers := e.load.answers()
+		succeeded := e.load.succeeded()
 		fleet.weight += e.weight * fraction
 		fleet.capacity += in.capacity.learned(e) * fraction
-		fleet.answers += answers
-		latency += answers * min(in.endpointLatency(e), 1)
+		fleet.succeeded += succeeded
+		latency += succeeded * min(in.endpointLatency(e), 1)
 	}
-	s.saturation = latency / max(fleet.answers, 1)
+	s.saturation = latency / max(fleet.succeeded, 1)
 	return fleet
 }
 
 // endpointLatency returns the mean latency of attempts at an endpoint as a fraction of the latency objective.
 func (in *fleetInput) endpointLatency(e *endpoint) float64 {
-	answers := max(e.load.answers(), 1)
+	succeeded := max(e.load.succeeded(), 1)
 	if in.queueReported {
 		// Waiting requests reveal a queue earlier than the latency of completed requests does.
-		wait := e.load.queueLength * loadWindowSeconds / answers / float64(in.controllers) / in.meanObjective
+		wait := e.load.queueLength * loadWindowSeconds / succeeded / float64(in.controllers) / in.meanObjective
 		return idleLatencyRatio + wait
 	}
 	// A failed attempt counts as one latency objective if successful attempts are slow. If these are quick, failures
 	// indicate rejected connections or a fault, not a queue.
-	answerLatency := e.load.latencySum / answers / in.meanObjective
-	slow := min(1, max(0, (answerLatency-idleLatencyRatio)/(saturatedLatencyRatio-idleLatencyRatio)))
-	return (e.load.latencySum/in.meanObjective + slow*e.load.failed) / max(e.load.completed, minAttempts)
+	answerLatency := e.load.latencySum / succeeded / in.meanObjective
+	slowFraction := min(1, max(0, (answerLatency-idleLatencyRatio)/(saturatedLatencyRatio-idleLatencyRatio)))
+	return (e.load.latencySum/in.meanObjective + slowFraction*e.load.failed) / max(e.load.completed, minAttempts)
 }
--- a/planner/load_test.go
+++ b/planner/load_test.go
@@ -6,13 +6,13 @@
 // failures would eject the new processes. Reports that cover time before an endpoint's start must be ignored, and later
 // reports must count.
 func TestReportOnFormerProcessIsIgnored(t *testing.T) {
-	tr := newScene(t, testConfig(), 6)
+	tr := newTrace(t, testConfig(), 6)
 	tr.run(3)
-	tr.say("-- node 1 restarts; late sums say that it answers none")
+	tr.logf("-- node 1 restarts; late sums say that it answers none")
 	tr.planner.UpdateEndpoints(tr.now, []Endpoint{{Node: 1, State: Ready, StartTime: tr.now - 1}})
 	tr.reports[1] = LoadReport{Completed: 8, Failed: 8, Interval: 4}
 	tr.run(4)
-	tr.say("-- so do those that began since")
+	tr.logf("-- so do those that began since")
 	tr.run(2)
 	tr.check()
 }
@@ -20,9 +20,9 @@
 // Half of the endpoints reject connections while all answers are quick. There is no queue and admitting less would not
 // help, so the levels must not change. The endpoints must not be ejected as outliers, because there are too many.
 func TestQuickRejectionsAreNotLoad(t *testing.T) {
-	tr := newScene(t, testConfig(), 12)
+	tr := newTrace(t, testConfig(), 12)
 	tr.run(2)
-	tr.say("-- half of the nodes refuse half of the tries")
+	tr.logf("-- half of the nodes refuse half of the tries")
 	for node := range tr.reports {
 		if node%4 < 2 {
 			tr.reports[node] = LoadReport{Completed: 12, Failed: 6, MeanLatency: 0.2}
--- a/planner/outlier.go
+++ b/planner/outlier.go
@@ -58,12 +58,12 @@
 	medianFailureRatio float64 // fraction of its attempts that the median healthy endpoint fails
 }
 
-// judge returns the health changes that are due. If most endpoints fail at the same time, the cause is not a single
+// detect returns the health changes that are due. If most endpoints fail at the same time, the cause is not a single
 // endpoint (a late report, a network partition): the fleet's median and maxEjectedFraction keep them in service.
-func (d *outlierDetector) judge(now float64, endpoints []endpoint, meanObjective float64) []healthChange {
-	survey := surveyHealth(endpoints)
-	d.medianFailureRatio = median(survey.failureRatios)
-	ejectedWeight := survey.unhealthyWeight
+func (d *outlierDetector) detect(now float64, endpoints []endpoint, meanObjective float64) []healthChange {
+	fleet := summarizeHealth(endpoints)
+	d.medianFailureRatio = median(fleet.failureRatios)
+	ejectedWeight := fleet.unhealthyWeight
 	var changes []healthChange
 	for i := range endpoints {
 		e := &endpoints[i]
@@ -77,7 +77,7 @@
 				changes = append(changes, healthChange{i, Probation})
 			}
 		case failing:
-			maxWeight := maxEjectedFraction * survey.weight * e.load.failed / e.load.completed
+			maxWeight := maxEjectedFraction * fleet.weight * e.load.failed / e.load.completed
 			if e.health == Probation || ejectedWeight+e.weight <= maxWeight {
 				ejectedWeight += e.weight
 				changes = append(changes, healthChange{i, Ejected})
@@ -89,29 +89,29 @@
 	return changes
 }
 
-// healthSurvey is the state of the fleet that outlier detection compares an endpoint with.
-type healthSurvey struct {
+// fleetHealth is the state of the fleet that outlier detection compares an endpoint with.
+type fleetHealth struct {
 	weight          float64   // listed weight of the ready endpoints
 	unhealthyWeight float64   // of this, ejected or on probation
 	failureRatios   []float64 // of the healthy endpoints with enough attempts
 }
 
-func surveyHealth(endpoints []endpoint) healthSurvey {
-	var survey healthSurvey
+func summarizeHealth(endpoints []endpoint) fleetHealth {
+	var fleet fleetHealth
 	for i := range endpoints {
 		e := &endpoints[i]
 		if e.state != Ready {
 			continue
 		}
-		survey.weight += e.weight
+		fleet.weight += e.weight
 		switch {
 		case e.health != Healthy:
-			survey.unhealthyWeight += e.weight
+			fleet.unhealthyWeight += e.weight
 		case e.load.completed >= minAttempts:
-			survey.failureRatios = append(survey.failureRatios, e.load.failed/e.load.completed)
+			fleet.failureRatios = append(fleet.failureRatios, e.load.failed/e.load.completed)
 		}
 	}
-	return survey
+	return fleet
 }
 
 // failing reports whether an endpoint fails far more attempts than the median endpoint for a reason other than being
@@ -125,7 +125,7 @@
 	if e.load.failed < limit*e.load.completed {
 		return false
 	}
-	answersQuickly := e.load.latencySum < saturatedLatencyRatio*meanObjective*e.load.answers()
+	answersQuickly := e.load.latencySum < saturatedLatencyRatio*meanObjective*e.load.succeeded()
 	full := !answersQuickly || e.load.queueLength >= minOverloadQueue
 	return !full || e.load.failed >= deadFailureRatio*e.load.completed
 }
--- a/planner/planner.go
+++ b/planner/planner.go
@@ -100,7 +100,7 @@
 
 // updateOutliers ejects outliers, and gives those that were ejected for long enough their probation.
 func (p *Planner) updateOutliers() {
-	for _, change := range p.outliers.judge(p.now, p.endpoints.all, p.demand.meanObjective) {
+	for _, change := range p.outliers.detect(p.now, p.endpoints.all, p.demand.meanObjective) {
 		if change.health == Probation {
 			p.endpoints.all[change.endpoint].resetStatistics()
 		}
--- a/planner/proxies_test.go
+++ b/planner/proxies_test.go
@@ -7,7 +7,7 @@
 
 // A proxy that joins may hold the table of another controller. It must be bound immediately, to a table with entries.
 func TestJoiningProxiesAreBoundAtOnce(t *testing.T) {
-	tr := newScene(t, testConfig(), 4)
+	tr := newTrace(t, testConfig(), 4)
 	tr.check()
 }
 
@@ -57,14 +57,14 @@
 	config := testConfig()
 	config.Proxies = 12
 	config.MaxInFlightEntries = 100
-	tr := newScene(t, config, 4)
+	tr := newTrace(t, config, 4)
 	tr.withholdAcks = true
 	for p := 2; p < 12; p++ {
 		tr.planner.ProxyJoined(tr.now, p, p%2, 1)
 	}
-	tr.say("-- node 1 drains while proxies wait")
+	tr.logf("-- node 1 drains while proxies wait")
 	tr.planner.UpdateEndpoints(tr.now, []Endpoint{{Node: 1, State: Draining}})
-	tr.say("-- the channel confirms")
+	tr.logf("-- the channel confirms")
 	tr.withholdAcks = false
 	tr.run(1)
 	tr.check()
@@ -74,14 +74,14 @@
 // seconds later. If its demand counted as 0, the capacity of its zone's cold endpoints would be granted to others. It
 // must count with its baseline rate.
 func TestReturningProxyCountsForBaselineRate(t *testing.T) {
-	tr := newScene(t, testConfig(), 4)
+	tr := newTrace(t, testConfig(), 4)
 	tr.run(2)
-	tr.say("-- zone 1 is lost with its proxy")
+	tr.logf("-- zone 1 is lost with its proxy")
 	tr.planner.ProxyLeft(tr.now, 1)
 	tr.planner.ReplaceEndpoints(tr.now, []Endpoint{endpointList(4)[0], endpointList(4)[2]})
 	tr.requests[1] = []int{0, 0}
 	tr.run(10)
-	tr.say("-- and starts again")
+	tr.logf("-- and starts again")
 	cold := endpointList(4)
 	cold[1].StartTime = tr.now
 	cold[3].StartTime = tr.now
@@ -95,29 +95,29 @@
 // reports, the allocation considered the zone idle, and the cold endpoints there received the requests of all zones.
 // The proxy must count with its baseline rate after that report as well.
 func TestReturningZoneKeepsBaselineRate(t *testing.T) {
-	tr := newScene(t, testConfig(), 4)
+	tr := newTrace(t, testConfig(), 4)
 	tr.run(3)
 	tr.planner.ProxyLeft(tr.now, 1)
 	allRequests := tr.requests
 	tr.requests = allRequests[:1]
 	tr.run(10)
-	tr.say("-- proxy 1 is back after 10 s")
+	tr.logf("-- proxy 1 is back after 10 s")
 	tr.planner.ProxyJoined(tr.now, 1, 1, 40)
 	tr.planner.AddDemandReport(tr.now, DemandReport{Proxy: 1, Route: 0, Requests: 1, Interval: 0.5})
 	tr.planner.Step(tr.wakeAt)
-	tr.say("calls a second by pool %.0f", []float64{tr.planner.subsets[0].demand, tr.planner.subsets[1].demand})
+	tr.logf("calls a second by pool %.0f", []float64{tr.planner.subsets[0].demand, tr.planner.subsets[1].demand})
 	tr.check()
 }
 
 // After a gap in the proxy watch, connected proxies are announced again. If they were mistaken for proxies that left
 // and returned, the baseline rate would change and with it the admission levels. The levels must not change.
 func TestRepeatedJoinKeepsLevels(t *testing.T) {
-	tr := newScene(t, testConfig(), 4)
+	tr := newTrace(t, testConfig(), 4)
 	tr.run(10)
-	tr.reportAll(LoadReport{Completed: 10, Failed: 4, MeanLatency: 0.9})
+	tr.setReports(LoadReport{Completed: 10, Failed: 4, MeanLatency: 0.9})
 	tr.requests = [][]int{{40, 10}, {40, 10}}
 	tr.run(20)
-	tr.say("-- both proxies are told again")
+	tr.logf("-- both proxies are told again")
 	for p := range tr.requests {
 		tr.planner.ProxyJoined(tr.now, p, p, 100)
 	}
@@ -142,7 +142,7 @@
 	}
 	traceInFlight := func(when string) {
 		bound := len(tr.planner.subsets[0].members) + len(tr.planner.subsets[1].members)
-		tr.say("%s: %.0f of %.0f lines wait, %d bound", when, tr.planner.flow.account.entries, config.MaxInFlightEntries, bound)
+		tr.logf("%s: %.0f of %.0f lines wait, %d bound", when, tr.planner.flow.account.entries, config.MaxInFlightEntries, bound)
 	}
 	join()
 	traceInFlight("joined")
--- a/planner/rules_test.go
+++ b/planner/rules_test.go
@@ -14,10 +14,10 @@
 	p := New(discardHost{}, testConfig(), 100)
 	p.ReplaceEndpoints(100, endpointList(2))
 	e := &p.endpoints.all[0]
-	full := p.availableCapacity(e)
+	capacity := p.availableCapacity(e)
 	e.health = Probation
-	if got := p.availableCapacity(e); full == 0 || math.Abs(got-0.25*full) > 1e-12 {
-		t.Errorf("available capacity on probation: got %v, want a quarter of %v, which must be greater than 0", got, full)
+	if got := p.availableCapacity(e); capacity == 0 || math.Abs(got-0.25*capacity) > 1e-12 {
+		t.Errorf("available capacity on probation: got %v, want a quarter of %v, which must be greater than 0", got, capacity)
 	}
 	e.health = Ejected
 	if got := p.availableCapacity(e); got != 0 {
@@ -27,12 +27,12 @@
 
 // A burst arrives while endpoints report their utilization, and queues fill before latency rises. The budget must be
 // limited to 0.65 of the capacity of busy endpoints as soon as demand exceeds this limit, and only then.
-func TestBudgetIsBoundByReportedUtilization(t *testing.T) {
+func TestBudgetIsBoundedByReportedUtilization(t *testing.T) {
 	for _, test := range []struct {
-		name                   string
-		utilization            bool
-		originalWork, budget   float64
-		wantBudget, meanLimits float64
+		name                      string
+		utilization               bool
+		originalWork, budget      float64
+		wantBudget, meanObjective float64
 	}{
 		{"demand above the limit", true, 100, math.Inf(1), 65, 1},
 		{"demand below the limit", true, 64, math.Inf(1), math.Inf(1), 1},
@@ -42,7 +42,7 @@
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			a := &admissionControl{utilization: test.utilization, workBudget: test.budget}
-			a.limitByUtilization(admissionInput{fleet: fleetLoad{capacity: 100}, meanObjective: test.meanLimits}, test.originalWork)
+			a.limitByUtilization(admissionInput{fleet: fleetLoad{capacity: 100}, meanObjective: test.meanObjective}, test.originalWork)
 			if !(math.Abs(a.workBudget-test.wantBudget) < 1e-9 || a.workBudget == test.wantBudget) {
 				t.Errorf("work budget: got %v, want %v", a.workBudget, test.wantBudget)
 			}
@@ -52,7 +52,7 @@
 
 // Demand grows tenfold as throttling begins. If all of the growth counted as client retries, almost no original
 // requests would be left and nothing would be admitted. At most three retries are assumed for each rejected request.
-func TestClientRetriesAreBound(t *testing.T) {
+func TestClientRetriesAreBounded(t *testing.T) {
 	e := newClientRetryEstimate(1)
 	e.unthrottledDemand[0] = 1 // for each request of the baseline rate
 	e.rejected[0] = 0.5
--- a/planner/slowstart.go
+++ b/planner/slowstart.go
@@ -34,9 +34,9 @@
 // endpoints rejected could overload a cold endpoint, so the damping falls with the square of the success ratio and with
 // the fleet's saturation. While the success ratio is unknown, it is minSlowStartFraction.
 func (s slowStart) damping(successRatio, saturation float64) float64 {
-	part := minSlowStartFraction
+	factor := minSlowStartFraction
 	if successRatio > 0 {
-		part = successRatio * successRatio * min(1, relievedLatencyRatio/saturation)
+		factor = successRatio * successRatio * min(1, relievedLatencyRatio/saturation)
 	}
-	return max(minCapacityFraction, min(part, maxSlowStartDamping*s.overloadMultiple))
+	return max(minCapacityFraction, min(factor, maxSlowStartDamping*s.overloadMultiple))
 }
--- a/planner/trace_test.go
+++ b/planner/trace_test.go
@@ -28,30 +28,31 @@
 	requests     [][]int               // by proxy and route, for each report interval
 }
 
-func (tr *trace) say(format string, args ...any) {
+// logf prints a line with the current time.
+func (tr *trace) logf(format string, args ...any) {
 	fmt.Fprintf(tr, "%6.1f  "+format+"\n", append([]any{tr.now}, args...)...)
 }
 
-func (tr *trace) BindProxy(proxy, table int) { tr.say("bind proxy %d to table %d", proxy, table) }
+func (tr *trace) BindProxy(proxy, table int) { tr.logf("bind proxy %d to table %d", proxy, table) }
 
 func (tr *trace) SetWeight(table int, node uint32, weight float64) {
-	tr.say("table %d node %d weight %.2f", table, node, weight)
+	tr.logf("table %d node %d weight %.2f", table, node, weight)
 }
 
 func (tr *trace) SetAdmission(table int, route RouteID, level float64, retry RetryPolicy) {
-	tr.say("table %d level routes %b %.2f tries %d", table, 1<<route, level, retry)
+	tr.logf("table %d level routes %b %.2f tries %d", table, 1<<route, level, retry)
 }
 
 func (tr *trace) RequestAck(nonce int) { tr.nonce = nonce }
 func (tr *trace) Wake(at float64)      { tr.wakeAt = at }
-func (tr *trace) Subscribe()           { tr.say("subscribe") }
+func (tr *trace) Subscribe()           { tr.logf("subscribe") }
 
 // EndpointHealthChanged prints the health in the simulator's wire names, which the traces contain.
 func (tr *trace) EndpointHealthChanged(node uint32, health Health) {
-	tr.say("log node %d %s", node, [...]string{Healthy: "well", Ejected: "out", Probation: "on trial"}[health])
+	tr.logf("log node %d %s", node, [...]string{Healthy: "well", Ejected: "out", Probation: "on trial"}[health])
 }
 
-func (tr *trace) ThrottlingChanged(active bool) { tr.say("log throttling: %t", active) }
+func (tr *trace) ThrottlingChanged(active bool) { tr.logf("log throttling: %t", active) }
 
 // testConfig returns the Config of a small deployment with two zones and two routes.
 func testConfig() Config {
@@ -87,8 +88,8 @@
 	return list
 }
 
-// newScene returns a trace of a planner with n endpoints and one proxy in each zone. All endpoints answer quickly.
-func newScene(t *testing.T, config Config, n int) *trace {
+// newTrace returns a trace of a planner with n endpoints and one proxy in each zone. All endpoints answer quickly.
+func newTrace(t *testing.T, config Config, n int) *trace {
 	t.Helper()
 	tr := &trace{t: t, now: 100, reports: map[uint32]LoadReport{}, requests: [][]int{{10, 10}, {10, 10}}}
 	tr.planner = New(tr, config, tr.now)
@@ -102,8 +103,8 @@
 	return tr
 }
 
-// reportAll sets the same report for all endpoints.
-func (tr *trace) reportAll(report LoadReport) {
+// setReports sets the same report for all endpoints.
+func (tr *trace) setReports(report LoadReport) {
 	for node := range tr.reports {
 		tr.reports[node] = report
 	}
--- a/planner/unseendemand.go
+++ b/planner/unseendemand.go
@@ -18,19 +18,19 @@
 	}
 	totalCapacity = max(totalCapacity, 1e-9)
 	proxies := float64(p.config.Proxies)
-	seen := 0.0
-	totalMissing := 0.0
-	missing := make([]float64, len(loads)) // by subset, unseen proxies expected from its share of the capacity
+	seenProxies := 0.0
+	totalUnseenProxies := 0.0
+	unseenProxies := make([]float64, len(loads)) // by subset, unseen proxies expected from its share of the capacity
 	for k := range p.subsets {
 		members := float64(len(p.subsets[k].members))
-		seen += members
-		missing[k] = max(0, proxies*loads[k].capacity/totalCapacity-members)
-		totalMissing += missing[k]
+		seenProxies += members
+		unseenProxies[k] = max(0, proxies*loads[k].capacity/totalCapacity-members)
+		totalUnseenProxies += unseenProxies[k]
 	}
 	// The more saturated the endpoints that serve our proxies are, the more likely others have capacity left.
 	weight := max(0, min(1, (saturatedLatencyRatio-p.load.saturation)/(saturatedLatencyRatio-relievedLatencyRatio)))
-	unseen := weight * p.baselineRate() / (seen + unseenDemandPriorProxies) * max(0, proxies-seen)
+	unseenDemand := weight * p.baselineRate() / (seenProxies + unseenDemandPriorProxies) * max(0, proxies-seenProxies)
 	for k := range loads {
-		loads[k].demand += unseen * missing[k] / max(totalMissing, 1e-9)
+		loads[k].demand += unseenDemand * unseenProxies[k] / max(totalUnseenProxies, 1e-9)
 	}
 }
