--- a/planner/clientretries.go
+++ b/planner/clientretries.go
@@ -35,12 +35,12 @@
 type clientRetryInput struct {
 	now                float64   // s
 	demand             []float64 // requests a second by route
-	subsets            []subset  // their demand and published levels
+	subsets            []subset  // with their demand and published levels
 	servedBaselineRate float64   // requests a second
 	throttling         bool
 	throttlingSince    float64 // s
 	saturation         float64
-	attempts           float64 // attempts a second that completed
+	attempts           float64 // completed attempts a second
 }
 
 // update estimates the original requests, and then the retries for each rejected request, which the next update uses.
--- a/planner/endpoints.go
+++ b/planner/endpoints.go
@@ -15,7 +15,7 @@
 	startTime   float64 // s, when its process and its slow start began; -1 until it is listed
 
 	health      Health
-	healthSince float64 // s
+	healthSince float64 // s, when health was last set
 
 	load     endpointLoad
 	evidence capacityEvidence
--- a/planner/slowstart.go
+++ b/planner/slowstart.go
@@ -10,8 +10,8 @@
 	minCapacityFraction = 0.1
 )
 
-// slowStart raises the weight of an endpoint whose process has just started over a window. Its caches are empty and its
-// code is not compiled yet, so full weight would overload it.
+// slowStart raises the weight of an endpoint gradually during a window after its process started. Its caches are empty
+// and its code is not compiled yet, so full weight would overload it.
 type slowStart struct {
 	window           float64 // s
 	overloadMultiple float64 // load that overloads a cold endpoint, as a multiple of its current capacity
