--- a/planner/bench_test.go
+++ b/planner/bench_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// discardHost carries out nothing.
+// discardHost is a Host that discards all commands.
 type discardHost struct{}
 
 func (discardHost) BindProxy(int, int)                              {}
@@ -17,14 +17,15 @@
 func (discardHost) EndpointHealthChanged(uint32, Health)            {}
 func (discardHost) ThrottlingChanged(bool)                          {}
 
-// runSizes runs a benchmark at fleets of growing size.
+// runSizes runs a benchmark for fleets of several sizes.
 func runSizes(b *testing.B, run func(b *testing.B, proxies, nodes int)) {
 	for _, size := range [][2]int{{110, 3200}, {300, 60}, {1200, 200}, {2400, 200}, {2400, 800}} {
 		b.Run(fmt.Sprintf("proxies=%d/nodes=%d", size[0], size[1]), func(b *testing.B) { run(b, size[0], size[1]) })
 	}
 }
 
-// newFleet returns a planner whose proxies have all joined, been bound and acknowledged, and the time then.
+// newFleet returns a planner whose proxies have all joined, been bound and acknowledged their commands, and the current
+// time.
 func newFleet(proxies, nodes int) (p *Planner, now float64) {
 	config := testConfig()
 	config.Proxies = proxies
@@ -39,13 +40,14 @@
 	return p, now
 }
 
+// joinAll joins all proxies, alternating between the two zones.
 func joinAll(p *Planner, now float64, proxies int) {
 	for proxy := range proxies {
 		p.ProxyJoined(now, proxy, proxy%2, 1)
 	}
 }
 
-// acknowledgeAll answers the last call, and acknowledges its nonce for all proxies.
+// acknowledgeAll accepts the last call and acknowledges its nonce for all proxies.
 func acknowledgeAll(p *Planner, now float64, proxies int) {
 	nonce := p.flow.account.nonces % nonceModulo
 	p.CommandsAccepted(now, nonce)
@@ -54,7 +56,7 @@
 	}
 }
 
-// A step, with a load report on each endpoint before it.
+// BenchmarkStep measures a step that follows a load report on each endpoint.
 func BenchmarkStep(b *testing.B) {
 	runSizes(b, func(b *testing.B, proxies, nodes int) {
 		p, now := newFleet(proxies, nodes)
@@ -69,7 +71,7 @@
 	})
 }
 
-// A crowd that joins at once, and its acknowledgements.
+// BenchmarkProxyJoined measures the join of all proxies at the same time, including their acknowledgements.
 func BenchmarkProxyJoined(b *testing.B) {
 	runSizes(b, func(b *testing.B, proxies, nodes int) {
 		p, now := newFleet(proxies, nodes)
@@ -88,7 +90,7 @@
 	})
 }
 
-// One demand report, in subsets as large as these fleets have.
+// BenchmarkAddDemandReport measures one demand report, with the subset sizes of these fleets.
 func BenchmarkAddDemandReport(b *testing.B) {
 	runSizes(b, func(b *testing.B, proxies, nodes int) {
 		p, now := newFleet(proxies, nodes)
--- a/planner/doc.go
+++ b/planner/doc.go
@@ -1,39 +1,77 @@
-// Package planner decides where the requests of plain proxies go, and how many of them are admitted. It does no I/O,
-// has no goroutines and no clock, and sees no request itself.
+// Package planner decides where plain proxies send requests and how many requests they admit. It performs no I/O,
+// starts no goroutines, reads no clock and never handles a request itself.
 //
-// A controller makes a [Planner] with [New] and tells it what happens, by one method for each kind of event: the
-// endpoint list and its changes, proxies that join and leave, load and demand reports, and the outcome of commands. The
-// planner commands through the [Host] that it was given, and asks to be called again with Host.Wake. Equal events give
-// equal commands, bit for bit.
+// A [Planner] is a deterministic state machine: it receives events and issues commands. Equal sequences of events
+// produce equal commands, bit for bit. This makes it possible to run the same planner in a controller, in a simulation
+// and in tests.
 //
-// Endpoints and proxies of a zone are divided into subsets; the proxies of a subset share one routing table, whose
-// number is that of the subset. [Planner.Step] goes through the decisions in this order; each has a file:
+// Times are in seconds of the controller's clock, and rates are in requests a second.
 //
-//   - load.go: what endpoints answer
-//   - demand.go: how many requests arrive at our proxies
+// # Usage
+//
+// A controller implements [Host], which carries out the planner's commands, and creates a planner with [New]:
+//
+//	p := planner.New(host, config, now)
+//
+// It then calls one method for each kind of event. A Planner is not safe for concurrent use, so all calls come from the
+// controller's event loop. Each method takes the current time, which is the same for all calls of one iteration of the
+// loop: see [Host].
+//
+// First, the planner needs the endpoint list and its changes:
+//
+//	p.ReplaceEndpoints(now, endpoints)
+//	p.UpdateEndpoints(now, changed)
+//	p.EndpointWatchFailed(now)
+//
+// Second, it needs the proxies whose streams connect and break:
+//
+//	p.ProxyJoined(now, proxy, zone, rate)
+//	p.ProxyLeft(now, proxy)
+//
+// Third, it needs the load of the endpoints and the demand at the proxies:
+//
+//	p.AddLoadReport(now, loadReport)
+//	p.AddDemandReport(now, demandReport)
+//
+// Fourth, it needs the outcome of its commands. A batch of commands carries a nonce (Host.RequestAck), by which the
+// controller reports that the call with the batch was accepted or is retried, and that a proxy has applied it:
+//
+//	p.CommandsAccepted(now, nonce)
+//	p.CommandsRetried(now, nonce, full)
+//	p.Acknowledged(now, proxy, nonce)
+//
+// Finally, the controller calls [Planner.Step] at the time that the planner requested with Host.Wake.
+//
+// # Decisions
+//
+// The endpoints and proxies of a zone are divided into subsets. The proxies of a subset share one routing table, whose
+// number is that of the subset. Planner.Step makes the following decisions in order. Each of them has its own file:
+//
+//   - load.go: the load of the endpoints, from load reports
+//   - demand.go: the request rate at the proxies of this controller
 //   - outlier.go: which endpoints are ejected, and their probation
 //
-// then, every updateIntervalSeconds:
+// Every updateIntervalSeconds it also decides:
 //
-//   - capacity.go, slowstart.go: how many requests an endpoint can take
-//   - load.go (measureFleet): how saturated the fleet is
-//   - retrypolicy.go: whether proxies try another endpoint by themselves
+//   - capacity.go, slowstart.go: the capacity of each endpoint
+//   - load.go (measureFleet): the saturation of the fleet
+//   - retrypolicy.go: whether proxies retry a request at another endpoint by themselves
 //   - clientretries.go, admission.go: how many requests are client retries, and how much of each route is admitted
 //
-// and when tables are planned and published:
+// When tables are planned and published:
 //
-//   - unseendemand.go: how many requests arrive at the proxies that other controllers serve
-//   - allocation.go: how much of a subset's demand goes to the endpoints of which subset
+//   - unseendemand.go: the request rate at the proxies of other controllers
+//   - allocation.go: how the demand of each subset is divided among the endpoints of all subsets
 //   - tables.go: the routing tables, as desired and as published
-//   - publication.go, publishlevels.go: what is sent when, and in which order
-//   - flowcontrol.go: whether it fits into the channel to the proxies
+//   - publication.go, publishlevels.go: which changes are sent, when and in which order
+//   - flowcontrol.go: whether they fit into the channel to the proxies
 //
-// Where the settings have tables sharded (Config.Sharded), a store hands out the tables and the planner is inactive: see
-// Planner.inactive.
+// The state of endpoints, proxies and subsets is in endpoints.go, proxies.go and subsets.go. The remaining files make
+// no decisions: planner.go runs the decisions in order, inflight.go counts the entries in flight, host.go and types.go
+// define what a controller implements and passes in.
 //
-// Besides, endpoints.go, proxies.go and subsets.go hold what is known of these. The other files decide nothing:
-// planner.go composes the decisions, inflight.go counts the entries in flight, host.go and types.go are what a
-// controller implements and passes in.
+// # Sharded tables
 //
-// Times are in seconds of the controller's clock, rates in requests a second.
+// If the settings have the tables sharded (Config.Sharded), a store distributes them and the planner is inactive: see
+// Planner.inactive.
 package planner
--- a/planner/example_test.go
+++ b/planner/example_test.go
@@ -8,7 +8,7 @@
 
 // printer is a Host that prints the commands.
 type printer struct {
-	wakeAt float64 // s, when the planner wants its next step
+	wakeAt float64 // s, time of the next step that the planner requested
 }
 
 func (p *printer) BindProxy(proxy, table int) {
@@ -33,7 +33,7 @@
 
 func (p *printer) ThrottlingChanged(active bool) { fmt.Println("throttling:", active) }
 
-// A planner with two endpoints and a proxy. One of the endpoints drains later.
+// A planner serves two endpoints and one proxy. Later, one of the endpoints drains.
 func ExamplePlanner() {
 	config := planner.Config{
 		Zones:              1,
--- a/planner/flowcontrol.go
+++ b/planner/flowcontrol.go
@@ -2,33 +2,34 @@
 
 import "slices"
 
-// Fractions of the channel's queue (Config.MaxInFlightEntries) that commands may fill. The more urgent a command, the
-// more it may fill, so that what must go always fits.
+// Fractions of the channel's queue (Config.MaxInFlightEntries) that commands may fill. More urgent commands may fill a
+// larger fraction, so that the most urgent ones always fit.
 const (
 	idleQueueFraction     = 0.10 // up to which the queue counts as empty
-	ordinaryQueueFraction = 0.35 // for changes of tables that may wait; the channel can be several times slower than stated
-	bindQueueFraction     = 0.60 // for tables of proxies that joined, admission levels and tables that are far off
+	ordinaryQueueFraction = 0.35 // for ordinary table changes; the channel can be several times slower than stated
+	bindQueueFraction     = 0.60 // for tables of proxies that joined, admission levels and urgent entries (urgentEntries)
 	urgentQueueFraction   = 0.80 // for endpoints that drain or were removed
-	maxCallFraction       = 0.20 // for one call: where answers are lost, it may be in flight several times
+	maxCallFraction       = 0.20 // for one call, which may be in flight several times if its responses are lost
 )
 
 const (
-	// maxQueueSeconds is how much of the channel's rate may be in flight for what is not urgent. What waits longer is
-	// out of date when it arrives, and urgent entries wait behind it.
+	// maxQueueSeconds limits the entries in flight for commands that are not urgent, as the time in s that the channel
+	// needs at its stated rate. Entries that wait longer are outdated on arrival and delay the urgent entries behind
+	// them.
 	maxQueueSeconds = 2.0
-	// channelProbeSeconds is the time from the last batch to the first probe of what is in flight.
+	// channelProbeSeconds is the time in s from the last unsettled batch to the first channel probe.
 	channelProbeSeconds = 3.0
 	// maxChannelProbeBackoff is the maximum number of extra intervals of channelProbeSeconds between two probes.
 	maxChannelProbeBackoff = 3.0
 )
 
-// flowControl decides which commands may be sent now, by what is in flight to the proxies.
+// flowControl decides which commands may be sent now, based on the entries in flight to the proxies.
 type flowControl struct {
 	account          inFlightAccount
-	maxEntries       float64 // that may be in flight
-	entriesPerSecond float64 // that the channel delivers as stated, 0 if not stated
-	maxMessages      int     // to one proxy within Config.MessageWindow, 0 for no limit
-	probes           float64 // probes since a nonce was last acknowledged
+	maxEntries       float64 // maximum number of entries in flight
+	entriesPerSecond float64 // stated rate of the channel, 0 if not stated
+	maxMessages      int     // maximum number of messages to one proxy within Config.MessageWindow, 0 for no limit
+	probes           float64 // number of probes since a nonce was last acknowledged
 }
 
 func newFlowControl(config Config) flowControl {
@@ -40,9 +41,10 @@
 	}
 }
 
-// available returns how many entries may be sent until a fraction of the queue is full. What is in flight is known by
-// acknowledgements alone: the channel can be far slower than stated, and for long. Where the queue holds far more
-// than the channel delivers in maxQueueSeconds, what is not urgent fills a fraction of that only.
+// available returns how many entries may be sent until a fraction of the queue is full. Only acknowledgements determine
+// what is still in flight, as the channel can be far slower than stated for a long time. If the queue holds far more
+// than the channel delivers in maxQueueSeconds, the fraction for commands that are not urgent applies to the entries
+// that are delivered in that time.
 func (f *flowControl) available(fraction float64) float64 {
 	size := f.maxEntries
 	if fraction < urgentQueueFraction && f.entriesPerSecond > 0 {
@@ -54,8 +56,8 @@
 // idle reports whether the queue counts as empty.
 func (f *flowControl) idle() bool { return f.available(idleQueueFraction) > 0 }
 
-// fits reports whether entries may be sent within a fraction of the queue and of the next call. If they are more than
-// of the queue ever holds, they may be sent while the queue is idle: else they would wait for good.
+// fits reports whether entries fit into a fraction of the queue and into the next call. Entries that exceed this
+// fraction even of an empty queue may be sent while the queue is idle: otherwise they would wait forever.
 func (f *flowControl) fits(entries, fraction float64) bool {
 	unaccepted := f.account.unaccepted
 	fitsCall := unaccepted == 0 || unaccepted+entries <= maxCallFraction*f.maxEntries
@@ -64,13 +66,13 @@
 	return fitsCall && (fitsFraction || fitsIdleQueue)
 }
 
-// forgetOldMessages drops the times of messages that no longer lie within the window.
+// forgetOldMessages drops the times of messages that are older than the window.
 func (s *subset) forgetOldMessages(now, window float64) {
 	s.messageTimes = slices.DeleteFunc(s.messageTimes, func(at float64) bool { return now-at > window })
 }
 
 // mayPublish reports whether entries for each member of a subset fit into a fraction of the queue, and a message to
-// each into a fraction of the messages that a proxy may get. The subset has forgotten its old messages before.
+// each into the same fraction of the messages that a proxy may get. The caller must have called forgetOldMessages.
 func (f *flowControl) mayPublish(now float64, s *subset, each, fraction float64) bool {
 	if !f.fits(f.account.cost(now, s.members, each), fraction) {
 		return false
@@ -82,7 +84,8 @@
 	return !needsMessage || mayGetMessage
 }
 
-// probeDue reports whether nothing was sent, and nothing acknowledged, for so long that a proxy has to be probed.
+// probeDue reports whether batches are unsettled, but nothing was sent or acknowledged for so long that a channel probe
+// is due.
 func (f *flowControl) probeDue(now float64) bool {
 	batches := f.account.batches
 	if len(batches) == 0 {
@@ -92,7 +95,7 @@
 	return now >= batches[len(batches)-1].at+wait
 }
 
-// reserveEntry counts an entry for each member of a subset as in flight.
+// reserveEntry counts one entry for each member of a subset as in flight.
 func (p *Planner) reserveEntry(subset int) {
 	s := &p.subsets[subset]
 	recent := len(s.messageTimes)
@@ -103,16 +106,18 @@
 	p.flow.account.countWeight(p.now, subset)
 }
 
-// reserve counts entries for each of some proxies as in flight. The first of a batch requests acknowledgement.
+// reserve counts entries for each of the given proxies as in flight. The first reservation of a batch requests its
+// acknowledgement.
 func (p *Planner) reserve(proxies []int, each float64) {
 	if p.flow.account.reserve(p.now, proxies, each) {
 		p.host.RequestAck(p.flow.account.nonces % nonceModulo)
 	}
 }
 
-// probeChannel binds one connected proxy again when nothing was acknowledged for long. Without it the channel could
-// count as full for good: the proxies that were to acknowledge the last nonce may have been renewed, and as nothing
-// fits, nothing is sent that others could acknowledge. The proxy that is bound acknowledges that all before has left.
+// probeChannel binds a random connected proxy again if nothing was acknowledged for a long time. Without the probe, the
+// channel could count as full forever: the proxies that should acknowledge the last nonce may have been replaced, and
+// as nothing fits into the channel, nothing is sent that other proxies could acknowledge. The acknowledgement of the
+// probe confirms that all earlier commands have left the channel.
 func (p *Planner) probeChannel() {
 	if !p.flow.probeDue(p.now) {
 		return
@@ -127,23 +132,23 @@
 	p.bind(proxy)
 }
 
-// InFlight is how many entries may be in flight to the proxies, never fewer than are.
+// InFlight returns an upper bound of the number of entries in flight to the proxies.
 func (p *Planner) InFlight() float64 { return p.flow.account.entries }
 
-// CommandsAccepted says that the call with a nonce was accepted: its commands were carried out.
+// CommandsAccepted records that the call with a nonce was accepted, that is its commands were carried out.
 func (p *Planner) CommandsAccepted(now float64, nonce int) {
 	p.now = now
 	p.flow.account.accept(nonce)
 }
 
-// CommandsRetried says that the call with a nonce goes out again though its outcome is unknown: it may have been
-// carried out, in full or its first part.
+// CommandsRetried records that the call with a nonce is sent again after an unknown outcome: the commands may have been
+// carried out already, all of them (full) or only the first part of them.
 func (p *Planner) CommandsRetried(now float64, nonce int, full bool) {
 	p.now = now
 	p.flow.account.countRetry(nonce, full)
 }
 
-// Acknowledged says that a proxy applied all commands up to a nonce.
+// Acknowledged records that a proxy has applied all commands up to a nonce.
 func (p *Planner) Acknowledged(now float64, proxy, nonce int) {
 	p.now = now
 	if p.flow.account.acknowledge(proxy, nonce) {
--- a/planner/flowcontrol_test.go
+++ b/planner/flowcontrol_test.go
@@ -5,8 +5,8 @@
 	"testing"
 )
 
-// The channel delivers nothing for a while, and acknowledgements stay away. Ordinary changes have to wait, while
-// endpoints that drain still leave the tables.
+// The channel delivers nothing for a while, so that no acknowledgements arrive. Ordinary changes must wait, but
+// endpoints that drain must still be removed from the tables.
 func TestUrgentChangesPassSlowChannel(t *testing.T) {
 	config := testConfig()
 	config.MaxInFlightEntries = 100
@@ -21,9 +21,9 @@
 	tr.check()
 }
 
-// The channel is slow for a minute, while an endpoint drains and comes back again and again. Released by time,
-// entries would overrun the queue. It must never hold more than it takes, and a broken stream has to release its
-// part.
+// The channel is slow for a minute, while an endpoint alternates between draining and ready. If entries were released
+// after a timeout, they would overrun the queue. The queue must never exceed its bound, and the entries of a proxy must
+// be released when its stream breaks.
 func TestQueueStaysBoundedOnSlowChannel(t *testing.T) {
 	config := testConfig()
 	config.MaxInFlightEntries = 60
@@ -40,8 +40,9 @@
 	tr.check()
 }
 
-// The outcome of a call is unknown, and it goes out again: its entries may be in flight twice. An acknowledgement of
-// its nonce may be of the first time. Both have to count until a later nonce is acknowledged.
+// A call with unknown outcome is sent again, so that its entries may be in flight twice. An acknowledgement of its
+// nonce may belong to the first call. The entries of the second call must be counted until a later nonce is
+// acknowledged.
 func TestRetriedCallCountsTwice(t *testing.T) {
 	config := testConfig()
 	tr := newTrace(t, config, 4)
@@ -70,9 +71,10 @@
 	tr.check()
 }
 
-// The queue holds far more than the channel delivers in a while. Filled to its share with the tables of a crowd, it
-// would hold up all that follows for half a minute. The crowd has to be bound as the channel drains, levels still
-// have to go out, and a drain finds little before it.
+// The queue holds far more entries than the channel delivers in a few seconds. If the tables of many joining proxies
+// filled their fraction of the queue, all later commands would be delayed by half a minute. The proxies must be bound
+// at the rate at which the channel delivers, admission levels must still be sent, and few entries must precede the
+// removal of a draining endpoint.
 func TestLongQueueIsFilledByRate(t *testing.T) {
 	config := testConfig()
 	config.Proxies = 200
--- a/planner/inflight.go
+++ b/planner/inflight.go
@@ -2,65 +2,70 @@
 
 import "slices"
 
-// nonceModulo keeps nonces whole numbers below 65536, as the platform's commands carry them. Batch nonceModulo has the
-// nonce 0, which platform/wire also uses for "no nonce": it reports neither the acceptance nor a retry of a call whose
-// last nonce is 0. The batch is settled with the next one that is accepted, but a retry of it is not counted.
+// nonceModulo keeps nonces below 65536, as the platform's commands require whole numbers below this bound. Batch
+// nonceModulo has the nonce 0, which platform/wire also uses for "no nonce": it reports neither the acceptance nor a
+// retry of a call whose last nonce is 0. The batch is settled when the next one is accepted, but a retry of it is not
+// counted.
 const nonceModulo = 60000
 
-// inFlightAccount counts the entries in flight to the proxies: what was commanded and, for all that is known, was not
-// delivered yet. Where the truth is not known the larger figure holds, so that the channel is never overrun. The
-// account decides nothing.
+// inFlightAccount counts the entries in flight to the proxies: those that were commanded and are not known to be
+// delivered. If the number is uncertain, it counts the larger one, so that the channel is never overrun. The account
+// makes no decisions.
 //
-// Time alone releases nothing, as the channel can be many times slower than stated. What was reserved is released when
-// the proxy acknowledges, when any proxy acknowledges a later nonce, or when the proxy's stream breaks.
+// Entries are never released after a timeout, as the channel can be many times slower than stated. The entries reserved
+// for a proxy are released when it acknowledges them, when any proxy acknowledges a later nonce, or when the proxy's
+// stream breaks.
 type inFlightAccount struct {
-	// messageOverhead is the entries that a message costs beside its own.
+	// messageOverhead is the cost of a message in entries, in addition to the entries that it carries.
 	messageOverhead float64
 
-	// nonces counts the batches begun so far. The last batch's number is its nonce before nonceModulo.
+	// nonces is the number of batches started so far. It is the nonce of the last batch before reduction by
+	// nonceModulo.
 	nonces int
 
-	// batches are those with something in flight or not yet accepted, the oldest first: their nonces ascend, and the
-	// accepted ones come before all others.
+	// batches holds the batches that have entries in flight or are not yet accepted, oldest first. Their nonces ascend,
+	// and accepted batches precede all others.
 	batches []batch
 
-	// entries is the sum of the batches' entries and repeated.
+	// entries is the sum of batch.entries and batch.repeated over all batches.
 	entries float64
 
-	// unaccepted is the sum of the entries of the batches that are not yet accepted. They leave with the next call.
+	// unaccepted is the sum of batch.entries over the batches that are not yet accepted. They are sent with the next
+	// call.
 	unaccepted float64
 }
 
-// batch is what one iteration of the event loop commanded, under one nonce. Batches that left in the same call are
-// merged into the last one of them.
+// batch describes the commands of one event loop iteration, which share one nonce. Batches that were sent in the same
+// call are merged into the last one of them.
 type batch struct {
 	nonce int
-	at    float64 // s, the time of the iteration
+	at    float64 // s, time of the iteration
 
-	// open is the entries by proxy that has yet to acknowledge, and entries is their sum.
+	// open holds the entries by proxy that has not yet acknowledged the batch, and entries is their sum.
 	open    map[int]float64
 	entries float64
 
-	// messages counts the proxies that the batch reached, and reserved all their entries, acknowledged or not.
+	// messages is the number of messages of the batch, one for each proxy. reserved is the sum of their entries,
+	// whether acknowledged or not.
 	messages int
 	reserved float64
 
-	// repeated is the entries that may be in flight once more, as a call of unknown outcome went out again. A proxy
-	// that acknowledges this batch releases none of it, as it may have acknowledged the first call.
+	// repeated is the number of entries that may be in flight a second time, because a call with unknown outcome was
+	// sent again. An acknowledgement of this batch releases none of them, as it may belong to the first call.
 	repeated float64
 
-	// weights and binds count, by subset, the entries set for its members and the proxies bound to its table.
+	// weights and binds are, by subset, the number of entries set for its members and of proxies bound to its table.
 	weights, binds map[int]int
 
-	// split says that the call may have gone out in two parts, which repeated accounts for.
+	// split reports whether the call may have been sent in two parts, which repeated accounts for.
 	split bool
 
-	// accepted says that the call with the batch was accepted: its commands were carried out.
+	// accepted reports whether the call with the batch was accepted, that is its commands were carried out.
 	accepted bool
 }
 
-// current returns the batch of the iteration at a time, nil if nothing was reserved in it yet. An iteration is told by
-// its one reading of the clock, see Host: times are equal within it, and differ from those of all others.
+// current returns the batch of the iteration at the given time, or nil if nothing was reserved in it yet. The time
+// identifies the iteration, as each iteration reads the clock once and no two read the same time: see Host.
 func (a *inFlightAccount) current(now float64) *batch {
 	if n := len(a.batches); n > 0 && a.batches[n-1].at == now {
 		return &a.batches[n-1]
@@ -68,8 +73,8 @@
 	return nil
 }
 
-// cost returns the entries that some proxies' commands take, with a message for each proxy that has none in this
-// iteration yet.
+// cost returns the number of entries to reserve for commands to the given proxies, including the overhead of a message
+// to each proxy that has none in this iteration yet.
 func (a *inFlightAccount) cost(now float64, proxies []int, each float64) float64 {
 	cost := each * float64(len(proxies))
 	current := a.current(now)
@@ -84,7 +89,8 @@
 	return cost
 }
 
-// reserve counts entries for each of some proxies. It reports whether they begin a batch, which needs a nonce.
+// reserve counts entries for each of the given proxies as in flight. It reports whether this started a batch, whose
+// nonce must then be requested.
 func (a *inFlightAccount) reserve(now float64, proxies []int, each float64) (begun bool) {
 	if len(proxies) == 0 {
 		return false
@@ -112,7 +118,7 @@
 	return begun
 }
 
-// begin starts the batch of an iteration.
+// begin starts the batch of the iteration at the given time.
 func (a *inFlightAccount) begin(now float64) *batch {
 	a.nonces++
 	a.batches = append(a.batches, batch{
@@ -125,21 +131,22 @@
 	return &a.batches[len(a.batches)-1]
 }
 
-// countWeight notes that the iteration sets an entry for the members of a subset.
+// countWeight records that the iteration sets an entry for the members of a subset.
 func (a *inFlightAccount) countWeight(now float64, subset int) {
 	if current := a.current(now); current != nil {
 		current.weights[subset]++
 	}
 }
 
-// countBind notes that the iteration binds a proxy to a subset's table.
+// countBind records that the iteration binds a proxy to a subset's table.
 func (a *inFlightAccount) countBind(now float64, subset int) {
 	if current := a.current(now); current != nil {
 		current.binds[subset]++
 	}
 }
 
-// release takes a proxy off a batch: it acknowledged, or its stream broke and its message is lost.
+// release releases the entries of a proxy in batch k: the proxy acknowledged them, or its stream broke and the message
+// is lost.
 func (a *inFlightAccount) release(k, proxy int) {
 	b := &a.batches[k]
 	entries := b.open[proxy]
@@ -151,7 +158,7 @@
 	}
 }
 
-// proxyLeft releases all that is in flight to a proxy whose stream broke.
+// proxyLeft releases all entries in flight to a proxy whose stream broke.
 func (a *inFlightAccount) proxyLeft(proxy int) {
 	for k := range a.batches {
 		a.release(k, proxy)
@@ -159,8 +166,9 @@
 	a.dropSettled()
 }
 
-// acknowledge says that a proxy has applied all up to a nonce: what other proxies were sent before that has left too,
-// as the channel keeps the order. It reports whether the nonce is of a batch that is still counted.
+// acknowledge records that a proxy has applied all commands up to a nonce. As the channel preserves the order, the
+// earlier batches to other proxies have left the channel too. It reports whether the batch of the nonce was still
+// counted.
 func (a *inFlightAccount) acknowledge(proxy, nonce int) bool {
 	k := a.merge(a.find(nonce))
 	if k < 0 {
@@ -175,7 +183,7 @@
 	return true
 }
 
-// accept says that the call with a nonce was accepted: all up to it went out.
+// accept records that the call with a nonce was accepted: all batches up to the nonce have been sent.
 func (a *inFlightAccount) accept(nonce int) {
 	k := a.merge(a.find(nonce))
 	if k >= 0 && !a.batches[k].accepted {
@@ -185,17 +193,18 @@
 	a.dropSettled()
 }
 
-// merge joins a batch with those before it that left in the same call, as they waited for the answer to the one
-// before. The call has the batch's nonce, and a proxy that acknowledges it says nothing of the call's other messages:
-// released apart, they would be taken for delivered. merge returns the batch's new place.
+// merge merges batch k with the earlier batches that were sent in the same call, because they had to wait for the
+// response to the previous call. The call carries only the nonce of batch k, and a proxy that acknowledges it confirms
+// no other message of the call. If the earlier batches were kept, this acknowledgement would release them as delivered.
+// merge returns the new index of the batch.
 //
-// Of batches 5 (accepted), 6, 7 and 8 (not yet accepted), merge at the place of 7 leaves 5, 7 (with what 6 had in
-// flight) and 8.
+// For example, of batches 5 (accepted), 6, 7 and 8 (not yet accepted), merge at the index of 7 leaves 5, 7 (which
+// includes the entries of 6) and 8.
 func (a *inFlightAccount) merge(k int) int {
 	if k < 0 || a.batches[k].accepted {
 		return k
 	}
-	// Accepted batches come first, so that all from here to k left in the same call.
+	// Accepted batches come first, so all batches from first to k were sent in the same call.
 	first := k
 	for first > 0 && !a.batches[first-1].accepted {
 		first--
@@ -208,7 +217,7 @@
 	return first
 }
 
-// add counts what another batch has in flight as this one's.
+// add adds the counts of another batch to this one.
 func (b *batch) add(other batch) {
 	for proxy, entries := range other.open {
 		b.open[proxy] += entries
@@ -225,16 +234,17 @@
 	}
 }
 
-// countRetry says that the call with a nonce goes out again though it may have been carried out: all of it, or its first
-// part only, which costs a second message for each proxy. What is repeated counts under the last batch so far: the
-// repeated call may leave together with it, and an acknowledgement of the call's own nonce may be of the first time.
+// countRetry records that the call with a nonce is sent again although it may have been carried out: all of it (full),
+// or only its first part, which costs a second message for each proxy. The repeated entries count towards the last
+// batch, as the retry may be sent together with it, and an acknowledgement of the call's own nonce may belong to the
+// first call.
 //
-// Of batches 5 (accepted), 6, 7 and 8, a full retry of the call with nonce 7 repeats what 6 and 7 reserved, and counts
-// it under 8.
+// For example, of batches 5 (accepted), 6, 7 and 8, a full retry of the call with nonce 7 repeats the entries reserved
+// by 6 and 7, and they count towards 8.
 func (a *inFlightAccount) countRetry(nonce int, full bool) {
 	repeated := 0.0
-	binds := map[int]int{} // by subset, those of the batches up to the nonce
-	// Accepted batches come first, so that those from the nonce back to them are all of the call.
+	binds := map[int]int{} // by subset, binds of the batches visited so far
+	// Accepted batches come first, so the batches between them and the nonce are all those of the call.
 	for k := a.find(nonce); k >= 0 && !a.batches[k].accepted; k-- {
 		b := &a.batches[k]
 		switch {
@@ -244,7 +254,7 @@
 				binds[subset] += n
 			}
 			for subset, n := range b.weights {
-				// A proxy that the first call bound already gets the entries that were set before it was.
+				// A proxy that the first call has bound now also gets the entries that were set before its bind.
 				repeated += float64(n * binds[subset])
 			}
 		case !b.split:
@@ -258,25 +268,25 @@
 	}
 }
 
-// find returns the place of a nonce's batch, -1 if nothing of it is in flight. Nonce 7 is that of batches 7, 60007 and
-// so on: the oldest counts, as far fewer than nonceModulo are in flight at once.
+// find returns the index of the batch with a nonce, or -1 if the batch is not counted. Batches 7, 60007 and so on all
+// have nonce 7; find returns the oldest of them, as far fewer than nonceModulo batches are in flight at the same time.
 func (a *inFlightAccount) find(nonce int) int {
 	return slices.IndexFunc(a.batches, func(b batch) bool { return b.nonce%nonceModulo == nonce })
 }
 
-// dropSettled drops batches that were accepted and have nothing in flight.
+// dropSettled drops batches that were accepted and have no entries in flight.
 func (a *inFlightAccount) dropSettled() {
 	a.batches = slices.DeleteFunc(a.batches, func(b batch) bool {
 		return b.accepted && len(b.open) == 0 && b.repeated == 0
 	})
 	if len(a.batches) == 0 {
-		// Differences of sums leave rounding errors, which must not add up.
+		// Repeated additions and subtractions leave rounding errors, which must not accumulate.
 		a.entries = 0
 		a.unaccepted = 0
 	}
 }
 
-// unacknowledged returns how many messages of a batch are not acknowledged yet, and how many it has.
+// unacknowledged returns how many messages of a batch are not acknowledged yet, and how many messages it has in total.
 func (a *inFlightAccount) unacknowledged(nonce int) (open, messages int) {
 	for _, b := range a.batches {
 		if b.nonce == nonce {
--- a/planner/inflight_test.go
+++ b/planner/inflight_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-// checkInvariants fails the test if a field of the account contradicts what its comment says.
+// checkInvariants fails the test if a field of the account violates the invariant in its comment.
 func checkInvariants(t *testing.T, a *inFlightAccount) {
 	t.Helper()
 	var entries, unaccepted float64
@@ -16,17 +16,18 @@
 			open += n
 		}
 		if b.entries != open {
-			t.Fatalf("batch %d has %v entries, its open messages %v", b.nonce, b.entries, open)
+			t.Fatalf("batch %d: got %v entries, want %v, the sum of those not acknowledged", b.nonce, b.entries, open)
 		}
 		if b.reserved < b.entries || b.messages < len(b.open) {
-			t.Fatalf("batch %d reserved %v entries in %d messages, and %v in %d are open", b.nonce, b.reserved, b.messages,
-				b.entries, len(b.open))
+			t.Fatalf("batch %d: got %v entries in %d messages reserved, want at least %v in %d, those not acknowledged",
+				b.nonce, b.reserved, b.messages, b.entries, len(b.open))
 		}
 		if k > 0 && a.batches[k-1].nonce >= b.nonce {
-			t.Fatalf("batch %d comes after batch %d", b.nonce, a.batches[k-1].nonce)
+			t.Fatalf("got batch %d after batch %d, want ascending nonces", b.nonce, a.batches[k-1].nonce)
 		}
 		if k > 0 && b.accepted && !a.batches[k-1].accepted {
-			t.Fatalf("batch %d is accepted, batch %d before it is not", b.nonce, a.batches[k-1].nonce)
+			t.Fatalf("got batch %d accepted after batch %d, which is not; want accepted batches first", b.nonce,
+				a.batches[k-1].nonce)
 		}
 		entries += b.entries + b.repeated
 		if !b.accepted {
@@ -34,12 +35,14 @@
 		}
 	}
 	if a.entries != entries || a.unaccepted != unaccepted {
-		t.Fatalf("%v entries and %v unaccepted, the batches have %v and %v", a.entries, a.unaccepted, entries, unaccepted)
+		t.Fatalf("got %v entries and %v unaccepted, want the sums of the batches, %v and %v", a.entries, a.unaccepted,
+			entries, unaccepted)
 	}
 }
 
-// Flow control decides by the sums of the account. If they drifted from the batches, the channel would be overrun or
-// count as full for good. They have to agree after any sequence of events. Whole numbers of entries add up exactly.
+// Flow control relies on the sums of the account. If they deviated from the batches, the channel would be overrun or
+// count as full forever. They must match the batches after any sequence of events. The comparison is exact, because
+// sums of whole numbers of entries have no rounding errors.
 func TestInFlightAccountInvariants(t *testing.T) {
 	for seed := range uint64(40) {
 		t.Run(fmt.Sprintf("seed %d", seed), func(t *testing.T) {
--- a/planner/planner.go
+++ b/planner/planner.go
@@ -3,18 +3,19 @@
 import "math"
 
 const (
-	// stepIntervalSeconds is the time in s between two steps: short beside every grace and delay of the platform.
+	// stepIntervalSeconds is the time in s between two steps. It is short compared with every grace period and delay of
+	// the platform.
 	stepIntervalSeconds = 0.1
 	// updateIntervalSeconds is the time in s between two updates of learned capacity and of admission.
 	updateIntervalSeconds = 0.5
 )
 
-// Planner decides for the proxies that have joined it. It is not safe for concurrent use: the event loop of its
-// controller owns it.
+// Planner makes the decisions for the proxies that have joined its controller. It is not safe for concurrent use: the
+// event loop of the controller owns it.
 type Planner struct {
 	host   Host
 	config Config
-	now    float64 // s, of the event under way
+	now    float64 // s, time of the current event
 	random randomSource
 
 	endpoints endpointRegistry
@@ -32,12 +33,12 @@
 	publication  publication
 	flow         flowControl
 
-	nextUpdate    float64 // s, of learned capacity and admission
-	localZoneOnly bool    // whether the requests of some route may not leave their zone
+	nextUpdate    float64 // s, when learned capacity and admission are next updated
+	localZoneOnly bool    // whether the requests of some route must stay in their zone
 }
 
-// New returns a planner that knows nothing of its fleet yet. It asks host for its first step, and for the list's
-// changes if config says that a controller has to. An inactive planner (Config.Sharded) asks for neither.
+// New returns a planner without endpoints and proxies. It requests its first step from host, and subscribes to the
+// changes of the endpoint list if Config.MustSubscribe is set. An inactive planner (Config.Sharded) does neither.
 func New(host Host, config Config, now float64) *Planner {
 	p := &Planner{
 		host:         host,
@@ -71,16 +72,17 @@
 	return p
 }
 
-// inactive reports whether the planner leaves the routing tables alone: where they are sharded, a store hands them out,
-// and a planner that published as well would overwrite them. It then asks for no step and no subscription, plans no
-// table and binds no proxy that is new.
+// inactive reports whether the planner does not manage the routing tables. If the tables are sharded, a store
+// distributes them, and a planner that published tables as well would overwrite them. An inactive planner requests no
+// step and no subscription, plans no table and binds no new proxy.
 //
-// Two commands still leave an inactive planner: SetAdmission with level 0 for each table and route at the first
-// endpoint list, as publishUrgent runs with levels that were never set, and BindProxy for a proxy that joins once more
+// An inactive planner still issues two commands: SetAdmission with level 0 for each table and route at the first
+// endpoint list, because publishUrgent runs with levels that were never set, and BindProxy for a proxy that joins again
 // without having left.
 func (p *Planner) inactive() bool { return p.config.Sharded }
 
-// Step decides anew and commands what has changed. It is due when the planner asked for it with Host.Wake.
+// Step updates all decisions and issues commands for the changes. The controller calls it at the time that the planner
+// requested with Host.Wake.
 func (p *Planner) Step(now float64) {
 	p.now = now
 	p.host.Wake(now + stepIntervalSeconds)
@@ -98,7 +100,7 @@
 	p.probeChannel()
 }
 
-// updateOutliers ejects outliers, and gives those that were ejected for long enough their probation.
+// updateOutliers ejects outliers, and starts the probation of endpoints whose ejection has lasted long enough.
 func (p *Planner) updateOutliers() {
 	for _, change := range p.outliers.detect(p.now, p.endpoints.all, p.demand.meanObjective) {
 		if change.health == Probation {
@@ -108,7 +110,7 @@
 	}
 }
 
-// setHealth sets an endpoint's health and notifies the host if it has changed.
+// setHealth sets the health of an endpoint and notifies the host if it has changed.
 func (p *Planner) setHealth(i int, h Health) {
 	e := &p.endpoints.all[i]
 	if e.health != h {
@@ -119,8 +121,8 @@
 	p.publication.urgentPending = true
 }
 
-// updateAdmission decides the admission levels and the retry policy. It keeps the last levels and retry policy while
-// there is no demand, and while fewer than minAttempts attempts lie in the load window: neither tells of saturation.
+// updateAdmission decides the admission levels and the retry policy. It keeps the previous ones while there is no
+// demand and while the load window holds fewer than minAttempts attempts, as saturation cannot be measured then.
 func (p *Planner) updateAdmission() {
 	if p.demand.meanObjective == 0 || p.load.successRatio == 0 {
 		return
@@ -144,7 +146,7 @@
 	}
 }
 
-// fleetInput is what the fleet's load is measured by.
+// fleetInput returns the input for measuring the load of the fleet.
 func (p *Planner) fleetInput() fleetInput {
 	return fleetInput{
 		now:           p.now,
--- a/planner/policy_test.go
+++ b/planner/policy_test.go
@@ -9,7 +9,7 @@
 	"testing"
 )
 
-// The deploy file names every file that may hold decisions.
+// The policy list in the deploy file must name every file that makes decisions, and only files that exist.
 func TestPolicyFiles(t *testing.T) {
 	deploy, err := os.ReadFile("../deploy/balancer.toml")
 	if err != nil {
@@ -17,7 +17,7 @@
 	}
 	list := regexp.MustCompile(`(?m)^policy = \[(.*)\]`).FindSubmatch(deploy)
 	if list == nil {
-		t.Fatal("no policy in the deploy file")
+		t.Fatal("got no policy list in ../deploy/balancer.toml, want one")
 	}
 	var named []string
 	for _, path := range regexp.MustCompile(`"([^"]+)"`).FindAllSubmatch(list[1], -1) {
@@ -32,10 +32,10 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	undecided := []string{"doc.go", "host.go", "types.go", "inflight.go", "random.go", "sum.go"}
+	nonPolicyFiles := []string{"doc.go", "host.go", "types.go", "inflight.go", "random.go", "sum.go"}
 	for _, name := range files {
-		if !strings.HasSuffix(name, "_test.go") && !slices.Contains(named, name) && !slices.Contains(undecided, name) {
-			t.Errorf("%s is neither named as a file with decisions nor known as one without", name)
+		if !strings.HasSuffix(name, "_test.go") && !slices.Contains(named, name) && !slices.Contains(nonPolicyFiles, name) {
+			t.Errorf("%s: got no entry, want one in the policy of ../deploy/balancer.toml or in nonPolicyFiles", name)
 		}
 	}
 }
--- a/planner/publication.go
+++ b/planner/publication.go
@@ -7,36 +7,37 @@
 )
 
 const (
-	// publishIntervalSeconds is the time in s between two ordinary changes of tables, and the longest that a stage
-	// waits for acknowledgements (docs/design.md).
+	// publishIntervalSeconds is the time in s between two publications of ordinary table changes, and the maximum time
+	// for which a stage waits for acknowledgements (docs/design.md).
 	publishIntervalSeconds = 1.0
-	// minWeightChangeFraction is the part of a weight that has to change before its entry is published
+	// minWeightChangeFraction is the fraction by which a weight must change before its entry is published
 	// (docs/design.md).
 	minWeightChangeFraction = 0.10
-	// maxMisplacedFraction is the part of a table's requests that may go elsewhere than desired before it is
-	// published at once.
+	// maxMisplacedFraction is the fraction of a table's requests that may be misplaced, that is sent to other endpoints
+	// than desired, before the table is published immediately.
 	maxMisplacedFraction = 0.25
 )
 
-// publication is the state of the routing tables on their way to the proxies.
+// publication is the state of publishing the routing tables.
 type publication struct {
-	urgentPending bool             // whether a change that cannot wait is not published yet: see publishUrgent
-	nextAt        float64          // s, when ordinary changes are due
-	next          publicationStage // that follows the one under way; without tables if there is none
+	urgentPending bool             // whether an urgent change is not published yet: see publishUrgent
+	nextAt        float64          // s, when ordinary changes are next due
+	next          publicationStage // stage after the current one; without tables if there is none
 }
 
-// publicationStage is tables that wait for those of the stage before. Tables that receive requests of other subsets are
-// published first, then those that send them ("B4 and After", §4.4): the other way round, requests would come to
-// subsets that have no capacity for them yet.
+// publicationStage holds the tables that are published after those of the previous stage. The tables of subsets that
+// receive requests of other subsets are published first, then those of the subsets that send them ("B4 and After",
+// §4.4). In the reverse order, requests would arrive at subsets that have no capacity for them yet.
 type publicationStage struct {
 	tables   []int
-	nonce    int     // of the stage before
-	deadline float64 // s, when this one is published in any case
+	nonce    int     // of the last batch of the previous stage
+	deadline float64 // s, when this stage is published without waiting any longer
 }
 
-// publishUrgent publishes at once what cannot wait, in this order: entries of endpoints that drain or were removed;
-// tables for proxies that joined; admission levels; tables that are far off (see urgentEntries). It runs at each step and
-// with each change of the endpoint list. What does not fit into the channel is due again at the next step.
+// publishUrgent immediately publishes urgent changes in this order: entries of endpoints that drain or were removed,
+// tables for proxies that joined, admission levels, and tables that deviate far from the desired ones (see
+// urgentEntries). It runs at each step and with each change of the endpoint list. Changes that do not fit into the
+// channel are due again at the next step.
 func (p *Planner) publishUrgent() {
 	if !p.publication.urgentPending {
 		p.bindWaiting()
@@ -74,8 +75,9 @@
 	return allPublished
 }
 
-// urgentEntries lists what has changed of a table that is far off: it leads nowhere, too many requests go elsewhere
-// than desired, or it overloads an endpoint. Of other tables it lists nothing.
+// urgentEntries returns the changed entries of a table that deviates far from the desired one: none of its entries
+// stays, more than maxMisplacedFraction of its requests are misplaced, or it overloads an endpoint. For any other table
+// it returns nil.
 func (p *Planner) urgentEntries(table *routingTable) []int {
 	part, staying := table.misplaced()
 	warmingUp := func(i int) bool { return p.slowStart.warmingUp(p.now, p.endpoints.all[i].startTime) }
@@ -85,8 +87,8 @@
 	return nil
 }
 
-// misplacedRequests returns the requests a second of a subset's members that go elsewhere than desired, +Inf if
-// members have no entry that stays.
+// misplacedRequests returns the rate, in requests a second, at which a subset's members send requests to other
+// endpoints than desired. It is +Inf if there are members and no entry of their table stays.
 func (p *Planner) misplacedRequests(s *subset) float64 {
 	part, staying := s.table.misplaced()
 	if staying == 0 && len(s.members) > 0 {
@@ -95,13 +97,13 @@
 	return part * s.demand
 }
 
-// publishAll publishes entries by table, the table with most misplaced requests for each entry first: else a small
-// table that is all wrong would wait behind large ones that are a little off. If a table does not fit, all that follow
-// wait with it: small changes would always fit before large ones, and a subset that lost most of its endpoints
-// would go on sending all requests to those that are left. It reports whether all were sent.
+// publishAll publishes entries by table, in descending order of misplaced requests per entry in flight: otherwise a
+// small table that is entirely wrong would wait behind large ones that deviate slightly. If a table does not fit, all
+// later ones wait as well: otherwise small changes would always be sent before large ones, and a subset that lost most
+// of its endpoints would continue to send all requests to the remaining ones. It reports whether all were sent.
 func (p *Planner) publishAll(entries [][]int, fraction float64) bool {
 	var tables []int
-	urgency := make([]float64, len(entries)) // by table, misplaced requests for each entry in flight
+	urgency := make([]float64, len(entries)) // by table, misplaced requests a second per entry in flight
 	for k := range entries {
 		if len(entries[k]) == 0 {
 			continue
@@ -120,7 +122,7 @@
 	return true
 }
 
-// publishOrdinary publishes tables that may wait, in two stages.
+// publishOrdinary publishes table changes that are not urgent, in two stages.
 func (p *Planner) publishOrdinary() {
 	if len(p.publication.next.tables) > 0 {
 		p.publishNextStage()
@@ -142,7 +144,8 @@
 	}
 }
 
-// publishNextStage publishes the stage that waits, when half of the messages of the one before are acknowledged.
+// publishNextStage publishes the next stage once half of the messages of the previous one are acknowledged or the
+// deadline has passed.
 func (p *Planner) publishNextStage() {
 	next := &p.publication.next
 	open, messages := p.flow.account.unacknowledged(next.nonce)
@@ -152,8 +155,8 @@
 	}
 }
 
-// stages splits the tables that changed: those that keep requests in their subset first, those that send some to others
-// second. If there are none of the first kind, the others are first.
+// stages splits the changed tables into two stages. Tables that keep all requests in their subset are in the first
+// stage, and tables that send some to other subsets are in the second. If all of them send some, they form the first.
 func (p *Planner) stages() (first, second []int) {
 	for k := range p.subsets {
 		if len(p.subsets[k].table.changedEntries(minWeightChangeFraction)) == 0 {
@@ -171,7 +174,7 @@
 	return first, second
 }
 
-// spills reports whether a table sends requests to endpoints of other subsets.
+// spills reports whether a subset's table sends requests to endpoints of other subsets.
 func (p *Planner) spills(subset int) bool {
 	for i, weight := range p.subsets[subset].table.desired {
 		if weight > 0 && p.endpoints.all[i].subset != subset {
@@ -181,7 +184,7 @@
 	return false
 }
 
-// changedByTable lists, by table, the entries of some tables that have changed.
+// changedByTable returns the changed entries of the given tables, by table.
 func (p *Planner) changedByTable(tables []int) [][]int {
 	entries := make([][]int, len(p.subsets))
 	for _, k := range tables {
@@ -190,9 +193,9 @@
 	return entries
 }
 
-// publish sends entries of a table to its members, as far as flow control lets it, and reports whether all were sent.
-// Entries that are not urgent go together, or as many as fit into an idle queue: a message costs entries of its own,
-// and one by one most of the channel would carry nothing else.
+// publish sends entries of a subset's table to its members, as far as flow control permits, and reports whether all
+// were sent. Entries that are not urgent are sent together, or as many as fit into an idle queue: each message adds an
+// overhead, and if entries were sent one by one, most of the channel's rate would be spent on overhead.
 func (p *Planner) publish(subset int, entries []int, fraction float64) bool {
 	if len(entries) == 0 {
 		return true
--- a/planner/publication_test.go
+++ b/planner/publication_test.go
@@ -2,8 +2,9 @@
 
 import "testing"
 
-// Three of a zone's six endpoints are removed at once. What they got comes to those that are left, a cold one among
-// them, which would be overloaded. The table has to be published anew at once, with little for the cold endpoint.
+// Three of a zone's six endpoints are removed at the same time. Their requests move to the remaining endpoints. One of
+// these is cold and would be overloaded. The table must be published again immediately, with a small weight for the
+// cold endpoint.
 func TestTableThatLostMuchIsPublishedAtOnce(t *testing.T) {
 	tr := newTrace(t, testConfig(), 12)
 	tr.planner.UpdateEndpoints(tr.now, []Endpoint{{Node: 1, State: Ready, StartTime: tr.now}})
@@ -13,9 +14,10 @@
 	tr.check()
 }
 
-// Two endpoints slow down and their zone has to send requests to the other. If its table went first, the requests
-// would come to a zone that still has no capacity for them. Tables that receive have to go first, those that send when
-// most proxies have acknowledged, or after a second without acknowledgement.
+// Two endpoints slow down, so that their zone must send requests to the other zone. If its table were published first,
+// the requests would arrive at a zone that has no capacity for them yet. The table of the receiving zone must be
+// published first, and that of the sending zone once most proxies have acknowledged, or after a second without
+// acknowledgement.
 func TestReceivingTablesArePublishedFirst(t *testing.T) {
 	tr := newTrace(t, testConfig(), 5)
 	tr.run(1)
@@ -27,9 +29,9 @@
 	tr.check()
 }
 
-// Endpoints restart, drain and are removed while proxies join and the channel is small. What drains fails requests
-// soonest, and a proxy without a table has nothing to go by. Removals have to leave all tables first, then proxies
-// are bound, then tables that are far off are published.
+// Endpoints restart, drain and are removed while proxies join and the channel's queue is small. Draining endpoints are
+// the first to fail requests, and a proxy without a table cannot route. The removed entries must be published for all
+// tables first, then proxies must be bound, then the tables that deviate far from the desired ones must be published.
 func TestRemovalsThenBindsThenTables(t *testing.T) {
 	config := testConfig()
 	config.Proxies = 20
@@ -48,8 +50,8 @@
 	tr.check()
 }
 
-// Two tables are far off at once, one of them without an entry. The members of that one have no endpoint to send to:
-// it has to be published first, whatever the demand of the other.
+// Two tables deviate far from the desired ones at the same time, and one of them has no entry. Its members have no
+// endpoint for their requests, so it must be published first, whatever the demand of the other.
 func TestEmptyTableIsPublishedFirst(t *testing.T) {
 	tr := newTrace(t, testConfig(), 24)
 	tr.run(2)
--- a/planner/types.go
+++ b/planner/types.go
@@ -2,13 +2,13 @@
 
 import "fmt"
 
-// RetryPolicy says when a proxy tries another endpoint by itself.
+// RetryPolicy specifies when a proxy retries a request at another endpoint by itself.
 type RetryPolicy uint8
 
 // The retry policies.
 const (
 	NoRetry        RetryPolicy = iota // never
-	RetryIfNotSent                    // once, after proof that the first attempt was not sent
+	RetryIfNotSent                    // once, if the first attempt was provably not sent
 )
 
 // String returns the policy's name.
@@ -27,8 +27,8 @@
 
 // The kinds of admission.
 const (
-	AdmissionOff      AdmissionKind = iota // proxies admit everything
-	AdmissionFraction                      // the part of a route's requests that is admitted, 0 to 1
+	AdmissionOff      AdmissionKind = iota // proxies admit all requests
+	AdmissionFraction                      // the fraction of a route's requests that is admitted, 0 to 1
 	AdmissionRate                          // the requests a second that each proxy admits
 )
 
@@ -45,78 +45,78 @@
 	return fmt.Sprintf("AdmissionKind(%d)", uint8(a))
 }
 
-// EndpointState is what the list says of an endpoint.
+// EndpointState is the state of an endpoint according to the endpoint list.
 type EndpointState uint8
 
 // The states of an endpoint.
 const (
-	Removed  EndpointState = iota // it is not on the list any more
-	Ready                         // it takes requests
-	Draining                      // it is to get no new requests
+	Removed  EndpointState = iota // it is no longer on the list
+	Ready                         // it accepts requests
+	Draining                      // it must get no new requests
 )
 
-// RouteID names a route by its index in Config.Routes.
+// RouteID identifies a route by its index in Config.Routes.
 type RouteID uint16
 
-// Route is a kind of request.
+// Route describes the requests of one route.
 type Route struct {
-	LatencyObjective float64 // s; an answer after it counts for nothing
-	PriorityWeight   float64 // worth of an answer in time, beside those of other routes
-	LocalZoneOnly    bool    // its requests go to endpoints of the proxy's zone only
+	LatencyObjective float64 // s; a later response has no value
+	PriorityWeight   float64 // value of a response within the objective, relative to other routes
+	LocalZoneOnly    bool    // its requests are sent only to endpoints in the proxy's zone
 }
 
-// Config is what a planner is told of its deployment when it is made. It comes from the platform's settings (package
-// settings) or an installation's configuration (package config).
+// Config describes the deployment of a planner. It comes from the platform's settings (package settings) or from the
+// configuration of an installation (package config).
 type Config struct {
-	Seed             uint64 // of random decisions
+	Seed             uint64 // seed of random decisions
 	Zones            int
 	MachineTypes     int
 	Controllers      int
-	Proxies          int  // of all controllers
-	LocalZoneProxies bool // a proxy joins a controller of its own zone if there is one
+	Proxies          int  // number of proxies of all controllers
+	LocalZoneProxies bool // whether a proxy joins a controller of its own zone if there is one
 	Routes           []Route
-	Sharded          bool // tables belong to slices that a store hands out: the planner is inactive
-	MustSubscribe    bool // the list's changes come only after Host.Subscribe
+	Sharded          bool // whether a store distributes the tables in slices, so that the planner is inactive
+	MustSubscribe    bool // whether changes of the endpoint list arrive only after Host.Subscribe
 
-	SubscribeTimeout float64 // s, that a subscription may take
+	SubscribeTimeout float64 // s, time limit of a subscription
 
-	UtilizationIndex int // of LoadReport.Values, the busy part of an endpoint's cores; -1 if it is not reported
-	QueueLengthIndex int // of LoadReport.Values, the requests that wait at an endpoint; -1 if it is not reported
+	UtilizationIndex int // index in LoadReport.Values of the busy fraction of an endpoint's cores; -1 if not reported
+	QueueLengthIndex int // index in LoadReport.Values of the requests queued at an endpoint; -1 if not reported
 
-	Admission AdmissionKind
+	Admission AdmissionKind // unit of the levels in Host.SetAdmission
 
-	EntriesPerSecond   float64 // that the channel to the proxies delivers, 0 if not stated
-	MaxInFlightEntries float64 // that may wait in the channel
-	MessageOverhead    float64 // entries that a message costs beside its own
-	MaxMessages        int     // to one proxy within MessageWindow, 0 for no limit
+	EntriesPerSecond   float64 // stated rate of the channel to the proxies, 0 if not stated
+	MaxInFlightEntries float64 // maximum number of entries in the channel's queue
+	MessageOverhead    float64 // cost of a message in entries, in addition to the entries that it carries
+	MaxMessages        int     // maximum number of messages to one proxy within MessageWindow, 0 for no limit
 	MessageWindow      float64 // s
 
 	ReportInterval   float64 // s, between two load reports on an endpoint
-	SlowStartWindow  float64 // s, after which an endpoint's process is warm
-	OverloadMultiple float64 // load, in times of its present capacity, that overloads a cold endpoint
+	SlowStartWindow  float64 // s, from the start of an endpoint's process until it is warm
+	OverloadMultiple float64 // load that overloads a cold endpoint, as a multiple of its present capacity
 }
 
 // Endpoint is an entry of the endpoint list.
 type Endpoint struct {
-	Node        uint32 // its number, which is its name in commands
-	MachineType int    // from 0, under Config.MachineTypes
-	Zone        int    // from 0, under Config.Zones
+	Node        uint32 // number that identifies it in commands
+	MachineType int    // from 0, less than Config.MachineTypes
+	Zone        int    // from 0, less than Config.Zones
 	Weight      float64
 	State       EndpointState
-	StartTime   float64 // s, when its process started; 0: long past
+	StartTime   float64 // s, when its process started; 0 if that is long past
 }
 
-// LoadReport is what the proxies of one zone got from an endpoint in an interval.
+// LoadReport summarizes the attempts of the proxies of one zone at an endpoint in an interval.
 type LoadReport struct {
 	Node        uint32
-	Completed   int       // attempts
-	Failed      int       // of these, without a good answer
-	Interval    float64   // s, in which they completed
-	MeanLatency float64   // s, of the good answers; 0 if there are none
-	Values      []float64 // the endpoint's own report, empty if there is none; valid during the call only
+	Completed   int       // number of attempts that completed
+	Failed      int       // number of these that got no successful response
+	Interval    float64   // s, in which the attempts completed
+	MeanLatency float64   // s, of the successful responses; 0 if there are none
+	Values      []float64 // values reported by the endpoint itself, empty if there are none; valid only during the call
 }
 
-// DemandReport is the requests of one route that arrived at a proxy in an interval.
+// DemandReport is the number of requests of one route that arrived at a proxy in an interval.
 type DemandReport struct {
 	Proxy    int
 	Route    RouteID
--- a/planner/types_test.go
+++ b/planner/types_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// A value of a later release, or of a wire, has to show as what it is in logs and messages.
+// A value from a later release or from the wire must be recognizable in logs and messages.
 func TestEnumerationsHaveNames(t *testing.T) {
 	for _, c := range []struct {
 		value fmt.Stringer
@@ -24,7 +24,7 @@
 		{Health(7), "health(7)"},
 	} {
 		if got := c.value.String(); got != c.want {
-			t.Errorf("%T: %q, want %q", c.value, got, c.want)
+			t.Errorf("%T(%d).String() = %q, want %q", c.value, c.value, got, c.want)
 		}
 	}
 }
