--- a/planner/flowcontrol.go
+++ b/planner/flowcontrol.go
@@ -46,11 +46,11 @@
 // than the channel delivers in maxQueueSeconds, the fraction for commands that are not urgent applies to the entries
 // that are delivered in that time.
 func (f *flowControl) available(fraction float64) float64 {
-	size := f.maxEntries
+	queueSize := f.maxEntries
 	if fraction < urgentQueueFraction && f.entriesPerSecond > 0 {
-		size = min(size, maxQueueSeconds*f.entriesPerSecond)
+		queueSize = min(queueSize, maxQueueSeconds*f.entriesPerSecond)
 	}
-	return fraction*size - f.account.entries
+	return fraction*queueSize - f.account.entries
 }
 
 // idle reports whether the queue counts as empty.
@@ -66,22 +66,22 @@
 	return fitsCall && (fitsFraction || fitsIdleQueue)
 }
 
-// forgetOldMessages drops the times of messages that are older than the window.
-func (s *subset) forgetOldMessages(now, window float64) {
+// dropOldMessages drops the times of messages that are older than the window.
+func (s *subset) dropOldMessages(now, window float64) {
 	s.messageTimes = slices.DeleteFunc(s.messageTimes, func(at float64) bool { return now-at > window })
 }
 
 // mayPublish reports whether entries for each member of a subset fit into a fraction of the queue, and a message to
-// each into the same fraction of the messages that a proxy may get. The caller must have called forgetOldMessages.
-func (f *flowControl) mayPublish(now float64, s *subset, each, fraction float64) bool {
-	if !f.fits(f.account.cost(now, s.members, each), fraction) {
+// each into the same fraction of the messages that a proxy may get. The caller must have called dropOldMessages.
+func (f *flowControl) mayPublish(now float64, s *subset, entriesPerProxy, fraction float64) bool {
+	if !f.fits(f.account.cost(now, s.members, entriesPerProxy), fraction) {
 		return false
 	}
-	recent := len(s.messageTimes)
-	needsMessage := recent == 0 || s.messageTimes[recent-1] != now
-	maxRecent := fraction*float64(f.maxMessages) - 1
-	mayGetMessage := f.maxMessages == 0 || recent == 0 || float64(recent) < maxRecent
-	return !needsMessage || mayGetMessage
+	recentMessages := len(s.messageTimes)
+	needsMessage := recentMessages == 0 || s.messageTimes[recentMessages-1] != now
+	maxRecentMessages := fraction*float64(f.maxMessages) - 1
+	messageAllowed := f.maxMessages == 0 || recentMessages == 0 || float64(recentMessages) < maxRecentMessages
+	return !needsMessage || messageAllowed
 }
 
 // probeDue reports whether batches are unsettled, but nothing was sent or acknowledged for so long that a channel probe
@@ -98,8 +98,8 @@
 // reserveEntry counts one entry for each member of a subset as in flight.
 func (p *Planner) reserveEntry(subset int) {
 	s := &p.subsets[subset]
-	recent := len(s.messageTimes)
-	if len(s.members) > 0 && (recent == 0 || s.messageTimes[recent-1] != p.now) {
+	recentMessages := len(s.messageTimes)
+	if len(s.members) > 0 && (recentMessages == 0 || s.messageTimes[recentMessages-1] != p.now) {
 		s.messageTimes = append(s.messageTimes, p.now)
 	}
 	p.reserve(s.members, 1)
@@ -108,8 +108,8 @@
 
 // reserve counts entries for each of the given proxies as in flight. The first reservation of a batch requests its
 // acknowledgement.
-func (p *Planner) reserve(proxies []int, each float64) {
-	if p.flow.account.reserve(p.now, proxies, each) {
+func (p *Planner) reserve(proxies []int, entriesPerProxy float64) {
+	if p.flow.account.reserve(p.now, proxies, entriesPerProxy) {
 		p.host.RequestAck(p.flow.account.nonces % nonceModulo)
 	}
 }
--- a/planner/flowcontrol_test.go
+++ b/planner/flowcontrol_test.go
@@ -52,12 +52,12 @@
 	tr.withholdAcks = true
 	tr.planner.UpdateEndpoints(tr.now, []Endpoint{{Node: 2, Zone: 1, State: Draining}})
 	sayInFlight("node 2 drains")
-	first := tr.nonce
-	tr.planner.CommandsRetried(tr.now, first, true)
+	retriedNonce := tr.nonce
+	tr.planner.CommandsRetried(tr.now, retriedNonce, true)
 	sayInFlight("repeated")
-	tr.planner.CommandsAccepted(tr.now, first)
+	tr.planner.CommandsAccepted(tr.now, retriedNonce)
 	for p := range 2 {
-		tr.planner.Acknowledged(tr.now, p, first)
+		tr.planner.Acknowledged(tr.now, p, retriedNonce)
 	}
 	sayInFlight("confirmed, for all one knows the first time")
 	tr.now += 0.1
@@ -87,22 +87,23 @@
 	for p := range config.Proxies {
 		tr.planner.ProxyJoined(tr.now, p, p%2, 1)
 	}
-	var kept []string
-	say := func(when string) {
+	var lines []string
+	record := func(when string) {
 		bound := len(tr.planner.subsets[0].members) + len(tr.planner.subsets[1].members)
-		kept = append(kept, fmt.Sprintf("%s: %.1f s of the channel wait, %d bound", when, tr.planner.flow.account.entries/config.EntriesPerSecond, bound))
+		lines = append(lines, fmt.Sprintf("%s: %.1f s of the channel wait, %d bound", when,
+			tr.planner.flow.account.entries/config.EntriesPerSecond, bound))
 	}
-	say("joined")
+	record("joined")
 	for range 4 {
 		tr.planner.Acknowledged(tr.now, 0, tr.nonce)
 		tr.run(1)
 	}
-	say("4 s later")
+	record("4 s later")
 	before := tr.planner.flow.account.entries
 	tr.planner.UpdateEndpoints(tr.now, []Endpoint{{Node: 2, Zone: 1, State: Draining}})
-	kept = append(kept, fmt.Sprintf("the drain is behind %.1f s", before/config.EntriesPerSecond))
+	lines = append(lines, fmt.Sprintf("the drain is behind %.1f s", before/config.EntriesPerSecond))
 	tr.Reset()
-	for _, line := range kept {
+	for _, line := range lines {
 		tr.logf("%s", line)
 	}
 	tr.check()
--- a/planner/inflight.go
+++ b/planner/inflight.go
@@ -41,9 +41,10 @@
 	nonce int
 	at    float64 // s, time of the iteration
 
-	// open holds the entries by proxy that has not yet acknowledged the batch, and entries is their sum.
-	open    map[int]float64
-	entries float64
+	// unacknowledgedEntries holds the entries by proxy that has not yet acknowledged the batch, and entries is their
+	// sum.
+	unacknowledgedEntries map[int]float64
+	entries               float64
 
 	// messages is the number of messages of the batch, one for each proxy. reserved is the sum of their entries,
 	// whether acknowledged or not.
@@ -75,14 +76,14 @@
 
 // cost returns the number of entries to reserve for commands to the given proxies, including the overhead of a message
 // to each proxy that has none in this iteration yet.
-func (a *inFlightAccount) cost(now float64, proxies []int, each float64) float64 {
-	cost := each * float64(len(proxies))
+func (a *inFlightAccount) cost(now float64, proxies []int, entriesPerProxy float64) float64 {
+	cost := entriesPerProxy * float64(len(proxies))
 	current := a.current(now)
 	if current == nil {
 		return cost + float64(len(proxies))*(a.messageOverhead+1)
 	}
 	for _, proxy := range proxies {
-		if _, has := current.open[proxy]; !has {
+		if _, hasMessage := current.unacknowledgedEntries[proxy]; !hasMessage {
 			cost += a.messageOverhead + 1
 		}
 	}
@@ -91,23 +92,23 @@
 
 // reserve counts entries for each of the given proxies as in flight. It reports whether this started a batch, whose
 // nonce must then be requested.
-func (a *inFlightAccount) reserve(now float64, proxies []int, each float64) (begun bool) {
+func (a *inFlightAccount) reserve(now float64, proxies []int, entriesPerProxy float64) (started bool) {
 	if len(proxies) == 0 {
 		return false
 	}
 	current := a.current(now)
 	if current == nil {
-		current = a.begin(now)
-		begun = true
+		current = a.startBatch(now)
+		started = true
 	}
 	for _, proxy := range proxies {
-		entries, has := current.open[proxy]
-		added := each
-		if !has {
+		entries, hasMessage := current.unacknowledgedEntries[proxy]
+		added := entriesPerProxy
+		if !hasMessage {
 			added += a.messageOverhead + 1
 			current.messages++
 		}
-		current.open[proxy] = entries + added
+		current.unacknowledgedEntries[proxy] = entries + added
 		current.entries += added
 		current.reserved += added
 		a.entries += added
@@ -115,18 +116,18 @@
 			a.unaccepted += added
 		}
 	}
-	return begun
+	return started
 }
 
-// begin starts the batch of the iteration at the given time.
-func (a *inFlightAccount) begin(now float64) *batch {
+// startBatch starts the batch of the iteration at the given time.
+func (a *inFlightAccount) startBatch(now float64) *batch {
 	a.nonces++
 	a.batches = append(a.batches, batch{
-		nonce:   a.nonces,
-		at:      now,
-		open:    map[int]float64{},
-		weights: map[int]int{},
-		binds:   map[int]int{},
+		nonce:                 a.nonces,
+		at:                    now,
+		unacknowledgedEntries: map[int]float64{},
+		weights:               map[int]int{},
+		binds:                 map[int]int{},
 	})
 	return &a.batches[len(a.batches)-1]
 }
@@ -149,8 +150,8 @@
 // is lost.
 func (a *inFlightAccount) release(k, proxy int) {
 	b := &a.batches[k]
-	entries := b.open[proxy]
-	delete(b.open, proxy)
+	entries := b.unacknowledgedEntries[proxy]
+	delete(b.unacknowledgedEntries, proxy)
 	b.entries -= entries
 	a.entries -= entries
 	if !b.accepted {
@@ -158,8 +159,8 @@
 	}
 }
 
-// proxyLeft releases all entries in flight to a proxy whose stream broke.
-func (a *inFlightAccount) proxyLeft(proxy int) {
+// releaseProxy releases all entries in flight to a proxy whose stream broke.
+func (a *inFlightAccount) releaseProxy(proxy int) {
 	for k := range a.batches {
 		a.release(k, proxy)
 	}
@@ -219,8 +220,8 @@
 
 // add adds the counts of another batch to this one.
 func (b *batch) add(other batch) {
-	for proxy, entries := range other.open {
-		b.open[proxy] += entries
+	for proxy, entries := range other.unacknowledgedEntries {
+		b.unacknowledgedEntries[proxy] += entries
 	}
 	b.entries += other.entries
 	b.repeated += other.repeated
@@ -258,7 +259,7 @@
 				repeated += float64(n * binds[subset])
 			}
 		case !b.split:
-			repeated += float64(len(b.open)) * (a.messageOverhead + 1)
+			repeated += float64(len(b.unacknowledgedEntries)) * (a.messageOverhead + 1)
 			b.split = true
 		}
 	}
@@ -277,7 +278,7 @@
 // dropSettled drops batches that were accepted and have no entries in flight.
 func (a *inFlightAccount) dropSettled() {
 	a.batches = slices.DeleteFunc(a.batches, func(b batch) bool {
-		return b.accepted && len(b.open) == 0 && b.repeated == 0
+		return b.accepted && len(b.unacknowledgedEntries) == 0 && b.repeated == 0
 	})
 	if len(a.batches) == 0 {
 		// Repeated additions and subtractions leave rounding errors, which must not accumulate.
@@ -286,11 +287,11 @@
 	}
 }
 
-// unacknowledged returns how many messages of a batch are not acknowledged yet, and how many messages it has in total.
-func (a *inFlightAccount) unacknowledged(nonce int) (open, messages int) {
+// unacknowledged returns how many messages of a batch remain to be acknowledged, and how many it has in total.
+func (a *inFlightAccount) unacknowledged(nonce int) (remaining, messages int) {
 	for _, b := range a.batches {
 		if b.nonce == nonce {
-			return len(b.open), b.messages
+			return len(b.unacknowledgedEntries), b.messages
 		}
 	}
 	return 0, 0
--- a/planner/inflight_test.go
+++ b/planner/inflight_test.go
@@ -11,16 +11,16 @@
 	t.Helper()
 	var entries, unaccepted float64
 	for k, b := range a.batches {
-		open := 0.0
-		for _, n := range b.open {
-			open += n
+		unacknowledged := 0.0
+		for _, n := range b.unacknowledgedEntries {
+			unacknowledged += n
 		}
-		if b.entries != open {
-			t.Fatalf("batch %d: got %v entries, want %v, the sum of those not acknowledged", b.nonce, b.entries, open)
+		if b.entries != unacknowledged {
+			t.Fatalf("batch %d: got %v entries, want %v, the sum of those not acknowledged", b.nonce, b.entries, unacknowledged)
 		}
-		if b.reserved < b.entries || b.messages < len(b.open) {
+		if b.reserved < b.entries || b.messages < len(b.unacknowledgedEntries) {
 			t.Fatalf("batch %d: got %v entries in %d messages reserved, want at least %v in %d, those not acknowledged",
-				b.nonce, b.reserved, b.messages, b.entries, len(b.open))
+				b.nonce, b.reserved, b.messages, b.entries, len(b.unacknowledgedEntries))
 		}
 		if k > 0 && a.batches[k-1].nonce >= b.nonce {
 			t.Fatalf("got batch %d after batch %d, want ascending nonces", b.nonce, a.batches[k-1].nonce)
@@ -67,7 +67,7 @@
 					a.acknowledge(proxy, nonce)
 				case 7:
 					if random.IntN(2) == 0 {
-						a.proxyLeft(proxy)
+						a.releaseProxy(proxy)
 					} else {
 						a.countRetry(nonce, random.IntN(2) == 0)
 					}
--- a/planner/policy_test.go
+++ b/planner/policy_test.go
@@ -19,11 +19,11 @@
 	if list == nil {
 		t.Fatal("got no policy list in ../deploy/balancer.toml, want one")
 	}
-	var named []string
+	var policyFiles []string
 	for _, path := range regexp.MustCompile(`"([^"]+)"`).FindAllSubmatch(list[1], -1) {
-		named = append(named, strings.TrimPrefix(string(path[1]), "planner/"))
+		policyFiles = append(policyFiles, strings.TrimPrefix(string(path[1]), "planner/"))
 	}
-	for _, name := range named {
+	for _, name := range policyFiles {
 		if _, err := os.Stat(name); err != nil {
 			t.Error(err)
 		}
@@ -34,7 +34,7 @@
 	}
 	nonPolicyFiles := []string{"doc.go", "host.go", "types.go", "inflight.go", "random.go", "sum.go"}
 	for _, name := range files {
-		if !strings.HasSuffix(name, "_test.go") && !slices.Contains(named, name) && !slices.Contains(nonPolicyFiles, name) {
+		if !strings.HasSuffix(name, "_test.go") && !slices.Contains(policyFiles, name) && !slices.Contains(nonPolicyFiles, name) {
 			t.Errorf("%s: got no entry, want one in the policy of ../deploy/balancer.toml or in nonPolicyFiles", name)
 		}
 	}
--- a/planner/proxies.go
+++ b/planner/proxies.go
@@ -98,7 +98,7 @@
 	p.proxies.dequeue(proxy)
 	departed.connected = false
 	departed.baselineRate = 0
-	p.flow.account.proxyLeft(proxy)
+	p.flow.account.releaseProxy(proxy)
 }
 
 // bindWaiting binds waiting proxies as flow control permits: binding an entire fleet in one batch would overrun the
--- a/planner/publication.go
+++ b/planner/publication.go
@@ -22,7 +22,7 @@
 type publication struct {
 	urgentPending bool             // whether an urgent change is not published yet: see publishUrgent
 	nextAt        float64          // s, when ordinary changes are next due
-	next          publicationStage // stage after the current one; without tables if there is none
+	nextStage     publicationStage // stage after the current one; without tables if there is none
 }
 
 // publicationStage holds the tables that are published after those of the previous stage. The tables of subsets that
@@ -79,9 +79,9 @@
 // stays, more than maxMisplacedFraction of its requests are misplaced, or it overloads an endpoint. For any other table
 // it returns nil.
 func (p *Planner) urgentEntries(table *routingTable) []int {
-	part, staying := table.misplaced()
+	misplacedFraction, stayingWeight := table.misplaced()
 	warmingUp := func(i int) bool { return p.slowStart.warmingUp(p.now, p.endpoints.all[i].startTime) }
-	if staying == 0 || part > maxMisplacedFraction || table.overloads(staying, warmingUp) {
+	if stayingWeight == 0 || misplacedFraction > maxMisplacedFraction || table.overloads(stayingWeight, warmingUp) {
 		return table.changedEntries(minWeightChangeFraction)
 	}
 	return nil
@@ -90,11 +90,11 @@
 // misplacedRequests returns the rate, in requests a second, at which a subset's members send requests to other
 // endpoints than desired. It is +Inf if there are members and no entry of their table stays.
 func (p *Planner) misplacedRequests(s *subset) float64 {
-	part, staying := s.table.misplaced()
-	if staying == 0 && len(s.members) > 0 {
+	misplacedFraction, stayingWeight := s.table.misplaced()
+	if stayingWeight == 0 && len(s.members) > 0 {
 		return math.Inf(1)
 	}
-	return part * s.demand
+	return misplacedFraction * s.demand
 }
 
 // publishAll publishes entries by table, in descending order of misplaced requests per entry in flight: otherwise a
@@ -124,7 +124,7 @@
 
 // publishOrdinary publishes table changes that are not urgent, in two stages.
 func (p *Planner) publishOrdinary() {
-	if len(p.publication.next.tables) > 0 {
+	if len(p.publication.nextStage.tables) > 0 {
 		p.publishNextStage()
 		return
 	}
@@ -137,7 +137,7 @@
 		p.publication.nextAt = p.now + publishIntervalSeconds
 		p.publishAll(p.changedByTable(first), ordinaryQueueFraction)
 	}
-	p.publication.next = publicationStage{
+	p.publication.nextStage = publicationStage{
 		tables:   second,
 		nonce:    p.flow.account.nonces,
 		deadline: p.now + publishIntervalSeconds,
@@ -147,11 +147,11 @@
 // publishNextStage publishes the next stage once half of the messages of the previous one are acknowledged or the
 // deadline has passed.
 func (p *Planner) publishNextStage() {
-	next := &p.publication.next
-	open, messages := p.flow.account.unacknowledged(next.nonce)
-	if 2*open <= messages || p.now >= next.deadline {
-		p.publishAll(p.changedByTable(next.tables), ordinaryQueueFraction)
-		next.tables = nil
+	nextStage := &p.publication.nextStage
+	remaining, messages := p.flow.account.unacknowledged(nextStage.nonce)
+	if 2*remaining <= messages || p.now >= nextStage.deadline {
+		p.publishAll(p.changedByTable(nextStage.tables), ordinaryQueueFraction)
+		nextStage.tables = nil
 	}
 }
 
@@ -201,7 +201,7 @@
 		return true
 	}
 	s := &p.subsets[subset]
-	s.forgetOldMessages(p.now, p.config.MessageWindow)
+	s.dropOldMessages(p.now, p.config.MessageWindow)
 	count := len(entries)
 	for count > 0 && !p.flow.mayPublish(p.now, s, float64(count), fraction) {
 		count--
--- a/planner/publishlevels.go
+++ b/planner/publishlevels.go
@@ -40,7 +40,7 @@
 			continue
 		}
 		// A subset whose proxies have reached their message limit does not delay other subsets.
-		s.forgetOldMessages(p.now, p.config.MessageWindow)
+		s.dropOldMessages(p.now, p.config.MessageWindow)
 		if p.flow.mayPublish(p.now, s, entries, urgentQueueFraction) {
 			p.publishSubsetLevels(k)
 		}
