--- a/cmd/harehook/configuration_test.go
+++ b/cmd/harehook/configuration_test.go
@@ -38,7 +38,7 @@
 		{"no seed", `{"listen":"a","discovery":"b:1","store":{"address":"c:1"},"settings":` + settingsJSON + `}`, "no seed"},
 		{"an address in use", fmt.Sprintf(complete, settingsJSON), "address already in use"},
 		{"settings of another form", fmt.Sprintf(complete, `[1]`), "cannot unmarshal"},
-		{"settings without zones", fmt.Sprintf(complete, `{}`), "zones: none is named"},
+		{"settings without zones", fmt.Sprintf(complete, `{}`), "zones: must not be empty"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			path := filepath.Join(t.TempDir(), "config.json")
--- a/controller/commands.go
+++ b/controller/commands.go
@@ -8,19 +8,19 @@
 	"harehook.dev/harehook/planner"
 )
 
-// CommandKind says what a command does.
+// CommandKind is the type of a command.
 type CommandKind uint8
 
-// The kinds of command.
+// Command kinds.
 const (
-	BindProxy    CommandKind = iota // put Proxy on Table for all routes
-	SetWeight                       // Node gets Value as its weight in Table, 0: its entry is removed
-	SetAdmission                    // Route of Table gets Value as its admission level, and Retry
-	RequestAck                      // proxies that the batch reaches acknowledge Nonce
-	CancelBind                      // Proxy left or joined anew: earlier commands that bind it are void
+	BindProxy    CommandKind = iota // bind Proxy to Table for all routes
+	SetWeight                       // set the weight of Node in Table to Value; 0 removes its entry
+	SetAdmission                    // set the admission level of Route in Table to Value, and its retry policy to Retry
+	RequestAck                      // the proxies that receive the batch must acknowledge Nonce
+	CancelBind                      // Proxy left or rejoined: discard earlier commands that bind it
 )
 
-// String is the kind's name.
+// String returns the kind's name.
 func (k CommandKind) String() string {
 	switch k {
 	case BindProxy:
@@ -37,7 +37,8 @@
 	return fmt.Sprintf("CommandKind(%d)", uint8(k))
 }
 
-// Command is one command of the planner, in names. Which fields count is said at its kind.
+// Command is a command of the planner, with names in place of the planner's numbers. Kind determines which of the other
+// fields are used.
 type Command struct {
 	Kind                CommandKind
 	Proxy, Table, Nonce int
@@ -46,18 +47,18 @@
 	Retry               planner.RetryPolicy
 }
 
-// CommandsAccepted says that the call with a nonce was accepted.
+// CommandsAccepted reports that the call with the given nonce was accepted.
 func (c *Controller) CommandsAccepted(nonce int) {
 	c.post(func(l *eventLoop) { l.planner.CommandsAccepted(l.now, nonce) })
 }
 
-// CommandsRetried says that the call with a nonce goes out again though it may have been carried out, in full or its
-// first part.
+// CommandsRetried reports that the call with the given nonce is sent again although it may already have been executed:
+// completely if full is true, otherwise only its first part.
 func (c *Controller) CommandsRetried(nonce int, full bool) {
 	c.post(func(l *eventLoop) { l.planner.CommandsRetried(l.now, nonce, full) })
 }
 
-// plannerHost implements planner.Host: what the planner commands during an iteration gathers in the event loop's batch.
+// plannerHost implements planner.Host. It collects the planner's commands of an iteration in the event loop's batch.
 type plannerHost struct{ *eventLoop }
 
 // BindProxy implements planner.Host.
@@ -82,10 +83,10 @@
 	h.batch = append(h.batch, Command{Kind: RequestAck, Nonce: nonce})
 }
 
-// Wake implements planner.Host: the earliest of the times that were asked for counts.
+// Wake implements planner.Host. Of several requested times, the earliest is used.
 func (h plannerHost) Wake(at float64) { h.stepAt = min(h.stepAt, at) }
 
-// Subscribe implements planner.Host. It does nothing: the transport watches the endpoint list all the time.
+// Subscribe implements planner.Host. It does nothing because the transport watches the endpoint list permanently.
 func (h plannerHost) Subscribe() {}
 
 // EndpointHealthChanged implements planner.Host.
--- a/controller/commands_test.go
+++ b/controller/commands_test.go
@@ -12,7 +12,7 @@
 		200:          "CommandKind(200)",
 	} {
 		if got := kind.String(); got != want {
-			t.Errorf("kind %d: %q, want %q", uint8(kind), got, want)
+			t.Errorf("kind %d: got %q, want %q", uint8(kind), got, want)
 		}
 	}
 }
--- a/controller/controller_test.go
+++ b/controller/controller_test.go
@@ -12,7 +12,7 @@
 	"harehook.dev/harehook/settings"
 )
 
-// recordingSink writes down the commands that it gets, a line a batch.
+// recordingSink records the commands that it receives, one line per batch.
 type recordingSink struct {
 	strings.Builder
 	lastNonce int
@@ -38,7 +38,7 @@
 	fmt.Fprintln(s)
 }
 
-// takeRecord gives what was written down and begins anew.
+// takeRecord returns the recorded text and clears it.
 func (s *recordingSink) takeRecord() string {
 	record := s.String()
 	s.Reset()
@@ -57,7 +57,7 @@
 	return deployment
 }
 
-// newController makes a controller that knows two nodes, s-1 in the north and s-2 in the south.
+// newController returns a controller with two nodes: s-1 in zone north and s-2 in zone south.
 func newController(t *testing.T) (*Controller, *recordingSink) {
 	t.Helper()
 	sink := &recordingSink{}
@@ -68,7 +68,8 @@
 	return New(testDeployment(t), known, sink, zap.NewNop()), sink
 }
 
-// newControllerWithProxies makes one with three proxies joined in the north; their commands have left.
+// newControllerWithProxies returns a controller as newController does, with three proxies that joined in zone north.
+// The sink has already received their commands.
 func newControllerWithProxies(t *testing.T) (*Controller, *recordingSink) {
 	t.Helper()
 	c, sink := newController(t)
--- a/controller/doc.go
+++ b/controller/doc.go
@@ -1,20 +1,20 @@
-// Package controller runs a planner in real time, for the proxies that are joined to one process.
+// Package controller runs a planner in real time for the proxies that are connected to one process.
 //
-// Its one job is to turn what happens around the process into calls of the planner, one at a time, and to hand on what
-// the planner commands. It knows no socket and no protocol: the transports (platform/transport, xds/transport) report to a
-// Controller what happens and are its CommandSink.
+// It translates external events into planner calls, one at a time, and forwards the planner's commands. It contains no
+// socket or protocol code: the transports (platform/transport, xds/transport) report events to a Controller and
+// implement its CommandSink.
 //
-// There are two sides, and each function belongs to one of them:
+// Each function runs in one of two contexts:
 //
-//   - The methods of Controller may be called on any goroutine. Each one that reports what happened posts an event
-//     and returns; it waits only while the queue of events is full.
-//   - The methods of eventLoop, and the planner itself, run on the goroutine of Run alone (before Run starts, on that of
+//   - The methods of Controller may be called from any goroutine. Each method that reports an event posts it to a
+//     queue and returns; it blocks only while the queue is full.
+//   - The methods of eventLoop, and the planner itself, run only on the goroutine of Run (before Run starts, on that of
 //     New). They need no locks.
 //
-// An iteration of the event loop handles all events that wait, lets the planner take its step if one is due, and hands
-// the commands of both to the sink as one batch.
+// An iteration of the event loop handles all queued events, runs the planner's step if one is due, and passes the
+// resulting commands to the sink as one batch.
 //
-// The transports speak in names, the planner in small numbers: those of zones, machine types and routes are their
-// places in the settings, those of nodes are assigned when a node is first listed and used again some time after it was
-// removed. Times are Unix times in seconds of a clock that never steps.
+// The transports use names, the planner uses small numbers. The number of a zone, machine type or route is its index in
+// the settings. The number of a node is assigned when the node is first listed, and is reused some time after the node
+// was removed. Times are Unix times in seconds, read from a clock that never steps.
 package controller
--- a/controller/endpoints.go
+++ b/controller/endpoints.go
@@ -8,25 +8,25 @@
 	"harehook.dev/harehook/planner"
 )
 
-// Endpoint is a node of the endpoint list.
+// Endpoint is a node in the endpoint list.
 type Endpoint struct {
 	Node, Zone, MachineType string
 	State                   planner.EndpointState
 	Weight                  float64
-	StartTime               float64 // s; Unix time by the machines' clocks, 0: long past
+	StartTime               float64 // s; Unix time of the machines' clocks; 0 if the node started long ago
 }
 
-// ReplaceEndpoints brings the full endpoint list: nodes that it lacks are removed.
+// ReplaceEndpoints reports the full endpoint list. Nodes that are not in it are removed.
 func (c *Controller) ReplaceEndpoints(endpoints []Endpoint) {
 	c.post(func(l *eventLoop) { l.replaceEndpoints(endpoints) })
 }
 
-// UpdateEndpoints brings the endpoints that are new or have changed.
+// UpdateEndpoints reports endpoints that are new or have changed.
 func (c *Controller) UpdateEndpoints(endpoints []Endpoint) {
 	c.post(func(l *eventLoop) { l.applyEndpoints(endpoints, l.planner.UpdateEndpoints) })
 }
 
-// EndpointWatchFailed says that discovery could not be polled.
+// EndpointWatchFailed reports that polling discovery failed.
 func (c *Controller) EndpointWatchFailed() {
 	c.post(func(l *eventLoop) { l.planner.EndpointWatchFailed(l.now) })
 }
@@ -41,7 +41,7 @@
 	l.setReady()
 }
 
-// applyEndpoints hands endpoints to the planner, by one of its methods.
+// applyEndpoints passes endpoints to the planner by calling apply, a method of the planner.
 func (l *eventLoop) applyEndpoints(endpoints []Endpoint, apply func(now float64, endpoints []planner.Endpoint)) {
 	apply(l.now, l.numberEndpoints(endpoints))
 	l.nodes.releaseRemoved(l.now, l.planner.ReleaseEndpoint)
@@ -50,17 +50,17 @@
 	}
 }
 
-// numberEndpoints puts endpoints into the planner's numbers, but for those of unknown zones and machine types.
+// numberEndpoints converts endpoints to the planner's numbers. It skips endpoints with an unknown zone or machine type.
 func (l *eventLoop) numberEndpoints(endpoints []Endpoint) []planner.Endpoint {
 	wallOffset := l.clock.wallOffset()
 	numbered := make([]planner.Endpoint, 0, len(endpoints))
-	var assigned []string // the planner's log messages name nodes by number
+	var assigned []string // logged because the planner's log messages refer to nodes by number
 	for _, endpoint := range endpoints {
 		zone, zoneKnown := l.names.zones[endpoint.Zone]
 		machineType, machineTypeKnown := l.names.machineTypes[endpoint.MachineType]
 		if !zoneKnown || !machineTypeKnown {
 			l.unknown.Zones.Add(1)
-			l.log.Warn("endpoint of an unknown zone or machine type", zap.String("node", endpoint.Node),
+			l.log.Warn("endpoint ignored: unknown zone or machine type", zap.String("node", endpoint.Node),
 				zap.String("zone", endpoint.Zone), zap.String("type", endpoint.MachineType))
 			continue
 		}
@@ -73,17 +73,17 @@
 			Weight: endpoint.Weight, State: endpoint.State, StartTime: updated.localStart})
 	}
 	if len(assigned) > 0 {
-		l.log.Info("nodes numbered", zap.Strings("numbers", assigned))
+		l.log.Info("node numbers assigned", zap.Strings("numbers", assigned))
 	}
 	return numbered
 }
 
-// updateStart takes over the start time of a node's incarnation as listed, when the machines' clocks are wallOffset
-// seconds ahead of ours.
+// updateStart records the listed start time of a node's incarnation. The argument wallOffset is the number of seconds
+// by which the machines' clocks are ahead of the controller's clock.
 //
-// Machines' clocks may have been set since our start, so a node's age counts from what they show when its start is
-// first listed. Converted anew with each list, the start would move with the clocks, and a node that has long been warm
-// would pass for a new incarnation.
+// The machines' clocks may have been set since the controller started, so a start time is converted with the offset at
+// the time when it is first listed. If it were converted again with each list, it would move with the clocks, and a
+// node that finished its slow start long ago would be mistaken for a new incarnation.
 func (n *node) updateStart(reported, wallOffset float64) {
 	if reported == n.reportedStart {
 		return
--- a/controller/endpoints_test.go
+++ b/controller/endpoints_test.go
@@ -8,9 +8,10 @@
 	"harehook.dev/harehook/planner"
 )
 
-// A site releases for days, and each release replaces all nodes. Numbers, and what is remembered of nodes, have to stay
-// as many as a few releases have nodes. A node that comes back after its number was released serves as any other, and a
-// load report that names it before is refused.
+// A site makes releases for days, and each release replaces all nodes. If the numbers of removed nodes were never
+// reused, the node registry would grow with each release; it must not exceed the nodes of a few releases. A node that
+// returns after its number was released must get a number like any other node, and a load report that names it before
+// that must be rejected.
 func TestNumbersOfRemovedNodesAreReused(t *testing.T) {
 	for _, fullLists := range []bool{false, true} {
 		t.Run(fmt.Sprintf("full lists %t", fullLists), func(t *testing.T) { testReleases(t, fullLists) })
@@ -51,20 +52,20 @@
 		maxNumbers = max(maxNumbers, len(loop.nodes.nodes))
 	}
 	if enough := (int(releaseDelay/releaseEvery)+3)*nodes + 2; maxNumbers > enough {
-		t.Errorf("%d numbers after %d releases of %d nodes, %d are enough", maxNumbers, releases, nodes, enough)
+		t.Errorf("after %d releases of %d nodes: got %d numbers, want at most %d", releases, nodes, maxNumbers, enough)
 	}
 	if _, known := loop.nodes.number("s-100"); known {
-		t.Error("a node that was removed long ago is still known")
+		t.Error("node s-100 still has a number long after its removal")
 	}
 	c.AddLoadReport(LoadReport{Node: "s-100", Completed: 9, Failed: 9, Interval: 1})
 	c.UpdateEndpoints([]Endpoint{endpoint(100, planner.Ready)})
 	loop.iterate(nil)
 	if c.Unknown.Nodes.Load() != 1 || nodeOf(t, c, "s-100").name != "s-100" {
-		t.Error("the node that comes back has no number of its own")
+		t.Error("returned node s-100 has no number of its own, or its early load report was not counted as unknown")
 	}
 }
 
-// nodeOf gives what the controller remembers of a node.
+// nodeOf returns the controller's data about a node.
 func nodeOf(t *testing.T, c *Controller, name string) node {
 	t.Helper()
 	number, known := c.loop.nodes.number(name)
@@ -74,8 +75,8 @@
 	return c.loop.nodes.nodes[number]
 }
 
-// Machines' clocks are set while we run. A node that starts after that is as old as any other would be, and one that
-// was known before doesn't start anew.
+// The machines' clocks are set while the controller runs. A node that starts after the step must have its true age, and
+// a node that was known before must not be mistaken for a restarted one.
 func TestStartTimesSurviveClockSteps(t *testing.T) {
 	for _, step := range []time.Duration{0, time.Hour, -time.Hour} {
 		t.Run(step.String(), func(t *testing.T) {
@@ -92,10 +93,10 @@
 			c.UpdateEndpoints([]Endpoint{startedAt("s-1", old), startedAt("s-3", steppedClock().Add(-time.Second))})
 			c.loop.iterate(nil)
 			if after := nodeOf(t, c, "s-1").localStart; after != before {
-				t.Errorf("a known node starts anew, %g s later", after-before)
+				t.Errorf("start of known node s-1 moved by %g s, want 0", after-before)
 			}
 			if age := c.loop.clock.now() - nodeOf(t, c, "s-3").localStart; age < 1 || age > 60 {
-				t.Errorf("a node that is 1 s old counts for %g s", age)
+				t.Errorf("age of node s-3, started 1 s ago: got %g s, want between 1 and 60", age)
 			}
 		})
 	}
--- a/controller/example_test.go
+++ b/controller/example_test.go
@@ -12,7 +12,7 @@
 	"harehook.dev/harehook/settings"
 )
 
-// bindings is a CommandSink that passes on the commands which bind a proxy.
+// bindings is a CommandSink that forwards the commands that bind a proxy.
 type bindings chan controller.Command
 
 // Enqueue implements controller.CommandSink.
@@ -24,7 +24,7 @@
 	}
 }
 
-// A controller is told of a node and of a proxy, and binds the proxy to a routing table.
+// A node and a proxy are reported to a controller, which binds the proxy to a routing table.
 func Example() {
 	deployment, err := settings.Decode([]byte(`{"zones":["north"],"machine-types":["small"],
 		"categories":[{"name":"quote","promise-ns":1000000000,"gain":1}]}`))
@@ -32,7 +32,7 @@
 		fmt.Println(err)
 		return
 	}
-	sink := make(bindings, 8) // there is one binding: Enqueue doesn't block
+	sink := make(bindings, 8) // there is only one binding, so Enqueue does not block
 	c := controller.New(deployment, nil, sink, zap.NewNop())
 	ctx, cancel := context.WithCancel(context.Background())
 	var running sync.WaitGroup
--- a/controller/loop.go
+++ b/controller/loop.go
@@ -15,42 +15,42 @@
 )
 
 const (
-	maxQueuedEvents       = 1024 // a second of reports while all proxies join; whoever posts more waits
-	maxEventsPerIteration = 4096 // so that commands leave under a flood as well
+	maxQueuedEvents       = 1024 // the reports of one second while all proxies join; post blocks when the queue is full
+	maxEventsPerIteration = 4096 // bounds an iteration, so that commands are also sent under a flood of events
 	maxStepDelay          = time.Hour
 
-	// While discovery is away, proxies go on by the tables that they hold, and are bound once an endpoint list has
-	// come. A restart may take 10 s in all.
+	// While discovery is unavailable, proxies keep using their current tables. They are bound when an endpoint list
+	// arrives. A restart may take 10 s in total.
 	readinessTimeout = 5 * time.Second
 )
 
-// event is something that happened. The event loop calls it on its goroutine.
+// event is a reported event. The event loop calls it on its own goroutine.
 type event func(*eventLoop)
 
-// eventLoop owns the planner and all that it needs. Its fields and methods belong to one goroutine, that of
+// eventLoop owns the planner and its inputs. Its fields and methods may be used only on the goroutine of
 // Controller.Run.
 type eventLoop struct {
 	events  chan event
 	sink    CommandSink
 	unknown *UnknownNames
 	log     *zap.Logger
-	// decisions logs what the planner has decided. Its lines are not sampled: equal messages concern different nodes.
+	// decisions logs the planner's decisions. It is not sampled because equal messages refer to different nodes.
 	decisions *zap.Logger
 	ready     chan struct{} // closed by setReady
 
 	planner     *planner.Planner
 	clock       clock
-	minInterval time.Duration // between two iterations
-	now         float64       // s; Unix time of this iteration, which all its calls of the planner are passed
-	stepAt      float64       // s; when the planner's next step is due, +Inf: none is
-	batch       []Command     // of this iteration, or of what came before the first one
+	minInterval time.Duration // minimum time between two iterations
+	now         float64       // s; Unix time of this iteration, passed to all of its planner calls
+	stepAt      float64       // s; Unix time when the planner's next step is due; +Inf if none is
+	batch       []Command     // commands of this iteration, or those issued before the first one
 	readyClosed bool
-	iterating   atomic.Bool // whether iterate is under way
+	iterating   atomic.Bool // whether iterate is running
 
 	names        settingsNames
 	nodes        nodeRegistry
 	proxies      proxyTracker
-	reportValues []float64 // of the load report at hand, used again
+	reportValues []float64 // buffer for the values of the current load report, reused
 }
 
 func newEventLoop(deployment settings.Deployment, sink CommandSink, unknown *UnknownNames, log *zap.Logger) *eventLoop {
@@ -73,8 +73,8 @@
 	return l
 }
 
-// Run is the event loop; it returns when ctx ends. Iterations are at least the settings' event interval apart: what
-// comes in meanwhile is handled together, and its commands are one message for each proxy.
+// Run runs the event loop until ctx is done. Iterations are at least the settings' event interval apart: events that
+// arrive in between are handled together, so that their commands form one message for each proxy.
 func (c *Controller) Run(ctx context.Context) {
 	defer close(c.done)
 	l := c.loop
@@ -84,7 +84,7 @@
 	defer readinessTimer.Stop()
 	l.flush()
 	for {
-		// After the process was suspended the step is late, but there is only one.
+		// If the process was suspended, one late step runs in place of the missed ones.
 		stepTimer.Reset(l.untilStep())
 		var first event
 		select {
@@ -105,10 +105,10 @@
 	}
 }
 
-// iterate handles the first event, if there is one, and those that wait behind it, lets the planner take its step if it
-// is due, and hands on the commands.
+// iterate handles the first event, if it is not nil, and the queued events, runs the planner's step if it is due, and
+// passes the commands to the sink.
 func (l *eventLoop) iterate(first event) {
-	// This finds a second goroutine only while its iteration overlaps with one of ours. The race detector finds others.
+	// This detects a second goroutine only if its iteration overlaps with this one. The race detector finds other cases.
 	invariant.Holds(l.iterating.CompareAndSwap(false, true), "iterations of the event loop do not overlap")
 	defer l.iterating.Store(false)
 	if first != nil {
@@ -133,16 +133,16 @@
 	}
 }
 
-// flush hands the commands that have gathered to the sink.
+// flush passes the collected commands to the sink.
 func (l *eventLoop) flush() {
 	if len(l.batch) == 0 {
 		return
 	}
 	l.sink.Enqueue(l.batch)
-	l.batch = nil // the sink's now
+	l.batch = nil // the sink owns it now
 }
 
-// waitForInterval waits until the next iteration may begin. It reports whether it may: not when ctx has ended first.
+// waitForInterval waits until the next iteration may begin. It reports whether the wait completed before ctx was done.
 func (l *eventLoop) waitForInterval(ctx context.Context) bool {
 	sinceLast := time.Duration((l.clock.now() - l.now) * float64(time.Second))
 	wait := l.minInterval - sinceLast
@@ -164,12 +164,12 @@
 	return time.Duration(max(0, l.stepAt-l.clock.now()) * float64(time.Second))
 }
 
-// readinessTimedOut guards against a controller that is never used because discovery is away.
+// readinessTimedOut marks the controller as ready, so that it is also used when discovery is unavailable.
 func (l *eventLoop) readinessTimedOut() {
 	if l.readyClosed {
 		return
 	}
-	l.log.Warn("ready without an endpoint list")
+	l.log.Warn("readiness timeout expired without an endpoint list")
 	l.setReady()
 }
 
--- a/controller/loop_test.go
+++ b/controller/loop_test.go
@@ -10,7 +10,8 @@
 	"harehook.dev/harehook/planner"
 )
 
-// What comes in between two iterations is one batch, in names; what no one knows is refused and counted.
+// The events between two iterations must result in one batch, and the batch must contain names. Events that refer to
+// unknown names must be rejected and counted.
 func TestIterationSendsOneBatchAndCountsUnknownNames(t *testing.T) {
 	c, sink := newController(t)
 	c.loop.flush()
@@ -37,21 +38,21 @@
 	unknown := &c.Unknown
 	got := fmt.Sprint(unknown.Proxies.Load(), unknown.Zones.Load(), unknown.Routes.Load(), unknown.Nodes.Load())
 	if got != "3 2 2 1" {
-		t.Errorf("unknown proxies, zones, routes, nodes: %s", got)
+		t.Errorf("counts of unknown proxies, zones, routes, nodes: got %s, want 3 2 2 1", got)
 	}
 	if len(c.loop.reportValues) != 0 {
-		t.Errorf("a part of a report's values was handed on: %v", c.loop.reportValues)
+		t.Errorf("values of an incomplete load report passed to the planner: got %v, want none", c.loop.reportValues)
 	}
 }
 
-// The process was suspended over several steps: there is only one late step. Once Run has ended, whoever tells of
-// something doesn't wait, also with the queue of events full.
+// After the process was suspended for several steps, only one late step must run. After Run has returned, reporting an
+// event must not block, even if the event queue is full.
 func TestLateStepComesOnceAndPostReturnsAfterRun(t *testing.T) {
 	c, _ := newController(t)
 	c.loop.now = c.loop.stepAt + 10
 	c.loop.iterate(nil)
 	if ahead := c.loop.stepAt - c.loop.now; ahead <= 0 {
-		t.Errorf("the next step is %g s ahead", ahead)
+		t.Errorf("time until the next step: got %g s, want greater than 0", ahead)
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	cancel()
@@ -90,7 +91,7 @@
 			default:
 			}
 			if ready != test.want {
-				t.Errorf("ready %t, want %t", ready, test.want)
+				t.Errorf("ready: got %t, want %t", ready, test.want)
 			}
 		})
 	}
--- a/controller/names.go
+++ b/controller/names.go
@@ -8,17 +8,17 @@
 	"harehook.dev/harehook/settings"
 )
 
-// releaseDelay is for how many seconds after its removal a node keeps its number: load reports, and an endpoint list
-// that swings, still name it for a while.
+// releaseDelay is the time in seconds for which a removed node keeps its number: load reports, and an endpoint list
+// that alternates between versions, may still name the node for a while.
 const releaseDelay = 60
 
-// settingsNames has the names that the settings define. The planner's number of each is its place there.
+// settingsNames holds the names that the settings define. The planner's number of a name is its index in the settings.
 type settingsNames struct {
 	zones        map[string]int
 	machineTypes map[string]int
 	routes       map[string]int
 	routeNames   []string // by number
-	reportValues []string // values of a load report, in the planner's order
+	reportValues []string // names of a load report's values, in the planner's order
 }
 
 func newSettingsNames(deployment settings.Deployment) settingsNames {
@@ -39,8 +39,8 @@
 	return indexes
 }
 
-// orderReportValues appends the values of a load report in the planner's order. It appends none if one is missing: the
-// planner knows a value by its place alone.
+// orderReportValues appends the values of a load report in the planner's order. It appends none if one is missing,
+// because the planner identifies a value only by its index.
 func (n *settingsNames) orderReportValues(into []float64, values map[string]float64) []float64 {
 	start := len(into)
 	for _, name := range n.reportValues {
@@ -53,33 +53,34 @@
 	return into
 }
 
-// nodeRegistry assigns numbers to nodes. Numbers are used again: a site that releases for weeks would else have as many
-// as it ever had nodes, and the planner's work would grow with them.
+// nodeRegistry assigns numbers to nodes. Numbers are reused. Otherwise a site with regular releases would, after weeks,
+// have a number for each node that ever existed, and the planner's work would grow with them.
 type nodeRegistry struct {
 	numbers   map[string]uint32  // by name
 	nodes     []node             // by number
-	free      []uint32           // numbers to use again
-	removedAt map[uint32]float64 // s; Unix time, by the number of a node that was removed
+	free      []uint32           // numbers that can be reused
+	removedAt map[uint32]float64 // s; Unix time of the removal, by node number
 }
 
-// node is what the controller remembers of a node.
+// node holds the controller's data about a node.
 type node struct {
 	name          string
-	reportedStart float64 // s; Unix time of the start by the machines' clocks, as listed
-	localStart    float64 // s; the same by our clock
+	reportedStart float64 // s; start as listed, in Unix time of the machines' clocks
+	localStart    float64 // s; start in Unix time of the controller's clock
 }
 
 func newNodeRegistry() nodeRegistry {
 	return nodeRegistry{numbers: map[string]uint32{}, removedAt: map[uint32]float64{}}
 }
 
-// number is the number of a node that has one.
+// number returns the number of a node, if it has one.
 func (r *nodeRegistry) number(name string) (number uint32, known bool) {
 	number, known = r.numbers[name]
 	return number, known
 }
 
-// numberOrAssign is the number of a node, which gets one if it has none; assigned reports whether it did.
+// numberOrAssign returns the number of a node, and assigns one if it has none. The result assigned reports whether it
+// did so.
 func (r *nodeRegistry) numberOrAssign(name string) (number uint32, assigned bool) {
 	if number, known := r.numbers[name]; known {
 		return number, false
@@ -101,7 +102,7 @@
 	return uint32(len(r.nodes) - 1)
 }
 
-// update notes what the endpoint list says of a node; wallOffset as for updateStart.
+// update records the listed state and start time of a node. See updateStart for wallOffset.
 func (r *nodeRegistry) update(number uint32, endpoint Endpoint, now, wallOffset float64) *node {
 	if endpoint.State == planner.Removed {
 		r.setRemoved(number, now)
@@ -113,14 +114,14 @@
 	return updated
 }
 
-// setRemoved notes that a node is no longer in the endpoint list. Only the first time counts.
+// setRemoved records that a node is no longer in the endpoint list. Later calls do not change the time of removal.
 func (r *nodeRegistry) setRemoved(number uint32, now float64) {
 	if _, already := r.removedAt[number]; !already {
 		r.removedAt[number] = now
 	}
 }
 
-// setOthersRemoved notes that no other nodes are in the endpoint list than those that are named.
+// setOthersRemoved records that all nodes not in listed are no longer in the endpoint list.
 func (r *nodeRegistry) setOthersRemoved(listed map[string]bool, now float64) {
 	for name, number := range r.numbers {
 		if !listed[name] {
@@ -129,7 +130,8 @@
 	}
 }
 
-// releaseRemoved takes back the numbers of nodes that were removed long ago, if the planner can release them.
+// releaseRemoved frees the numbers of nodes whose removal is more than releaseDelay ago, if the planner can release
+// them.
 func (r *nodeRegistry) releaseRemoved(now float64, release func(number uint32) bool) {
 	for _, number := range slices.Sorted(maps.Keys(r.removedAt)) {
 		if now > r.removedAt[number]+releaseDelay && release(number) {
--- a/controller/proxies.go
+++ b/controller/proxies.go
@@ -11,17 +11,18 @@
 	"harehook.dev/harehook/settings"
 )
 
-// proxyTracker is what the proxy watch has reported of the proxies' streams.
+// proxyTracker tracks the proxies' streams as reported by the proxy watch.
 //
-// Each watch that is opened reports which proxies are connected; until it has named a proxy, that one is unconfirmed. After a gap the proxy may have left, or left and come back without the table that it was bound to, so
-// that it has to be bound again. A gapless watch was opened before the one before it ended, and misses nothing; binding
-// all proxies again would fill the channel for seconds.
+// Each new watch reports the connected proxies. A joined proxy is unconfirmed until the watch has reported it. After a
+// gap between watches, a proxy may have left, or may have left and rejoined without the table that it was bound to, so
+// it must be bound again. A gapless watch is opened before the previous one ends and misses no event. Its proxies are
+// not bound again, because binding all proxies would fill the channel for seconds.
 type proxyTracker struct {
-	limit          int          // proxies have the numbers below it
+	limit          int          // proxy numbers are below it
 	joined         map[int]bool // by number
-	unconfirmed    map[int]bool // those of joined that the present watch has not named
-	gapless        bool         // of the present watch
-	ignoreNextSync bool         // as the watch before a gapless one may still report proxies
+	unconfirmed    map[int]bool // joined proxies that the current watch has not reported yet
+	gapless        bool         // whether the current watch is gapless
+	ignoreNextSync bool         // because the watch before a gapless one may still report proxies
 }
 
 func newProxyTracker(limit int) proxyTracker {
@@ -32,10 +33,10 @@
 	}
 }
 
-// has reports whether there can be a proxy of that number.
+// has reports whether a proxy number is within the limit.
 func (s *proxyTracker) has(proxy int) bool { return proxy >= 0 && proxy < s.limit }
 
-// continues reports whether a proxy that the watch names is still on the stream that we know.
+// continues reports whether a proxy that the watch reports is still connected by the same stream.
 func (s *proxyTracker) continues(proxy int) bool { return s.gapless && s.unconfirmed[proxy] }
 
 func (s *proxyTracker) join(proxy int) {
@@ -48,7 +49,7 @@
 	delete(s.unconfirmed, proxy)
 }
 
-// watchResumed begins a watch, the first one or a later one.
+// watchResumed records the start of a watch, either the first one or a later one.
 func (s *proxyTracker) watchResumed(gapless bool) {
 	s.gapless = gapless
 	s.ignoreNextSync = gapless
@@ -57,8 +58,8 @@
 	}
 }
 
-// watchSynced gives the proxies that have left unseen, in order, and whether it is certain yet who has: at the first
-// sync of a gapless watch it is not.
+// watchSynced returns the proxies that left without being reported, in ascending order. The result synced reports
+// whether these are known: at the first sync of a gapless watch they are not.
 func (s *proxyTracker) watchSynced() (left []int, synced bool) {
 	if s.ignoreNextSync {
 		s.ignoreNextSync = false
@@ -67,33 +68,34 @@
 	return slices.Sorted(maps.Keys(s.unconfirmed)), true
 }
 
-// ProxyJoined says that a proxy's stream is connected. Its baseline rate is in requests a second.
+// ProxyJoined reports that a proxy's stream is connected. The baseline rate is in requests per second.
 func (c *Controller) ProxyJoined(proxy int, zone string, baselineRate float64) {
 	c.post(func(l *eventLoop) { l.proxyJoined(proxy, zone, baselineRate) })
 }
 
-// ProxyLeft says that a proxy's stream broke.
+// ProxyLeft reports that a proxy's stream is disconnected.
 func (c *Controller) ProxyLeft(proxy int) {
 	c.post(func(l *eventLoop) { l.proxyLeft(proxy) })
 }
 
-// ProxyWatchResumed says that a proxy watch begins, the first one after the start as well. It reports next, by
-// ProxyJoined, the proxies that are connected. Gapless says that no event was missed since the watch before.
+// ProxyWatchResumed reports that a proxy watch begins. It is also called for the first watch after the start. The calls
+// of ProxyJoined for the connected proxies follow. The argument gapless reports that no event was missed since the
+// previous watch.
 func (c *Controller) ProxyWatchResumed(gapless bool) {
 	c.post(func(l *eventLoop) { l.proxies.watchResumed(gapless) })
 }
 
-// ProxyWatchSynced says that all proxies that were connected when the watch began have been reported, and how many are
-// connected now. It is called when the watch has synced, and again with each keep-alive of the watch after that.
+// ProxyWatchSynced reports that the watch has reported all proxies that were connected when it began, and the number of
+// proxies that are connected now. It is called when the watch has synced, and again with each of its later keep-alives.
 //
-// Proxies that were joined before and were not reported have left. After a gap that is so from the first call on. The
-// first call of a gapless watch is ignored, and the second counts: the watch before may have reported proxies that
-// joined since this one began, and this one reports them as well, before its next keep-alive.
+// Proxies that joined earlier and were not reported by this watch have left. After a gap this holds from the first call
+// on. For a gapless watch the first call is ignored and the second one is used: the previous watch may have reported
+// proxies that joined after this watch began, and this watch reports them as well before its next keep-alive.
 func (c *Controller) ProxyWatchSynced(connected int) {
 	c.post(func(l *eventLoop) { l.proxyWatchSynced(connected) })
 }
 
-// Acknowledged says that a proxy has applied all commands up to a nonce.
+// Acknowledged reports that a proxy has applied all commands up to the given nonce.
 func (c *Controller) Acknowledged(proxy, nonce int) {
 	c.post(func(l *eventLoop) { l.acknowledged(proxy, nonce) })
 }
@@ -102,7 +104,7 @@
 	zoneNumber, zoneKnown := l.names.zones[zone]
 	if !zoneKnown || !l.proxies.has(proxy) {
 		l.unknown.Proxies.Add(1)
-		l.log.Warn("unknown proxy or zone", zap.Int("proxy", proxy), zap.String("zone", zone))
+		l.log.Warn("proxy rejected: unknown number or zone", zap.Int("proxy", proxy), zap.String("zone", zone))
 		return
 	}
 	if l.proxies.continues(proxy) {
@@ -123,7 +125,7 @@
 	l.planner.ProxyLeft(l.now, proxy)
 }
 
-// cancelBind guards against a binding for an earlier stream of a proxy that reaches a later one as though it were new.
+// cancelBind discards earlier binds of a proxy, so that a bind for its previous stream is not applied to a new one.
 func (l *eventLoop) cancelBind(proxy int) {
 	l.batch = append(l.batch, Command{Kind: CancelBind, Proxy: proxy})
 }
--- a/controller/proxies_test.go
+++ b/controller/proxies_test.go
@@ -6,9 +6,9 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-// The proxy watch broke and was opened again some time later. A proxy may have left and come back meanwhile, without
-// the table that it was bound to, and others may have left unseen. Those that are told again have to be bound again,
-// and the others have left.
+// The proxy watch broke and was reopened some time later. In the meantime a proxy may have left and rejoined without
+// the table that it was bound to, and others may have left without being reported. Proxies that the new watch reports
+// must be bound again, and all others must be removed.
 func TestWatchWithGapBindsAgainAndRemovesUnconfirmed(t *testing.T) {
 	c, sink := newControllerWithProxies(t)
 	c.loop.now++
@@ -23,8 +23,8 @@
 	}
 }
 
-// While the relay moves, the watch before goes on beside the next one. A proxy that it told of since that one began is
-// told twice and has to be bound once; one that the next never tells of has left.
+// While the relay moves, the previous watch overlaps with the next one. A proxy that joins during the overlap is
+// reported by both and must be bound only once. A proxy that the next watch never reports has left.
 func TestGaplessWatchKeepsBindings(t *testing.T) {
 	c, sink := newControllerWithProxies(t)
 	c.ProxyWatchResumed(true)
--- a/controller/reports.go
+++ b/controller/reports.go
@@ -2,21 +2,21 @@
 
 import "harehook.dev/harehook/planner"
 
-// LoadReport is what the attempts of a zone's proxies at a node came to in an interval.
+// LoadReport summarizes the attempts of a zone's proxies at a node in an interval.
 type LoadReport struct {
 	Node              string
-	Completed, Failed int                // attempts; Failed of those Completed
-	MeanLatency       float64            // s; of the successful ones
+	Completed, Failed int                // attempts; Completed includes Failed
+	MeanLatency       float64            // s; mean latency of the successful attempts
 	Interval          float64            // s
-	Values            map[string]float64 // the node's own figures, by the settings' names
+	Values            map[string]float64 // values that the node itself reports, by their names in the settings
 }
 
-// AddLoadReport brings a load report. Its values are used only if none that the settings name is missing.
+// AddLoadReport adds a load report. Its Values are used only if they include all values that the settings name.
 func (c *Controller) AddLoadReport(report LoadReport) {
 	c.post(func(l *eventLoop) { l.addLoadReport(report) })
 }
 
-// AddDemandReport brings how many requests of a route arrived at a proxy in an interval of so many seconds.
+// AddDemandReport adds the number of requests for a route that arrived at a proxy in an interval, given in seconds.
 func (c *Controller) AddDemandReport(proxy int, route string, requests int, interval float64) {
 	c.post(func(l *eventLoop) { l.addDemandReport(proxy, route, requests, interval) })
 }
--- a/controller/sidecars_test.go
+++ b/controller/sidecars_test.go
@@ -19,11 +19,11 @@
 
 const (
 	fleetNodes         = 4
-	loadedProxies      = 2   // those that get all requests
-	eventsPerIteration = 256 // below what a controller's queue of events holds
+	loadedProxies      = 2   // number of proxies that receive all requests
+	eventsPerIteration = 256 // below the capacity of the controller's event queue
 )
 
-// sidecarFleet is a controller started from a configuration file, with nodes and sidecars in its two zones.
+// sidecarFleet is a controller that was created from a configuration file, with nodes and sidecars in two zones.
 type sidecarFleet struct {
 	t          *testing.T
 	controller *controller.Controller
@@ -32,8 +32,8 @@
 	sidecars   int
 
 	now               float64 // s since the start
-	requestedNonce    int     // the last that the controller asked for
-	acknowledgedNonce int     // the last that the sidecars acknowledged
+	requestedNonce    int     // the last one that the controller requested
+	acknowledgedNonce int     // the last one that the sidecars acknowledged
 }
 
 // Enqueue implements controller.CommandSink.
@@ -46,7 +46,7 @@
 	}
 }
 
-// writeConfiguration writes a controller's file with so many routes and gives its path.
+// writeConfiguration writes a controller's configuration file with the given number of routes and returns its path.
 func writeConfiguration(t *testing.T, routes int) string {
 	t.Helper()
 	var text strings.Builder
@@ -89,13 +89,13 @@
 	return f
 }
 
-// nodeLoad is what each node answers in each report interval.
+// nodeLoad describes the attempts at each node in each report interval.
 type nodeLoad struct {
 	succeeded, failed int     // attempts
 	meanLatency       float64 // s
 }
 
-// run lets seconds pass in which the nodes answer so.
+// run advances the time by the given seconds, with the given load on each node.
 func (f *sidecarFleet) run(seconds float64, load nodeLoad) {
 	const (
 		reportInterval    = 0.5 // s
@@ -124,7 +124,7 @@
 	}
 }
 
-// acknowledge has all sidecars acknowledge the last nonce, if they have not.
+// acknowledge lets all sidecars acknowledge the last requested nonce, unless they already have.
 func (f *sidecarFleet) acknowledge(at float64) {
 	if f.acknowledgedNonce == f.requestedNonce {
 		return
@@ -137,14 +137,14 @@
 	}
 }
 
-// iterateBefore handles what has come in if the next event would be one too many for the queue.
+// iterateBefore runs an iteration before every eventsPerIteration-th event, so that the event queue does not fill up.
 func (f *sidecarFleet) iterateBefore(event int, at float64) {
 	if event%eventsPerIteration == 0 {
 		f.controller.IterateAt(at)
 	}
 }
 
-// acceptedTable is what a sidecar on a routing table accepts of it.
+// acceptedTable returns the part of a routing table that a sidecar accepts.
 func (f *sidecarFleet) acceptedTable(number int) *sidecar.RoutingTable {
 	f.t.Helper()
 	snapshot, err := f.compiler.Snapshot(number)
@@ -163,13 +163,13 @@
 			f.t.Fatal(err)
 		}
 		if rejection := requests[0].GetErrorDetail().GetMessage(); rejection != "" {
-			f.t.Fatalf("table %d with %d routes: %s", number, len(f.routes), rejection)
+			f.t.Fatalf("table %d with %d routes rejected: %s", number, len(f.routes), rejection)
 		}
 	}
 	return cache.Table()
 }
 
-// checkRoutes checks that the routes of all tables are throttled, and retried, as wanted.
+// checkRoutes checks for all routes of all tables whether they are throttled and whether they are retried.
 func (f *sidecarFleet) checkRoutes(when string, wantThrottled, wantRetried bool) {
 	f.t.Helper()
 	for number := range 2 {
@@ -185,15 +185,15 @@
 			}
 		}
 		if len(wrong) > 0 {
-			f.t.Errorf("table %d %s overload: %d routes are wrong, from %s to %s",
-				number, when, len(wrong), wrong[0], wrong[len(wrong)-1])
+			f.t.Errorf("table %d %s overload: got %d wrong routes, from %s to %s, want throttled %t, retried %t",
+				number, when, len(wrong), wrong[0], wrong[len(wrong)-1], wantThrottled, wantRetried)
 		}
 	}
 }
 
-// Routes behind the first sixteen were neither throttled nor retried. Every route of a configuration has to be throttled
-// under overload, and to get its retry once the fleet is no longer saturated: also the seventeenth, the sixty-fourth and
-// the last one that a table may have.
+// Routes after the first sixteen were neither throttled nor retried. Every route of a configuration must be throttled
+// under overload and get its retries when the fleet is no longer saturated, including the seventeenth, the sixty-fourth
+// and the last route that a table may have.
 func TestEveryRouteIsThrottledAndRetried(t *testing.T) {
 	for _, routes := range []int{16, 17, 64, xds.MaxRoutes} {
 		t.Run(fmt.Sprint(routes), func(t *testing.T) {
@@ -207,8 +207,8 @@
 	}
 }
 
-// Admission levels of as many routes as there may be find room in the channel, also for hundreds of sidecars of a
-// subset.
+// The channel must have room for the admission levels of the maximum number of routes, even with hundreds of sidecars
+// per subset.
 func TestAdmissionLevelsReachManySidecars(t *testing.T) {
 	f := newSidecarFleet(t, xds.MaxRoutes, 640)
 	f.run(1, nodeLoad{succeeded: 20, meanLatency: 0.1})
--- a/settings/doc.go
+++ b/settings/doc.go
@@ -1,13 +1,13 @@
-// Package settings decodes the platform's settings: the JSON document by which a controller learns of its deployment at
-// its start.
+// Package settings decodes the platform's settings: the JSON document that describes a controller's deployment and that
+// the controller reads when it starts.
 //
-// Its one job is Decode, which the platform's program and the simulator's adapter (platform/simhost) call. It gives a
-// Deployment: the planner's configuration, and the names behind the planner's numbers. Settings by which no controller
-// can work are refused with a *ValueError. The package config makes a Deployment of its own for installations without
-// the platform.
+// Its entry point is Decode, which is called by the platform's program and by the simulator's adapter
+// (platform/simhost). Decode returns a Deployment: the planner's configuration, and the names for the planner's
+// numbers. It rejects values that no controller can work with and returns a *ValueError for them. Package config
+// creates its own Deployment for installations without the platform.
 //
-// Shards above 0 make the planner inactive, see planner.Config: a store hands out the tables.
+// If shards is greater than 0, the planner is inactive (see planner.Config), because a store distributes the tables.
 //
-// The keys and words of the document are the platform's. raw.go maps them to the project's terms; beside it, validate.go
-// names keys in refusals.
+// The keys and words of the document are defined by the platform. raw.go maps them to the project's terms; validate.go
+// also uses the keys, in error messages.
 package settings
--- a/settings/errors.go
+++ b/settings/errors.go
@@ -1,11 +1,11 @@
 package settings
 
-// ValueError says that no controller can work by a value of the settings.
+// ValueError is returned when the settings contain a value that no controller can work with.
 type ValueError struct {
-	Key    string // where it stands in the document, such as categories[0].gain
-	Value  any    // as decoded; of a key that names too many or none, their number
-	Reason string // what is wrong with it
+	Key    string // location in the document, such as categories[0].gain
+	Value  any    // as decoded; for a list that is empty or too long, its length
+	Reason string // description of the fault
 }
 
-// Error gives the key and the reason, which names the value where it helps.
+// Error returns the key and the reason. The reason includes the value where it is useful.
 func (e *ValueError) Error() string { return e.Key + ": " + e.Reason }
--- a/settings/raw.go
+++ b/settings/raw.go
@@ -6,8 +6,8 @@
 	"harehook.dev/harehook/planner"
 )
 
-// rawSettings is what is read of the settings' document, key by key. The keys are the platform's, the fields' names the
-// project's terms. Numbers are all float64, since whole ones may be written with a fraction of 0.
+// rawSettings holds the decoded keys of the settings document. The keys are defined by the platform; the field names
+// are the project's terms. All numbers are float64, because whole numbers may be written with a fraction of 0.
 type rawSettings struct {
 	Routes []struct {
 		Name             string  `json:"name"`
@@ -19,14 +19,14 @@
 		MaxInFlightEntries float64 `json:"backlog"`
 		MessageWindow      float64 `json:"counted-over-ns"`
 		MessageOverhead    float64 `json:"head"`        // entries
-		LocalZoneOnly      []bool  `json:"home-only"`   // by route; those behind its end are not
-		ReportInterval     float64 `json:"interval-ns"` // of load reports
-		AdmissionKind      string  `json:"level-kind"`  // a word of admissionKinds, any other: off
-		LocalZoneProxies   bool    `json:"local-first"` // proxies prefer controllers of their zone
-		Proxies            float64 `json:"proxy-count"` // 0: not known
-		EntriesPerSecond   float64 `json:"push-rate"`   // that the channel to the proxies delivers
-		MaxMessages        float64 `json:"reloads-max"` // to one proxy within MessageWindow, 0: no limit
-		Shards             float64 `json:"shards"`      // 0: not sharded
+		LocalZoneOnly      []bool  `json:"home-only"`   // by route; false for routes beyond its end
+		ReportInterval     float64 `json:"interval-ns"` // between load reports
+		AdmissionKind      string  `json:"level-kind"`  // a key of admissionKinds; any other value turns admission off
+		LocalZoneProxies   bool    `json:"local-first"` // proxies prefer controllers in their own zone
+		Proxies            float64 `json:"proxy-count"` // 0 if unknown
+		EntriesPerSecond   float64 `json:"push-rate"`   // throughput of the channel to the proxies
+		MaxMessages        float64 `json:"reloads-max"` // to one proxy within MessageWindow; 0 for no limit
+		Shards             float64 `json:"shards"`      // 0 if not sharded
 	} `json:"extra"`
 	MachineTypes []string `json:"machine-types"`
 	Controllers  float64  `json:"peers-total"`
@@ -43,21 +43,21 @@
 	Zones         []string `json:"zones"`
 }
 
-// Words that the document has as values.
+// Values in the document.
 const (
-	discoveryOnRequest = "subscribe" // changes of the endpoint list come only once they are asked for
-	reportedInline     = "inline"    // load reports bring the nodes' own values
+	discoveryOnRequest = "subscribe" // changes of the endpoint list are sent only after a subscription
+	reportedInline     = "inline"    // load reports include the values that the nodes report
 	utilizationValue   = "utilization"
 	queueLengthValue   = "backlog"
 )
 
-// admissionKinds maps the document's words for what an admission level counts.
+// admissionKinds maps the values of extra.level-kind to admission kinds, which define the unit of an admission level.
 var admissionKinds = map[string]planner.AdmissionKind{
 	"fraction":   planner.AdmissionFraction,
 	"per_second": planner.AdmissionRate,
 }
 
-// newRawSettings has the values of absent keys that are not 0: a limit that is absent is none.
+// newRawSettings returns settings with the defaults of absent keys. An absent limit defaults to no limit.
 func newRawSettings() rawSettings {
 	raw := rawSettings{}
 	raw.Extra.MaxInFlightEntries = math.Inf(1)
@@ -65,7 +65,7 @@
 	return raw
 }
 
-// deployment gives valid settings in the project's terms.
+// deployment converts valid settings to a Deployment.
 func (raw *rawSettings) deployment() Deployment {
 	return Deployment{
 		Planner:       raw.plannerConfig(),
@@ -122,7 +122,8 @@
 	return names
 }
 
-// reportValueIndex is the place of a value in load reports, the last one if it is named twice, -1 if it is absent.
+// reportValueIndex returns the index of a value in load reports: the last one if the value is named twice, and -1 if it
+// is absent.
 func (raw *rawSettings) reportValueIndex(name string) int {
 	index := -1
 	if raw.Report.Source != reportedInline {
--- a/settings/refusals_test.go
+++ b/settings/refusals_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-// What a refusal says is read by operators: its text stays. Code tells the key from its type.
+// Operators read the text of these errors, so each text is checked in full. Code gets the key from the error's type.
 func TestRefusalsHaveTextAndKey(t *testing.T) {
 	route := func(name string) map[string]any { return map[string]any{"name": name, "promise-ns": 1e9} }
 	var seventeen []any
@@ -14,49 +14,49 @@
 		seventeen = append(seventeen, route(name))
 	}
 	cases := []struct {
-		path  string // by slashes
+		path  string // separated by slashes
 		value any
 		want  string
 	}{
-		{"zones", []any{}, "zones: none is named"},
-		{"zones", []any{"a", "b\n"}, `zones[1]: no order or news can carry the name "b\n"`},
-		{"machine-types", nil, "machine-types: none is named"},
-		{"categories", nil, "categories: none is named"},
-		{"categories", []any{route("a"), route("b"), route("a")}, `categories[2]: the name "a" is there twice`},
-		{"categories", []any{route("")}, `categories[0]: no order or news can carry the name ""`},
-		{"categories", []any{route("*")}, `categories[0]: no order or news can carry the name "*"`},
-		{"categories", []any{route("a;b")}, `categories[0]: no order or news can carry the name "a;b"`},
-		{"categories", seventeen, "categories: 17 of them, over 16"},
-		{"categories/promise-ns", -1.5, "categories[0].promise-ns: below 0: -1.5"},
-		{"categories/gain", -2, "categories[0].gain: below 0: -2"},
-		{"extra/proxy-count", 65536, "extra.proxy-count: 65536 is out of its range"},
-		{"extra/proxy-count", 2.5, "extra.proxy-count: 2.5 is no whole number"},
-		{"extra/backlog", 0.5, "extra.backlog: 0.5 is out of its range"},
-		{"extra/backlog", 17, "extra.backlog: 17 do not hold twice what binds a proxy, with 4 lines of extra.head"},
-		{"extra/push-rate", 0, "extra.push-rate: 0 is out of its range"},
-		{"extra/head", -1, "extra.head: -1 is out of its range"},
-		{"extra/reloads-max", 1e10, "extra.reloads-max: 1e+10 is out of its range"},
-		{"extra/reloads-max", 1, "extra.reloads-max: the message that binds a proxy leaves none for a drain"},
-		{"extra/counted-over-ns", -1, "extra.counted-over-ns: -1 is out of its range"},
-		{"extra/counted-over-ns", 0, "extra.counted-over-ns: none is told for extra.reloads-max"},
-		{"extra/interval-ns", -1, "extra.interval-ns: -1 is out of its range"},
-		{"rules/ramp-time-ns", -1, "rules.ramp-time-ns: -1 is out of its range"},
-		{"rules/ask-within-ns", -1, "rules.ask-within-ns: -1 is out of its range"},
-		{"tick-ns", -1, "tick-ns: -1 is out of its range"},
-		{"peers-total", 1e18, "peers-total: 1e+18 is out of its range"},
+		{"zones", []any{}, "zones: must not be empty"},
+		{"zones", []any{"a", "b\n"}, `zones[1]: commands and watch events cannot carry the name "b\n"`},
+		{"machine-types", nil, "machine-types: must not be empty"},
+		{"categories", nil, "categories: must not be empty"},
+		{"categories", []any{route("a"), route("b"), route("a")}, `categories[2]: duplicate name "a"`},
+		{"categories", []any{route("")}, `categories[0]: commands and watch events cannot carry the name ""`},
+		{"categories", []any{route("*")}, `categories[0]: commands and watch events cannot carry the name "*"`},
+		{"categories", []any{route("a;b")}, `categories[0]: commands and watch events cannot carry the name "a;b"`},
+		{"categories", seventeen, "categories: must have at most 16 elements, got 17"},
+		{"categories/promise-ns", -1.5, "categories[0].promise-ns: must be at least 0, got -1.5"},
+		{"categories/gain", -2, "categories[0].gain: must be at least 0, got -2"},
+		{"extra/proxy-count", 65536, "extra.proxy-count: must be between 0 and 65535, got 65536"},
+		{"extra/proxy-count", 2.5, "extra.proxy-count: must be a whole number, got 2.5"},
+		{"extra/backlog", 0.5, "extra.backlog: must be between 1 and +Inf, got 0.5"},
+		{"extra/backlog", 17, "extra.backlog: must be at least 18, twice the entries that bind a proxy with extra.head 4, got 17"},
+		{"extra/push-rate", 0, "extra.push-rate: must be between 5e-324 and +Inf, got 0"},
+		{"extra/head", -1, "extra.head: must be between 0 and +Inf, got -1"},
+		{"extra/reloads-max", 1e10, "extra.reloads-max: must be between 0 and 2.147483647e+09, got 1e+10"},
+		{"extra/reloads-max", 1, "extra.reloads-max: must be 0 or at least 2: the message that binds a proxy leaves none for a drain"},
+		{"extra/counted-over-ns", -1, "extra.counted-over-ns: must be between 0 and +Inf, got -1"},
+		{"extra/counted-over-ns", 0, "extra.counted-over-ns: must be greater than 0 if extra.reloads-max is set"},
+		{"extra/interval-ns", -1, "extra.interval-ns: must be between 0 and +Inf, got -1"},
+		{"rules/ramp-time-ns", -1, "rules.ramp-time-ns: must be between 0 and +Inf, got -1"},
+		{"rules/ask-within-ns", -1, "rules.ask-within-ns: must be between 0 and +Inf, got -1"},
+		{"tick-ns", -1, "tick-ns: must be between 0 and +Inf, got -1"},
+		{"peers-total", 1e18, "peers-total: must be between 0 and 2.147483647e+09, got 1e+18"},
 	}
 	for _, test := range cases {
 		t.Run(test.want, func(t *testing.T) {
 			_, err := Decode(settingsWith(t, strings.Split(test.path, "/"), test.value))
 			if want := "settings: " + test.want; err == nil || err.Error() != want {
-				t.Fatalf("error %v, want %s", err, want)
+				t.Fatalf("got error %v, want %s", err, want)
 			}
 			var valueError *ValueError
 			if !errors.As(err, &valueError) {
-				t.Fatalf("error of type %T", errors.Unwrap(err))
+				t.Fatalf("got error of type %T, want *ValueError", errors.Unwrap(err))
 			}
 			if key, _, _ := strings.Cut(test.want, ": "); valueError.Key != key || valueError.Value == nil {
-				t.Errorf("key %s with value %v, want %s", valueError.Key, valueError.Value, key)
+				t.Errorf("got key %s with value %v, want key %s with a value", valueError.Key, valueError.Value, key)
 			}
 		})
 	}
@@ -66,7 +66,7 @@
 	for _, text := range []string{"", "{", "[]", "7", `{"zones":`} {
 		_, err := Decode([]byte(text))
 		if err == nil || !strings.HasPrefix(err.Error(), "settings: ") || strings.Contains(err.Error(), "\n") {
-			t.Errorf("%q: %v", text, err)
+			t.Errorf("settings %q: got error %v, want one line that starts with \"settings: \"", text, err)
 		}
 	}
 }
--- a/settings/serving_test.go
+++ b/settings/serving_test.go
@@ -7,7 +7,7 @@
 	"harehook.dev/harehook/planner"
 )
 
-// recordingHost notes what a planner commands, and the first weight or admission level that nobody could send.
+// recordingHost records the commands of a planner, and the last weight or admission level that cannot be sent.
 type recordingHost struct {
 	stepAt    float64 // s
 	lastNonce int
@@ -40,8 +40,9 @@
 func (h *recordingHost) EndpointHealthChanged(uint32, planner.Health) {}
 func (h *recordingHost) ThrottlingChanged(bool)                       {}
 
-// faultOf runs a planner by some settings for a minute and tells what went wrong, "" if nothing did: two nodes, one of
-// which drains half-way, two proxies, and load reports of a fleet that is saturated for a while.
+// faultOf runs a planner with the given settings for a minute and returns a description of a fault, or "" if there is
+// none. There are two proxies and two nodes, one of which drains half-way, and the load reports show a fleet that is
+// saturated for a while.
 func faultOf(deployment Deployment) string {
 	const (
 		start          = 100.0 // s
@@ -83,15 +84,15 @@
 		}
 	}
 	if deployment.Planner.Sharded {
-		return host.fault // a store hands its tables out
+		return host.fault // a store distributes the tables
 	}
 	for table, weights := range host.weights {
 		if weights[2] > 0 {
-			return fmt.Sprintf("table %d keeps a node that drains", table)
+			return fmt.Sprintf("table %d still has a weight for draining node 2", table)
 		}
 	}
 	if host.bound < 2 || len(host.weights) == 0 {
-		return fmt.Sprintf("%d proxies bound, %d tables", host.bound, len(host.weights))
+		return fmt.Sprintf("got %d bound proxies and %d tables, want at least 2 and at least 1", host.bound, len(host.weights))
 	}
 	return host.fault
 }
--- a/settings/settings.go
+++ b/settings/settings.go
@@ -7,23 +7,23 @@
 	"harehook.dev/harehook/planner"
 )
 
-// NanosecondsPerSecond is the ratio of the planner's unit of time to the settings' unit.
+// NanosecondsPerSecond is the ratio of the planner's unit of time (seconds) to that of the settings (nanoseconds).
 const NanosecondsPerSecond = 1e9
 
-// Deployment is what the settings say: the planner's configuration, and the names behind its numbers, each at the
-// number's place.
+// Deployment holds the decoded settings: the planner's configuration, and the names for the planner's numbers. The
+// index of a name is its number.
 type Deployment struct {
 	Planner       planner.Config
 	Zones         []string
 	MachineTypes  []string
 	Routes        []string
-	ReportValues  []string // values of a load report
+	ReportValues  []string // names of a load report's values
 	EventInterval float64  // s; minimum time between two iterations of the controller's event loop
 }
 
-// Decode reads the settings' JSON. Keys that it does not know are passed over; a limit that is absent is none. Text that
-// is not JSON, or has a value of another type, gives an error of encoding/json; a value by which no controller can work
-// gives a *ValueError. Both are wrapped.
+// Decode decodes the settings from JSON. It ignores unknown keys; an absent limit means no limit. It returns a wrapped
+// error of encoding/json if text is not valid JSON or a value has the wrong type, and a wrapped *ValueError if no
+// controller can work with a value.
 func Decode(text []byte) (Deployment, error) {
 	raw := newRawSettings()
 	if err := json.Unmarshal(text, &raw); err != nil {
@@ -35,7 +35,7 @@
 	return raw.deployment(), nil
 }
 
-// Seconds turns the settings' nanoseconds into the planner's seconds.
+// Seconds converts the settings' nanoseconds to the planner's seconds.
 func Seconds[N uint64 | float64](nanoseconds N) float64 {
 	return float64(nanoseconds) / NanosecondsPerSecond
 }
--- a/settings/settings_test.go
+++ b/settings/settings_test.go
@@ -17,7 +17,7 @@
 "home-only":[false,true],"shards":0,"counted-over-ns":10000000000,"interval-ns":500000000},
 "rules":{"ramp-time-ns":18000000000,"fall-multiple":4,"ask-within-ns":10000000000}}`
 
-// settingsWith is the typical settings with another value at a path, nil: without the key.
+// settingsWith returns the typical settings with the value at path replaced, or with its key removed if value is nil.
 func settingsWith(t *testing.T, path []string, value any) []byte {
 	t.Helper()
 	document := decodeTypical(t)
@@ -38,7 +38,7 @@
 	return document
 }
 
-// setPath sets the value at a path, in the first element of each list on the way.
+// setPath sets the value at a path. In each list along the path it descends into the first element.
 func setPath(in any, path []string, value any) {
 	switch in := in.(type) {
 	case []any:
@@ -55,7 +55,7 @@
 	}
 }
 
-// keyPaths lists all keys of a document, in a list those of its first element.
+// keyPaths returns the paths of all keys in a document. Of each list it visits only the first element.
 func keyPaths(in any, before []string) (all [][]string) {
 	switch in := in.(type) {
 	case []any:
@@ -72,8 +72,8 @@
 	return all
 }
 
-// Each key is absent, zero, at its limits and of another type: settings that are accepted serve, all others are refused
-// by one line that names the key.
+// Each key is tested absent, zero, at its limits and with values of other types. A planner must run without a fault
+// with settings that are accepted; all others must be rejected with a one-line error that names the key.
 func TestEachKeyIsAcceptedAndServesOrIsRefusedByName(t *testing.T) {
 	values := []any{nil, 0, -1, 1, 2, 3.5, 1e18, 1e300, "", "7", true, []any{}, map[string]any{}, []any{"a", "a"}, []any{7}}
 	refused := 0
@@ -83,23 +83,23 @@
 				deployment, err := Decode(settingsWith(t, path, value))
 				if err == nil {
 					if fault := faultOf(deployment); fault != "" {
-						t.Errorf("%v is accepted: %s", value, fault)
+						t.Errorf("value %v is accepted, but the planner fails: %s", value, fault)
 					}
 					continue
 				}
 				refused++
 				if !strings.Contains(err.Error(), path[len(path)-1]) || strings.Contains(err.Error(), "\n") {
-					t.Errorf("%v: %v", value, err)
+					t.Errorf("value %v: got error %v, want one line that names the key", value, err)
 				}
 			}
 		})
 	}
 	if refused == 0 {
-		t.Error("nothing was refused")
+		t.Error("got no rejected value, want at least 1")
 	}
 }
 
-// What another deployment's settings may hold is accepted as it is and serves.
+// Settings that other deployments may have must be accepted, and a planner must run with them without a fault.
 func TestOtherDeploymentsServeOrAreRefused(t *testing.T) {
 	routes := func(n int) (list []any) {
 		for k := range n {
@@ -116,11 +116,11 @@
 		name    string
 		path    string
 		value   any
-		refusal string // a part of its text, "": accepted
+		refusal string // part of the error text; "" if the settings are accepted
 	}{
 		{"one route", "categories", routes(1), ""},
 		{"sixteen routes", "categories", routes(16), ""},
-		{"seventeen routes", "categories", routes(17), "categories: 17"},
+		{"seventeen routes", "categories", routes(17), "categories: must have at most 16 elements, got 17"},
 		{"a route twice", "categories", []any{route("a"), map[string]any{"name": "a"}}, "categories[1]"},
 		{"a route without a name", "categories", []any{map[string]any{"promise-ns": 1e9}}, "categories[0]"},
 		{"machine types alike", "machine-types", []any{"a", "a", ""}, ""},
@@ -139,7 +139,7 @@
 			deployment, err := Decode(settingsWith(t, []string{test.path}, test.value))
 			if test.refusal != "" {
 				if err == nil || !strings.Contains(err.Error(), test.refusal) {
-					t.Errorf("error %v, want %s", err, test.refusal)
+					t.Errorf("got error %v, want %s", err, test.refusal)
 				}
 				return
 			}
--- a/settings/validate.go
+++ b/settings/validate.go
@@ -7,17 +7,17 @@
 )
 
 const (
-	// MaxProxies is above all numbers of proxies.
+	// MaxProxies is the maximum number of proxies; all proxy numbers are below it.
 	MaxProxies = 65535
 
-	maxRoutes = 16 // a command that sets an admission level names its routes by 16 bits
+	maxRoutes = 16 // a command that sets an admission level identifies its routes by 16 bits
 
-	// minBindEntries is what binds a proxy to a table of one entry, beside the admission levels: the binding, the
-	// entry, the nonce.
+	// minBindEntries is the number of entries, without the admission levels, that bind a proxy to a table with one
+	// entry: the binding, the entry and the nonce.
 	minBindEntries = 3
 )
 
-// validate gives a *ValueError for the first value by which no controller can work.
+// validate returns a *ValueError for the first value that no controller can work with.
 func (raw *rawSettings) validate() error {
 	for _, check := range []func() error{
 		raw.validateNames,
@@ -32,12 +32,12 @@
 	return nil
 }
 
-// nameList is a list of names under a key.
+// nameList is a list of names with its key and the constraints on the names.
 type nameList struct {
 	key            string
 	names          []string
 	forbidden      string // characters that no command or watch event can carry
-	usedInCommands bool   // commands carry the names: none may be empty, "*" or there twice
+	usedInCommands bool   // commands carry the names, so none may be empty, "*" or a duplicate
 }
 
 func (raw *rawSettings) validateNames() error {
@@ -55,17 +55,17 @@
 
 func (l *nameList) validate() error {
 	if len(l.names) == 0 {
-		return &ValueError{Key: l.key, Value: 0, Reason: "none is named"}
+		return &ValueError{Key: l.key, Value: 0, Reason: "must not be empty"}
 	}
 	seen := map[string]bool{}
 	for k, name := range l.names {
 		key := fmt.Sprintf("%s[%d]", l.key, k)
 		if l.usedInCommands && seen[name] {
-			return &ValueError{Key: key, Value: name, Reason: fmt.Sprintf("the name %q is there twice", name)}
+			return &ValueError{Key: key, Value: name, Reason: fmt.Sprintf("duplicate name %q", name)}
 		}
 		reserved := l.usedInCommands && (name == "" || name == "*")
 		if reserved || strings.ContainsAny(name, l.forbidden) {
-			return &ValueError{Key: key, Value: name, Reason: fmt.Sprintf("no order or news can carry the name %q", name)}
+			return &ValueError{Key: key, Value: name, Reason: fmt.Sprintf("commands and watch events cannot carry the name %q", name)}
 		}
 		seen[name] = true
 	}
@@ -74,7 +74,7 @@
 
 func (raw *rawSettings) validateRoutes() error {
 	if routes := len(raw.Routes); routes > maxRoutes {
-		return &ValueError{Key: "categories", Value: routes, Reason: fmt.Sprintf("%d of them, over %d", routes, maxRoutes)}
+		return &ValueError{Key: "categories", Value: routes, Reason: fmt.Sprintf("must have at most %d elements, got %d", maxRoutes, routes)}
 	}
 	for k, route := range raw.Routes {
 		for _, field := range []struct {
@@ -86,7 +86,7 @@
 		} {
 			if field.value < 0 {
 				key := fmt.Sprintf("categories[%d].%s", k, field.key)
-				return &ValueError{Key: key, Value: field.value, Reason: fmt.Sprintf("below 0: %g", field.value)}
+				return &ValueError{Key: key, Value: field.value, Reason: fmt.Sprintf("must be at least 0, got %g", field.value)}
 			}
 		}
 	}
@@ -113,14 +113,14 @@
 		{"peers-total", raw.Controllers, 0, math.MaxInt32},
 	} {
 		if field.value < field.min || field.value > field.max {
-			reason := fmt.Sprintf("%g is out of its range", field.value)
+			reason := fmt.Sprintf("must be between %g and %g, got %g", field.min, field.max, field.value)
 			return &ValueError{Key: field.key, Value: field.value, Reason: reason}
 		}
 	}
 	return nil
 }
 
-// validateCombinations checks values that are in their ranges, but not together with others.
+// validateCombinations checks values that are within their ranges but may be invalid in combination with others.
 func (raw *rawSettings) validateCombinations() error {
 	extra := &raw.Extra
 	bindEntries := extra.MessageOverhead + minBindEntries + float64(len(raw.Routes))
@@ -133,23 +133,23 @@
 		{
 			extra.Proxies != math.Trunc(extra.Proxies),
 			"extra.proxy-count", extra.Proxies,
-			fmt.Sprintf("%g is no whole number", extra.Proxies),
+			fmt.Sprintf("must be a whole number, got %g", extra.Proxies),
 		},
 		{
 			extra.MaxInFlightEntries < 2*bindEntries,
 			"extra.backlog", extra.MaxInFlightEntries,
-			fmt.Sprintf("%g do not hold twice what binds a proxy, with %g lines of extra.head",
-				extra.MaxInFlightEntries, extra.MessageOverhead),
+			fmt.Sprintf("must be at least %g, twice the entries that bind a proxy with extra.head %g, got %g",
+				2*bindEntries, extra.MessageOverhead, extra.MaxInFlightEntries),
 		},
 		{
 			extra.MaxMessages > 0 && extra.MaxMessages < 2,
 			"extra.reloads-max", extra.MaxMessages,
-			"the message that binds a proxy leaves none for a drain",
+			"must be 0 or at least 2: the message that binds a proxy leaves none for a drain",
 		},
 		{
 			extra.MaxMessages > 0 && extra.MessageWindow == 0,
 			"extra.counted-over-ns", extra.MessageWindow,
-			"none is told for extra.reloads-max",
+			"must be greater than 0 if extra.reloads-max is set",
 		},
 	} {
 		if rule.broken {
