--- a/controller/controller_test.go
+++ b/controller/controller_test.go
@@ -38,8 +38,8 @@
 	fmt.Fprintln(s)
 }
 
-// takeRecord returns the recorded text and clears it.
-func (s *recordingSink) takeRecord() string {
+// drainRecord returns the recorded text and clears it.
+func (s *recordingSink) drainRecord() string {
 	record := s.String()
 	s.Reset()
 	return record
@@ -83,7 +83,7 @@
 
 func checkCommands(t *testing.T, sink *recordingSink, want string) {
 	t.Helper()
-	if diff := cmp.Diff(want, sink.takeRecord()); diff != "" {
+	if diff := cmp.Diff(want, sink.drainRecord()); diff != "" {
 		t.Errorf("commands (-want +got):\n%s", diff)
 	}
 }
--- a/controller/endpoints.go
+++ b/controller/endpoints.go
@@ -36,7 +36,7 @@
 	for _, endpoint := range endpoints {
 		listed[endpoint.Node] = true
 	}
-	l.nodes.setOthersRemoved(listed, l.now)
+	l.nodes.markUnlistedRemoved(listed, l.now)
 	l.applyEndpoints(endpoints, l.planner.ReplaceEndpoints)
 	l.setReady()
 }
--- a/controller/endpoints_test.go
+++ b/controller/endpoints_test.go
@@ -21,9 +21,9 @@
 func testReleases(t *testing.T, fullLists bool) {
 	t.Helper()
 	const (
-		nodes        = 12
-		releaseEvery = 20.0 // s
-		releases     = 400
+		nodes           = 12
+		releaseInterval = 20.0 // s
+		releases        = 400
 	)
 	c, sink := newControllerWithProxies(t)
 	loop := c.loop
@@ -42,7 +42,7 @@
 		} else {
 			c.UpdateEndpoints(append(changes, list...))
 		}
-		for until := loop.now + releaseEvery; loop.now < until; loop.now += 0.5 {
+		for until := loop.now + releaseInterval; loop.now < until; loop.now += 0.5 {
 			loop.iterate(nil)
 			for proxy := range 3 {
 				c.CommandsAccepted(sink.lastNonce)
@@ -51,8 +51,8 @@
 		}
 		maxNumbers = max(maxNumbers, len(loop.nodes.nodes))
 	}
-	if enough := (int(releaseDelay/releaseEvery)+3)*nodes + 2; maxNumbers > enough {
-		t.Errorf("after %d releases of %d nodes: got %d numbers, want at most %d", releases, nodes, maxNumbers, enough)
+	if maxExpected := (int(releaseDelay/releaseInterval)+3)*nodes + 2; maxNumbers > maxExpected {
+		t.Errorf("after %d releases of %d nodes: got %d numbers, want at most %d", releases, nodes, maxNumbers, maxExpected)
 	}
 	if _, known := loop.nodes.number("s-100"); known {
 		t.Error("node s-100 still has a number long after its removal")
@@ -60,13 +60,13 @@
 	c.AddLoadReport(LoadReport{Node: "s-100", Completed: 9, Failed: 9, Interval: 1})
 	c.UpdateEndpoints([]Endpoint{endpoint(100, planner.Ready)})
 	loop.iterate(nil)
-	if c.Unknown.Nodes.Load() != 1 || nodeOf(t, c, "s-100").name != "s-100" {
+	if c.Unknown.Nodes.Load() != 1 || lookupNode(t, c, "s-100").name != "s-100" {
 		t.Error("returned node s-100 has no number of its own, or its early load report was not counted as unknown")
 	}
 }
 
-// nodeOf returns the controller's data about a node.
-func nodeOf(t *testing.T, c *Controller, name string) node {
+// lookupNode returns the controller's data about a node.
+func lookupNode(t *testing.T, c *Controller, name string) node {
 	t.Helper()
 	number, known := c.loop.nodes.number(name)
 	if !known {
@@ -84,18 +84,18 @@
 			startedAt := func(node string, wall time.Time) Endpoint {
 				return Endpoint{Node: node, Zone: "north", MachineType: "small", State: planner.Ready, StartTime: unixSeconds(wall)}
 			}
-			old := time.Now().Add(-time.Minute)
-			c.UpdateEndpoints([]Endpoint{startedAt("s-1", old)})
+			originalStart := time.Now().Add(-time.Minute)
+			c.UpdateEndpoints([]Endpoint{startedAt("s-1", originalStart)})
 			c.loop.iterate(nil)
-			before := nodeOf(t, c, "s-1").localStart
+			before := lookupNode(t, c, "s-1").localStart
 			steppedClock := func() time.Time { return time.Now().Add(step) }
 			c.loop.clock.wall = steppedClock
-			c.UpdateEndpoints([]Endpoint{startedAt("s-1", old), startedAt("s-3", steppedClock().Add(-time.Second))})
+			c.UpdateEndpoints([]Endpoint{startedAt("s-1", originalStart), startedAt("s-3", steppedClock().Add(-time.Second))})
 			c.loop.iterate(nil)
-			if after := nodeOf(t, c, "s-1").localStart; after != before {
+			if after := lookupNode(t, c, "s-1").localStart; after != before {
 				t.Errorf("start of known node s-1 moved by %g s, want 0", after-before)
 			}
-			if age := c.loop.clock.now() - nodeOf(t, c, "s-3").localStart; age < 1 || age > 60 {
+			if age := c.loop.clock.now() - lookupNode(t, c, "s-3").localStart; age < 1 || age > 60 {
 				t.Errorf("age of node s-3, started 1 s ago: got %g s, want between 1 and 60", age)
 			}
 		})
--- a/controller/loop.go
+++ b/controller/loop.go
@@ -85,7 +85,7 @@
 	l.flush()
 	for {
 		// If the process was suspended, one late step runs in place of the missed ones.
-		stepTimer.Reset(l.untilStep())
+		stepTimer.Reset(l.timeUntilStep())
 		var first event
 		select {
 		case <-ctx.Done():
@@ -114,7 +114,7 @@
 	if first != nil {
 		first(l)
 	}
-	l.handleQueued()
+	l.handleQueuedEvents()
 	if l.now >= l.stepAt {
 		l.stepAt = math.Inf(1)
 		l.planner.Step(l.now)
@@ -122,7 +122,7 @@
 	l.flush()
 }
 
-func (l *eventLoop) handleQueued() {
+func (l *eventLoop) handleQueuedEvents() {
 	for range maxEventsPerIteration {
 		select {
 		case e := <-l.events:
@@ -157,7 +157,7 @@
 	}
 }
 
-func (l *eventLoop) untilStep() time.Duration {
+func (l *eventLoop) timeUntilStep() time.Duration {
 	if math.IsInf(l.stepAt, 1) {
 		return maxStepDelay
 	}
--- a/controller/loop_test.go
+++ b/controller/loop_test.go
@@ -47,7 +47,7 @@
 
 // After the process was suspended for several steps, only one late step must run. After Run has returned, reporting an
 // event must not block, even if the event queue is full.
-func TestLateStepComesOnceAndPostReturnsAfterRun(t *testing.T) {
+func TestLateStepRunsOnceAndPostReturnsAfterRun(t *testing.T) {
 	c, _ := newController(t)
 	c.loop.now = c.loop.stepAt + 10
 	c.loop.iterate(nil)
@@ -63,7 +63,7 @@
 }
 
 func TestReady(t *testing.T) {
-	one := []Endpoint{{Node: "s-1", Zone: "north", MachineType: "small", State: planner.Ready}}
+	oneNode := []Endpoint{{Node: "s-1", Zone: "north", MachineType: "small", State: planner.Ready}}
 	cases := []struct {
 		name  string
 		known []Endpoint
@@ -71,13 +71,13 @@
 		want  bool
 	}{
 		{"nothing known", nil, func(*Controller) {}, false},
-		{"nodes known at the start", one, func(*Controller) {}, true},
+		{"nodes known at the start", oneNode, func(*Controller) {}, true},
 		{"full list without nodes", nil, func(c *Controller) { c.ReplaceEndpoints(nil) }, true},
-		{"update with a node", nil, func(c *Controller) { c.UpdateEndpoints(one) }, true},
+		{"update with a node", nil, func(c *Controller) { c.UpdateEndpoints(oneNode) }, true},
 		{"update without nodes", nil, func(c *Controller) { c.UpdateEndpoints(nil) }, false},
 		{"discovery fails", nil, func(c *Controller) { c.EndpointWatchFailed() }, false},
 		{"timeout", nil, func(c *Controller) { c.post((*eventLoop).readinessTimedOut) }, true},
-		{"list, then timeout", one, func(c *Controller) { c.post((*eventLoop).readinessTimedOut) }, true},
+		{"list, then timeout", oneNode, func(c *Controller) { c.post((*eventLoop).readinessTimedOut) }, true},
 	}
 	for _, test := range cases {
 		t.Run(test.name, func(t *testing.T) {
--- a/controller/names.go
+++ b/controller/names.go
@@ -39,18 +39,18 @@
 	return indexes
 }
 
-// orderReportValues appends the values of a load report in the planner's order. It appends none if one is missing,
+// appendReportValues appends the values of a load report in the planner's order. It appends none if one is missing,
 // because the planner identifies a value only by its index.
-func (n *settingsNames) orderReportValues(into []float64, values map[string]float64) []float64 {
-	start := len(into)
+func (n *settingsNames) appendReportValues(dst []float64, values map[string]float64) []float64 {
+	start := len(dst)
 	for _, name := range n.reportValues {
 		value, reported := values[name]
 		if !reported {
-			return into[:start]
+			return dst[:start]
 		}
-		into = append(into, value)
+		dst = append(dst, value)
 	}
-	return into
+	return dst
 }
 
 // nodeRegistry assigns numbers to nodes. Numbers are reused. Otherwise a site with regular releases would, after weeks,
@@ -85,13 +85,13 @@
 	if number, known := r.numbers[name]; known {
 		return number, false
 	}
-	number = r.takeNumber()
+	number = r.allocateNumber()
 	r.nodes[number] = node{name: name}
 	r.numbers[name] = number
 	return number, true
 }
 
-func (r *nodeRegistry) takeNumber() uint32 {
+func (r *nodeRegistry) allocateNumber() uint32 {
 	last := len(r.free) - 1
 	if last >= 0 {
 		number := r.free[last]
@@ -105,7 +105,7 @@
 // update records the listed state and start time of a node. See updateStart for wallOffset.
 func (r *nodeRegistry) update(number uint32, endpoint Endpoint, now, wallOffset float64) *node {
 	if endpoint.State == planner.Removed {
-		r.setRemoved(number, now)
+		r.markRemoved(number, now)
 	} else {
 		delete(r.removedAt, number)
 	}
@@ -114,18 +114,18 @@
 	return updated
 }
 
-// setRemoved records that a node is no longer in the endpoint list. Later calls do not change the time of removal.
-func (r *nodeRegistry) setRemoved(number uint32, now float64) {
+// markRemoved records that a node is no longer in the endpoint list. Later calls do not change the time of removal.
+func (r *nodeRegistry) markRemoved(number uint32, now float64) {
 	if _, already := r.removedAt[number]; !already {
 		r.removedAt[number] = now
 	}
 }
 
-// setOthersRemoved records that all nodes not in listed are no longer in the endpoint list.
-func (r *nodeRegistry) setOthersRemoved(listed map[string]bool, now float64) {
+// markUnlistedRemoved records that all nodes not in listed are no longer in the endpoint list.
+func (r *nodeRegistry) markUnlistedRemoved(listed map[string]bool, now float64) {
 	for name, number := range r.numbers {
 		if !listed[name] {
-			r.setRemoved(number, now)
+			r.markRemoved(number, now)
 		}
 	}
 }
--- a/controller/proxies.go
+++ b/controller/proxies.go
@@ -33,39 +33,39 @@
 	}
 }
 
-// has reports whether a proxy number is within the limit.
-func (s *proxyTracker) has(proxy int) bool { return proxy >= 0 && proxy < s.limit }
+// inRange reports whether a proxy number is within the limit.
+func (t *proxyTracker) inRange(proxy int) bool { return proxy >= 0 && proxy < t.limit }
 
-// continues reports whether a proxy that the watch reports is still connected by the same stream.
-func (s *proxyTracker) continues(proxy int) bool { return s.gapless && s.unconfirmed[proxy] }
+// onSameStream reports whether a proxy that the watch reports is still connected by the same stream.
+func (t *proxyTracker) onSameStream(proxy int) bool { return t.gapless && t.unconfirmed[proxy] }
 
-func (s *proxyTracker) join(proxy int) {
-	s.joined[proxy] = true
-	delete(s.unconfirmed, proxy)
+func (t *proxyTracker) join(proxy int) {
+	t.joined[proxy] = true
+	delete(t.unconfirmed, proxy)
 }
 
-func (s *proxyTracker) leave(proxy int) {
-	delete(s.joined, proxy)
-	delete(s.unconfirmed, proxy)
+func (t *proxyTracker) leave(proxy int) {
+	delete(t.joined, proxy)
+	delete(t.unconfirmed, proxy)
 }
 
 // watchResumed records the start of a watch, either the first one or a later one.
-func (s *proxyTracker) watchResumed(gapless bool) {
-	s.gapless = gapless
-	s.ignoreNextSync = gapless
-	for proxy := range s.joined {
-		s.unconfirmed[proxy] = true
+func (t *proxyTracker) watchResumed(gapless bool) {
+	t.gapless = gapless
+	t.ignoreNextSync = gapless
+	for proxy := range t.joined {
+		t.unconfirmed[proxy] = true
 	}
 }
 
 // watchSynced returns the proxies that left without being reported, in ascending order. The result synced reports
 // whether these are known: at the first sync of a gapless watch they are not.
-func (s *proxyTracker) watchSynced() (left []int, synced bool) {
-	if s.ignoreNextSync {
-		s.ignoreNextSync = false
+func (t *proxyTracker) watchSynced() (left []int, synced bool) {
+	if t.ignoreNextSync {
+		t.ignoreNextSync = false
 		return nil, false
 	}
-	return slices.Sorted(maps.Keys(s.unconfirmed)), true
+	return slices.Sorted(maps.Keys(t.unconfirmed)), true
 }
 
 // ProxyJoined reports that a proxy's stream is connected. The baseline rate is in requests per second.
@@ -102,12 +102,12 @@
 
 func (l *eventLoop) proxyJoined(proxy int, zone string, baselineRate float64) {
 	zoneNumber, zoneKnown := l.names.zones[zone]
-	if !zoneKnown || !l.proxies.has(proxy) {
+	if !zoneKnown || !l.proxies.inRange(proxy) {
 		l.unknown.Proxies.Add(1)
 		l.log.Warn("proxy rejected: unknown number or zone", zap.Int("proxy", proxy), zap.String("zone", zone))
 		return
 	}
-	if l.proxies.continues(proxy) {
+	if l.proxies.onSameStream(proxy) {
 		l.proxies.join(proxy)
 		return
 	}
--- a/controller/proxies_test.go
+++ b/controller/proxies_test.go
@@ -9,7 +9,7 @@
 // The proxy watch broke and was reopened some time later. In the meantime a proxy may have left and rejoined without
 // the table that it was bound to, and others may have left without being reported. Proxies that the new watch reports
 // must be bound again, and all others must be removed.
-func TestWatchWithGapBindsAgainAndRemovesUnconfirmed(t *testing.T) {
+func TestWatchWithGapRebindsAndRemovesUnconfirmed(t *testing.T) {
 	c, sink := newControllerWithProxies(t)
 	c.loop.now++
 	c.ProxyWatchResumed(false)
--- a/controller/reports.go
+++ b/controller/reports.go
@@ -27,14 +27,14 @@
 		l.unknown.Nodes.Add(1)
 		return
 	}
-	l.reportValues = l.names.orderReportValues(l.reportValues[:0], report.Values)
+	l.reportValues = l.names.appendReportValues(l.reportValues[:0], report.Values)
 	l.planner.AddLoadReport(l.now, planner.LoadReport{Node: number, Completed: report.Completed, Failed: report.Failed,
 		MeanLatency: report.MeanLatency, Interval: report.Interval, Values: l.reportValues})
 }
 
 func (l *eventLoop) addDemandReport(proxy int, route string, requests int, interval float64) {
 	routeNumber, routeKnown := l.names.routes[route]
-	if !routeKnown || !l.proxies.has(proxy) {
+	if !routeKnown || !l.proxies.inRange(proxy) {
 		l.unknown.Routes.Add(1)
 		return
 	}
--- a/controller/sidecars_test.go
+++ b/controller/sidecars_test.go
@@ -49,14 +49,14 @@
 // writeConfiguration writes a controller's configuration file with the given number of routes and returns its path.
 func writeConfiguration(t *testing.T, routes int) string {
 	t.Helper()
-	var text strings.Builder
-	text.WriteString("conductor \"c\" {\nlisten \"127.0.0.1:1\"\nnodes \"nodes.kdl\"\nzone \"north\"\nzone \"south\"\n")
+	var content strings.Builder
+	content.WriteString("conductor \"c\" {\nlisten \"127.0.0.1:1\"\nnodes \"nodes.kdl\"\nzone \"north\"\nzone \"south\"\n")
 	for r := range routes {
-		fmt.Fprintf(&text, "route \"route-%04d\" { prefix \"/%04d\"; limit-ms 2000; slo-ms 1000; }\n", r+1, r+1)
+		fmt.Fprintf(&content, "route \"route-%04d\" { prefix \"/%04d\"; limit-ms 2000; slo-ms 1000; }\n", r+1, r+1)
 	}
-	text.WriteString("}\n")
+	content.WriteString("}\n")
 	path := filepath.Join(t.TempDir(), "conductor.kdl")
-	if err := os.WriteFile(path, []byte(text.String()), 0o600); err != nil {
+	if err := os.WriteFile(path, []byte(content.String()), 0o600); err != nil {
 		t.Fatal(err)
 	}
 	return path
@@ -83,7 +83,7 @@
 	}
 	f.controller = controller.New(configuration.Deployment, endpoints, f, zap.NewNop())
 	for proxy := range sidecars {
-		f.iterateBefore(proxy, f.now)
+		f.iteratePeriodically(proxy, f.now)
 		f.controller.ProxyJoined(proxy, zones[proxy%2], 100)
 	}
 	return f
@@ -113,13 +113,13 @@
 		}
 		for proxy := range loadedProxies {
 			for r, route := range f.routes {
-				f.iterateBefore(r, f.now)
+				f.iteratePeriodically(r, f.now)
 				f.controller.AddDemandReport(proxy, route, 10, reportInterval)
 			}
 		}
-		for passed := 0.0; passed < reportInterval; passed += iterationInterval {
-			f.controller.IterateAt(f.now + passed)
-			f.acknowledge(f.now + passed)
+		for elapsed := 0.0; elapsed < reportInterval; elapsed += iterationInterval {
+			f.controller.IterateAt(f.now + elapsed)
+			f.acknowledge(f.now + elapsed)
 		}
 	}
 }
@@ -132,14 +132,15 @@
 	f.acknowledgedNonce = f.requestedNonce
 	f.controller.CommandsAccepted(f.acknowledgedNonce)
 	for proxy := range f.sidecars {
-		f.iterateBefore(proxy, at)
+		f.iteratePeriodically(proxy, at)
 		f.controller.Acknowledged(proxy, f.acknowledgedNonce)
 	}
 }
 
-// iterateBefore runs an iteration before every eventsPerIteration-th event, so that the event queue does not fill up.
-func (f *sidecarFleet) iterateBefore(event int, at float64) {
-	if event%eventsPerIteration == 0 {
+// iteratePeriodically runs an iteration before every eventsPerIteration-th event, so that the event queue does not fill
+// up.
+func (f *sidecarFleet) iteratePeriodically(eventIndex int, at float64) {
+	if eventIndex%eventsPerIteration == 0 {
 		f.controller.IterateAt(at)
 	}
 }
@@ -152,11 +153,11 @@
 		f.t.Fatal(err)
 	}
 	cache := &sidecar.ResourceCache{ID: "s", Zone: "north", Delta: true}
-	for kind := range xds.NumResourceTypes {
-		response := &discoveryv3.DeltaDiscoveryResponse{TypeUrl: kind.TypeURL(), Nonce: "n"}
-		for _, one := range snapshot.Sets[kind] {
+	for resourceType := range xds.NumResourceTypes {
+		response := &discoveryv3.DeltaDiscoveryResponse{TypeUrl: resourceType.TypeURL(), Nonce: "n"}
+		for _, resource := range snapshot.Sets[resourceType] {
 			response.Resources = append(response.Resources,
-				&discoveryv3.Resource{Name: one.Name, Version: one.Version, Resource: one.Body})
+				&discoveryv3.Resource{Name: resource.Name, Version: resource.Version, Resource: resource.Body})
 		}
 		requests, err := cache.HandleDelta(response)
 		if err != nil {
--- a/settings/refusals_test.go
+++ b/settings/refusals_test.go
@@ -7,7 +7,7 @@
 )
 
 // Operators read the text of these errors, so each text is checked in full. Code gets the key from the error's type.
-func TestRefusalsHaveTextAndKey(t *testing.T) {
+func TestValueErrorsHaveTextAndKey(t *testing.T) {
 	route := func(name string) map[string]any { return map[string]any{"name": name, "promise-ns": 1e9} }
 	var seventeen []any
 	for _, name := range strings.Split("abcdefghijklmnopq", "") {
@@ -62,7 +62,7 @@
 	}
 }
 
-func TestTextThatIsNoSettingsIsRefused(t *testing.T) {
+func TestMalformedSettingsAreRejected(t *testing.T) {
 	for _, text := range []string{"", "{", "[]", "7", `{"zones":`} {
 		_, err := Decode([]byte(text))
 		if err == nil || !strings.HasPrefix(err.Error(), "settings: ") || strings.Contains(err.Error(), "\n") {
--- a/settings/serving_test.go
+++ b/settings/serving_test.go
@@ -9,14 +9,14 @@
 
 // recordingHost records the commands of a planner, and the last weight or admission level that cannot be sent.
 type recordingHost struct {
-	stepAt    float64 // s
-	lastNonce int
-	bound     int
-	weights   map[int]map[uint32]float64 // by table and node
-	fault     string
+	stepAt       float64 // s
+	lastNonce    int
+	boundProxies int
+	weights      map[int]map[uint32]float64 // by table and node
+	fault        string
 }
 
-func (h *recordingHost) BindProxy(int, int) { h.bound++ }
+func (h *recordingHost) BindProxy(int, int) { h.boundProxies++ }
 
 func (h *recordingHost) SetWeight(table int, node uint32, weight float64) {
 	if h.weights[table] == nil {
@@ -40,10 +40,10 @@
 func (h *recordingHost) EndpointHealthChanged(uint32, planner.Health) {}
 func (h *recordingHost) ThrottlingChanged(bool)                       {}
 
-// faultOf runs a planner with the given settings for a minute and returns a description of a fault, or "" if there is
-// none. There are two proxies and two nodes, one of which drains half-way, and the load reports show a fleet that is
+// runPlanner runs a planner with the given settings for a minute and returns a description of a fault, or "" if there
+// is none. There are two proxies and two nodes, one of which drains half-way, and the load reports show a fleet that is
 // saturated for a while.
-func faultOf(deployment Deployment) string {
+func runPlanner(deployment Deployment) string {
 	const (
 		start          = 100.0 // s
 		end            = start + 60
@@ -91,8 +91,8 @@
 			return fmt.Sprintf("table %d still has a weight for draining node 2", table)
 		}
 	}
-	if host.bound < 2 || len(host.weights) == 0 {
-		return fmt.Sprintf("got %d bound proxies and %d tables, want at least 2 and at least 1", host.bound, len(host.weights))
+	if host.boundProxies < 2 || len(host.weights) == 0 {
+		return fmt.Sprintf("got %d bound proxies and %d tables, want at least 2 and at least 1", host.boundProxies, len(host.weights))
 	}
 	return host.fault
 }
--- a/settings/settings_test.go
+++ b/settings/settings_test.go
@@ -56,51 +56,51 @@
 }
 
 // keyPaths returns the paths of all keys in a document. Of each list it visits only the first element.
-func keyPaths(in any, before []string) (all [][]string) {
+func keyPaths(in any, prefix []string) (paths [][]string) {
 	switch in := in.(type) {
 	case []any:
-		if _, deeper := in[0].(map[string]any); deeper {
-			return keyPaths(in[0], before)
+		if _, isObject := in[0].(map[string]any); isObject {
+			return keyPaths(in[0], prefix)
 		}
 	case map[string]any:
 		for _, key := range slices.Sorted(maps.Keys(in)) {
-			path := append(slices.Clone(before), key)
-			all = append(all, path)
-			all = append(all, keyPaths(in[key], path)...)
+			path := append(slices.Clone(prefix), key)
+			paths = append(paths, path)
+			paths = append(paths, keyPaths(in[key], path)...)
 		}
 	}
-	return all
+	return paths
 }
 
 // Each key is tested absent, zero, at its limits and with values of other types. A planner must run without a fault
 // with settings that are accepted; all others must be rejected with a one-line error that names the key.
-func TestEachKeyIsAcceptedAndServesOrIsRefusedByName(t *testing.T) {
+func TestEachKeyIsAcceptedOrRejectedByName(t *testing.T) {
 	values := []any{nil, 0, -1, 1, 2, 3.5, 1e18, 1e300, "", "7", true, []any{}, map[string]any{}, []any{"a", "a"}, []any{7}}
-	refused := 0
+	rejected := 0
 	for _, path := range keyPaths(decodeTypical(t), nil) {
 		t.Run(strings.Join(path, "."), func(t *testing.T) {
 			for _, value := range values {
 				deployment, err := Decode(settingsWith(t, path, value))
 				if err == nil {
-					if fault := faultOf(deployment); fault != "" {
+					if fault := runPlanner(deployment); fault != "" {
 						t.Errorf("value %v is accepted, but the planner fails: %s", value, fault)
 					}
 					continue
 				}
-				refused++
+				rejected++
 				if !strings.Contains(err.Error(), path[len(path)-1]) || strings.Contains(err.Error(), "\n") {
 					t.Errorf("value %v: got error %v, want one line that names the key", value, err)
 				}
 			}
 		})
 	}
-	if refused == 0 {
+	if rejected == 0 {
 		t.Error("got no rejected value, want at least 1")
 	}
 }
 
 // Settings that other deployments may have must be accepted, and a planner must run with them without a fault.
-func TestOtherDeploymentsServeOrAreRefused(t *testing.T) {
+func TestOtherDeploymentsAreAcceptedOrRejected(t *testing.T) {
 	routes := func(n int) (list []any) {
 		for k := range n {
 			list = append(list, map[string]any{
@@ -113,21 +113,21 @@
 	}
 	route := func(name string) map[string]any { return map[string]any{"name": name, "promise-ns": 1e9} }
 	cases := []struct {
-		name    string
-		path    string
-		value   any
-		refusal string // part of the error text; "" if the settings are accepted
+		name      string
+		path      string
+		value     any
+		wantError string // part of the error text; "" if the settings are accepted
 	}{
 		{"one route", "categories", routes(1), ""},
 		{"sixteen routes", "categories", routes(16), ""},
 		{"seventeen routes", "categories", routes(17), "categories: must have at most 16 elements, got 17"},
-		{"a route twice", "categories", []any{route("a"), map[string]any{"name": "a"}}, "categories[1]"},
-		{"a route without a name", "categories", []any{map[string]any{"promise-ns": 1e9}}, "categories[0]"},
-		{"machine types alike", "machine-types", []any{"a", "a", ""}, ""},
-		{"a comma in a route's name", "categories", []any{route("a,b")}, "categories[0]"},
-		{"a route named by a star", "categories", []any{route("*")}, "categories[0]"},
+		{"duplicate route", "categories", []any{route("a"), map[string]any{"name": "a"}}, "categories[1]"},
+		{"route without a name", "categories", []any{map[string]any{"promise-ns": 1e9}}, "categories[0]"},
+		{"identical machine types", "machine-types", []any{"a", "a", ""}, ""},
+		{"comma in a route name", "categories", []any{route("a,b")}, "categories[0]"},
+		{"route named *", "categories", []any{route("*")}, "categories[0]"},
 		{"many zones", "zones", []any{"Ñuñoa", "z 1", "7", "A", "b", "c", "d"}, ""},
-		{"a zone named by a star", "zones", []any{"*"}, ""},
+		{"zone named *", "zones", []any{"*"}, ""},
 		{"numbers with fractions", "extra", map[string]any{"backlog": 900.5, "reloads-max": 30.0, "counted-over-ns": 1.0e10, "proxy-count": 8.0}, ""},
 		{"no limits", "extra", map[string]any{}, ""},
 		{"smallest channel", "extra", map[string]any{"backlog": 18, "head": 4, "push-rate": 1200}, ""},
@@ -137,16 +137,16 @@
 	for _, test := range cases {
 		t.Run(test.name, func(t *testing.T) {
 			deployment, err := Decode(settingsWith(t, []string{test.path}, test.value))
-			if test.refusal != "" {
-				if err == nil || !strings.Contains(err.Error(), test.refusal) {
-					t.Errorf("got error %v, want %s", err, test.refusal)
+			if test.wantError != "" {
+				if err == nil || !strings.Contains(err.Error(), test.wantError) {
+					t.Errorf("got error %v, want %s", err, test.wantError)
 				}
 				return
 			}
 			if err != nil {
 				t.Fatal(err)
 			}
-			if fault := faultOf(deployment); fault != "" {
+			if fault := runPlanner(deployment); fault != "" {
 				t.Error(fault)
 			}
 		})
--- a/settings/validate.go
+++ b/settings/validate.go
@@ -125,10 +125,10 @@
 	extra := &raw.Extra
 	bindEntries := extra.MessageOverhead + minBindEntries + float64(len(raw.Routes))
 	for _, rule := range []struct {
-		broken bool
-		key    string
-		value  float64
-		reason string
+		violated bool
+		key      string
+		value    float64
+		reason   string
 	}{
 		{
 			extra.Proxies != math.Trunc(extra.Proxies),
@@ -152,7 +152,7 @@
 			"must be greater than 0 if extra.reloads-max is set",
 		},
 	} {
-		if rule.broken {
+		if rule.violated {
 			return &ValueError{Key: rule.key, Value: rule.value, Reason: rule.reason}
 		}
 	}
