--- a/example/toy/config.go
+++ b/example/toy/config.go
@@ -8,11 +8,11 @@
 )
 
 var (
-	errNoZone  = errors.New("the settings name no zone")
-	errNoRoute = errors.New("the settings name no route")
+	errNoZone  = errors.New("settings.zones must contain at least 1 zone, got 0")
+	errNoRoute = errors.New("settings.categories must contain at least 1 route, got 0")
 )
 
-// config is what the toy needs of the controller's configuration.
+// config holds the part of the controller's configuration that the toy needs.
 type config struct {
 	Listen    string `json:"listen"`
 	Discovery string `json:"discovery"`
@@ -27,7 +27,7 @@
 	} `json:"settings"`
 }
 
-// readConfig reads the controller's configuration.
+// readConfig reads the controller's configuration from a file.
 func readConfig(path string) (*config, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
--- a/example/toy/controller.go
+++ b/example/toy/controller.go
@@ -11,13 +11,13 @@
 	"time"
 )
 
-const stopTimeout = 5 * time.Second // for the controller to end after SIGTERM; then it is killed
+const stopTimeout = 5 * time.Second // for the controller to exit after SIGTERM, before it is killed
 
-// errStopped says that the controller ended without an error of its own.
-var errStopped = errors.New("it was stopped")
+// errStopped is returned when the controller exits without an error.
+var errStopped = errors.New("exit status 0")
 
-// startController builds the controller and starts it. The channel gets one error once it has ended; it is asked to end
-// when the context does.
+// startController builds the controller and starts it. When the controller exits, the returned channel receives one
+// error and is closed. When ctx ends, the controller receives SIGTERM.
 func startController(ctx context.Context, config string) (<-chan error, error) {
 	folder, err := os.MkdirTemp("", "harehook-toy-")
 	if err != nil {
@@ -48,7 +48,7 @@
 	return ended, nil
 }
 
-// buildController builds the program into a folder, and returns its path.
+// buildController builds the controller in a directory and returns the path of the program.
 func buildController(ctx context.Context, folder string) (program string, err error) {
 	program = filepath.Join(folder, "harehook")
 	build := exec.CommandContext(ctx, "go", "build", "-o", program, "harehook.dev/harehook/cmd/harehook")
--- a/example/toy/main.go
+++ b/example/toy/main.go
@@ -1,6 +1,7 @@
-// Command toy runs a small platform on loopback: a controller, which it builds and starts, and fakes of the rest, that
-// is discovery with six endpoints, a relay with six proxies, and a collector of load reports in each zone. One endpoint
-// is slow, and now and then another one drains and comes back. The toy prints each call that the controller sends.
+// Command toy runs a small platform on loopback. It builds and starts a controller, and runs fakes of the other
+// parties: discovery with six endpoints, a relay with six proxies, and a collector of load reports in each zone. One
+// endpoint is slow. At intervals, one of the other endpoints drains and later returns to service. The toy logs each
+// call that the controller sends.
 package main
 
 import (
@@ -15,19 +16,20 @@
 )
 
 const (
-	reportInterval = 500 * time.Millisecond // as in the settings of the example
+	reportInterval = 500 * time.Millisecond // as in the settings of example/config.json
 	changeInterval = 8 * time.Second        // between two changes of the endpoint list
 )
 
 func main() {
-	config := flag.String("config", "example/config.json", "the controller's configuration")
+	config := flag.String("config", "example/config.json", "path of the controller's configuration `file`")
 	flag.Parse()
 	if err := runUntilSignal(*config); err != nil {
 		log.Fatal("toy: ", err)
 	}
 }
 
-// runUntilSignal plays the platform until a signal comes, or until the controller ends, which is an error.
+// runUntilSignal runs the platform until SIGINT or SIGTERM is received. It returns an error if the controller exits
+// first.
 func runUntilSignal(config string) error {
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
 	defer stop()
@@ -38,7 +40,7 @@
 	return err
 }
 
-// run plays the platform until the controller ends, as it does after ctx has ended.
+// run runs the platform until the controller exits. The controller is stopped when ctx ends.
 func run(ctx context.Context, path string) error {
 	config, err := readConfig(path)
 	if err != nil {
@@ -60,7 +62,7 @@
 	for {
 		select {
 		case err := <-ended:
-			return fmt.Errorf("the controller ended: %w", err)
+			return fmt.Errorf("controller exited: %w", err)
 		case <-changes.C:
 			platform.changeEndpoint()
 		case <-reports.C:
--- a/example/toy/platform.go
+++ b/example/toy/platform.go
@@ -11,24 +11,25 @@
 
 const (
 	endpointCount     = 6
-	firstPort         = 9000  // of the endpoints' addresses, at which nothing listens
-	requestsPerSecond = 24    // of each proxy
-	requestsPerReport = 12    // at each endpoint and proxy
-	meanLatencyMS     = 120.0 // at each endpoint but the slow one
-	slowFactor        = 3.0   // of the slow endpoint
+	firstPort         = 9000  // of the endpoint addresses, on which nothing listens
+	requestsPerSecond = 24    // baseline rate of each proxy
+	requestsPerReport = 12    // in the report of each endpoint and proxy
+	meanLatencyMS     = 120.0 // of each endpoint except the slow one
+	slowFactor        = 3.0   // latency of the slow endpoint, as a multiple of meanLatencyMS
 )
 
-// platform is what the controller talks to.
+// platform holds the fakes that the controller communicates with.
 type platform struct {
 	config          *config
 	nodes           []fakeplatform.Node
 	discovery       *fakeplatform.Discovery
 	relay           *fakeplatform.Relay
-	collectors      map[string]*fakeplatform.Collector // connected ones, by zone
-	endpointChanges int                                // so far
+	collectors      map[string]*fakeplatform.Collector // connected collectors, by zone
+	endpointChanges int                                // number of endpoint changes so far
 }
 
-// startPlatform starts discovery and the relay, and has proxies join. Collectors connect once the controller listens.
+// startPlatform starts discovery and the relay, and joins the proxies. The collectors connect when the controller
+// listens.
 func startPlatform(c *config) (*platform, error) {
 	p := &platform{config: c, collectors: map[string]*fakeplatform.Collector{}}
 	zones := c.Settings.Zones
@@ -54,11 +55,11 @@
 	for id := range endpointCount {
 		p.relay.Join(fakeplatform.Proxy{ID: id, Zone: zones[id%len(zones)], Rate: requestsPerSecond, IsNew: true})
 	}
-	log.Printf("discovery at %s, relay at %s; endpoint %s is slow", c.Discovery, c.Store.Address, p.nodes[0].Name)
+	log.Printf("platform started: discovery %s, relay %s, slow endpoint %s", c.Discovery, c.Store.Address, p.nodes[0].Name)
 	return p, nil
 }
 
-// close ends all parts.
+// close stops all fakes.
 func (p *platform) close() {
 	for _, collector := range p.collectors {
 		collector.Close()
@@ -67,7 +68,7 @@
 	p.discovery.Close()
 }
 
-// changeEndpoint has an endpoint other than the slow one drain, or come back.
+// changeEndpoint drains an endpoint other than the slow one, or returns the drained endpoint to service.
 func (p *platform) changeEndpoint() {
 	n := p.nodes[1+p.endpointChanges/2%(len(p.nodes)-1)]
 	if p.endpointChanges%2 == 0 {
@@ -76,26 +77,26 @@
 		n.SinceMS = float64(time.Now().UnixMilli())
 	}
 	p.endpointChanges++
-	log.Printf("endpoint %s is now %s", n.Name, n.Status)
+	log.Printf("endpoint status changed: %s is %s", n.Name, n.Status)
 	p.discovery.Set(n)
 }
 
-// report sends the reports of an interval: a collector in each zone reports the endpoints and proxies there.
+// report sends the reports of one interval. The collector of each zone reports the endpoints and proxies in its zone.
 func (p *platform) report() {
 	for k, n := range p.nodes {
 		collector := p.connect(n.Zone)
 		if collector == nil {
-			return // the controller does not listen yet
+			return // the controller is not listening yet
 		}
 		if err := p.reportNode(collector, k); err != nil {
-			log.Printf("collector in %s: %v", n.Zone, err)
+			log.Printf("report failed: collector in zone %s: %v", n.Zone, err)
 			collector.Close()
 			delete(p.collectors, n.Zone)
 		}
 	}
 }
 
-// connect returns the collector of a zone, or nil if no connection comes up.
+// connect returns the collector of a zone, which it connects if necessary. It returns nil if the connection fails.
 func (p *platform) connect(zone string) *fakeplatform.Collector {
 	if collector := p.collectors[zone]; collector != nil {
 		return collector
@@ -104,12 +105,12 @@
 	if err != nil {
 		return nil
 	}
-	log.Printf("collector in %s connected", zone)
+	log.Printf("collector connected: zone %s", zone)
 	p.collectors[zone] = collector
 	return collector
 }
 
-// reportNode reports the load of an endpoint and the demand at the proxy of the same number.
+// reportNode sends the load report of endpoint k and the demand report of proxy k.
 func (p *platform) reportNode(collector *fakeplatform.Collector, k int) error {
 	intervalMS := float64(reportInterval.Milliseconds())
 	mean := meanLatencyMS * (0.9 + 0.2*rand.Float64())
--- a/internal/fakeplatform/authority.go
+++ b/internal/fakeplatform/authority.go
@@ -12,13 +12,14 @@
 	"time"
 )
 
-// TB is what of a testing.TB this package uses: the quick start links it, and package testing adds flags.
+// TB is the part of testing.TB that this package uses. The quick start links this package, and an import of package
+// testing would add its flags to the program.
 type TB interface {
 	Helper()
 	Fatal(args ...any)
 }
 
-// Authority issues certificates for tests.
+// Authority is a certificate authority for tests.
 type Authority struct {
 	t       TB
 	root    *x509.Certificate
@@ -26,7 +27,7 @@
 	serials int64
 }
 
-// NewAuthority makes an authority with a root of its own.
+// NewAuthority returns an authority with a new self-signed root certificate.
 func NewAuthority(t TB) *Authority {
 	t.Helper()
 	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
@@ -46,12 +47,12 @@
 	return &Authority{t: t, root: root, key: key, serials: 1}
 }
 
-// Roots is the root in PEM.
+// Roots returns the root certificate in PEM.
 func (a *Authority) Roots() []byte {
 	return pem.EncodeToMemory(&pem.Block{Type: "CERTIFICATE", Bytes: a.root.Raw})
 }
 
-// Issue makes a certificate and its key in PEM, good for both sides on loopback.
+// Issue returns a certificate and its private key in PEM. The certificate is valid for clients and servers on loopback.
 func (a *Authority) Issue(name string, from, until time.Time) (certificate, private []byte) {
 	a.t.Helper()
 	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
--- a/internal/fakeplatform/call.go
+++ b/internal/fakeplatform/call.go
@@ -8,9 +8,10 @@
 	"time"
 )
 
-const lateResponseDelay = 150 * time.Millisecond // other responses come within 50 ms
+const lateResponseDelay = 150 * time.Millisecond // other responses arrive within 50 ms
 
-// handleCall answers a call that came by a connection; last says that the connection ends then.
+// handleCall processes a call that was received on conn. If last is true, the caller must close the connection after it
+// has written the response.
 func (r *Relay) handleCall(conn net.Conn, line string) (response string, last bool) {
 	r.Lock()
 	defer r.Unlock()
@@ -37,7 +38,7 @@
 	return r.respond(conn, fault, fmt.Sprintf("OK %d\r\n", executed))
 }
 
-// nextFault is the fault of the call that came; the mutex is held.
+// nextFault returns the fault to apply to the current call. The caller holds the mutex.
 func (r *Relay) nextFault() Fault {
 	if len(r.faults) == 0 {
 		return NoFault
@@ -47,7 +48,8 @@
 	return fault
 }
 
-// respond spoils the response to a call that was carried out by a fault. The mutex is held, but not during its waits.
+// respond applies a fault to the response of an executed call. The caller holds the mutex, which respond releases while
+// it waits.
 func (r *Relay) respond(conn net.Conn, fault Fault, response string) (spoilt string, last bool) {
 	switch fault {
 	case ExecutedWithoutResponse:
@@ -71,7 +73,8 @@
 	return response, false
 }
 
-// execute carries out commands until one cannot be, and returns how many were; the mutex is held.
+// execute executes commands up to the first that fails, and returns the number of executed commands. The caller holds
+// the mutex.
 func (r *Relay) execute(commands []string) int {
 	e := execution{Relay: r, reached: map[int]bool{}}
 	for i, command := range commands {
@@ -82,13 +85,13 @@
 	return len(commands)
 }
 
-// execution is a call that is carried out.
+// execution is the execution of one call.
 type execution struct {
 	*Relay
-	reached map[int]bool // proxies that a command so far concerned
+	reached map[int]bool // proxies affected by the commands executed so far
 }
 
-// run carries out a command, given by its fields; false if it cannot be.
+// run executes a command, given as its fields, and reports whether it succeeded.
 func (e *execution) run(fields []string) bool {
 	switch fields[0] {
 	case "put":
@@ -131,7 +134,7 @@
 	return true
 }
 
-// setAdmission sets the value of a route in a table, "*" for all.
+// setAdmission sets the admission of a route in a table, or in all tables if table is "*".
 func (e *execution) setAdmission(table, route, value string) bool {
 	e.Admissions[table+" "+route] = value
 	for id := range e.joined {
@@ -143,7 +146,7 @@
 	return true
 }
 
-// requestAck has the proxies that were reached, or all, acknowledge a nonce at once.
+// requestAck immediately acknowledges a nonce for the affected proxies, or for all joined proxies if all is true.
 func (e *execution) requestAck(nonce int, all bool) bool {
 	if nonce < 0 {
 		return false
@@ -156,7 +159,7 @@
 	return true
 }
 
-// integer reads a whole number, -1 if it is none.
+// integer parses an integer. It returns -1 if text is not an integer.
 func integer(text string) int {
 	n, err := strconv.Atoi(text)
 	if err != nil {
@@ -165,7 +168,8 @@
 	return n
 }
 
-// decimal reads a plain decimal, -1 if it is none: the relay reads no exponents.
+// decimal parses a decimal number. It returns -1 if text is not a number or has an exponent, which the relay does not
+// accept.
 func decimal(text string) float64 {
 	v, err := strconv.ParseFloat(text, 64)
 	if err != nil || strings.ContainsAny(text, "eE") {
--- a/internal/fakeplatform/channel.go
+++ b/internal/fakeplatform/channel.go
@@ -2,11 +2,11 @@
 
 import "slices"
 
-// Channel is the way of a controller's commands to its proxies, by the platform's page of the protocol: a call becomes
-// one message for each proxy concerned, messages leave one after the other at a rate, and the entries that wait are
-// counted. It is fed calls and times in seconds; it has no socket.
+// Channel simulates the delivery of a controller's commands to its proxies according to the platform's page of the
+// protocol. A call results in one message for each affected proxy. Messages are sent one after the other at a limited
+// rate, and the channel counts the waiting entries. Its inputs are calls and times in seconds; it uses no socket.
 type Channel struct {
-	MessageOverhead  float64 // entries that a message costs beside its own
+	MessageOverhead  float64 // cost of a message in entries, in addition to the entries it carries
 	EntriesPerSecond float64
 
 	joined     map[int]bool
@@ -14,24 +14,24 @@
 	tables     map[int]map[string]bool // nodes by table
 	admissions map[string]map[string]bool
 
-	messages       []message         // that wait, oldest first
-	waitingEntries float64           // of messages
-	credit         float64           // entries that may leave now
-	received       map[int][]float64 // by proxy, when messages were written to it
+	messages       []message         // waiting, oldest first
+	waitingEntries float64           // in messages
+	credit         float64           // entries that may be sent now
+	received       map[int][]float64 // times at which messages were queued, by proxy
 	now            float64
 }
 
-// message is what a proxy gets of one call.
+// message carries the entries of one call for one proxy.
 type message struct {
 	proxy   int
-	nonce   int // to acknowledge; 0: none
+	nonce   int // to acknowledge; 0 means none
 	entries float64
 }
 
-// Acknowledgement says that a proxy has applied a message with a nonce.
+// Acknowledgement reports that a proxy has applied the message with a nonce.
 type Acknowledgement struct{ Proxy, Nonce int }
 
-// NewChannel makes a channel without proxies.
+// NewChannel returns a channel without proxies.
 func NewChannel(messageOverhead, entriesPerSecond float64) *Channel {
 	return &Channel{
 		MessageOverhead:  messageOverhead,
@@ -44,13 +44,13 @@
 	}
 }
 
-// WaitingEntries is how many entries wait.
+// WaitingEntries returns the number of waiting entries.
 func (c *Channel) WaitingEntries() float64 { return c.waitingEntries }
 
 // Joined reports whether a proxy is connected.
 func (c *Channel) Joined(proxy int) bool { return c.joined[proxy] }
 
-// Bound returns the table that a proxy was bound to since it joined.
+// Bound returns the table that a proxy is bound to. ok is false if the proxy has not been bound since it joined.
 func (c *Channel) Bound(proxy int) (table int, ok bool) {
 	table, ok = c.bound[proxy]
 	return table, ok
@@ -59,7 +59,7 @@
 // HasEntry reports whether a table has an entry for a node.
 func (c *Channel) HasEntry(table int, node string) bool { return c.tables[table][node] }
 
-// Messages is how many messages were written to a proxy since a time.
+// Messages returns the number of messages queued for a proxy at or after the time since.
 func (c *Channel) Messages(proxy int, since float64) (n int) {
 	for _, at := range c.received[proxy] {
 		if at >= since {
@@ -69,13 +69,13 @@
 	return n
 }
 
-// Join has a proxy connect: its earlier stream and what waits for it are gone.
+// Join connects a proxy. Its earlier stream and the messages that wait for it are discarded.
 func (c *Channel) Join(proxy int) {
 	c.Leave(proxy)
 	c.joined[proxy] = true
 }
 
-// Leave breaks a proxy's stream.
+// Leave disconnects a proxy and discards the messages that wait for it.
 func (c *Channel) Leave(proxy int) {
 	delete(c.joined, proxy)
 	delete(c.bound, proxy)
@@ -89,7 +89,8 @@
 	})
 }
 
-// Advance lets time go by, in which messages leave at a part of the usual rate. It returns what proxies acknowledge.
+// Advance moves the clock forward to now and sends messages at the fraction ratePart of EntriesPerSecond. It returns
+// the acknowledgements of the proxies.
 func (c *Channel) Advance(now, ratePart float64) (acknowledged []Acknowledgement) {
 	c.credit += (now - c.now) * c.EntriesPerSecond * ratePart
 	c.now = now
--- a/internal/fakeplatform/channelcall.go
+++ b/internal/fakeplatform/channelcall.go
@@ -6,21 +6,21 @@
 	"strings"
 )
 
-// channelCall is a call that a channel carries out.
+// channelCall is the execution of one call on a channel.
 type channelCall struct {
 	*Channel
-	proxies []int           // that get a message, in the order in which they were reached
-	entries map[int]float64 // of the message, by proxy
-	nonce   int             // to acknowledge; 0: none
+	proxies []int           // affected, in the order in which the commands affect them
+	entries map[int]float64 // in the message, by proxy
+	nonce   int             // to acknowledge; 0 means none
 }
 
-// Call carries out a call's commands until one cannot be, and returns how many were.
+// Call executes the commands of a call up to the first that fails, and returns the number of executed commands.
 func (c *Channel) Call(text string) (executed int) {
 	call := channelCall{Channel: c, entries: map[int]float64{}}
 	commands := strings.TrimSuffix(strings.TrimPrefix(text, "txn "), "\r\n")
 	for command := range strings.SplitSeq(commands, ";") {
 		if !call.execute(strings.Split(command, ",")) {
-			call.nonce = 0 // the request to acknowledge stands last
+			call.nonce = 0 // the acknowledgement request is the last command
 			break
 		}
 		executed++
@@ -74,7 +74,7 @@
 	}
 }
 
-// reach adds entries to a proxy's message.
+// reach adds entries to the message for a proxy.
 func (c *channelCall) reach(proxy int, entries float64) {
 	if _, reached := c.entries[proxy]; !reached {
 		c.proxies = append(c.proxies, proxy)
@@ -83,7 +83,7 @@
 	c.entries[proxy] += entries
 }
 
-// boundTo lists the joined proxies on a table, or all for "*".
+// boundTo returns the joined proxies that are bound to a table, or all joined proxies if table is "*".
 func (c *Channel) boundTo(table string) (proxies []int) {
 	for proxy := range c.joined {
 		bound, ok := c.bound[proxy]
@@ -95,7 +95,7 @@
 	return proxies
 }
 
-// write queues the messages of the call.
+// write enqueues the messages of the call.
 func (c *channelCall) write() {
 	for _, proxy := range c.proxies {
 		m := message{proxy: proxy, nonce: c.nonce, entries: c.entries[proxy]}
--- a/internal/fakeplatform/collector.go
+++ b/internal/fakeplatform/collector.go
@@ -9,12 +9,12 @@
 	"time"
 )
 
-const pingTimeout = 5 * time.Second // for the connection, and for the answer to a ping
+const pingTimeout = 5 * time.Second // for connecting, and for the response to a ping
 
-// Collector sends the reports of a zone to a controller.
+// Collector is a connection on which the reports of a zone are sent to a controller.
 type Collector struct{ net.Conn }
 
-// NewCollector connects to a controller and names a zone.
+// NewCollector connects to a controller as the collector of a zone.
 func NewCollector(address, zone string) (*Collector, error) {
 	conn, err := net.DialTimeout("tcp", address, pingTimeout)
 	if err != nil {
@@ -28,7 +28,7 @@
 	return c, nil
 }
 
-// Send sends one message, which is encoded as JSON.
+// Send encodes a message as JSON and sends it.
 func (c *Collector) Send(message any) error {
 	body, err := json.Marshal(message)
 	if err != nil {
@@ -39,7 +39,7 @@
 	return err
 }
 
-// Ping asks whether the controller is ready and reads its answer.
+// Ping sends a ping and waits for the controller's response.
 func (c *Collector) Ping() error {
 	if err := c.Send(map[string]string{"@type": "PING"}); err != nil {
 		return err
@@ -57,7 +57,7 @@
 		Kind string `json:"@type"`
 	}
 	if err := json.Unmarshal(body, &answer); err != nil || answer.Kind != "PONG" {
-		return fmt.Errorf("answer to a ping: %q", body)
+		return fmt.Errorf("ping response: got %q, want a message of type PONG", body)
 	}
 	return nil
 }
--- a/internal/fakeplatform/discovery.go
+++ b/internal/fakeplatform/discovery.go
@@ -10,7 +10,7 @@
 	"time"
 )
 
-// Node is an endpoint in discovery's form.
+// Node is an endpoint in discovery's JSON format.
 type Node struct {
 	Name    string  `json:"name"`
 	Address string  `json:"address"`
@@ -22,7 +22,7 @@
 	SinceMS float64 `json:"since_ms"`
 }
 
-// EndpointList is discovery's form of the full list, or of an update.
+// EndpointList is a full endpoint list or an update in discovery's JSON format.
 type EndpointList struct {
 	Version   uint64 `json:"index"`
 	Full      bool   `json:"snapshot"`
@@ -34,21 +34,21 @@
 	firstVersion     = 40
 )
 
-// Discovery answers polls for the list of nodes.
+// Discovery is a fake of the discovery service. It responds to polls for the endpoint list.
 type Discovery struct {
 	observable
 	*server
 
-	Polls int // so far, under the mutex
+	Polls int // received so far; guarded by the mutex
 
 	version   uint64
 	nodes     map[string]Node
-	changedAt map[string]uint64 // version of each node's last change
+	changedAt map[string]uint64 // version of the last change, by node
 	mode      ResponseMode
 	closed    bool
 }
 
-// NewDiscovery starts a discovery with some nodes; an address with the port 0 gets a free one.
+// NewDiscovery starts a discovery service that lists nodes. If the port in address is 0, a free port is used.
 func NewDiscovery(address string, nodes ...Node) (*Discovery, error) {
 	d := &Discovery{observable: newObservable(), version: firstVersion, nodes: map[string]Node{}, changedAt: map[string]uint64{}}
 	d.Set(nodes...)
@@ -57,7 +57,7 @@
 	return d, err
 }
 
-// Set adds or changes nodes; a terminated one leaves the full list.
+// Set adds or replaces nodes. The full list does not contain terminated nodes.
 func (d *Discovery) Set(nodes ...Node) {
 	d.Lock()
 	defer d.Unlock()
@@ -69,7 +69,7 @@
 	d.notifyChanged()
 }
 
-// SetMode changes how polls are answered.
+// SetMode sets the response mode for polls.
 func (d *Discovery) SetMode(mode ResponseMode) {
 	d.Lock()
 	defer d.Unlock()
@@ -77,7 +77,7 @@
 	d.notifyChanged()
 }
 
-// ResetVersions counts versions from 1 again, as a service does that has lost them.
+// ResetVersions restarts the versions at 1, like a service that has lost its versions.
 func (d *Discovery) ResetVersions() {
 	d.Lock()
 	defer d.Unlock()
@@ -88,16 +88,16 @@
 	d.notifyChanged()
 }
 
-// Close ends the discovery.
+// Close stops the service and closes its connections.
 func (d *Discovery) Close() {
 	d.Lock()
-	d.closed = true // polls that wait see it
+	d.closed = true // ends waiting polls
 	d.notifyChanged()
 	d.Unlock()
 	d.server.Close()
 }
 
-// Listed reports whether a node was ever listed.
+// Listed reports whether a node has ever been added.
 func (d *Discovery) Listed(name string) bool {
 	d.Lock()
 	defer d.Unlock()
@@ -105,14 +105,14 @@
 	return listed
 }
 
-// FullList is the full list as it is now.
+// FullList returns the current full list.
 func (d *Discovery) FullList() EndpointList {
 	d.Lock()
 	defer d.Unlock()
 	return d.list(0, true)
 }
 
-// list is the full list, or what has changed since a version; the mutex is held.
+// list returns the full list, or an update with the changes after the version since. The caller holds the mutex.
 func (d *Discovery) list(since uint64, full bool) EndpointList {
 	list := EndpointList{Version: d.version, Full: full, Endpoints: []Node{}}
 	for _, name := range slices.Sorted(maps.Keys(d.nodes)) {
@@ -138,11 +138,11 @@
 	}
 }
 
-// poll is a request for the list.
+// poll is a request for the endpoint list.
 type poll struct {
-	update bool   // for what has changed since a version, else for the full list
-	since  uint64 // that version
-	hold   time.Duration
+	update bool          // requests the changes after a version, not the full list
+	since  uint64        // the version; only for updates
+	hold   time.Duration // maximum wait for a newer version
 }
 
 func parsePoll(request *http.Request) poll {
@@ -152,7 +152,7 @@
 	return poll{update: err == nil, since: since, hold: time.Duration(holdMS) * time.Millisecond}
 }
 
-// poll waits as long as the request and the mode say, and returns the list and how it is to be written.
+// poll waits as the request and the response mode require, and returns the list and the mode in which to write it.
 func (d *Discovery) poll(p poll) (EndpointList, ResponseMode) {
 	d.Lock()
 	defer d.Unlock()
@@ -161,7 +161,7 @@
 	d.awaitChange(p)
 	since := p.since
 	if since > d.version {
-		since = 0 // the versions have been reset
+		since = 0 // versions were reset
 	}
 	list := d.list(since, !p.update && d.mode != UpdatesOnly)
 	if p.update && d.mode == DecreasingVersions {
@@ -170,8 +170,9 @@
 	return list, d.mode
 }
 
-// awaitChange waits until the list is newer than the poll's version, for its hold at most, and as long as there is to be
-// no response. The mutex is held, but not while it waits.
+// awaitChange waits until the list is newer than the version of the poll, but at most for the poll's hold time. In mode
+// NoResponse it waits until the mode changes or the service is closed. The caller holds the mutex, which awaitChange
+// releases while it waits.
 func (d *Discovery) awaitChange(p poll) {
 	holdEnd := time.NewTimer(p.hold)
 	defer holdEnd.Stop()
--- a/internal/fakeplatform/example_test.go
+++ b/internal/fakeplatform/example_test.go
@@ -8,9 +8,9 @@
 	"harehook.dev/harehook/internal/fakeplatform"
 )
 
-// A call becomes one message for each proxy concerned, which leaves when its entries have had their time.
+// A call results in one message for each affected proxy. A message is sent when the rate allows all its entries.
 func ExampleChannel() {
-	channel := fakeplatform.NewChannel(4, 10) // 4 entries a message, 10 a second
+	channel := fakeplatform.NewChannel(4, 10) // overhead of 4 entries per message, 10 entries per second
 	channel.Join(7)
 	fmt.Println(channel.Call("txn put,1,s-5,1.5;attach,7,1,*;fence,9,0\r\n"), "commands executed")
 	fmt.Println(channel.WaitingEntries(), "entries wait")
@@ -23,7 +23,7 @@
 	// [{7 9}]
 }
 
-// A relay keeps what commands set, and fails as it is told to.
+// A relay stores the weights and bindings that commands set, and injects faults on request.
 func ExampleRelay() {
 	relay, err := fakeplatform.NewRelay("127.0.0.1:0", func(string) bool { return true }, nil)
 	if err != nil {
--- a/internal/fakeplatform/forwarder.go
+++ b/internal/fakeplatform/forwarder.go
@@ -7,11 +7,11 @@
 	"sync"
 )
 
-// Forwarder passes connections on to an address until it is cut: then the open ones end and new ones are closed.
+// Forwarder forwards connections to an address. While it is cut, it has no open connections and closes new ones.
 type Forwarder struct {
 	*server
 	target string
-	ctx    context.Context // ends with the forwarder
+	ctx    context.Context // canceled by Close
 	cancel context.CancelFunc
 
 	connsMutex sync.Mutex
@@ -19,7 +19,7 @@
 	cut        bool
 }
 
-// NewForwarder starts a forwarder on loopback.
+// NewForwarder starts a forwarder to target that listens on loopback.
 func NewForwarder(target string) (*Forwarder, error) {
 	f := &Forwarder{target: target, conns: map[net.Conn]struct{}{}}
 	f.ctx, f.cancel = context.WithCancel(context.Background())
@@ -28,7 +28,7 @@
 	return f, err
 }
 
-// Cut has nothing pass from now on, or lets it again.
+// Cut closes all connections and rejects new ones if cut is true, and accepts connections again if it is false.
 func (f *Forwarder) Cut(cut bool) {
 	f.connsMutex.Lock()
 	defer f.connsMutex.Unlock()
@@ -41,7 +41,7 @@
 	}
 }
 
-// Close ends the forwarder.
+// Close stops the forwarder and closes its connections.
 func (f *Forwarder) Close() {
 	f.cancel()
 	f.Cut(true)
@@ -65,14 +65,14 @@
 	both.Wait()
 }
 
-// copyAndClose copies until one side ends, and then ends both.
+// copyAndClose copies data until one connection fails or ends, and then closes both.
 func copyAndClose(to, from net.Conn) {
-	io.Copy(to, from) //nolint:errcheck // either side may end, or be cut, at any time
+	io.Copy(to, from) //nolint:errcheck // either connection may end or be cut at any time
 	to.Close()
 	from.Close()
 }
 
-// addPair takes both sides of a connection in; false if the forwarder is cut.
+// addPair registers both sides of a connection. It returns false if the forwarder is cut.
 func (f *Forwarder) addPair(near, far net.Conn) bool {
 	f.connsMutex.Lock()
 	defer f.connsMutex.Unlock()
--- a/internal/fakeplatform/node.go
+++ b/internal/fakeplatform/node.go
@@ -11,12 +11,12 @@
 	"time"
 )
 
-// NodeServer is a node that answers HTTP/1.1 calls with its name and counts them by path.
+// NodeServer is a node that responds to HTTP/1.1 calls with its name and counts the calls by path.
 type NodeServer struct {
 	*server
 	Name string
-	// FailStatus, if not 0, says how calls fail: a status that is answered in place of 200, or a negative number, at
-	// which the connection ends without an answer though the call ran.
+	// FailStatus, if not 0, makes calls fail. A positive value is the status of the response, in place of 200. If the
+	// value is negative, the call is counted, but the connection is closed without a response.
 	FailStatus atomic.Int32
 
 	callsMutex  sync.Mutex // guards callsByPath and bodyBytes
@@ -24,7 +24,7 @@
 	bodyBytes   int64
 }
 
-// NewNodeServer starts a node; an address with the port 0 gets a free one.
+// NewNodeServer starts a node. If the port in address is 0, a free port is used.
 func NewNodeServer(name, address string) (*NodeServer, error) {
 	n := &NodeServer{Name: name, callsByPath: map[string]int{}}
 	var err error
@@ -35,14 +35,14 @@
 	return n, nil
 }
 
-// Calls is how many calls ran on a path.
+// Calls returns the number of calls to a path.
 func (n *NodeServer) Calls(path string) int {
 	n.callsMutex.Lock()
 	defer n.callsMutex.Unlock()
 	return n.callsByPath[path]
 }
 
-// BodyBytes is how many bytes of bodies came.
+// BodyBytes returns the total size of the received request bodies in bytes.
 func (n *NodeServer) BodyBytes() int64 {
 	n.callsMutex.Lock()
 	defer n.callsMutex.Unlock()
@@ -75,7 +75,7 @@
 	n.bodyBytes += bodyBytes
 }
 
-// answer answers a call; false if the connection is to end.
+// answer writes the response to a call. It returns false if the connection must be closed.
 func (n *NodeServer) answer(conn net.Conn) bool {
 	status := http.StatusOK
 	if fail := int(n.FailStatus.Load()); fail < 0 {
--- a/internal/fakeplatform/observable.go
+++ b/internal/fakeplatform/observable.go
@@ -5,21 +5,22 @@
 	"sync"
 )
 
-// observable lets others wait for what a fake has seen. Its mutex guards the state of the fake.
+// observable lets tests wait for changes of a fake's state. Its mutex guards this state.
 type observable struct {
 	sync.Mutex
-	changes chan struct{} // closed at the next change
+	changes chan struct{} // closed when the state changes
 }
 
 func newObservable() observable { return observable{changes: make(chan struct{})} }
 
-// notifyChanged wakes the goroutines in Await; the mutex is held.
+// notifyChanged wakes the goroutines that wait for a change. The caller holds the mutex.
 func (o *observable) notifyChanged() {
 	close(o.changes)
 	o.changes = make(chan struct{})
 }
 
-// Await waits until ok holds, which is called under the mutex whenever something has changed. The error is that of ctx.
+// Await waits until ok returns true. It calls ok with the mutex held, first immediately and then after each change. It
+// returns the error of ctx if ctx ends first.
 func (o *observable) Await(ctx context.Context, ok func() bool) error {
 	for {
 		o.Lock()
--- a/internal/fakeplatform/proxywatch.go
+++ b/internal/fakeplatform/proxywatch.go
@@ -8,9 +8,9 @@
 	"time"
 )
 
-const aliveInterval = time.Second // between two signs of life to watchers
+const aliveInterval = time.Second // between two heartbeats to watchers
 
-// BreakWatches breaks the connections of all watchers; between happens before anyone can watch again.
+// BreakWatches closes the connections of all watchers. It calls between before any new watch can start.
 func (r *Relay) BreakWatches(between func()) {
 	r.Lock()
 	for conn := range r.watchers {
@@ -23,8 +23,8 @@
 	r.Silence(false)
 }
 
-// Silence stops, or starts again, all events and signs of life; connections stay open. What happens meanwhile is not
-// reported later.
+// Silence stops all events and heartbeats if silent is true, and resumes them if it is false. Connections stay open.
+// Events that occur in between are not sent later.
 func (r *Relay) Silence(silent bool) {
 	r.Lock()
 	defer r.Unlock()
@@ -40,7 +40,7 @@
 	return fmt.Sprintf("* SUBSCRIBE %d %s %g %d\r\n", p.ID, p.Zone, p.Rate, isNew)
 }
 
-// notifyWatchers writes a line to all watchers; the mutex is held.
+// notifyWatchers writes a line to all watchers. The caller holds the mutex.
 func (r *Relay) notifyWatchers(line string) {
 	if r.silent {
 		return
@@ -50,19 +50,20 @@
 	}
 }
 
-// writeLine writes within aliveInterval, so that a watcher that never reads holds up no other for longer.
+// writeLine writes a line with the timeout aliveInterval, so that a watcher that never reads cannot block the others
+// for longer.
 func writeLine(conn net.Conn, line string) {
 	conn.SetWriteDeadline(time.Now().Add(aliveInterval))
 	fmt.Fprint(conn, line)
 }
 
-// serveWatch reports the proxies that are joined, and then signs of life beside the events that others write.
+// serveWatch starts a watch and sends heartbeats until the watcher disconnects. notifyWatchers writes the events.
 func (r *Relay) serveWatch(conn net.Conn) {
 	r.openWatch(conn)
 	gone := make(chan struct{})
 	go func() {
 		defer close(gone)
-		conn.Read(make([]byte, 1)) //nolint:errcheck // a watcher writes nothing more: its end is an error
+		conn.Read(make([]byte, 1)) //nolint:errcheck // a watcher sends nothing more; Read returns when it disconnects
 	}()
 	alive := time.NewTicker(aliveInterval)
 	defer alive.Stop()
@@ -83,7 +84,8 @@
 	}
 }
 
-// openWatch waits until the relay is not silent, and writes what stands at the beginning of a watch.
+// openWatch waits until the relay is not silent, writes the initial lines of a watch, which list the joined proxies,
+// and registers the watcher.
 func (r *Relay) openWatch(conn net.Conn) {
 	r.Lock()
 	defer r.Unlock()
--- a/internal/fakeplatform/relay.go
+++ b/internal/fakeplatform/relay.go
@@ -6,36 +6,36 @@
 	"net"
 )
 
-// Proxy is a proxy that may join.
+// Proxy describes a proxy that can join the relay.
 type Proxy struct {
 	ID    int
 	Zone  string  // not empty
-	Rate  float64 // baseline rate, requests a second
+	Rate  float64 // baseline rate in requests per second
 	IsNew bool
 }
 
-// Relay carries out the commands of calls for the proxies that are joined, and reports to the connections that watch them.
-// The exported state is read under its mutex, as in Await.
+// Relay is a fake of the relay. It executes the commands of calls for the joined proxies, and sends events to the
+// connections that watch the proxies. The exported fields must be read with the mutex held, as in Await.
 type Relay struct {
 	observable
 	*server
 
-	Tables     map[int]map[string]float64 // weights by table and node; no entry for 0
+	Tables     map[int]map[string]float64 // weights by table and node, without entries for weight 0
 	Bound      map[int]int                // table by proxy
 	Admissions map[string]string          // "LEVEL RETRIES" by "TABLE ROUTE"
-	Calls      []string                   // lines, as they came
-	Watches    int                        // times that someone asked to watch proxies
+	Calls      []string                   // received lines, in order
+	Watches    int                        // number of proxy watches requested
 
 	isListed func(node string) bool
 	onCall   func(call, response string)
 	joined   map[int]Proxy
 	watchers map[net.Conn]struct{}
-	faults   []Fault // of the next calls
-	silent   bool    // watchers are told nothing
+	faults   []Fault // of the next calls, in order
+	silent   bool    // no events or heartbeats are sent
 }
 
-// NewRelay starts a relay that accepts weights of nodes for which isListed holds. onCall, if not nil, is called with
-// each call and its response.
+// NewRelay starts a relay that accepts only weights of nodes for which isListed returns true. If onCall is not nil, it
+// is called with each call and its response.
 func NewRelay(address string, isListed func(node string) bool, onCall func(call, response string)) (*Relay, error) {
 	r := &Relay{
 		observable: newObservable(),
@@ -52,14 +52,14 @@
 	return r, err
 }
 
-// InjectFaults has the next calls go wrong, one each.
+// InjectFaults adds faults to the queue. Each of the next calls consumes one fault.
 func (r *Relay) InjectFaults(faults ...Fault) {
 	r.Lock()
 	defer r.Unlock()
 	r.faults = append(r.faults, faults...)
 }
 
-// Join has proxies join.
+// Join joins proxies and notifies the watchers.
 func (r *Relay) Join(proxies ...Proxy) {
 	r.Lock()
 	defer r.Unlock()
@@ -69,7 +69,7 @@
 	}
 }
 
-// Leave breaks the streams of proxies; their bindings end.
+// Leave disconnects proxies, removes their bindings and notifies the watchers.
 func (r *Relay) Leave(ids ...int) {
 	r.Lock()
 	defer r.Unlock()
@@ -80,13 +80,13 @@
 	}
 }
 
-// Close ends the relay.
+// Close stops the relay and closes its connections.
 func (r *Relay) Close() {
-	r.Silence(false) // a connection that waits to watch sees the end
+	r.Silence(false) // wakes connections that wait for their watch to start
 	r.server.Close()
 }
 
-// serve answers the calls of one connection, or has it watch proxies.
+// serve processes the calls of one connection, or serves a proxy watch on it.
 func (r *Relay) serve(conn net.Conn) {
 	lines := bufio.NewScanner(conn)
 	for lines.Scan() {
--- a/internal/fakeplatform/responsemode.go
+++ b/internal/fakeplatform/responsemode.go
@@ -8,27 +8,27 @@
 	"time"
 )
 
-// ResponseMode is how discovery answers polls.
+// ResponseMode describes how discovery responds to polls.
 type ResponseMode int
 
 // The modes of discovery.
 const (
 	PlainResponse      ResponseMode = iota
-	ChunkedResponse                 // in two chunks
-	ByteByByteResponse              // at once, byte by byte
-	SlowResponse                    // byte by byte, one now and then
-	ClosingResponse                 // and the connection ends each time
-	ErrorResponse                   // with an error status
-	TruncatedResponse               // the connection breaks within the response
-	NoResponse                      // the connection stays open
-	EndlessResponse                 // a byte now and then, and never the last
-	FloodResponse                   // as many bytes as are taken, and never the last
-	UpdatesOnly                     // with an update, also to a poll for the full list
-	DecreasingVersions              // each poll for an update with a version before the one that is held
-	ImmediateResponse               // each poll for an update at once, with nothing new
+	ChunkedResponse                 // two chunks
+	ByteByByteResponse              // byte by byte, without delay
+	SlowResponse                    // byte by byte, with a delay after each byte
+	ClosingResponse                 // the connection is closed after each response
+	ErrorResponse                   // an error status
+	TruncatedResponse               // the connection is closed in the middle of the response
+	NoResponse                      // no response; the connection stays open
+	EndlessResponse                 // byte by byte with a delay, without an end
+	FloodResponse                   // as many bytes as the client reads, without an end
+	UpdatesOnly                     // an update, also in response to a poll for the full list
+	DecreasingVersions              // the response to a poll for an update has the version before the current one
+	ImmediateResponse               // an immediate response to a poll for an update, without changes
 )
 
-// String is the name of the mode.
+// String returns the name of the mode.
 func (m ResponseMode) String() string {
 	names := [...]string{"plain", "chunked", "byte by byte", "slow", "closing", "error", "truncated", "none", "endless", "flood",
 		"updates only", "decreasing versions", "immediate"}
@@ -38,7 +38,7 @@
 	return names[m]
 }
 
-// writeResponse writes a response and reports whether another may follow on the connection.
+// writeResponse writes a response and reports whether the connection can be used for another one.
 func writeResponse(conn net.Conn, list EndpointList, mode ResponseMode) (more bool) {
 	text := formatResponse(list, mode)
 	switch mode {
@@ -62,11 +62,11 @@
 	return err == nil && mode != ClosingResponse
 }
 
-// formatResponse is the response in full.
+// formatResponse returns the complete response.
 func formatResponse(list EndpointList, mode ResponseMode) string {
 	body, err := json.Marshal(list)
 	if err != nil {
-		panic(err) // a list always can be encoded
+		panic(err) // an EndpointList can always be encoded
 	}
 	status := "200 OK"
 	header := fmt.Sprintf("Content-Length: %d\r\n", len(body))
@@ -78,7 +78,7 @@
 	case ClosingResponse:
 		header += "Connection: close\r\n"
 	case EndlessResponse, FloodResponse:
-		header = "" // the body lasts until the connection ends
+		header = "" // the body ends when the connection is closed
 	case ErrorResponse:
 		status = "503 Service Unavailable"
 	}
--- a/internal/fakeplatform/server.go
+++ b/internal/fakeplatform/server.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// server accepts connections, has each served by a goroutine of its own, and closes them all at its end.
+// server accepts connections and serves each in its own goroutine. Close closes all connections.
 type server struct {
 	serve   func(net.Conn)
 	serving sync.WaitGroup // goroutines that accept or serve
@@ -18,7 +18,7 @@
 	closed    bool
 }
 
-// listen starts a server. A port 0 gets a free one.
+// listen starts a server. If the port in address is 0, a free port is used.
 func listen(address string, serve func(net.Conn)) (*server, error) {
 	s := &server{serve: serve, open: map[net.Conn]struct{}{}}
 	return s, s.listen(address)
@@ -53,7 +53,7 @@
 	}
 }
 
-// add takes a connection in; false if the server has been closed.
+// add registers a connection. It returns false if the server is closed.
 func (s *server) add(conn net.Conn) bool {
 	s.openMutex.Lock()
 	defer s.openMutex.Unlock()
@@ -71,7 +71,7 @@
 	delete(s.open, conn)
 }
 
-// Move listens at another address and no longer at this one, whose connections stay open.
+// Move makes the server listen on another address instead of the current one. Open connections stay open.
 func (s *server) Move(address string) error {
 	old := s.currentListener()
 	if err := s.listen(address); err != nil {
@@ -86,7 +86,7 @@
 	return s.listener
 }
 
-// Address is where it listens, as host:port.
+// Address returns the address on which the server listens, as host:port.
 func (s *server) Address() string { return s.currentListener().Addr().String() }
 
 // Break closes all connections.
@@ -98,7 +98,7 @@
 	}
 }
 
-// Close ends the server and all its connections: once it has returned they are gone.
+// Close stops the server and closes its connections. It returns when all its goroutines have ended.
 func (s *server) Close() {
 	s.currentListener().Close()
 	s.openMutex.Lock()
@@ -110,7 +110,7 @@
 
 const slowByteInterval = time.Millisecond
 
-// writeEndless writes a beginning, and then a byte now and then until the other side has gone.
+// writeEndless writes beginning, and then one byte per slowByteInterval until the peer closes the connection.
 func writeEndless(conn net.Conn, beginning string) {
 	_, err := fmt.Fprint(conn, beginning)
 	for err == nil {
--- a/internal/fakeplatform/server_test.go
+++ b/internal/fakeplatform/server_test.go
@@ -7,9 +7,9 @@
 	"time"
 )
 
-// A test closes a node and goes on with what happens without it. A connection that was accepted as the node closed was
-// closed later, and a call on it broke in the midst of the test. Once Close has returned, all that were accepted have
-// ended, and new ones are refused.
+// Tests close a node and then check how the rest of the system behaves without it. A connection that was accepted while
+// Close ran was closed only after Close had returned, so a call on it failed in the middle of the test. When Close
+// returns, all accepted connections must be closed, and new ones must be refused.
 func TestClosedNodeHasNoConnections(t *testing.T) {
 	for range 50 {
 		n, err := NewNodeServer("n", "127.0.0.1:0")
@@ -27,22 +27,22 @@
 		}
 		n.Close()
 		if open := len(n.open); open > 0 {
-			t.Fatalf("%d connections are open", open)
+			t.Fatalf("open connections after Close: got %d, want 0", open)
 		}
 		for _, conn := range conns {
 			conn.SetReadDeadline(time.Now().Add(10 * time.Second))
 			if _, err := conn.Read(make([]byte, 1)); err == nil {
-				t.Error("a byte came")
+				t.Error("read on a connection after Close: got a byte, want an error")
 			}
 		}
 		if conn, err := net.Dial("tcp", n.Address()); err == nil {
 			conn.Close()
-			t.Error("a connection was accepted")
+			t.Error("dial after Close: got a connection, want an error")
 		}
 	}
 }
 
-// A forwarder that is cut ends both sides of its connections, and passes new ones once it is not cut any more.
+// A forwarder that is cut rejects calls, and forwards new connections again when it is no longer cut.
 func TestForwarderCutsAndPasses(t *testing.T) {
 	n, err := NewNodeServer("n", "127.0.0.1:0")
 	if err != nil {
@@ -68,19 +68,19 @@
 		return err
 	}
 	if err := call(); err != nil {
-		t.Errorf("passing: %v", err)
+		t.Errorf("call before the cut: got error %v, want a response", err)
 	}
 	f.Cut(true)
 	if err := call(); err == nil {
-		t.Error("cut: answered")
+		t.Error("call during the cut: got a response, want an error")
 	}
 	f.Cut(false)
 	if err := call(); err != nil {
-		t.Errorf("passing again: %v", err)
+		t.Errorf("call after the cut: got error %v, want a response", err)
 	}
 }
 
-// Faults and modes have names of their own: they stand in the names of tests.
+// Each fault and mode must have a unique name, because the names are used as subtest names.
 func TestFaultsAndModesHaveNames(t *testing.T) {
 	names := map[string]bool{}
 	for f := NoFault; f <= ExecutedEndlessResponse; f++ {
@@ -90,9 +90,10 @@
 		names[m.String()] = true
 	}
 	if want := int(ExecutedEndlessResponse) + 1 + int(ImmediateResponse) + 1; len(names) != want {
-		t.Errorf("%d names of %d values", len(names), want)
+		t.Errorf("unique names of faults and modes: got %d, want %d", len(names), want)
 	}
 	if Fault(-1).String() != "Fault(-1)" || ResponseMode(99).String() != "ResponseMode(99)" {
-		t.Error("no values have names")
+		t.Errorf("names of unknown values: got %q and %q, want %q and %q", Fault(-1), ResponseMode(99),
+			"Fault(-1)", "ResponseMode(99)")
 	}
 }
