--- a/example/toy/main.go
+++ b/example/toy/main.go
@@ -51,7 +51,7 @@
 		return err
 	}
 	defer platform.close()
-	ended, err := startController(ctx, path)
+	exited, err := startController(ctx, path)
 	if err != nil {
 		return err
 	}
@@ -61,7 +61,7 @@
 	defer changes.Stop()
 	for {
 		select {
-		case err := <-ended:
+		case err := <-exited:
 			return fmt.Errorf("controller exited: %w", err)
 		case <-changes.C:
 			platform.changeEndpoint()
--- a/internal/fakeplatform/authority.go
+++ b/internal/fakeplatform/authority.go
@@ -21,10 +21,10 @@
 
 // Authority is a certificate authority for tests.
 type Authority struct {
-	t       TB
-	root    *x509.Certificate
-	key     *ecdsa.PrivateKey
-	serials int64
+	t          TB
+	root       *x509.Certificate
+	key        *ecdsa.PrivateKey
+	lastSerial int64 // serial number of the last certificate
 }
 
 // NewAuthority returns an authority with a new self-signed root certificate.
@@ -44,7 +44,7 @@
 	if root, err = x509.ParseCertificate(der); err != nil {
 		t.Fatal(err)
 	}
-	return &Authority{t: t, root: root, key: key, serials: 1}
+	return &Authority{t: t, root: root, key: key, lastSerial: 1}
 }
 
 // Roots returns the root certificate in PEM.
@@ -53,24 +53,24 @@
 }
 
 // Issue returns a certificate and its private key in PEM. The certificate is valid for clients and servers on loopback.
-func (a *Authority) Issue(name string, from, until time.Time) (certificate, private []byte) {
+func (a *Authority) Issue(name string, notBefore, notAfter time.Time) (certificate, privateKey []byte) {
 	a.t.Helper()
 	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
 	if err != nil {
 		a.t.Fatal(err)
 	}
-	a.serials++
-	der, err := x509.CreateCertificate(rand.Reader, &x509.Certificate{SerialNumber: big.NewInt(a.serials),
+	a.lastSerial++
+	der, err := x509.CreateCertificate(rand.Reader, &x509.Certificate{SerialNumber: big.NewInt(a.lastSerial),
 		Subject: pkix.Name{CommonName: name}, DNSNames: []string{name}, IPAddresses: []net.IP{net.IPv4(127, 0, 0, 1)},
-		NotBefore: from, NotAfter: until, KeyUsage: x509.KeyUsageDigitalSignature,
+		NotBefore: notBefore, NotAfter: notAfter, KeyUsage: x509.KeyUsageDigitalSignature,
 		ExtKeyUsage: []x509.ExtKeyUsage{x509.ExtKeyUsageClientAuth, x509.ExtKeyUsageServerAuth}}, a.root, &key.PublicKey, a.key)
 	if err != nil {
 		a.t.Fatal(err)
 	}
-	bytes, err := x509.MarshalECPrivateKey(key)
+	keyDER, err := x509.MarshalECPrivateKey(key)
 	if err != nil {
 		a.t.Fatal(err)
 	}
 	return pem.EncodeToMemory(&pem.Block{Type: "CERTIFICATE", Bytes: der}),
-		pem.EncodeToMemory(&pem.Block{Type: "EC PRIVATE KEY", Bytes: bytes})
+		pem.EncodeToMemory(&pem.Block{Type: "EC PRIVATE KEY", Bytes: keyDER})
 }
--- a/internal/fakeplatform/call.go
+++ b/internal/fakeplatform/call.go
@@ -10,9 +10,9 @@
 
 const lateResponseDelay = 150 * time.Millisecond // other responses arrive within 50 ms
 
-// handleCall processes a call that was received on conn. If last is true, the caller must close the connection after it
-// has written the response.
-func (r *Relay) handleCall(conn net.Conn, line string) (response string, last bool) {
+// handleCall processes a call that was received on conn. If closeConn is true, the caller must close the connection
+// after it has written the response.
+func (r *Relay) handleCall(conn net.Conn, line string) (response string, closeConn bool) {
 	r.Lock()
 	defer r.Unlock()
 	defer r.notifyChanged()
@@ -50,7 +50,7 @@
 
 // respond applies a fault to the response of an executed call. The caller holds the mutex, which respond releases while
 // it waits.
-func (r *Relay) respond(conn net.Conn, fault Fault, response string) (spoilt string, last bool) {
+func (r *Relay) respond(conn net.Conn, fault Fault, response string) (modified string, closeConn bool) {
 	switch fault {
 	case ExecutedWithoutResponse:
 		return "", false
@@ -76,9 +76,9 @@
 // execute executes commands up to the first that fails, and returns the number of executed commands. The caller holds
 // the mutex.
 func (r *Relay) execute(commands []string) int {
-	e := execution{Relay: r, reached: map[int]bool{}}
+	e := execution{Relay: r, affected: map[int]bool{}}
 	for i, command := range commands {
-		if !e.run(strings.Split(command, ",")) {
+		if !e.executeCommand(strings.Split(command, ",")) {
 			return i
 		}
 	}
@@ -88,20 +88,20 @@
 // execution is the execution of one call.
 type execution struct {
 	*Relay
-	reached map[int]bool // proxies affected by the commands executed so far
+	affected map[int]bool // proxies, by ID, that are affected by the commands executed so far
 }
 
-// run executes a command, given as its fields, and reports whether it succeeded.
-func (e *execution) run(fields []string) bool {
+// executeCommand executes a command, given as its fields, and reports whether it succeeded.
+func (e *execution) executeCommand(fields []string) bool {
 	switch fields[0] {
 	case "put":
-		return len(fields) == 4 && e.setWeight(integer(fields[1]), fields[2], decimal(fields[3]))
+		return len(fields) == 4 && e.setWeight(parseInteger(fields[1]), fields[2], parseDecimal(fields[3]))
 	case "attach":
-		return len(fields) == 4 && e.bind(integer(fields[1]), integer(fields[2]))
+		return len(fields) == 4 && e.bind(parseInteger(fields[1]), parseInteger(fields[2]))
 	case "gate":
-		return len(fields) == 5 && decimal(fields[3]) >= 0 && e.setAdmission(fields[1], fields[2], fields[3]+" "+fields[4])
+		return len(fields) == 5 && parseDecimal(fields[3]) >= 0 && e.setAdmission(fields[1], fields[2], fields[3]+" "+fields[4])
 	case "fence":
-		return len(fields) == 3 && e.requestAck(integer(fields[1]), fields[2] == "1")
+		return len(fields) == 3 && e.requestAck(parseInteger(fields[1]), fields[2] == "1")
 	}
 	return false
 }
@@ -119,7 +119,7 @@
 	}
 	for proxy, bound := range e.Bound {
 		if bound == table {
-			e.reached[proxy] = true
+			e.affected[proxy] = true
 		}
 	}
 	return true
@@ -130,7 +130,7 @@
 		return false
 	}
 	e.Bound[proxy] = table
-	e.reached[proxy] = true
+	e.affected[proxy] = true
 	return true
 }
 
@@ -139,8 +139,8 @@
 	e.Admissions[table+" "+route] = value
 	for id := range e.joined {
 		bound, ok := e.Bound[id]
-		if table == "*" || ok && bound == integer(table) {
-			e.reached[id] = true
+		if table == "*" || ok && bound == parseInteger(table) {
+			e.affected[id] = true
 		}
 	}
 	return true
@@ -152,15 +152,15 @@
 		return false
 	}
 	for id := range e.joined {
-		if all || e.reached[id] {
+		if all || e.affected[id] {
 			e.notifyWatchers(fmt.Sprintf("* ACK %d %d 1.5\r\n", id, nonce))
 		}
 	}
 	return true
 }
 
-// integer parses an integer. It returns -1 if text is not an integer.
-func integer(text string) int {
+// parseInteger parses an integer. It returns -1 if text is not an integer.
+func parseInteger(text string) int {
 	n, err := strconv.Atoi(text)
 	if err != nil {
 		return -1
@@ -168,9 +168,9 @@
 	return n
 }
 
-// decimal parses a decimal number. It returns -1 if text is not a number or has an exponent, which the relay does not
-// accept.
-func decimal(text string) float64 {
+// parseDecimal parses a decimal number. It returns -1 if text is not a number or has an exponent, which the relay does
+// not accept.
+func parseDecimal(text string) float64 {
 	v, err := strconv.ParseFloat(text, 64)
 	if err != nil || strings.ContainsAny(text, "eE") {
 		return -1
--- a/internal/fakeplatform/channel.go
+++ b/internal/fakeplatform/channel.go
@@ -17,7 +17,7 @@
 	messages       []message         // waiting, oldest first
 	waitingEntries float64           // in messages
 	credit         float64           // entries that may be sent now
-	received       map[int][]float64 // times at which messages were queued, by proxy
+	enqueueTimes   map[int][]float64 // times at which messages were queued, by proxy
 	now            float64
 }
 
@@ -40,7 +40,7 @@
 		bound:            map[int]int{},
 		tables:           map[int]map[string]bool{},
 		admissions:       map[string]map[string]bool{},
-		received:         map[int][]float64{},
+		enqueueTimes:     map[int][]float64{},
 	}
 }
 
@@ -61,7 +61,7 @@
 
 // Messages returns the number of messages queued for a proxy at or after the time since.
 func (c *Channel) Messages(proxy int, since float64) (n int) {
-	for _, at := range c.received[proxy] {
+	for _, at := range c.enqueueTimes[proxy] {
 		if at >= since {
 			n++
 		}
@@ -79,7 +79,7 @@
 func (c *Channel) Leave(proxy int) {
 	delete(c.joined, proxy)
 	delete(c.bound, proxy)
-	delete(c.received, proxy)
+	delete(c.enqueueTimes, proxy)
 	c.messages = slices.DeleteFunc(c.messages, func(m message) bool {
 		if m.proxy != proxy {
 			return false
@@ -89,10 +89,10 @@
 	})
 }
 
-// Advance moves the clock forward to now and sends messages at the fraction ratePart of EntriesPerSecond. It returns
-// the acknowledgements of the proxies.
-func (c *Channel) Advance(now, ratePart float64) (acknowledged []Acknowledgement) {
-	c.credit += (now - c.now) * c.EntriesPerSecond * ratePart
+// Advance moves the clock forward to now and sends messages at rateFraction times EntriesPerSecond. It returns the
+// acknowledgements of the proxies.
+func (c *Channel) Advance(now, rateFraction float64) (acknowledged []Acknowledgement) {
+	c.credit += (now - c.now) * c.EntriesPerSecond * rateFraction
 	c.now = now
 	for len(c.messages) > 0 && c.messages[0].entries <= c.credit {
 		m := c.messages[0]
--- a/internal/fakeplatform/channelcall.go
+++ b/internal/fakeplatform/channelcall.go
@@ -25,27 +25,27 @@
 		}
 		executed++
 	}
-	call.write()
+	call.enqueue()
 	return executed
 }
 
 func (c *channelCall) execute(fields []string) bool {
-	first, _ := strconv.Atoi(fields[1])
+	number, _ := strconv.Atoi(fields[1])
 	switch fields[0] {
 	case "put":
 		c.setWeight(fields[1], fields[2], fields[3])
 	case "attach":
-		if !c.joined[first] {
+		if !c.joined[number] {
 			return false
 		}
 		table, _ := strconv.Atoi(fields[2])
-		c.bound[first] = table
+		c.bound[number] = table
 		entries := len(c.tables[table]) + len(c.admissions["*"]) + len(c.admissions[fields[2]])
-		c.reach(first, 1+float64(entries))
+		c.addEntries(number, 1+float64(entries))
 	case "gate":
 		c.setAdmission(fields[1], fields[2])
 	case "fence":
-		c.nonce = first
+		c.nonce = number
 	}
 	return true
 }
@@ -60,7 +60,7 @@
 		delete(c.tables[number], node)
 	}
 	for _, proxy := range c.boundTo(table) {
-		c.reach(proxy, 1)
+		c.addEntries(proxy, 1)
 	}
 }
 
@@ -70,13 +70,13 @@
 	}
 	c.admissions[table][route] = true
 	for _, proxy := range c.boundTo(table) {
-		c.reach(proxy, 1)
+		c.addEntries(proxy, 1)
 	}
 }
 
-// reach adds entries to the message for a proxy.
-func (c *channelCall) reach(proxy int, entries float64) {
-	if _, reached := c.entries[proxy]; !reached {
+// addEntries adds entries to the message for a proxy.
+func (c *channelCall) addEntries(proxy int, entries float64) {
+	if _, affected := c.entries[proxy]; !affected {
 		c.proxies = append(c.proxies, proxy)
 		c.entries[proxy] = c.MessageOverhead
 	}
@@ -95,8 +95,8 @@
 	return proxies
 }
 
-// write enqueues the messages of the call.
-func (c *channelCall) write() {
+// enqueue enqueues the messages of the call.
+func (c *channelCall) enqueue() {
 	for _, proxy := range c.proxies {
 		m := message{proxy: proxy, nonce: c.nonce, entries: c.entries[proxy]}
 		if m.nonce > 0 {
@@ -104,6 +104,6 @@
 		}
 		c.messages = append(c.messages, m)
 		c.waitingEntries += m.entries
-		c.received[proxy] = append(c.received[proxy], c.now)
+		c.enqueueTimes[proxy] = append(c.enqueueTimes[proxy], c.now)
 	}
 }
--- a/internal/fakeplatform/collector.go
+++ b/internal/fakeplatform/collector.go
@@ -53,10 +53,10 @@
 	if _, err := io.ReadFull(c, body); err != nil {
 		return err
 	}
-	var answer struct {
+	var response struct {
 		Kind string `json:"@type"`
 	}
-	if err := json.Unmarshal(body, &answer); err != nil || answer.Kind != "PONG" {
+	if err := json.Unmarshal(body, &response); err != nil || response.Kind != "PONG" {
 		return fmt.Errorf("ping response: got %q, want a message of type PONG", body)
 	}
 	return nil
--- a/internal/fakeplatform/discovery.go
+++ b/internal/fakeplatform/discovery.go
@@ -174,16 +174,16 @@
 // NoResponse it waits until the mode changes or the service is closed. The caller holds the mutex, which awaitChange
 // releases while it waits.
 func (d *Discovery) awaitChange(p poll) {
-	holdEnd := time.NewTimer(p.hold)
-	defer holdEnd.Stop()
-	holds := p.update && p.hold > 0 && d.mode != DecreasingVersions && d.mode != ImmediateResponse
-	for (holds && d.version == p.since || d.mode == NoResponse) && !d.closed {
+	holdTimer := time.NewTimer(p.hold)
+	defer holdTimer.Stop()
+	longPolling := p.update && p.hold > 0 && d.mode != DecreasingVersions && d.mode != ImmediateResponse
+	for (longPolling && d.version == p.since || d.mode == NoResponse) && !d.closed {
 		changes := d.changes
 		d.Unlock()
 		select {
 		case <-changes:
-		case <-holdEnd.C:
-			holds = false
+		case <-holdTimer.C:
+			longPolling = false
 		}
 		d.Lock()
 	}
--- a/internal/fakeplatform/forwarder.go
+++ b/internal/fakeplatform/forwarder.go
@@ -48,45 +48,45 @@
 	f.server.Close()
 }
 
-func (f *Forwarder) forward(near net.Conn) {
+func (f *Forwarder) forward(client net.Conn) {
 	var dialer net.Dialer
-	far, err := dialer.DialContext(f.ctx, "tcp", f.target)
+	upstream, err := dialer.DialContext(f.ctx, "tcp", f.target)
 	if err != nil {
 		return
 	}
-	defer far.Close()
-	if !f.addPair(near, far) {
+	defer upstream.Close()
+	if !f.addPair(client, upstream) {
 		return
 	}
-	defer f.removePair(near, far)
-	var both sync.WaitGroup
-	both.Go(func() { copyAndClose(near, far) })
-	both.Go(func() { copyAndClose(far, near) })
-	both.Wait()
+	defer f.removePair(client, upstream)
+	var copies sync.WaitGroup
+	copies.Go(func() { copyAndClose(client, upstream) })
+	copies.Go(func() { copyAndClose(upstream, client) })
+	copies.Wait()
 }
 
 // copyAndClose copies data until one connection fails or ends, and then closes both.
-func copyAndClose(to, from net.Conn) {
-	io.Copy(to, from) //nolint:errcheck // either connection may end or be cut at any time
-	to.Close()
-	from.Close()
+func copyAndClose(dst, src net.Conn) {
+	io.Copy(dst, src) //nolint:errcheck // either connection may end or be cut at any time
+	dst.Close()
+	src.Close()
 }
 
 // addPair registers both sides of a connection. It returns false if the forwarder is cut.
-func (f *Forwarder) addPair(near, far net.Conn) bool {
+func (f *Forwarder) addPair(client, upstream net.Conn) bool {
 	f.connsMutex.Lock()
 	defer f.connsMutex.Unlock()
 	if f.cut {
 		return false
 	}
-	f.conns[near] = struct{}{}
-	f.conns[far] = struct{}{}
+	f.conns[client] = struct{}{}
+	f.conns[upstream] = struct{}{}
 	return true
 }
 
-func (f *Forwarder) removePair(near, far net.Conn) {
+func (f *Forwarder) removePair(client, upstream net.Conn) {
 	f.connsMutex.Lock()
 	defer f.connsMutex.Unlock()
-	delete(f.conns, near)
-	delete(f.conns, far)
+	delete(f.conns, client)
+	delete(f.conns, upstream)
 }
--- a/internal/fakeplatform/node.go
+++ b/internal/fakeplatform/node.go
@@ -61,22 +61,22 @@
 		if err != nil {
 			return
 		}
-		n.count(call.URL.Path, size)
-		if !n.answer(conn) || call.Close {
+		n.countCall(call.URL.Path, size)
+		if !n.respond(conn) || call.Close {
 			return
 		}
 	}
 }
 
-func (n *NodeServer) count(path string, bodyBytes int64) {
+func (n *NodeServer) countCall(path string, bodyBytes int64) {
 	n.callsMutex.Lock()
 	defer n.callsMutex.Unlock()
 	n.callsByPath[path]++
 	n.bodyBytes += bodyBytes
 }
 
-// answer writes the response to a call. It returns false if the connection must be closed.
-func (n *NodeServer) answer(conn net.Conn) bool {
+// respond writes the response to a call. It returns false if the connection must be closed.
+func (n *NodeServer) respond(conn net.Conn) bool {
 	status := http.StatusOK
 	if fail := int(n.FailStatus.Load()); fail < 0 {
 		return false
--- a/internal/fakeplatform/observable.go
+++ b/internal/fakeplatform/observable.go
@@ -19,12 +19,12 @@
 	o.changes = make(chan struct{})
 }
 
-// Await waits until ok returns true. It calls ok with the mutex held, first immediately and then after each change. It
-// returns the error of ctx if ctx ends first.
-func (o *observable) Await(ctx context.Context, ok func() bool) error {
+// Await waits until condition returns true. It calls condition with the mutex held, first immediately and then after
+// each change. It returns the error of ctx if ctx ends first.
+func (o *observable) Await(ctx context.Context, condition func() bool) error {
 	for {
 		o.Lock()
-		done, changes := ok(), o.changes
+		done, changes := condition(), o.changes
 		o.Unlock()
 		if done {
 			return nil
--- a/internal/fakeplatform/proxywatch.go
+++ b/internal/fakeplatform/proxywatch.go
@@ -8,10 +8,10 @@
 	"time"
 )
 
-const aliveInterval = time.Second // between two heartbeats to watchers
+const heartbeatInterval = time.Second // between two heartbeats to a watcher
 
-// BreakWatches closes the connections of all watchers. It calls between before any new watch can start.
-func (r *Relay) BreakWatches(between func()) {
+// BreakWatches closes the connections of all watchers. It calls afterBreak before any new watch can start.
+func (r *Relay) BreakWatches(afterBreak func()) {
 	r.Lock()
 	for conn := range r.watchers {
 		conn.Close()
@@ -19,7 +19,7 @@
 	}
 	r.silent = true
 	r.Unlock()
-	between()
+	afterBreak()
 	r.Silence(false)
 }
 
@@ -32,7 +32,7 @@
 	r.notifyChanged()
 }
 
-func joinedLine(p Proxy) string {
+func formatJoinedLine(p Proxy) string {
 	isNew := 0
 	if p.IsNew {
 		isNew = 1
@@ -50,33 +50,33 @@
 	}
 }
 
-// writeLine writes a line with the timeout aliveInterval, so that a watcher that never reads cannot block the others
-// for longer.
+// writeLine writes a line with the timeout heartbeatInterval, so that a watcher that never reads cannot block the
+// others for longer.
 func writeLine(conn net.Conn, line string) {
-	conn.SetWriteDeadline(time.Now().Add(aliveInterval))
+	conn.SetWriteDeadline(time.Now().Add(heartbeatInterval))
 	fmt.Fprint(conn, line)
 }
 
 // serveWatch starts a watch and sends heartbeats until the watcher disconnects. notifyWatchers writes the events.
 func (r *Relay) serveWatch(conn net.Conn) {
-	r.openWatch(conn)
-	gone := make(chan struct{})
+	r.startWatch(conn)
+	disconnected := make(chan struct{})
 	go func() {
-		defer close(gone)
+		defer close(disconnected)
 		conn.Read(make([]byte, 1)) //nolint:errcheck // a watcher sends nothing more; Read returns when it disconnects
 	}()
-	alive := time.NewTicker(aliveInterval)
-	defer alive.Stop()
+	heartbeats := time.NewTicker(heartbeatInterval)
+	defer heartbeats.Stop()
 	for {
 		select {
-		case <-gone:
+		case <-disconnected:
 			r.Lock()
 			delete(r.watchers, conn)
 			r.Unlock()
 			return
-		case <-alive.C:
+		case <-heartbeats.C:
 			r.Lock()
-			if _, watches := r.watchers[conn]; watches && !r.silent {
+			if _, watching := r.watchers[conn]; watching && !r.silent {
 				writeLine(conn, "*\r\n")
 			}
 			r.Unlock()
@@ -84,9 +84,9 @@
 	}
 }
 
-// openWatch waits until the relay is not silent, writes the initial lines of a watch, which list the joined proxies,
+// startWatch waits until the relay is not silent, writes the initial lines of a watch, which list the joined proxies,
 // and registers the watcher.
-func (r *Relay) openWatch(conn net.Conn) {
+func (r *Relay) startWatch(conn net.Conn) {
 	r.Lock()
 	defer r.Unlock()
 	r.Watches++
@@ -99,7 +99,7 @@
 	}
 	writeLine(conn, "OK\r\n")
 	for _, id := range slices.Sorted(maps.Keys(r.joined)) {
-		writeLine(conn, joinedLine(r.joined[id]))
+		writeLine(conn, formatJoinedLine(r.joined[id]))
 	}
 	writeLine(conn, "*\r\n")
 	r.watchers[conn] = struct{}{}
--- a/internal/fakeplatform/relay.go
+++ b/internal/fakeplatform/relay.go
@@ -65,7 +65,7 @@
 	defer r.Unlock()
 	for _, p := range proxies {
 		r.joined[p.ID] = p
-		r.notifyWatchers(joinedLine(p))
+		r.notifyWatchers(formatJoinedLine(p))
 	}
 }
 
@@ -95,8 +95,8 @@
 			r.serveWatch(conn)
 			return
 		}
-		response, last := r.handleCall(conn, line)
-		if _, err := fmt.Fprint(conn, response); err != nil || last {
+		response, closeConn := r.handleCall(conn, line)
+		if _, err := fmt.Fprint(conn, response); err != nil || closeConn {
 			return
 		}
 	}
--- a/internal/fakeplatform/responsemode.go
+++ b/internal/fakeplatform/responsemode.go
@@ -39,7 +39,7 @@
 }
 
 // writeResponse writes a response and reports whether the connection can be used for another one.
-func writeResponse(conn net.Conn, list EndpointList, mode ResponseMode) (more bool) {
+func writeResponse(conn net.Conn, list EndpointList, mode ResponseMode) (reusable bool) {
 	text := formatResponse(list, mode)
 	switch mode {
 	case TruncatedResponse:
--- a/internal/fakeplatform/server.go
+++ b/internal/fakeplatform/server.go
@@ -9,18 +9,18 @@
 
 // server accepts connections and serves each in its own goroutine. Close closes all connections.
 type server struct {
-	serve   func(net.Conn)
-	serving sync.WaitGroup // goroutines that accept or serve
+	serve      func(net.Conn)
+	goroutines sync.WaitGroup // that accept or serve connections
 
-	openMutex sync.Mutex // guards listener, open and closed
-	listener  net.Listener
-	open      map[net.Conn]struct{}
-	closed    bool
+	stateMutex sync.Mutex // guards listener, openConns and closed
+	listener   net.Listener
+	openConns  map[net.Conn]struct{}
+	closed     bool
 }
 
 // listen starts a server. If the port in address is 0, a free port is used.
 func listen(address string, serve func(net.Conn)) (*server, error) {
-	s := &server{serve: serve, open: map[net.Conn]struct{}{}}
+	s := &server{serve: serve, openConns: map[net.Conn]struct{}{}}
 	return s, s.listen(address)
 }
 
@@ -29,10 +29,10 @@
 	if err != nil {
 		return err
 	}
-	s.openMutex.Lock()
-	defer s.openMutex.Unlock()
+	s.stateMutex.Lock()
+	defer s.stateMutex.Unlock()
 	s.listener = listener
-	s.serving.Go(func() { s.acceptLoop(listener) })
+	s.goroutines.Go(func() { s.acceptLoop(listener) })
 	return nil
 }
 
@@ -46,7 +46,7 @@
 			conn.Close()
 			return
 		}
-		s.serving.Go(func() {
+		s.goroutines.Go(func() {
 			defer s.remove(conn)
 			s.serve(conn)
 		})
@@ -55,34 +55,34 @@
 
 // add registers a connection. It returns false if the server is closed.
 func (s *server) add(conn net.Conn) bool {
-	s.openMutex.Lock()
-	defer s.openMutex.Unlock()
+	s.stateMutex.Lock()
+	defer s.stateMutex.Unlock()
 	if s.closed {
 		return false
 	}
-	s.open[conn] = struct{}{}
+	s.openConns[conn] = struct{}{}
 	return true
 }
 
 func (s *server) remove(conn net.Conn) {
 	conn.Close()
-	s.openMutex.Lock()
-	defer s.openMutex.Unlock()
-	delete(s.open, conn)
+	s.stateMutex.Lock()
+	defer s.stateMutex.Unlock()
+	delete(s.openConns, conn)
 }
 
 // Move makes the server listen on another address instead of the current one. Open connections stay open.
 func (s *server) Move(address string) error {
-	old := s.currentListener()
+	oldListener := s.currentListener()
 	if err := s.listen(address); err != nil {
 		return err
 	}
-	return old.Close()
+	return oldListener.Close()
 }
 
 func (s *server) currentListener() net.Listener {
-	s.openMutex.Lock()
-	defer s.openMutex.Unlock()
+	s.stateMutex.Lock()
+	defer s.stateMutex.Unlock()
 	return s.listener
 }
 
@@ -91,9 +91,9 @@
 
 // Break closes all connections.
 func (s *server) Break() {
-	s.openMutex.Lock()
-	defer s.openMutex.Unlock()
-	for conn := range s.open {
+	s.stateMutex.Lock()
+	defer s.stateMutex.Unlock()
+	for conn := range s.openConns {
 		conn.Close()
 	}
 }
@@ -101,18 +101,18 @@
 // Close stops the server and closes its connections. It returns when all its goroutines have ended.
 func (s *server) Close() {
 	s.currentListener().Close()
-	s.openMutex.Lock()
+	s.stateMutex.Lock()
 	s.closed = true
-	s.openMutex.Unlock()
+	s.stateMutex.Unlock()
 	s.Break()
-	s.serving.Wait()
+	s.goroutines.Wait()
 }
 
 const slowByteInterval = time.Millisecond
 
-// writeEndless writes beginning, and then one byte per slowByteInterval until the peer closes the connection.
-func writeEndless(conn net.Conn, beginning string) {
-	_, err := fmt.Fprint(conn, beginning)
+// writeEndless writes prefix, and then one byte per slowByteInterval until the peer closes the connection.
+func writeEndless(conn net.Conn, prefix string) {
+	_, err := fmt.Fprint(conn, prefix)
 	for err == nil {
 		time.Sleep(slowByteInterval)
 		_, err = fmt.Fprint(conn, "0")
--- a/internal/fakeplatform/server_test.go
+++ b/internal/fakeplatform/server_test.go
@@ -26,7 +26,7 @@
 			conns = append(conns, conn)
 		}
 		n.Close()
-		if open := len(n.open); open > 0 {
+		if open := len(n.openConns); open > 0 {
 			t.Fatalf("open connections after Close: got %d, want 0", open)
 		}
 		for _, conn := range conns {
