--- a/internal/connprobe/connprobe.go
+++ b/internal/connprobe/connprobe.go
@@ -1,5 +1,5 @@
-// Package connprobe looks at idle connections before they are used again. The platform's command sender and the
-// sidecar's proxy call it: what is sent on a connection that the other side has ended may or may not have arrived.
+// Package connprobe checks idle connections before they are reused. The platform's command sender and the sidecar's
+// proxy call it, because the outcome of a request on a connection that the peer has closed is unknown.
 package connprobe
 
 import (
@@ -9,10 +9,10 @@
 	"time"
 )
 
-// IsIdle reports whether a connection is open and has nothing to read. A connection with something to read is of no use
-// for a next request, which would be taken for answered by a late response to the one before.
+// IsIdle reports whether a connection is open and has nothing to read. A connection with data to read must not be
+// reused: a late response to the previous request would be mistaken for the response to the next one.
 //
-// The probe does not block. It clears the read deadline. A connection without a file descriptor counts as idle.
+// IsIdle does not block. It clears the read deadline. A connection without a file descriptor is reported as idle.
 func IsIdle(conn net.Conn) bool {
 	descriptor, ok := conn.(syscall.Conn)
 	if !ok {
@@ -22,7 +22,7 @@
 	if err != nil {
 		return false
 	}
-	conn.SetReadDeadline(time.Time{}) // one that has passed would fail the probe
+	conn.SetReadDeadline(time.Time{}) // a passed deadline would fail the probe
 	idle := false
 	err = raw.Read(func(fd uintptr) (done bool) {
 		idle = hasNothingToRead(int(fd))
--- a/internal/connprobe/connprobe_test.go
+++ b/internal/connprobe/connprobe_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// connectedPair is both ends of a connection on loopback.
+// connectedPair returns both ends of a loopback connection.
 func connectedPair(t *testing.T) (near, far net.Conn) {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -29,8 +29,8 @@
 	return near, far
 }
 
-// The other side has ended an idle connection, or has sent more: a request on it would get no answer, or a wrong one. An
-// open and silent connection is idle, whatever deadline the last read left.
+// The peer has closed an idle connection, or has sent more data: a request on it would get no response, or a wrong one.
+// An open and silent connection must be reported as idle, also if the deadline of its last read has passed.
 func TestIsIdle(t *testing.T) {
 	for _, c := range []struct {
 		name string
@@ -38,10 +38,10 @@
 		idle bool
 	}{
 		{"silent", func(net.Conn, net.Conn) {}, true},
-		{"silent, with a deadline that has passed", func(near, _ net.Conn) { near.SetReadDeadline(time.Now().Add(-time.Second)) }, true},
-		{"ended", func(_, far net.Conn) { far.Close() }, false},
+		{"silent with a passed deadline", func(near, _ net.Conn) { near.SetReadDeadline(time.Now().Add(-time.Second)) }, true},
+		{"closed by the peer", func(_, far net.Conn) { far.Close() }, false},
 		{"late response", func(_, far net.Conn) { far.Write([]byte("x")) }, false},
-		{"closed here", func(near, _ net.Conn) { near.Close() }, false},
+		{"closed locally", func(near, _ net.Conn) { near.Close() }, false},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			near, far := connectedPair(t)
@@ -49,20 +49,21 @@
 			until := time.Now().Add(10 * time.Second)
 			for IsIdle(near) != c.idle {
 				if time.Now().After(until) {
-					t.Fatalf("idle %t, not %t", !c.idle, c.idle)
+					t.Fatalf("IsIdle: got %t, want %t", !c.idle, c.idle)
 				}
-				time.Sleep(time.Millisecond) // what the other side did is on its way
+				time.Sleep(time.Millisecond) // the action of the peer may not have arrived yet
 			}
 		})
 	}
 }
 
-// A connection in memory cannot be probed; it is used, and a request that fails shows its end.
+// An in-memory connection cannot be probed. It must be reported as idle: if it is closed, the next
+// request fails and reveals it.
 func TestConnectionWithoutDescriptorIsIdle(t *testing.T) {
 	near, far := net.Pipe()
 	defer near.Close()
 	far.Close()
 	if !IsIdle(near) {
-		t.Error("not idle")
+		t.Error("IsIdle without a file descriptor: got false, want true")
 	}
 }
--- a/internal/logging/logging.go
+++ b/internal/logging/logging.go
@@ -1,5 +1,5 @@
-// Package logging makes the programs' logger. Its one job is that a program never waits for whoever reads its log, and
-// doesn't fill the log with one message. The programs' main functions call New.
+// Package logging creates the logger of the programs. The logger never blocks a program on the reader of its log, and
+// samples repeated messages so that they do not fill the log. The main functions of the programs call New.
 package logging
 
 import (
@@ -13,21 +13,21 @@
 	"go.uber.org/zap/zapcore"
 )
 
-// Of the lines with one message and level, the first few of each second are written, and one of very many more.
+// Sampling of the lines with the same message and level, in each second.
 const (
-	sampledFirst      = 3
-	sampledThereafter = 1000
+	sampledFirst      = 3    // lines that are all written
+	sampledThereafter = 1000 // after these, one of so many lines is written
 )
 
-// Unsampled is the last part of the names of loggers whose lines are all written, such as log.Named(Unsampled): their
-// equal messages say different things in their fields.
+// Unsampled is the last part of the name of a logger whose lines are all written, as in log.Named(Unsampled). The lines
+// of such a logger have the same message and differ in their fields.
 const Unsampled = "decisions"
 
-// New makes a logger that writes lines of text to a file, such as the standard output. Whoever reads the file may fall
-// behind, stop or go away: the program doesn't end for that, and doesn't wait but in Sync, for a moment. Lines that find
-// no room meanwhile are dropped, and counted in the log itself.
+// New returns a logger that writes lines of text to a file, such as standard output. The reader of the file may fall
+// behind, stop or exit: that does not end the program, and only Sync waits for it, for at most syncTimeout. Lines that
+// do not fit in the queue are dropped, and their number is written to the log.
 //
-// It has the process ignore SIGPIPE, by which a write to a pipe without a reader would end it.
+// New makes the process ignore SIGPIPE, which would end it on a write to a pipe without a reader.
 func New(name string, file *os.File) *zap.Logger {
 	signal.Ignore(syscall.SIGPIPE)
 	encoder := zapcore.NewConsoleEncoder(zap.NewDevelopmentEncoderConfig())
@@ -36,7 +36,7 @@
 	return zap.New(&selectiveCore{Core: sampled, all: all}).Named(name)
 }
 
-// selectiveCore samples the lines of all loggers but those named Unsampled.
+// selectiveCore samples the lines of all loggers except those named Unsampled.
 type selectiveCore struct {
 	zapcore.Core              // sampled
 	all          zapcore.Core // the same without sampling
--- a/internal/logging/logging_test.go
+++ b/internal/logging/logging_test.go
@@ -11,7 +11,7 @@
 	"go.uber.org/zap"
 )
 
-// blockedWriter takes nothing until it is released.
+// blockedWriter blocks in Write until it is released.
 type blockedWriter struct {
 	released chan struct{}
 	written  chan []byte
@@ -27,8 +27,8 @@
 	return len(lines), nil
 }
 
-// Whoever read the log stopped, and the program stood still. It has to go on, also when the queue is full, and once the
-// log is read again it has to say how many lines were dropped.
+// The reader of the log stopped, and the program blocked. It must continue, also with a full queue, and the log must
+// contain the number of dropped lines once it is read again.
 func TestStoppedReaderDoesNotBlockTheProgram(t *testing.T) {
 	const lineBytes = 1 << 10
 	out := newBlockedWriter()
@@ -42,33 +42,33 @@
 	}
 	begun := time.Now()
 	if err := q.Sync(); err != nil || time.Since(begun) < syncTimeout {
-		t.Errorf("Sync returned %v after %v with lines that wait", err, time.Since(begun))
+		t.Errorf("Sync with queued lines: got %v after %v, want <nil> after at least %v", err, time.Since(begun), syncTimeout)
 	}
 	close(out.released)
 	if first := <-out.written; len(first) != lineBytes {
-		t.Errorf("%d bytes written first, want %d", len(first), lineBytes)
+		t.Errorf("first write: got %d bytes, want %d", len(first), lineBytes)
 	}
 	if queued := <-out.written; len(queued) != fitting*lineBytes {
-		t.Errorf("%d bytes were queued, want %d", len(queued), fitting*lineBytes)
+		t.Errorf("second write: got %d bytes, want %d", len(queued), fitting*lineBytes)
 	}
 	mustWrite(t, q, []byte("next\n"))
-	if got := string(<-out.written); got != "7 lines of the log were lost\nnext\n" {
-		t.Errorf("then %q", got)
+	if got, want := string(<-out.written), "7 log lines were dropped\nnext\n"; got != want {
+		t.Errorf("third write: got %q, want %q", got, want)
 	}
 	<-q.idle
 	if err := q.Sync(); err != nil {
-		t.Errorf("Sync with nothing left: %v", err)
+		t.Errorf("Sync with an empty queue: got %v, want <nil>", err)
 	}
 }
 
 func mustWrite(t *testing.T, q *lineQueue, line []byte) {
 	t.Helper()
 	if n, err := q.Write(line); n != len(line) || err != nil {
-		t.Fatalf("Write gives %d and %v", n, err)
+		t.Fatalf("Write of %d bytes: got %d, %v, want %d, <nil>", len(line), n, err, len(line))
 	}
 }
 
-// waitUntilTaken waits until what is queued is being written.
+// waitUntilTaken waits until run has removed all lines from the queue.
 func waitUntilTaken(t *testing.T, q *lineQueue) {
 	t.Helper()
 	for deadline := time.Now().Add(10 * time.Second); time.Now().Before(deadline); time.Sleep(time.Millisecond) {
@@ -79,10 +79,10 @@
 			return
 		}
 	}
-	t.Fatal("nothing is being written")
+	t.Fatal("lines are still queued after 10 s, want an empty queue")
 }
 
-// One message in a tight loop must not fill the log, nor keep another one out of it.
+// One message in a tight loop must not fill the log, and must not suppress other messages.
 func TestRepeatedMessageIsSampled(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "log")
 	file, err := os.Create(path)
@@ -98,12 +98,12 @@
 	text := waitForText(t, path, "c-1\tlast")
 	// On a slow machine the loop may take more than one of the sampler's seconds.
 	if repeated := strings.Count(text, "repeated"); repeated < sampledFirst || repeated > 10*sampledFirst {
-		t.Errorf("%d of 500 lines were written", repeated)
+		t.Errorf("got %d of 500 lines, want %d to %d", repeated, sampledFirst, 10*sampledFirst)
 	}
 }
 
-// Several nodes were ejected at once, and the log named three of them. Lines of one message that name different nodes have
-// to be written all.
+// Several nodes were ejected at the same time, and the log named only three of them. All lines with the same message
+// that name different nodes must be written.
 func TestUnsampledLoggerWritesEachLine(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "log")
 	file, err := os.Create(path)
@@ -119,11 +119,11 @@
 	log.Info("last")
 	text := waitForText(t, path, "\tlast")
 	if written := strings.Count(text, "endpoint health changed"); written != lines {
-		t.Errorf("%d of %d lines were written", written, lines)
+		t.Errorf("got %d lines, want %d", written, lines)
 	}
 }
 
-// waitForText waits until a file has some text, and gives all of it.
+// waitForText waits until a file contains want, and returns the content of the file.
 func waitForText(t *testing.T, path, want string) string {
 	t.Helper()
 	var text []byte
@@ -136,6 +136,6 @@
 			return string(text)
 		}
 	}
-	t.Fatalf("%q is not written: %s", want, text)
+	t.Fatalf("got log %q, want it to contain %q", text, want)
 	return ""
 }
--- a/internal/logging/queue.go
+++ b/internal/logging/queue.go
@@ -8,23 +8,24 @@
 )
 
 const (
-	maxQueuedBytes = 256 << 10 // some thousand lines
+	maxQueuedBytes = 256 << 10 // a few thousand lines
 
-	// syncTimeout is for the last lines at a program's end, which a platform may kill 0.7 s after SIGTERM.
+	// syncTimeout limits the time to write the last lines when a program ends. A platform may kill the program 0.7 s
+	// after SIGTERM.
 	syncTimeout = 200 * time.Millisecond
 )
 
-// lineQueue is a zapcore.WriteSyncer that doesn't block. It writes on a goroutine of its own, which ends with the
-// program; Sync waits for what is queued. A line that finds no room is dropped, and the number of those is written once
-// there is room again.
+// lineQueue is a zapcore.WriteSyncer whose Write does not block. A separate goroutine writes the queued lines until the
+// program ends, and Sync waits for them. A line that does not fit in the queue is dropped, and the number of dropped
+// lines is written once there is room again.
 type lineQueue struct {
 	out  io.Writer
-	wake chan struct{} // holds a value while there may be something to write
+	wake chan struct{} // has a value while there may be lines to write
 
 	waitingLock sync.Mutex // guards the fields below
 	waiting     []byte
-	dropped     int           // lines, not reported yet
-	idle        chan struct{} // closed while nothing waits or is being written
+	dropped     int           // number of dropped lines not reported yet
+	idle        chan struct{} // closed while no line is queued or being written
 }
 
 func newLineQueue(out io.Writer) *lineQueue {
@@ -44,18 +45,18 @@
 	}
 	q.setBusy()
 	if q.dropped > 0 {
-		q.waiting = fmt.Appendf(q.waiting, "%d lines of the log were lost\n", q.dropped)
+		q.waiting = fmt.Appendf(q.waiting, "%d log lines were dropped\n", q.dropped)
 		q.dropped = 0
 	}
 	q.waiting = append(q.waiting, line...)
 	select {
 	case q.wake <- struct{}{}:
-	default: // the writer is going to look anyway
+	default: // the writer is woken already
 	}
 	return len(line), nil
 }
 
-// setBusy needs waitingLock.
+// setBusy replaces idle by an open channel if it is closed. waitingLock must be locked.
 func (q *lineQueue) setBusy() {
 	select {
 	case <-q.idle:
@@ -64,7 +65,7 @@
 	}
 }
 
-// Sync implements zapcore.WriteSyncer. It waits until all is written, but not for longer than syncTimeout.
+// Sync implements zapcore.WriteSyncer. It waits until all lines are written, for at most syncTimeout.
 func (q *lineQueue) Sync() error {
 	q.waitingLock.Lock()
 	idle := q.idle
@@ -78,7 +79,7 @@
 	return nil
 }
 
-// run writes what waits. Two buffers take turns: one is written while the other one fills.
+// run writes the queued lines. It swaps two buffers: one is written while the other is filled.
 func (q *lineQueue) run() {
 	var writing []byte
 	for range q.wake {
@@ -86,7 +87,7 @@
 		writing, q.waiting = q.waiting, writing[:0]
 		q.waitingLock.Unlock()
 		if len(writing) == 0 {
-			continue // went out with the lines before
+			continue // the lines were written together with earlier ones
 		}
 		q.out.Write(writing) //nolint:errcheck // the log's own output cannot be logged
 		q.waitingLock.Lock()
