--- a/internal/connprobe/connprobe_test.go
+++ b/internal/connprobe/connprobe_test.go
@@ -33,9 +33,9 @@
 // An open and silent connection must be reported as idle, also if the deadline of its last read has passed.
 func TestIsIdle(t *testing.T) {
 	for _, c := range []struct {
-		name string
-		act  func(near, far net.Conn)
-		idle bool
+		name    string
+		prepare func(near, far net.Conn)
+		idle    bool
 	}{
 		{"silent", func(net.Conn, net.Conn) {}, true},
 		{"silent with a passed deadline", func(near, _ net.Conn) { near.SetReadDeadline(time.Now().Add(-time.Second)) }, true},
@@ -45,10 +45,10 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			near, far := connectedPair(t)
-			c.act(near, far)
-			until := time.Now().Add(10 * time.Second)
+			c.prepare(near, far)
+			deadline := time.Now().Add(10 * time.Second)
 			for IsIdle(near) != c.idle {
-				if time.Now().After(until) {
+				if time.Now().After(deadline) {
 					t.Fatalf("IsIdle: got %t, want %t", !c.idle, c.idle)
 				}
 				time.Sleep(time.Millisecond) // the action of the peer may not have arrived yet
--- a/internal/logging/logging.go
+++ b/internal/logging/logging.go
@@ -31,26 +31,26 @@
 func New(name string, file *os.File) *zap.Logger {
 	signal.Ignore(syscall.SIGPIPE)
 	encoder := zapcore.NewConsoleEncoder(zap.NewDevelopmentEncoderConfig())
-	all := zapcore.NewCore(encoder, newLineQueue(file), zap.InfoLevel)
-	sampled := zapcore.NewSamplerWithOptions(all, time.Second, sampledFirst, sampledThereafter)
-	return zap.New(&selectiveCore{Core: sampled, all: all}).Named(name)
+	unsampled := zapcore.NewCore(encoder, newLineQueue(file), zap.InfoLevel)
+	sampled := zapcore.NewSamplerWithOptions(unsampled, time.Second, sampledFirst, sampledThereafter)
+	return zap.New(&selectiveCore{Core: sampled, unsampled: unsampled}).Named(name)
 }
 
 // selectiveCore samples the lines of all loggers except those named Unsampled.
 type selectiveCore struct {
 	zapcore.Core              // sampled
-	all          zapcore.Core // the same without sampling
+	unsampled    zapcore.Core // the same without sampling
 }
 
 // With implements zapcore.Core.
 func (c *selectiveCore) With(fields []zapcore.Field) zapcore.Core {
-	return &selectiveCore{Core: c.Core.With(fields), all: c.all.With(fields)}
+	return &selectiveCore{Core: c.Core.With(fields), unsampled: c.unsampled.With(fields)}
 }
 
 // Check implements zapcore.Core.
 func (c *selectiveCore) Check(entry zapcore.Entry, checked *zapcore.CheckedEntry) *zapcore.CheckedEntry {
 	if strings.HasSuffix(entry.LoggerName, "."+Unsampled) {
-		return c.all.Check(entry, checked)
+		return c.unsampled.Check(entry, checked)
 	}
 	return c.Core.Check(entry, checked)
 }
--- a/internal/logging/logging_test.go
+++ b/internal/logging/logging_test.go
@@ -35,21 +35,21 @@
 	q := newLineQueue(out)
 	line := []byte(strings.Repeat("x", lineBytes-1) + "\n")
 	mustWrite(t, q, line)
-	waitUntilTaken(t, q)
-	fitting := maxQueuedBytes / lineBytes
-	for range fitting + 7 {
+	waitUntilQueueEmpty(t, q)
+	capacity := maxQueuedBytes / lineBytes
+	for range capacity + 7 {
 		mustWrite(t, q, line)
 	}
-	begun := time.Now()
-	if err := q.Sync(); err != nil || time.Since(begun) < syncTimeout {
-		t.Errorf("Sync with queued lines: got %v after %v, want <nil> after at least %v", err, time.Since(begun), syncTimeout)
+	start := time.Now()
+	if err := q.Sync(); err != nil || time.Since(start) < syncTimeout {
+		t.Errorf("Sync with queued lines: got %v after %v, want <nil> after at least %v", err, time.Since(start), syncTimeout)
 	}
 	close(out.released)
 	if first := <-out.written; len(first) != lineBytes {
 		t.Errorf("first write: got %d bytes, want %d", len(first), lineBytes)
 	}
-	if queued := <-out.written; len(queued) != fitting*lineBytes {
-		t.Errorf("second write: got %d bytes, want %d", len(queued), fitting*lineBytes)
+	if queued := <-out.written; len(queued) != capacity*lineBytes {
+		t.Errorf("second write: got %d bytes, want %d", len(queued), capacity*lineBytes)
 	}
 	mustWrite(t, q, []byte("next\n"))
 	if got, want := string(<-out.written), "7 log lines were dropped\nnext\n"; got != want {
@@ -68,14 +68,14 @@
 	}
 }
 
-// waitUntilTaken waits until run has removed all lines from the queue.
-func waitUntilTaken(t *testing.T, q *lineQueue) {
+// waitUntilQueueEmpty waits until run has removed all lines from the queue.
+func waitUntilQueueEmpty(t *testing.T, q *lineQueue) {
 	t.Helper()
 	for deadline := time.Now().Add(10 * time.Second); time.Now().Before(deadline); time.Sleep(time.Millisecond) {
-		q.waitingLock.Lock()
-		waiting := len(q.waiting)
-		q.waitingLock.Unlock()
-		if waiting == 0 {
+		q.queuedMutex.Lock()
+		queued := len(q.queued)
+		q.queuedMutex.Unlock()
+		if queued == 0 {
 			return
 		}
 	}
--- a/internal/logging/queue.go
+++ b/internal/logging/queue.go
@@ -22,8 +22,8 @@
 	out  io.Writer
 	wake chan struct{} // has a value while there may be lines to write
 
-	waitingLock sync.Mutex // guards the fields below
-	waiting     []byte
+	queuedMutex sync.Mutex // guards the fields below
+	queued      []byte
 	dropped     int           // number of dropped lines not reported yet
 	idle        chan struct{} // closed while no line is queued or being written
 }
@@ -37,18 +37,18 @@
 
 // Write implements zapcore.WriteSyncer. It queues a line or drops it, and never fails.
 func (q *lineQueue) Write(line []byte) (int, error) {
-	q.waitingLock.Lock()
-	defer q.waitingLock.Unlock()
-	if len(q.waiting)+len(line) > maxQueuedBytes {
+	q.queuedMutex.Lock()
+	defer q.queuedMutex.Unlock()
+	if len(q.queued)+len(line) > maxQueuedBytes {
 		q.dropped++
 		return len(line), nil
 	}
 	q.setBusy()
 	if q.dropped > 0 {
-		q.waiting = fmt.Appendf(q.waiting, "%d log lines were dropped\n", q.dropped)
+		q.queued = fmt.Appendf(q.queued, "%d log lines were dropped\n", q.dropped)
 		q.dropped = 0
 	}
-	q.waiting = append(q.waiting, line...)
+	q.queued = append(q.queued, line...)
 	select {
 	case q.wake <- struct{}{}:
 	default: // the writer is woken already
@@ -56,7 +56,7 @@
 	return len(line), nil
 }
 
-// setBusy replaces idle by an open channel if it is closed. waitingLock must be locked.
+// setBusy replaces idle by an open channel if it is closed. queuedMutex must be locked.
 func (q *lineQueue) setBusy() {
 	select {
 	case <-q.idle:
@@ -67,9 +67,9 @@
 
 // Sync implements zapcore.WriteSyncer. It waits until all lines are written, for at most syncTimeout.
 func (q *lineQueue) Sync() error {
-	q.waitingLock.Lock()
+	q.queuedMutex.Lock()
 	idle := q.idle
-	q.waitingLock.Unlock()
+	q.queuedMutex.Unlock()
 	timer := time.NewTimer(syncTimeout)
 	defer timer.Stop()
 	select {
@@ -83,17 +83,17 @@
 func (q *lineQueue) run() {
 	var writing []byte
 	for range q.wake {
-		q.waitingLock.Lock()
-		writing, q.waiting = q.waiting, writing[:0]
-		q.waitingLock.Unlock()
+		q.queuedMutex.Lock()
+		writing, q.queued = q.queued, writing[:0]
+		q.queuedMutex.Unlock()
 		if len(writing) == 0 {
 			continue // the lines were written together with earlier ones
 		}
 		q.out.Write(writing) //nolint:errcheck // the log's own output cannot be logged
-		q.waitingLock.Lock()
-		if len(q.waiting) == 0 {
+		q.queuedMutex.Lock()
+		if len(q.queued) == 0 {
 			close(q.idle)
 		}
-		q.waitingLock.Unlock()
+		q.queuedMutex.Unlock()
 	}
 }
