--- a/cmd/harehook-testbed/main.go
+++ b/cmd/harehook-testbed/main.go
@@ -1,4 +1,4 @@
-// Command harehook-testbed runs the project's simulations, its load test and its scaling measurements.
+// Command harehook-testbed runs the project's simulations, load test and scaling measurements.
 package main
 
 import "harehook.dev/harehook/internal/testbed"
--- a/cmd/harehookd/main.go
+++ b/cmd/harehookd/main.go
@@ -1,4 +1,4 @@
-// Command harehookd is harehook-xds under its former name, for installations that start it by that name.
+// Command harehookd is harehook-xds under its former name, for installations that still use that name.
 package main
 
 import "harehook.dev/harehook/internal/daemon"
--- a/internal/goldentest/goldentest.go
+++ b/internal/goldentest/goldentest.go
@@ -1,6 +1,6 @@
-// Package goldentest compares what the code writes and reads with files that an earlier release wrote. Only tests
-// import it. The flag -update-golden writes the files anew: after that, what earlier releases stored or sent is no
-// longer checked, so it is for additions alone.
+// Package goldentest compares encoded values with golden files written by an earlier release. Only tests import it. The
+// flag -update-golden rewrites the golden files. Compatibility with data that earlier releases stored or sent is no
+// longer checked afterwards, so the flag is only for additions.
 package goldentest
 
 import (
@@ -18,12 +18,13 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-var update = flag.Bool("update-golden", false, "write the golden files")
+var update = flag.Bool("update-golden", false, "rewrite the golden files")
 
-// Update tells whether golden files are to be written anew.
+// Update reports whether tests must rewrite their golden files.
 func Update() bool { return *update }
 
-// Compare fails the test if text differs from the file under testdata.
+// Compare fails the test if text differs from the content of file, a path below testdata. With -update-golden it first
+// writes text to the file.
 func Compare(t *testing.T, file, text string) {
 	t.Helper()
 	path := filepath.Join("testdata", file)
@@ -40,12 +41,12 @@
 		t.Fatal(err)
 	}
 	if diff := cmp.Diff(strings.Split(string(want), "\n"), strings.Split(text, "\n")); diff != "" {
-		t.Errorf("%s (-golden +now):\n%s", path, diff)
+		t.Errorf("%s (-golden +got):\n%s", path, diff)
 	}
 }
 
-// CompareJSON fills each value, compares its JSON with the file, and checks that the JSON is read as the same value.
-// A type whose field lost its name on the wire differs. Values are pointers.
+// CompareJSON fills each value, compares the JSON of all values with file, and checks that decoding the JSON yields the
+// same value. This detects a field whose JSON name has changed. Values must be pointers.
 func CompareJSON(t *testing.T, file string, values ...any) {
 	t.Helper()
 	var text strings.Builder
@@ -57,29 +58,30 @@
 		}
 		text.Write(body)
 		text.WriteString("\n")
-		again := reflect.New(reflect.TypeOf(value).Elem())
-		if err := json.Unmarshal(body, again.Interface()); err != nil {
-			t.Errorf("%T is not read back: %v", value, err)
+		decoded := reflect.New(reflect.TypeOf(value).Elem())
+		if err := json.Unmarshal(body, decoded.Interface()); err != nil {
+			t.Errorf("%T: decoding its JSON failed: %v", value, err)
 			continue
 		}
-		second, err := json.MarshalIndent(again.Interface(), "", "  ")
+		reencoded, err := json.MarshalIndent(decoded.Interface(), "", "  ")
 		if err != nil {
 			t.Fatal(err)
 		}
-		if diff := cmp.Diff(string(body), string(second)); diff != "" {
-			t.Errorf("%T is read as another value (-written +read):\n%s", value, diff)
+		if diff := cmp.Diff(string(body), string(reencoded)); diff != "" {
+			t.Errorf("%T: decoded value differs (-encoded +decoded):\n%s", value, diff)
 		}
 	}
 	Compare(t, file, text.String())
 }
 
-// Fill gives all exported fields below a pointer values that differ from zero and from one another.
+// Fill sets all exported fields reachable from a pointer to non-zero values. Except for small types such as bool and
+// uint8, the values differ from each other.
 func Fill(pointer any) {
 	f := filler{}
 	f.fill(reflect.ValueOf(pointer).Elem())
 }
 
-// filler counts the values that it has set.
+// filler sets values and counts them. The count makes each value different.
 type filler struct{ count int64 }
 
 var (
@@ -136,7 +138,7 @@
 	case v.Kind() == reflect.String:
 		v.SetString(fmt.Sprint("s", f.count))
 	case v.Kind() == reflect.Uint8:
-		v.SetUint(uint64(f.count%4 + 1)) // enumerations have at least four values
+		v.SetUint(uint64(f.count%4 + 1)) // enumerations have at least 4 values
 	case v.CanInt():
 		v.SetInt(f.count)
 	case v.CanUint():
@@ -146,14 +148,15 @@
 	}
 }
 
-// Values lists what a tree of structs, maps and slices holds, a value a line and without the names of fields and types,
-// so that the list stays the same when these are renamed.
+// Values lists the values in a tree of structs, maps and slices, one per line. It omits the names of fields and types,
+// so renaming them does not change the list.
 func Values(value any) string {
 	var out strings.Builder
 	list(&out, reflect.ValueOf(value), 0)
 	return out.String()
 }
 
+// list writes the lines for v to out, indented by depth.
 func list(out *strings.Builder, v reflect.Value, depth int) {
 	indent := strings.Repeat("  ", depth)
 	if v.IsValid() && v.Type() == durationType {
@@ -196,7 +199,7 @@
 	}
 }
 
-// scalar leaves out the String method of a value: names of enumerations are free to change.
+// scalar returns the plain value of v without its String method, because names of enumeration values may change.
 func scalar(v reflect.Value) any {
 	switch {
 	case v.CanInt():
--- a/internal/program/program.go
+++ b/internal/program/program.go
@@ -1,6 +1,6 @@
-// Package program starts and ends the programs of installations without the platform: it reads the command line and runs
-// until a signal tells the process to end. The main functions of harehook-xds (in package daemon) and harehook-sidecar call
-// [Main].
+// Package program provides the main function of the programs for installations without the platform. It parses the
+// command line and runs the program until a termination signal. The main functions of harehook-xds (in package daemon)
+// and harehook-sidecar call [Main].
 package program
 
 import (
@@ -13,9 +13,9 @@
 	"github.com/spf13/cobra"
 )
 
-// Main is the main function of a program that is started with a configuration and runs until SIGTERM or SIGINT. The path of
-// the configuration is the flag --config or defaultConfig. A start that can't work, for which run returns an error, ends the
-// process with one line and the code 1.
+// Main calls run with the path of the configuration file and a context that is canceled on SIGTERM or SIGINT. The path
+// is the value of the flag --config, by default defaultConfig. If run returns an error, Main prints it to standard
+// error and exits with code 1.
 func Main(name, short, defaultConfig string, run func(ctx context.Context, configPath string) error) {
 	var configPath string
 	command := &cobra.Command{
@@ -26,13 +26,14 @@
 		Args:          cobra.NoArgs,
 		RunE:          func(command *cobra.Command, _ []string) error { return run(command.Context(), configPath) },
 	}
-	command.Flags().StringVar(&configPath, "config", defaultConfig, "the configuration")
+	command.Flags().StringVar(&configPath, "config", defaultConfig, "path of the configuration file")
 	if err := executeUntilSignal(command); err != nil {
 		fmt.Fprintf(os.Stderr, "%s: %v\n", name, err)
 		os.Exit(1)
 	}
 }
 
+// executeUntilSignal executes command with a context that is canceled on SIGTERM or SIGINT.
 func executeUntilSignal(command *cobra.Command) error {
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, os.Interrupt)
 	defer stop()
