--- a/cmd/harehook/collectors_test.go
+++ b/cmd/harehook/collectors_test.go
@@ -16,7 +16,7 @@
 	"harehook.dev/harehook/platform/wire"
 )
 
-// frame is a message as it goes over the wire.
+// frame returns a message with its length header, as sent over a connection.
 func frame(body string) string {
 	return string(wire.FrameHeader(len(body))) + body
 }
@@ -26,53 +26,54 @@
 	loadReportMessage = `{"@type":"LOAD","site":"north","target":"s-1","count":20,"fail":0,"mean":41.7,"over":500.0}`
 )
 
-// Clients by the hundred say nothing, half a message, or what is no message. Each is closed within the time that the
-// platform's page gives, and no collector with them.
-func TestBadClientsAreClosedInTime(t *testing.T) {
-	const clientsOfEachKind = 20
+// Hundreds of clients send nothing, part of a message or invalid data. The controller must close each connection within
+// the time stated on the platform's page, and must keep the connection of a valid collector.
+func TestInvalidClientsAreDisconnectedInTime(t *testing.T) {
+	const clientsPerCase = 20
 	r := startProgram(t, func(config map[string]any) { config["limits"].(map[string]any)["sockets"] = 256 })
 	collector, err := fakeplatform.NewCollector(r.address, "north")
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer collector.Close()
-	if err := collector.Ping(); err != nil { // its zone is known then
+	if err := collector.Ping(); err != nil { // once answered, the collector's zone is known
 		t.Fatal(err)
 	}
 	var clients sync.WaitGroup
 	for name, text := range map[string]string{
-		"silence":                      "",
-		"half a message":               "\xc8\x00\x00\x00{",
-		"half a header":                "\x10",
-		"too long":                     "\xff\xff\xff\xff{",
-		"HTTP":                         "GET / HTTP/1.1\r\nHost: n0\r\n\r\n",
-		"another kind":                 frame(`{"@type":"CONFIG","seq":1}`),
-		"null":                         frame("null"),
-		"a proxy":                      frame(`{"@type":"SUBSCRIBE","id":1,"site":"north","rps":3,"new":1}`),
-		"reports first":                frame(loadReportMessage),
-		"no such zone":                 frame(`{"@type":"SOURCE","site":"nowhere"}`),
-		"no JSON":                      frame("{]"),
-		"a ping":                       frame(`{"@type":"PING"}`),
-		"long before a zone is named":  "\x00\x10\x00\x00{",
-		"bytes after joining":          frame(zoneMessage) + "\x13\x37\x13\x37",
-		"half a message after joining": frame(zoneMessage) + frame(loadReportMessage)[:50],
+		"silence":                        "",
+		"partial message":                "\xc8\x00\x00\x00{",
+		"partial header":                 "\x10",
+		"length beyond the limit":        "\xff\xff\xff\xff{",
+		"HTTP":                           "GET / HTTP/1.1\r\nHost: n0\r\n\r\n",
+		"another message type":           frame(`{"@type":"CONFIG","seq":1}`),
+		"null":                           frame("null"),
+		"proxy message":                  frame(`{"@type":"SUBSCRIBE","id":1,"site":"north","rps":3,"new":1}`),
+		"report before the zone":         frame(loadReportMessage),
+		"unknown zone":                   frame(`{"@type":"SOURCE","site":"nowhere"}`),
+		"invalid JSON":                   frame("{]"),
+		"ping":                           frame(`{"@type":"PING"}`),
+		"long message before the zone":   "\x00\x10\x00\x00{",
+		"invalid bytes after the zone":   frame(zoneMessage) + "\x13\x37\x13\x37",
+		"partial message after the zone": frame(zoneMessage) + frame(loadReportMessage)[:50],
 	} {
-		for range clientsOfEachKind {
-			clients.Go(func() { r.expectClosedAfter(name, text) })
+		for range clientsPerCase {
+			clients.Go(func() { r.expectClosedWhenIdle(name, text) })
 		}
 	}
-	clients.Go(func() { r.expectClosedWithin("pings without end", "", frame(`{"@type":"PING"}`)) })
-	clients.Go(func() { r.expectClosedWithin("spaces without end", "\x00\x04\x00\x00", " ") })
+	clients.Go(func() { r.expectClosedWhileSending("endless pings", "", frame(`{"@type":"PING"}`)) })
+	clients.Go(func() { r.expectClosedWhileSending("endless spaces", "\x00\x04\x00\x00", " ") })
 	clients.Wait()
 	if err := collector.Ping(); err != nil {
-		t.Errorf("the collector was kept out: %v", err)
+		t.Errorf("ping of a valid collector: got error %v, want none", err)
 	}
 	r.ping()
 	r.join(0)
 }
 
-// expectClosedAfter sends a text and wants the connection to be closed in the time that the page gives to one who stops.
-func (r *testProgram) expectClosedAfter(name, text string) {
+// expectClosedWhenIdle sends text and nothing more. It fails the test unless the connection is closed within the time
+// that the platform's page states for a client that stops sending.
+func (r *testProgram) expectClosedWhenIdle(name, text string) {
 	conn, err := net.Dial("tcp", r.address)
 	if err != nil {
 		r.t.Error(err)
@@ -82,13 +83,13 @@
 	io.WriteString(conn, text)
 	conn.SetReadDeadline(time.Now().Add(3 * time.Second))
 	if _, err := io.Copy(io.Discard, conn); errors.Is(err, os.ErrDeadlineExceeded) {
-		r.t.Errorf("%s: not closed", name)
+		r.t.Errorf("%s: connection is open 3 s after sending %q, want it closed", name, text)
 	}
 }
 
-// expectClosedWithin sends a beginning and then a text again and again, and wants the connection to be closed in the time
-// that the page gives to one who goes on.
-func (r *testProgram) expectClosedWithin(name, beginning, text string) {
+// expectClosedWhileSending sends prefix and then text repeatedly. It fails the test unless the connection is closed
+// within the time that the platform's page states for a client that keeps sending.
+func (r *testProgram) expectClosedWhileSending(name, prefix, text string) {
 	conn, err := net.Dial("tcp", r.address)
 	if err != nil {
 		r.t.Error(err)
@@ -96,29 +97,29 @@
 	}
 	defer conn.Close()
 	go io.Copy(io.Discard, conn)
-	io.WriteString(conn, beginning)
-	until := time.Now().Add(6 * time.Second)
-	for err == nil && time.Now().Before(until) {
+	io.WriteString(conn, prefix)
+	deadline := time.Now().Add(6 * time.Second)
+	for err == nil && time.Now().Before(deadline) {
 		_, err = io.WriteString(conn, text)
 		time.Sleep(time.Millisecond)
 	}
 	if err == nil {
-		r.t.Errorf("%s: not closed", name)
+		r.t.Errorf("%s: connection is open after 6 s of sending %q, want it closed", name, text)
 	}
 }
 
-// A collector sends reports that lack a figure or are for another zone. They are rejected and counted; neither the
-// reports around them nor the connection suffer.
-func TestSpoiltReportIsRejectedAlone(t *testing.T) {
+// A collector sends reports that lack a value or belong to another zone, and messages of unknown type. The controller
+// must reject and count each of them, and keep the connection open.
+func TestInvalidReportIsRejectedAlone(t *testing.T) {
 	r := startProgram(t, nil)
 	collector, err := fakeplatform.NewCollector(r.address, "north")
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer collector.Close()
-	for _, bad := range []string{`{"@type":"LOAD","site":"north","target":"s-1","count":20,"fail":0,"over":500.0}`,
+	for _, invalid := range []string{`{"@type":"LOAD","site":"north","target":"s-1","count":20,"fail":0,"over":500.0}`,
 		`{"@type":"LOAD","site":"south","target":"s-1","count":20,"fail":0,"mean":41.7,"over":500.0}`, `{"@type":"LAOD"}`, `{}`} {
-		io.WriteString(collector, frame(bad))
+		io.WriteString(collector, frame(invalid))
 	}
 	if err := collector.Ping(); err != nil {
 		t.Fatal(err)
@@ -127,32 +128,32 @@
 	r.awaitLog(`"rejected_messages": 4`)
 }
 
-// Hundreds of clients send messages of the largest size, some without an end. Memory stays within the limit of the
-// configuration, and a collector gets through.
-func TestMemoryStaysWithinLimitInAFloodOfMessages(t *testing.T) {
+// Hundreds of clients send messages of the maximum size, half of them incomplete. Memory must stay within the
+// configured limit, and a valid collector must still be served.
+func TestMemoryStaysWithinLimitDuringMessageFlood(t *testing.T) {
 	r := startProgram(t, nil)
 	collector, err := fakeplatform.NewCollector(r.address, "north")
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer collector.Close()
-	long := append([]byte{0, 0, 16, 0}, bytes.Repeat([]byte{' '}, 1<<20)...)
+	longMessage := append([]byte{0, 0, 16, 0}, bytes.Repeat([]byte{' '}, 1<<20)...)
 	for k := range 300 {
 		conn, err := net.Dial("tcp", r.address)
 		if err != nil {
 			t.Fatal(err)
 		}
 		defer conn.Close()
-		c := &fakeplatform.Collector{Conn: conn} // by what it says
+		c := &fakeplatform.Collector{Conn: conn} // a collector only by its messages
 		c.Send(json.RawMessage(zoneMessage))
 		c.SetWriteDeadline(time.Now().Add(10 * time.Second))
-		c.Write(long)
-		c.Ping() // the long message has been read then, or was closed as the one that holds most
+		c.Write(longMessage)
+		c.Ping() // returns when the long message was read, or the connection was closed for using the most memory
 		if k%2 == 1 {
-			c.Write(long[:len(long)-1]) // lacks its end
+			c.Write(longMessage[:len(longMessage)-1]) // incomplete
 		}
 		if err := collector.Ping(); err != nil {
-			t.Fatalf("the collector was kept out: %v", err)
+			t.Fatalf("ping of a valid collector after %d clients: got error %v, want none", k+1, err)
 		}
 	}
 	r.ping()
@@ -161,7 +162,7 @@
 		t.Fatal(err)
 	}
 	peak := r.process.ProcessState.SysUsage().(*syscall.Rusage).Maxrss >> 10
-	if t.Logf("%d MB at most", peak); peak > 192 && !withRaceDetector() {
-		t.Errorf("%d MB at most", peak)
+	if t.Logf("peak memory: %d MB", peak); peak > 192 && !withRaceDetector() {
+		t.Errorf("got peak memory %d MB, want at most 192 MB", peak)
 	}
 }
--- a/cmd/harehook/configuration.go
+++ b/cmd/harehook/configuration.go
@@ -16,52 +16,53 @@
 )
 
 const (
-	configurationVariable = "GW_CONFIG" // the file's path
+	configurationVariable = "GW_CONFIG" // environment variable with the path of the configuration file
 
 	defaultMemoryMB = 192
 	defaultSockets  = 1024
 	bytesPerMB      = 1e6
 
-	// heapMemoryShare is the part of the memory limit at which garbage is collected more often: the rest is not the
-	// heap's.
+	// heapMemoryShare is the fraction of the memory limit above which the garbage collector runs more often. The
+	// remainder is reserved for memory outside the heap.
 	heapMemoryShare = 0.7
 )
 
-// What a configuration lacks.
+// Errors for an incomplete configuration.
 var (
-	errNoConfiguration = errors.New(configurationVariable + " names no configuration")
-	errNoListen        = errors.New("no address to listen on")
-	errNoDiscovery     = errors.New("no address of discovery")
-	errNoRelay         = errors.New("no address of the relay")
-	errNoSettings      = errors.New("no settings")
-	errNoSeed          = errors.New("no seed")
+	errNoConfiguration    = errors.New(configurationVariable + " is not set")
+	errNoListenAddress    = errors.New("listen address is missing")
+	errNoDiscoveryAddress = errors.New("discovery address is missing")
+	errNoRelayAddress     = errors.New("relay address is missing")
+	errNoSettings         = errors.New("settings are missing")
+	errNoSeed             = errors.New("seed is missing")
 )
 
-// configuration is what the platform configures at the start of a controller.
+// configuration is the content of the configuration file that the platform writes for a controller.
 type configuration struct {
 	Name      string   `json:"name"`
-	Listen    string   `json:"listen"`    // host:port, for collectors
+	Listen    string   `json:"listen"`    // host:port at which collectors connect
 	Discovery string   `json:"discovery"` // host:port
-	Seed      string   `json:"seed"`      // of random numbers, hexadecimal
+	Seed      string   `json:"seed"`      // seed of random numbers, hexadecimal
 	Limits    limits   `json:"limits"`
-	Relay     struct { // the platform's word for it is store
-		Address string `json:"address"` // of the relay, host:port
+	Relay     struct { // the platform calls the relay the store
+		Address string `json:"address"` // host:port
 	} `json:"store"`
-	Known    json.RawMessage `json:"known"` // endpoint list as last known, in discovery's form; may be absent
+	Known    json.RawMessage `json:"known"` // last known endpoint list, encoded as in discovery responses; optional
 	Settings json.RawMessage `json:"settings"`
 
 	deployment settings.Deployment // decoded from Settings
 }
 
-// limits is what the process may use. 0 stands for a default.
+// limits holds the resource limits of the process. 0 selects the default.
 type limits struct {
 	Cores    float64 `json:"cores"`
 	MemoryMB float64 `json:"memory_mb"`
-	Sockets  int     `json:"sockets"` // descriptors
+	Sockets  int     `json:"sockets"` // open file descriptors
 }
 
-// loadConfiguration reads and checks a configuration file. Variables of the platform stand in for what it lacks. The
-// errors are those above, of the file, of encoding/json and of settings.Decode.
+// loadConfiguration reads and validates a configuration file. Environment variables supply a name and addresses that
+// the file does not set. The returned error is one of the errors above, or comes from reading the file, from
+// encoding/json, from net.SplitHostPort or from settings.Decode.
 func loadConfiguration(path string) (*configuration, error) {
 	if path == "" {
 		return nil, errNoConfiguration
@@ -74,8 +75,8 @@
 	if err := json.Unmarshal(text, c); err != nil {
 		return nil, fmt.Errorf("%s: %w", path, err)
 	}
-	c.applyVariables()
-	if err := c.check(); err != nil {
+	c.applyEnvironment()
+	if err := c.validate(); err != nil {
 		return nil, fmt.Errorf("%s: %w", path, err)
 	}
 	c.deployment, err = settings.Decode(c.Settings)
@@ -86,7 +87,8 @@
 	return c, nil
 }
 
-func (c *configuration) applyVariables() {
+// applyEnvironment sets empty fields from the platform's environment variables.
+func (c *configuration) applyEnvironment() {
 	setIfEmpty(&c.Name, "GW_NAME")
 	setIfEmpty(&c.Listen, "GW_LISTEN")
 	setIfEmpty(&c.Discovery, "GW_DISCOVERY")
@@ -98,15 +100,16 @@
 	}
 }
 
-// check reports whether all addresses and the settings are there. The address to listen on is checked by listening.
-func (c *configuration) check() error {
+// validate returns an error if an address or the settings are missing, or if an address has no port. The syntax of the
+// listen address is checked later, by listening.
+func (c *configuration) validate() error {
 	switch {
 	case c.Listen == "":
-		return errNoListen
+		return errNoListenAddress
 	case c.Discovery == "":
-		return errNoDiscovery
+		return errNoDiscoveryAddress
 	case c.Relay.Address == "":
-		return errNoRelay
+		return errNoRelayAddress
 	case len(c.Settings) == 0:
 		return errNoSettings
 	}
@@ -127,13 +130,13 @@
 	}
 }
 
-// applyLimits has the runtime keep to the limits of cores and memory.
+// applyLimits applies the core and memory limits to the Go runtime.
 func (c *configuration) applyLimits() {
 	runtime.GOMAXPROCS(max(1, int(math.Ceil(c.Limits.Cores))))
 	debug.SetMemoryLimit(int64(heapMemoryShare * c.Limits.MemoryMB * bytesPerMB))
 }
 
-// parseSeed reads a hexadecimal seed; another text counts by its hash. The error is errNoSeed.
+// parseSeed parses a hexadecimal seed. Any other text is hashed to a seed. An empty text returns errNoSeed.
 func parseSeed(text string) (uint64, error) {
 	if text == "" {
 		return 0, errNoSeed
--- a/cmd/harehook/doc.go
+++ b/cmd/harehook/doc.go
@@ -1,9 +1,9 @@
-// Command harehook is one controller of the platform: it reads its configuration from the file that GW_CONFIG names,
-// accepts collectors, watches discovery and the relay, and sends commands to the relay until SIGTERM.
+// Command harehook runs one controller of the platform. It reads its configuration from the file named by GW_CONFIG,
+// accepts connections from collectors, watches discovery and the relay, and sends commands to the relay until SIGTERM.
 //
-// SIGHUP has it read the configuration again: addresses of relay and discovery and the limits of cores and memory take
-// effect at once, the rest after a restart. It exits with 0 after SIGTERM, and with 1 and one line on standard error
-// after a start that cannot work.
+// On SIGHUP it reloads the configuration. New relay and discovery addresses and new core and memory limits take effect
+// immediately, all other changes after a restart. It exits with code 0 after SIGTERM. If it cannot start, it prints one
+// line to standard error and exits with code 1.
 //
-// The program links the standard library and zap only: on the platform memory begins at 32 MB.
+// The program links only the standard library and zap, because the platform's memory limits start at 32 MB.
 package main
--- a/cmd/harehook/listen.go
+++ b/cmd/harehook/listen.go
@@ -9,17 +9,20 @@
 )
 
 const (
-	listenTimeout       = 2 * time.Second // for the process before to end: it is killed 0.7 s after SIGTERM or later
+	// listenTimeout is how long to wait for the previous process to release the address. The platform kills that
+	// process no earlier than 0.7 s after SIGTERM.
+	listenTimeout = 2 * time.Second
+
 	listenRetryInterval = 20 * time.Millisecond
 )
 
-// listen listens at an address. The process before may not have given it up yet: that is waited for. Both results are
-// nil if ctx ends meanwhile.
+// listen listens on an address. If the previous process still uses the address, listen retries until listenTimeout.
+// Both results are nil if ctx is done before the address is free.
 func listen(ctx context.Context, address string) (net.Listener, error) {
-	giveUp := time.Now().Add(listenTimeout)
+	deadline := time.Now().Add(listenTimeout)
 	for {
 		listener, err := net.Listen("tcp", address)
-		if !errors.Is(err, syscall.EADDRINUSE) || time.Now().After(giveUp) {
+		if !errors.Is(err, syscall.EADDRINUSE) || time.Now().After(deadline) {
 			return listener, err
 		}
 		select {
--- a/cmd/harehook/listen_test.go
+++ b/cmd/harehook/listen_test.go
@@ -7,22 +7,22 @@
 	"time"
 )
 
-// The process before still listens at the address. The start failed. It waits for the address, and is ready once it is
-// given up.
-func TestAddressOfProcessBeforeIsAwaited(t *testing.T) {
+// The previous process still listens on the address when the program starts. The program must wait for the address
+// instead of failing, and be ready when the address is released.
+func TestStartWaitsForAddressOfPreviousProcess(t *testing.T) {
 	t.Parallel()
-	before, err := net.Listen("tcp", "127.0.0.1:0")
+	previous, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	p, ended := startProcess(t, writeFile(t, configurationText(t, before.Addr().String())), nil)
+	p, exited := startProcess(t, writeFile(t, configurationText(t, previous.Addr().String())), nil)
 	select {
-	case err := <-ended:
-		t.Fatalf("it ended while the address was taken: %v", err)
-	case <-time.After(500 * time.Millisecond): // by then it has found the address taken
+	case err := <-exited:
+		t.Fatalf("program exited while the address was in use: %v", err)
+	case <-time.After(500 * time.Millisecond): // long enough for a first attempt to listen
 	}
-	before.Close()
-	awaitReady(t, before.Addr().String())
+	previous.Close()
+	awaitReady(t, previous.Addr().String())
 	p.Process.Signal(syscall.SIGTERM)
-	expectCleanExit(t, ended)
+	expectCleanExit(t, exited)
 }
--- a/cmd/harehook/main.go
+++ b/cmd/harehook/main.go
@@ -24,7 +24,7 @@
 	}
 }
 
-// run runs the controller until SIGTERM. An error says why it cannot start.
+// run runs the controller until SIGTERM. It returns an error if the controller cannot start.
 func run() error {
 	ctx, reloads, stop := watchSignals()
 	defer stop()
@@ -42,21 +42,21 @@
 	}
 	listener, err := listen(ctx, config.Listen)
 	if listener == nil {
-		return err // nil if the context has ended
+		return err // nil if ctx is done
 	}
 	defer listener.Close()
 	log := logging.New(config.Name, os.Stdout)
 	defer log.Sync()
-	invariant.Watch(func(what string) { log.Error("invariant broken", zap.String("what", what)) })
+	invariant.Watch(func(description string) { log.Error("invariant broken", zap.String("what", description)) })
 	serve(ctx, config, listener, reloads, log)
 	return nil
 }
 
-// serve runs the controller with its transport until ctx ends.
+// serve runs the controller and its transport until ctx is done.
 func serve(ctx context.Context, config *configuration, listener net.Listener, reloads <-chan os.Signal, log *zap.Logger) {
-	known := knownEndpoints(config.Known, log)
+	endpoints := parseKnownEndpoints(config.Known, log)
 	commands := transport.NewCommandSender()
-	ctrl := controller.New(config.deployment, known, commands, log)
+	ctrl := controller.New(config.deployment, endpoints, commands, log)
 	server := &transport.Server{
 		Controller:     ctrl,
 		Commands:       commands,
@@ -67,18 +67,18 @@
 		MaxMemoryBytes: int64(config.Limits.MemoryMB * bytesPerMB),
 		Log:            log,
 	}
-	log.Info("started", zap.String("listen", listener.Addr().String()), zap.Int("known", len(known)))
-	var parts sync.WaitGroup
-	parts.Go(func() { ctrl.Run(ctx) })
-	parts.Go(func() { server.Run(ctx) })
-	parts.Go(func() { reloadOnSignals(ctx, reloads, config, server) })
-	parts.Wait()
+	log.Info("started", zap.String("listen", listener.Addr().String()), zap.Int("known", len(endpoints)))
+	var tasks sync.WaitGroup
+	tasks.Go(func() { ctrl.Run(ctx) })
+	tasks.Go(func() { server.Run(ctx) })
+	tasks.Go(func() { reloadOnSignals(ctx, reloads, config, server) })
+	tasks.Wait()
 	log.Info("stopped")
 }
 
-// knownEndpoints reads the endpoint list of the configuration. It may be old, and a start can do without: one that
-// cannot be read is left out, and discovery brings the list.
-func knownEndpoints(text json.RawMessage, log *zap.Logger) []controller.Endpoint {
+// parseKnownEndpoints decodes the endpoint list of the configuration. The list is optional and may be out of date, so a
+// list that cannot be decoded is logged and ignored: discovery provides the current one.
+func parseKnownEndpoints(text json.RawMessage, log *zap.Logger) []controller.Endpoint {
 	if len(text) == 0 {
 		return nil
 	}
--- a/cmd/harehook/main_test.go
+++ b/cmd/harehook/main_test.go
@@ -10,7 +10,8 @@
 	"testing"
 )
 
-// binary is the program under test. It is built with its invariants checked; the tests speak to it over loopback.
+// binary is the path of the program under test. It is built with the debug tag, which makes a broken invariant panic.
+// The tests connect to it over loopback.
 var binary string
 
 func TestMain(m *testing.M) {
@@ -32,7 +33,8 @@
 	os.Exit(code)
 }
 
-// withRaceDetector reports whether the tests, and so the program, run with the race detector, which takes much memory.
+// withRaceDetector reports whether the tests, and therefore the program, run with the race detector, which uses much
+// memory.
 func withRaceDetector() bool {
 	info, ok := debug.ReadBuildInfo()
 	return ok && slices.Contains(info.Settings, debug.BuildSetting{Key: "-race", Value: "true"})
--- a/cmd/harehook/process_test.go
+++ b/cmd/harehook/process_test.go
@@ -12,7 +12,8 @@
 	"harehook.dev/harehook/internal/fakeplatform"
 )
 
-// configurationText is a configuration that names an address to listen on, and no party that answers.
+// configurationText returns a configuration with the given listen address, in which discovery and the relay are not
+// reachable.
 func configurationText(t *testing.T, listen string) []byte {
 	t.Helper()
 	text, err := json.Marshal(map[string]any{"name": "n0", "listen": listen, "discovery": "127.0.0.1:1", "seed": "1",
@@ -24,8 +25,9 @@
 	return text
 }
 
-// startProcess starts the program by the path of its configuration; its log goes to a file, nil for none.
-func startProcess(t *testing.T, config string, log *os.File) (p *exec.Cmd, ended chan error) {
+// startProcess starts the program with the configuration file at path config. The program logs to log, or nowhere if
+// log is nil.
+func startProcess(t *testing.T, config string, log *os.File) (p *exec.Cmd, exited chan error) {
 	t.Helper()
 	p = exec.Command(binary)
 	p.Env = append(os.Environ(), "GW_CONFIG="+config, "GORACE=atexit_sleep_ms=0")
@@ -33,26 +35,26 @@
 	if err := p.Start(); err != nil {
 		t.Fatal(err)
 	}
-	ended = make(chan error, 1)
-	go func() { ended <- p.Wait() }()
+	exited = make(chan error, 1)
+	go func() { exited <- p.Wait() }()
 	t.Cleanup(func() { p.Process.Kill() })
-	return p, ended
+	return p, exited
 }
 
-// expectCleanExit waits until a process ends with the code 0.
-func expectCleanExit(t *testing.T, ended chan error) {
+// expectCleanExit waits for a process to exit and fails the test unless the exit code is 0.
+func expectCleanExit(t *testing.T, exited chan error) {
 	t.Helper()
 	select {
-	case err := <-ended:
+	case err := <-exited:
 		if err != nil {
-			t.Errorf("it ended with %v", err)
+			t.Errorf("got exit %v, want exit code 0", err)
 		}
 	case <-time.After(10 * time.Second):
-		t.Error("it does not end")
+		t.Error("process is running after 10 s, want it to exit")
 	}
 }
 
-// writeFile writes a file of the test.
+// writeFile writes text to a configuration file in a temporary directory.
 func writeFile(t *testing.T, text []byte) (path string) {
 	t.Helper()
 	path = filepath.Join(t.TempDir(), "config.json")
@@ -62,7 +64,7 @@
 	return path
 }
 
-// freeAddress is an address at which no one listens.
+// freeAddress returns a loopback address that is not in use.
 func freeAddress(t *testing.T) string {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -73,10 +75,10 @@
 	return l.Addr().String()
 }
 
-// awaitReady waits until the controller at an address answers a ping.
+// awaitReady waits until the controller at address answers a ping.
 func awaitReady(t *testing.T, address string) {
 	t.Helper()
-	for within := time.Now().Add(10 * time.Second); ; time.Sleep(time.Millisecond) {
+	for deadline := time.Now().Add(10 * time.Second); ; time.Sleep(time.Millisecond) {
 		c, err := fakeplatform.NewCollector(address, "north")
 		if err == nil {
 			err = c.Ping()
@@ -85,8 +87,8 @@
 		if err == nil {
 			return
 		}
-		if time.Now().After(within) {
-			t.Fatalf("not in use: %v", err)
+		if time.Now().After(deadline) {
+			t.Fatalf("controller at %s is not ready after 10 s: %v", address, err)
 		}
 	}
 }
--- a/cmd/harehook/readiness_test.go
+++ b/cmd/harehook/readiness_test.go
@@ -9,8 +9,8 @@
 	"harehook.dev/harehook/internal/fakeplatform"
 )
 
-// A controller that knows no endpoint has nothing to give to its proxies. A ping that is answered says that it is
-// ready, so none is until discovery has named an endpoint.
+// An answered ping means that the controller is ready. A controller that knows no endpoint has no tables for its
+// proxies, so it must not answer pings until discovery has listed an endpoint.
 func TestPingIsAnsweredOnceAnEndpointIsKnown(t *testing.T) {
 	r := startProgram(t, func(config map[string]any) { delete(config, "known") })
 	r.discovery.SetMode(fakeplatform.NoResponse)
@@ -26,7 +26,7 @@
 	r.awaitPollsAfter(func() { go func() { answered <- c.Ping() }() })
 	select {
 	case err := <-answered:
-		t.Fatalf("answered without a list: %v", err)
+		t.Fatalf("ping returned before an endpoint is known: got error %v, want no response", err)
 	default:
 	}
 	r.discovery.SetMode(fakeplatform.PlainResponse)
@@ -35,49 +35,49 @@
 	}
 }
 
-// The controller starts without a known list while discovery is silent, fails or names no endpoint. It was never ready.
-// It is within the time that a restart may take; proxies keep what they hold until an endpoint is known, and are bound
-// then.
+// The controller starts without a known endpoint list while discovery does not respond, returns errors or lists no
+// endpoint. It must not wait for an endpoint forever, but be ready within the time allowed for a restart. Proxies keep
+// their tables until an endpoint is known, and must then be bound.
 func TestReadyInTimeWithoutEndpointList(t *testing.T) {
-	const readyWithin = 10 * time.Second // by the operators' page
+	const readyWithin = 10 * time.Second // from the operators' page
 	forEachCase(t, map[string]func(r *testProgram){
-		"silent":       func(r *testProgram) { r.discovery.SetMode(fakeplatform.NoResponse) },
-		"changes only": func(r *testProgram) { r.discovery.SetMode(fakeplatform.UpdatesOnly) },
-		"failing":      func(r *testProgram) { r.discovery.SetMode(fakeplatform.ErrorResponse) },
-		"without nodes": func(r *testProgram) {
+		"no response":  func(r *testProgram) { r.discovery.SetMode(fakeplatform.NoResponse) },
+		"updates only": func(r *testProgram) { r.discovery.SetMode(fakeplatform.UpdatesOnly) },
+		"error":        func(r *testProgram) { r.discovery.SetMode(fakeplatform.ErrorResponse) },
+		"no endpoints": func(r *testProgram) {
 			for _, n := range r.discovery.FullList().Endpoints {
 				n.Status = "terminated"
 				r.discovery.Set(n)
 			}
 		},
-	}, func(r *testProgram, discovery func(r *testProgram)) {
-		r.restartWithoutKnownList(func() { discovery(r) })
-		began := time.Now()
+	}, func(r *testProgram, configureDiscovery func(r *testProgram)) {
+		r.restartWithoutKnownList(func() { configureDiscovery(r) })
+		start := time.Now()
 		c, err := fakeplatform.NewCollector(r.address, "north")
 		if err != nil {
 			r.t.Fatal(err)
 		}
 		defer c.Close()
-		if err = c.Ping(); err != nil { // a fake collector waits for 5 s
+		if err = c.Ping(); err != nil { // the fake collector times out after 5 s
 			c.Close()
 			r.ping()
 		}
-		if took := time.Since(began); took > readyWithin {
-			r.t.Errorf("ready after %v", took)
+		if elapsed := time.Since(start); elapsed > readyWithin {
+			r.t.Errorf("ready after %v, want at most %v", elapsed, readyWithin)
 		}
 		r.relay.Lock()
 		if calls := strings.Join(r.relay.Calls, "\n"); strings.Contains(calls, "attach") {
-			r.t.Errorf("bound without a node: %s", calls)
+			r.t.Errorf("got calls %s, want no binding before an endpoint is known", calls)
 		}
 		r.relay.Unlock()
 		r.discovery.SetMode(fakeplatform.PlainResponse)
 		r.discovery.Set(node("s-7", "north", "in_service"), node("s-8", "south", "in_service"))
-		r.awaitRelay("bound", allBound(0, 1))
+		r.awaitRelay("proxies bound", allBound(0, 1))
 	})
 }
 
-// The known list of the configuration cannot be read. It ended the start, although discovery brings the list. It is
-// left out.
+// The known endpoint list in the configuration is invalid. It must be ignored and must not fail the start, because
+// discovery provides the list.
 func TestUnreadableKnownListIsIgnored(t *testing.T) {
 	t.Parallel()
 	for _, known := range []string{`{}`, `[]`, `"?"`, `null`, `{"index":1,"endpoints":[{"name":7}]}`} {
--- a/cmd/harehook/reload.go
+++ b/cmd/harehook/reload.go
@@ -16,9 +16,9 @@
 	reloadRetryInterval = 100 * time.Millisecond
 )
 
-// reloadOnSignals reads the configuration again at each signal until ctx ends. What was decided, learned and sent so far
-// lives on. A configuration that cannot be used leaves the old one in effect.
-func reloadOnSignals(ctx context.Context, signals <-chan os.Signal, started *configuration, server *transport.Server) {
+// reloadOnSignals reloads the configuration on each signal until ctx is done. The controller keeps its decisions, its
+// learned state and the state of sent commands. If the new configuration is invalid, the old one stays in effect.
+func reloadOnSignals(ctx context.Context, signals <-chan os.Signal, initial *configuration, server *transport.Server) {
 	for {
 		select {
 		case <-ctx.Done():
@@ -37,12 +37,12 @@
 		relayMoved := server.Relay.Move(config.Relay.Address)
 		discoveryMoved := server.Discovery.Move(config.Discovery)
 		server.Log.Info("configuration reloaded", zap.Bool("relay_moved", relayMoved),
-			zap.Bool("discovery_moved", discoveryMoved), zap.Strings("needs_restart", started.restartKeys(config)))
+			zap.Bool("discovery_moved", discoveryMoved), zap.Strings("needs_restart", initial.keysNeedingRestart(config)))
 	}
 }
 
-// reloadConfiguration reads the configuration. The signal may come while the file is still being written: one that
-// cannot be used is read again after a while.
+// reloadConfiguration loads the configuration. The signal may arrive while the file is still being written, so an
+// invalid configuration is read again after reloadRetryInterval, at most reloadAttempts times in all.
 func reloadConfiguration(ctx context.Context) (config *configuration, err error) {
 	for range reloadAttempts {
 		config, err = loadConfiguration(os.Getenv(configurationVariable))
@@ -58,19 +58,19 @@
 	return nil, err
 }
 
-// restartKeys are the keys whose values differ between the configuration of the start and a new one, and which take
-// effect only after a restart.
-func (c *configuration) restartKeys(other *configuration) (keys []string) {
+// keysNeedingRestart returns the keys whose values differ between c and other and that take effect only after a
+// restart.
+func (c *configuration) keysNeedingRestart(other *configuration) (keys []string) {
 	for _, field := range []struct {
-		key  string
-		same bool
+		key   string
+		equal bool
 	}{
 		{"name", c.Name == other.Name},
 		{"listen", c.Listen == other.Listen},
 		{"limits.sockets", c.Limits.Sockets == other.Limits.Sockets},
 		{"settings", bytes.Equal(c.Settings, other.Settings)},
 	} {
-		if !field.same {
+		if !field.equal {
 			keys = append(keys, field.key)
 		}
 	}
--- a/cmd/harehook/reload_test.go
+++ b/cmd/harehook/reload_test.go
@@ -11,17 +11,17 @@
 	"harehook.dev/harehook/internal/fakeplatform"
 )
 
-// After SIGHUP relay and discovery are reached where the new configuration has them, without a gap: proxies that are
-// connected are not bound anew. A configuration that cannot be used leaves the old one in effect.
-func TestReloadMovesPartiesWithoutGap(t *testing.T) {
+// After SIGHUP the controller must connect to the new addresses of relay and discovery without interruption: it must
+// not bind connected proxies again. An invalid configuration must leave the old one in effect.
+func TestReloadChangesAddressesWithoutInterruption(t *testing.T) {
 	r := startProgram(t, nil)
 	r.join(0, 1, 2)
-	bindings := func() int {
+	countBindings := func() int {
 		r.relay.Lock()
 		defer r.relay.Unlock()
 		return strings.Count(strings.Join(r.relay.Calls, "\n"), "attach,")
 	}
-	before := bindings()
+	initialBindings := countBindings()
 	os.WriteFile(r.configFile, []byte("{"), 0o600)
 	r.process.Process.Signal(syscall.SIGHUP)
 	r.awaitLog("configuration reload failed")
@@ -30,36 +30,36 @@
 			t.Fatal(err)
 		}
 		r.config["discovery"], r.config["store"] = r.discovery.Address(), map[string]any{"address": r.relay.Address()}
-		r.configure()
+		r.writeConfiguration()
 		r.relay.Lock()
-		follows := r.relay.Watches
+		watches := r.relay.Watches
 		r.relay.Unlock()
 		for range 1 + round {
 			r.process.Process.Signal(syscall.SIGHUP)
 		}
-		r.awaitRelay("followed", func(relay *fakeplatform.Relay) bool { return relay.Watches > follows })
+		r.awaitRelay("proxy watch opened at the new address", func(relay *fakeplatform.Relay) bool { return relay.Watches > watches })
 		r.relay.Join(proxy(3 + round))
-		r.awaitRelay("bound", allBound(3+round))
+		r.awaitRelay("new proxy bound", allBound(3+round))
 		name := fmt.Sprintf("s-%d", 1+round)
 		r.discovery.Set(node(name, "north", "terminating"))
-		r.awaitRelay("drained", noTableHas(name))
+		r.awaitRelay("drained endpoint removed", noTableContains(name))
 	}
-	if n := bindings() - before; n != 3 {
-		t.Errorf("%d bindings for 3 proxies that joined: %q", n, r.relay.Calls)
+	if n := countBindings() - initialBindings; n != 3 {
+		t.Errorf("got %d bindings, want 3, one for each proxy that joined; calls %q", n, r.relay.Calls)
 	}
 	r.relay.Break()
 	r.discovery.Break()
 	r.discovery.Set(node("s-5", "north", "in_service"))
-	r.awaitRelay("new", func(relay *fakeplatform.Relay) bool { return relay.Tables[relay.Bound[0]]["s-5"] > 0 })
+	r.awaitRelay("new endpoint added", func(relay *fakeplatform.Relay) bool { return relay.Tables[relay.Bound[0]]["s-5"] > 0 })
 	r.process.Process.Signal(syscall.SIGHUP)
 	r.process.Process.Signal(syscall.SIGTERM)
 	if err := <-r.exited; err != nil {
-		t.Errorf("after SIGTERM: %v", err)
+		t.Errorf("after SIGTERM: got exit %v, want exit code 0", err)
 	}
 }
 
-// SIGHUP moves discovery before the address of the start has ever answered. The new one is polled at once, and the
-// controller is ready by its list.
+// SIGHUP changes the discovery address before discovery at the old address has ever responded. The controller must poll
+// the new address immediately and become ready with its list.
 func TestReloadBeforeFirstList(t *testing.T) {
 	t.Parallel()
 	r := startProgram(t, nil)
@@ -70,11 +70,11 @@
 		t.Fatal(err)
 	}
 	defer other.Close()
-	r.discovery.Set(node("s-7", "north", "in_service"), node("s-8", "south", "in_service")) // the relay asks here what is listed
+	r.discovery.Set(node("s-7", "north", "in_service"), node("s-8", "south", "in_service")) // the relay accepts listed endpoints only
 	r.config["discovery"] = other.Address()
-	r.configure()
+	r.writeConfiguration()
 	r.process.Process.Signal(syscall.SIGHUP)
 	r.ping()
 	r.join(0, 1)
-	r.awaitRelay("by the new list", func(relay *fakeplatform.Relay) bool { return relay.Tables[relay.Bound[0]]["s-7"] > 0 })
+	r.awaitRelay("table from the new list", func(relay *fakeplatform.Relay) bool { return relay.Tables[relay.Bound[0]]["s-7"] > 0 })
 }
--- a/cmd/harehook/serve_test.go
+++ b/cmd/harehook/serve_test.go
@@ -10,23 +10,23 @@
 	"harehook.dev/harehook/internal/fakeplatform"
 )
 
-// Proxies that join are bound to tables with entries of their zone. An endpoint that drains leaves all tables, a new
-// one enters; reports are accepted.
+// Proxies that join must be bound to tables with entries of their zone. A draining endpoint must be removed from all
+// tables, a new one must be added, and reports must be accepted.
 func TestProxiesAreBoundAndTablesFollowTheEndpointList(t *testing.T) {
 	r := startProgram(t, nil)
 	r.ping()
 	r.join(0, 1, 2)
-	r.awaitRelay("levels", func(relay *fakeplatform.Relay) bool { return relay.Admissions["0 quote"] != "" })
+	r.awaitRelay("admission level set", func(relay *fakeplatform.Relay) bool { return relay.Admissions["0 quote"] != "" })
 	c, err := fakeplatform.NewCollector(r.address, "north")
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer c.Close()
-	for _, m := range []string{
+	for _, report := range []string{
 		`{"@type":"LOAD","site":"north","target":"s-1","count":20,"fail":0,"mean":41.7,"over":500.0}`,
 		`{"@type":"RATE","id":0,"lane":"quote","count":19,"fail":0,"over":500.0}`,
 	} {
-		if err := c.Send(json.RawMessage(m)); err != nil {
+		if err := c.Send(json.RawMessage(report)); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -34,16 +34,16 @@
 		t.Fatal(err)
 	}
 	r.discovery.Set(node("s-1", "north", "terminating"), node("s-5", "north", "in_service"))
-	r.awaitRelay("drained", noTableHas("s-1"))
-	r.awaitRelay("new", func(relay *fakeplatform.Relay) bool { return relay.Tables[relay.Bound[0]]["s-5"] > 0 })
+	r.awaitRelay("drained endpoint removed", noTableContains("s-1"))
+	r.awaitRelay("new endpoint added", func(relay *fakeplatform.Relay) bool { return relay.Tables[relay.Bound[0]]["s-5"] > 0 })
 	r.relay.Leave(2)
 	r.relay.Join(proxy(2))
-	r.awaitRelay("bound again", allBound(2))
+	r.awaitRelay("rejoined proxy bound", allBound(2))
 }
 
-// Calls, polls, watches and connections fail together while proxies and endpoints come and go. In the end the proxies
-// that are connected are bound to tables of the endpoints that are ready.
-func TestFaultsTogetherLeaveTablesRight(t *testing.T) {
+// Calls, polls, watches and connections fail concurrently while proxies join and leave and endpoints drain and return.
+// After the faults, exactly the connected proxies must be bound, to tables with ready endpoints only.
+func TestTablesConvergeAfterConcurrentFaults(t *testing.T) {
 	const steps = 60
 	for seed := range uint64(4) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
@@ -56,26 +56,27 @@
 			}
 			for range steps {
 				f.step()
-				time.Sleep(time.Duration(f.random.IntN(20)) * time.Millisecond) // not waited for: only a pace
+				time.Sleep(time.Duration(f.random.IntN(20)) * time.Millisecond) // paces the faults; no condition is awaited
 			}
 			f.discovery.SetMode(fakeplatform.PlainResponse)
 			f.discovery.Set(node("s-5", "north", "in_service"), node("s-6", "south", "in_service"))
 			f.ready["s-5"] = true
 			f.ready["s-6"] = true
-			f.awaitRelay("all in order", f.inOrder)
+			f.awaitRelay("tables converged", f.converged)
 			f.ping()
 		})
 	}
 }
 
-// faultyPlatform is a program whose fakes fail, and whose proxies and endpoints come and go, at random.
+// faultyPlatform is a program under test with random faults of the fakes and random changes of proxies and endpoints.
 type faultyPlatform struct {
 	*testProgram
 	random    *rand.Rand
-	connected map[int]bool    // proxies
-	ready     map[string]bool // endpoints
+	connected map[int]bool    // by proxy ID
+	ready     map[string]bool // by endpoint name
 }
 
+// step injects a random fault or makes a random change.
 func (f *faultyPlatform) step() {
 	id := f.random.IntN(8)
 	n := 1 + f.random.IntN(4)
@@ -87,7 +88,7 @@
 		mode := f.random.IntN(int(fakeplatform.NoResponse) + 1)
 		f.discovery.SetMode(fakeplatform.ResponseMode(mode))
 	case 3:
-		f.rejoinUnseen(id)
+		f.rejoinDuringWatchBreak(id)
 	case 4:
 		f.joinOrLeave(id)
 	case 5:
@@ -97,8 +98,8 @@
 	}
 }
 
-// rejoinUnseen has a proxy leave and join while the watch is broken.
-func (f *faultyPlatform) rejoinUnseen(id int) {
+// rejoinDuringWatchBreak makes a proxy leave and join while the proxy watch is disconnected.
+func (f *faultyPlatform) rejoinDuringWatchBreak(id int) {
 	f.relay.BreakWatches(func() {
 		if f.connected[id] {
 			f.relay.Leave(id)
@@ -128,22 +129,22 @@
 	f.discovery.Set(node(name, zone, status))
 }
 
-// inOrder holds if just the connected proxies are bound, to tables of ready endpoints only.
-func (f *faultyPlatform) inOrder(relay *fakeplatform.Relay) bool {
+// converged reports whether exactly the connected proxies are bound, to tables with ready endpoints only.
+func (f *faultyPlatform) converged(relay *fakeplatform.Relay) bool {
 	for id, connected := range f.connected {
 		table, bound := relay.Bound[id]
 		if connected != bound {
 			return false
 		}
-		if connected && !f.onlyReady(relay.Tables[table]) {
+		if connected && !f.hasOnlyReadyEndpoints(relay.Tables[table]) {
 			return false
 		}
 	}
 	return true
 }
 
-// onlyReady holds if a table has entries, all of ready endpoints.
-func (f *faultyPlatform) onlyReady(table map[string]float64) bool {
+// hasOnlyReadyEndpoints reports whether a table has entries, and all of them are for ready endpoints.
+func (f *faultyPlatform) hasOnlyReadyEndpoints(table map[string]float64) bool {
 	for name := range table {
 		if !f.ready[name] {
 			return false
--- a/cmd/harehook/shutdown_test.go
+++ b/cmd/harehook/shutdown_test.go
@@ -9,15 +9,15 @@
 	"time"
 )
 
-// The process is killed and started again at its address: it begins from nothing, and binds what joins. SIGTERM ends it
-// at once, with the code 0.
+// The process is killed and restarted on the same address. It starts without state and must bind proxies that join.
+// After SIGTERM it must exit promptly with code 0.
 func TestStopAndRestart(t *testing.T) {
 	r := startProgram(t, nil)
 	r.join(0)
 	r.config["listen"] = r.address
 	r.process.Process.Kill()
 	if err := <-r.exited; err == nil {
-		t.Error("a killed program ended well")
+		t.Error("killed program: got exit code 0, want an error")
 	}
 	r.relay.Leave(0)
 	r.relay.Lock()
@@ -26,82 +26,83 @@
 	r.start()
 	r.ping()
 	r.relay.Join(proxy(0))
-	r.awaitRelay("bound again", allBound(0))
-	began := time.Now()
+	r.awaitRelay("rejoined proxy bound", allBound(0))
+	start := time.Now()
 	r.process.Process.Signal(syscall.SIGTERM)
 	if err := <-r.exited; err != nil {
-		t.Errorf("after SIGTERM: %v", err)
+		t.Errorf("after SIGTERM: got exit %v, want exit code 0", err)
 	}
-	if took := time.Since(began); took > 3*time.Second {
-		t.Errorf("it took %v to end", took)
+	if elapsed := time.Since(start); elapsed > 3*time.Second {
+		t.Errorf("exited %v after SIGTERM, want at most 3 s", elapsed)
 	}
 }
 
-// SIGTERM comes while the start still reads the configuration. It killed the program. It ends with the code 0.
-func TestTermWhileConfigurationIsRead(t *testing.T) {
+// SIGTERM arrives while the program reads its configuration during startup. The signal must not kill the program,
+// which must exit with code 0.
+func TestSIGTERMWhileConfigurationIsRead(t *testing.T) {
 	t.Parallel()
 	pipe := filepath.Join(t.TempDir(), "config.json")
 	if err := syscall.Mkfifo(pipe, 0o600); err != nil {
 		t.Fatal(err)
 	}
-	p, ended := startProcess(t, pipe, nil)
-	config, err := os.OpenFile(pipe, os.O_WRONLY, 0) // returns once the program reads
+	p, exited := startProcess(t, pipe, nil)
+	config, err := os.OpenFile(pipe, os.O_WRONLY, 0) // returns when the program opens the file for reading
 	if err != nil {
 		t.Fatal(err)
 	}
 	p.Process.Signal(syscall.SIGTERM)
-	config.Write(configurationText(t, "127.0.0.1:0")) // it fails if the signal has killed the program, which shows in how that ends
+	config.Write(configurationText(t, "127.0.0.1:0")) // fails if the signal killed the program, which expectCleanExit reports
 	config.Close()
-	expectCleanExit(t, ended)
+	expectCleanExit(t, exited)
 }
 
-// Whoever reads the log stops reading, or goes. All stages waited for it, and SIGPIPE killed the program. It serves on
-// and ends in time.
-func TestUnreadLogBlocksNothing(t *testing.T) {
+// The reader of the log stops reading or closes the pipe. A full pipe must not block the stages of the controller,
+// and SIGPIPE must not kill the program: it must continue to serve and exit in time.
+func TestUnreadLogDoesNotBlock(t *testing.T) {
 	t.Parallel()
-	for name, spoil := range map[string]func(from, to *os.File){
-		"stopped": func(_, to *os.File) {
-			to.SetWriteDeadline(time.Now().Add(100 * time.Millisecond))
-			to.Write(bytes.Repeat([]byte("\n"), 1<<20)) // until the pipe takes no more
+	for name, disrupt := range map[string]func(reader, writer *os.File){
+		"not read": func(_, writer *os.File) {
+			writer.SetWriteDeadline(time.Now().Add(100 * time.Millisecond))
+			writer.Write(bytes.Repeat([]byte("\n"), 1<<20)) // until the pipe is full
 		},
-		"gone": func(from, _ *os.File) { from.Close() },
+		"closed": func(reader, _ *os.File) { reader.Close() },
 	} {
-		from, to, err := os.Pipe()
+		reader, writer, err := os.Pipe()
 		if err != nil {
 			t.Fatal(err)
 		}
-		defer from.Close()
-		defer to.Close()
-		spoil(from, to)
+		defer reader.Close()
+		defer writer.Close()
+		disrupt(reader, writer)
 		address := freeAddress(t)
-		p, ended := startProcess(t, writeFile(t, configurationText(t, address)), to)
+		p, exited := startProcess(t, writeFile(t, configurationText(t, address)), writer)
 		awaitReady(t, address)
-		began := time.Now()
+		start := time.Now()
 		p.Process.Signal(syscall.SIGTERM)
-		expectCleanExit(t, ended)
-		if took := time.Since(began); took > 3*time.Second { // it takes 0.2 s; the rest is a busy machine's
-			t.Errorf("%s: it took %v to end", name, took)
+		expectCleanExit(t, exited)
+		if elapsed := time.Since(start); elapsed > 3*time.Second { // 0.2 s on an idle machine; more on a busy one
+			t.Errorf("%s: exited %v after SIGTERM, want at most 3 s", name, elapsed)
 		}
 	}
 }
 
-// SIGHUP and SIGTERM come together, in either order, and over a configuration that is only half written. The program
-// ends with the code 0.
-func TestReloadAndTermInAnyOrder(t *testing.T) {
+// SIGHUP and SIGTERM arrive together in either order, also while the configuration file is only partially written. The
+// program must exit with code 0.
+func TestSIGHUPAndSIGTERMInAnyOrder(t *testing.T) {
 	t.Parallel()
 	for _, signals := range [][]syscall.Signal{{syscall.SIGHUP, syscall.SIGTERM}, {syscall.SIGTERM, syscall.SIGHUP},
 		{syscall.SIGHUP, syscall.SIGHUP, syscall.SIGTERM, syscall.SIGTERM}} {
-		for _, half := range []bool{false, true} {
+		for _, partial := range []bool{false, true} {
 			r := startProgram(t, nil)
 			r.join(0)
-			if half {
+			if partial {
 				os.WriteFile(r.configFile, []byte(`{"listen":`), 0o600)
 			}
 			for _, s := range signals {
 				r.process.Process.Signal(s)
 			}
 			if err := <-r.exited; err != nil {
-				t.Errorf("%v, half written %t: %v", signals, half, err)
+				t.Errorf("signals %v, partially written configuration %t: got exit %v, want exit code 0", signals, partial, err)
 			}
 		}
 	}
--- a/cmd/harehook/testprogram_test.go
+++ b/cmd/harehook/testprogram_test.go
@@ -18,7 +18,7 @@
 	"harehook.dev/harehook/internal/fakeplatform"
 )
 
-// testProgram is the program under test with its fakes.
+// testProgram is the program under test, connected to fakes of discovery and the relay.
 type testProgram struct {
 	t          *testing.T
 	ctx        context.Context
@@ -34,8 +34,8 @@
 	log      bytes.Buffer
 }
 
-// configure writes the configuration.
-func (r *testProgram) configure() {
+// writeConfiguration writes the configuration file.
+func (r *testProgram) writeConfiguration() {
 	r.t.Helper()
 	text, err := json.Marshal(r.config)
 	if err != nil {
@@ -46,25 +46,25 @@
 	}
 }
 
-// awaitLog waits until the program has logged something.
-func (r *testProgram) awaitLog(what string) {
+// awaitLog waits until the log of the program contains text.
+func (r *testProgram) awaitLog(text string) {
 	r.t.Helper()
 	for ; r.ctx.Err() == nil; time.Sleep(time.Millisecond) {
 		r.logMutex.Lock()
-		found := strings.Contains(r.log.String(), what)
+		found := strings.Contains(r.log.String(), text)
 		r.logMutex.Unlock()
 		if found {
 			return
 		}
 	}
-	r.t.Fatalf("not logged: %q", what)
+	r.t.Fatalf("log does not contain %q", text)
 }
 
 // start starts the program and waits until it listens.
 func (r *testProgram) start() {
 	r.t.Helper()
 	r.configFile = filepath.Join(r.t.TempDir(), "config.json")
-	r.configure()
+	r.writeConfiguration()
 	r.process = exec.Command(binary)
 	r.process.Env = append(os.Environ(), "GW_CONFIG="+r.configFile, "GORACE=atexit_sleep_ms=0")
 	out, err := r.process.StdoutPipe()
@@ -75,7 +75,7 @@
 	if err := r.process.Start(); err != nil {
 		r.t.Fatal(err)
 	}
-	started, exited := make(chan string, 1), make(chan error, 1)
+	listening, exited := make(chan string, 1), make(chan error, 1)
 	r.exited = exited
 	program := r.process
 	go func() {
@@ -84,31 +84,31 @@
 			r.logMutex.Lock()
 			fmt.Fprintln(&r.log, lines.Text())
 			r.logMutex.Unlock()
-			if found := listenPattern.FindStringSubmatch(lines.Text()); found != nil {
-				started <- found[1]
+			if match := listenPattern.FindStringSubmatch(lines.Text()); match != nil {
+				listening <- match[1]
 			}
 		}
 		exited <- program.Wait()
 		close(exited)
 	}()
 	select {
-	case r.address = <-started:
+	case r.address = <-listening:
 	case err := <-exited:
-		r.t.Fatalf("the program ended: %v", err)
+		r.t.Fatalf("program exited during startup: %v", err)
 	}
 }
 
-// awaitRelay waits until the relay's state is as ok wants; what names it.
+// awaitRelay waits until ok reports true for the relay. The failure message names the awaited state as what.
 func (r *testProgram) awaitRelay(what string, ok func(relay *fakeplatform.Relay) bool) {
 	r.t.Helper()
 	if err := r.relay.Await(r.ctx, func() bool { return ok(r.relay) }); err != nil {
 		r.relay.Lock()
 		defer r.relay.Unlock()
-		r.t.Fatalf("%s: %v; tables %v, bound %v, calls %q", what, err, r.relay.Tables, r.relay.Bound, r.relay.Calls)
+		r.t.Fatalf("waiting for %q: %v; tables %v, bound %v, calls %q", what, err, r.relay.Tables, r.relay.Bound, r.relay.Calls)
 	}
 }
 
-// join lets proxies join and waits until they are bound.
+// join makes proxies join and waits until they are bound.
 func (r *testProgram) join(ids ...int) {
 	r.t.Helper()
 	var proxies []fakeplatform.Proxy
@@ -116,21 +116,22 @@
 		proxies = append(proxies, proxy(id))
 	}
 	r.relay.Join(proxies...)
-	r.awaitRelay("bound", allBound(ids...))
+	r.awaitRelay("proxies bound", allBound(ids...))
 }
 
-// awaitPollsAfter lets something happen and waits until discovery has been polled twice since.
-func (r *testProgram) awaitPollsAfter(happen func()) {
+// awaitPollsAfter calls action and waits until discovery has been polled twice since.
+func (r *testProgram) awaitPollsAfter(action func()) {
 	r.t.Helper()
 	r.discovery.Lock()
-	asked := r.discovery.Polls
+	polls := r.discovery.Polls
 	r.discovery.Unlock()
-	happen()
-	if err := r.discovery.Await(r.ctx, func() bool { return r.discovery.Polls > asked+1 }); err != nil {
+	action()
+	if err := r.discovery.Await(r.ctx, func() bool { return r.discovery.Polls > polls+1 }); err != nil {
 		r.t.Fatal(err)
 	}
 }
 
+// ping fails the test unless the program answers a ping.
 func (r *testProgram) ping() {
 	r.t.Helper()
 	c, err := fakeplatform.NewCollector(r.address, "north")
@@ -143,24 +144,25 @@
 	}
 }
 
-// restartWithoutKnownList kills the program and starts it anew, without a known list; prepare is called in between.
-func (r *testProgram) restartWithoutKnownList(discovery func()) {
+// restartWithoutKnownList kills the program and restarts it without a known endpoint list. It calls prepare before the
+// restart.
+func (r *testProgram) restartWithoutKnownList(prepare func()) {
 	r.t.Helper()
 	r.process.Process.Kill()
 	<-r.exited
 	delete(r.config, "known")
 	r.relay.Lock()
-	r.relay.Calls = nil // what the process before ordered is gone with it
+	r.relay.Calls = nil // drops the calls of the killed process
 	clear(r.relay.Bound)
 	clear(r.relay.Tables)
 	r.relay.Unlock()
-	discovery()
+	prepare()
 	r.start()
 }
 
 var listenPattern = regexp.MustCompile(`"listen": "([^"]+)"`)
 
-// startProgram starts the fakes and the program; change, if not nil, changes its configuration.
+// startProgram starts the fakes and the program. If change is not nil, it modifies the configuration before the start.
 func startProgram(t *testing.T, change func(config map[string]any)) *testProgram {
 	ctx, cancel := context.WithTimeout(context.Background(), time.Minute)
 	r := &testProgram{t: t, ctx: ctx}
@@ -207,12 +209,12 @@
 	return fakeplatform.Proxy{ID: id, Zone: []string{"north", "south"}[id%2], Rate: 10, IsNew: true}
 }
 
-// allBound holds if the proxies are bound to tables with entries.
+// allBound returns a condition that is true when the given proxies are bound to tables with entries.
 func allBound(ids ...int) func(*fakeplatform.Relay) bool {
 	return func(relay *fakeplatform.Relay) bool {
 		for _, id := range ids {
-			table, yes := relay.Bound[id]
-			if !yes || len(relay.Tables[table]) == 0 {
+			table, bound := relay.Bound[id]
+			if !bound || len(relay.Tables[table]) == 0 {
 				return false
 			}
 		}
@@ -220,11 +222,11 @@
 	}
 }
 
-// noTableHas holds if tables have entries, and none for the node.
-func noTableHas(name string) func(*fakeplatform.Relay) bool {
+// noTableContains returns a condition that is true when there are tables and none of them contains the node.
+func noTableContains(name string) func(*fakeplatform.Relay) bool {
 	return func(relay *fakeplatform.Relay) bool {
 		for _, table := range relay.Tables {
-			if _, has := table[name]; has {
+			if _, found := table[name]; found {
 				return false
 			}
 		}
@@ -232,14 +234,14 @@
 	}
 }
 
-// forEachCase runs a test for each case, on a program of its own with two proxies bound.
-func forEachCase[Case any](t *testing.T, cases map[string]Case, play func(r *testProgram, c Case)) {
+// forEachCase runs test as a parallel subtest for each case, with a separate program to which two proxies are bound.
+func forEachCase[Case any](t *testing.T, cases map[string]Case, test func(r *testProgram, c Case)) {
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			r := startProgram(t, nil)
 			r.join(0, 1)
-			play(r, c)
+			test(r, c)
 		})
 	}
 }
