--- a/cluster/commands.go
+++ b/cluster/commands.go
@@ -6,16 +6,16 @@
 	"harehook.dev/harehook/records"
 )
 
-// The bounds of a command.
+// The limits of a command.
 const (
 	maxTextBytes   = 1 << 18 // of a full text in one entry
-	maxNameBytes   = 200     // of a client, an operator, a disk's identity or an address
+	maxNameBytes   = 200     // of a client, an operator, a disk identity or an address
 	maxReasonBytes = 5 * maxNameBytes
 )
 
-// Validate says why a command would be rejected whatever the state is; who proposes calls it first. The error is a
-// *NameSizeError, a *TextSizeError, a *records.InvalidError, or what the TextFormat says of a full text. It may be
-// called from any goroutine.
+// Validate returns an error if a command would be rejected in any state. Callers validate a command before they propose
+// it. The error is a *NameSizeError, a *TextSizeError, a *records.InvalidError, ErrNoTextFormat or that of
+// TextFormat.Parse. Validate may be called from any goroutine.
 func (s *State) Validate(c Command) error {
 	if err := checkSizes(c); err != nil {
 		return err
@@ -30,7 +30,7 @@
 	return nil
 }
 
-// checkSizes checks the bounds of a command. The error is a *NameSizeError or a *TextSizeError.
+// checkSizes checks the limits of a command. The error is a *NameSizeError or a *TextSizeError.
 func checkSizes(c Command) error {
 	if c.Client == "" {
 		return &NameSizeError{Field: "Client", LimitBytes: maxNameBytes}
@@ -56,5 +56,5 @@
 	return nil
 }
 
-// proposalKey names a proposal: a repeated one has the same.
+// proposalKey identifies a proposal. A repeated proposal has the same key.
 func proposalKey(c Command) string { return fmt.Sprint(c.Client, " ", c.Seq) }
--- a/cluster/configuration.go
+++ b/cluster/configuration.go
@@ -2,11 +2,11 @@
 
 import "harehook.dev/harehook/records"
 
-// maxTextWrites bounds the records that one full text changes. A text of maxTextBytes names fewer, and replaces one
-// that did.
+// maxTextWrites is the maximum number of records that one full text may change. A text of maxTextBytes contains fewer
+// records, and so does the text that it replaces.
 const maxTextWrites = 32768
 
-// applyConfiguration changes the records by a command, as a new version.
+// applyConfiguration applies a command to the records and adds a version.
 func (s *State) applyConfiguration(index, term uint64, c Command) error {
 	if err := s.checkPreconditions(c); err != nil {
 		return err
@@ -16,7 +16,7 @@
 		return err
 	}
 	change, err := s.store.Apply(index, transaction)
-	if err != nil && c.Kind == CommandRollBack { // what kept the rules then may not do so by now
+	if err != nil && c.Kind == CommandRollBack { // an earlier configuration may violate the current rules
 		return &RollBackError{Version: c.To, Err: err}
 	}
 	if err != nil {
@@ -29,14 +29,14 @@
 	return nil
 }
 
-// checkPreconditions says why a command cannot change the version in effect: ErrRevisionsNotCounted, a
+// checkPreconditions checks whether a command may change the version in effect. The error is ErrRevisionsNotCounted, a
 // *VersionForgottenError or a *StaleBaseError.
 func (s *State) checkPreconditions(c Command) error {
 	if c.Kind == CommandRecords {
 		if s.FullTexts { // until CommandSetFormat
 			return ErrRevisionsNotCounted
 		}
-		return nil // each write names the revision that it changes
+		return nil // each write has its own expected revision
 	}
 	if _, retained := s.Find(c.To); c.Kind == CommandRollBack && !retained {
 		return &VersionForgottenError{Version: c.To}
@@ -47,8 +47,8 @@
 	return nil
 }
 
-// transaction is what a command does to the records that are held. It may be called from any goroutine; fullTexts is
-// the state's.
+// transaction converts a command to a transaction on the current records. It may be called from any goroutine, so
+// the caller passes the state's FullTexts.
 func (s *State) transaction(c Command, fullTexts bool) (records.Transaction, error) {
 	if fullTexts {
 		return s.restampingTransaction(c)
@@ -67,7 +67,7 @@
 	}
 }
 
-// reversal is the transaction after which the records are those of an earlier version.
+// reversal returns the transaction that restores the records of an earlier version.
 func (s *State) reversal(version uint64) (records.Transaction, error) {
 	transaction, retained := s.store.Reversal(version)
 	if !retained {
@@ -76,7 +76,8 @@
 	return transaction, nil
 }
 
-// replacement is the transaction after which the records are those of a full text. It writes those that differ.
+// replacement returns the transaction that replaces the records with those of a full text. It writes only records that
+// differ.
 func (s *State) replacement(parsed []*records.Record) (records.Transaction, error) {
 	var writes []records.Write
 	for _, record := range parsed {
@@ -88,8 +89,9 @@
 	return textTransaction(append(writes, s.removals(parsed)...))
 }
 
-// removals are the writes that remove what a full text does not name. Services and tenants stay as they are if the text
-// names none: a text of routes and overrides alone, as written before there were others, leaves them be.
+// removals returns the writes that remove the records that a full text does not contain. If the text contains no
+// service, all services are kept, and likewise for tenants: texts from before these kinds existed contain only routes
+// and overrides.
 func (s *State) removals(parsed []*records.Record) []records.Write {
 	named := make(map[records.Key]bool, len(parsed))
 	replaced := map[records.Kind]bool{records.KindRoute: true, records.KindOverride: true}
@@ -108,12 +110,12 @@
 	return writes
 }
 
-// textWrite sets a record as a full text has it.
+// textWrite returns the write that sets a record to its content in a full text.
 func textWrite(record *records.Record) records.Write {
 	return records.Write{Key: record.Key, Body: record.Body, AnyRevision: true}
 }
 
-// textTransaction is the transaction of a full text's writes. The error is a *TextChangesError.
+// textTransaction returns the transaction for the writes of a full text. The error is a *TextChangesError.
 func textTransaction(writes []records.Write) (records.Transaction, error) {
 	if len(writes) > maxTextWrites {
 		return records.Transaction{}, &TextChangesError{Records: len(writes), Limit: maxTextWrites}
--- a/cluster/configuration_fulltexts.go
+++ b/cluster/configuration_fulltexts.go
@@ -2,10 +2,11 @@
 
 import "harehook.dev/harehook/records"
 
-// This file has what a group that began with full texts does until CommandSetFormat, where State.FullTexts says why: a
-// full text then writes all of its records, also those that do not differ, so that each gets the text's revision.
+// This file handles full texts in a group that began with them, until CommandSetFormat. A full text writes all of its
+// records, including unchanged ones, so that each of them gets the revision of the text. State.FullTexts documents the
+// reason.
 
-// restampingTransaction is what a command does to the records that are held, until CommandSetFormat.
+// restampingTransaction converts a command to a transaction on the current records, until CommandSetFormat.
 func (s *State) restampingTransaction(c Command) (records.Transaction, error) {
 	switch c.Kind {
 	case CommandPut:
@@ -21,12 +22,12 @@
 		}
 		return s.restampingReplacement(earlier)
 	default:
-		return records.Transaction{Writes: c.Writes}, nil // checkPreconditions rejects it
+		return records.Transaction{Writes: c.Writes}, nil // checkPreconditions rejects such a command
 	}
 }
 
-// restampingReplacement is the transaction after which the records are those of a full text, each with the revision of
-// the transaction.
+// restampingReplacement returns the transaction that replaces the records with those of a full text and gives each of
+// them the revision of the transaction.
 func (s *State) restampingReplacement(parsed []*records.Record) (records.Transaction, error) {
 	var writes []records.Write
 	for _, record := range parsed {
--- a/cluster/errors_test.go
+++ b/cluster/errors_test.go
@@ -12,7 +12,7 @@
 	"harehook.dev/harehook/records"
 )
 
-// twoVersions has the versions 11 and 12.
+// twoVersions returns a script whose state has versions 11 and 12.
 func twoVersions(t *testing.T) *commandScript {
 	t.Helper()
 	script := newCommandScript(t)
@@ -21,7 +21,8 @@
 	return script
 }
 
-// TestRejectionsAreTyped has each command rejected for a cause of its own, told apart by errors.As and with its values.
+// Each reason for a rejection must have its own error type and carry its values, so that callers can distinguish them
+// with errors.As.
 func TestRejectionsAreTyped(t *testing.T) {
 	longText := strings.Repeat("x", maxTextBytes+1)
 	longName := strings.Repeat("x", maxNameBytes+1)
@@ -51,16 +52,17 @@
 			script.state.Store().Forget()
 			err := script.state.execute(99, 3, c.command)
 			if !reflect.DeepEqual(err, c.want) {
-				t.Errorf("%#v, want %#v", err, c.want)
+				t.Errorf("got %#v, want %#v", err, c.want)
 			}
 			if version := script.state.Latest().Number; version != 12 {
-				t.Errorf("version %d is in effect, want 12", version)
+				t.Errorf("got version %d in effect, want 12", version)
 			}
 		})
 	}
 }
 
-// A result is stored and compared over members, also of an earlier release, so its text does not change with the field.
+// Results are stored and must be the same at all members, also at members of an earlier release. The text therefore
+// must not depend on the field.
 func TestNameSizeErrorHasOneText(t *testing.T) {
 	const want = "a name is missing or over 200 bytes"
 	for _, err := range []*NameSizeError{
@@ -68,12 +70,12 @@
 		{Field: "Why", Bytes: maxReasonBytes + 1, LimitBytes: maxReasonBytes},
 	} {
 		if err.Error() != want {
-			t.Errorf("%s: %q, want %q", err.Field, err, want)
+			t.Errorf("field %s: got %q, want %q", err.Field, err, want)
 		}
 	}
 }
 
-// TestRollBackErrorKeepsTheRule rolls back to a version that the rules do not allow any more.
+// A rollback to a version that violates the current rules must be rejected with an error that wraps the violated rule.
 func TestRollBackErrorKeepsTheRule(t *testing.T) {
 	script := newCommandScript(t)
 	script.apply(recordsCommand("a", recordWrite(records.KindService, "pay", 0, records.ServiceSpec{})))
@@ -81,11 +83,11 @@
 	err := script.state.execute(13, 3, Command{Kind: CommandRollBack, Client: "c", Seq: 1, Base: 12, To: 11})
 	var rollBack *RollBackError
 	if !errors.As(err, &rollBack) || rollBack.Version != 11 {
-		t.Fatalf("%v, want a RollBackError of version 11", err)
+		t.Fatalf("got %v, want a RollBackError for version 11", err)
 	}
 	var broken *records.CheckError
 	if !errors.As(err, &broken) {
-		t.Errorf("%v does not wrap the rule", err)
+		t.Errorf("got %v, want an error that wraps a records.CheckError", err)
 	}
 }
 
@@ -94,14 +96,14 @@
 	state.FullTexts = true
 	command := recordsCommand("a", recordWrite(records.KindService, "pay", 0, records.ServiceSpec{}))
 	if err := state.execute(1, 1, command); !errors.Is(err, ErrRevisionsNotCounted) {
-		t.Errorf("%v", err)
+		t.Errorf("records command: got %v, want %v", err, ErrRevisionsNotCounted)
 	}
 	if err := state.execute(2, 1, putCommand("a", 1, 0, "text")); !errors.Is(err, ErrNoTextFormat) {
-		t.Errorf("a text without a format: %v", err)
+		t.Errorf("text without a format: got %v, want %v", err, ErrNoTextFormat)
 	}
 }
 
-// A member that does not lead names the one to ask.
+// A member that is not the leader must reject the request and name the leader, which is unknown here.
 func TestMembershipIsChangedAtTheLeader(t *testing.T) {
 	member, _, err := Start(1, &raftlog.SavedState{Identity: "disk"}, []uint64{1, 2}, NewState(nil), DefaultTiming, 1)
 	if err != nil {
@@ -109,17 +111,17 @@
 	}
 	var notLeader *NotLeaderError
 	if err := member.ChangeMembers(MembershipChange{Remove: []uint64{2}}); !errors.As(err, &notLeader) || notLeader.Leader != 0 {
-		t.Errorf("change of members: %v", err)
+		t.Errorf("ChangeMembers: got %v, want a NotLeaderError with leader 0", err)
 	}
 	if err := member.TransferLeadership(2); !errors.As(err, &notLeader) {
-		t.Errorf("transfer of leadership: %v", err)
+		t.Errorf("TransferLeadership: got %v, want a NotLeaderError", err)
 	}
 	if _, err := member.RequestReadIndex(); !errors.Is(err, ErrNoLeader) {
-		t.Errorf("read: %v", err)
+		t.Errorf("RequestReadIndex: got %v, want %v", err, ErrNoLeader)
 	}
 }
 
-// The group knows another disk under a member's number. A member that went on might vote twice in a term.
+// Another disk is registered for the member's ID. If the member continued, it might vote twice in one term.
 func TestNodeStopsWhenItsDiskWasReplaced(t *testing.T) {
 	n, ended := runningNode(t)
 	if err := n.runOnLoop(t.Context(), func() { n.member.Step("other", "another disk", nil) }); err != nil {
@@ -129,21 +131,22 @@
 	select {
 	case err := <-ended:
 		if !errors.As(err, &replaced) || replaced.Member != 1 {
-			t.Errorf("%v, want a DiskReplacedError of member 1", err)
+			t.Errorf("got %v, want a DiskReplacedError for member 1", err)
 		}
 	case <-time.After(10 * time.Second):
-		t.Fatal("the node goes on")
+		t.Fatal("Run did not return within 10 s")
 	}
 	if err := n.runOnLoop(t.Context(), func() {}); !errors.Is(err, ErrStopped) {
-		t.Errorf("a request after the end: %v", err)
+		t.Errorf("request after Run returned: got %v, want %v", err, ErrStopped)
 	}
 }
 
-// TestUnreadableEntryIsRejected has an entry that is not JSON rejected by all members alike.
+// All members must reject an entry that is not JSON with the same result, and a proposal that is older than the
+// client's last one.
 func TestUnreadableEntryIsRejected(t *testing.T) {
 	state := NewState(nil)
 	if _, result := state.Apply(1, 1, []byte("{")); result.Rejected != ErrUnreadableCommand.Error() {
-		t.Errorf("%+v", result)
+		t.Errorf("invalid JSON: got result %+v, want rejection %q", result, ErrUnreadableCommand)
 	}
 	for _, seq := range []uint64{2, 1} {
 		data, err := json.Marshal(Command{Kind: CommandSetFormat, Client: "a", Seq: seq})
@@ -152,7 +155,7 @@
 		}
 		_, result := state.Apply(2, 1, data)
 		if older := result.Rejected == ErrOlderProposal.Error(); older != (seq == 1) {
-			t.Errorf("proposal %d: %+v", seq, result)
+			t.Errorf("proposal %d: got result %+v, want a rejection as older: %v", seq, result, seq == 1)
 		}
 	}
 }
--- a/cluster/fulltext_test.go
+++ b/cluster/fulltext_test.go
@@ -17,9 +17,9 @@
 	"harehook.dev/harehook/records"
 )
 
-// fullTextGroup is what a group that held full texts wrote: one member's snapshot of the first format after 50 entries,
-// the entries after that with what became of them, and another member's snapshot after all of them. The program of
-// commit 08d62a0 wrote it.
+// fullTextGroup is the data of a group that stored full texts, written by the program of commit 08d62a0. Early is the
+// snapshot of one member in the first format, after 50 entries. Entries are the entries after that with their results.
+// Late is the snapshot of another member after all entries.
 type fullTextGroup struct {
 	Early   json.RawMessage `json:"early"`
 	Late    json.RawMessage `json:"late"`
@@ -52,8 +52,7 @@
 	return s
 }
 
-// TestFullTextSnapshotIsRead restores a snapshot of the first format: each version has the configuration that its text
-// had.
+// After a snapshot of the first format is restored, each version must have the configuration of its full text.
 func TestFullTextSnapshotIsRead(t *testing.T) {
 	saved := readFullTextGroup(t)
 	s := restoredState(t, saved.Late)
@@ -67,7 +66,8 @@
 		t.Fatal(err)
 	}
 	if len(old.Versions) != maxFullTextVersions || len(s.Versions) != len(old.Versions) || len(s.sessions.byClient) != len(old.Clients) {
-		t.Fatalf("%d versions of %d, %d clients of %d", len(s.Versions), len(old.Versions), len(s.sessions.byClient), len(old.Clients))
+		t.Fatalf("got %d versions and %d clients, want %d and %d; the snapshot must have %d versions",
+			len(s.Versions), len(s.sessions.byClient), len(old.Versions), len(old.Clients), maxFullTextVersions)
 	}
 	for k, was := range old.Versions {
 		text, retained := s.TextOf(was.Number)
@@ -76,11 +76,11 @@
 			t.Fatal(err)
 		}
 		if want := (config.TextFormat{}).Format(parsed); !retained || text != want {
-			t.Errorf("version %d, retained %v:\n%s\nwant\n%s", was.Number, retained, text, want)
+			t.Errorf("version %d: got retained %v and text\n%s\nwant true and\n%s", was.Number, retained, text, want)
 		}
 		was.Text = ""
 		if s.Versions[k] != was {
-			t.Errorf("%+v, want %+v", s.Versions[k], was)
+			t.Errorf("got version %+v, want %+v", s.Versions[k], was)
 		}
 	}
 	if diff := cmp.Diff(old.Identities, s.Identities) + cmp.Diff(old.Addresses, s.Addresses); diff != "" {
@@ -88,7 +88,7 @@
 	}
 }
 
-// heldRecords are all records with their revisions.
+// heldRecords describes all records with their revisions.
 func heldRecords(s *State) (lines []string) {
 	view := s.Store().InScope(records.Scope{All: true})
 	lines = append(lines, fmt.Sprint("as of ", view.Revision))
@@ -101,10 +101,10 @@
 	return lines
 }
 
-// Members of a group that began with full texts convert them at different indexes of the log: one restores an early
-// snapshot and applies the entries behind it, another restores a late one. If they held different revisions, the same
-// transaction would conflict at one and be applied at the other. They have to agree on all that decides the result of
-// later commands: the revisions of records, the versions that are retained and their records.
+// Members of a group that began with full texts convert them at different log indexes: one member restores an early
+// snapshot and applies the entries after it, another restores a late snapshot. If their revisions differed, the same
+// transaction would conflict at one member and be applied at the other. Members must therefore agree on everything that
+// determines the results of later commands: the revisions of records, the retained versions and their records.
 func TestMembersAgreeWhereverTheyConvertFullTexts(t *testing.T) {
 	saved := readFullTextGroup(t)
 	early, late := restoredState(t, saved.Early), restoredState(t, saved.Late)
@@ -112,7 +112,7 @@
 	for _, e := range saved.Entries {
 		index = e.Index
 		if _, r := early.Apply(e.Index, e.Term, e.Data); r != (Result{e.Number, e.Refused}) {
-			t.Fatalf("entry %d: %+v, it was %d %q", e.Index, r, e.Number, e.Refused)
+			t.Fatalf("entry %d: got %+v, want version %d, rejection %q", e.Index, r, e.Number, e.Refused)
 		}
 	}
 	both := func(c Command) Result {
@@ -125,7 +125,7 @@
 		_, a := early.Apply(index, 3, data)
 		_, b := late.Apply(index, 3, data)
 		if a != b {
-			t.Fatalf("%+v at the early one, %+v at the late one", a, b)
+			t.Fatalf("command %+v: got %+v from the early snapshot and %+v from the late one, want equal results", c, a, b)
 		}
 		if diff := cmp.Diff(heldRecords(early), heldRecords(late)); diff != "" {
 			t.Fatal(diff)
@@ -137,21 +137,21 @@
 	}
 	write := records.Write{Key: records.Key{Kind: records.KindService, Name: "pay"}, Body: []byte(`{}`)}
 	if r := both(Command{Kind: CommandRecords, Client: "a", Seq: 1, Writes: []records.Write{write}}); r.Rejected == "" {
-		t.Error("a transaction was accepted before revisions count")
+		t.Error("a transaction was accepted before CommandSetFormat")
 	}
 	both(Command{Kind: CommandRollBack, Client: "a", Seq: 2, Base: early.Latest().Number, To: early.Versions[3].Number})
 	both(Command{Kind: CommandSetFormat, Client: "a", Seq: 3})
 	if r := both(Command{Kind: CommandRecords, Client: "a", Seq: 4, Writes: []records.Write{write}}); r.Rejected != "" {
-		t.Error(r.Rejected)
+		t.Errorf("transaction after CommandSetFormat: got rejection %q, want none", r.Rejected)
 	}
 	for k, v := range early.Versions[2:] {
 		if r := both(Command{Kind: CommandRollBack, Client: "a", Seq: 5 + uint64(k), Base: early.Latest().Number, To: v.Number}); r.Rejected != "" {
-			t.Errorf("back to version %d: %s", v.Number, r.Rejected)
+			t.Errorf("rollback to version %d: got rejection %q, want none", v.Number, r.Rejected)
 		}
 	}
 }
 
-// TestUnreadableSnapshotsAreRefused has a state of one version, which each unreadable snapshot has to leave as it is.
+// Restore must return an error for each invalid snapshot and leave the state unchanged.
 func TestUnreadableSnapshotsAreRefused(t *testing.T) {
 	script := newCommandScript(t)
 	script.apply(putCommand("a", 1, 0, "one"))
@@ -169,16 +169,16 @@
 	}
 	for name, data := range cases {
 		if err := script.state.Restore(data); err == nil {
-			t.Errorf("%s: it was accepted", name)
+			t.Errorf("%s: got no error, want one", name)
 		}
 	}
 	if again, _ := script.state.Snapshot(); string(again) != string(good) {
-		t.Error("a refused snapshot changed the state")
+		t.Error("a rejected snapshot changed the state")
 	}
 }
 
-// TestLeaderProposesTheRecordsFormat starts a node on a disk of the first format: as its leader it has revisions count
-// without anyone asking, and then takes transactions.
+// A node that starts from a snapshot of the first format must propose CommandSetFormat by itself once it is the leader,
+// and then accept transactions.
 func TestLeaderProposesTheRecordsFormat(t *testing.T) {
 	saved := readFullTextGroup(t)
 	meta := &raftpb.SnapshotMetadata{Index: proto.Uint64(110), Term: proto.Uint64(2), ConfState: &raftpb.ConfState{Voters: []uint64{1}}}
@@ -197,11 +197,11 @@
 			break
 		}
 		if !strings.Contains(r.Rejected, "does not count revisions") || time.Now().After(until) {
-			t.Fatal(r.Rejected)
+			t.Fatalf("got rejection %q, want none within 20 s", r.Rejected)
 		}
 		write.Seq++
 	}
 	if v, err := n.ReadLocal(t.Context()); err != nil || !strings.Contains(v.Text, `service "pay"`) || !strings.Contains(v.Text, `route "route-0"`) {
-		t.Errorf("%+v, %v", v, err)
+		t.Errorf("got version %+v, error %v, want a text with service pay and route route-0", v, err)
 	}
 }
--- a/cluster/golden_test.go
+++ b/cluster/golden_test.go
@@ -18,10 +18,10 @@
 	"harehook.dev/harehook/records"
 )
 
-// goldenDisk is the folder of a member's disk as commit 3968cf4 wrote it.
+// goldenDisk is a member's disk folder written by commit 3968cf4.
 const goldenDisk = "testdata/disk"
 
-// goldenCommands are all kinds of command, with all kinds of record.
+// goldenCommands returns commands of all kinds, with records of all kinds.
 func goldenCommands() []Command {
 	text := `agreed {
   service "pay" { zones "north" "south"; }
@@ -44,11 +44,11 @@
 		{Kind: CommandRecords, Client: "operator", Seq: 3, Writes: []records.Write{removal}, By: "bo", Why: "no quotes", At: 1700000200},
 		{Kind: CommandRollBack, Client: "operator", Seq: 4, Base: 5, To: 4, By: "bo", Why: "quotes again", At: 1700000300},
 		{Kind: CommandSetFormat, Client: "format-1", Seq: 1},
-		{Kind: CommandPut, Client: "operator", Seq: 5, Base: 3, Text: text, By: "ann", Why: "from an old reading", At: 1700000400}, // refused
+		{Kind: CommandPut, Client: "operator", Seq: 5, Base: 3, Text: text, By: "ann", Why: "from an old reading", At: 1700000400}, // rejected
 	}
 }
 
-// writeGoldenDisk writes a disk with a snapshot after the fourth command and the entries behind it.
+// writeGoldenDisk writes a disk with a snapshot after the fourth command and the entries that follow it.
 func writeGoldenDisk(t *testing.T) {
 	t.Helper()
 	const snapshotIndex, term = 4, 2
@@ -110,8 +110,8 @@
 	}
 }
 
-// TestGoldenDisk starts from a disk of an earlier release: its vote, snapshot and entries are read, and the state that
-// they come to is the one that the release came to.
+// TestGoldenDisk reads the vote, snapshot and entries of a disk written by an earlier release. The resulting state must
+// be the same as in that release.
 func TestGoldenDisk(t *testing.T) {
 	if goldentest.Update() {
 		writeGoldenDisk(t)
@@ -132,7 +132,7 @@
 		t.Fatal(err)
 	}
 	if again, err := state.Snapshot(); err != nil || string(again) != string(saved.Snapshot.GetData()) {
-		t.Errorf("the state's snapshot is not the one that was restored: %v", err)
+		t.Errorf("the snapshot of the restored state differs from the restored snapshot, error %v", err)
 	}
 	for _, entry := range saved.Entries {
 		command, result := state.Apply(entry.GetIndex(), entry.GetTerm(), entry.GetData())
@@ -145,14 +145,14 @@
 	goldentest.Compare(t, "disk.txt", out.String())
 }
 
-// TestGoldenMessages compares the bodies of the group's calls, which are JSON, with those of an earlier release.
+// TestGoldenMessages compares the JSON bodies of the gRPC calls with those of an earlier release.
 func TestGoldenMessages(t *testing.T) {
 	goldentest.CompareJSON(t, "messages.json",
 		&Command{}, &Result{}, &Version{}, &ReadRequest{}, &ReadResponse{}, &RecordsRequest{}, &RecordsResponse{}, &MembershipChange{}, &MembershipRequest{},
 		&Status{}, &StatusReport{}, &session{})
 }
 
-// TestGoldenTransport compares the names of the group's calls and of its metadata, and a message of Raft's, with those
+// TestGoldenTransport compares the names of the gRPC calls and metadata, and the encoding of a Raft message, with those
 // of an earlier release.
 func TestGoldenTransport(t *testing.T) {
 	var out strings.Builder
@@ -169,7 +169,7 @@
 	fmt.Fprintf(&out, "%x\n", data)
 	var again raftpb.Message
 	if err := proto.Unmarshal(data, &again); err != nil || !proto.Equal(message, &again) {
-		t.Errorf("%s: %v", protojson.Format(&again), err)
+		t.Errorf("got decoded message %s, error %v, want the original message", protojson.Format(&again), err)
 	}
 	goldentest.Compare(t, "transport.txt", out.String())
 }
--- a/cluster/handle_members.go
+++ b/cluster/handle_members.go
@@ -8,13 +8,13 @@
 	"time"
 )
 
-// handleStatus is an operator's reading of what this member knows.
+// handleStatus handles an operator's Status call.
 func (n *Node) handleStatus(ctx context.Context, _ struct{}) (StatusReport, error) {
 	return n.Status(ctx)
 }
 
-// handleMembers is an operator's change of who is in the group. A member that is added is a learner first; promoting it
-// is a change of its own. The response is the status once the change shows there, or after half a request's time.
+// handleMembers handles an operator's Members call. Operators add a member as a learner first and promote it by a
+// second change. The response is the status as soon as it shows the change, or after half of requestTimeout.
 func (n *Node) handleMembers(ctx context.Context, request MembershipRequest) (StatusReport, error) {
 	if err := n.setAddedAddresses(ctx, request); err != nil {
 		return StatusReport{}, err
@@ -36,7 +36,7 @@
 	}
 }
 
-// changeMembership transfers leadership or changes members, as a request says.
+// changeMembership transfers leadership or changes members, depending on the request.
 func (m *Member) changeMembership(request MembershipRequest) error {
 	change := request.Change
 	switch {
@@ -48,7 +48,7 @@
 	return nil
 }
 
-// setAddedAddresses has the group know the address of the members that are added.
+// setAddedAddresses proposes the address of the added members.
 func (n *Node) setAddedAddresses(ctx context.Context, request MembershipRequest) error {
 	if request.Address == "" {
 		return nil
@@ -71,7 +71,7 @@
 	return nil
 }
 
-// membershipSettled reports whether a requested change shows in a status.
+// membershipSettled reports whether a status shows the requested change.
 func membershipSettled(s Status, request MembershipRequest) bool {
 	isVoter := func(id uint64) bool { return slices.Contains(s.Voters, id) }
 	isLearner := func(id uint64) bool { return slices.Contains(s.Learners, id) }
--- a/cluster/handle_members_test.go
+++ b/cluster/handle_members_test.go
@@ -27,7 +27,7 @@
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
 			if got := membershipSettled(c.status, c.request); got != c.want {
-				t.Errorf("%v, want %v", got, c.want)
+				t.Errorf("got %v, want %v", got, c.want)
 			}
 		})
 	}
--- a/cluster/handle_propose.go
+++ b/cluster/handle_propose.go
@@ -11,11 +11,12 @@
 	"harehook.dev/harehook/records"
 )
 
-// handlePropose is an operator's proposal. What depends on this controller's own endpoints and routes is checked here,
-// before the command goes into the log: there only the command itself and the state count, which all members have.
+// handlePropose handles an operator's Propose call. Checks that depend on this controller's own endpoints and routes
+// run here, before the command is appended to the log. Applying a command must depend only on the command and the
+// state, because only these are the same at all members.
 func (n *Node) handlePropose(ctx context.Context, c Command) (Result, error) {
 	if c.Kind != CommandPut && c.Kind != CommandRollBack && c.Kind != CommandRecords {
-		return Result{}, status.Error(codes.InvalidArgument, "operators put, change records or roll back")
+		return Result{}, status.Error(codes.InvalidArgument, "operators may only propose put, records and rollback commands")
 	}
 	if err := n.member.State.Validate(c); err != nil {
 		return Result{}, status.Error(codes.InvalidArgument, err.Error())
@@ -28,7 +29,7 @@
 	return n.Propose(ctx, c)
 }
 
-// checkProposal calls CheckProposal with the records that a command would lead to, tenants left out.
+// checkProposal calls CheckProposal with the records that would result from a command, except tenants.
 func (n *Node) checkProposal(ctx context.Context, c Command) error {
 	state := n.member.State
 	fullTexts := false
@@ -37,7 +38,7 @@
 	}
 	transaction, err := state.transaction(c, fullTexts)
 	if err != nil {
-		return nil // as a version that is not retained: the group rejects it and says so
+		return nil // for example a version that is not retained: the group rejects the command with this error
 	}
 	held := state.Store().OfKinds(records.KindRoute, records.KindService, records.KindOverride).Records
 	proposed, err := recordsAfter(held, transaction.Writes)
@@ -50,7 +51,7 @@
 	return nil
 }
 
-// recordsAfter gives records as they would be after writes, ordered by key and without tenants.
+// recordsAfter returns the records that result from writes, ordered by key and without tenants.
 func recordsAfter(held []*records.Record, writes []records.Write) ([]*records.Record, error) {
 	byKey := make(map[records.Key]*records.Record, len(held))
 	for _, record := range held {
--- a/cluster/handle_read.go
+++ b/cluster/handle_read.go
@@ -8,13 +8,13 @@
 )
 
 const (
-	// maxReadTextBytes bounds the texts in one response to an operator: half of a message.
+	// maxReadTextBytes is the maximum size of the texts in one response to an operator: half of a message.
 	maxReadTextBytes = maxCallBytes / 2
-	// maxRecordsRead bounds the records in one response, at some 150 bytes each, to a message.
+	// maxRecordsRead is the maximum number of records in one response. At about 150 bytes each, they fit in a message.
 	maxRecordsRead = 300000
 )
 
-// handleRead is an operator's reading of the version in effect, or of the history.
+// handleRead handles an operator's Read call, which returns the version in effect or the history.
 func (n *Node) handleRead(ctx context.Context, request ReadRequest) (ReadResponse, error) {
 	var current Version
 	if request.Linearizable {
@@ -48,8 +48,9 @@
 	return response, nil
 }
 
-// addTexts gives versions their texts, the newest first, as long as there is room. If only some are wanted, the others
-// get none; a wanted version that lacks its text had no room, or its changes are not retained any more.
+// addTexts adds the texts of versions, the newest first, within maxReadTextBytes. If wanted is not nil, it adds only
+// the texts of the wanted versions. A wanted version has no text if its text exceeds the remaining space or if the
+// changes since that version are no longer retained.
 func (n *Node) addTexts(versions []Version, wanted []uint64) {
 	room := maxReadTextBytes
 	for i := len(versions) - 1; i >= 0 && room > 0; i-- {
@@ -65,7 +66,7 @@
 	}
 }
 
-// handleRecords is an operator's reading of records, as of the last change that was agreed on.
+// handleRecords handles an operator's Records call. The read is linearizable.
 func (n *Node) handleRecords(ctx context.Context, request RecordsRequest) (RecordsResponse, error) {
 	if _, err := n.confirmedVersion(ctx); err != nil {
 		return RecordsResponse{}, err
@@ -77,7 +78,7 @@
 	return recordsOfService(store.OfKinds(request.wantedKinds()...), request.Service), nil
 }
 
-// wantedKinds are the kinds of record that a request is for.
+// wantedKinds returns the requested kinds of records.
 func (r RecordsRequest) wantedKinds() []records.Kind {
 	if r.Kind != 0 {
 		return []records.Kind{r.Kind}
@@ -85,7 +86,7 @@
 	return []records.Kind{records.KindRoute, records.KindService, records.KindTenant, records.KindOverride}
 }
 
-// recordsOfKeys gives the records of some keys, as far as they exist.
+// recordsOfKeys returns the existing records with the given keys.
 func recordsOfKeys(store *records.Store, keys []records.Key) RecordsResponse {
 	var response RecordsResponse
 	for _, key := range keys {
@@ -97,7 +98,7 @@
 	return response
 }
 
-// recordsOfService gives the records of a view that belong to a service, or all of them for an empty name.
+// recordsOfService returns the records of a view that belong to a service. An empty name matches all records.
 func recordsOfService(view records.View, service string) RecordsResponse {
 	response := RecordsResponse{Revision: view.Revision}
 	for _, record := range view.Records {
--- a/cluster/handle_test.go
+++ b/cluster/handle_test.go
@@ -8,8 +8,8 @@
 	"harehook.dev/harehook/records"
 )
 
-// TestNodeReportsCommittedRecords has a node agree on a transaction: Records has it, OnCommit was called with it, and a
-// proposal that CheckProposal rejects is not made.
+// After a transaction is committed, Records must contain it and OnCommit must have been called with it. CheckProposal
+// must not receive tenants, and a proposal that it rejects must not be committed.
 func TestNodeReportsCommittedRecords(t *testing.T) {
 	committed := make(chan records.Change, 10)
 	n := newLeaderWith(t, func(n *Node) {
@@ -17,7 +17,7 @@
 		n.CheckProposal = func(proposed []*records.Record) error {
 			for _, record := range proposed {
 				if record.Kind == records.KindTenant {
-					return fmt.Errorf("a tenant is checked")
+					return fmt.Errorf("CheckProposal got a tenant")
 				}
 				if record.Name == "unwanted" {
 					return fmt.Errorf("it does not fit")
@@ -31,25 +31,25 @@
 	tenant := recordWrite(records.KindTenant, "x", 0, records.TenantSpec{Service: "pay", Share: 1})
 	r, err := n.handlePropose(t.Context(), recordsCommand("a", pay, tenant))
 	if err != nil || r.Rejected != "" {
-		t.Fatalf("%+v, %v", r, err)
+		t.Fatalf("got result %+v, error %v, want neither a rejection nor an error", r, err)
 	}
 	if change := <-committed; change.Revision != r.Version || len(change.Updates) != 2 || change.Reset {
-		t.Errorf("%+v", change)
+		t.Errorf("got change %+v, want 2 updates at revision %d and no reset", change, r.Version)
 	}
 	if view := source.InScope(records.Scope{Services: []string{"pay"}}); len(view.Records) != 2 || view.Revision != r.Version {
-		t.Errorf("%d records as of %d", len(view.Records), view.Revision)
+		t.Errorf("got %d records at revision %d, want 2 at %d", len(view.Records), view.Revision, r.Version)
 	}
 	if _, err := n.handlePropose(t.Context(), recordsCommand("b", recordWrite(records.KindService, "unwanted", 0, records.ServiceSpec{}))); err == nil || !strings.Contains(err.Error(), "it does not fit") {
-		t.Errorf("%v", err)
+		t.Errorf("proposal of an unwanted service: got error %v, want one that contains %q", err, "it does not fit")
 	}
 	if _, err := n.handlePropose(t.Context(), Command{Kind: CommandRegister, Client: "c", Seq: 1}); err == nil {
-		t.Error("an operator registered a member")
+		t.Error("operator's CommandRegister: got no error, want one")
 	}
 	reading, err := n.handleRecords(t.Context(), RecordsRequest{Service: "pay", Kind: records.KindTenant})
 	if err != nil || len(reading.Records) != 1 || reading.Records[0].Key != tenant.Key || reading.Records[0].Revision != r.Version {
-		t.Errorf("%+v, %v", reading, err)
+		t.Errorf("got response %+v, error %v, want the tenant at revision %d", reading, err, r.Version)
 	}
 	if len(committed) != 0 || source.Revision() != r.Version {
-		t.Errorf("%d changes more, revision %d", len(committed), source.Revision())
+		t.Errorf("got %d more changes and revision %d, want 0 and %d", len(committed), source.Revision(), r.Version)
 	}
 }
--- a/cluster/messages.go
+++ b/cluster/messages.go
@@ -6,26 +6,26 @@
 	"harehook.dev/harehook/records"
 )
 
-// This file has all bodies of the group's calls and the entries of the log, which are JSON. Their names on the wire are
-// those of the first release; the names of the fields are the glossary's.
+// This file contains the bodies of the gRPC calls and the log entries. All of them are JSON. The names on the wire are
+// those of the first release; the names of the fields are those of the glossary.
 
-// CommandKind says what a command does. Its value is its name on the wire.
+// CommandKind is the kind of a command. Its value is its name on the wire.
 type CommandKind string
 
 // The kinds of command.
 const (
-	CommandPut        CommandKind = "put"      // Text becomes the configuration, if Base is the version in effect
-	CommandRollBack   CommandKind = "rollback" // the configuration of version To takes effect again, as a new version
-	CommandRecords    CommandKind = "records"  // Writes are carried out, if their records have the revisions that they expect
-	CommandRegister   CommandKind = "register" // the disk of Member is the one with Identity
-	CommandSetAddress CommandKind = "place"    // Member is reached at the address that Text is
-	CommandSetFormat  CommandKind = "format"   // revisions of records count from now on, in a group that began with full texts
+	CommandPut        CommandKind = "put"      // replaces the configuration with Text, if Base is the version in effect
+	CommandRollBack   CommandKind = "rollback" // restores version To as a new version, if Base is the version in effect
+	CommandRecords    CommandKind = "records"  // applies Writes, if their records have the expected revisions
+	CommandRegister   CommandKind = "register" // registers Identity as the disk of Member
+	CommandSetAddress CommandKind = "place"    // sets the address of Member to Text
+	CommandSetFormat  CommandKind = "format"   // enables revisions of single records in a group that began with full texts
 )
 
 // Command is one entry of the log.
 type Command struct {
 	Kind     CommandKind     `json:"kind"`
-	Client   string          `json:"client"` // with Seq it names a proposal, whatever else it has: see State.Apply
+	Client   string          `json:"client"` // Client and Seq identify a proposal; see State.Apply
 	Seq      uint64          `json:"seq"`
 	Base     uint64          `json:"base,omitempty"`
 	To       uint64          `json:"to,omitempty"`
@@ -33,97 +33,97 @@
 	Writes   []records.Write `json:"writes,omitempty"`
 	By       string          `json:"by,omitempty"`
 	Why      string          `json:"why,omitempty"`
-	At       int64           `json:"at,omitempty"` // Unix time in s, by the clock of who proposed it
+	At       int64           `json:"at,omitempty"` // Unix time in s, by the proposer's clock
 	Member   uint64          `json:"member,omitempty"`
 	Identity string          `json:"identity,omitempty"`
 }
 
-// Result is what became of a command.
+// Result is the result of a command.
 type Result struct {
-	Version  uint64 `json:"number"`            // in effect since then
-	Rejected string `json:"refused,omitempty"` // why it was rejected; empty: it was carried out
+	Version  uint64 `json:"number"`            // in effect after the command
+	Rejected string `json:"refused,omitempty"` // the reason for a rejection; empty if the command was executed
 }
 
-// Version is a configuration that was agreed on. Numbers are indexes of the log: they order versions over all members,
-// and no two versions share one. They are the revisions of the records.
+// Version is an agreed configuration. Its number is the log index of the command: numbers are unique and have the same
+// order at all members. They are also the revisions of the records.
 type Version struct {
 	Number uint64 `json:"number"`
 	Term   uint64 `json:"term"`
-	Text   string `json:"text"` // formatted for who reads it; the state holds records
+	Text   string `json:"text"` // formatted for the reader; the state holds only records
 	By     string `json:"by"`
 	Why    string `json:"why"`
-	At     int64  `json:"at"` // Unix time in s, by the clock of who proposed it
+	At     int64  `json:"at"` // Unix time in s, by the proposer's clock
 }
 
-// ReadRequest says what an operator wants to read.
+// ReadRequest is an operator's request for versions.
 type ReadRequest struct {
 	Linearizable bool `json:"fresh"`
-	History      bool `json:"history"` // all versions that are retained; else the one in effect
-	// Texts names the versions of the history whose texts are wanted; nil: of all. An empty list asks for none.
+	History      bool `json:"history"` // all retained versions instead of only the one in effect
+	// Texts lists the versions of the history whose texts are requested. Nil requests all texts, an empty list none.
 	Texts []uint64 `json:"texts"`
 }
 
-// ReadResponse has the version in effect, or the history with the oldest version first.
+// ReadResponse holds the version in effect, or the history with the oldest version first.
 type ReadResponse struct {
 	Linearizable bool      `json:"fresh"`
 	Versions     []Version `json:"versions"`
 }
 
-// RecordsRequest says which records an operator wants to read: some keys, or a kind and a service.
+// RecordsRequest is an operator's request for records, either by keys or by kind and service.
 type RecordsRequest struct {
 	Keys    []records.Key `json:"keys,omitempty"`
-	Kind    records.Kind  `json:"kind,omitempty"`    // 0: all
-	Service string        `json:"service,omitempty"` // empty: all
+	Kind    records.Kind  `json:"kind,omitempty"`    // 0 for all
+	Service string        `json:"service,omitempty"` // empty for all
 }
 
-// RecordsResponse is what was read.
+// RecordsResponse holds the requested records.
 type RecordsResponse struct {
-	Revision uint64       `json:"revision"` // as of which it is complete
+	Revision uint64       `json:"revision"` // the records are complete as of this revision
 	Records  []ReadRecord `json:"records"`
-	More     bool         `json:"more,omitempty"` // there are more than one response holds
+	More     bool         `json:"more,omitempty"` // the response was truncated
 }
 
-// ReadRecord is a record as operators read it.
+// ReadRecord is a record in a RecordsResponse.
 type ReadRecord struct {
 	Key      records.Key     `json:"key"`
 	Revision uint64          `json:"revision"`
 	Body     json.RawMessage `json:"body"`
 }
 
-// MembershipChange is a change of who is in the group. Its fields are numbers of members.
+// MembershipChange is a change of the group's members. Its fields are member IDs.
 type MembershipChange struct {
 	Add    []uint64 `json:"Add"`   // become voters
-	Learn  []uint64 `json:"Learn"` // become learners: they get the log and have no vote
+	Learn  []uint64 `json:"Learn"` // become learners, which receive the log but do not vote
 	Remove []uint64 `json:"Remove"`
 }
 
-// MembershipRequest is a change of members that an operator asks for.
+// MembershipRequest is an operator's request to change members or to transfer leadership.
 type MembershipRequest struct {
 	Change  MembershipChange `json:"change"`
-	Address string           `json:"address,omitempty"` // of the member that is added
-	Lead    uint64           `json:"lead,omitempty"`    // leadership is transferred to it; 0: it stays
+	Address string           `json:"address,omitempty"` // of the added member
+	Lead    uint64           `json:"lead,omitempty"`    // member to transfer leadership to; 0 for no transfer
 }
 
-// Status is what a member knows of the group.
+// Status is the status of the group as known by one member.
 type Status struct {
 	ID             uint64            `json:"ID"`
-	Leader         uint64            `json:"Leader"` // 0: none is known
+	Leader         uint64            `json:"Leader"` // 0 if unknown
 	Term           uint64            `json:"Term"`
-	Applied        uint64            `json:"Applied"` // index of the last entry that the state has
+	Applied        uint64            `json:"Applied"` // index of the last applied entry
 	Commit         uint64            `json:"Commit"`
 	IsLeader       bool              `json:"Leads"`
 	Voters         []uint64          `json:"Voters"`
 	Learners       []uint64          `json:"Learners"`
-	JointConsensus bool              `json:"Joint"` // a change of several members is under way
+	JointConsensus bool              `json:"Joint"` // a change of several members is in progress
 	Version        uint64            `json:"Version"`
-	Entries        uint64            `json:"Entries"` // of the log since its snapshot
-	Lag            map[uint64]uint64 `json:"Behind"`  // at the leader: entries that a member lacks, by member
+	Entries        uint64            `json:"Entries"` // in the log since its snapshot
+	Lag            map[uint64]uint64 `json:"Behind"`  // only at the leader: entries that a member is missing, by member ID
 }
 
-// StatusReport is what a member reports to an operator.
+// StatusReport is a member's response to an operator's Status call.
 type StatusReport struct {
 	Status           Status            `json:"standing"`
 	Addresses        map[uint64]string `json:"addresses"`
 	Identities       map[uint64]string `json:"identities"`
-	RejectedMessages uint64            `json:"refused"` // of an unknown disk under a known number
+	RejectedMessages uint64            `json:"refused"` // messages from a disk other than the registered one of the sender
 }
--- a/cluster/reads.go
+++ b/cluster/reads.go
@@ -9,10 +9,10 @@
 	"google.golang.org/grpc/status"
 )
 
-// ReadLinearizable gives the version in effect, with its text, once this member has all that was agreed when it was
-// called. It waits 10 s at most. The error is ErrNoLeader if no leader confirmed the read, also where the node stopped, ctx
-// ended or too many reads waited meanwhile; ErrStopped or ctx's if the loop did not take the request; or it has the code
-// NotFound if the text is not retained.
+// ReadLinearizable returns the version in effect with its text, after this member has applied all entries that were
+// committed when it was called. It waits at most 10 s. The error is ErrNoLeader if no leader confirmed the read, also
+// because the node stopped, ctx ended or too many reads were pending; ErrStopped or ctx's if the loop did not accept
+// the request; or an error with the code NotFound if the text is not retained.
 func (n *Node) ReadLinearizable(ctx context.Context) (Version, error) {
 	version, err := n.confirmedVersion(ctx)
 	if err != nil {
@@ -21,8 +21,8 @@
 	return n.withText(version)
 }
 
-// ReadLocal is the version in effect at this member with its text; the group may have agreed on a later one. The error
-// is ErrStopped, ctx's, or has the code NotFound if the text is not retained.
+// ReadLocal returns the version in effect at this member with its text; the group may have committed a later version.
+// The error is ErrStopped, ctx's, or one with the code NotFound if the text is not retained.
 func (n *Node) ReadLocal(ctx context.Context) (Version, error) {
 	var version Version
 	if err := n.runOnLoop(ctx, func() { version = n.member.State.Latest() }); err != nil {
@@ -31,24 +31,25 @@
 	return n.withText(version)
 }
 
-// withText gives a version its text, on the caller's goroutine: it costs by the whole configuration.
+// withText returns a version with its text. It runs on the caller's goroutine instead of the loop because the cost is
+// proportional to the size of the configuration.
 func (n *Node) withText(version Version) (Version, error) {
 	text, retained := n.member.State.TextOf(version.Number)
 	if !retained {
-		return version, status.Error(codes.NotFound, fmt.Sprintf("the text of version %d is not kept", version.Number))
+		return version, status.Error(codes.NotFound, fmt.Sprintf("the text of version %d is not retained", version.Number))
 	}
 	version.Text = text
 	return version, nil
 }
 
-// pendingRead is a read that waits until the leader has confirmed it.
+// pendingRead is a read that waits for the leader's confirmation.
 type pendingRead struct {
-	id      uint64       // 0: it could not be requested
-	version chan Version // has room for one
+	id      uint64       // 0 if the request failed
+	version chan Version // with a buffer of one
 }
 
-// confirmedVersion is ReadLinearizable without the text, with the same errors. It requests the read again each second: the
-// leader that was asked may be gone.
+// confirmedVersion is ReadLinearizable without the text and its NotFound error. It repeats the request each second
+// because the leader may have failed.
 func (n *Node) confirmedVersion(ctx context.Context) (Version, error) {
 	ctx, cancel := context.WithTimeout(ctx, requestTimeout)
 	defer cancel()
@@ -74,14 +75,14 @@
 	}
 }
 
-// requestRead requests a read from the leader. One that cannot be requested, for ErrNoLeader or ErrTooManyReads, has no
-// number and waits for its retry as if the leader had not answered. The error is ErrStopped or ctx's.
+// requestRead requests a read from the leader. If the request fails with ErrNoLeader or ErrTooManyReads, the read has
+// no ID and is retried as if the leader had not answered. The error is ErrStopped or ctx's.
 func (n *Node) requestRead(ctx context.Context) (*pendingRead, error) {
 	read := &pendingRead{version: make(chan Version, 1)}
 	err := n.runOnLoop(ctx, func() {
 		id, err := n.member.RequestReadIndex()
 		if err != nil {
-			return // it is requested again
+			return // confirmedVersion retries
 		}
 		read.id = id
 		n.readWaiters[id] = read.version
@@ -89,7 +90,7 @@
 	return read, err
 }
 
-// cancelRead forgets a read that was requested. The error is ErrStopped.
+// cancelRead cancels a requested read. The error is ErrStopped.
 func (n *Node) cancelRead(read *pendingRead) error {
 	if read.id == 0 {
 		return nil
@@ -100,7 +101,7 @@
 	})
 }
 
-// notifyReaders sends the version in effect to the readers whose read was confirmed.
+// notifyReaders sends the version in effect to the callers whose reads were confirmed.
 func (n *Node) notifyReaders(reads []ReadState) {
 	for _, read := range reads {
 		if waiter := n.readWaiters[read.ID]; waiter != nil {
--- a/cluster/requests.go
+++ b/cluster/requests.go
@@ -7,11 +7,11 @@
 
 const (
 	requestTimeout = 10 * time.Second
-	retryInterval  = time.Second // of a proposal or a read without an answer
+	retryInterval  = time.Second // of an unanswered proposal or read
 )
 
-// runOnLoop has the node's loop run a function and waits for it. The error is ctx's if the function was
-// not run, or ErrStopped; then it may have been run or not.
+// runOnLoop runs a function on the node's loop and waits until it returns. If the error is ctx's, the function was not
+// run. If it is ErrStopped, the function may or may not have been run.
 func (n *Node) runOnLoop(ctx context.Context, run func()) error {
 	finished := make(chan struct{})
 	request := func() {
--- a/cluster/service.go
+++ b/cluster/service.go
@@ -11,13 +11,14 @@
 	"google.golang.org/protobuf/types/known/wrapperspb"
 )
 
-// The group's gRPC service. Bodies are bytes: a message of Raft's in Deliver, and JSON (messages.go) in operators' calls.
+// The gRPC service of the group. Bodies are bytes: a Raft message in Deliver, and JSON (messages.go) in operators'
+// calls.
 const (
 	serviceName  = "harehook.cluster.v1.Group"
 	methodPrefix = "/" + serviceName + "/"
 )
 
-// groupServer is what the service's handlers are called with: a *Node.
+// groupServer is the handler type of the service. Only *Node implements it.
 type groupServer interface{ isGroupServer() }
 
 func (n *Node) isGroupServer() {}
@@ -31,7 +32,7 @@
 	unaryMethod("Members", jsonMethod((*Node).handleMembers)),
 }}
 
-// handler carries out a call whose bodies are bytes.
+// handler handles a call whose bodies are bytes.
 type handler func(n *Node, ctx context.Context, body []byte) ([]byte, error)
 
 func unaryMethod(name string, handle handler) grpc.MethodDesc {
@@ -49,7 +50,7 @@
 	return grpc.MethodDesc{MethodName: name, Handler: call}
 }
 
-// withCode gives an error a gRPC code if it has none: Unavailable without a leader, else FailedPrecondition.
+// withCode adds a gRPC code to an error without one: Unavailable for ErrNoLeader, otherwise FailedPrecondition.
 func withCode(err error) error {
 	if _, hasCode := status.FromError(err); hasCode {
 		return err
@@ -60,7 +61,7 @@
 	return status.Error(codes.FailedPrecondition, err.Error())
 }
 
-// jsonMethod is a call whose bodies are JSON.
+// jsonMethod returns the handler of a call whose bodies are JSON.
 func jsonMethod[Request, Response any](handle func(n *Node, ctx context.Context, request Request) (Response, error)) handler {
 	return func(n *Node, ctx context.Context, body []byte) ([]byte, error) {
 		var request Request
@@ -77,9 +78,9 @@
 
 // Call makes an operator's call: Propose with a Command (response Result), Read with a ReadRequest (ReadResponse),
 // Records with a RecordsRequest (RecordsResponse), Status with struct{} or Members with a MembershipRequest (both
-// StatusReport). The error has a gRPC code: Unavailable without a leader, InvalidArgument for a request that can't be
-// carried out at this member, DeadlineExceeded where the outcome is unknown, NotFound for a text that is not retained,
-// else FailedPrecondition.
+// StatusReport). The error has a gRPC code: Unavailable if there is no leader or the member has stopped,
+// InvalidArgument for a request that this member cannot accept, DeadlineExceeded if the outcome is unknown, NotFound
+// for a text that is not retained, and otherwise FailedPrecondition.
 func Call[Response any](ctx context.Context, conn *grpc.ClientConn, name string, request any) (Response, error) {
 	var response Response
 	body, err := json.Marshal(request)
--- a/cluster/snapshot.go
+++ b/cluster/snapshot.go
@@ -11,17 +11,17 @@
 )
 
 const (
-	// snapshotMagic begins a snapshot. Those of the first format are JSON, which begins otherwise.
+	// snapshotMagic is the prefix of a snapshot. Snapshots of the first format are JSON and do not have it.
 	snapshotMagic = "harehook group state\n"
-	// snapshotFormat is the version of a snapshot's encoding: the magic, this number, the length of the header, the
-	// header as JSON, and the snapshot of the records. Numbers are varints. Format 1 had full texts.
+	// snapshotFormat is the version of the snapshot encoding: the magic, this number, the length of the header, the
+	// header as JSON, and the snapshot of the records. Numbers are varints. Format 1 contains full texts.
 	snapshotFormat = 2
 )
 
-// errSnapshotShort says that a snapshot ends before its header does.
-var errSnapshotShort = errors.New("the state is cut short")
+// errSnapshotShort is returned when a snapshot ends within its header.
+var errSnapshotShort = errors.New("the snapshot is truncated")
 
-// snapshotHeader is what a snapshot has beside the records. Maps are encoded with their keys in order.
+// snapshotHeader holds the parts of a snapshot other than the records. Maps are encoded with sorted keys.
 type snapshotHeader struct {
 	FullTexts  bool                `json:"whole_texts,omitempty"`
 	Versions   []snapshotVersion   `json:"versions"`
@@ -39,7 +39,7 @@
 	At     int64  `json:"at,omitempty"` // Unix time in s
 }
 
-// Snapshot is the state as bytes; equal states give equal ones. It costs by the size of the state.
+// Snapshot encodes the state; equal states have equal encodings. The cost is proportional to the size of the state.
 func (s *State) Snapshot() ([]byte, error) {
 	header, err := json.Marshal(s.header())
 	if err != nil {
@@ -67,8 +67,8 @@
 	return header
 }
 
-// Restore replaces the state by that of a snapshot, also of one of the first format. A snapshot that cannot be read
-// leaves the state as it is; the error says what is wrong with it.
+// Restore replaces the state with that of a snapshot of the current or the first format. If the snapshot cannot be
+// decoded, Restore returns an error and leaves the state unchanged.
 func (s *State) Restore(data []byte) error {
 	next := NewState(s.format)
 	var err error
@@ -92,11 +92,11 @@
 	return nil
 }
 
-// decodeSnapshot reads what follows the magic into a new state.
+// decodeSnapshot decodes the data after the magic into a new state.
 func (s *State) decodeSnapshot(data []byte) error {
 	format, size := binary.Uvarint(data)
 	if size <= 0 || format != snapshotFormat {
-		return fmt.Errorf("the state's format is %d, %d and older ones are known", format, snapshotFormat)
+		return fmt.Errorf("unknown snapshot format %d: only format %d and the JSON format before it are supported", format, snapshotFormat)
 	}
 	data = data[size:]
 	length, size := binary.Uvarint(data)
@@ -106,7 +106,7 @@
 	data = data[size:]
 	var header snapshotHeader
 	if err := json.Unmarshal(data[:length], &header); err != nil {
-		return fmt.Errorf("the state's head: %w", err)
+		return fmt.Errorf("invalid snapshot header: %w", err)
 	}
 	for _, v := range header.Versions {
 		s.Versions = append(s.Versions, Version{Number: v.Number, Term: v.Term, By: v.By, Why: v.Why, At: v.At})
@@ -115,7 +115,7 @@
 	return s.store.Restore(data[length:])
 }
 
-// restoreHeader takes what both formats have beside the configuration.
+// restoreHeader restores the fields that both formats contain besides the configuration.
 func (s *State) restoreHeader(header snapshotHeader) {
 	s.FullTexts = header.FullTexts
 	s.sessions = restoreSessions(header.Clients)
--- a/cluster/snapshot_fulltexts.go
+++ b/cluster/snapshot_fulltexts.go
@@ -7,7 +7,7 @@
 	"harehook.dev/harehook/records"
 )
 
-// fullTextSnapshot is the first format of a snapshot, in which each version had its full text.
+// fullTextSnapshot is the first snapshot format, in which each version contains its full text.
 type fullTextSnapshot struct {
 	Versions   []Version           `json:"versions"`
 	Clients    map[string]*session `json:"clients"`
@@ -15,8 +15,9 @@
 	Addresses  map[uint64]string   `json:"addresses"`
 }
 
-// decodeFullTexts reads the first format into a new state. The records of the texts become the history. A version whose
-// text cannot be read any more is dropped with those before it, unless it is the one in effect.
+// decodeFullTexts decodes the first format into a new state and converts the texts to the history of records. A version
+// whose text can no longer be parsed is dropped together with all earlier versions. If it is the version in effect,
+// decodeFullTexts returns an error.
 func (s *State) decodeFullTexts(data []byte) error {
 	var saved fullTextSnapshot
 	if err := json.Unmarshal(data, &saved); err != nil {
@@ -32,16 +33,16 @@
 			continue
 		}
 		if len(s.Versions) == 1 {
-			s.store.Forget() // what was before is not in the snapshot
+			s.store.Forget() // the snapshot has no earlier changes
 		}
 	}
 	if lastError != nil {
-		return fmt.Errorf("the configuration in force: %w", lastError)
+		return fmt.Errorf("invalid configuration in effect: %w", lastError)
 	}
 	return nil
 }
 
-// addFullText adds a version of the first format as records.
+// addFullText converts a version of the first format to records and adds it.
 func (s *State) addFullText(version Version) error {
 	transaction, err := s.restampingTransaction(Command{Kind: CommandPut, Text: version.Text})
 	if err != nil {
--- a/cluster/state.go
+++ b/cluster/state.go
@@ -6,19 +6,19 @@
 	"harehook.dev/harehook/records"
 )
 
-// State is what all members agree on. It is a function of the log alone. One goroutine applies entries and reads it;
-// Store, Validate and TextOf may be used from any.
+// State is the replicated state machine. It depends only on the log. A single goroutine applies entries and reads the
+// state; Store, Validate and TextOf may be called from any goroutine.
 type State struct {
-	// OnCommit is called with each change of the records once it is made, and with Reset when a snapshot replaced all of
-	// them. Nil: no one is notified.
+	// OnCommit is called after each change of the records, and with Reset set after a snapshot has replaced all of them.
+	// If nil, no one is notified.
 	OnCommit func(records.Change)
 
-	Versions   []Version         // retained ones without texts, by rising number; the last one is in effect
-	Identities map[uint64]string // of the members' disks, by member
-	Addresses  map[uint64]string // that members are reached at, by member
-	// FullTexts is set in a group that began with full texts, until CommandSetFormat. Until then a full text sets the
-	// revision of each of its records: members that read the state at different indexes of the log have to hold the same
-	// revisions, and of a full text all know only the index of the last one.
+	Versions   []Version         // retained versions without texts, in ascending order; the last one is in effect
+	Identities map[uint64]string // of the members' disks, by member ID
+	Addresses  map[uint64]string // of the members, by member ID
+	// FullTexts is set in a group that began with full texts, until it applies CommandSetFormat. Until then, a full text
+	// sets the revision of each of its records. Members that convert the old state at different log indexes must hold the
+	// same revisions, and the only index that all of them know is that of the last full text.
 	FullTexts bool
 
 	sessions sessions
@@ -26,7 +26,7 @@
 	format   TextFormat // nil: full texts are rejected
 }
 
-// NewState is one in which nothing was agreed. Without a format full texts are rejected.
+// NewState returns an empty state. If format is nil, full texts are rejected.
 func NewState(format TextFormat) *State {
 	return &State{
 		Identities: map[uint64]string{},
@@ -37,14 +37,14 @@
 	}
 }
 
-// Store is where the records are; it stays the same one when a snapshot is restored. Only the state changes it.
+// Store returns the store of the records. Restore keeps the same store. Only the state modifies it.
 func (s *State) Store() *records.Store { return s.store }
 
-// Apply carries out the entry at an index of the log. All members come to the same result, also for an entry that cannot
-// be read and for a proposal that was carried out before.
+// Apply applies the log entry at index. All members compute the same result, also for an entry that cannot be decoded
+// and for a proposal that was applied before.
 //
-// A proposal is the same as an earlier one if Client and Seq are; their contents are not compared. A command with other
-// contents under a name that was used gets the first one's result and is not carried out.
+// Two proposals are the same if their Client and Seq are equal; their contents are not compared. A command with other
+// contents but the Client and Seq of an earlier one gets the earlier result and is not executed.
 func (s *State) Apply(index, term uint64, data []byte) (Command, Result) {
 	var command Command
 	if err := json.Unmarshal(data, &command); err != nil {
@@ -64,8 +64,8 @@
 	return command, result
 }
 
-// execute carries out a command that was not carried out before, or says why it is rejected; then nothing has changed.
-// The causes are in errors.go, and those of records.Store.Apply.
+// execute executes a command that was not applied before. A rejected command changes nothing; the error is one of
+// errors.go or of records.Store.Apply.
 func (s *State) execute(index, term uint64, c Command) error {
 	if err := s.Validate(c); err != nil {
 		return err
@@ -85,7 +85,7 @@
 	}
 }
 
-// result tells the version in effect, and why a command was rejected. Nil: it was carried out.
+// result returns the version in effect and the reason for a rejection. If rejection is nil, the command was executed.
 func (s *State) result(rejection error) Result {
 	result := Result{Version: s.Latest().Number}
 	if rejection != nil {
--- a/cluster/state_test.go
+++ b/cluster/state_test.go
@@ -12,7 +12,7 @@
 	"harehook.dev/harehook/records"
 )
 
-// commandScript applies commands one after the other and notes what became of each.
+// commandScript applies commands in sequence and collects their results.
 type commandScript struct {
 	t       *testing.T
 	state   *State
@@ -24,7 +24,7 @@
 	return &commandScript{t: t, index: 10, state: NewState(plainText{})}
 }
 
-// plainText is a format in which every text is a configuration of one route, unless it says that it is bad.
+// plainText is a TextFormat in which a text is the prefix of a single route. A text that contains "bad" is invalid.
 type plainText struct{}
 
 func (plainText) Parse(text string) ([]*records.Record, error) {
@@ -62,8 +62,8 @@
 func TestCommandsAndTheirResults(t *testing.T) {
 	script := newCommandScript(t)
 	script.apply(putCommand("a", 1, 0, "one"))
-	script.apply(putCommand("b", 1, 0, "other")) // did not see it
-	script.apply(putCommand("a", 1, 0, "one"))   // its answer was lost
+	script.apply(putCommand("b", 1, 0, "other")) // stale base: its client has not read version 11
+	script.apply(putCommand("a", 1, 0, "one"))   // repeated, as if the result was lost
 	script.apply(putCommand("a", 2, 11, "bad"))
 	script.apply(putCommand("a", 3, 11, "two"))
 	script.apply(putCommand("a", 2, 11, "late"))
@@ -85,18 +85,19 @@
 		t.Error(diff)
 	}
 	if v := script.state.Current(); v.Text != "one" || v.Number != 17 || v.Term != 3 {
-		t.Errorf("%+v", v)
+		t.Errorf("got version %+v, want number 17, term 3, text %q", v, "one")
 	}
 }
 
-// A state that was restored from a snapshot comes to the same results as the one that the snapshot is of.
+// A state restored from a snapshot must compute the same results as the original state. The script exceeds the limits
+// on versions and clients, so the oldest of them are dropped before the snapshot.
 func TestRestoredStateGoesOnAsTheOriginal(t *testing.T) {
 	script := newCommandScript(t)
 	for n := range uint64(maxClients + maxVersions + 5) {
 		script.apply(putCommand(fmt.Sprint("client-", n), 1, script.state.Current().Number, fmt.Sprint("text ", n)))
 	}
 	if len(script.state.Versions) != maxVersions || len(script.state.sessions.byClient) != maxClients {
-		t.Errorf("%d versions and %d clients are retained", len(script.state.Versions), len(script.state.sessions.byClient))
+		t.Errorf("got %d versions and %d clients, want %d and %d", len(script.state.Versions), len(script.state.sessions.byClient), maxVersions, maxClients)
 	}
 	data, err := script.state.Snapshot()
 	if err != nil {
@@ -108,15 +109,15 @@
 	}
 	again, _ := other.state.Snapshot()
 	if string(again) != string(data) {
-		t.Error("a restored state gives another snapshot")
+		t.Error("the snapshot of the restored state differs from the original snapshot")
 	}
 	other.index = script.index
 	for k, c := range []Command{putCommand("x", 1, 0, "late"), putCommand("client-1000", 1, 5, "again"), putCommand("x", 2, script.state.Current().Number, "next")} {
 		if a, b := script.apply(c), other.apply(c); a != b {
-			t.Errorf("command %d: %+v and %+v", k, a, b)
+			t.Errorf("command %d: got %+v from the restored state, want %+v", k, b, a)
 		}
 	}
 	if err := other.state.Restore([]byte("{")); err == nil || other.state.Current().Text != "next" {
-		t.Errorf("what can't be read: %v, %q", err, other.state.Current().Text)
+		t.Errorf("restore of invalid JSON: got error %v and text %q, want an error and %q", err, other.state.Current().Text, "next")
 	}
 }
--- a/cluster/texts.go
+++ b/cluster/texts.go
@@ -2,16 +2,16 @@
 
 import "harehook.dev/harehook/records"
 
-// TextFormat turns a full text, which is a configuration as operators write it in one document, into records, and records
-// into such a text. Both must depend on their argument alone: all members have to come to the same answer.
+// TextFormat converts between full texts and records. A full text is a configuration that an operator writes as one
+// document. Both methods must depend only on their argument, because all members must compute the same result.
 type TextFormat interface {
-	// Parse gives the records of a text, each key once, or says why it can't be a configuration.
+	// Parse returns the records of a text, each key only once, or an error if the text is not a valid configuration.
 	Parse(text string) ([]*records.Record, error)
-	// Format gives the text of records that are ordered by key.
+	// Format returns the text for records, which are ordered by key.
 	Format(list []*records.Record) string
 }
 
-// parseText gives the records of a full text. The error is ErrNoTextFormat or the format's.
+// parseText returns the records of a full text. The error is ErrNoTextFormat or that of TextFormat.Parse.
 func (s *State) parseText(text string) ([]*records.Record, error) {
 	if s.format == nil {
 		return nil, ErrNoTextFormat
@@ -19,8 +19,9 @@
 	return s.format.Parse(text)
 }
 
-// TextOf gives the text of a version, from the records as they were; it costs by the whole configuration. Retained is
-// false if the changes since then are not known any more. It may be called from any goroutine.
+// TextOf returns the text of a version, formatted from the records as of that version. The cost is proportional to the
+// size of the configuration. Retained is false if the changes since that version are no longer in the history. TextOf
+// may be called from any goroutine.
 func (s *State) TextOf(number uint64) (text string, retained bool) {
 	if s.format == nil || number == 0 {
 		return "", number == 0
--- a/cluster/transactions_test.go
+++ b/cluster/transactions_test.go
@@ -21,16 +21,16 @@
 	return Command{Kind: CommandRecords, Client: client, Seq: 1, Writes: writes, By: "operator", Why: "why"}
 }
 
-// TestTransactionsBesideFullTexts changes records beside full texts: conflicts are named, a transaction counts as a
-// version, and a roll-back reverses it.
+// Transactions and full texts may alternate: a conflict is rejected with its record and revision, a transaction adds a
+// version, and a rollback reverses it. OnCommit reports each change, and a restored snapshot as a reset.
 func TestTransactionsBesideFullTexts(t *testing.T) {
 	script := newCommandScript(t)
 	var changes []records.Change
 	script.state.OnCommit = func(c records.Change) { changes = append(changes, c) }
-	expectRejection := func(c Command, want string) { // empty: it is carried out
+	expectRejection := func(c Command, want string) { // want is empty if the command must be executed
 		t.Helper()
 		if r := script.apply(c); want == "" && r.Rejected != "" || !strings.Contains(r.Rejected, want) {
-			t.Errorf("%q, want %q", r.Rejected, want)
+			t.Errorf("command %s %d: got rejection %q, want %q", c.Client, c.Seq, r.Rejected, want)
 		}
 	}
 	expectRejection(putCommand("a", 1, 0, "one"), "") // version 11
@@ -41,24 +41,24 @@
 	expectRejection(recordsCommand("d", recordWrite(records.KindTenant, "x", 12, records.TenantSpec{Service: "pay", Share: 1})), "")       // 14
 	expectRejection(recordsCommand("e", recordWrite(records.KindTenant, "x", 12, records.TenantSpec{Service: "pay", Share: 1})), "has re") // 15
 	expectRejection(recordsCommand("f"), "at least one record")
-	expectRejection(putCommand("g", 1, 14, "two"), "") // 17: names no service and no tenant, and leaves them
+	expectRejection(putCommand("g", 1, 14, "two"), "") // 17: contains no service or tenant, so these are kept
 	if held := script.state.Store().Get(tenant.Key); held == nil || held.Revision != 14 {
-		t.Errorf("the tenant after a text of routes: %+v", held)
+		t.Errorf("after a text with only routes: got tenant %+v, want one with revision 14", held)
 	}
 	if v := script.state.Current(); v.Text != "two" || v.Number != 17 {
-		t.Errorf("%+v", v)
+		t.Errorf("got version %+v, want number 17, text %q", v, "two")
 	}
 	expectRejection(Command{Kind: CommandRollBack, Client: "h", Seq: 1, Base: 17, To: 12}, "") // 18
 	if spec, err := script.state.Store().Get(tenant.Key).Tenant(); err != nil || spec.Share != 0.5 || script.state.Current().Text != "one" {
-		t.Errorf("after the roll-back: %+v, %v, %q", spec, err, script.state.Current().Text)
+		t.Errorf("after the rollback: got tenant %+v, error %v, text %q, want share 0.5, no error, text %q", spec, err, script.state.Current().Text, "one")
 	}
 	expectRejection(Command{Kind: CommandRollBack, Client: "i", Seq: 1, Base: 18, To: 18}, "")
 	var notified []string
 	for _, change := range changes {
 		notified = append(notified, fmt.Sprint(change.Revision, ":", len(change.Updates)))
 	}
-	if got := strings.Join(notified, " "); got != "11:1 12:2 14:1 17:1 18:2 19:0" {
-		t.Error(got)
+	if got, want := strings.Join(notified, " "), "11:1 12:2 14:1 17:1 18:2 19:0"; got != want {
+		t.Errorf("got changes %q, want %q", got, want)
 	}
 	snapshot, err := script.state.Snapshot()
 	if err != nil {
@@ -69,18 +69,17 @@
 		t.Fatal(err)
 	}
 	if last := changes[len(changes)-1]; !last.Reset || last.Revision != 19 || script.state.Store() != store {
-		t.Errorf("after a snapshot: %+v, another store: %v", last, script.state.Store() != store)
+		t.Errorf("after a restored snapshot: got change %+v, store replaced %v, want a reset at revision 19, false", last, script.state.Store() != store)
 	}
 }
 
-// TestRollBackToForgottenVersionIsRejected rolls back to a version whose changes are not retained any more, which is
-// rejected and changes nothing.
+// A rollback must be rejected and change nothing if the changes since the version are no longer retained.
 func TestRollBackToForgottenVersionIsRejected(t *testing.T) {
 	script := newCommandScript(t)
 	script.apply(putCommand("a", 1, 0, "one"))
 	script.apply(putCommand("b", 1, 11, "two"))
 	script.state.Store().Forget()
 	if r := script.apply(Command{Kind: CommandRollBack, Client: "c", Seq: 1, Base: 12, To: 11}); r.Rejected != "the changes since version 11 are not kept" || r.Version != 12 {
-		t.Errorf("%+v", r)
+		t.Errorf("got result %+v, want version 12, rejection %q", r, "the changes since version 11 are not kept")
 	}
 }
--- a/cluster/versions.go
+++ b/cluster/versions.go
@@ -3,16 +3,16 @@
 import "slices"
 
 const (
-	// maxVersions is how many versions are retained to roll back to, at most some 1.3 KB each: three hours of the
-	// expected 7,800 changes a day. Older changes may still be in the history of records.
+	// maxVersions is the number of versions that are retained for rollback. Each takes at most about 1.3 KB. They cover
+	// three hours at the expected 7,800 changes per day. The history of records may contain older changes.
 	maxVersions = 1024
-	// maxFullTextVersions is how many were retained with their full texts. Members of a group that began with those
-	// convert them at different indexes of the log, and have no more versions than these in common until
-	// CommandSetFormat.
+	// maxFullTextVersions is the number of versions that the first release retained, with their full texts. Members of a
+	// group that began with full texts convert them at different log indexes, so until CommandSetFormat these are the
+	// only versions that all members have.
 	maxFullTextVersions = 64
 )
 
-// Latest is the version in effect without its text; its number is 0 if there is none.
+// Latest returns the version in effect without its text. Its number is 0 if there is no version.
 func (s *State) Latest() Version {
 	if len(s.Versions) == 0 {
 		return Version{}
@@ -20,14 +20,14 @@
 	return s.Versions[len(s.Versions)-1]
 }
 
-// Current is the version in effect with its text, which costs by the whole configuration.
+// Current returns the version in effect with its text. The cost is proportional to the size of the configuration.
 func (s *State) Current() Version {
 	version := s.Latest()
 	version.Text, _ = s.TextOf(version.Number)
 	return version
 }
 
-// Find gives a version that is still retained, without its text.
+// Find returns a version without its text, and whether it is still retained.
 func (s *State) Find(number uint64) (version Version, retained bool) {
 	at := slices.IndexFunc(s.Versions, func(v Version) bool { return v.Number == number })
 	if at < 0 {
@@ -36,7 +36,7 @@
 	return s.Versions[at], true
 }
 
-// addVersion puts a version into effect and drops the oldest ones over the bound.
+// addVersion adds the version in effect and drops the oldest versions beyond the limit.
 func (s *State) addVersion(version Version) {
 	s.Versions = append(s.Versions, version)
 	limit := maxVersions
@@ -44,7 +44,7 @@
 		limit = maxFullTextVersions
 	}
 	for len(s.Versions) > limit {
-		s.Versions[0] = Version{} // lets its strings go before the slice moves
+		s.Versions[0] = Version{} // release its strings: the slice keeps the array
 		s.Versions = s.Versions[1:]
 	}
 }
