--- a/cluster/configuration.go
+++ b/cluster/configuration.go
@@ -29,17 +29,17 @@
 	return nil
 }
 
-// checkPreconditions checks whether a command may change the version in effect. The error is ErrRevisionsNotCounted, a
-// *VersionForgottenError or a *StaleBaseError.
+// checkPreconditions checks whether a command may change the version in effect. The error is
+// ErrRecordRevisionsDisabled, a *VersionNotRetainedError or a *StaleBaseError.
 func (s *State) checkPreconditions(c Command) error {
 	if c.Kind == CommandRecords {
 		if s.FullTexts { // until CommandSetFormat
-			return ErrRevisionsNotCounted
+			return ErrRecordRevisionsDisabled
 		}
 		return nil // each write has its own expected revision
 	}
 	if _, retained := s.Find(c.To); c.Kind == CommandRollBack && !retained {
-		return &VersionForgottenError{Version: c.To}
+		return &VersionNotRetainedError{Version: c.To}
 	}
 	if inEffect := s.Latest().Number; c.Base != inEffect {
 		return &StaleBaseError{Base: c.Base, InEffect: inEffect}
@@ -71,7 +71,7 @@
 func (s *State) reversal(version uint64) (records.Transaction, error) {
 	transaction, retained := s.store.Reversal(version)
 	if !retained {
-		return records.Transaction{}, &ChangesForgottenError{Version: version}
+		return records.Transaction{}, &ChangesNotRetainedError{Version: version}
 	}
 	return transaction, nil
 }
@@ -81,8 +81,8 @@
 func (s *State) replacement(parsed []*records.Record) (records.Transaction, error) {
 	var writes []records.Write
 	for _, record := range parsed {
-		held := s.store.Get(record.Key)
-		if held == nil || !held.SameContent(record) {
+		current := s.store.Get(record.Key)
+		if current == nil || !current.SameContent(record) {
 			writes = append(writes, textWrite(record))
 		}
 	}
--- a/cluster/configuration_fulltexts.go
+++ b/cluster/configuration_fulltexts.go
@@ -18,7 +18,7 @@
 	case CommandRollBack:
 		earlier, retained := s.store.At(c.To)
 		if !retained {
-			return records.Transaction{}, &ChangesForgottenError{Version: c.To}
+			return records.Transaction{}, &ChangesNotRetainedError{Version: c.To}
 		}
 		return s.restampingReplacement(earlier)
 	default:
--- a/cluster/errors.go
+++ b/cluster/errors.go
@@ -33,8 +33,8 @@
 	ErrNoTextFormat = errors.New("no format of texts is known here")
 	// ErrNoAddress rejects a CommandSetAddress without a member or an address, or with an address that is too long.
 	ErrNoAddress = errors.New("a member's number and address are needed")
-	// ErrRevisionsNotCounted rejects a CommandRecords in a group that began with full texts, until CommandSetFormat.
-	ErrRevisionsNotCounted = errors.New("the group does not count revisions of records yet: its leader has it do so within seconds, try again")
+	// ErrRecordRevisionsDisabled rejects a CommandRecords in a group that began with full texts, until CommandSetFormat.
+	ErrRecordRevisionsDisabled = errors.New("the group does not count revisions of records yet: its leader has it do so within seconds, try again")
 )
 
 // NameSizeError rejects a command without a client, or with a client, operator, reason or identity that is too long.
@@ -82,19 +82,19 @@
 	return fmt.Sprintf("it changes version %d, and version %d is in force: look at what came between", e.Base, e.InEffect)
 }
 
-// VersionForgottenError rejects a rollback to a version that is not in the list of retained versions.
-type VersionForgottenError struct{ Version uint64 }
+// VersionNotRetainedError rejects a rollback to a version that is not in the list of retained versions.
+type VersionNotRetainedError struct{ Version uint64 }
 
 // Error returns the version.
-func (e *VersionForgottenError) Error() string {
+func (e *VersionNotRetainedError) Error() string {
 	return fmt.Sprintf("version %d is not kept", e.Version)
 }
 
-// ChangesForgottenError rejects a rollback if the changes since the version are no longer in the history of records.
-type ChangesForgottenError struct{ Version uint64 }
+// ChangesNotRetainedError rejects a rollback if the changes since the version are no longer in the history of records.
+type ChangesNotRetainedError struct{ Version uint64 }
 
 // Error returns the version.
-func (e *ChangesForgottenError) Error() string {
+func (e *ChangesNotRetainedError) Error() string {
 	return fmt.Sprintf("the changes since version %d are not kept", e.Version)
 }
 
@@ -113,11 +113,11 @@
 // Unwrap returns the error of the violated rule.
 func (e *RollBackError) Unwrap() error { return e.Err }
 
-// KnownDiskError rejects the registration of a disk if another disk is registered for the member.
-type KnownDiskError struct{ Member uint64 }
+// DiskMismatchError rejects the registration of a disk if another disk is registered for the member.
+type DiskMismatchError struct{ Member uint64 }
 
 // Error returns the member and the remedy.
-func (e *KnownDiskError) Error() string {
+func (e *DiskMismatchError) Error() string {
 	return fmt.Sprintf("member %d is known by another disk: remove it and add it under a new number", e.Member)
 }
 
--- a/cluster/errors_test.go
+++ b/cluster/errors_test.go
@@ -12,8 +12,8 @@
 	"harehook.dev/harehook/records"
 )
 
-// twoVersions returns a script whose state has versions 11 and 12.
-func twoVersions(t *testing.T) *commandScript {
+// newScriptWithTwoVersions returns a script whose state has versions 11 and 12.
+func newScriptWithTwoVersions(t *testing.T) *commandScript {
 	t.Helper()
 	script := newCommandScript(t)
 	script.apply(putCommand("a", 1, 0, "one"))
@@ -23,7 +23,7 @@
 
 // Each reason for a rejection must have its own error type and carry its values, so that callers can distinguish them
 // with errors.As.
-func TestRejectionsAreTyped(t *testing.T) {
+func TestRejectionErrorTypes(t *testing.T) {
 	longText := strings.Repeat("x", maxTextBytes+1)
 	longName := strings.Repeat("x", maxNameBytes+1)
 	longReason := strings.Repeat("x", maxReasonBytes+1)
@@ -32,22 +32,22 @@
 		command Command
 		want    error
 	}{
-		"no client":         {putCommand("", 1, 12, "three"), &NameSizeError{Field: "Client", LimitBytes: maxNameBytes}},
-		"long client":       {putCommand(longName, 1, 12, "three"), &NameSizeError{Field: "Client", Bytes: maxNameBytes + 1, LimitBytes: maxNameBytes}},
-		"long operator":     {Command{Kind: CommandPut, Client: "b", By: longName}, &NameSizeError{Field: "By", Bytes: maxNameBytes + 1, LimitBytes: maxNameBytes}},
-		"long reason":       {Command{Kind: CommandPut, Client: "b", Why: longReason}, &NameSizeError{Field: "Why", Bytes: maxReasonBytes + 1, LimitBytes: maxReasonBytes}},
-		"long identity":     {Command{Kind: CommandRegister, Client: "b", Identity: longName}, &NameSizeError{Field: "Identity", Bytes: maxNameBytes + 1, LimitBytes: maxNameBytes}},
-		"long text":         {putCommand("b", 1, 12, longText), &TextSizeError{Bytes: maxTextBytes + 1, LimitBytes: maxTextBytes}},
-		"unknown kind":      {Command{Kind: "dance", Client: "b", Seq: 1}, &UnknownCommandError{Kind: "dance"}},
-		"older base":        {putCommand("b", 1, 11, "three"), &StaleBaseError{Base: 11, InEffect: 12}},
-		"unknown version":   {Command{Kind: CommandRollBack, Client: "b", Seq: 1, Base: 12, To: 9}, &VersionForgottenError{Version: 9}},
-		"forgotten changes": {Command{Kind: CommandRollBack, Client: "b", Seq: 1, Base: 12, To: 11}, &ChangesForgottenError{Version: 11}},
-		"another disk":      {Command{Kind: CommandRegister, Client: "n", Seq: 1, Member: 2, Identity: "second disk"}, &KnownDiskError{Member: 2}},
-		"no address":        {Command{Kind: CommandSetAddress, Client: "b", Seq: 1, Member: 2}, ErrNoAddress},
+		"no client":            {putCommand("", 1, 12, "three"), &NameSizeError{Field: "Client", LimitBytes: maxNameBytes}},
+		"long client":          {putCommand(longName, 1, 12, "three"), &NameSizeError{Field: "Client", Bytes: maxNameBytes + 1, LimitBytes: maxNameBytes}},
+		"long operator":        {Command{Kind: CommandPut, Client: "b", By: longName}, &NameSizeError{Field: "By", Bytes: maxNameBytes + 1, LimitBytes: maxNameBytes}},
+		"long reason":          {Command{Kind: CommandPut, Client: "b", Why: longReason}, &NameSizeError{Field: "Why", Bytes: maxReasonBytes + 1, LimitBytes: maxReasonBytes}},
+		"long identity":        {Command{Kind: CommandRegister, Client: "b", Identity: longName}, &NameSizeError{Field: "Identity", Bytes: maxNameBytes + 1, LimitBytes: maxNameBytes}},
+		"long text":            {putCommand("b", 1, 12, longText), &TextSizeError{Bytes: maxTextBytes + 1, LimitBytes: maxTextBytes}},
+		"unknown kind":         {Command{Kind: "dance", Client: "b", Seq: 1}, &UnknownCommandError{Kind: "dance"}},
+		"stale base":           {putCommand("b", 1, 11, "three"), &StaleBaseError{Base: 11, InEffect: 12}},
+		"version not retained": {Command{Kind: CommandRollBack, Client: "b", Seq: 1, Base: 12, To: 9}, &VersionNotRetainedError{Version: 9}},
+		"changes not retained": {Command{Kind: CommandRollBack, Client: "b", Seq: 1, Base: 12, To: 11}, &ChangesNotRetainedError{Version: 11}},
+		"another disk":         {Command{Kind: CommandRegister, Client: "n", Seq: 1, Member: 2, Identity: "second disk"}, &DiskMismatchError{Member: 2}},
+		"no address":           {Command{Kind: CommandSetAddress, Client: "b", Seq: 1, Member: 2}, ErrNoAddress},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
-			script := twoVersions(t)
+			script := newScriptWithTwoVersions(t)
 			script.apply(register)
 			script.state.Store().Forget()
 			err := script.state.execute(99, 3, c.command)
@@ -63,7 +63,7 @@
 
 // Results are stored and must be the same at all members, also at members of an earlier release. The text therefore
 // must not depend on the field.
-func TestNameSizeErrorHasOneText(t *testing.T) {
+func TestNameSizeErrorTextIsIndependentOfField(t *testing.T) {
 	const want = "a name is missing or over 200 bytes"
 	for _, err := range []*NameSizeError{
 		{Field: "Client", LimitBytes: maxNameBytes},
@@ -76,7 +76,7 @@
 }
 
 // A rollback to a version that violates the current rules must be rejected with an error that wraps the violated rule.
-func TestRollBackErrorKeepsTheRule(t *testing.T) {
+func TestRollBackErrorWrapsRule(t *testing.T) {
 	script := newCommandScript(t)
 	script.apply(recordsCommand("a", recordWrite(records.KindService, "pay", 0, records.ServiceSpec{})))
 	script.apply(putCommand("b", 1, 11, "one"))
@@ -85,18 +85,19 @@
 	if !errors.As(err, &rollBack) || rollBack.Version != 11 {
 		t.Fatalf("got %v, want a RollBackError for version 11", err)
 	}
-	var broken *records.CheckError
-	if !errors.As(err, &broken) {
+	var ruleError *records.CheckError
+	if !errors.As(err, &ruleError) {
 		t.Errorf("got %v, want an error that wraps a records.CheckError", err)
 	}
 }
 
-func TestRecordsWaitUntilRevisionsCount(t *testing.T) {
+// A state must reject records before CommandSetFormat, and full texts without a TextFormat.
+func TestStateRejectsUnsupportedCommands(t *testing.T) {
 	state := NewState(nil)
 	state.FullTexts = true
 	command := recordsCommand("a", recordWrite(records.KindService, "pay", 0, records.ServiceSpec{}))
-	if err := state.execute(1, 1, command); !errors.Is(err, ErrRevisionsNotCounted) {
-		t.Errorf("records command: got %v, want %v", err, ErrRevisionsNotCounted)
+	if err := state.execute(1, 1, command); !errors.Is(err, ErrRecordRevisionsDisabled) {
+		t.Errorf("records command: got %v, want %v", err, ErrRecordRevisionsDisabled)
 	}
 	if err := state.execute(2, 1, putCommand("a", 1, 0, "text")); !errors.Is(err, ErrNoTextFormat) {
 		t.Errorf("text without a format: got %v, want %v", err, ErrNoTextFormat)
@@ -104,7 +105,7 @@
 }
 
 // A member that is not the leader must reject the request and name the leader, which is unknown here.
-func TestMembershipIsChangedAtTheLeader(t *testing.T) {
+func TestFollowerRejectsLeaderRequests(t *testing.T) {
 	member, _, err := Start(1, &raftlog.SavedState{Identity: "disk"}, []uint64{1, 2}, NewState(nil), DefaultTiming, 1)
 	if err != nil {
 		t.Fatal(err)
@@ -123,13 +124,13 @@
 
 // Another disk is registered for the member's ID. If the member continued, it might vote twice in one term.
 func TestNodeStopsWhenItsDiskWasReplaced(t *testing.T) {
-	n, ended := runningNode(t)
+	n, runResult := runningNode(t)
 	if err := n.runOnLoop(t.Context(), func() { n.member.Step("other", "another disk", nil) }); err != nil {
 		t.Fatal(err)
 	}
 	var replaced *DiskReplacedError
 	select {
-	case err := <-ended:
+	case err := <-runResult:
 		if !errors.As(err, &replaced) || replaced.Member != 1 {
 			t.Errorf("got %v, want a DiskReplacedError for member 1", err)
 		}
--- a/cluster/fulltext_test.go
+++ b/cluster/fulltext_test.go
@@ -53,7 +53,7 @@
 }
 
 // After a snapshot of the first format is restored, each version must have the configuration of its full text.
-func TestFullTextSnapshotIsRead(t *testing.T) {
+func TestRestoreFullTextSnapshot(t *testing.T) {
 	saved := readFullTextGroup(t)
 	s := restoredState(t, saved.Late)
 	var old struct {
@@ -69,18 +69,18 @@
 		t.Fatalf("got %d versions and %d clients, want %d and %d; the snapshot must have %d versions",
 			len(s.Versions), len(s.sessions.byClient), len(old.Versions), len(old.Clients), maxFullTextVersions)
 	}
-	for k, was := range old.Versions {
-		text, retained := s.TextOf(was.Number)
-		parsed, err := config.TextFormat{}.Parse(was.Text)
+	for i, oldVersion := range old.Versions {
+		text, retained := s.TextOf(oldVersion.Number)
+		parsed, err := config.TextFormat{}.Parse(oldVersion.Text)
 		if err != nil {
 			t.Fatal(err)
 		}
 		if want := (config.TextFormat{}).Format(parsed); !retained || text != want {
-			t.Errorf("version %d: got retained %v and text\n%s\nwant true and\n%s", was.Number, retained, text, want)
+			t.Errorf("version %d: got retained %v and text\n%s\nwant true and\n%s", oldVersion.Number, retained, text, want)
 		}
-		was.Text = ""
-		if s.Versions[k] != was {
-			t.Errorf("got version %+v, want %+v", s.Versions[k], was)
+		oldVersion.Text = ""
+		if s.Versions[i] != oldVersion {
+			t.Errorf("got version %+v, want %+v", s.Versions[i], oldVersion)
 		}
 	}
 	if diff := cmp.Diff(old.Identities, s.Identities) + cmp.Diff(old.Addresses, s.Addresses); diff != "" {
@@ -88,8 +88,8 @@
 	}
 }
 
-// heldRecords describes all records with their revisions.
-func heldRecords(s *State) (lines []string) {
+// describeRecords describes all records with their revisions.
+func describeRecords(s *State) (lines []string) {
 	view := s.Store().InScope(records.Scope{All: true})
 	lines = append(lines, fmt.Sprint("as of ", view.Revision))
 	for _, scope := range []records.Scope{{All: true}, {}, {Services: []string{"pay"}}} {
@@ -105,17 +105,17 @@
 // snapshot and applies the entries after it, another restores a late snapshot. If their revisions differed, the same
 // transaction would conflict at one member and be applied at the other. Members must therefore agree on everything that
 // determines the results of later commands: the revisions of records, the retained versions and their records.
-func TestMembersAgreeWhereverTheyConvertFullTexts(t *testing.T) {
+func TestFullTextConversionIsIndependentOfLogIndex(t *testing.T) {
 	saved := readFullTextGroup(t)
 	early, late := restoredState(t, saved.Early), restoredState(t, saved.Late)
 	index := uint64(0)
 	for _, e := range saved.Entries {
 		index = e.Index
-		if _, r := early.Apply(e.Index, e.Term, e.Data); r != (Result{e.Number, e.Refused}) {
-			t.Fatalf("entry %d: got %+v, want version %d, rejection %q", e.Index, r, e.Number, e.Refused)
+		if _, result := early.Apply(e.Index, e.Term, e.Data); result != (Result{e.Number, e.Refused}) {
+			t.Fatalf("entry %d: got %+v, want version %d, rejection %q", e.Index, result, e.Number, e.Refused)
 		}
 	}
-	both := func(c Command) Result {
+	applyToBoth := func(c Command) Result {
 		t.Helper()
 		index++
 		data, err := json.Marshal(c)
@@ -127,7 +127,7 @@
 		if a != b {
 			t.Fatalf("command %+v: got %+v from the early snapshot and %+v from the late one, want equal results", c, a, b)
 		}
-		if diff := cmp.Diff(heldRecords(early), heldRecords(late)); diff != "" {
+		if diff := cmp.Diff(describeRecords(early), describeRecords(late)); diff != "" {
 			t.Fatal(diff)
 		}
 		if diff := cmp.Diff(early.Versions, late.Versions); diff != "" {
@@ -136,50 +136,50 @@
 		return a
 	}
 	write := records.Write{Key: records.Key{Kind: records.KindService, Name: "pay"}, Body: []byte(`{}`)}
-	if r := both(Command{Kind: CommandRecords, Client: "a", Seq: 1, Writes: []records.Write{write}}); r.Rejected == "" {
+	if result := applyToBoth(Command{Kind: CommandRecords, Client: "a", Seq: 1, Writes: []records.Write{write}}); result.Rejected == "" {
 		t.Error("a transaction was accepted before CommandSetFormat")
 	}
-	both(Command{Kind: CommandRollBack, Client: "a", Seq: 2, Base: early.Latest().Number, To: early.Versions[3].Number})
-	both(Command{Kind: CommandSetFormat, Client: "a", Seq: 3})
-	if r := both(Command{Kind: CommandRecords, Client: "a", Seq: 4, Writes: []records.Write{write}}); r.Rejected != "" {
-		t.Errorf("transaction after CommandSetFormat: got rejection %q, want none", r.Rejected)
+	applyToBoth(Command{Kind: CommandRollBack, Client: "a", Seq: 2, Base: early.Latest().Number, To: early.Versions[3].Number})
+	applyToBoth(Command{Kind: CommandSetFormat, Client: "a", Seq: 3})
+	if result := applyToBoth(Command{Kind: CommandRecords, Client: "a", Seq: 4, Writes: []records.Write{write}}); result.Rejected != "" {
+		t.Errorf("transaction after CommandSetFormat: got rejection %q, want none", result.Rejected)
 	}
-	for k, v := range early.Versions[2:] {
-		if r := both(Command{Kind: CommandRollBack, Client: "a", Seq: 5 + uint64(k), Base: early.Latest().Number, To: v.Number}); r.Rejected != "" {
-			t.Errorf("rollback to version %d: got rejection %q, want none", v.Number, r.Rejected)
+	for i, v := range early.Versions[2:] {
+		if result := applyToBoth(Command{Kind: CommandRollBack, Client: "a", Seq: 5 + uint64(i), Base: early.Latest().Number, To: v.Number}); result.Rejected != "" {
+			t.Errorf("rollback to version %d: got rejection %q, want none", v.Number, result.Rejected)
 		}
 	}
 }
 
 // Restore must return an error for each invalid snapshot and leave the state unchanged.
-func TestUnreadableSnapshotsAreRefused(t *testing.T) {
+func TestRestoreRejectsInvalidSnapshots(t *testing.T) {
 	script := newCommandScript(t)
 	script.apply(putCommand("a", 1, 0, "one"))
-	good, err := script.state.Snapshot()
+	valid, err := script.state.Snapshot()
 	if err != nil {
 		t.Fatal(err)
 	}
-	newer := append([]byte{}, good...)
-	newer[len(snapshotMagic)]++
+	newerFormat := append([]byte{}, valid...)
+	newerFormat[len(snapshotMagic)]++
 	cases := map[string][]byte{
-		"newer format":       newer,
-		"cut short":          good[:len(good)-1],
-		"no header":          []byte(snapshotMagic),
-		"bad text in effect": []byte(`{"versions":[{"number":9,"text":"bad"}]}`),
+		"newer format":           newerFormat,
+		"truncated":              valid[:len(valid)-1],
+		"no header":              []byte(snapshotMagic),
+		"invalid text in effect": []byte(`{"versions":[{"number":9,"text":"bad"}]}`),
 	}
 	for name, data := range cases {
 		if err := script.state.Restore(data); err == nil {
 			t.Errorf("%s: got no error, want one", name)
 		}
 	}
-	if again, _ := script.state.Snapshot(); string(again) != string(good) {
+	if after, _ := script.state.Snapshot(); string(after) != string(valid) {
 		t.Error("a rejected snapshot changed the state")
 	}
 }
 
 // A node that starts from a snapshot of the first format must propose CommandSetFormat by itself once it is the leader,
 // and then accept transactions.
-func TestLeaderProposesTheRecordsFormat(t *testing.T) {
+func TestLeaderProposesSetFormat(t *testing.T) {
 	saved := readFullTextGroup(t)
 	meta := &raftpb.SnapshotMetadata{Index: proto.Uint64(110), Term: proto.Uint64(2), ConfState: &raftpb.ConfState{Voters: []uint64{1}}}
 	disk := &raftlog.SavedState{
@@ -188,20 +188,20 @@
 	}
 	n := newLeaderFrom(t, disk, NewState(config.TextFormat{}), func(*Node) {})
 	write := recordsCommand("a", recordWrite(records.KindService, "pay", 0, records.ServiceSpec{}))
-	for until := time.Now().Add(20 * time.Second); ; time.Sleep(tickInterval) {
-		r, err := n.handlePropose(t.Context(), write)
+	for deadline := time.Now().Add(20 * time.Second); ; time.Sleep(tickInterval) {
+		result, err := n.handlePropose(t.Context(), write)
 		if err != nil {
 			t.Fatal(err)
 		}
-		if r.Rejected == "" {
+		if result.Rejected == "" {
 			break
 		}
-		if !strings.Contains(r.Rejected, "does not count revisions") || time.Now().After(until) {
-			t.Fatalf("got rejection %q, want none within 20 s", r.Rejected)
+		if !strings.Contains(result.Rejected, "does not count revisions") || time.Now().After(deadline) {
+			t.Fatalf("got rejection %q, want none within 20 s", result.Rejected)
 		}
 		write.Seq++
 	}
-	if v, err := n.ReadLocal(t.Context()); err != nil || !strings.Contains(v.Text, `service "pay"`) || !strings.Contains(v.Text, `route "route-0"`) {
-		t.Errorf("got version %+v, error %v, want a text with service pay and route route-0", v, err)
+	if version, err := n.ReadLocal(t.Context()); err != nil || !strings.Contains(version.Text, `service "pay"`) || !strings.Contains(version.Text, `route "route-0"`) {
+		t.Errorf("got version %+v, error %v, want a text with service pay and route route-0", version, err)
 	}
 }
--- a/cluster/golden_test.go
+++ b/cluster/golden_test.go
@@ -59,8 +59,8 @@
 	}
 	state := NewState(config.TextFormat{})
 	var batch raftlog.Batch
-	for at, command := range goldenCommands() {
-		index := uint64(at + 1)
+	for i, command := range goldenCommands() {
+		index := uint64(i + 1)
 		data, err := json.Marshal(command)
 		if err != nil {
 			t.Fatal(err)
@@ -100,11 +100,11 @@
 		t.Fatal(err)
 	}
 	for _, file := range files {
-		text, err := os.ReadFile(filepath.Join(from, file.Name()))
+		data, err := os.ReadFile(filepath.Join(from, file.Name()))
 		if err != nil {
 			t.Fatal(err)
 		}
-		if err := os.WriteFile(filepath.Join(to, file.Name()), text, 0o600); err != nil {
+		if err := os.WriteFile(filepath.Join(to, file.Name()), data, 0o600); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -131,7 +131,7 @@
 	if err := state.Restore(saved.Snapshot.GetData()); err != nil {
 		t.Fatal(err)
 	}
-	if again, err := state.Snapshot(); err != nil || string(again) != string(saved.Snapshot.GetData()) {
+	if restoredData, err := state.Snapshot(); err != nil || string(restoredData) != string(saved.Snapshot.GetData()) {
 		t.Errorf("the snapshot of the restored state differs from the restored snapshot, error %v", err)
 	}
 	for _, entry := range saved.Entries {
@@ -167,9 +167,9 @@
 		t.Fatal(err)
 	}
 	fmt.Fprintf(&out, "%x\n", data)
-	var again raftpb.Message
-	if err := proto.Unmarshal(data, &again); err != nil || !proto.Equal(message, &again) {
-		t.Errorf("got decoded message %s, error %v, want the original message", protojson.Format(&again), err)
+	var decoded raftpb.Message
+	if err := proto.Unmarshal(data, &decoded); err != nil || !proto.Equal(message, &decoded) {
+		t.Errorf("got decoded message %s, error %v, want the original message", protojson.Format(&decoded), err)
 	}
 	goldentest.Compare(t, "transport.txt", out.String())
 }
--- a/cluster/handle_propose.go
+++ b/cluster/handle_propose.go
@@ -40,8 +40,8 @@
 	if err != nil {
 		return nil // for example a version that is not retained: the group rejects the command with this error
 	}
-	held := state.Store().OfKinds(records.KindRoute, records.KindService, records.KindOverride).Records
-	proposed, err := recordsAfter(held, transaction.Writes)
+	current := state.Store().OfKinds(records.KindRoute, records.KindService, records.KindOverride).Records
+	proposed, err := recordsAfter(current, transaction.Writes)
 	if err != nil {
 		return status.Error(codes.InvalidArgument, err.Error())
 	}
@@ -52,9 +52,9 @@
 }
 
 // recordsAfter returns the records that result from writes, ordered by key and without tenants.
-func recordsAfter(held []*records.Record, writes []records.Write) ([]*records.Record, error) {
-	byKey := make(map[records.Key]*records.Record, len(held))
-	for _, record := range held {
+func recordsAfter(current []*records.Record, writes []records.Write) ([]*records.Record, error) {
+	byKey := make(map[records.Key]*records.Record, len(current))
+	for _, record := range current {
 		byKey[record.Key] = record
 	}
 	for _, write := range writes {
--- a/cluster/handle_read.go
+++ b/cluster/handle_read.go
@@ -48,20 +48,20 @@
 	return response, nil
 }
 
-// addTexts adds the texts of versions, the newest first, within maxReadTextBytes. If wanted is not nil, it adds only
-// the texts of the wanted versions. A wanted version has no text if its text exceeds the remaining space or if the
-// changes since that version are no longer retained.
-func (n *Node) addTexts(versions []Version, wanted []uint64) {
-	room := maxReadTextBytes
-	for i := len(versions) - 1; i >= 0 && room > 0; i-- {
+// addTexts adds the texts of versions, the newest first, within maxReadTextBytes. If requested is not nil, it adds only
+// the texts of the requested versions. A requested version has no text if its text exceeds the remaining space or if
+// the changes since that version are no longer retained.
+func (n *Node) addTexts(versions []Version, requested []uint64) {
+	remainingBytes := maxReadTextBytes
+	for i := len(versions) - 1; i >= 0 && remainingBytes > 0; i-- {
 		version := &versions[i]
-		if wanted != nil && !slices.Contains(wanted, version.Number) {
+		if requested != nil && !slices.Contains(requested, version.Number) {
 			continue
 		}
 		text, retained := n.member.State.TextOf(version.Number)
-		if retained && len(text) <= room {
+		if retained && len(text) <= remainingBytes {
 			version.Text = text
-			room -= len(text)
+			remainingBytes -= len(text)
 		}
 	}
 }
@@ -75,11 +75,11 @@
 	if len(request.Keys) > 0 {
 		return recordsOfKeys(store, request.Keys), nil
 	}
-	return recordsOfService(store.OfKinds(request.wantedKinds()...), request.Service), nil
+	return recordsOfService(store.OfKinds(request.requestedKinds()...), request.Service), nil
 }
 
-// wantedKinds returns the requested kinds of records.
-func (r RecordsRequest) wantedKinds() []records.Kind {
+// requestedKinds returns the requested kind, or all kinds if none is given.
+func (r RecordsRequest) requestedKinds() []records.Kind {
 	if r.Kind != 0 {
 		return []records.Kind{r.Kind}
 	}
--- a/cluster/snapshot.go
+++ b/cluster/snapshot.go
@@ -18,8 +18,8 @@
 	snapshotFormat = 2
 )
 
-// errSnapshotShort is returned when a snapshot ends within its header.
-var errSnapshotShort = errors.New("the snapshot is truncated")
+// errSnapshotTruncated is returned when a snapshot ends within its header.
+var errSnapshotTruncated = errors.New("the snapshot is truncated")
 
 // snapshotHeader holds the parts of a snapshot other than the records. Maps are encoded with sorted keys.
 type snapshotHeader struct {
@@ -45,13 +45,13 @@
 	if err != nil {
 		return nil, err
 	}
-	held := s.store.Snapshot()
-	out := make([]byte, 0, len(snapshotMagic)+2*binary.MaxVarintLen64+len(header)+len(held))
+	storeData := s.store.Snapshot()
+	out := make([]byte, 0, len(snapshotMagic)+2*binary.MaxVarintLen64+len(header)+len(storeData))
 	out = append(out, snapshotMagic...)
 	out = binary.AppendUvarint(out, snapshotFormat)
 	out = binary.AppendUvarint(out, uint64(len(header)))
 	out = append(out, header...)
-	return append(out, held...), nil
+	return append(out, storeData...), nil
 }
 
 func (s *State) header() snapshotHeader {
@@ -70,22 +70,22 @@
 // Restore replaces the state with that of a snapshot of the current or the first format. If the snapshot cannot be
 // decoded, Restore returns an error and leaves the state unchanged.
 func (s *State) Restore(data []byte) error {
-	next := NewState(s.format)
+	restored := NewState(s.format)
 	var err error
 	if body, found := bytes.CutPrefix(data, []byte(snapshotMagic)); found {
-		err = next.decodeSnapshot(body)
+		err = restored.decodeSnapshot(body)
 	} else {
-		err = next.decodeFullTexts(data)
+		err = restored.decodeFullTexts(data)
 	}
 	if err != nil {
 		return err
 	}
-	s.Versions = next.Versions
-	s.Identities = next.Identities
-	s.Addresses = next.Addresses
-	s.FullTexts = next.FullTexts
-	s.sessions = next.sessions
-	s.store.Replace(next.store)
+	s.Versions = restored.Versions
+	s.Identities = restored.Identities
+	s.Addresses = restored.Addresses
+	s.FullTexts = restored.FullTexts
+	s.sessions = restored.sessions
+	s.store.Replace(restored.store)
 	if s.OnCommit != nil {
 		s.OnCommit(records.Change{Revision: s.store.Revision(), Reset: true})
 	}
@@ -101,7 +101,7 @@
 	data = data[size:]
 	length, size := binary.Uvarint(data)
 	if size <= 0 || length > uint64(len(data)-size) {
-		return errSnapshotShort
+		return errSnapshotTruncated
 	}
 	data = data[size:]
 	var header snapshotHeader
--- a/cluster/snapshot_fulltexts.go
+++ b/cluster/snapshot_fulltexts.go
@@ -19,13 +19,13 @@
 // whose text can no longer be parsed is dropped together with all earlier versions. If it is the version in effect,
 // decodeFullTexts returns an error.
 func (s *State) decodeFullTexts(data []byte) error {
-	var saved fullTextSnapshot
-	if err := json.Unmarshal(data, &saved); err != nil {
+	var snapshot fullTextSnapshot
+	if err := json.Unmarshal(data, &snapshot); err != nil {
 		return err
 	}
-	s.restoreHeader(snapshotHeader{FullTexts: true, Clients: saved.Clients, Identities: saved.Identities, Addresses: saved.Addresses})
+	s.restoreHeader(snapshotHeader{FullTexts: true, Clients: snapshot.Clients, Identities: snapshot.Identities, Addresses: snapshot.Addresses})
 	var lastError error
-	for _, version := range saved.Versions {
+	for _, version := range snapshot.Versions {
 		lastError = s.addFullText(version)
 		if lastError != nil {
 			s.Versions = nil
--- a/cluster/state.go
+++ b/cluster/state.go
@@ -95,8 +95,8 @@
 }
 
 func (s *State) register(c Command) error {
-	if known := s.Identities[c.Member]; known != "" && known != c.Identity {
-		return &KnownDiskError{Member: c.Member}
+	if registered := s.Identities[c.Member]; registered != "" && registered != c.Identity {
+		return &DiskMismatchError{Member: c.Member}
 	}
 	s.Identities[c.Member] = c.Identity
 	return nil
--- a/cluster/state_test.go
+++ b/cluster/state_test.go
@@ -59,7 +59,7 @@
 	return Command{Kind: CommandPut, Client: client, Seq: seq, Base: base, Text: text}
 }
 
-func TestCommandsAndTheirResults(t *testing.T) {
+func TestApplyResults(t *testing.T) {
 	script := newCommandScript(t)
 	script.apply(putCommand("a", 1, 0, "one"))
 	script.apply(putCommand("b", 1, 0, "other")) // stale base: its client has not read version 11
@@ -91,7 +91,7 @@
 
 // A state restored from a snapshot must compute the same results as the original state. The script exceeds the limits
 // on versions and clients, so the oldest of them are dropped before the snapshot.
-func TestRestoredStateGoesOnAsTheOriginal(t *testing.T) {
+func TestRestoredStateMatchesOriginal(t *testing.T) {
 	script := newCommandScript(t)
 	for n := range uint64(maxClients + maxVersions + 5) {
 		script.apply(putCommand(fmt.Sprint("client-", n), 1, script.state.Current().Number, fmt.Sprint("text ", n)))
@@ -103,21 +103,21 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	other := newCommandScript(t)
-	if err := other.state.Restore(data); err != nil {
+	restored := newCommandScript(t)
+	if err := restored.state.Restore(data); err != nil {
 		t.Fatal(err)
 	}
-	again, _ := other.state.Snapshot()
-	if string(again) != string(data) {
+	restoredData, _ := restored.state.Snapshot()
+	if string(restoredData) != string(data) {
 		t.Error("the snapshot of the restored state differs from the original snapshot")
 	}
-	other.index = script.index
-	for k, c := range []Command{putCommand("x", 1, 0, "late"), putCommand("client-1000", 1, 5, "again"), putCommand("x", 2, script.state.Current().Number, "next")} {
-		if a, b := script.apply(c), other.apply(c); a != b {
-			t.Errorf("command %d: got %+v from the restored state, want %+v", k, b, a)
+	restored.index = script.index
+	for i, c := range []Command{putCommand("x", 1, 0, "late"), putCommand("client-1000", 1, 5, "again"), putCommand("x", 2, script.state.Current().Number, "next")} {
+		if a, b := script.apply(c), restored.apply(c); a != b {
+			t.Errorf("command %d: got %+v from the restored state, want %+v", i, b, a)
 		}
 	}
-	if err := other.state.Restore([]byte("{")); err == nil || other.state.Current().Text != "next" {
-		t.Errorf("restore of invalid JSON: got error %v and text %q, want an error and %q", err, other.state.Current().Text, "next")
+	if err := restored.state.Restore([]byte("{")); err == nil || restored.state.Current().Text != "next" {
+		t.Errorf("restore of invalid JSON: got error %v and text %q, want an error and %q", err, restored.state.Current().Text, "next")
 	}
 }
--- a/cluster/texts.go
+++ b/cluster/texts.go
@@ -26,9 +26,9 @@
 	if s.format == nil || number == 0 {
 		return "", number == 0
 	}
-	held, retained := s.store.At(number)
+	list, retained := s.store.At(number)
 	if !retained {
 		return "", false
 	}
-	return s.format.Format(held), true
+	return s.format.Format(list), true
 }
--- a/cluster/transactions_test.go
+++ b/cluster/transactions_test.go
@@ -9,12 +9,12 @@
 	"harehook.dev/harehook/records"
 )
 
-func recordWrite(kind records.Kind, name string, expect uint64, spec any) records.Write {
+func recordWrite(kind records.Kind, name string, expectedRevision uint64, spec any) records.Write {
 	body, err := json.Marshal(spec)
 	if err != nil {
 		panic(err)
 	}
-	return records.Write{Key: records.Key{Kind: kind, Name: name}, Body: body, ExpectedRevision: expect}
+	return records.Write{Key: records.Key{Kind: kind, Name: name}, Body: body, ExpectedRevision: expectedRevision}
 }
 
 func recordsCommand(client string, writes ...records.Write) Command {
@@ -23,7 +23,7 @@
 
 // Transactions and full texts may alternate: a conflict is rejected with its record and revision, a transaction adds a
 // version, and a rollback reverses it. OnCommit reports each change, and a restored snapshot as a reset.
-func TestTransactionsBesideFullTexts(t *testing.T) {
+func TestTransactionsAlternateWithFullTexts(t *testing.T) {
 	script := newCommandScript(t)
 	var changes []records.Change
 	script.state.OnCommit = func(c records.Change) { changes = append(changes, c) }
@@ -42,8 +42,8 @@
 	expectRejection(recordsCommand("e", recordWrite(records.KindTenant, "x", 12, records.TenantSpec{Service: "pay", Share: 1})), "has re") // 15
 	expectRejection(recordsCommand("f"), "at least one record")
 	expectRejection(putCommand("g", 1, 14, "two"), "") // 17: contains no service or tenant, so these are kept
-	if held := script.state.Store().Get(tenant.Key); held == nil || held.Revision != 14 {
-		t.Errorf("after a text with only routes: got tenant %+v, want one with revision 14", held)
+	if current := script.state.Store().Get(tenant.Key); current == nil || current.Revision != 14 {
+		t.Errorf("after a text with only routes: got tenant %+v, want one with revision 14", current)
 	}
 	if v := script.state.Current(); v.Text != "two" || v.Number != 17 {
 		t.Errorf("got version %+v, want number 17, text %q", v, "two")
@@ -74,7 +74,7 @@
 }
 
 // A rollback must be rejected and change nothing if the changes since the version are no longer retained.
-func TestRollBackToForgottenVersionIsRejected(t *testing.T) {
+func TestRollBackWithoutRetainedChangesIsRejected(t *testing.T) {
 	script := newCommandScript(t)
 	script.apply(putCommand("a", 1, 0, "one"))
 	script.apply(putCommand("b", 1, 11, "two"))
--- a/cluster/versions.go
+++ b/cluster/versions.go
@@ -29,11 +29,11 @@
 
 // Find returns a version without its text, and whether it is still retained.
 func (s *State) Find(number uint64) (version Version, retained bool) {
-	at := slices.IndexFunc(s.Versions, func(v Version) bool { return v.Number == number })
-	if at < 0 {
+	index := slices.IndexFunc(s.Versions, func(v Version) bool { return v.Number == number })
+	if index < 0 {
 		return Version{}, false
 	}
-	return s.Versions[at], true
+	return s.Versions[index], true
 }
 
 // addVersion adds the version in effect and drops the oldest versions beyond the limit.
