--- a/cluster/advance.go
+++ b/cluster/advance.go
@@ -9,8 +9,9 @@
 	"harehook.dev/harehook/raftlog"
 )
 
-// Propose hands a command to the leader. That it was handed on says nothing of its outcome: Advance returns it among the
-// applied commands once it is. The error is that of State.Validate, ErrNoLeader, or raft.ErrProposalDropped.
+// Propose forwards a command to the leader. Success does not mean that the command is committed: Advance returns it
+// among the applied commands once it is applied. The error is that of State.Validate, ErrNoLeader, or
+// raft.ErrProposalDropped.
 func (m *Member) Propose(c Command) error {
 	if err := m.State.Validate(c); err != nil {
 		return err
@@ -25,11 +26,12 @@
 	return m.rawNode.Propose(data)
 }
 
-// Advance does all that is due. It returns the messages to send, the commands that were applied, and the reads that may
-// be answered from the state.
+// Advance processes all pending work. It returns the messages to send, the commands that were applied, and the reads
+// that may be answered from the state.
 //
-// What is to be persisted is handed to save, and only once that has returned do the messages that promise it leave. After
-// an error the member must not go on: it is save's, or says that an entry or a snapshot cannot be applied.
+// Entries, hard state and snapshots are passed to save; the messages that depend on them are returned only after save
+// has succeeded. The member must not be used after an error. The error is that of save, or an entry or a snapshot could
+// not be applied.
 func (m *Member) Advance(save func(raftlog.Batch) error) (messages []*raftpb.Message, applied []AppliedCommand, reads []ReadState, err error) {
 	for m.rawNode.HasReady() {
 		ready := m.rawNode.Ready()
@@ -47,7 +49,7 @@
 	return messages, applied, m.takeReadyReads(), nil
 }
 
-// handleReady does what the raft library asks for, in the order that it demands: persist, then apply.
+// handleReady processes a Ready of the raft library in the required order: persist, then apply.
 func (m *Member) handleReady(ready raft.Ready, save func(raftlog.Batch) error) error {
 	if ready.SoftState != nil {
 		m.leader = ready.Lead
@@ -68,7 +70,7 @@
 	return nil
 }
 
-// persist has what is new saved, and then takes it into the log in memory and the state.
+// persist saves the new snapshot, entries and hard state, and then adds them to the in-memory log and the state.
 func (m *Member) persist(ready raft.Ready, save func(raftlog.Batch) error) error {
 	batch := raftlog.Batch{Entries: ready.Entries}
 	if !raft.IsEmptyHardState(ready.HardState) {
@@ -97,7 +99,7 @@
 	return m.storage.SetHardState(batch.HardState)
 }
 
-// restore replaces the log in memory and the state by a snapshot.
+// restore replaces the in-memory log and the state with a snapshot.
 func (m *Member) restore(snapshot *raftpb.Snapshot) error {
 	if err := m.storage.ApplySnapshot(snapshot); err != nil {
 		return err
@@ -113,7 +115,7 @@
 	return nil
 }
 
-// appendEntries appends entries to the log in memory.
+// appendEntries appends entries to the in-memory log.
 func (m *Member) appendEntries(entries []*raftpb.Entry) error {
 	for _, entry := range entries {
 		m.logBytes += len(entry.GetData())
@@ -121,7 +123,7 @@
 	return m.storage.Append(entries)
 }
 
-// applyEntry applies a committed entry. An entry without data is the first one of a new leader.
+// applyEntry applies a committed entry. A new leader's first entry has no data and is skipped.
 func (m *Member) applyEntry(entry *raftpb.Entry) error {
 	m.appliedIndex = entry.GetIndex()
 	switch {
--- a/cluster/compaction.go
+++ b/cluster/compaction.go
@@ -2,20 +2,21 @@
 
 import "harehook.dev/harehook/raftlog"
 
-// The log is held in memory and read again at a start, so it is cut to a snapshot of the state now and then.
+// The log is kept in memory and read again at startup, so it is regularly compacted into a snapshot of the state.
 const (
-	// smallSnapshotBytes is a snapshot's size under which the log is cut by its entries alone.
+	// smallSnapshotBytes is the snapshot size below which the snapshot's cost does not delay compaction.
 	smallSnapshotBytes = 1 << 20
-	// snapshotLogRatio is the part (one in so many) of a large snapshot's size that the log reaches before the next one
-	// is made: a snapshot costs by the whole state, the log by its changes.
+	// snapshotLogRatio divides the size of a large snapshot: the log must reach 1/snapshotLogRatio of that size before
+	// the next snapshot. The cost of a snapshot grows with the entire state, that of the log only with its changes.
 	snapshotLogRatio = 8
-	// maxEntriesFactor times Timing.CompactAfterEntries is the longest log, whatever a snapshot costs.
+	// maxEntriesFactor times Timing.CompactAfterEntries is the maximum log length, whatever a snapshot costs.
 	maxEntriesFactor = 10
-	// maxLogBytes is where the log is cut however few entries it has.
+	// maxLogBytes is the log size from which the log is compacted even if it has few entries.
 	maxLogBytes = 16 << 20
 )
 
-// compact cuts the log to a snapshot of the state if that is due. The snapshot is saved before the log in memory is cut.
+// compact compacts the log into a snapshot of the state if that is due. The snapshot is saved before the in-memory log
+// is truncated.
 func (m *Member) compact(save func(raftlog.Batch) error) error {
 	first, err := m.storage.FirstIndex()
 	if err != nil {
@@ -41,10 +42,11 @@
 	return m.storage.Compact(m.appliedIndex)
 }
 
-// compactionDue reports whether the log from an index on is to be cut.
+// compactionDue reports whether the log, whose first index is given, must be compacted.
 //
-// It is cut after each change of members whatever its length. This guards against a new member that never catches up:
-// a snapshot of before the change does not name it, so that it ignores the snapshot and is sent the same one again.
+// The log is compacted after each membership change, regardless of its length. This guards against a new member that
+// never catches up: a snapshot from before the change does not list the member, so that the member ignores it and is
+// sent the same snapshot again.
 func (m *Member) compactionDue(first uint64) bool {
 	if m.membersChanged {
 		return true
--- a/cluster/election.go
+++ b/cluster/election.go
@@ -10,16 +10,16 @@
 	"go.etcd.io/raft/v3/raftpb"
 )
 
-// Elections are timed here and not by the raft library, whose draws come from the system: a run with the same seed has
-// to be the same run. The library's ticks are used at the leader alone.
+// Elections are timed here and not by the raft library, whose election timeouts use the system's random source: runs
+// with the same seed must be identical. The library's own ticks are used only while this member is the leader.
 
-// snapshotTimeoutElections is how many election timeouts a snapshot may be under way before it counts as lost.
+// snapshotTimeoutElections is the time in election timeouts after which a snapshot in flight counts as lost.
 const snapshotTimeoutElections = 4
 
-// Tick lets a unit of time pass.
+// Tick advances the member's time by one tick.
 func (m *Member) Tick() {
 	if m.role == raft.StateLeader {
-		m.rawNode.Tick() // a leader without a majority for an election timeout steps down
+		m.rawNode.Tick() // a leader that does not reach a majority within an election timeout steps down
 		m.expireSnapshots()
 		return
 	}
@@ -30,11 +30,11 @@
 	}
 	m.electionElapsed = 0
 	m.resetElectionTimeout()
-	ignoreError(m.rawNode.Campaign()) // a member that may not campaign, as a learner, goes on waiting
+	ignoreError(m.rawNode.Campaign()) // a member that must not campaign, such as a learner, keeps waiting
 }
 
-// resetElectionTimeout sets the time without a leader after which this member campaigns: between one and two times
-// Timing.ElectionTicks, so that members seldom campaign at once.
+// resetElectionTimeout sets the election timeout to a random value between one and two times Timing.ElectionTicks, so
+// that members seldom campaign at the same time.
 func (m *Member) resetElectionTimeout() {
 	m.randomCounter++
 	hash := fnv.New64a()
@@ -43,19 +43,20 @@
 	m.electionTimeout = m.timing.ElectionTicks + int(random%uint64(m.timing.ElectionTicks))
 }
 
-// mixBits spreads a hash of similar texts over all bits (a step of SplitMix64).
+// mixBits spreads the differences between hashes of similar texts over all bits (a step of SplitMix64).
 func mixBits(x uint64) uint64 {
 	x = (x ^ x>>30) * 0xbf58476d1ce4e5b9
 	return x ^ x>>27
 }
 
-// Step takes a message of another member. Identity is the sender's disk, and known the disk that the sender knows this
-// member by, empty if none.
+// Step processes a message from another member. Identity is that of the sender's disk, and known is the identity that
+// the sender has registered for this member's disk, empty if none.
 //
-// It guards against a disk that was lost and made anew, which forgot what its number promised and may vote twice in a
-// term: what it sends under a number that is registered for another disk is dropped and counted. It learns from the
-// others' messages that they know another disk, and ends. A disk that was put back from a copy of itself has the same
-// identity and passes.
+// Step guards against a disk that was lost and created anew: the member on it has forgotten its votes and
+// acknowledgements, and could vote twice in a term. Messages from a member whose number is registered for another disk
+// are dropped and counted. The member on the new disk finds out from the others' messages that another disk is
+// registered for it, and stops. A disk that was restored from a copy of itself has the same identity and is not
+// detected.
 func (m *Member) Step(identity, known string, message *raftpb.Message) {
 	if known != "" && known != m.Identity {
 		m.DiskReplaced = true
@@ -69,13 +70,13 @@
 		m.electionElapsed = 0
 	}
 	voteBefore := m.vote()
-	ignoreError(m.rawNode.Step(message)) // a message that is of no use, as one of a member that was removed
+	ignoreError(m.rawNode.Step(message)) // the message is useless, such as one from a removed member
 	if vote := m.vote(); vote != voteBefore && vote != raft.None {
 		m.electionElapsed = 0
 	}
 }
 
-// isFromLeader reports whether a message is one that a leader of this term or a later one sends.
+// isFromLeader reports whether a message was sent by a leader of this term or a later one.
 func (m *Member) isFromLeader(message *raftpb.Message) bool {
 	switch message.GetType() {
 	case raftpb.MsgHeartbeat, raftpb.MsgApp, raftpb.MsgSnap:
@@ -84,13 +85,13 @@
 	return false
 }
 
-// vote is the member that this one has voted for in its term.
+// vote returns the member that this one voted for in the current term.
 func (m *Member) vote() uint64 { return m.rawNode.BasicStatus().GetVote() }
 
-// ReportUnreachable says that messages to a member are lost.
+// ReportUnreachable reports that a message to a member was lost.
 func (m *Member) ReportUnreachable(id uint64) { m.rawNode.ReportUnreachable(id) }
 
-// trackSnapshots notes the snapshots that leave, which may be lost on their way.
+// trackSnapshots records the snapshots that are sent, since the network may lose them.
 func (m *Member) trackSnapshots(messages []*raftpb.Message) {
 	for _, message := range messages {
 		if message.GetType() == raftpb.MsgSnap {
@@ -99,10 +100,10 @@
 	}
 }
 
-// expireSnapshots reports snapshots as lost that have been under way for long.
+// expireSnapshots reports snapshots as lost whose timeout has expired.
 //
-// It guards against a member that stays behind for good: raft sends nothing else to a member until the snapshot under
-// way is reported as received or lost, and nobody reports one that the network lost.
+// It guards against a member that never catches up: raft sends a member nothing else until the snapshot in flight is
+// reported as received or lost, and no one reports a snapshot that the network lost.
 func (m *Member) expireSnapshots() {
 	for _, to := range slices.Sorted(maps.Keys(m.snapshotsInFlight)) {
 		m.snapshotsInFlight[to]--
--- a/cluster/member.go
+++ b/cluster/member.go
@@ -13,67 +13,67 @@
 )
 
 const (
-	maxMessageBytes     = 1 << 20              // of entries in one message
-	maxUncommittedBytes = 16 * maxMessageBytes // of proposals at a leader; more are dropped
-	maxInflightMessages = 64                   // to one member without an answer
+	maxMessageBytes     = 1 << 20              // size of the entries in one message
+	maxUncommittedBytes = 16 * maxMessageBytes // size of a leader's uncommitted proposals; more are dropped
+	maxInflightMessages = 64                   // unacknowledged messages to one member
 )
 
-// Timing are a member's intervals in ticks.
+// Timing holds a member's intervals in ticks.
 type Timing struct {
-	ElectionTicks       int    // without a leader until an election, at least; twice that at most
+	ElectionTicks       int    // minimum election timeout; the maximum is twice that
 	HeartbeatTicks      int    // between two heartbeats of a leader
-	CompactAfterEntries uint64 // entries after which the log is cut to a snapshot; a large snapshot waits for more of them
+	CompactAfterEntries uint64 // log length at which the log is compacted; a large snapshot requires a longer log
 }
 
-// Member is one controller's part in the group. It does no I/O and reads no clock: it is fed ticks, messages and
-// requests, and Advance has it act. It is used by one goroutine.
+// Member is one member of the group, run by one controller. It does no I/O and reads no clock: its inputs are ticks,
+// messages and requests, and Advance processes them. It must be used by only one goroutine at a time.
 type Member struct {
 	ID       uint64 // its number in the group, never 0
-	Identity string // of its disk
-	State    *State // as of the last applied entry
+	Identity string // identity of its disk
+	State    *State // state as of the last applied entry
 
-	RejectedMessages uint64 // from another disk than the one that is registered for their sender
-	DiskReplaced     bool   // the group knows another disk under this number: this member must not go on
+	RejectedMessages uint64 // number of messages whose sender is registered with another disk
+	DiskReplaced     bool   // the group has registered another disk for this number: this member must stop
 
 	timing  Timing
 	rawNode *raft.RawNode
-	storage *raft.MemoryStorage // has what was persisted, and nothing else
+	storage *raft.MemoryStorage // contains only persisted data
 
-	// Of the log: the snapshot is at or before appliedIndex, which is at or before the commit index.
+	// Log. The snapshot is at or before appliedIndex, which is at or before the commit index.
 	appliedIndex    uint64
 	appliedCommands []AppliedCommand // since the last Advance
-	logBytes        int              // of entries since the last snapshot
-	snapshotBytes   int              // of the last snapshot
+	logBytes        int              // size of the entries since the last snapshot
+	snapshotBytes   int              // size of the last snapshot
 
-	// Of the members.
+	// Membership.
 	confState         *raftpb.ConfState // as of appliedIndex
 	membersChanged    bool              // since the last snapshot
-	snapshotsInFlight map[uint64]int    // by member: ticks until one counts as lost
+	snapshotsInFlight map[uint64]int    // by receiver: ticks until the snapshot counts as lost
 
-	// Of elections.
+	// Elections.
 	leader          uint64 // 0: none is known
 	role            raft.StateType
 	electionSeed    uint64
 	randomCounter   uint64
-	electionElapsed int // ticks since the leader was heard or a vote was given
-	electionTimeout int // ticks of electionElapsed at which this member campaigns
+	electionElapsed int // ticks since the last message from a leader or the last vote granted
+	electionTimeout int // value of electionElapsed at which this member campaigns
 
-	// Of reads.
+	// Reads.
 	lastReadID     uint64
-	pendingReads   map[uint64]bool // by number: those that were requested and not yet returned or cancelled
-	confirmedReads []ReadState     // by the leader; their index may not be applied yet
+	pendingReads   map[uint64]bool // by ReadState.ID: requested, but neither returned nor cancelled
+	confirmedReads []ReadState     // confirmed by the leader; their index may not be applied yet
 }
 
-// AppliedCommand is a command that was applied.
+// AppliedCommand is a command that was applied, with its result.
 type AppliedCommand struct {
 	Command Command
 	Result  Result
-	Index   uint64 // of its entry
+	Index   uint64 // index of its log entry
 }
 
-// Start makes a member of what its disk has. A new disk joins the voters that it is given; with none it waits to be
-// added to a group. The batch has to be saved before anything else. The seed decides the election timeouts. The error is
-// a *raftlog.UnusableError if the snapshot cannot be read.
+// Start creates a member from its saved state. A member with a new disk starts as one of the given voters; without
+// voters it waits to be added to a group. The caller must save the returned batch before it uses the member. The seed
+// determines the election timeouts. The error is a *raftlog.UnusableError if the snapshot cannot be read.
 func Start(id uint64, saved *raftlog.SavedState, voters []uint64, state *State, timing Timing, seed uint64) (*Member, raftlog.Batch, error) {
 	m := &Member{
 		ID:                id,
@@ -117,8 +117,8 @@
 		MaxSizePerMsg:             maxMessageBytes,
 		MaxInflightMsgs:           maxInflightMessages,
 		MaxUncommittedEntriesSize: maxUncommittedBytes,
-		CheckQuorum:               true, // a leader without a majority for an election timeout steps down
-		PreVote:                   true, // a member that was cut off does not depose a leader when it is back
+		CheckQuorum:               true, // a leader that does not reach a majority within an election timeout steps down
+		PreVote:                   true, // a member that was partitioned does not disrupt the leader when it reconnects
 		StepDownOnRemoval:         true,
 		Logger:                    &raft.DefaultLogger{Logger: log.New(io.Discard, "", 0)},
 	}
@@ -128,7 +128,7 @@
 	return raft.IsEmptyHardState(saved.HardState) && raft.IsEmptySnap(saved.Snapshot) && len(saved.Entries) == 0
 }
 
-// bootstrapBatch is what a new disk saves: all voters begin with the same snapshot, which names them.
+// bootstrapBatch returns the first batch of a new disk: all voters start from the same snapshot, which lists them.
 func bootstrapBatch(state *State, voters []uint64) (raftlog.Batch, error) {
 	data, err := state.Snapshot()
 	if err != nil {
@@ -145,7 +145,7 @@
 	}, nil
 }
 
-// loadSaved takes what the disk has into the state and the log in memory.
+// loadSaved loads the saved snapshot, entries and hard state into the state and the in-memory log.
 func (m *Member) loadSaved(saved *raftlog.SavedState) error {
 	if !raft.IsEmptySnap(saved.Snapshot) {
 		if err := m.restore(saved.Snapshot); err != nil {
--- a/cluster/membership.go
+++ b/cluster/membership.go
@@ -9,8 +9,8 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// ChangeMembers proposes a change; of several members by joint consensus. The error is a *NotLeaderError, or one of the
-// raft library for a proposal that was dropped.
+// ChangeMembers proposes a membership change; a change of several members uses joint consensus. The error is a
+// *NotLeaderError, or that of the raft library if the proposal was dropped.
 func (m *Member) ChangeMembers(change MembershipChange) error {
 	if m.role != raft.StateLeader {
 		return &NotLeaderError{Request: "members are changed", Leader: m.leader}
@@ -28,7 +28,7 @@
 	return m.rawNode.ProposeConfChange(&raftpb.ConfChangeV2{Changes: changes})
 }
 
-// TransferLeadership has another member lead. The error is a *NotLeaderError.
+// TransferLeadership starts a leadership transfer to another member. The error is a *NotLeaderError.
 func (m *Member) TransferLeadership(to uint64) error {
 	if m.role != raft.StateLeader {
 		return &NotLeaderError{Request: "leadership is handed over", Leader: m.leader}
@@ -37,7 +37,7 @@
 	return nil
 }
 
-// applyConfChange applies a change of one member, as the raft library proposes for itself.
+// applyConfChange applies a change of one member, such as one that the raft library proposes itself.
 func (m *Member) applyConfChange(data []byte) error {
 	change := &raftpb.ConfChange{}
 	if err := proto.Unmarshal(data, change); err != nil {
@@ -48,8 +48,8 @@
 	return nil
 }
 
-// applyConfChangeV2 applies a change of members. The disk of a member that is removed is forgotten, so that it may be
-// added again with another one.
+// applyConfChangeV2 applies a membership change. It deletes the disk identity of a removed member, so that the member
+// can be added again with another disk.
 func (m *Member) applyConfChangeV2(data []byte) error {
 	change := &raftpb.ConfChangeV2{}
 	if err := proto.Unmarshal(data, change); err != nil {
--- a/cluster/node.go
+++ b/cluster/node.go
@@ -18,59 +18,62 @@
 
 const (
 	tickInterval        = 50 * time.Millisecond
-	electionTicks       = 10 // half a second to one without a leader
+	electionTicks       = 10 // an election timeout of 0.5 s to 1 s
 	heartbeatTicks      = 2
 	compactAfterEntries = 1000
-	requestQueueSize    = 256 // requests that wait for the loop; more wait where they are made
+	requestQueueSize    = 256 // requests queued for the loop; further callers block
 )
 
-// DefaultTiming are the timings of nodes.
+// DefaultTiming is the Timing that nodes use.
 var DefaultTiming = Timing{ElectionTicks: electionTicks, HeartbeatTicks: heartbeatTicks, CompactAfterEntries: compactAfterEntries}
 
-// Storage is where a node saves what its member promises. Save returns once the batch survives a crash. *raftlog.Log is
-// the one in service.
+// Storage persists the log of a node's member. Save returns once the batch is durable, so that it survives a crash.
+// *raftlog.Log is the implementation used in production.
 type Storage interface {
 	Save(raftlog.Batch) error
 	Close() error
 }
 
-// Node drives a member: its clock, its storage and its connections. Exported fields are set before Run.
+// Node runs a member with its clock, its storage and its connections. Exported fields must be set before Run.
 //
-// The member is touched on the goroutine of Run alone, its loop: other goroutines have the loop run a function
-// (runOnLoop). ID and Identity of the member never change, and its State says what may be used from any goroutine.
+// The member is only accessed on the goroutine of Run, the loop; other goroutines run functions on the loop by
+// runOnLoop. As exceptions, the member's ID and Identity never change, and the comment of State lists the methods that
+// any goroutine may call.
 type Node struct {
-	TLSConfig func() *tls.Config // what other members are dialled with; nil: without TLS
-	// CheckProposal says why the records that an operator's proposal leads to can't be used here: routes, services and
-	// overrides, ordered by key. Such a proposal is rejected. It is called on any goroutine. Nil: nothing is checked.
+	TLSConfig func() *tls.Config // for connections to other members; nil: without TLS
+	// CheckProposal returns an error if this controller cannot use the records that would result from an operator's
+	// proposal: routes, services and overrides, ordered by key. Such a proposal is rejected. It may be called on any
+	// goroutine. Nil: nothing is checked.
 	CheckProposal func(proposed []*records.Record) error
-	// OnCommit is called on the loop with each change of the records once Records has it, and with Reset when a snapshot
-	// replaced all of them. It must not block. Nil: no one is notified. The daemon has followers sent updates by it.
+	// OnCommit is called on the loop with each change of the records after Records contains it, and with Reset after a
+	// snapshot replaced all of them. It must not block. Nil: no one is notified. The daemon uses it to send updates to
+	// followers.
 	OnCommit func(records.Change)
 	Log      *zap.Logger
-	// Changed has a value when another version took effect since it was last received from. The daemon puts the agreed
-	// routes and overrides into effect at this controller by it.
+	// Changed receives a value when another version takes effect; it holds at most one. The daemon then puts the agreed
+	// routes and overrides into effect at this controller.
 	Changed chan struct{}
 
 	storage   Storage
-	addresses map[uint64]string // as configured, by member; State.Addresses takes precedence
-	requests  chan func()       // to run on the loop
+	addresses map[uint64]string // configured addresses, by member; State.Addresses takes precedence
+	requests  chan func()       // functions to run on the loop
 	stopped   chan struct{}     // closed when the loop has ended
 
-	// Of the loop alone.
+	// Accessed only on the loop.
 	member          *Member
-	proposalWaiters map[string][]chan Result // by proposalKey; a proposal may be made again while it still waits
+	proposalWaiters map[string][]chan Result // by proposalKey; a repeated proposal adds a waiter to a pending one
 	readWaiters     map[uint64]chan Version  // by ReadState.ID
 	peerQueues      map[uint64]chan *raftpb.Message
 	loggedLeader    uint64
 	loggedVersion   uint64
-	lastSetup       time.Time // of the last proposal of this member for itself
+	lastSetup       time.Time // time of the last proposal by proposeSetup
 
 	senders sync.WaitGroup // the goroutines of the peer queues; Run waits for them
 }
 
-// NewNode makes a node of what its disk has, and saves what a new disk begins with. Voters are those that begin the
-// group; a member that is added later has none. The error is a *raftlog.UnusableError if the snapshot cannot be read, or
-// the storage's.
+// NewNode creates a node from its saved state, and saves the first batch of a new disk. Voters are the initial members
+// of the group; they are empty for a member that is added later. The error is a *raftlog.UnusableError if the snapshot
+// cannot be read, or that of the storage.
 func NewNode(id uint64, disk Storage, saved *raftlog.SavedState, voters []uint64, addresses map[uint64]string, state *State, log *zap.Logger) (*Node, error) {
 	var seed [8]byte
 	if _, err := rand.Read(seed[:]); err != nil {
@@ -97,22 +100,23 @@
 	}, nil
 }
 
-// Register serves other members and operators on a gRPC server.
+// Register registers the service for other members and operators on a gRPC server.
 func (n *Node) Register(s *grpc.Server) { s.RegisterService(&service, n) }
 
-// Records is where the agreed records are read. It stays the same one while the node lives.
+// Records returns the agreed records. The returned source stays valid and up to date for the lifetime of the node.
 func (n *Node) Records() records.Source { return n.member.State.Store() }
 
-// Run drives the member until ctx ends, and then returns nil. It returns a *DiskReplacedError if the group knows another
-// disk under this member's number, and the storage's error if a batch could not be saved: what is not persisted must not
-// be promised. It is called once, and has ended all its goroutines when it returns; the storage stays open.
+// Run runs the member until ctx is done, and then returns nil. It returns a *DiskReplacedError if the group has
+// registered another disk for this member's number, and the storage's error if a batch could not be saved, because the
+// member must not acknowledge data that is not persisted. Run must be called only once. All its goroutines have ended
+// when it returns; the storage stays open.
 func (n *Node) Run(ctx context.Context) error {
 	n.member.State.OnCommit = n.OnCommit
 	ticker := time.NewTicker(tickInterval)
 	defer ticker.Stop()
 	ctx, cancel := context.WithCancel(ctx)
 	defer n.senders.Wait()
-	defer close(n.stopped) // before the wait: a sender may wait for an answer of this loop
+	defer close(n.stopped) // before waiting for the senders: one may be waiting for this loop
 	defer cancel()
 	for n.waitForWork(ctx, ticker.C) {
 		if err := n.advance(ctx); err != nil {
@@ -122,8 +126,8 @@
 	return nil
 }
 
-// waitForWork waits for a tick or a request, and hands the member all that has come. It returns false once ctx has
-// ended.
+// waitForWork waits for a tick or a request, and processes it and all queued requests. It returns false once ctx is
+// done.
 func (n *Node) waitForWork(ctx context.Context, ticks <-chan time.Time) (running bool) {
 	select {
 	case <-ctx.Done():
@@ -140,16 +144,16 @@
 	return true
 }
 
-// advance has the member act, and passes on what it gives.
+// advance advances the member, and sends its messages and notifies the waiting callers.
 func (n *Node) advance(ctx context.Context) error {
 	if n.member.DiskReplaced {
 		err := &DiskReplacedError{Member: n.member.ID}
-		n.Log.Error("this member stops", zap.Error(err))
+		n.Log.Error("stopping because another disk is registered for this member", zap.Error(err))
 		return err
 	}
 	messages, applied, reads, err := n.member.Advance(n.storage.Save)
 	if err != nil {
-		n.Log.Error("this member stops: what it promises can't be kept", zap.Error(err))
+		n.Log.Error("stopping because the log could not be saved or applied", zap.Error(err))
 		return err
 	}
 	for _, message := range messages {
@@ -163,7 +167,7 @@
 	return nil
 }
 
-// logLeader logs a new leader.
+// logLeader logs a change of the leader.
 func (n *Node) logLeader() {
 	leader := n.member.Leader()
 	if leader == n.loggedLeader {
@@ -173,7 +177,7 @@
 	n.Log.Info("leader changed", zap.Uint64("member", leader), zap.Uint64("term", n.member.Status().Term))
 }
 
-// announceVersion logs a new version and notifies who receives from Changed.
+// announceVersion logs a new version and notifies the receiver of Changed.
 func (n *Node) announceVersion() {
 	version := n.member.State.Latest()
 	if version.Number == n.loggedVersion {
--- a/cluster/peer.go
+++ b/cluster/peer.go
@@ -8,11 +8,11 @@
 	"google.golang.org/grpc"
 )
 
-// peerQueueSize is how many messages wait for one member; more are lost, which Raft allows.
+// peerQueueSize is the number of messages queued for one member. Further messages are dropped, which Raft tolerates.
 const peerQueueSize = 256
 
-// enqueue puts a message into the queue of its member; one that does not fit is lost. Each queue has a goroutine, which
-// ends with ctx.
+// enqueue adds a message to the queue of its receiver, and drops it if the queue is full. Each queue has a goroutine,
+// which ends when ctx is done.
 func (n *Node) enqueue(ctx context.Context, message *raftpb.Message) {
 	to := message.GetTo()
 	queue := n.peerQueues[to]
@@ -28,7 +28,7 @@
 	}
 }
 
-// runPeer sends what is queued for a member until ctx ends.
+// runPeer sends the messages queued for a member until ctx is done.
 func (n *Node) runPeer(ctx context.Context, to uint64, queue <-chan *raftpb.Message) {
 	p := &peer{node: n, id: to}
 	defer p.close()
@@ -44,16 +44,16 @@
 	}
 }
 
-// peer is the connection to another member. It is used by one goroutine.
+// peer holds the connection to another member. It must be used by only one goroutine.
 type peer struct {
 	node    *Node
 	id      uint64
-	address string // that conn is for
+	address string // address that conn is for
 	conn    *grpc.ClientConn
 }
 
-// send sends a message. One that cannot be sent is lost, and the member is told so. The error says that the node has
-// stopped.
+// send sends a message. If that fails, the message is lost, and a failed delivery is reported to the member. It returns
+// an error only if the node has stopped.
 func (p *peer) send(ctx context.Context, message *raftpb.Message) error {
 	var address, known string
 	err := p.node.runOnLoop(ctx, func() {
@@ -73,7 +73,7 @@
 	return nil
 }
 
-// reportUnreachable reports to the member that messages to this peer are lost.
+// reportUnreachable reports to the member that a message to this peer was lost.
 func (p *peer) reportUnreachable(ctx context.Context) {
 	report := func() { p.node.member.ReportUnreachable(p.id) }
 	select {
@@ -83,7 +83,7 @@
 	}
 }
 
-// dial has the connection go to an address, which may have changed, and reports whether there is one.
+// dial creates the connection to an address, which may have changed, and reports whether there is a connection.
 func (p *peer) dial(address string) (connected bool) {
 	if address != p.address {
 		p.close()
@@ -92,7 +92,7 @@
 	if p.conn == nil && address != "" {
 		conn, err := Dial(address, p.node.TLSConfig)
 		if err != nil {
-			p.node.Log.Error("member cannot be dialled", zap.Uint64("member", p.id), zap.String("address", address), zap.Error(err))
+			p.node.Log.Error("connection to member could not be created", zap.Uint64("member", p.id), zap.String("address", address), zap.Error(err))
 			p.address = ""
 			return false
 		}
@@ -108,7 +108,7 @@
 	}
 }
 
-// address is where a member is reached: as agreed on, else as configured.
+// address returns the agreed address of a member, or else the configured one.
 func (n *Node) address(id uint64) string {
 	if agreed := n.member.State.Addresses[id]; agreed != "" {
 		return agreed
--- a/cluster/proposals.go
+++ b/cluster/proposals.go
@@ -9,22 +9,23 @@
 	"go.etcd.io/raft/v3"
 )
 
-// setupInterval is the time between two proposals of a member for itself that were not agreed on yet.
+// setupInterval is the minimum time between two proposals by proposeSetup.
 const setupInterval = time.Second
 
-// pendingProposal is a proposal that waits for its result.
+// pendingProposal is a proposal without a result yet.
 type pendingProposal struct {
 	command Command
 	key     string
-	result  chan Result // has room for one
+	result  chan Result // has a buffer of 1
 }
 
-// Propose has a command agreed on, and proposes it again each second until there is a result; it is carried out once at
-// most. It waits 10 s at most.
+// Propose proposes a command and waits at most 10 s for its result. It proposes the command again each second until
+// there is a result; the command is executed at most once.
 //
-// After an error of State.Validate the command was not proposed. Any other error leaves open whether it was agreed on, and
-// the same command may be proposed again: ErrUnknownOutcome, ErrNoLeader, raft.ErrProposalDropped, ErrStopped or ctx's.
-// ErrNoLeader and raft.ErrProposalDropped tell of the last attempt alone; an earlier one may have reached a leader.
+// After an error of State.Validate the command was not proposed. After any other error the outcome is unknown, and the
+// same command may be proposed again: ErrUnknownOutcome, ErrNoLeader, raft.ErrProposalDropped, ErrStopped or ctx's
+// error. ErrNoLeader and raft.ErrProposalDropped only describe the last attempt; an earlier one may have reached a
+// leader.
 func (n *Node) Propose(ctx context.Context, c Command) (Result, error) {
 	ctx, cancel := context.WithTimeout(ctx, requestTimeout)
 	defer cancel()
@@ -54,12 +55,12 @@
 	}
 }
 
-// mayRetry reports whether an attempt that the member did not accept may succeed later.
+// mayRetry reports whether a proposal that failed with an error of Member.Propose may succeed later.
 func mayRetry(err error) bool {
 	return errors.Is(err, ErrNoLeader) || errors.Is(err, raft.ErrProposalDropped)
 }
 
-// submit proposes a command for the first time. It runs on the loop.
+// submit proposes a command for the first time. It must run on the loop.
 func (n *Node) submit(p *pendingProposal) error {
 	if err := n.member.Propose(p.command); err != nil {
 		return err
@@ -68,18 +69,18 @@
 	return nil
 }
 
-// resubmit proposes a command again: the leader may have gone with it. It waits for the result also if the member could
-// not hand the command on, since the first attempt may have been agreed on. It runs on the loop.
+// resubmit proposes a command again, since a leader that failed may have lost it. It adds the waiter even if the member
+// could not forward the command, since the first attempt may have been committed. It must run on the loop.
 func (n *Node) resubmit(p *pendingProposal) error {
 	err := n.member.Propose(p.command)
 	n.addWaiter(p)
 	return err
 }
 
-// abandon gives up waiting. It returns the error of the last attempt, proposeErr, and ErrUnknownOutcome if that one had
-// none. Both leave the outcome open: an earlier attempt may have been agreed on.
+// abandon stops waiting for a result. It returns the error of the last attempt, proposeErr, or ErrUnknownOutcome if
+// there is none. The outcome is unknown in both cases: an earlier attempt may have been committed.
 func (n *Node) abandon(p *pendingProposal, proposeErr error) error {
-	// An error says that the loop has ended, and with it all waiting.
+	// An error means that the loop has ended, and that the waiters are not used any more.
 	ignoreError(n.runOnLoop(context.Background(), func() { n.removeWaiter(p) }))
 	if proposeErr != nil {
 		return proposeErr
@@ -87,14 +88,14 @@
 	return ErrUnknownOutcome
 }
 
-// addWaiter has the result of a proposal sent to one more caller.
+// addWaiter registers a caller for the result of its proposal.
 func (n *Node) addWaiter(p *pendingProposal) {
 	if !slices.Contains(n.proposalWaiters[p.key], p.result) {
 		n.proposalWaiters[p.key] = append(n.proposalWaiters[p.key], p.result)
 	}
 }
 
-// removeWaiter has no result sent to a caller any more.
+// removeWaiter removes a caller that no longer waits for the result of its proposal.
 func (n *Node) removeWaiter(p *pendingProposal) {
 	n.proposalWaiters[p.key] = slices.DeleteFunc(n.proposalWaiters[p.key], func(other chan Result) bool { return other == p.result })
 	if len(n.proposalWaiters[p.key]) == 0 {
@@ -104,8 +105,8 @@
 
 // notifyProposers sends results to the callers of Propose.
 //
-// A caller may have a result that it has not received, and may never receive it, as its time is up: sending it another
-// one would block the loop for good. So a result for which there is no room is dropped.
+// A result is dropped if the caller's channel is full. A caller whose deadline has passed may never receive the result
+// that is already in its channel, and sending another one would block the loop forever.
 func (n *Node) notifyProposers(applied []AppliedCommand) {
 	for _, a := range applied {
 		key := proposalKey(a.Command)
@@ -119,7 +120,7 @@
 	}
 }
 
-// proposeSetup proposes what a member has the group know by itself (see registration.go).
+// proposeSetup proposes the commands that a member issues on its own (see registration.go).
 func (n *Node) proposeSetup() {
 	if n.member.Leader() == 0 || time.Since(n.lastSetup) < setupInterval {
 		return
@@ -127,7 +128,7 @@
 	switch {
 	case !n.member.Registered():
 		n.lastSetup = time.Now()
-		ignoreError(n.member.Propose(n.member.RegisterCommand())) // it is proposed again until it shows in the state
+		ignoreError(n.member.Propose(n.member.RegisterCommand())) // retried until the state contains it
 	case n.member.State.FullTexts && n.member.IsLeader():
 		n.lastSetup = time.Now()
 		ignoreError(n.member.Propose(n.member.FormatCommand())) // as above
--- a/cluster/readindex.go
+++ b/cluster/readindex.go
@@ -7,18 +7,19 @@
 	"go.etcd.io/raft/v3"
 )
 
-// maxPendingReads bounds the reads that wait for the leader.
+// maxPendingReads is the maximum number of reads that wait for the leader.
 const maxPendingReads = 1024
 
-// ReadState is a linearizable read that may be answered: the state holds all that was agreed when it was requested.
+// ReadState is a linearizable read that may be answered: the state includes all entries that were committed when the
+// read was requested.
 type ReadState struct {
-	ID    uint64 // as RequestReadIndex gave it
-	Index uint64 // the commit index when the leader confirmed it
+	ID    uint64 // returned by RequestReadIndex
+	Index uint64 // commit index when the leader confirmed the read
 }
 
-// RequestReadIndex asks the leader for an index from which on the state is recent enough for a read. Advance returns the
-// read's number once the state has it. The error is ErrNoLeader or ErrTooManyReads;
-// a node retries after either.
+// RequestReadIndex requests a read index from the leader: a state that has applied it is recent enough for the read.
+// Advance returns a ReadState with the returned ID once the index is applied. The error is ErrNoLeader or
+// ErrTooManyReads; a node retries after either.
 func (m *Member) RequestReadIndex() (id uint64, err error) {
 	if m.leader == raft.None {
 		return 0, ErrNoLeader
@@ -32,13 +33,13 @@
 	return m.lastReadID, nil
 }
 
-// CancelRead forgets a read that waits: the leader that was asked may be gone.
+// CancelRead removes a pending read, since the leader that received the request may be gone.
 func (m *Member) CancelRead(id uint64) { delete(m.pendingReads, id) }
 
-// readContext names a read of this member in messages to the leader.
+// readContext returns the context that identifies a read of this member in messages to the leader.
 func (m *Member) readContext(id uint64) []byte { return fmt.Appendf(nil, "%d-%d", m.ID, id) }
 
-// confirmRead takes the leader's answer to a read, if it is one of this member and still waits.
+// confirmRead records the leader's response to a read if the read belongs to this member and is still pending.
 func (m *Member) confirmRead(state raft.ReadState) {
 	var member, id uint64
 	if _, err := fmt.Sscanf(string(state.RequestCtx), "%d-%d", &member, &id); err != nil {
@@ -49,7 +50,7 @@
 	}
 }
 
-// takeReadyReads gives the confirmed reads whose index is applied.
+// takeReadyReads removes and returns the confirmed reads whose index is applied.
 func (m *Member) takeReadyReads() []ReadState {
 	var ready []ReadState
 	m.confirmedReads = slices.DeleteFunc(m.confirmedReads, func(read ReadState) bool {
--- a/cluster/registration.go
+++ b/cluster/registration.go
@@ -2,13 +2,14 @@
 
 import "fmt"
 
-// A member has the group know two things by itself: the disk that it runs on, and, as the leader of a group that began
-// with full texts, that revisions of records count from now on.
+// A member proposes two commands on its own: one that registers its disk, and, as the leader of a group that started
+// with full texts, one that switches the group to revisions of records.
 
-// Registered reports whether the group knows this member's disk.
+// Registered reports whether this member's disk is registered in the group.
 func (m *Member) Registered() bool { return m.State.Identities[m.ID] == m.Identity }
 
-// RegisterCommand has the group know this member's disk, also one that was removed and is back.
+// RegisterCommand returns the command that registers this member's disk. It also works for a member that was removed
+// and added again.
 func (m *Member) RegisterCommand() Command {
 	return Command{
 		Kind:     CommandRegister,
@@ -19,7 +20,7 @@
 	}
 }
 
-// FormatCommand has revisions of records count in a group that began with full texts.
+// FormatCommand returns the command that switches a group that started with full texts to revisions of records.
 func (m *Member) FormatCommand() Command {
 	return Command{
 		Kind:   CommandSetFormat,
--- a/cluster/sessions.go
+++ b/cluster/sessions.go
@@ -6,36 +6,36 @@
 	"slices"
 )
 
-// maxClients is how many clients' last proposals are retained, by which a repeated one is known.
+// maxClients is the number of clients whose last proposal is retained to detect repeated proposals.
 const maxClients = 1024
 
-// session is the last proposal of a client. Its JSON is a part of the state's snapshot.
+// session holds the last proposal of a client. Its JSON encoding is part of the state's snapshot.
 type session struct {
 	Seq       uint64 `json:"seq"`
 	Result    Result `json:"result"`
-	LastIndex uint64 `json:"used"` // of the client's last command in the log; the client with the lowest is forgotten first
+	LastIndex uint64 `json:"used"` // index of the client's last log entry; the client with the lowest is evicted first
 
 	position *list.Element // in sessions.byLastIndex
 }
 
-// sessions guards against a command that is carried out twice: who gets no answer proposes again, and both entries may
-// be in the log. The second one gets the first one's result.
+// sessions guards against executing a command twice: a client that gets no response proposes the command again, and
+// both entries may be in the log. The second one gets the result of the first one.
 type sessions struct {
 	byClient    map[string]*session
-	byLastIndex *list.List // of names of clients, the one whose last command is oldest first
+	byLastIndex *list.List // client names, ordered by LastIndex, lowest first
 }
 
 func newSessions() sessions {
 	return sessions{byClient: map[string]*session{}, byLastIndex: list.New()}
 }
 
-// touch notes the index of a client's last command.
+// touch sets the index of a client's last command.
 func (s *sessions) touch(client *session, index uint64) {
 	client.LastIndex = index
 	s.byLastIndex.MoveToBack(client.position)
 }
 
-// record notes a client's last proposal, and forgets the oldest client if there are too many.
+// record stores a client's last proposal, and evicts the least recently used client if there are more than maxClients.
 func (s *sessions) record(name string, seq uint64, result Result, index uint64) {
 	client := s.byClient[name]
 	if client == nil {
@@ -56,7 +56,7 @@
 	delete(s.byClient, name)
 }
 
-// restoreSessions makes sessions of those of a snapshot.
+// restoreSessions creates sessions from those of a snapshot.
 func restoreSessions(byClient map[string]*session) sessions {
 	s := newSessions()
 	names := make([]string, 0, len(byClient))
--- a/cluster/status.go
+++ b/cluster/status.go
@@ -7,13 +7,13 @@
 	"go.etcd.io/raft/v3"
 )
 
-// IsLeader reports whether this member leads, as far as it knows.
+// IsLeader reports whether this member is the leader, as far as it knows.
 func (m *Member) IsLeader() bool { return m.role == raft.StateLeader }
 
-// Leader is the member that leads, 0 if none is known.
+// Leader returns the leader's number, 0 if none is known.
 func (m *Member) Leader() uint64 { return m.leader }
 
-// Status is what this member knows of the group.
+// Status returns the group's status as this member sees it.
 func (m *Member) Status() Status {
 	basic := m.rawNode.BasicStatus()
 	first, last := m.logBounds()
@@ -36,14 +36,14 @@
 	return status
 }
 
-// logBounds are the first and last index of the log in memory, which has no errors.
+// logBounds returns the first and last index of the in-memory log, whose methods never return an error.
 func (m *Member) logBounds() (first, last uint64) {
 	first, _ = m.storage.FirstIndex()
 	last, _ = m.storage.LastIndex()
 	return first, last
 }
 
-// lag is, by member, how many entries up to the last one each lacks. It is known at the leader.
+// lag returns the number of entries that each member lacks up to index last, by member. Only the leader knows it.
 func (m *Member) lag(last uint64) map[uint64]uint64 {
 	lag := map[uint64]uint64{}
 	for id, progress := range m.rawNode.Status().Progress {
@@ -52,7 +52,7 @@
 	return lag
 }
 
-// Status is what this node's member knows. The error is ErrStopped or ctx's.
+// Status returns the status report of this node's member. The error is ErrStopped or ctx's.
 func (n *Node) Status(ctx context.Context) (StatusReport, error) {
 	var report StatusReport
 	err := n.runOnLoop(ctx, func() {
--- a/cluster/transport.go
+++ b/cluster/transport.go
@@ -19,20 +19,21 @@
 )
 
 const (
-	deliverTimeout   = 2 * time.Second // of one message, and of a dial
-	maxCallBytes     = 64 << 20        // of a message: a snapshot is one
-	keepaliveTime    = 5 * time.Second // without traffic until a server pings; a client waits twice as long
-	keepaliveTimeout = 2 * time.Second // for the answer to a ping
+	deliverTimeout   = 2 * time.Second // for one message, and for a connection attempt
+	maxCallBytes     = 64 << 20        // size of one gRPC message; a snapshot is sent in one
+	keepaliveTime    = 5 * time.Second // time without traffic until a server pings; twice that for a client
+	keepaliveTimeout = 2 * time.Second // for the response to a ping
 
-	identityKey      = "harehook-identity" // metadata: the disk of the sender
-	knownIdentityKey = "harehook-known"    // metadata: the disk that the sender knows the receiver by
+	identityKey      = "harehook-identity" // metadata: identity of the sender's disk
+	knownIdentityKey = "harehook-known"    // metadata: the disk identity that the sender has registered for the receiver
 )
 
-// dialBackoff are the delays before a member that is gone is dialled again: it may be back within a second.
+// dialBackoff configures the delays between connection attempts. They are short because a member that is down may be
+// back within a second.
 var dialBackoff = backoff.Config{BaseDelay: 100 * time.Millisecond, Multiplier: 1.6, Jitter: 0.3, MaxDelay: time.Second}
 
-// Dial prepares a connection to a member, which is made at the first call. TLSConfig gives the certificates; nil:
-// without TLS.
+// Dial creates a client connection to a member; it connects at the first call. TLSConfig provides the certificates;
+// nil: without TLS.
 func Dial(address string, tlsConfig func() *tls.Config) (*grpc.ClientConn, error) {
 	transport := insecure.NewCredentials()
 	if tlsConfig != nil {
@@ -45,7 +46,7 @@
 		grpc.WithDefaultCallOptions(grpc.MaxCallRecvMsgSize(maxCallBytes), grpc.MaxCallSendMsgSize(maxCallBytes)))
 }
 
-// NewServer makes a gRPC server for members and operators. TLSConfig nil: without TLS.
+// NewServer creates a gRPC server for members and operators. TLSConfig nil: without TLS.
 func NewServer(tlsConfig *tls.Config) *grpc.Server {
 	options := []grpc.ServerOption{
 		grpc.MaxRecvMsgSize(maxCallBytes),
@@ -58,11 +59,12 @@
 	return grpc.NewServer(options...)
 }
 
-// deliver sends a message of Raft's, with the sender's disk and the one that it knows the receiver by.
+// deliver sends a Raft message, with the sender's disk identity and the one that the sender has registered for the
+// receiver.
 func deliver(ctx context.Context, conn *grpc.ClientConn, identity, known string, message *raftpb.Message) error {
 	body, err := proto.Marshal(message)
 	if err != nil {
-		return nil // nobody can use it, and the receiver is not at fault
+		return nil // the message is dropped without reporting the receiver as unreachable
 	}
 	ctx, cancel := context.WithTimeout(ctx, deliverTimeout)
 	defer cancel()
@@ -70,11 +72,11 @@
 	return conn.Invoke(ctx, methodPrefix+"Deliver", wrapperspb.Bytes(body), &wrapperspb.BytesValue{})
 }
 
-// handleDeliver takes a message of another member.
+// handleDeliver handles a Raft message from another member.
 func (n *Node) handleDeliver(ctx context.Context, body []byte) ([]byte, error) {
 	message := &raftpb.Message{}
 	if err := proto.Unmarshal(body, message); err != nil || message.GetTo() != n.member.ID || message.GetFrom() == 0 {
-		return nil, status.Error(codes.InvalidArgument, "not a message for this member")
+		return nil, status.Error(codes.InvalidArgument, "not a Raft message for this member")
 	}
 	received, _ := metadata.FromIncomingContext(ctx)
 	identity := firstValue(received, identityKey)
@@ -82,7 +84,7 @@
 	return nil, n.runOnLoop(ctx, func() { n.member.Step(identity, known, message) })
 }
 
-// firstValue is the first value of a key, empty if there is none.
+// firstValue returns the first value of a key, or the empty string if there is none.
 func firstValue(received metadata.MD, key string) string {
 	values := received.Get(key)
 	if len(values) == 0 {
