--- a/cluster/advance.go
+++ b/cluster/advance.go
@@ -46,7 +46,7 @@
 	}
 	applied = m.appliedCommands
 	m.appliedCommands = nil
-	return messages, applied, m.takeReadyReads(), nil
+	return messages, applied, m.popReadyReads(), nil
 }
 
 // handleReady processes a Ready of the raft library in the required order: persist, then apply.
--- a/cluster/election.go
+++ b/cluster/election.go
@@ -49,16 +49,16 @@
 	return x ^ x>>27
 }
 
-// Step processes a message from another member. Identity is that of the sender's disk, and known is the identity that
-// the sender has registered for this member's disk, empty if none.
+// Step processes a message from another member. Identity is that of the sender's disk, and knownIdentity is the one
+// that the sender has registered for this member's disk, empty if none.
 //
 // Step guards against a disk that was lost and created anew: the member on it has forgotten its votes and
 // acknowledgements, and could vote twice in a term. Messages from a member whose number is registered for another disk
 // are dropped and counted. The member on the new disk finds out from the others' messages that another disk is
 // registered for it, and stops. A disk that was restored from a copy of itself has the same identity and is not
 // detected.
-func (m *Member) Step(identity, known string, message *raftpb.Message) {
-	if known != "" && known != m.Identity {
+func (m *Member) Step(identity, knownIdentity string, message *raftpb.Message) {
+	if knownIdentity != "" && knownIdentity != m.Identity {
 		m.DiskReplaced = true
 		return
 	}
--- a/cluster/member.go
+++ b/cluster/member.go
@@ -85,26 +85,26 @@
 		electionSeed:      seed,
 		pendingReads:      map[uint64]bool{},
 	}
-	var first raftlog.Batch
+	var bootstrap raftlog.Batch
 	if isNewDisk(saved) && len(voters) > 0 {
 		var err error
-		first, err = bootstrapBatch(state, voters)
+		bootstrap, err = bootstrapBatch(state, voters)
 		if err != nil {
-			return nil, first, err
+			return nil, bootstrap, err
 		}
-		saved.Snapshot = first.Snapshot
-		saved.HardState = first.HardState
+		saved.Snapshot = bootstrap.Snapshot
+		saved.HardState = bootstrap.HardState
 	}
 	if err := m.loadSaved(saved); err != nil {
-		return nil, first, err
+		return nil, bootstrap, err
 	}
 	rawNode, err := raft.NewRawNode(m.raftConfig())
 	if err != nil {
-		return nil, first, err
+		return nil, bootstrap, err
 	}
 	m.rawNode = rawNode
 	m.resetElectionTimeout()
-	return m, first, nil
+	return m, bootstrap, nil
 }
 
 func (m *Member) raftConfig() *raft.Config {
--- a/cluster/node.go
+++ b/cluster/node.go
@@ -79,11 +79,11 @@
 	if _, err := rand.Read(seed[:]); err != nil {
 		return nil, err
 	}
-	member, first, err := Start(id, saved, voters, state, DefaultTiming, binary.LittleEndian.Uint64(seed[:]))
+	member, bootstrap, err := Start(id, saved, voters, state, DefaultTiming, binary.LittleEndian.Uint64(seed[:]))
 	if err != nil {
 		return nil, err
 	}
-	if err := disk.Save(first); err != nil {
+	if err := disk.Save(bootstrap); err != nil {
 		return nil, err
 	}
 	return &Node{
--- a/cluster/readindex.go
+++ b/cluster/readindex.go
@@ -50,8 +50,8 @@
 	}
 }
 
-// takeReadyReads removes and returns the confirmed reads whose index is applied.
-func (m *Member) takeReadyReads() []ReadState {
+// popReadyReads removes and returns the confirmed reads whose index is applied.
+func (m *Member) popReadyReads() []ReadState {
 	var ready []ReadState
 	m.confirmedReads = slices.DeleteFunc(m.confirmedReads, func(read ReadState) bool {
 		if read.Index > m.appliedIndex {
--- a/cluster/sessions.go
+++ b/cluster/sessions.go
@@ -46,11 +46,11 @@
 	client.Result = result
 	s.touch(client, index)
 	if len(s.byClient) > maxClients {
-		s.forgetOldest()
+		s.evictOldest()
 	}
 }
 
-func (s *sessions) forgetOldest() {
+func (s *sessions) evictOldest() {
 	oldest := s.byLastIndex.Front()
 	name, _ := s.byLastIndex.Remove(oldest).(string)
 	delete(s.byClient, name)
--- a/cluster/transport.go
+++ b/cluster/transport.go
@@ -61,14 +61,14 @@
 
 // deliver sends a Raft message, with the sender's disk identity and the one that the sender has registered for the
 // receiver.
-func deliver(ctx context.Context, conn *grpc.ClientConn, identity, known string, message *raftpb.Message) error {
+func deliver(ctx context.Context, conn *grpc.ClientConn, identity, knownIdentity string, message *raftpb.Message) error {
 	body, err := proto.Marshal(message)
 	if err != nil {
 		return nil // the message is dropped without reporting the receiver as unreachable
 	}
 	ctx, cancel := context.WithTimeout(ctx, deliverTimeout)
 	defer cancel()
-	ctx = metadata.AppendToOutgoingContext(ctx, identityKey, identity, knownIdentityKey, known)
+	ctx = metadata.AppendToOutgoingContext(ctx, identityKey, identity, knownIdentityKey, knownIdentity)
 	return conn.Invoke(ctx, methodPrefix+"Deliver", wrapperspb.Bytes(body), &wrapperspb.BytesValue{})
 }
 
@@ -80,8 +80,8 @@
 	}
 	received, _ := metadata.FromIncomingContext(ctx)
 	identity := firstValue(received, identityKey)
-	known := firstValue(received, knownIdentityKey)
-	return nil, n.runOnLoop(ctx, func() { n.member.Step(identity, known, message) })
+	knownIdentity := firstValue(received, knownIdentityKey)
+	return nil, n.runOnLoop(ctx, func() { n.member.Step(identity, knownIdentity, message) })
 }
 
 // firstValue returns the first value of a key, or the empty string if there is none.
