--- a/cluster/bench_test.go
+++ b/cluster/bench_test.go
@@ -10,7 +10,7 @@
 	"harehook.dev/harehook/raftlog"
 )
 
-// BenchmarkSnapshot measures what cutting the log costs: encoding the state, and keeping it on a disk.
+// BenchmarkSnapshot measures the cost of a snapshot: encoding the state and saving it to disk.
 func BenchmarkSnapshot(b *testing.B) {
 	for _, size := range []float64{1, 2} {
 		b.Run(fmt.Sprintf("size=%g", size), func(b *testing.B) {
@@ -28,8 +28,8 @@
 				}
 				b.SetBytes(int64(len(data)))
 				index++
-				meta := &raftpb.SnapshotMetadata{Index: proto.Uint64(index), Term: proto.Uint64(1), ConfState: &raftpb.ConfState{Voters: []uint64{1}}}
-				if err := disk.Save(raftlog.Batch{Snapshot: &raftpb.Snapshot{Data: data, Metadata: meta}}); err != nil {
+				metadata := &raftpb.SnapshotMetadata{Index: proto.Uint64(index), Term: proto.Uint64(1), ConfState: &raftpb.ConfState{Voters: []uint64{1}}}
+				if err := disk.Save(raftlog.Batch{Snapshot: &raftpb.Snapshot{Data: data, Metadata: metadata}}); err != nil {
 					b.Fatal(err)
 				}
 			}
@@ -37,7 +37,7 @@
 	}
 }
 
-// BenchmarkRestore measures what a start, or a snapshot of another member, costs.
+// BenchmarkRestore measures the cost of restoring a snapshot, at startup or when another member sends it.
 func BenchmarkRestore(b *testing.B) {
 	s, _ := filledState(b, 1)
 	s.Store().Forget()
--- a/cluster/compaction_test.go
+++ b/cluster/compaction_test.go
@@ -9,7 +9,7 @@
 	"harehook.dev/harehook/raftlog"
 )
 
-// snapshotCounter is a log in memory that counts the snapshots it is given.
+// snapshotCounter is a storage that only counts the saved snapshots.
 type snapshotCounter struct{ snapshots int }
 
 func (c *snapshotCounter) save(b raftlog.Batch) error {
@@ -19,7 +19,7 @@
 	return nil
 }
 
-// singleMember starts a group of one whose log is cut after 20 entries, and has it lead.
+// singleMember starts a group of one, which compacts its log after 20 entries, and advances it until it is the leader.
 func singleMember(t *testing.T, state *State, disk *snapshotCounter) *Member {
 	t.Helper()
 	timing := Timing{ElectionTicks: 10, HeartbeatTicks: 2, CompactAfterEntries: 20}
@@ -50,12 +50,13 @@
 	mustAdvance(t, member, disk)
 }
 
-// A member does nothing else while it makes a snapshot, which costs by the whole state. Small states are cut every 21
-// entries; a large one has to wait until its log has an eighth of the snapshot's size, but not for ever.
-func TestLargeSnapshotsWaitForALongerLog(t *testing.T) {
+// A member does nothing else while it creates a snapshot, and the cost grows with the size of the state. With a small
+// state the log is compacted every 21 entries. With a large state, compaction must wait until the log reaches an eighth
+// of the snapshot's size, or the maximum number of entries.
+func TestLargeSnapshotsRequireLongerLog(t *testing.T) {
 	cases := map[string]struct {
-		size          float64 // part of the expected one
-		wantSnapshots int     // of 100 entries
+		size          float64 // fraction of the expected state size
+		wantSnapshots int     // during 100 entries
 	}{
 		"small": {size: 0.01, wantSnapshots: 4},
 		"large": {size: 0.2, wantSnapshots: 0},
@@ -69,21 +70,22 @@
 				mustRegister(t, member, disk, fmt.Sprint("m-", i), 1)
 			}
 			if disk.snapshots != c.wantSnapshots {
-				t.Errorf("state of %d bytes: %d snapshots, want %d", member.snapshotBytes, disk.snapshots, c.wantSnapshots)
+				t.Errorf("state of %d bytes: got %d snapshots, want %d", member.snapshotBytes, disk.snapshots, c.wantSnapshots)
 			}
-			for range 120 { // ten times the entries are the most that a snapshot waits for
+			for range 120 { // the log is compacted after ten times CompactAfterEntries at the latest
 				mustRegister(t, member, disk, "m", member.appliedIndex+1)
 			}
 			if disk.snapshots == 0 {
-				t.Errorf("the log of %d entries is never cut", member.Status().Entries)
+				t.Errorf("the log is not compacted at %d entries", member.Status().Entries)
 			}
 		})
 	}
 }
 
-// A member that was added gets a snapshot from before, which does not name it; it ignores the snapshot and is sent the
-// same one again, for good. So the log has to be cut after each change of members, and the snapshot has to name them.
-func TestLogIsCutAfterAChangeOfMembers(t *testing.T) {
+// A new member that receives a snapshot from before it was added ignores the snapshot, which does not list the member,
+// and is sent the same one again forever. So the log must be compacted after each membership change, and the new
+// snapshot must list the members.
+func TestLogIsCompactedAfterMembershipChange(t *testing.T) {
 	disk := &snapshotCounter{}
 	member := singleMember(t, NewState(nil), disk)
 	if err := member.ChangeMembers(MembershipChange{Learn: []uint64{2}}); err != nil {
@@ -91,13 +93,13 @@
 	}
 	mustAdvance(t, member, disk)
 	if disk.snapshots != 1 {
-		t.Errorf("%d snapshots, want 1", disk.snapshots)
+		t.Errorf("got %d snapshots, want 1", disk.snapshots)
 	}
 	snapshot, err := member.storage.Snapshot()
 	if err != nil {
 		t.Fatal(err)
 	}
 	if learners := snapshot.GetMetadata().GetConfState().GetLearners(); len(learners) != 1 || learners[0] != 2 {
-		t.Errorf("the snapshot names the learners %v, want 2", learners)
+		t.Errorf("got learners %v in the snapshot, want [2]", learners)
 	}
 }
--- a/cluster/cost_test.go
+++ b/cluster/cost_test.go
@@ -9,13 +9,13 @@
 	"harehook.dev/harehook/records"
 )
 
-// The sizes that operators expect.
+// The expected size of a configuration.
 const (
 	expectedServices = 570
 	expectedTenants  = 140000
 )
 
-// filledState makes a state of a part of the expected size, and gives its next index.
+// filledState creates a state with a fraction of the expected size, and returns the next log index.
 func filledState(t testing.TB, size float64) (s *State, index uint64) {
 	t.Helper()
 	s = NewState(nil)
@@ -55,11 +55,12 @@
 	return len(data)
 }
 
-// entryCost is what the entry of one change takes.
+// entryCost is the mean cost of one change and its log entry.
 type entryCost struct{ allocations, bytes, logBytes float64 }
 
-// costOfEntry measures the mean over many changes of one tenant. After each one more is done, nil for nothing.
-func costOfEntry(t testing.TB, size float64, more func(*State)) (cost entryCost) {
+// measureEntryCost measures the mean cost over many changes of one tenant. It calls afterChange after each change
+// unless that is nil.
+func measureEntryCost(t testing.TB, size float64, afterChange func(*State)) (cost entryCost) {
 	t.Helper()
 	s, index := filledState(t, size)
 	s.Store().Forget()
@@ -83,8 +84,8 @@
 		if _, r := s.Apply(index+uint64(i), 1, data); r.Rejected != "" {
 			t.Fatal(r.Rejected)
 		}
-		if more != nil {
-			more(s)
+		if afterChange != nil {
+			afterChange(s)
 		}
 	}
 	runtime.ReadMemStats(&after)
@@ -93,25 +94,27 @@
 	return cost
 }
 
+// growthFault describes a growth of the cost beyond the bound; empty if there is none.
 func (small entryCost) growthFault(large entryCost) string {
-	const most = 1.2
-	if large.allocations > most*small.allocations || large.bytes > most*small.bytes || large.logBytes > most*small.logBytes {
-		return fmt.Sprintf("%+v at a tenth, %+v at the whole", small, large)
+	const maxGrowth = 1.2
+	if large.allocations > maxGrowth*small.allocations || large.bytes > maxGrowth*small.bytes || large.logBytes > maxGrowth*small.logBytes {
+		return fmt.Sprintf("cost of an entry: got %+v with the larger state, want at most %g times %+v as with the smaller one", large, maxGrowth, small)
 	}
 	return ""
 }
 
-// TestEntryCostDoesNotGrowWithTheState compares the entry of one change, its application and the memory that takes at a
-// tenth of the expected size and at the whole: counts and bytes, not times.
+// TestEntryCostDoesNotGrowWithTheState compares the cost of one change between a tenth of the expected size and the
+// full size: the size of the log entry, and the number and size of the allocations when it is applied. It does not
+// compare times. A planted fault, a scan of all tenants at each change, must be detected.
 func TestEntryCostDoesNotGrowWithTheState(t *testing.T) {
-	small, large := costOfEntry(t, 0.1, nil), costOfEntry(t, 1, nil)
-	t.Logf("a tenth: %+v; the whole: %+v", small, large)
+	small, large := measureEntryCost(t, 0.1, nil), measureEntryCost(t, 1, nil)
+	t.Logf("a tenth of the size: %+v; full size: %+v", small, large)
 	if fault := small.growthFault(large); fault != "" {
 		t.Error(fault)
 	}
-	planted := func(s *State) { s.Store().OfKinds(records.KindTenant) } // as one who looks at all records at each change
-	smallPlanted, largePlanted := costOfEntry(t, 0.01, planted), costOfEntry(t, 0.1, planted)
+	planted := func(s *State) { s.Store().OfKinds(records.KindTenant) } // planted fault: scans all tenants at each change
+	smallPlanted, largePlanted := measureEntryCost(t, 0.01, planted), measureEntryCost(t, 0.1, planted)
 	if smallPlanted.growthFault(largePlanted) == "" {
-		t.Errorf("a planted look at all is not caught: %+v and %+v", smallPlanted, largePlanted)
+		t.Errorf("a planted scan of all tenants is not detected: got %+v at 0.01 of the size, %+v at 0.1", smallPlanted, largePlanted)
 	}
 }
--- a/cluster/election_test.go
+++ b/cluster/election_test.go
@@ -10,8 +10,8 @@
 	"harehook.dev/harehook/raftlog"
 )
 
-// waitingLearner is a member that waits to be added to a group as number 2.
-func waitingLearner(t *testing.T) *Member {
+// startLearner starts member 2, which waits to be added to a group.
+func startLearner(t *testing.T) *Member {
 	t.Helper()
 	saved := &raftlog.SavedState{Identity: "disk-2", HardState: &raftpb.HardState{}, Snapshot: &raftpb.Snapshot{}}
 	member, _, err := Start(2, saved, nil, NewState(nil), Timing{ElectionTicks: 10, HeartbeatTicks: 2, CompactAfterEntries: 20}, 2)
@@ -21,8 +21,8 @@
 	return member
 }
 
-// deliverTo has a member act and hands its messages to another one, but for those that are lost.
-func deliverTo(t *testing.T, from, to *Member, isLost func(*raftpb.Message) bool) {
+// advanceAndDeliver advances a member and delivers its messages to another one, except for lost messages.
+func advanceAndDeliver(t *testing.T, from, to *Member, isLost func(*raftpb.Message) bool) {
 	t.Helper()
 	messages, _, _, err := from.Advance(func(raftlog.Batch) error { return nil })
 	if err != nil {
@@ -35,12 +35,12 @@
 	}
 }
 
-// A member that is added needs a snapshot, and the network loses it. Raft sends the member nothing else until the snapshot
-// is reported as received or lost, so that the member stayed behind for good. The leader has to give it up and send it
-// again.
+// A new member needs a snapshot, and the network loses it. Raft sends the member nothing else until the snapshot is
+// reported as received or lost, so that the member would never catch up. The leader must report the snapshot as lost
+// after a timeout, and send it again.
 func TestLostSnapshotIsSentAgain(t *testing.T) {
 	leader := singleMember(t, NewState(nil), &snapshotCounter{})
-	learner := waitingLearner(t)
+	learner := startLearner(t)
 	if err := leader.ChangeMembers(MembershipChange{Learn: []uint64{learner.ID}}); err != nil {
 		t.Fatal(err)
 	}
@@ -52,63 +52,63 @@
 		sent++
 		return sent == 1
 	}
-	isNever := func(*raftpb.Message) bool { return false }
+	neverLost := func(*raftpb.Message) bool { return false }
 	for range 20 * leader.timing.ElectionTicks {
 		leader.Tick()
 		learner.Tick()
-		deliverTo(t, leader, learner, isFirstSnapshot)
-		deliverTo(t, learner, leader, isNever)
+		advanceAndDeliver(t, leader, learner, isFirstSnapshot)
+		advanceAndDeliver(t, learner, leader, neverLost)
 	}
 	if sent != 2 {
-		t.Errorf("%d snapshots were sent, want 2", sent)
+		t.Errorf("got %d snapshots sent, want 2", sent)
 	}
 	if learner.appliedIndex == 0 || learner.appliedIndex != leader.appliedIndex {
-		t.Errorf("the learner has applied %d, the leader %d", learner.appliedIndex, leader.appliedIndex)
+		t.Errorf("got applied index %d at the learner, want %d as at the leader, and greater than 0", learner.appliedIndex, leader.appliedIndex)
 	}
 }
 
-// A member's disk was lost and made anew, and it starts again under its number. It may have forgotten a vote.
-// What it sends has to be dropped, so that it can't vote twice in a term.
-func TestMessagesOfAnotherDiskAreDropped(t *testing.T) {
+// A member restarts under its number with a new disk after it lost the old one, and may have forgotten a vote. Its
+// messages must be dropped, so that it cannot vote twice in a term.
+func TestMessagesFromUnregisteredDiskAreDropped(t *testing.T) {
 	leader := singleMember(t, NewState(nil), &snapshotCounter{})
 	leader.State.Identities[2] = "disk-2"
 	term := leader.Status().Term
 	higherTerm := &raftpb.Message{Type: raftpb.MsgApp.Enum(), From: proto.Uint64(2), To: proto.Uint64(1), Term: proto.Uint64(term + 5)}
 	leader.Step("another disk", "", higherTerm)
 	if leader.RejectedMessages != 1 || leader.Status().Term != term {
-		t.Errorf("%d messages dropped, term %d, want 1 and %d", leader.RejectedMessages, leader.Status().Term, term)
+		t.Errorf("message from another disk: got %d dropped and term %d, want 1 and %d", leader.RejectedMessages, leader.Status().Term, term)
 	}
 	leader.Step("disk-2", "", higherTerm)
 	if leader.RejectedMessages != 1 || leader.Status().Term != term+5 {
-		t.Errorf("a message of the known disk: %d dropped, term %d", leader.RejectedMessages, leader.Status().Term)
+		t.Errorf("message from the registered disk: got %d dropped and term %d, want 1 and %d", leader.RejectedMessages, leader.Status().Term, term+5)
 	}
 }
 
-// Two members with the same timeout would campaign at once, term after term. The timeout is drawn anew each time, within
-// its bounds, and the same seed draws the same ones.
-func TestElectionTimeoutsAreDrawnFromTheSeed(t *testing.T) {
+// Two members with the same timeout would campaign at the same time in each term. So each timeout must be random within
+// its bounds, and the same seed must give the same timeouts.
+func TestElectionTimeoutsAreDeterminedBySeed(t *testing.T) {
 	timing := Timing{ElectionTicks: 10}
-	one := &Member{ID: 1, timing: timing, electionSeed: 7}
+	member := &Member{ID: 1, timing: timing, electionSeed: 7}
 	same := &Member{ID: 1, timing: timing, electionSeed: 7}
-	drawn := map[int]bool{}
+	seen := map[int]bool{}
 	for range 100 {
-		one.resetElectionTimeout()
+		member.resetElectionTimeout()
 		same.resetElectionTimeout()
-		if one.electionTimeout != same.electionTimeout {
-			t.Fatalf("%d and %d of the same seed", one.electionTimeout, same.electionTimeout)
+		if member.electionTimeout != same.electionTimeout {
+			t.Fatalf("got timeouts %d and %d with the same seed, want equal ones", member.electionTimeout, same.electionTimeout)
 		}
-		if one.electionTimeout < timing.ElectionTicks || one.electionTimeout >= 2*timing.ElectionTicks {
-			t.Fatalf("%d ticks", one.electionTimeout)
+		if member.electionTimeout < timing.ElectionTicks || member.electionTimeout >= 2*timing.ElectionTicks {
+			t.Fatalf("got a timeout of %d ticks, want at least %d and less than %d", member.electionTimeout, timing.ElectionTicks, 2*timing.ElectionTicks)
 		}
-		drawn[one.electionTimeout] = true
+		seen[member.electionTimeout] = true
 	}
-	if len(drawn) != timing.ElectionTicks {
-		t.Errorf("%d of %d timeouts were drawn", len(drawn), timing.ElectionTicks)
+	if len(seen) != timing.ElectionTicks {
+		t.Errorf("got %d different timeouts, want %d", len(seen), timing.ElectionTicks)
 	}
 }
 
 func TestLearnerDoesNotCampaign(t *testing.T) {
-	learner := waitingLearner(t)
+	learner := startLearner(t)
 	for range 100 {
 		learner.Tick()
 		if _, _, _, err := learner.Advance(func(raftlog.Batch) error { return nil }); err != nil {
@@ -116,6 +116,6 @@
 		}
 	}
 	if learner.role != raft.StateFollower || learner.Status().Term != 0 {
-		t.Errorf("role %v, term %d", learner.role, learner.Status().Term)
+		t.Errorf("got role %v and term %d, want %v and 0", learner.role, learner.Status().Term, raft.StateFollower)
 	}
 }
--- a/cluster/example_test.go
+++ b/cluster/example_test.go
@@ -14,13 +14,13 @@
 	"harehook.dev/harehook/records"
 )
 
-// addService is a command that creates a service.
+// addService returns a command that creates a service.
 func addService(name string) cluster.Command {
 	write := records.Write{Key: records.Key{Kind: records.KindService, Name: name}, Body: []byte(`{"zones":["north"]}`)}
 	return cluster.Command{Kind: cluster.CommandRecords, Client: "operator", Seq: 1, Writes: []records.Write{write}}
 }
 
-// The state is a function of the entries of the log. An entry that is there twice is carried out once.
+// The state depends only on the entries of the log. A command that is in the log twice is executed once.
 func ExampleState() {
 	state := cluster.NewState(nil)
 	entry, err := json.Marshal(addService("pay"))
@@ -36,13 +36,14 @@
 	// version 1, rejected: ""
 }
 
-// A member does no I/O: who drives it ticks it, saves what Advance asks for, and delivers the messages that it returns.
+// A member does no I/O. Its caller calls Tick, saves the batches that Advance passes to save, and delivers the messages
+// that Advance returns.
 func ExampleMember() {
 	member, first, err := cluster.Start(1, &raftlog.SavedState{Identity: "disk"}, []uint64{1}, cluster.NewState(nil), cluster.DefaultTiming, 7)
 	if err != nil {
 		panic(err)
 	}
-	save := func(raftlog.Batch) error { return nil } // as to a raftlog.Log
+	save := func(raftlog.Batch) error { return nil } // in production: raftlog.Log.Save
 	if err := save(first); err != nil {
 		panic(err)
 	}
@@ -66,7 +67,7 @@
 	// 1 service
 }
 
-// A node drives a member in service, here a group of one.
+// A node runs a member with its clock, storage and connections, here in a group of one.
 func ExampleNode() {
 	folder, err := os.MkdirTemp("", "cluster")
 	if err != nil {
--- a/cluster/node_test.go
+++ b/cluster/node_test.go
@@ -11,13 +11,13 @@
 	"harehook.dev/harehook/raftlog"
 )
 
-// discardStorage is a log that saves nothing.
+// discardStorage is a Storage that discards all batches.
 type discardStorage struct{}
 
 func (discardStorage) Save(raftlog.Batch) error { return nil }
 func (discardStorage) Close() error             { return nil }
 
-// startNode runs a group of one until the test ends, and gives what Run returns.
+// startNode runs a group of one until the test ends. The channel receives the result of Run.
 func startNode(t *testing.T, saved *raftlog.SavedState, state *State, prepare func(*Node)) (*Node, <-chan error) {
 	t.Helper()
 	n, err := NewNode(1, discardStorage{}, saved, []uint64{1}, nil, state, zap.NewNop())
@@ -37,13 +37,13 @@
 		select {
 		case <-ended:
 		case <-time.After(10 * time.Second):
-			t.Error("the node does not end")
+			t.Error("Run did not return within 10 s of its cancellation")
 		}
 	})
 	return n, result
 }
 
-// runningNode is a node without a format of its own, whether it leads or not.
+// runningNode starts a group of one and does not wait until it leads.
 func runningNode(t *testing.T) (*Node, <-chan error) {
 	t.Helper()
 	return startNode(t, &raftlog.SavedState{Identity: "disk"}, NewState(plainText{}), func(*Node) {})
@@ -55,13 +55,13 @@
 	return newLeaderWith(t, func(*Node) {})
 }
 
-// newLeaderWith is newLeader with a node that is prepared before it runs.
+// newLeaderWith is like newLeader, and calls prepare before the node runs.
 func newLeaderWith(t *testing.T, prepare func(*Node)) *Node {
 	t.Helper()
 	return newLeaderFrom(t, &raftlog.SavedState{Identity: "disk"}, NewState(plainText{}), prepare)
 }
 
-// newLeaderFrom is newLeaderWith on what a disk has saved.
+// newLeaderFrom is like newLeaderWith, and starts from a saved state.
 func newLeaderFrom(t *testing.T, saved *raftlog.SavedState, state *State, prepare func(*Node)) *Node {
 	t.Helper()
 	n, _ := startNode(t, saved, state, prepare)
@@ -70,62 +70,62 @@
 			return n
 		}
 		if time.Now().After(deadline) {
-			t.Fatal("no leader")
+			t.Fatal("the node does not lead after 20 s")
 		}
 	}
 }
 
-// An operator's tool repeats a proposal while the first call still waits. Both calls have to get the result when the
-// command is applied, without waiting for a retry.
-func TestRepeatedProposalAnswersBothCallers(t *testing.T) {
+// An operator's tool repeats a proposal while the first call is still pending. Both calls must receive the result when
+// the command is applied, without waiting for a retry.
+func TestRepeatedProposalReturnsResultToBothCallers(t *testing.T) {
 	n := newLeader(t)
-	hold := make(chan struct{})
-	n.requests <- func() { <-hold } // both come in before the next iteration of the loop
-	var both sync.WaitGroup
+	release := make(chan struct{})
+	n.requests <- func() { <-release } // both proposals are queued before the next iteration of the loop
+	var callers sync.WaitGroup
 	for range 2 {
-		both.Go(func() {
-			began := time.Now()
+		callers.Go(func() {
+			start := time.Now()
 			if r, err := n.Propose(t.Context(), putCommand("operator", 1, 0, "text")); err != nil || r.Rejected != "" {
-				t.Errorf("%v, %v", r, err)
+				t.Errorf("got %v, %v, want no rejection and no error", r, err)
 			}
-			if took := time.Since(began); took > retryInterval {
-				t.Errorf("answered after %v", took)
+			if elapsed := time.Since(start); elapsed > retryInterval {
+				t.Errorf("Propose returned after %v, want at most %v", elapsed, retryInterval)
 			}
 		})
 	}
 	for len(n.requests) < 2 {
 		time.Sleep(time.Millisecond)
 	}
-	close(hold)
-	both.Wait()
+	close(release)
+	callers.Wait()
 }
 
-// A caller of Propose has a result that it does not receive, as its time is up, and the same proposal is applied again.
-// The loop would block for good on sending it another result, and the member would fall silent. It must go on.
-func TestUnreadAnswerDoesNotBlockTheNode(t *testing.T) {
+// A caller of Propose whose deadline has passed does not receive the result in its channel, and the same proposal is
+// applied again. Sending another result must not block the loop, or the member would stop responding forever.
+func TestUnreadResultDoesNotBlockTheLoop(t *testing.T) {
 	n := newLeader(t)
-	full := make(chan Result, 1)
-	full <- Result{}
-	hold := make(chan struct{})
-	n.requests <- func() { <-hold }
-	answered := make(chan error, 1)
+	unread := make(chan Result, 1)
+	unread <- Result{}
+	release := make(chan struct{})
+	n.requests <- func() { <-release }
+	returned := make(chan error, 1)
 	go func() {
 		_, err := n.Propose(context.Background(), putCommand("operator", 1, 0, "text"))
-		answered <- err
+		returned <- err
 	}()
 	for len(n.requests) < 1 {
 		time.Sleep(time.Millisecond)
 	}
-	// In the same iteration as the proposal, so that both wait for the same result.
-	n.requests <- func() { n.addWaiter(&pendingProposal{key: "operator 1", result: full}) }
-	close(hold)
+	// This runs in the same iteration as the proposal, so that both wait for the same result.
+	n.requests <- func() { n.addWaiter(&pendingProposal{key: "operator 1", result: unread}) }
+	close(release)
 	select {
-	case err := <-answered:
+	case err := <-returned:
 		if err != nil {
 			t.Error(err)
 		}
 	case <-time.After(5 * time.Second):
-		<-full // lets the node go on, so that the test ends
-		t.Error("the node does not answer")
+		<-unread // unblocks the node, so that the test can end
+		t.Error("Propose did not return within 5 s")
 	}
 }
--- a/cluster/sessions_test.go
+++ b/cluster/sessions_test.go
@@ -6,37 +6,38 @@
 	"testing"
 )
 
-// TestLeastRecentlyUsedClientIsForgotten compares the sessions with a search for the oldest client at each command.
-func TestLeastRecentlyUsedClientIsForgotten(t *testing.T) {
+// TestLeastRecentlyUsedClientIsEvicted compares the sessions with a reference that searches all clients for
+// the least recently used one at each command.
+func TestLeastRecentlyUsedClientIsEvicted(t *testing.T) {
 	random := rand.New(rand.NewPCG(1, 1))
-	s, plain := newSessions(), map[string]uint64{}
+	s, reference := newSessions(), map[string]uint64{}
 	for index := range uint64(20000) {
 		client := fmt.Sprint(random.IntN(3 * maxClients))
-		if one := s.byClient[client]; one != nil && random.IntN(2) == 0 {
-			s.touch(one, index)
+		if existing := s.byClient[client]; existing != nil && random.IntN(2) == 0 {
+			s.touch(existing, index)
 		} else {
 			s.record(client, index, Result{}, index)
 		}
-		plain[client] = index
-		if len(plain) > maxClients {
+		reference[client] = index
+		if len(reference) > maxClients {
 			oldest := client
-			for other, used := range plain {
-				if used < plain[oldest] {
+			for other, lastIndex := range reference {
+				if lastIndex < reference[oldest] {
 					oldest = other
 				}
 			}
-			delete(plain, oldest)
+			delete(reference, oldest)
 		}
 		if index == 10000 {
 			s = restoreSessions(s.byClient)
 		}
 	}
-	if len(plain) != len(s.byClient) || s.byLastIndex.Len() != len(plain) {
-		t.Fatalf("%d, %d and %d clients", len(plain), len(s.byClient), s.byLastIndex.Len())
+	if len(reference) != len(s.byClient) || s.byLastIndex.Len() != len(reference) {
+		t.Fatalf("got %d clients by name and %d by last index, want %d", len(s.byClient), s.byLastIndex.Len(), len(reference))
 	}
-	for client, used := range plain {
-		if one := s.byClient[client]; one == nil || one.LastIndex != used {
-			t.Fatalf("client %s: %+v, used at %d", client, one, used)
+	for client, lastIndex := range reference {
+		if existing := s.byClient[client]; existing == nil || existing.LastIndex != lastIndex {
+			t.Fatalf("client %s: got session %+v, want last index %d", client, existing, lastIndex)
 		}
 	}
 }
--- a/cluster/stop_test.go
+++ b/cluster/stop_test.go
@@ -12,31 +12,32 @@
 	"harehook.dev/harehook/raftlog"
 )
 
-// shutdownRounds is how many nodes the test ends: whether one meets the fault is left to chance, one in two.
-const shutdownRounds = 16
+// stoppedNodes is the number of nodes that the test stops. Each one has a chance of one in two to trigger the fault.
+const stoppedNodes = 16
 
-// A node is ended while a message waits to be sent: its sender has the loop look up the address, and the loop is over.
-// The sender waited for good, and Run with it, so that the process did not end. Run has to return.
-func TestNodeStopsWhileAMessageWaits(t *testing.T) {
-	ended := make(chan error, shutdownRounds)
-	for range shutdownRounds {
-		go func() { ended <- stopWhileAMessageWaits() }()
+// A node is stopped while a message is queued. The message's sender requests the address from the loop, which has
+// ended. Run must return, and not wait forever for the blocked sender, or the process would never exit.
+func TestNodeStopsWithPendingMessage(t *testing.T) {
+	results := make(chan error, stoppedNodes)
+	for range stoppedNodes {
+		go func() { results <- stopWithPendingMessage() }()
 	}
-	limit := time.After(30 * time.Second)
-	for k := range shutdownRounds {
+	timeout := time.After(30 * time.Second)
+	for k := range stoppedNodes {
 		select {
-		case err := <-ended:
+		case err := <-results:
 			if err != nil {
 				t.Error(err)
 			}
-		case <-limit:
-			t.Fatalf("%d of %d nodes do not end", shutdownRounds-k, shutdownRounds)
+		case <-timeout:
+			t.Fatalf("%d of %d nodes did not stop within 30 s", stoppedNodes-k, stoppedNodes)
 		}
 	}
 }
 
-// stopWhileAMessageWaits starts a node whose two fellow members are away, and ends it while a message waits to be sent.
-func stopWhileAMessageWaits() error {
+// stopWithPendingMessage starts a node whose two peers are unreachable, and stops it while a message is queued. It
+// returns the result of Run.
+func stopWithPendingMessage() error {
 	node, err := NewNode(1, discardStorage{}, &raftlog.SavedState{Identity: "disk"}, []uint64{1, 2, 3}, nil, NewState(plainText{}), zap.NewNop())
 	if err != nil {
 		return err
@@ -50,15 +51,15 @@
 			return err
 		}
 	}
-	hold := make(chan struct{})
-	node.requests <- func() { <-hold }
-	node.requests <- func() { // the last one of this iteration of the loop: what it causes waits for the next
+	release := make(chan struct{})
+	node.requests <- func() { <-release }
+	node.requests <- func() { // the last request of this loop iteration: the sender's request waits for the next one
 		node.peerQueues[2] <- &raftpb.Message{To: proto.Uint64(2)}
 		for len(node.requests) == 0 {
 			time.Sleep(time.Millisecond)
 		}
 		cancel()
 	}
-	close(hold)
+	close(release)
 	return <-result
 }
