--- a/records/apply.go
+++ b/records/apply.go
@@ -2,9 +2,10 @@
 
 import "slices"
 
-// Apply carries out a transaction at a revision, which has to be over that of the last change. The error is a
-// *RevisionError, *InvalidError, *ConflictError, *CheckError or *FullError; then nothing has changed. Writes of what is
-// there already are no updates: such a record keeps its revision. The bounds of an operator's transaction are Validate's.
+// Apply applies a transaction at a revision, which must be greater than that of the last change. The error is a
+// *RevisionError, *InvalidError, *ConflictError, *CheckError or *FullError; after an error the store is unchanged. A
+// write that does not change the content of its record produces no update, and the record keeps its revision, unless
+// the transaction has Restamp set. Apply does not check the bounds on an operator's transaction; Validate does.
 func (s *Store) Apply(revision uint64, transaction Transaction) (Change, error) {
 	written, err := transaction.parse()
 	if err != nil {
@@ -27,7 +28,7 @@
 	return change, nil
 }
 
-// checkRevisions names the writes that expect another revision than their record has.
+// checkRevisions returns a *ConflictError that lists the writes whose expected revision differs from their record's.
 func (s *Store) checkRevisions(transaction Transaction) error {
 	var conflicts []Conflict
 	for _, write := range transaction.Writes {
@@ -45,7 +46,7 @@
 	return nil
 }
 
-// stampUpdates gives what writes change, ordered by key. The written records are stamped with the revision.
+// stampUpdates returns the updates that the writes make, ordered by key. It sets the revision of the written records.
 func (s *Store) stampUpdates(revision uint64, transaction Transaction, written []*Record) []Update {
 	updates := make([]Update, 0, len(written))
 	for i, after := range written {
@@ -63,7 +64,7 @@
 	return updates
 }
 
-// isUnchanged reports whether a write of a record, nil for a removal, changes nothing.
+// isUnchanged reports whether a write has no effect. A nil before is a missing record, a nil after a removal.
 func isUnchanged(before, after *Record, restamp bool) bool {
 	if before == nil || after == nil {
 		return before == after
@@ -71,8 +72,8 @@
 	return before.SameContent(after) && !restamp
 }
 
-// reuseStrings has a record use the strings that the state holds already, of which each of a service's tenants would
-// otherwise hold a copy.
+// reuseStrings replaces strings of a record by equal ones that the store already holds. Otherwise, each tenant of a
+// service would retain its own copy of the service's name.
 func (s *Store) reuseStrings(record, before *Record) {
 	if before != nil {
 		record.Name = before.Name
@@ -83,7 +84,7 @@
 	}
 }
 
-// replaceChecked makes updates in the indexes, and takes them back if a rule would be broken.
+// replaceChecked applies updates to the indexes, and reverts them if they break a rule.
 func (s *Store) replaceChecked(updates []Update) error {
 	routesBefore := len(s.index.byKind[KindRoute])
 	for _, update := range updates {
@@ -98,7 +99,7 @@
 	return err
 }
 
-// replaceRecord takes a record out of the indexes and puts another one in; either may be nil.
+// replaceRecord removes a record from the indexes and inserts another one; either may be nil.
 func (s *Store) replaceRecord(before, after *Record) {
 	if before != nil {
 		s.index.remove(before)
@@ -110,7 +111,7 @@
 	}
 }
 
-// commit notes a change that was made in the indexes.
+// commit records a change that was already applied to the indexes.
 func (s *Store) commit(change Change, restamp bool) {
 	s.revision = change.Revision
 	for _, update := range change.Updates {
@@ -118,7 +119,8 @@
 	}
 	s.routing.recordChange(change.Revision, change.Updates)
 	if restamp {
-		// Members that come to this state from different snapshots of full texts know of different changes before it.
+		// Members that reach this state from different snapshots of full texts retain different earlier changes, and
+		// would otherwise have different routing revisions.
 		s.routing.raiseAll(change.Revision)
 	}
 	s.history.add(change)
--- a/records/bench_test.go
+++ b/records/bench_test.go
@@ -60,14 +60,14 @@
 			s.Forget()
 			b.ReportAllocs()
 			for b.Loop() {
-				s.sorted.forget() // the first one sorts all
+				s.sorted.forget() // so that each snapshot sorts all records
 				b.SetBytes(int64(len(s.Snapshot())))
 			}
 		})
 	}
 }
 
-// BenchmarkNextSnapshot measures a snapshot 100 changes after the last one.
+// BenchmarkNextSnapshot measures 100 changes and the snapshot after them.
 func BenchmarkNextSnapshot(b *testing.B) {
 	for _, size := range []float64{1, 2} {
 		b.Run(fmt.Sprintf("size=%g", size), func(b *testing.B) {
--- a/records/cost_test.go
+++ b/records/cost_test.go
@@ -6,15 +6,15 @@
 	"testing"
 )
 
-// The sizes that operators expect, and how many times a full store is expected to hold them.
+// The expected numbers of records; tests fill a store with up to twice as many.
 const (
 	expectedServices = 570
 	expectedRoutes   = 3400
 	expectedTenants  = 140000
 )
 
-// filledStore makes a store of a part of the expected size: size 1 is the whole, 0.1 a tenth of services, routes and
-// tenants.
+// filledStore returns a store with a multiple of the expected numbers of services, routes and tenants: size 1 is the
+// expected size, 0.1 a tenth of it.
 func filledStore(t testing.TB, size float64) *Store {
 	t.Helper()
 	s := NewStore()
@@ -47,14 +47,14 @@
 	return write(KindTenant, fmt.Sprintf("tenant-%06d", i), TenantSpec{Service: serviceName(i % services), Share: share})
 }
 
-// changeCost is what one change takes.
+// changeCost is the mean cost of one change.
 type changeCost struct {
-	allocations, bytes float64 // of memory, for the change and for telling it to a scope
-	history            float64 // bytes that it adds to the history as encoded
+	allocations, bytes float64 // of memory, for applying the change and reading it in a scope
+	history            float64 // bytes that the change counts toward the bound of the history
 }
 
-// costOfChange measures the mean of many changes of one tenant each, on a store of a size. After each change more is
-// done, nil for nothing.
+// costOfChange measures the mean cost of a change of one tenant on a store of the given size. The function more, which
+// may be nil, is called after each change.
 func costOfChange(t testing.TB, size float64, more func(*Store)) changeCost {
 	t.Helper()
 	s := filledStore(t, size)
@@ -86,34 +86,35 @@
 	}
 }
 
-// maxGrowth is the bound on what a change costs more at ten times the size.
+// maxGrowth bounds the ratio between the costs of a change at ten times the size and at the size.
 const maxGrowth = 1.2
 
-// growthFault says which part of a change's cost grows over the bound, empty if none.
+// growthFault describes the first cost that grows by more than maxGrowth, or returns an empty string if none does.
 func growthFault(small, large changeCost) string {
 	switch {
 	case large.allocations > maxGrowth*small.allocations:
-		return fmt.Sprintf("allocations: %.1f and %.1f", small.allocations, large.allocations)
+		return fmt.Sprintf("allocations per change: got %.1f, want at most %.1f", large.allocations, maxGrowth*small.allocations)
 	case large.bytes > maxGrowth*small.bytes:
-		return fmt.Sprintf("bytes: %.0f and %.0f", small.bytes, large.bytes)
+		return fmt.Sprintf("allocated bytes per change: got %.0f, want at most %.0f", large.bytes, maxGrowth*small.bytes)
 	case large.history > maxGrowth*small.history:
-		return fmt.Sprintf("bytes of history: %.0f and %.0f", small.history, large.history)
+		return fmt.Sprintf("history bytes per change: got %.0f, want at most %.0f", large.history, maxGrowth*small.history)
 	}
 	return ""
 }
 
-// TestChangeCostDoesNotGrowWithTheStore compares one change at a tenth of the expected size and at the whole. Counts
-// and bytes are compared, not times.
+// TestChangeCostDoesNotGrowWithTheStore guards against changes whose cost depends on the size of the store. It compares
+// the cost of a change at a tenth of the expected size with the cost at the full size, in allocations and bytes, not in
+// time.
 func TestChangeCostDoesNotGrowWithTheStore(t *testing.T) {
 	small, large := costOfChange(t, 0.1, nil), costOfChange(t, 1, nil)
-	t.Logf("a tenth: %+v; the whole: %+v", small, large)
+	t.Logf("a tenth of the expected size: %+v; the expected size: %+v", small, large)
 	if fault := growthFault(small, large); fault != "" {
 		t.Error(fault)
 	}
 }
 
-// TestPlantedGrowthOfChangeCostIsCaught plants what the bound is there for: a copy of a whole index, and the whole
-// state in the history, at each change.
+// TestPlantedGrowthOfChangeCostIsCaught verifies that the bound detects the faults it guards against: an index that is
+// copied at each change, and a history that grows with the state.
 func TestPlantedGrowthOfChangeCostIsCaught(t *testing.T) {
 	cases := map[string]func(*Store){
 		"index copied": func(s *Store) {
@@ -129,15 +130,15 @@
 		t.Run(name, func(t *testing.T) {
 			fault := growthFault(costOfChange(t, 0.1, planted), costOfChange(t, 1, planted))
 			if fault == "" {
-				t.Error("not caught")
+				t.Error("the planted fault was not detected")
 			}
 			t.Log(fault)
 		})
 	}
 }
 
-// TestTwiceTheExpectedSizeFits fills a store with twice the expected size, restores its snapshot and states what that
-// takes.
+// TestTwiceTheExpectedSizeFits verifies that a store with twice the expected number of records stays within the bounds
+// on memory and on messages, and that its snapshot can be restored.
 func TestTwiceTheExpectedSizeFits(t *testing.T) {
 	var before, after runtime.MemStats
 	runtime.GC()
@@ -150,21 +151,21 @@
 	size, limit := s.Size()
 	perRecord := float64(after.HeapAlloc-before.HeapAlloc) / float64(records)
 	snapshot := s.Snapshot()
-	t.Logf("%d records: %d bytes of %d counted, %.0f bytes of memory each, snapshot of %d bytes", records, size, limit, perRecord, len(snapshot))
+	t.Logf("%d records: size %d of at most %d bytes, %.0f bytes of memory per record, snapshot of %d bytes", records, size, limit, perRecord, len(snapshot))
 	if s.Count(KindRoute) != 2*expectedRoutes || s.Count(KindTenant) != 2*expectedTenants {
-		t.Error("not all records are held")
+		t.Errorf("got %d routes and %d tenants, want %d and %d", s.Count(KindRoute), s.Count(KindTenant), 2*expectedRoutes, 2*expectedTenants)
 	}
 	if perRecord > maxMemoryPerRecord {
-		t.Errorf("%.0f bytes of memory a record, %d at most", perRecord, maxMemoryPerRecord)
+		t.Errorf("memory per record: got %.0f bytes, want at most %d", perRecord, maxMemoryPerRecord)
 	}
 	const largestMessage = 64 << 20 // between members
 	if len(snapshot)+maxHistoryBytes > largestMessage/2 {
-		t.Errorf("a snapshot of %d bytes with a full history takes over half of a message", len(snapshot))
+		t.Errorf("snapshot with a full history: got %d bytes, want at most %d, half of a message", len(snapshot)+maxHistoryBytes, largestMessage/2)
 	}
 	if err := s.Restore(snapshot); err != nil {
 		t.Error(err)
 	}
 }
 
-// maxMemoryPerRecord bounds the memory of a record of the expected kinds with its entries in the indexes.
+// maxMemoryPerRecord bounds the mean memory of a record with its index entries, in bytes.
 const maxMemoryPerRecord = 350
--- a/records/decode.go
+++ b/records/decode.go
@@ -2,9 +2,9 @@
 
 import "fmt"
 
-// Restore replaces the store's content by that of a snapshot, in place: whoever reads the store goes on with the new
-// content. A snapshot that can't be read, or whose records break a rule, leaves the store as it was; the error is a
-// *SnapshotError.
+// Restore replaces the content of the store by that of a snapshot. It does so in place: readers of the store then see
+// the new content. If the snapshot can't be decoded or its records break a rule, the store is unchanged and the error
+// is a *SnapshotError.
 func (s *Store) Restore(data []byte) error {
 	next := NewStore()
 	next.maxBytes = s.maxBytes
@@ -16,7 +16,7 @@
 	return nil
 }
 
-// Replace replaces the content by that of another store, which must not be used any more.
+// Replace replaces the content by that of another store, which must not be used afterwards.
 func (s *Store) Replace(next *Store) {
 	s.contentMutex.Lock()
 	defer s.contentMutex.Unlock()
@@ -31,12 +31,12 @@
 	s.restoredRevision = next.revision
 }
 
-// decode reads a snapshot into a new store.
+// decode decodes a snapshot into a new store.
 func (s *Store) decode(data []byte) error {
 	in := &decoder{remaining: data}
 	format := in.number()
 	if in.err == nil && format != snapshotFormat && format != formatWithoutRouting {
-		return fmt.Errorf("its format is %d, %d and %d are known", format, formatWithoutRouting, snapshotFormat)
+		return fmt.Errorf("format must be %d or %d, got %d", formatWithoutRouting, snapshotFormat, format)
 	}
 	s.revision = in.number()
 	if err := s.decodeRecords(in); err != nil {
@@ -54,7 +54,7 @@
 	return nil
 }
 
-// decodeRecords reads the records, and checks their order, revisions and rules.
+// decodeRecords decodes the records and checks their order, revisions and rules.
 func (s *Store) decodeRecords(in *decoder) error {
 	sorted := []*Record{}
 	var updates []Update
@@ -67,7 +67,7 @@
 			return fmt.Errorf("%s is out of order", record.Key)
 		}
 		if record.Revision > s.revision {
-			return fmt.Errorf("%s has revision %d, over the last one, %d", record.Key, record.Revision, s.revision)
+			return fmt.Errorf("revision of %s must be at most the last revision, %d, got %d", record.Key, s.revision, record.Revision)
 		}
 		s.reuseStrings(record, nil)
 		s.index.insert(record)
@@ -81,7 +81,7 @@
 	return s.checkRules(updates, 0)
 }
 
-// decodeHistory reads the changes, and checks their order and that they lead to the records.
+// decodeHistory decodes the changes. It checks their order, and that they result in the decoded records.
 func (s *Store) decodeHistory(in *decoder) error {
 	s.history.compactRevision = in.number()
 	last := s.history.compactRevision
@@ -91,7 +91,7 @@
 			return err
 		}
 		if change.Revision <= last || change.Revision > s.revision {
-			return fmt.Errorf("its change %d is out of order", change.Revision)
+			return fmt.Errorf("change at revision %d is out of order", change.Revision)
 		}
 		last = change.Revision
 		s.history.add(change)
@@ -114,7 +114,8 @@
 	return change, in.err
 }
 
-// reuseRecord has an update of the history use the record that the state holds, if it is that one.
+// reuseRecord replaces the new record of a decoded update by the store's record if they are equal, so that the history
+// shares it.
 func (s *Store) reuseRecord(update Update) Update {
 	if update.After == nil {
 		return update
@@ -126,17 +127,17 @@
 	return update
 }
 
-// checkHistory says whether the changes lead to other records than those that are held.
+// checkHistory returns an error if the changes do not result in the decoded records.
 func (s *Store) checkHistory() error {
 	for _, update := range mergeChanges(s.history.changes) {
 		if update.After != s.index.get(update.Key()) {
-			return fmt.Errorf("its changes and its records do not agree on %s", update.Key())
+			return fmt.Errorf("changes and records disagree on %s", update.Key())
 		}
 	}
 	return nil
 }
 
-// decodeRouting reads the revisions of services' routes, or derives them where the format has none.
+// decodeRouting decodes the routing revisions of the services, or derives them if the format does not contain them.
 func (s *Store) decodeRouting(in *decoder, format uint64) error {
 	routes := s.index.byKind[KindRoute]
 	if format == formatWithoutRouting {
--- a/records/decoder.go
+++ b/records/decoder.go
@@ -2,8 +2,8 @@
 
 import "encoding/binary"
 
-// decoder reads the parts of a snapshot. After its first error it gives zeros, so that a caller checks err after several
-// parts, and before it uses them in a loop.
+// decoder decodes the elements of a snapshot. After its first error it returns zero values, so that callers need to
+// check err only after several elements, and before the elements are used in a loop.
 type decoder struct {
 	remaining []byte
 	err       error
@@ -47,7 +47,7 @@
 	return text
 }
 
-// record reads a record whose body has to be in canonical form: else equal states would not give equal bytes.
+// record decodes a record. Its body must be in canonical form: otherwise, equal states could have different encodings.
 func (d *decoder) record() *Record {
 	kind := Kind(d.byte())
 	revision := d.number()
@@ -65,7 +65,7 @@
 	return record
 }
 
-// update reads an update of the history, which has a record before or after it, or both.
+// update decodes an update of the history, which must have a record before it, after it, or both.
 func (d *decoder) update() Update {
 	var update Update
 	flags := d.byte()
--- a/records/earlier.go
+++ b/records/earlier.go
@@ -1,7 +1,7 @@
 package records
 
-// Since gives what changed in a scope after a revision. A revision of the future has no updates yet. It costs by the
-// changes after the revision.
+// Since returns the changes in a scope after a revision. A revision greater than that of the last change has no
+// updates. The cost depends on the number of changes after the revision.
 func (s *Store) Since(revision uint64, scope Scope) Delta {
 	if !scope.All {
 		scope = scope.Normalized()
@@ -20,8 +20,8 @@
 	return delta
 }
 
-// At gives all records as they were at a revision, ordered by key. Retained is false if the changes since then are no
-// longer known or the revision is not yet there.
+// At returns all records as of a revision, ordered by key. Retained is false if the changes after the revision are no
+// longer retained, or if the revision is greater than that of the last change.
 func (s *Store) At(revision uint64) (held []*Record, retained bool) {
 	held, undone, retained := s.splitAt(revision)
 	if !retained {
@@ -36,8 +36,8 @@
 	return held, true
 }
 
-// splitAt gives the records that did not change since a revision, and the others as they were, nil for one that was not
-// there.
+// splitAt returns the records that did not change since a revision, and by key the previous versions of those that did,
+// nil for a record that did not exist.
 func (s *Store) splitAt(revision uint64) (unchanged []*Record, undone map[Key]*Record, retained bool) {
 	s.contentMutex.RLock()
 	defer s.contentMutex.RUnlock()
@@ -58,8 +58,8 @@
 	return unchanged, undone, true
 }
 
-// Reversal is the transaction that brings the records back to what they were at a revision, whatever else is written
-// meanwhile. Retained is as for At.
+// Reversal returns the transaction that restores the content of the records as of a revision. Its writes accept any
+// revision, so that concurrent writes cause no conflict. Retained is false in the same cases as for At.
 func (s *Store) Reversal(revision uint64) (transaction Transaction, retained bool) {
 	s.contentMutex.RLock()
 	defer s.contentMutex.RUnlock()
@@ -76,14 +76,14 @@
 	return transaction, true
 }
 
-// Forget drops the history: what was before the last change is not known any more.
+// Forget drops the history: the changes up to the last revision are no longer retained. The records stay.
 func (s *Store) Forget() {
 	s.contentMutex.Lock()
 	defer s.contentMutex.Unlock()
 	s.history.forget(s.revision)
 }
 
-// retains reports whether the records as of a revision are known.
+// retains reports whether the records as of a revision can be reconstructed.
 func (s *Store) retains(revision uint64) bool {
 	return s.history.knows(revision) && revision <= s.revision
 }
--- a/records/earlier_test.go
+++ b/records/earlier_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-// TestReversalRestoresAnEarlierContent brings random states back to an earlier one: the content is that one, under a
+// TestReversalRestoresAnEarlierContent rolls random states back to an earlier revision and expects its content under a
 // new revision.
 func TestReversalRestoresAnEarlierContent(t *testing.T) {
 	reversed := 0
@@ -23,11 +23,11 @@
 		}
 		target := uint64(random.IntN(int(store.Revision())))
 		if countRoutes(plain.at(target)) == 0 {
-			continue // a state without a route can't come back
+			continue // Apply rejects a transaction that leaves no route
 		}
 		transaction, retained := store.Reversal(target)
 		if !retained {
-			t.Fatal("not retained")
+			t.Fatalf("seed %d: revision %d is not retained", seed, target)
 		}
 		if _, err := store.Apply(100, transaction); err != nil {
 			t.Fatalf("seed %d: %v", seed, err)
@@ -36,10 +36,10 @@
 		now := store.InScope(Scope{All: true}).Records
 		want := recordsInScope(plain.at(target), Scope{All: true})
 		if !slices.EqualFunc(now, want, (*Record).SameContent) {
-			t.Fatalf("seed %d: %q, want %q", seed, describeAll(now), describeAll(want))
+			t.Fatalf("seed %d, reversal to revision %d: got %q, want %q", seed, target, describeAll(now), describeAll(want))
 		}
 	}
 	if reversed < 10 {
-		t.Errorf("only %d reversals", reversed)
+		t.Errorf("got %d reversals, want at least 10", reversed)
 	}
 }
--- a/records/encode.go
+++ b/records/encode.go
@@ -5,26 +5,26 @@
 const (
 	// snapshotFormat is the version of a snapshot's encoding.
 	snapshotFormat = 2
-	// formatWithoutRouting is an older version that is read too: it ends before the revisions of services' routes.
+	// formatWithoutRouting is an older version that can still be decoded. It has no routing revisions.
 	formatWithoutRouting = 1
 )
 
-// The flags before an update of a snapshot's history.
+// Flags that precede an update in a snapshot's history.
 const (
-	updateHasBefore = 1 << iota // the record before follows
-	updateHasAfter              // the record after follows
+	updateHasBefore = 1 << iota // the record before the update follows
+	updateHasAfter              // the record after the update follows
 )
 
-// Snapshot encodes the records and the history. Equal stores give equal bytes. It costs by the size of the state, but
-// sorts only the records that came since the last snapshot.
+// Snapshot encodes the records and the history. Equal stores have equal encodings. The cost grows with the size of the
+// state, but only the records added since the last snapshot are sorted.
 //
-// The encoding is a format number, the store's revision, the records by key, the revision up to which changes are not
-// known, the changes, and the revisions of services' routes. Numbers are varints, lists have their length before them,
-// and so have names and bodies.
+// The encoding consists of a format number, the store's revision, the records ordered by key, the compact revision, the
+// changes, and the routing revisions of the services. Numbers are varints; lists, names and bodies are preceded by
+// their length.
 func (s *Store) Snapshot() []byte {
 	s.contentMutex.RLock()
 	defer s.contentMutex.RUnlock()
-	const numberBytes = 64 // room for the numbers beside the records
+	const numberBytes = 64 // capacity for the numbers apart from the records
 	out := make([]byte, 0, s.index.bytes+s.history.bytes+numberBytes)
 	out = binary.AppendUvarint(out, snapshotFormat)
 	out = binary.AppendUvarint(out, s.revision)
--- a/records/errors.go
+++ b/records/errors.go
@@ -6,86 +6,90 @@
 	"strings"
 )
 
-// KeyError says that a text is no key.
+// The text of each error that Apply or Validate returns becomes part of the replicated state: package cluster stores it
+// as the result of a rejected command. All members must produce the same text, also members of the previous release, so
+// these texts do not change between releases.
+
+// KeyError is returned when a text is not a valid key.
 type KeyError struct{ Text string }
 
-// Error states the text.
-func (e *KeyError) Error() string { return fmt.Sprintf("%q is no key: expected kind/name", e.Text) }
+// Error returns a message that names the text.
+func (e *KeyError) Error() string { return fmt.Sprintf("invalid key %q: expected kind/name", e.Text) }
 
-// KindError says that a name is not that of a kind of record.
+// KindError is returned when a name does not denote a kind of record.
 type KindError struct{ Name string }
 
-// Error states the name.
+// Error returns a message that names the unknown kind.
 func (e *KindError) Error() string { return fmt.Sprintf("record kind %q is not known", e.Name) }
 
-// NameError says that a name is missing, too long, or not on one line.
+// NameError is returned when a name is empty, too long, or spans several lines.
 type NameError struct {
-	What       string // what it names: name, service or zone
+	What       string // name, service or zone
 	LimitBytes int
 }
 
-// Error states what the name is for, and its bound.
+// Error returns a message that states the kind of name and its bound.
 func (e *NameError) Error() string {
 	return fmt.Sprintf("a %s has to be 1 to %d bytes on one line", e.What, e.LimitBytes)
 }
 
-// SpecError says why a spec can't be that of a record.
+// SpecError is returned when a spec is not valid for its record.
 type SpecError struct {
 	Key Key
-	Err error // a *NameError, a *FieldError, one of encoding/json, or another
+	Err error // a *NameError, a *FieldError, an error of encoding/json, or another one
 }
 
-// Error states the key and the cause.
+// Error returns a message that states the key and the cause.
 func (e *SpecError) Error() string { return e.Key.String() + ": " + e.Err.Error() }
 
-// Unwrap gives the cause.
+// Unwrap returns the cause.
 func (e *SpecError) Unwrap() error { return e.Err }
 
-// FieldError says that a field of a spec has a value that it can't have.
+// FieldError is returned when a field of a spec has an invalid value.
 type FieldError struct {
-	Field string // by the words of operators, as "its share"
-	Want  string // what it has to be
+	Field string // in the wording of the message, such as "its share"
+	Want  string // the requirement that follows "has to" in the message
 }
 
-// Error states the field and what it has to be.
+// Error returns a message that states the field and its requirement.
 func (e *FieldError) Error() string { return e.Field + " has to " + e.Want }
 
-// What is wrong with the JSON or the kind of a spec.
+// Errors for the kind of a record and for the JSON of its spec.
 var (
 	errUnknownKind   = errors.New("its kind is not known")
-	errNotCanonical  = errors.New("its body is not in canonical form")
+	errNotCanonical  = errors.New("the body is not in canonical form")
 	errSeveralValues = errors.New("more than one value")
 )
 
-// InvalidError says why a transaction can't be applied whatever the state is.
+// InvalidError is returned when a transaction is invalid regardless of the state.
 type InvalidError struct {
-	Key    Key // the zero key if it concerns the transaction as a whole
+	Key    Key // the zero key if the error concerns the whole transaction
 	Reason string
-	Err    error // a *SpecError where one write is at fault; else nil
+	Err    error // a *NameError or a *SpecError if the body of a write is invalid, otherwise nil
 }
 
-// Error states the reason.
+// Error returns the reason.
 func (e *InvalidError) Error() string { return e.Reason }
 
-// Unwrap gives what is wrong with the write.
+// Unwrap returns the error in the write.
 func (e *InvalidError) Unwrap() error { return e.Err }
 
-// RevisionError says that a transaction has a revision that is not over that of the last change.
+// RevisionError is returned when the revision of a transaction is not greater than that of the last change.
 type RevisionError struct{ Revision, Last uint64 }
 
-// Error states both revisions.
+// Error returns a message that states both revisions.
 func (e *RevisionError) Error() string {
 	return fmt.Sprintf("revision %d is not over the last one, %d", e.Revision, e.Last)
 }
 
-// Conflict is a record that has another revision than a write expects.
+// Conflict describes a record whose revision differs from the one that a write expects.
 type Conflict struct {
 	Key      Key    `json:"key"`
-	Expected uint64 `json:"expected"` // 0: it was to be new
-	Actual   uint64 `json:"held"`     // 0: it does not exist
+	Expected uint64 `json:"expected"` // 0: the record was expected not to exist
+	Actual   uint64 `json:"held"`     // 0: the record does not exist
 }
 
-// String states the key and both revisions.
+// String returns a message that states the key and both revisions.
 func (c Conflict) String() string {
 	switch {
 	case c.Expected == 0:
@@ -97,12 +101,12 @@
 	}
 }
 
-// ConflictError names every record of a transaction whose revision is not the expected one.
+// ConflictError is returned when records do not have the revisions that a transaction expects.
 type ConflictError struct {
-	Conflicts []Conflict // in the order of the writes
+	Conflicts []Conflict // all of them, in the order of the writes
 }
 
-// Error states each conflict.
+// Error returns a message that lists all conflicts.
 func (e *ConflictError) Error() string {
 	parts := make([]string, len(e.Conflicts))
 	for i, conflict := range e.Conflicts {
@@ -111,18 +115,18 @@
 	return "changed since it was read: " + strings.Join(parts, "; ")
 }
 
-// Violation is a rule over several records that a transaction would break.
+// Violation describes a rule spanning several records that a transaction would break.
 type Violation struct {
 	Key    Key `json:"key"`
 	Reason string
 }
 
-// CheckError names all rules that a transaction would break.
+// CheckError is returned when a transaction would break rules that span several records.
 type CheckError struct {
-	Violations []Violation // by key
+	Violations []Violation // at most one for each updated record, ordered by key; the rule on the last route comes last
 }
 
-// Error states each violation.
+// Error returns a message that lists all violations.
 func (e *CheckError) Error() string {
 	parts := make([]string, len(e.Violations))
 	for i, violation := range e.Violations {
@@ -131,28 +135,28 @@
 	return strings.Join(parts, "; ")
 }
 
-// FullError says that the records would exceed their bound, in bytes as encoded.
+// FullError is returned when the encoded records would exceed their bound in bytes.
 type FullError struct {
 	Bytes, Limit int
 }
 
-// Error states the size and the bound.
+// Error returns a message that states the size and the bound.
 func (e *FullError) Error() string {
 	return fmt.Sprintf("the records would take %d bytes, %d at most: remove some first", e.Bytes, e.Limit)
 }
 
-// SnapshotError says why bytes can't be a snapshot of a Store.
+// SnapshotError is returned when bytes are not a valid snapshot of a Store.
 type SnapshotError struct{ Err error }
 
-// Error states the cause.
+// Error returns a message that states the cause.
 func (e *SnapshotError) Error() string { return "snapshot of records: " + e.Err.Error() }
 
-// Unwrap gives the cause.
+// Unwrap returns the cause.
 func (e *SnapshotError) Unwrap() error { return e.Err }
 
-// What is wrong with a snapshot, where no value has to be named.
+// Errors in a snapshot whose messages name no value.
 var (
-	errDamaged      = errors.New("it is cut short or damaged")
-	errTrailing     = errors.New("it goes on after its end")
-	errRoutingOrder = errors.New("the revisions of its services' routes are out of order")
+	errDamaged      = errors.New("truncated or corrupt data")
+	errTrailing     = errors.New("unexpected data after the end")
+	errRoutingOrder = errors.New("routing revisions are out of order or not greater than the default revision")
 )
--- a/records/example_test.go
+++ b/records/example_test.go
@@ -13,7 +13,7 @@
 	tenantOfPay = records.Key{Kind: records.KindTenant, Name: "till"}
 )
 
-// newStore has a service and a route of it, at revision 1.
+// newStore returns a store that has a service and one of its routes at revision 1.
 func newStore() *records.Store {
 	store := records.NewStore()
 	_, err := store.Apply(1, records.Transaction{Writes: []records.Write{
@@ -26,7 +26,7 @@
 	return store
 }
 
-// A transaction is applied as a whole at a revision, and what it did is a Change.
+// A transaction is applied atomically at a revision. The Change describes its effect.
 func ExampleStore() {
 	store := newStore()
 	change, err := store.Apply(2, records.Transaction{Writes: []records.Write{
@@ -48,7 +48,7 @@
 	// tenant/till 2 {"service":"pay","share":0.25}
 }
 
-// The cause of a rejection is told apart by its type; the store is as it was.
+// The type of the error identifies the cause of a rejection. The store is unchanged.
 func ExampleStore_Apply() {
 	store := newStore()
 	_, err := store.Apply(2, records.Transaction{Writes: []records.Write{{Key: payService, ExpectedRevision: 7}}})
@@ -68,7 +68,7 @@
 	// revision 1
 }
 
-// A follower asks for what changed since the revision that it has.
+// A follower requests the changes since its revision.
 func ExampleStore_Since() {
 	store := newStore()
 	_, err := store.Apply(2, records.Transaction{Writes: []records.Write{
--- a/records/fuzz_test.go
+++ b/records/fuzz_test.go
@@ -6,8 +6,8 @@
 	"testing"
 )
 
-// FuzzRestore restores any bytes: they are rejected and change nothing, or give a store whose own snapshot restores to
-// the same bytes.
+// FuzzRestore restores arbitrary bytes. Either they are rejected and the store is unchanged, or the snapshot of the
+// store can be restored to a store with the same snapshot.
 func FuzzRestore(f *testing.F) {
 	random := rand.New(rand.NewPCG(1, 4))
 	store, plain := NewStore(), newModel()
@@ -35,10 +35,10 @@
 		snapshot := restored.Snapshot()
 		again := NewStore()
 		if err := again.Restore(snapshot); err != nil {
-			t.Fatalf("the snapshot of a restored store is rejected: %v", err)
+			t.Fatalf("snapshot of the restored store: got error %v, want none", err)
 		}
 		if !slices.Equal(snapshot, again.Snapshot()) {
-			t.Error("a store that was restored twice gives another snapshot")
+			t.Error("the snapshot changed when it was restored")
 		}
 	})
 }
--- a/records/helpers_test.go
+++ b/records/helpers_test.go
@@ -20,7 +20,7 @@
 
 func removal(kind Kind, name string) Write { return Write{Key: Key{kind, name}, AnyRevision: true} }
 
-// apply applies writes at the next revision and fails the test if they are rejected.
+// apply applies writes at the next revision. The test fails if they are rejected.
 func apply(t testing.TB, s *Store, writes ...Write) Change {
 	t.Helper()
 	change, err := s.Apply(s.Revision()+1, Transaction{Writes: writes})
--- a/records/history.go
+++ b/records/history.go
@@ -6,22 +6,22 @@
 )
 
 const (
-	// maxHistoryBytes bounds the changes that are retained for followers which missed them, and for rolling back. A
-	// change of one tenant counts some 160 bytes (TestChangeCostDoesNotGrowWithTheStore), so that some 50,000 are retained.
+	// maxHistoryBytes bounds the changes that are retained for followers that missed them and for rolling back. A change
+	// of one tenant counts as about 160 bytes (TestChangeCostDoesNotGrowWithTheStore), so that about 50,000 are retained.
 	maxHistoryBytes = 8 << 20
-	// changeOverheadBytes is counted for each change beside its records: its revision and number of updates as encoded.
+	// changeOverheadBytes is added to the size of each change for its encoded revision and number of updates.
 	changeOverheadBytes = 16
 )
 
-// history is the latest changes, by rising revision, each over compactRevision.
+// history holds the latest changes in ascending order of revision. All revisions are greater than compactRevision.
 type history struct {
 	changes         []Change
-	compactRevision uint64 // changes up to this revision are no longer known
-	bytes           int    // of the changes, by changeSize
+	compactRevision uint64 // changes up to this revision are no longer retained
+	bytes           int    // sum of changeSize over the changes
 	maxBytes        int
 }
 
-// add adds a change and drops the oldest ones over the bound.
+// add appends a change, and drops the oldest changes while the history exceeds its bound.
 func (h *history) add(change Change) {
 	h.changes = append(h.changes, change)
 	h.bytes += changeSize(change)
@@ -34,19 +34,19 @@
 	oldest := h.changes[0]
 	h.bytes -= changeSize(oldest)
 	h.compactRevision = oldest.Revision
-	h.changes[0] = Change{} // lets its records go before append moves the slice
+	h.changes[0] = Change{} // releases its records before append reallocates the slice
 	h.changes = h.changes[1:]
 }
 
-// forget drops all changes up to a revision, which is that of the last one.
+// forget drops all changes. The revision must be that of the last change; it becomes the compact revision.
 func (h *history) forget(revision uint64) {
 	*h = history{maxBytes: h.maxBytes, compactRevision: revision}
 }
 
-// knows reports whether all changes after a revision are known.
+// knows reports whether all changes after a revision are retained.
 func (h *history) knows(revision uint64) bool { return revision >= h.compactRevision }
 
-// since gives the changes after a revision.
+// since returns the changes after a revision.
 func (h *history) since(revision uint64) []Change {
 	at, found := slices.BinarySearchFunc(h.changes, revision, func(c Change, r uint64) int { return cmp.Compare(c.Revision, r) })
 	if found {
@@ -55,7 +55,7 @@
 	return h.changes[at:]
 }
 
-// changeSize is what a change counts for in the bound of the history, in bytes.
+// changeSize returns the bytes that a change counts toward the bound of the history.
 func changeSize(change Change) int {
 	size := changeOverheadBytes
 	for _, update := range change.Updates {
@@ -69,8 +69,8 @@
 	return size
 }
 
-// mergeChanges gives what several changes do together, one update a record and ordered by key. A record that was created
-// and removed within them has none.
+// mergeChanges returns the combined effect of several changes: one update for each record, ordered by key. A record
+// that they both create and remove has no update.
 func mergeChanges(changes []Change) []Update {
 	if len(changes) == 1 {
 		return changes[0].Updates
--- a/records/index.go
+++ b/records/index.go
@@ -2,27 +2,27 @@
 
 import "slices"
 
-// index holds the records by key, by service and zone, and by what the rules ask for.
+// index holds the records by key and by service and zone, and the data that the rules need.
 //
-// Each record is in byKind and in byServiceZone, each route in routesByPrefix, and each that names a service counts in
-// usageByService; bytes is the sum of all encodedSize.
+// Each record is in byKind and in byServiceZone, and each route in routesByPrefix. Each route, tenant and override that
+// names a service is counted in usageByService. bytes is the sum of encodedSize over all records.
 type index struct {
 	byKind         map[Kind]map[string]*Record // by kind and name
 	byServiceZone  map[serviceZone]map[*Record]struct{}
-	routesByPrefix map[string][]*Record // several of one prefix only while a transaction is checked
+	routesByPrefix map[string][]*Record // a prefix has several routes only while a transaction is checked
 	usageByService map[string]serviceUsage
 	bytes          int
 }
 
-// serviceZone is where a record is found by scope: an empty name concerns all services or all zones.
+// serviceZone is the key by which the records of a scope are found. An empty name stands for all services or all zones.
 type serviceZone struct {
 	service, zone string
 }
 
-// serviceUsage is what refers to a service.
+// serviceUsage summarizes the records that refer to a service.
 type serviceUsage struct {
-	referenceCount int   // routes, tenants and overrides that name it
-	shareSum       int64 // of its tenants' shares, in parts of shareUnit
+	referenceCount int   // number of routes, tenants and overrides that name the service
+	shareSum       int64 // sum of its tenants' shares, in units of 1/shareUnit
 }
 
 func newIndex() index {
@@ -34,10 +34,10 @@
 	}
 }
 
-// get gives a record, nil if there is none of that key.
+// get returns the record with a key, or nil if there is none.
 func (x *index) get(key Key) *Record { return x.byKind[key.Kind][key.Name] }
 
-// ofKinds gives all records of some kinds in no order.
+// ofKinds returns all records of the given kinds, in no particular order.
 func (x *index) ofKinds(kinds []Kind) []*Record {
 	count := 0
 	for _, kind := range kinds {
@@ -52,7 +52,7 @@
 	return held
 }
 
-// inScope gives all records of a normalized scope in no order.
+// inScope returns all records of a normalized scope, in no particular order.
 func (x *index) inScope(scope Scope) []*Record {
 	var held []*Record
 	for _, service := range withUnnamed(scope.Services) {
@@ -106,7 +106,7 @@
 	x.routesByPrefix[prefix] = left
 }
 
-// countReference notes that a record refers to its service, or (sign -1) no longer does.
+// countReference adds a record to the usage of its service (sign 1), or subtracts it (sign -1).
 func (x *index) countReference(record *Record, sign int) {
 	if record.Service == "" || record.Kind == KindService {
 		return
@@ -121,7 +121,8 @@
 	x.usageByService[record.Service] = usage
 }
 
-// routePrefix is a route's prefix. Records are parsed before they are stored, so that their bodies can be read.
+// routePrefix returns the prefix of a route. Its body decodes without an error, because records are parsed before they
+// are stored.
 func routePrefix(record *Record) string {
 	spec, err := record.Route()
 	if err != nil {
--- a/records/key.go
+++ b/records/key.go
@@ -6,13 +6,13 @@
 	"strings"
 )
 
-// maxNameBytes is the longest name of a record, service or zone, and the longest prefix of a route.
+// maxNameBytes is the maximum length of the name of a record, service or zone, and of the prefix of a route.
 const maxNameBytes = 200
 
-// Kind is a type of record. Its numbers are stored.
+// Kind is the type of a record. Its numeric values are part of the stored format.
 type Kind uint8
 
-// The kinds of record.
+// The kinds of records.
 const (
 	KindRoute Kind = iota + 1
 	KindService
@@ -20,12 +20,12 @@
 	KindOverride
 )
 
-// kindsInOrder are all kinds, in the order of keys.
+// kindsInOrder lists all kinds in the order of keys.
 var kindsInOrder = []Kind{KindRoute, KindService, KindTenant, KindOverride}
 
 var kindNames = map[Kind]string{KindRoute: "route", KindService: "service", KindTenant: "tenant", KindOverride: "override"}
 
-// String names the kind as operators write it.
+// String returns the name of the kind as operators write it.
 func (k Kind) String() string {
 	if name, known := kindNames[k]; known {
 		return name
@@ -33,7 +33,7 @@
 	return fmt.Sprintf("kind %d", uint8(k))
 }
 
-// parseKind is the reverse of String.
+// parseKind is the inverse of String.
 func parseKind(name string) (kind Kind, known bool) {
 	for _, kind := range kindsInOrder {
 		if kindNames[kind] == name {
@@ -43,17 +43,16 @@
 	return 0, false
 }
 
-// Key names a record.
+// Key identifies a record.
 type Key struct {
 	Kind Kind
 	Name string
 }
 
-// String gives the key as kind/name.
+// String returns the key as kind/name.
 func (k Key) String() string { return k.Kind.String() + "/" + k.Name }
 
-// ParseKey reads a key written as kind/name. The error is a *KeyError, a *NameError or a
-// *KindError.
+// ParseKey parses a key in the form kind/name. The error is a *KeyError, a *NameError or a *KindError.
 func ParseKey(text string) (Key, error) {
 	kindName, name, found := strings.Cut(text, "/")
 	if !found {
@@ -69,10 +68,10 @@
 	return Key{Kind: kind, Name: name}, nil
 }
 
-// MarshalText writes the key as kind/name.
+// MarshalText encodes the key as kind/name.
 func (k Key) MarshalText() ([]byte, error) { return []byte(k.String()), nil }
 
-// UnmarshalText reads a key written as kind/name. The errors are those of ParseKey.
+// UnmarshalText decodes a key in the form kind/name. The errors are those of ParseKey.
 func (k *Key) UnmarshalText(text []byte) error {
 	key, err := ParseKey(string(text))
 	*k = key
@@ -87,7 +86,7 @@
 	return strings.Compare(k.Name, other.Name)
 }
 
-// checkName says why a text can't be a name; what it names is stated in the error.
+// checkName returns a *NameError if a name is invalid. The error states what the name denotes.
 func checkName(what, name string) error {
 	if name == "" || len(name) > maxNameBytes || strings.ContainsAny(name, "\r\n\x00") {
 		return &NameError{What: what, LimitBytes: maxNameBytes}
@@ -95,7 +94,7 @@
 	return nil
 }
 
-// checkOptionalName is checkName for a name that may be left out.
+// checkOptionalName is like checkName, but accepts an empty name.
 func checkOptionalName(what, name string) error {
 	if name == "" {
 		return nil
--- a/records/model_helpers_test.go
+++ b/records/model_helpers_test.go
@@ -6,11 +6,12 @@
 	"slices"
 )
 
-// model is the plain way to do what a Store does: it keeps a copy of every state and checks all of it each time.
+// model is a simple reference implementation of a Store: it keeps a copy of every state and checks the complete state
+// after each transaction.
 type model struct {
 	revisions []uint64
-	states    []map[Key]*Record // as of each revision
-	routes    []Change          // the updates of routes, oldest first
+	states    []map[Key]*Record // at the same index as their revisions
+	routes    []Change          // the updates of routes in each change, oldest first
 }
 
 func newModel() *model {
@@ -19,7 +20,7 @@
 
 func (m *model) last() map[Key]*Record { return m.states[len(m.states)-1] }
 
-// at gives the state as of a revision.
+// at returns the state as of a revision.
 func (m *model) at(revision uint64) map[Key]*Record {
 	index := 0
 	for i, known := range m.revisions {
@@ -30,7 +31,7 @@
 	return m.states[index]
 }
 
-// apply gives the kind of error that a transaction meets, "" if none.
+// apply applies a transaction. It returns the kind of error that rejects the transaction, or "" if it is accepted.
 func (m *model) apply(revision uint64, transaction Transaction) string {
 	next := map[Key]*Record{}
 	for key, record := range m.last() {
@@ -73,7 +74,8 @@
 	return slices.DeleteFunc(updates, func(u Update) bool { return u.Key().Kind != KindRoute })
 }
 
-// routing is the naive routing revision: it looks for the last update of a route that touched a scope.
+// routing returns the routing revision of a scope, found by a search for the last update of a route that touches the
+// scope.
 func (m *model) routing(scope Scope) uint64 {
 	for _, change := range slices.Backward(m.routes) {
 		if slices.ContainsFunc(change.Updates, scope.Normalized().Touches) {
@@ -83,7 +85,7 @@
 	return 0
 }
 
-// keepsAllRules checks every rule on every record.
+// keepsAllRules reports whether all records of a state satisfy all rules.
 func keepsAllRules(before, state map[Key]*Record) bool {
 	prefixes, shares := map[string]bool{}, map[string]int64{}
 	for _, record := range state {
@@ -119,7 +121,7 @@
 	return count
 }
 
-// recordsInScope is the naive InScope of a state.
+// recordsInScope is the reference implementation of InScope.
 func recordsInScope(state map[Key]*Record, scope Scope) (held []*Record) {
 	for _, record := range state {
 		if scope.Normalized().Contains(record) {
@@ -130,7 +132,7 @@
 	return held
 }
 
-// updatesBetween is the naive Since: it compares two whole states.
+// updatesBetween is the reference implementation of Since: it compares two complete states.
 func updatesBetween(from, to map[Key]*Record, scope Scope) (updates []Update) {
 	keys := map[Key]bool{}
 	for key := range from {
@@ -155,7 +157,7 @@
 	someZones    = []string{"", "z0", "z1", "z2"}
 )
 
-// randomWrite draws from few names, so that records meet and rules are broken often.
+// randomWrite draws from few names, so that conflicts and violations are frequent.
 func randomWrite(random *rand.Rand, state map[Key]*Record) Write {
 	kind := kindsInOrder[random.IntN(len(kindsInOrder))]
 	key := Key{Kind: kind, Name: fmt.Sprintf("%c%d", "rsto"[kind-1], random.IntN(4))}
@@ -197,7 +199,7 @@
 	return transaction
 }
 
-// randomScope draws a scope over few names.
+// randomScope draws a scope from few names, unsorted and with duplicates.
 func randomScope(random *rand.Rand) (scope Scope) {
 	scope.All = random.IntN(8) == 0
 	for _, service := range someServices[1:] {
--- a/records/record.go
+++ b/records/record.go
@@ -5,21 +5,21 @@
 	"encoding/json"
 )
 
-// recordOverheadBytes is counted for each record beside its name and body: its kind, revision and lengths as encoded.
+// recordOverheadBytes is added to the size of each record for its encoded kind, revision and lengths.
 const recordOverheadBytes = 16
 
-// Record is one piece of configuration. A record is never changed once it is in a Store, so that readers share it.
+// Record is one piece of configuration. A record in a Store is immutable, so that readers can share it.
 type Record struct {
 	Key
-	Revision uint64 // that set it
-	Service  string // that it belongs to; empty: it concerns every service
-	Zone     string // that it concerns; empty: every zone
-	Body     []byte // the spec in its canonical form: JSON, fields in the order of the type, defaults left out
-	share    int64  // a tenant's, in parts of shareUnit
+	Revision uint64 // at which the record was last set
+	Service  string // to which the record belongs; empty: it applies to every service
+	Zone     string // to which the record applies; empty: every zone
+	Body     []byte // the spec in canonical form: JSON, fields in the order of the type, defaults omitted
+	share    int64  // of a tenant, in units of 1/shareUnit
 }
 
-// New makes a record of a spec, which is a RouteSpec, ServiceSpec, TenantSpec or OverrideSpec as the key's kind says. The
-// error is a *NameError or a *SpecError.
+// New creates a record from a spec. The spec must be the RouteSpec, ServiceSpec, TenantSpec or OverrideSpec that
+// matches the key's kind. The error is a *NameError or a *SpecError.
 func New(key Key, spec any) (*Record, error) {
 	body, err := json.Marshal(spec)
 	if err != nil {
@@ -28,11 +28,11 @@
 	return Parse(key, body)
 }
 
-// Parse makes a record of a spec's JSON, which is checked on its own and brought into canonical form. The error is a
-// *NameError or a *SpecError.
+// Parse creates a record from the JSON of a spec. It validates the spec without regard to other records and converts it
+// to canonical form. The error is a *NameError or a *SpecError.
 func Parse(key Key, body []byte) (*Record, error) { return parseWith(decodeStrictly, key, body) }
 
-// parseCanonical makes a record of a spec that has to be in canonical form already, as one in a snapshot is.
+// parseCanonical creates a record from the JSON of a spec that must already be in canonical form, as in a snapshot.
 func parseCanonical(key Key, body []byte) (*Record, error) {
 	record, err := parseWith(json.Unmarshal, key, body)
 	if err != nil {
@@ -68,12 +68,12 @@
 	return record, nil
 }
 
-// SameContent reports whether two records are alike but for their revision.
+// SameContent reports whether two records are equal apart from their revision.
 func (r *Record) SameContent(other *Record) bool {
 	return r.Key == other.Key && bytes.Equal(r.Body, other.Body)
 }
 
-// encodedSize is what a record counts for in the bounds of the state and of the history, in bytes.
+// encodedSize returns the bytes that a record counts toward the bounds of the store and of the history.
 func encodedSize(record *Record) int {
 	return len(record.Name) + len(record.Body) + recordOverheadBytes
 }
--- a/records/routingrevisions.go
+++ b/records/routingrevisions.go
@@ -7,22 +7,23 @@
 	"slices"
 )
 
-// maxRoutingServices bounds the services that a routing revision is retained for, of which some may be removed: over a
-// hundred times the expected 570, and some 2 MB of a snapshot.
+// maxRoutingServices bounds the number of services for which a routing revision is retained, including removed
+// services. It is more than a hundred times the expected 570, and amounts to about 2 MB of a snapshot.
 const maxRoutingServices = 1 << 16
 
-// routingRevisions has, for each service, the revision at which one of its routes was last created, changed, removed or
-// moved to or from another service. Routes without a service count under the empty name.
+// routingRevisions holds, for each service, the revision at which one of its routes was last created, changed, removed
+// or moved to or from another service. Routes without a service count under the empty name.
 //
-// It guards against a number that goes down. Sidecars reject routes with a lower number than they have, and the highest
-// revision of the routes that are held goes down when the newest route is removed.
+// It ensures that the revision of a set of routes never decreases: sidecars reject routes with a lower revision than
+// the one they have. The highest revision of the current routes would not do, because it decreases when the newest
+// route is removed.
 //
-// Overrides do not count: they are no part of the routes that sidecars get, and they are of zones, so that controllers of
-// different zones would number the same routes differently.
+// Overrides do not count: they are not part of the routes that sidecars receive, and they belong to zones, so that
+// controllers in different zones would number the same routes differently.
 type routingRevisions struct {
-	byService       map[string]uint64 // each over defaultRevision
-	defaultRevision uint64            // that of all services that are not in the map
-	highest         uint64            // the highest of all
+	byService       map[string]uint64 // all greater than defaultRevision
+	defaultRevision uint64            // revision of all services that are not in byService
+	highest         uint64            // maximum of defaultRevision and byService
 
 	maxServices int
 }
@@ -31,7 +32,7 @@
 	return routingRevisions{byService: map[string]uint64{}, maxServices: maxRoutingServices}
 }
 
-// inScope is the revision of the last change of a route in a scope.
+// inScope returns the routing revision of a scope.
 func (r *routingRevisions) inScope(scope Scope) uint64 {
 	if scope.All {
 		return r.highest
@@ -43,7 +44,7 @@
 	return highest
 }
 
-// recordChange notes an applied change.
+// recordChange updates the revisions for an applied change.
 func (r *routingRevisions) recordChange(revision uint64, updates []Update) {
 	for _, update := range updates {
 		if update.Key().Kind != KindRoute {
@@ -58,7 +59,7 @@
 	r.limitServices()
 }
 
-// raiseService raises the revision of a service.
+// raiseService raises the revision of a service to at least the given one.
 func (r *routingRevisions) raiseService(service string, revision uint64) {
 	if revision > max(r.defaultRevision, r.byService[service]) {
 		r.byService[service] = revision
@@ -66,15 +67,15 @@
 	r.highest = max(r.highest, revision)
 }
 
-// raiseAll gives all services at least a revision.
+// raiseAll raises the revisions of all services to at least the given one.
 func (r *routingRevisions) raiseAll(atLeast uint64) {
 	r.defaultRevision = max(r.defaultRevision, atLeast)
 	r.highest = max(r.highest, atLeast)
 	maps.DeleteFunc(r.byService, func(_ string, revision uint64) bool { return revision <= r.defaultRevision })
 }
 
-// limitServices raises the default revision to the revisions of the older half of the services where there are too many of them: no
-// revision goes down, and it is long until there are too many again.
+// limitServices bounds the size of byService. If it is exceeded, the default revision is raised to the median revision,
+// which removes the older half of the services. No revision decreases, and about half of the capacity is free again.
 func (r *routingRevisions) limitServices() {
 	if len(r.byService) <= r.maxServices {
 		return
@@ -83,8 +84,8 @@
 	r.raiseAll(revisions[len(revisions)/2])
 }
 
-// derive makes the revisions of a state whose snapshot has none: from the routes that are held and the changes that are
-// known. They are exact but for removals of before the known changes.
+// derive computes the revisions of a state whose snapshot has none from its routes and its retained changes. They are
+// exact except for routes that were removed or moved before the retained changes.
 func (r *routingRevisions) derive(routes map[string]*Record, changes []Change) {
 	for _, route := range routes {
 		r.raiseService(route.Service, route.Revision)
@@ -95,20 +96,20 @@
 	r.limitServices()
 }
 
-// check says why the revisions can't be those of a state.
+// check returns an error if the revisions are inconsistent with a state's revision and routes.
 func (r *routingRevisions) check(revision uint64, routes map[string]*Record) error {
 	if r.highest > revision {
-		return fmt.Errorf("its routes changed at revision %d, over the last one, %d", r.highest, revision)
+		return fmt.Errorf("routing revision must be at most the last revision, %d, got %d", revision, r.highest)
 	}
 	for _, route := range routes {
 		if route.Revision > max(r.defaultRevision, r.byService[route.Service]) {
-			return fmt.Errorf("%s has revision %d, over that of its service's routes", route.Key, route.Revision)
+			return fmt.Errorf("revision %d of %s is greater than the routing revision of its service", route.Revision, route.Key)
 		}
 	}
 	return nil
 }
 
-// appendTo encodes the default revision and the services by name.
+// appendTo encodes the default revision, and the services with their revisions ordered by name.
 func (r *routingRevisions) appendTo(out []byte) []byte {
 	out = binary.AppendUvarint(out, r.defaultRevision)
 	out = binary.AppendUvarint(out, uint64(len(r.byService)))
@@ -119,7 +120,7 @@
 	return out
 }
 
-// decode reads what appendTo encoded.
+// decode decodes revisions that appendTo encoded.
 func (r *routingRevisions) decode(in *decoder) error {
 	r.raiseAll(in.number())
 	previous := ""
--- a/records/routingrevisions_test.go
+++ b/records/routingrevisions_test.go
@@ -14,7 +14,8 @@
 
 func scopeOf(services ...string) Scope { return Scope{Services: services} }
 
-// expectRouting compares the routing revisions of some scopes, as both readings give them.
+// expectRouting compares the routing revisions of scopes, as returned by InScope and by Since, with the wanted ones.
+// The key of a scope lists its services; "all" is the scope of all records.
 func expectRouting(t *testing.T, s *Store, wants map[string]uint64) {
 	t.Helper()
 	for names, want := range wants {
@@ -23,12 +24,13 @@
 			scope = Scope{All: true}
 		}
 		if view, delta := s.InScope(scope), s.Since(s.Revision(), scope); view.RoutingRevision != want || delta.RoutingRevision != want {
-			t.Errorf("routes of %q changed at revision %d and %d, want %d", names, view.RoutingRevision, delta.RoutingRevision, want)
+			t.Errorf("routing revisions of %q in view and in delta: got %d and %d, want %d", names, view.RoutingRevision, delta.RoutingRevision, want)
 		}
 	}
 }
 
-// storeWithRemovedRoute has routes of three services, of which the newest was removed and one has moved.
+// storeWithRemovedRoute returns a store with routes of three services. The newest route was removed, and another one
+// moved from b to c.
 func storeWithRemovedRoute(t *testing.T) *Store {
 	s := NewStore()
 	apply(t, s, write(KindService, "a", ServiceSpec{}), write(KindService, "b", ServiceSpec{}), write(KindService, "c", ServiceSpec{}),
@@ -41,21 +43,22 @@
 	return s
 }
 
-// The revision of a scope's routes is that of their last change, be it that the newest of them goes or that one moves.
+// The routing revision of a scope is the revision of the last change of its routes, also if the newest route is removed
+// or a route moves to another service. Otherwise the number would decrease, and sidecars would reject the routes.
 func TestRoutingRevisionIsThatOfTheLastRouteChange(t *testing.T) {
 	s := storeWithRemovedRoute(t)
 	expectRouting(t, s, map[string]uint64{"": 2, "a": 4, "b": 6, "c": 6, "a b": 6, "none": 2, "all": 6})
 	apply(t, s, removal(KindOverride, "n"), removal(KindTenant, "t"))
-	apply(t, s, routeOf("b1", "c", 1)) // is there already
+	apply(t, s, routeOf("b1", "c", 1)) // no change
 	if _, err := s.Apply(9, Transaction{Writes: []Write{removal(KindRoute, "plain"), removal(KindService, "a")}}); err == nil {
-		t.Error("a service in use was removed")
+		t.Error("removal of a service in use: got no error, want one")
 	}
 	expectRouting(t, s, map[string]uint64{"": 2, "a": 4, "c": 6, "all": 6})
 	apply(t, s, removal(KindRoute, "b1"), removal(KindService, "c"))
-	expectRouting(t, s, map[string]uint64{"a": 4, "b": 6, "c": 9, "all": 9}) // also of a service that is gone
+	expectRouting(t, s, map[string]uint64{"a": 4, "b": 6, "c": 9, "all": 9}) // also for a removed service
 }
 
-// A snapshot has the revisions of routes that are gone.
+// A snapshot preserves the routing revisions of removed routes.
 func TestRoutingRevisionsAreInTheSnapshot(t *testing.T) {
 	s, again := storeWithRemovedRoute(t), NewStore()
 	s.Forget()
@@ -65,18 +68,19 @@
 	}
 	expectRouting(t, again, map[string]uint64{"": 2, "a": 4, "b": 6, "c": 6, "all": 6})
 	if !slices.Equal(again.Snapshot(), snapshot) {
-		t.Error("a restored store gives another snapshot")
+		t.Error("the snapshot of the restored store differs from the original")
 	}
 }
 
-// withoutRouting is a store's snapshot in the older format.
+// withoutRouting returns the snapshot of a store in the older format.
 func withoutRouting(s *Store) []byte {
 	snapshot := s.Snapshot()
 	snapshot[0] = formatWithoutRouting
 	return snapshot[:len(snapshot)-len(s.routing.appendTo(nil))]
 }
 
-// Of an older snapshot the revisions are derived: exactly where the changes are known, else from the routes held.
+// The routing revisions of an older snapshot are derived from its changes, and from the current routes where changes
+// are no longer retained.
 func TestRoutingRevisionsAreDerivedFromAnOlderSnapshot(t *testing.T) {
 	s, again := storeWithRemovedRoute(t), NewStore()
 	if err := again.Restore(withoutRouting(s)); err != nil {
@@ -84,7 +88,7 @@
 	}
 	expectRouting(t, again, map[string]uint64{"": 2, "a": 4, "b": 6, "c": 6, "all": 6})
 	if !slices.Equal(again.Snapshot(), s.Snapshot()) {
-		t.Error("a store that was restored from an older snapshot gives another one")
+		t.Error("the snapshot of the store restored from the older format differs from the original")
 	}
 	s.Forget()
 	if err := again.Restore(withoutRouting(s)); err != nil {
@@ -93,7 +97,7 @@
 	expectRouting(t, again, map[string]uint64{"": 2, "a": 2, "b": 2, "c": 6, "all": 6})
 }
 
-// A snapshot whose routing revisions can't be those of its records is rejected.
+// A snapshot whose routing revisions are inconsistent with its records is rejected.
 func TestDamagedRoutingRevisionsAreRejected(t *testing.T) {
 	s := storeWithRemovedRoute(t)
 	base := withoutRouting(s)
@@ -108,7 +112,7 @@
 		return out
 	}
 	if good := encoded(0, "", 2, "a", 4, "b", 6, "c", 6); !slices.Equal(good, s.Snapshot()) {
-		t.Fatal("the test does not encode as a snapshot does")
+		t.Fatal("the encoding of the test differs from that of Snapshot")
 	}
 	for name, data := range map[string][]byte{
 		"over the revision":         encoded(0, "", 2, "a", 4, "b", 6, "c", 7),
@@ -120,12 +124,13 @@
 		"a service missing":         encoded(0, "", 2, "a", 4, "b", 6),
 	} {
 		if err := NewStore().Restore(data); err == nil {
-			t.Errorf("%s: it was accepted", name)
+			t.Errorf("%s: got no error, want one", name)
 		}
 	}
 }
 
-// A restamp, as of whole texts, leaves equal bytes whatever services were known of before.
+// After a transaction with Restamp, as used for full texts, stores with different routing revisions have equal
+// snapshots.
 func TestRestampLeavesOneRoutingRevision(t *testing.T) {
 	s := storeWithRemovedRoute(t)
 	s.Forget()
@@ -140,11 +145,12 @@
 		expectRouting(t, store, map[string]uint64{"": 9, "a": 9, "b": 9, "all": 9})
 	}
 	if !slices.Equal(s.Snapshot(), derived.Snapshot()) {
-		t.Error("the snapshots differ")
+		t.Error("the snapshots of the two stores differ")
 	}
 }
 
-// However many services have had routes, a bounded number is retained, and no scope's revision goes down.
+// The number of retained services is bounded, and the routing revision of a scope never decreases, also if more
+// services than that have had routes.
 func TestRoutingRevisionsAreBounded(t *testing.T) {
 	s := NewStore()
 	s.routing.maxServices = 10
@@ -156,21 +162,21 @@
 		apply(t, s, removal(KindRoute, name), removal(KindService, service))
 		last[service] = s.Revision()
 		if retained := len(s.routing.byService); retained > 10 {
-			t.Fatalf("%d services are retained", retained)
+			t.Fatalf("got %d retained services, want at most 10", retained)
 		}
 		for known, before := range last {
 			now := s.InScope(scopeOf(known)).RoutingRevision
 			if now < before || now > s.Revision() {
-				t.Fatalf("routes of %s changed at %d, earlier at %d", known, now, before)
+				t.Fatalf("routing revision of %s: got %d, want %d to %d", known, now, before, s.Revision())
 			}
 			last[known] = now
 		}
 	}
 	if s.InScope(scopeOf("s99")).RoutingRevision != s.Revision() || s.InScope(Scope{All: true}).RoutingRevision != s.Revision() {
-		t.Error("the newest revision is not exact")
+		t.Errorf("newest routing revision: got %d in its service and %d in all, want %d", s.InScope(scopeOf("s99")).RoutingRevision, s.InScope(Scope{All: true}).RoutingRevision, s.Revision())
 	}
 	again := NewStore()
 	if err := again.Restore(s.Snapshot()); err != nil || !slices.Equal(again.Snapshot(), s.Snapshot()) {
-		t.Errorf("a restored store gives another snapshot, %v", err)
+		t.Errorf("the snapshot of the restored store differs from the original, or it was rejected: %v", err)
 	}
 }
--- a/records/rules.go
+++ b/records/rules.go
@@ -2,9 +2,9 @@
 
 import "fmt"
 
-// checkRules says which rules over several records the state breaks once the updates are in it. It looks only at what was
-// updated and at what refers to that: all else kept the rules before and keeps them now. The error is a *CheckError or a
-// *FullError.
+// checkRules returns an error if the state, to which the updates have been applied, breaks a rule that spans several
+// records. It examines only the updated records and the records that refer to them: the others satisfied the rules
+// before and still do. The error is a *CheckError or a *FullError.
 func (s *Store) checkRules(updates []Update, routesBefore int) error {
 	var violations []Violation
 	for _, update := range updates {
@@ -24,7 +24,7 @@
 	return nil
 }
 
-// brokenRule gives the first rule that one update breaks, empty if none.
+// brokenRule returns the reason why an update breaks a rule, or an empty string if it breaks none.
 func (x *index) brokenRule(update Update) string {
 	after := update.After
 	if after == nil {
@@ -45,7 +45,7 @@
 	return ""
 }
 
-// ruleBrokenByRoute: no two routes have the same prefix.
+// ruleBrokenByRoute checks that no other route has the same prefix.
 func (x *index) ruleBrokenByRoute(route *Record) string {
 	prefix := routePrefix(route)
 	for _, other := range x.routesByPrefix[prefix] {
@@ -56,7 +56,7 @@
 	return ""
 }
 
-// ruleBrokenByTenant: the shares of a service's tenants sum to 1 at most.
+// ruleBrokenByTenant checks that the shares of a service's tenants sum to at most 1.
 func (x *index) ruleBrokenByTenant(tenant *Record) string {
 	sum := x.usageByService[tenant.Service].shareSum
 	if sum > shareUnit {
@@ -65,7 +65,7 @@
 	return ""
 }
 
-// ruleBrokenByRemoval: a service is not removed while a record names it.
+// ruleBrokenByRemoval checks that no record names a removed service.
 func (x *index) ruleBrokenByRemoval(record *Record) string {
 	if record.Kind != KindService {
 		return ""
--- a/records/rules_test.go
+++ b/records/rules_test.go
@@ -16,7 +16,7 @@
 	}
 	for name, c := range map[string]struct {
 		writes []Write
-		want   string // part of the rejection; empty: accepted
+		want   string // substring of the error; empty: accepted
 	}{
 		"service unknown":        {[]Write{write(KindRoute, "a", RouteSpec{Service: "none", Prefix: "/a", TimeLimitMS: 1})}, `service "none" does not exist`},
 		"service with it":        {[]Write{write(KindTenant, "a", TenantSpec{Service: "new", Share: 1}), write(KindService, "new", ServiceSpec{})}, ""},
@@ -38,7 +38,7 @@
 			before := s.Snapshot()
 			_, err := s.Apply(9, Transaction{Writes: c.writes})
 			if c.want == "" && err != nil || c.want != "" && (err == nil || !strings.Contains(err.Error(), c.want)) {
-				t.Fatalf("%v, want %q", err, c.want)
+				t.Fatalf("got error %v, want %q", err, c.want)
 			}
 			if err != nil && !slices.Equal(before, s.Snapshot()) {
 				t.Error("a rejected transaction changed the store")
@@ -53,7 +53,7 @@
 	s.maxBytes, _ = s.Size()
 	var full *FullError
 	if _, err := s.Apply(9, Transaction{Writes: []Write{write(KindService, "b", ServiceSpec{})}}); !errors.As(err, &full) {
-		t.Errorf("%v", err)
+		t.Errorf("got error %v, want a FullError", err)
 	}
 	apply(t, s, removal(KindService, "a"), write(KindService, "b", ServiceSpec{}))
 }
--- a/records/scope.go
+++ b/records/scope.go
@@ -2,14 +2,14 @@
 
 import "slices"
 
-// Scope is the part of the records that a controller needs: those of its services, and those without a service.
+// Scope selects the records that a controller needs: those of its services, and those without a service.
 type Scope struct {
-	All      bool // everything
+	All      bool // all records; the other fields are ignored
 	Services []string
-	Zones    []string // overrides of other zones are left out
+	Zones    []string // overrides of other zones are excluded
 }
 
-// Normalized gives the scope with its names sorted and without repeats.
+// Normalized returns the scope with its names sorted and without duplicates.
 func (s Scope) Normalized() Scope {
 	s.Services = sortedNames(s.Services)
 	s.Zones = sortedNames(s.Zones)
@@ -22,7 +22,7 @@
 	return slices.Compact(names)
 }
 
-// Contains reports whether a record belongs to the scope, which has to be normalized. Nil belongs to none.
+// Contains reports whether a record belongs to the scope, which must be normalized. A nil record belongs to no scope.
 func (s Scope) Contains(r *Record) bool {
 	if r == nil {
 		return false
@@ -33,10 +33,11 @@
 	return matchesName(s.Services, r.Service) && matchesName(s.Zones, r.Zone)
 }
 
-// Touches reports whether an update changes what the scope contains. The scope has to be normalized.
+// Touches reports whether an update affects a record that the scope contains before or after it. The scope must be
+// normalized.
 func (s Scope) Touches(u Update) bool { return s.Contains(u.Before) || s.Contains(u.After) }
 
-// matchesName reports whether a sorted list has a name; the empty name concerns all.
+// matchesName reports whether a sorted list contains a name. The empty name matches every list.
 func matchesName(sorted []string, name string) bool {
 	if name == "" {
 		return true
@@ -45,7 +46,7 @@
 	return found
 }
 
-// withUnnamed adds the empty name, which concerns all, to the names of a normalized scope.
+// withUnnamed adds the empty name, which stands for all, to the names of a normalized scope.
 func withUnnamed(names []string) []string {
 	if len(names) > 0 && names[0] == "" {
 		return names
--- a/records/scope_test.go
+++ b/records/scope_test.go
@@ -4,8 +4,8 @@
 	"testing"
 )
 
-// TestMovedTenantLeavesOneScopeAndEntersTheOther moves a tenant from one service to another: it leaves one scope and
-// enters the other.
+// TestMovedTenantLeavesOneScopeAndEntersTheOther moves a tenant from one service to another. Both scopes must receive
+// the update: the first would otherwise retain the tenant, and the second would never get it.
 func TestMovedTenantLeavesOneScopeAndEntersTheOther(t *testing.T) {
 	s := NewStore()
 	apply(t, s, write(KindService, "pay", ServiceSpec{}), write(KindService, "ship", ServiceSpec{}), write(KindTenant, "x", TenantSpec{Service: "pay", Share: 1}))
@@ -15,12 +15,12 @@
 	left := s.Since(held, pay).Updates
 	entered := s.Since(held, ship).Updates
 	if len(left) != 1 || !pay.Contains(left[0].Before) || pay.Contains(left[0].After) {
-		t.Errorf("left: %q", describeUpdates(left))
+		t.Errorf("scope that the tenant left: got updates %q, want one that leaves it", describeUpdates(left))
 	}
 	if len(entered) != 1 || ship.Contains(entered[0].Before) || !ship.Contains(entered[0].After) {
-		t.Errorf("entered: %q", describeUpdates(entered))
+		t.Errorf("scope that the tenant entered: got updates %q, want one that enters it", describeUpdates(entered))
 	}
 	if none := s.Since(held, other); len(none.Updates) > 0 || none.Revision != 2 || !none.Available {
-		t.Errorf("others: %q, %d, %v", describeUpdates(none.Updates), none.Revision, none.Available)
+		t.Errorf("other scope: got updates %q as of revision %d, available %v, want none as of 2, available true", describeUpdates(none.Updates), none.Revision, none.Available)
 	}
 }
--- a/records/snapshot_test.go
+++ b/records/snapshot_test.go
@@ -8,8 +8,9 @@
 	"testing"
 )
 
-// A snapshot comes over the network or from a disk. One that is cut short, or does not keep the rules, would have
-// members hold different records under one revision. It is rejected, and the store stays as it was.
+// A snapshot arrives over the network or is read from disk. If a truncated snapshot or one that breaks a rule were
+// accepted, members would hold different records at the same revision. It must be rejected, and the store must stay
+// unchanged.
 func TestDamagedSnapshotsAreRejected(t *testing.T) {
 	s := NewStore()
 	apply(t, s, write(KindService, "pay", ServiceSpec{}), write(KindRoute, "a", RouteSpec{Service: "pay", Prefix: "/a", TimeLimitMS: 1}))
@@ -17,7 +18,7 @@
 	good := s.Snapshot()
 	for end := range good {
 		if err := s.Restore(good[:end]); err == nil {
-			t.Errorf("cut at byte %d of %d it was accepted", end, len(good))
+			t.Errorf("snapshot truncated to %d of %d bytes: got no error, want one", end, len(good))
 		}
 	}
 	cases := map[string][]byte{
@@ -25,14 +26,14 @@
 		"goes on":         append(slices.Clone(good), 0),
 		"service missing": []byte(strings.ReplaceAll(string(good), `"service":"pay"`, `"service":"pax"`)),
 		"not canonical":   []byte(strings.Replace(string(good), `{"service":"pay","prefix":"/b"`, `{"prefix":"/b","service":"pay"`, 1)),
-		"other record":    []byte(strings.Replace(string(good), `"/b"`, `"/c"`, 1)), // than the one in the history
+		"other record":    []byte(strings.Replace(string(good), `"/b"`, `"/c"`, 1)), // differs from the one in the history
 	}
 	for name, damaged := range cases {
 		t.Run(name, func(t *testing.T) {
 			err := s.Restore(damaged)
 			var snapshotError *SnapshotError
 			if !errors.As(err, &snapshotError) {
-				t.Errorf("%v, want a SnapshotError", err)
+				t.Errorf("got error %v, want a SnapshotError", err)
 			}
 		})
 	}
@@ -41,8 +42,9 @@
 	}
 }
 
-// TestRestoredStoreGoesOnAsTheOriginal plays random transactions, restores a snapshot elsewhere and goes on with both:
-// they stay equal to the byte, and a reader of the restored store sees it without asking for another.
+// TestRestoredStoreGoesOnAsTheOriginal restores a snapshot of a store into another one and applies the same random
+// transactions to both. Their snapshots must stay equal, and a reader that has a reference to the other store from
+// before must see the restored content.
 func TestRestoredStoreGoesOnAsTheOriginal(t *testing.T) {
 	for seed := range uint64(20) {
 		random := rand.New(rand.NewPCG(seed, 3))
@@ -62,12 +64,12 @@
 					t.Fatal(err)
 				}
 				if !slices.Equal(other.Snapshot(), snapshot) {
-					t.Fatalf("seed %d: a restored store gives another snapshot", seed)
+					t.Fatalf("seed %d: the snapshot of the restored store differs from the original", seed)
 				}
 				for from := range revision + 2 {
 					available := store.Since(from, Scope{All: true}).Available
 					if again := other.Since(from, Scope{All: true}).Available; available != again {
-						t.Fatalf("seed %d: changes since %d are available: %v, restored: %v", seed, from, available, again)
+						t.Fatalf("seed %d: changes since %d: got available %v in the restored store, want %v", seed, from, again, available)
 					}
 				}
 			} else if revision > 100 {
@@ -75,10 +77,10 @@
 			}
 		}
 		if a, b := store.Snapshot(), other.Snapshot(); !slices.Equal(a, b) {
-			t.Fatalf("seed %d: the snapshots differ", seed)
+			t.Fatalf("seed %d: the snapshots of the original and the restored store differ", seed)
 		}
 		if reader.Revision() != store.Revision() {
-			t.Fatalf("a reader has revision %d, not %d", reader.Revision(), store.Revision())
+			t.Fatalf("seed %d: revision that a reader sees: got %d, want %d", seed, reader.Revision(), store.Revision())
 		}
 	}
 }
--- a/records/sorted.go
+++ b/records/sorted.go
@@ -5,21 +5,23 @@
 	"sync"
 )
 
-// unsortedLimitRatio is the part (one in so many) of the sorted records that may come or go before all are sorted again.
+// unsortedLimitRatio is the number of sorted records for each record that may be added, and for each that may be
+// removed, before all records are sorted again.
 const unsortedLimitRatio = 4
 
-// sortedRecords remembers the records by key as of the last snapshot, and those that came and went since, so that the
-// next snapshot need not sort all.
+// sortedRecords caches the records in the order of their keys as of the last snapshot, together with the records added
+// and removed since, so that the next snapshot need not sort all records.
 type sortedRecords struct {
-	// recordsMutex guards all below among snapshots that are made at the same time, which hold the store's lock for
-	// reading. Records are added and removed with the store's lock held for writing.
+	// recordsMutex guards the fields below against concurrent snapshots, which hold the store's lock only for reading.
+	// Records are added and removed with the store's lock held for writing.
 	recordsMutex sync.Mutex
-	records      []*Record            // nil: no snapshot was made, or too much changed since
+	records      []*Record            // nil: no snapshot was taken, or too much changed since
 	added        []*Record            // since the last snapshot
-	removed      map[*Record]struct{} // of both
+	removed      map[*Record]struct{} // removed from records or from added
 }
 
-// add adds a record. One that was removed and is back, as after a rejected transaction, is in its place already.
+// add adds a record. A record that is added again after its removal, as when a rejected transaction is reverted, is
+// still in its place.
 func (o *sortedRecords) add(record *Record) {
 	if o.records == nil {
 		return
@@ -46,21 +48,21 @@
 	}
 }
 
-// forget has the next snapshot sort all.
+// forget discards the cache, so that the next snapshot sorts all records.
 func (o *sortedRecords) forget() {
 	o.records = nil
 	o.added = nil
 	o.removed = nil
 }
 
-// set has records that are sorted by key count as those of the last snapshot.
+// set replaces the cache by records that are sorted by key.
 func (o *sortedRecords) set(sorted []*Record) {
 	o.records = sorted
 	o.added = nil
 	o.removed = map[*Record]struct{}{}
 }
 
-// all gives all records of an index by key. The store's lock has to be held for reading.
+// all returns all records of an index, ordered by key. The store's lock must be held for reading.
 func (o *sortedRecords) all(held *index) []*Record {
 	o.recordsMutex.Lock()
 	defer o.recordsMutex.Unlock()
@@ -76,7 +78,7 @@
 	return o.records
 }
 
-// withoutRemoved gives the records of a list that were not removed.
+// withoutRemoved returns the records of a list that were not removed.
 func (o *sortedRecords) withoutRemoved(list []*Record) []*Record {
 	held := make([]*Record, 0, len(list))
 	for _, record := range list {
@@ -87,7 +89,7 @@
 	return held
 }
 
-// mergeByKey makes one sorted list of two without common keys.
+// mergeByKey merges two sorted lists that have no common keys.
 func mergeByKey(a, b []*Record) []*Record {
 	if len(b) == 0 {
 		return a
--- a/records/specs.go
+++ b/records/specs.go
@@ -13,53 +13,55 @@
 	maxTimeLimitMS = 600000
 )
 
-// shareUnit is what a service's whole capacity counts as when its tenants' shares are summed: whole numbers, so that the
-// sum does not depend on the order of changes. A share is rounded down, so that six tenants of a sixth each fit.
+// shareUnit is the integer that represents the full capacity of a service when the shares of its tenants are summed.
+// Integers make the sum independent of the order of changes. A share is rounded down, so that six tenants with a share
+// of a sixth fit.
 const shareUnit = 1_000_000_000
 
 // RouteSpec is the content of a route.
 type RouteSpec struct {
 	Service     string  `json:"service,omitempty"`
-	Prefix      string  `json:"prefix"`        // of the paths that it matches, with a slash at its begin
+	Prefix      string  `json:"prefix"`        // of the paths that the route matches; begins with a slash
 	TimeLimitMS float64 `json:"time_limit_ms"` // latency objective
 	Mutating    bool    `json:"mutating,omitempty"`
-	MaxAdmitted float64 `json:"admit,omitempty"` // fraction of its requests that is admitted at most; 0: no limit
+	MaxAdmitted float64 `json:"admit,omitempty"` // maximum fraction of its requests that is admitted; 0: no limit
 }
 
 // ServiceSpec is the content of a service.
 type ServiceSpec struct {
-	Zones []string `json:"zones,omitempty"` // where it runs
+	Zones []string `json:"zones,omitempty"` // in which the service runs
 }
 
 // TenantSpec is the content of a tenant.
 type TenantSpec struct {
 	Service string  `json:"service"`
-	Share   float64 `json:"share"` // fraction of the service's capacity that it may use
+	Share   float64 `json:"share"` // fraction of the service's capacity that the tenant may use
 }
 
-// The states that an override gives a node, as they are written on the wire.
+// The states that an override can assign to a node, as they are written on the wire.
 const (
-	StateDraining = "draining" // it gets no new requests
-	StateGone     = "gone"     // it counts as removed
+	StateDraining = "draining" // the node gets no new requests
+	StateGone     = "gone"     // the node counts as removed
 )
 
-// OverrideSpec is what operators say of a node; it counts over the endpoint list.
+// OverrideSpec is the content of an override: the state that operators assign to a node. It takes precedence over the
+// endpoint list.
 type OverrideSpec struct {
 	Service string `json:"service,omitempty"`
 	Zone    string `json:"zone,omitempty"`
 	State   string `json:"state"`
 }
 
-// Route is the content of a record of that kind. The error is that of its JSON.
+// Route returns the content of a route. The error is returned if the body is not valid JSON for a RouteSpec.
 func (r *Record) Route() (RouteSpec, error) { return specOf[RouteSpec](r) }
 
-// ServiceSpec is the content of a record of that kind. The error is that of its JSON.
+// ServiceSpec returns the content of a service. The error is returned if the body is not valid JSON for a ServiceSpec.
 func (r *Record) ServiceSpec() (ServiceSpec, error) { return specOf[ServiceSpec](r) }
 
-// Tenant is the content of a record of that kind. The error is that of its JSON.
+// Tenant returns the content of a tenant. The error is returned if the body is not valid JSON for a TenantSpec.
 func (r *Record) Tenant() (TenantSpec, error) { return specOf[TenantSpec](r) }
 
-// Override is the content of a record of that kind. The error is that of its JSON.
+// Override returns the content of an override. The error is returned if the body is not valid JSON for an OverrideSpec.
 func (r *Record) Override() (OverrideSpec, error) { return specOf[OverrideSpec](r) }
 
 func specOf[Spec any](r *Record) (Spec, error) {
@@ -68,10 +70,10 @@
 	return spec, err
 }
 
-// specDecoder reads a spec's JSON.
+// specDecoder decodes the JSON of a spec.
 type specDecoder func(body []byte, into any) error
 
-// decodeStrictly rejects fields that are not known, as operators misspell them.
+// decodeStrictly decodes exactly one JSON value. It rejects unknown fields to detect misspelled ones.
 func decodeStrictly(body []byte, into any) error {
 	decoder := json.NewDecoder(bytes.NewReader(body))
 	decoder.DisallowUnknownFields()
@@ -156,12 +158,12 @@
 	return r.encodeBody(spec)
 }
 
-// encodeBody sets the body to a spec's canonical form.
+// encodeBody sets the body to the canonical form of a spec.
 func (r *Record) encodeBody(spec any) error {
 	body, err := json.Marshal(spec)
 	r.Body = body
 	return err
 }
 
-// isBetween reports whether a value is in a range, ends included. What is not a number is in none.
+// isBetween reports whether a value is in a range, including its ends. NaN is in no range.
 func isBetween(value, low, high float64) bool { return value >= low && value <= high }
--- a/records/specs_test.go
+++ b/records/specs_test.go
@@ -13,23 +13,24 @@
 		t.Fatal(err)
 	}
 	if spec, err := route.Route(); err != nil || spec != (RouteSpec{"s", "/a", 5, true, 0.5}) {
-		t.Errorf("%+v, %v", spec, err)
+		t.Errorf("route: got %+v, %v, want %+v", spec, err, RouteSpec{"s", "/a", 5, true, 0.5})
 	}
 	tenant, _ := New(Key{KindTenant, "a"}, TenantSpec{Service: "s", Share: 0.25})
 	if spec, err := tenant.Tenant(); err != nil || spec != (TenantSpec{"s", 0.25}) {
-		t.Errorf("%+v, %v", spec, err)
+		t.Errorf("tenant: got %+v, %v, want %+v", spec, err, TenantSpec{"s", 0.25})
 	}
 	override, _ := New(Key{KindOverride, "a"}, OverrideSpec{Zone: "z", State: StateGone})
 	if spec, err := override.Override(); err != nil || spec != (OverrideSpec{"", "z", StateGone}) {
-		t.Errorf("%+v, %v", spec, err)
+		t.Errorf("override: got %+v, %v, want %+v", spec, err, OverrideSpec{"", "z", StateGone})
 	}
 	service, _ := New(Key{KindService, "a"}, ServiceSpec{Zones: []string{"b", "a", "b"}})
 	if spec, err := service.ServiceSpec(); err != nil || !slices.Equal(spec.Zones, []string{"a", "b"}) {
-		t.Errorf("%+v, %v", spec, err)
+		t.Errorf("zones of the service: got %q, %v, want [\"a\" \"b\"]", spec.Zones, err)
 	}
 }
 
-// TestBrokenSpecsAreTyped has a record rejected for each kind of cause, told apart by errors.As.
+// TestBrokenSpecsAreTyped verifies for each cause that an invalid spec is rejected with a SpecError and an exact
+// message.
 func TestBrokenSpecsAreTyped(t *testing.T) {
 	longName := strings.Repeat("x", maxNameBytes+1)
 	cases := map[string]struct {
@@ -51,10 +52,10 @@
 			_, err := New(c.key, c.spec)
 			var specError *SpecError
 			if !errors.As(err, &specError) || specError.Key != c.key {
-				t.Fatalf("%v, want a SpecError of %s", err, c.key)
+				t.Fatalf("got error %v, want a SpecError of %s", err, c.key)
 			}
 			if err.Error() != c.want {
-				t.Errorf("%q, want %q", err, c.want)
+				t.Errorf("got error %q, want %q", err, c.want)
 			}
 		})
 	}
@@ -64,22 +65,22 @@
 	for _, kind := range kindsInOrder {
 		key := Key{Kind: kind, Name: "a/b"}
 		if again, err := ParseKey(key.String()); err != nil || again != key {
-			t.Errorf("%v, %v, want %s", again, err, key)
+			t.Errorf("got %v, %v, want %s", again, err, key)
 		}
 	}
 	_, err := ParseKey("route")
 	var keyError *KeyError
 	if !errors.As(err, &keyError) || keyError.Text != "route" {
-		t.Errorf("without a slash: %v", err)
+		t.Errorf("key without a slash: got error %v, want a KeyError of %q", err, "route")
 	}
 	_, err = ParseKey("rout/a")
 	var kindError *KindError
 	if !errors.As(err, &kindError) || kindError.Name != "rout" {
-		t.Errorf("unknown kind: %v", err)
+		t.Errorf("key of an unknown kind: got error %v, want a KindError of %q", err, "rout")
 	}
 	_, err = ParseKey("route/")
 	var nameError *NameError
 	if !errors.As(err, &nameError) || nameError.What != "name" {
-		t.Errorf("without a name: %v", err)
+		t.Errorf("key without a name: got error %v, want a NameError of %q", err, "name")
 	}
 }
--- a/records/store.go
+++ b/records/store.go
@@ -2,30 +2,31 @@
 
 import "sync"
 
-// maxStateBytes bounds the records together, as encoded in a snapshot: twice the expected 3,400 routes and 140,000 tenants
-// take about 25 MB, and a snapshot with its history has to fit into one message of 64 MB between members.
+// maxStateBytes bounds the total size of the records as encoded in a snapshot. Twice the expected 3,400 routes and
+// 140,000 tenants take about 25 MB, and a snapshot with its history must fit into one message of 64 MB between members.
 const maxStateBytes = 40 << 20
 
-// Store holds the records, indexes over them and the latest changes. One goroutine applies transactions; any number may
-// read at the same time. An applied transaction costs by its own size, not by that of the state.
+// Store holds the records, their indexes and the latest changes. Transactions must be applied by a single goroutine;
+// any number of goroutines may read concurrently. The cost of applying a transaction depends on its size, not on the
+// size of the state.
 type Store struct {
-	contentMutex sync.RWMutex // guards all below but maxBytes
+	contentMutex sync.RWMutex // guards the fields below except maxBytes
 
 	revision uint64 // of the last change
 	index    index
-	routing  routingRevisions // when routes last changed, by service
+	routing  routingRevisions // revisions at which routes last changed, by service
 	history  history
-	sorted   sortedRecords // for the next snapshot
+	sorted   sortedRecords // cache for the next snapshot
 
-	lastChangeByKind map[Kind]uint64 // revisions, since the last snapshot was restored
-	restoredRevision uint64          // of the last snapshot that was restored
+	lastChangeByKind map[Kind]uint64 // revision of the last change since a snapshot was restored
+	restoredRevision uint64          // revision of the last restored snapshot
 
-	maxBytes int // of index.bytes
+	maxBytes int // bound on index.bytes
 }
 
 var _ Source = (*Store)(nil)
 
-// NewStore makes a store without records.
+// NewStore returns a store without records.
 func NewStore() *Store {
 	return &Store{
 		index:            newIndex(),
@@ -36,29 +37,30 @@
 	}
 }
 
-// Revision is that of the last change.
+// Revision returns the revision of the last change.
 func (s *Store) Revision() uint64 {
 	s.contentMutex.RLock()
 	defer s.contentMutex.RUnlock()
 	return s.revision
 }
 
-// Count is how many records of a kind there are.
+// Count returns the number of records of a kind.
 func (s *Store) Count(kind Kind) int {
 	s.contentMutex.RLock()
 	defer s.contentMutex.RUnlock()
 	return len(s.index.byKind[kind])
 }
 
-// Size is how many bytes the records take as encoded, and how many they may take.
+// Size returns the size of the encoded records and its bound, in bytes.
 func (s *Store) Size() (bytes, limit int) {
 	s.contentMutex.RLock()
 	defer s.contentMutex.RUnlock()
 	return s.index.bytes, s.maxBytes
 }
 
-// LastChange is the revision at which records of some kinds last changed, so that who needs only those need not look
-// after each change. After a snapshot was restored it is at least the snapshot's.
+// LastChange returns the revision at which a record of the given kinds last changed, so that a caller that needs only
+// these kinds can ignore other changes. After a snapshot is restored, the result is at least the revision of the
+// snapshot.
 func (s *Store) LastChange(kinds ...Kind) uint64 {
 	s.contentMutex.RLock()
 	defer s.contentMutex.RUnlock()
@@ -69,23 +71,24 @@
 	return last
 }
 
-// Get gives a record, nil if there is none of that key.
+// Get returns the record with a key, or nil if there is none.
 func (s *Store) Get(key Key) *Record {
 	s.contentMutex.RLock()
 	defer s.contentMutex.RUnlock()
 	return s.index.get(key)
 }
 
-// OfKinds gives all records of some kinds. Its routing revision is that of all routes.
+// OfKinds returns all records of the given kinds. The routing revision of the View is that of all routes.
 func (s *Store) OfKinds(kinds ...Kind) View {
 	s.contentMutex.RLock()
 	view := View{Records: s.index.ofKinds(kinds), Revision: s.revision, RoutingRevision: s.routing.highest}
 	s.contentMutex.RUnlock()
-	sortByKey(view.Records) // beside the lock, so that a long sort holds up no writer
+	sortByKey(view.Records) // without the lock, so that a long sort does not block the writer
 	return view
 }
 
-// InScope gives all records of a scope. It costs by what the scope holds, but for a scope of all.
+// InScope returns all records of a scope. Unless the scope contains all records, the cost depends only on
+// the number of records in it.
 func (s *Store) InScope(scope Scope) View {
 	if scope.All {
 		return s.OfKinds(kindsInOrder...)
--- a/records/store_test.go
+++ b/records/store_test.go
@@ -11,11 +11,12 @@
 	apply(t, s, write(KindService, "a", ServiceSpec{}))
 	var revisionError *RevisionError
 	if _, err := s.Apply(1, Transaction{Writes: []Write{write(KindService, "b", ServiceSpec{})}}); !errors.As(err, &revisionError) {
-		t.Errorf("the same revision twice: %v", err)
+		t.Errorf("revision of the last change: got error %v, want a RevisionError", err)
 	}
 	change := apply(t, s, write(KindService, "a", ServiceSpec{}))
 	if len(change.Updates) != 0 || s.Revision() != 2 || s.Get(Key{KindService, "a"}).Revision != 1 {
-		t.Errorf("a write of what is there: %q, revision %d", describeUpdates(change.Updates), s.Revision())
+		t.Errorf("write without a change: got updates %q, store at revision %d, record at %d, want none, 2 and 1",
+			describeUpdates(change.Updates), s.Revision(), s.Get(Key{KindService, "a"}).Revision)
 	}
 }
 
@@ -24,7 +25,7 @@
 	expect := func(want uint64, kinds ...Kind) {
 		t.Helper()
 		if got := s.LastChange(kinds...); got != want {
-			t.Errorf("%v changed at %d, want %d", kinds, got, want)
+			t.Errorf("last change of %v: got revision %d, want %d", kinds, got, want)
 		}
 	}
 	expect(0, KindRoute)
@@ -35,18 +36,18 @@
 	expect(3, KindTenant)
 	expect(3, KindRoute, KindTenant)
 	if _, err := s.Apply(4, Transaction{Writes: []Write{removal(KindRoute, "a")}}); err == nil {
-		t.Error("the last route was removed")
+		t.Error("removal of the last route: got no error, want one")
 	}
 	expect(1, KindRoute)
 	if err := s.Restore(s.Snapshot()); err != nil {
 		t.Fatal(err)
 	}
-	expect(3, KindOverride) // it may have changed: what was there before is not known
+	expect(3, KindOverride) // overrides may have changed: the state before the snapshot is unknown
 }
 
-// Followers read on many goroutines while entries are applied. A reading of two revisions would put a follower into a
-// state that was never agreed on. Each has to be of one revision: two records that are always written together agree.
-// The race detector looks at it as well.
+// Followers read on many goroutines while entries are applied. A read that mixed two revisions would give a follower a
+// state that was never agreed on. Here two records are always written together, so that each read must return both with
+// the same revision. The race detector checks this test as well.
 func TestReadersSeeOneRevision(t *testing.T) {
 	s := NewStore()
 	both := func(limit float64) []Write {
@@ -66,16 +67,16 @@
 				view := s.InScope(Scope{})
 				held, at := view.Records, view.Revision
 				if view.RoutingRevision != at {
-					t.Errorf("routes changed at revision %d, read as of %d", view.RoutingRevision, at)
+					t.Errorf("routing revision: got %d, want %d, the revision of the view", view.RoutingRevision, at)
 					return
 				}
 				if len(held) != 2 || held[0].Revision != at || held[1].Revision != at {
-					t.Errorf("%q as of %d", describeAll(held), at)
+					t.Errorf("view: got %q, want two records with revision %d", describeAll(held), at)
 					return
 				}
 				delta := s.Since(at-1, Scope{})
 				if updates := delta.Updates; !delta.Available || len(updates) != 2 || updates[0].After.Revision != updates[1].After.Revision || updates[0].After.Revision != delta.RoutingRevision {
-					t.Errorf("%q", describeUpdates(updates))
+					t.Errorf("delta: got updates %q, available %v, want two updates of revision %d, available true", describeUpdates(updates), delta.Available, delta.RoutingRevision)
 					return
 				}
 			}
--- a/records/transaction.go
+++ b/records/transaction.go
@@ -5,30 +5,30 @@
 	"fmt"
 )
 
-// The bounds of one transaction that an operator proposes. A larger change is made as several transactions; the bounds
-// keep an entry of the log well under one message between members.
+// Bounds on a transaction that an operator proposes. A larger change must be split into several transactions. The
+// bounds keep an entry of the log well below the size of one message between members.
 const (
 	MaxTransactionWrites = 256
-	MaxTransactionBytes  = 256 << 10 // of names and bodies together
+	MaxTransactionBytes  = 256 << 10 // total size of names and bodies
 )
 
-// Write sets one record or removes it, provided that the record has the revision that the writer knows.
+// Write sets or removes one record, provided that the record has the expected revision.
 type Write struct {
 	Key              Key             `json:"key"`
-	Body             json.RawMessage `json:"body,omitempty"`   // the spec as JSON; none removes the record
-	ExpectedRevision uint64          `json:"expect,omitempty"` // the revision that the record has to have; 0: it must not exist
-	AnyRevision      bool            `json:"any,omitempty"`    // whatever revision it has, also none
+	Body             json.RawMessage `json:"body,omitempty"`   // the spec as JSON; empty: remove the record
+	ExpectedRevision uint64          `json:"expect,omitempty"` // required revision of the record; 0: it must not exist
+	AnyRevision      bool            `json:"any,omitempty"`    // the record may have any revision, or not exist
 }
 
-// Transaction is a set of writes that are applied together or not at all.
+// Transaction is a set of writes that is applied atomically.
 type Transaction struct {
 	Writes []Write `json:"writes"`
-	// Restamp has a write of what is there already count as a change, which sets the record's revision.
+	// Restamp makes a write set the revision of its record even if the content does not change.
 	Restamp bool `json:"-"`
 }
 
-// Validate checks what is known without the state: the bounds of an operator's transaction, and each write alone. The
-// error is an *InvalidError.
+// Validate checks a transaction without regard to the state: the bounds on an operator's transaction, and each write on
+// its own. The error is an *InvalidError.
 func (t Transaction) Validate() error {
 	if len(t.Writes) == 0 {
 		return &InvalidError{Reason: "a transaction has to write at least one record"}
@@ -43,7 +43,7 @@
 	return err
 }
 
-// size is the bytes of names and bodies.
+// size returns the total size of names and bodies in bytes.
 func (t Transaction) size() int {
 	size := 0
 	for _, write := range t.Writes {
@@ -52,7 +52,7 @@
 	return size
 }
 
-// parse gives the records that the writes set, nil where one removes. The error is an *InvalidError.
+// parse returns the record that each write sets, nil for a removal. The error is an *InvalidError.
 func (t Transaction) parse() ([]*Record, error) {
 	parsed := make([]*Record, len(t.Writes))
 	seen := make(map[Key]bool, len(t.Writes))
--- a/records/transaction_test.go
+++ b/records/transaction_test.go
@@ -20,14 +20,14 @@
 	}})
 	var conflict *ConflictError
 	if !errors.As(err, &conflict) {
-		t.Fatal(err)
+		t.Fatalf("got error %v, want a ConflictError", err)
 	}
 	want := []Conflict{{Key{KindRoute, "a"}, 1, 2}, {Key{KindService, "pay"}, 0, 1}, {Key{KindTenant, "x"}, 7, 0}}
 	if !slices.Equal(conflict.Conflicts, want) {
-		t.Errorf("%v", conflict.Conflicts)
+		t.Errorf("got conflicts %v, want %v", conflict.Conflicts, want)
 	}
 	if got := err.Error(); got != "changed since it was read: route/a has revision 2, 1 was expected; service/pay exists with revision 1; tenant/x does not exist, revision 7 was expected" {
-		t.Error(got)
+		t.Errorf("got message %q, want one that lists the three conflicts", got)
 	}
 }
 
@@ -39,7 +39,7 @@
 	large := Transaction{Writes: []Write{{Key: Key{KindService, "a"}, Body: make([]byte, MaxTransactionBytes)}}}
 	cases := map[string]struct {
 		transaction Transaction
-		want        string // part of the error
+		want        string // substring of the error
 	}{
 		"writes":  {many, "at most 256 records, not 257"},
 		"bytes":   {large, "at most 262144 bytes, not 262145"},
@@ -51,12 +51,12 @@
 			err := c.transaction.Validate()
 			var invalid *InvalidError
 			if !errors.As(err, &invalid) || !strings.Contains(invalid.Reason, c.want) {
-				t.Errorf("%v, want an InvalidError with %q", err, c.want)
+				t.Errorf("got error %v, want an InvalidError with %q", err, c.want)
 			}
 		})
 	}
 	many.Writes = many.Writes[1:]
 	if err := many.Validate(); err != nil {
-		t.Error(err)
+		t.Errorf("%d writes: got error %v, want none", len(many.Writes), err)
 	}
 }
