--- a/cluster/bench_test.go
+++ b/cluster/bench_test.go
@@ -15,7 +15,7 @@
 	for _, size := range []float64{1, 2} {
 		b.Run(fmt.Sprintf("size=%g", size), func(b *testing.B) {
 			s, index := filledState(b, size)
-			s.Store().Forget()
+			s.Store().DropHistory()
 			disk, _, err := raftlog.Open(b.TempDir())
 			if err != nil {
 				b.Fatal(err)
@@ -40,7 +40,7 @@
 // BenchmarkRestore measures the cost of restoring a snapshot, at startup or when another member sends it.
 func BenchmarkRestore(b *testing.B) {
 	s, _ := filledState(b, 1)
-	s.Store().Forget()
+	s.Store().DropHistory()
 	data, err := s.Snapshot()
 	if err != nil {
 		b.Fatal(err)
--- a/cluster/cost_test.go
+++ b/cluster/cost_test.go
@@ -63,7 +63,7 @@
 func measureEntryCost(t testing.TB, size float64, afterChange func(*State)) (cost entryCost) {
 	t.Helper()
 	s, index := filledState(t, size)
-	s.Store().Forget()
+	s.Store().DropHistory()
 	const changes = 1000
 	services, tenants := int(expectedServices*size), int(expectedTenants*size)
 	entries := make([][]byte, changes)
--- a/cluster/errors_test.go
+++ b/cluster/errors_test.go
@@ -49,7 +49,7 @@
 		t.Run(name, func(t *testing.T) {
 			script := newScriptWithTwoVersions(t)
 			script.apply(register)
-			script.state.Store().Forget()
+			script.state.Store().DropHistory()
 			err := script.state.execute(99, 3, c.command)
 			if !reflect.DeepEqual(err, c.want) {
 				t.Errorf("got %#v, want %#v", err, c.want)
--- a/cluster/snapshot_fulltexts.go
+++ b/cluster/snapshot_fulltexts.go
@@ -33,7 +33,7 @@
 			continue
 		}
 		if len(s.Versions) == 1 {
-			s.store.Forget() // the snapshot has no earlier changes
+			s.store.DropHistory() // the snapshot has no earlier changes
 		}
 	}
 	if lastError != nil {
--- a/cluster/transactions_test.go
+++ b/cluster/transactions_test.go
@@ -78,7 +78,7 @@
 	script := newCommandScript(t)
 	script.apply(putCommand("a", 1, 0, "one"))
 	script.apply(putCommand("b", 1, 11, "two"))
-	script.state.Store().Forget()
+	script.state.Store().DropHistory()
 	if r := script.apply(Command{Kind: CommandRollBack, Client: "c", Seq: 1, Base: 12, To: 11}); r.Rejected != "the changes since version 11 are not kept" || r.Version != 12 {
 		t.Errorf("got result %+v, want version 12, rejection %q", r, "the changes since version 11 are not kept")
 	}
--- a/records/apply.go
+++ b/records/apply.go
@@ -7,7 +7,7 @@
 // write that does not change the content of its record produces no update, and the record keeps its revision, unless
 // the transaction has Restamp set. Apply does not check the bounds on an operator's transaction; Validate does.
 func (s *Store) Apply(revision uint64, transaction Transaction) (Change, error) {
-	written, err := transaction.parse()
+	parsed, err := transaction.parse()
 	if err != nil {
 		return Change{}, err
 	}
@@ -19,8 +19,8 @@
 	if err := s.checkRevisions(transaction); err != nil {
 		return Change{}, err
 	}
-	updates := s.stampUpdates(revision, transaction, written)
-	if err := s.replaceChecked(updates); err != nil {
+	updates := s.stampUpdates(revision, transaction, parsed)
+	if err := s.applyUpdates(updates); err != nil {
 		return Change{}, err
 	}
 	change := Change{Revision: revision, Updates: updates}
@@ -47,9 +47,9 @@
 }
 
 // stampUpdates returns the updates that the writes make, ordered by key. It sets the revision of the written records.
-func (s *Store) stampUpdates(revision uint64, transaction Transaction, written []*Record) []Update {
-	updates := make([]Update, 0, len(written))
-	for i, after := range written {
+func (s *Store) stampUpdates(revision uint64, transaction Transaction, parsed []*Record) []Update {
+	updates := make([]Update, 0, len(parsed))
+	for i, after := range parsed {
 		before := s.index.get(transaction.Writes[i].Key)
 		if isUnchanged(before, after, transaction.Restamp) {
 			continue
@@ -84,8 +84,8 @@
 	}
 }
 
-// replaceChecked applies updates to the indexes, and reverts them if they break a rule.
-func (s *Store) replaceChecked(updates []Update) error {
+// applyUpdates applies updates to the indexes, and reverts them if they break a rule.
+func (s *Store) applyUpdates(updates []Update) error {
 	routesBefore := len(s.index.byKind[KindRoute])
 	for _, update := range updates {
 		s.replaceRecord(update.Before, update.After)
--- a/records/bench_test.go
+++ b/records/bench_test.go
@@ -57,10 +57,10 @@
 	for _, size := range []float64{1, 2} {
 		b.Run(fmt.Sprintf("size=%g", size), func(b *testing.B) {
 			s := filledStore(b, size)
-			s.Forget()
+			s.DropHistory()
 			b.ReportAllocs()
 			for b.Loop() {
-				s.sorted.forget() // so that each snapshot sorts all records
+				s.sorted.invalidate() // so that each snapshot sorts all records
 				b.SetBytes(int64(len(s.Snapshot())))
 			}
 		})
@@ -72,7 +72,7 @@
 	for _, size := range []float64{1, 2} {
 		b.Run(fmt.Sprintf("size=%g", size), func(b *testing.B) {
 			s := filledStore(b, size)
-			s.Forget()
+			s.DropHistory()
 			s.Snapshot()
 			share := 0.002
 			for b.Loop() {
--- a/records/cost_test.go
+++ b/records/cost_test.go
@@ -53,9 +53,9 @@
 	history            float64 // bytes that the change counts toward the bound of the history
 }
 
-// costOfChange measures the mean cost of a change of one tenant on a store of the given size. The function more, which
-// may be nil, is called after each change.
-func costOfChange(t testing.TB, size float64, more func(*Store)) changeCost {
+// measureChangeCost measures the mean cost of a change of one tenant on a store of the given size. The function
+// afterChange, which may be nil, is called after each change.
+func measureChangeCost(t testing.TB, size float64, afterChange func(*Store)) changeCost {
 	t.Helper()
 	s := filledStore(t, size)
 	const changes = 1000
@@ -65,7 +65,7 @@
 	for i := range transactions {
 		transactions[i].Writes = []Write{tenantWrite(i*7919%tenants, services, 0.002+float64(i)*1e-6)}
 	}
-	s.Forget()
+	s.DropHistory()
 	var before, after runtime.MemStats
 	runtime.GC()
 	runtime.ReadMemStats(&before)
@@ -75,8 +75,8 @@
 			t.Fatal(err)
 		}
 		s.Since(last, scope)
-		if more != nil {
-			more(s)
+		if afterChange != nil {
+			afterChange(s)
 		}
 	}
 	runtime.ReadMemStats(&after)
@@ -89,8 +89,8 @@
 // maxGrowth bounds the ratio between the costs of a change at ten times the size and at the size.
 const maxGrowth = 1.2
 
-// growthFault describes the first cost that grows by more than maxGrowth, or returns an empty string if none does.
-func growthFault(small, large changeCost) string {
+// describeGrowth describes the first cost that grows by more than maxGrowth, or returns an empty string if none does.
+func describeGrowth(small, large changeCost) string {
 	switch {
 	case large.allocations > maxGrowth*small.allocations:
 		return fmt.Sprintf("allocations per change: got %.1f, want at most %.1f", large.allocations, maxGrowth*small.allocations)
@@ -106,10 +106,10 @@
 // the cost of a change at a tenth of the expected size with the cost at the full size, in allocations and bytes, not in
 // time.
 func TestChangeCostDoesNotGrowWithTheStore(t *testing.T) {
-	small, large := costOfChange(t, 0.1, nil), costOfChange(t, 1, nil)
+	small, large := measureChangeCost(t, 0.1, nil), measureChangeCost(t, 1, nil)
 	t.Logf("a tenth of the expected size: %+v; the expected size: %+v", small, large)
-	if fault := growthFault(small, large); fault != "" {
-		t.Error(fault)
+	if growth := describeGrowth(small, large); growth != "" {
+		t.Error(growth)
 	}
 }
 
@@ -128,11 +128,11 @@
 	}
 	for name, planted := range cases {
 		t.Run(name, func(t *testing.T) {
-			fault := growthFault(costOfChange(t, 0.1, planted), costOfChange(t, 1, planted))
-			if fault == "" {
+			growth := describeGrowth(measureChangeCost(t, 0.1, planted), measureChangeCost(t, 1, planted))
+			if growth == "" {
 				t.Error("the planted fault was not detected")
 			}
-			t.Log(fault)
+			t.Log(growth)
 		})
 	}
 }
@@ -144,7 +144,7 @@
 	runtime.GC()
 	runtime.ReadMemStats(&before)
 	s := filledStore(t, 2)
-	s.Forget()
+	s.DropHistory()
 	runtime.GC()
 	runtime.ReadMemStats(&after)
 	records := s.Count(KindRoute) + s.Count(KindService) + s.Count(KindTenant)
--- a/records/decode.go
+++ b/records/decode.go
@@ -120,9 +120,9 @@
 	if update.After == nil {
 		return update
 	}
-	held := s.index.get(update.After.Key)
-	if held != nil && held.Revision == update.After.Revision && held.SameContent(update.After) {
-		update.After = held
+	current := s.index.get(update.After.Key)
+	if current != nil && current.Revision == update.After.Revision && current.SameContent(update.After) {
+		update.After = current
 	}
 	return update
 }
--- a/records/earlier.go
+++ b/records/earlier.go
@@ -8,7 +8,7 @@
 	}
 	s.contentMutex.RLock()
 	defer s.contentMutex.RUnlock()
-	delta := Delta{Revision: s.revision, RoutingRevision: s.routing.inScope(scope), Available: s.history.knows(revision)}
+	delta := Delta{Revision: s.revision, RoutingRevision: s.routing.inScope(scope), Available: s.history.covers(revision)}
 	if revision >= s.revision || !delta.Available {
 		return delta
 	}
@@ -22,40 +22,40 @@
 
 // At returns all records as of a revision, ordered by key. Retained is false if the changes after the revision are no
 // longer retained, or if the revision is greater than that of the last change.
-func (s *Store) At(revision uint64) (held []*Record, retained bool) {
-	held, undone, retained := s.splitAt(revision)
+func (s *Store) At(revision uint64) (records []*Record, retained bool) {
+	records, previous, retained := s.splitAt(revision)
 	if !retained {
 		return nil, false
 	}
-	for _, record := range undone {
+	for _, record := range previous {
 		if record != nil {
-			held = append(held, record)
+			records = append(records, record)
 		}
 	}
-	sortByKey(held)
-	return held, true
+	sortByKey(records)
+	return records, true
 }
 
 // splitAt returns the records that did not change since a revision, and by key the previous versions of those that did,
 // nil for a record that did not exist.
-func (s *Store) splitAt(revision uint64) (unchanged []*Record, undone map[Key]*Record, retained bool) {
+func (s *Store) splitAt(revision uint64) (unchanged []*Record, previous map[Key]*Record, retained bool) {
 	s.contentMutex.RLock()
 	defer s.contentMutex.RUnlock()
 	if !s.retains(revision) {
 		return nil, nil, false
 	}
-	undone = map[Key]*Record{}
+	previous = map[Key]*Record{}
 	for _, update := range mergeChanges(s.history.since(revision)) {
-		undone[update.Key()] = update.Before
+		previous[update.Key()] = update.Before
 	}
 	for _, byName := range s.index.byKind {
 		for _, record := range byName {
-			if _, changed := undone[record.Key]; !changed {
+			if _, changed := previous[record.Key]; !changed {
 				unchanged = append(unchanged, record)
 			}
 		}
 	}
-	return unchanged, undone, true
+	return unchanged, previous, true
 }
 
 // Reversal returns the transaction that restores the content of the records as of a revision. Its writes accept any
@@ -76,14 +76,14 @@
 	return transaction, true
 }
 
-// Forget drops the history: the changes up to the last revision are no longer retained. The records stay.
-func (s *Store) Forget() {
+// DropHistory drops the history: the changes up to the last revision are no longer retained. The records stay.
+func (s *Store) DropHistory() {
 	s.contentMutex.Lock()
 	defer s.contentMutex.Unlock()
-	s.history.forget(s.revision)
+	s.history.dropAll(s.revision)
 }
 
 // retains reports whether the records as of a revision can be reconstructed.
 func (s *Store) retains(revision uint64) bool {
-	return s.history.knows(revision) && revision <= s.revision
+	return s.history.covers(revision) && revision <= s.revision
 }
--- a/records/earlier_test.go
+++ b/records/earlier_test.go
@@ -12,17 +12,17 @@
 	reversed := 0
 	for seed := range uint64(30) {
 		random := rand.New(rand.NewPCG(seed, 2))
-		store, plain := NewStore(), newModel()
+		store, reference := NewStore(), newModel()
 		for revision := uint64(1); revision < 80; revision++ {
-			transaction := randomTransaction(random, plain.last())
-			if plain.apply(revision, transaction) == "" {
+			transaction := randomTransaction(random, reference.last())
+			if reference.apply(revision, transaction) == "" {
 				if _, err := store.Apply(revision, transaction); err != nil {
 					t.Fatal(err)
 				}
 			}
 		}
 		target := uint64(random.IntN(int(store.Revision())))
-		if countRoutes(plain.at(target)) == 0 {
+		if countRoutes(reference.at(target)) == 0 {
 			continue // Apply rejects a transaction that leaves no route
 		}
 		transaction, retained := store.Reversal(target)
@@ -33,10 +33,10 @@
 			t.Fatalf("seed %d: %v", seed, err)
 		}
 		reversed++
-		now := store.InScope(Scope{All: true}).Records
-		want := recordsInScope(plain.at(target), Scope{All: true})
-		if !slices.EqualFunc(now, want, (*Record).SameContent) {
-			t.Fatalf("seed %d, reversal to revision %d: got %q, want %q", seed, target, describeAll(now), describeAll(want))
+		got := store.InScope(Scope{All: true}).Records
+		want := recordsInScope(reference.at(target), Scope{All: true})
+		if !slices.EqualFunc(got, want, (*Record).SameContent) {
+			t.Fatalf("seed %d, reversal to revision %d: got %q, want %q", seed, target, describeAll(got), describeAll(want))
 		}
 	}
 	if reversed < 10 {
--- a/records/errors.go
+++ b/records/errors.go
@@ -24,13 +24,13 @@
 
 // NameError is returned when a name is empty, too long, or spans several lines.
 type NameError struct {
-	What       string // name, service or zone
+	Field      string // name, service or zone
 	LimitBytes int
 }
 
 // Error returns a message that states the kind of name and its bound.
 func (e *NameError) Error() string {
-	return fmt.Sprintf("a %s has to be 1 to %d bytes on one line", e.What, e.LimitBytes)
+	return fmt.Sprintf("a %s has to be 1 to %d bytes on one line", e.Field, e.LimitBytes)
 }
 
 // SpecError is returned when a spec is not valid for its record.
@@ -47,12 +47,12 @@
 
 // FieldError is returned when a field of a spec has an invalid value.
 type FieldError struct {
-	Field string // in the wording of the message, such as "its share"
-	Want  string // the requirement that follows "has to" in the message
+	Field       string // in the wording of the message, such as "its share"
+	Requirement string // the requirement that follows "has to" in the message
 }
 
 // Error returns a message that states the field and its requirement.
-func (e *FieldError) Error() string { return e.Field + " has to " + e.Want }
+func (e *FieldError) Error() string { return e.Field + " has to " + e.Requirement }
 
 // Errors for the kind of a record and for the JSON of its spec.
 var (
--- a/records/fuzz_test.go
+++ b/records/fuzz_test.go
@@ -10,11 +10,11 @@
 // store can be restored to a store with the same snapshot.
 func FuzzRestore(f *testing.F) {
 	random := rand.New(rand.NewPCG(1, 4))
-	store, plain := NewStore(), newModel()
+	store, reference := NewStore(), newModel()
 	f.Add(store.Snapshot())
 	for revision := uint64(1); revision < 40; revision++ {
-		transaction := randomTransaction(random, plain.last())
-		if plain.apply(revision, transaction) != "" {
+		transaction := randomTransaction(random, reference.last())
+		if reference.apply(revision, transaction) != "" {
 			continue
 		}
 		if _, err := store.Apply(revision, transaction); err != nil {
@@ -33,11 +33,11 @@
 			return
 		}
 		snapshot := restored.Snapshot()
-		again := NewStore()
-		if err := again.Restore(snapshot); err != nil {
+		second := NewStore()
+		if err := second.Restore(snapshot); err != nil {
 			t.Fatalf("snapshot of the restored store: got error %v, want none", err)
 		}
-		if !slices.Equal(snapshot, again.Snapshot()) {
+		if !slices.Equal(snapshot, second.Snapshot()) {
 			t.Error("the snapshot changed when it was restored")
 		}
 	})
--- a/records/history.go
+++ b/records/history.go
@@ -38,21 +38,21 @@
 	h.changes = h.changes[1:]
 }
 
-// forget drops all changes. The revision must be that of the last change; it becomes the compact revision.
-func (h *history) forget(revision uint64) {
+// dropAll drops all changes. The revision must be that of the last change; it becomes the compact revision.
+func (h *history) dropAll(revision uint64) {
 	*h = history{maxBytes: h.maxBytes, compactRevision: revision}
 }
 
-// knows reports whether all changes after a revision are retained.
-func (h *history) knows(revision uint64) bool { return revision >= h.compactRevision }
+// covers reports whether all changes after a revision are retained.
+func (h *history) covers(revision uint64) bool { return revision >= h.compactRevision }
 
 // since returns the changes after a revision.
 func (h *history) since(revision uint64) []Change {
-	at, found := slices.BinarySearchFunc(h.changes, revision, func(c Change, r uint64) int { return cmp.Compare(c.Revision, r) })
+	position, found := slices.BinarySearchFunc(h.changes, revision, func(c Change, r uint64) int { return cmp.Compare(c.Revision, r) })
 	if found {
-		at++
+		position++
 	}
-	return h.changes[at:]
+	return h.changes[position:]
 }
 
 // changeSize returns the bytes that a change counts toward the bound of the history.
@@ -79,7 +79,7 @@
 	for _, change := range changes {
 		for _, update := range change.Updates {
 			key := update.Key()
-			if earlier, known := byKey[key]; known {
+			if earlier, found := byKey[key]; found {
 				update.Before = earlier.Before
 			}
 			if update.Before == nil && update.After == nil {
--- a/records/index.go
+++ b/records/index.go
@@ -43,36 +43,36 @@
 	for _, kind := range kinds {
 		count += len(x.byKind[kind])
 	}
-	held := make([]*Record, 0, count)
+	records := make([]*Record, 0, count)
 	for _, kind := range kinds {
 		for _, record := range x.byKind[kind] {
-			held = append(held, record)
+			records = append(records, record)
 		}
 	}
-	return held
+	return records
 }
 
 // inScope returns all records of a normalized scope, in no particular order.
 func (x *index) inScope(scope Scope) []*Record {
-	var held []*Record
-	for _, service := range withUnnamed(scope.Services) {
-		for _, zone := range withUnnamed(scope.Zones) {
+	var records []*Record
+	for _, service := range withEmptyName(scope.Services) {
+		for _, zone := range withEmptyName(scope.Zones) {
 			for record := range x.byServiceZone[serviceZone{service, zone}] {
-				held = append(held, record)
+				records = append(records, record)
 			}
 		}
 	}
-	return held
+	return records
 }
 
 func (x *index) insert(record *Record) {
 	x.byKind[record.Kind][record.Name] = record
 	x.bytes += encodedSize(record)
-	at := serviceZone{record.Service, record.Zone}
-	if x.byServiceZone[at] == nil {
-		x.byServiceZone[at] = map[*Record]struct{}{}
+	location := serviceZone{record.Service, record.Zone}
+	if x.byServiceZone[location] == nil {
+		x.byServiceZone[location] = map[*Record]struct{}{}
 	}
-	x.byServiceZone[at][record] = struct{}{}
+	x.byServiceZone[location][record] = struct{}{}
 	if record.Kind == KindRoute {
 		prefix := routePrefix(record)
 		x.routesByPrefix[prefix] = append(x.routesByPrefix[prefix], record)
@@ -85,10 +85,10 @@
 		delete(x.byKind[record.Kind], record.Name)
 	}
 	x.bytes -= encodedSize(record)
-	at := serviceZone{record.Service, record.Zone}
-	delete(x.byServiceZone[at], record)
-	if len(x.byServiceZone[at]) == 0 {
-		delete(x.byServiceZone, at)
+	location := serviceZone{record.Service, record.Zone}
+	delete(x.byServiceZone[location], record)
+	if len(x.byServiceZone[location]) == 0 {
+		delete(x.byServiceZone, location)
 	}
 	if record.Kind == KindRoute {
 		x.removePrefix(record)
@@ -98,12 +98,12 @@
 
 func (x *index) removePrefix(route *Record) {
 	prefix := routePrefix(route)
-	left := slices.DeleteFunc(x.routesByPrefix[prefix], func(other *Record) bool { return other == route })
-	if len(left) == 0 {
+	remaining := slices.DeleteFunc(x.routesByPrefix[prefix], func(other *Record) bool { return other == route })
+	if len(remaining) == 0 {
 		delete(x.routesByPrefix, prefix)
 		return
 	}
-	x.routesByPrefix[prefix] = left
+	x.routesByPrefix[prefix] = remaining
 }
 
 // countReference adds a record to the usage of its service (sign 1), or subtracts it (sign -1).
--- a/records/key.go
+++ b/records/key.go
@@ -86,18 +86,18 @@
 	return strings.Compare(k.Name, other.Name)
 }
 
-// checkName returns a *NameError if a name is invalid. The error states what the name denotes.
-func checkName(what, name string) error {
+// checkName returns a *NameError if a name is invalid. The error states the field that the name is for.
+func checkName(field, name string) error {
 	if name == "" || len(name) > maxNameBytes || strings.ContainsAny(name, "\r\n\x00") {
-		return &NameError{What: what, LimitBytes: maxNameBytes}
+		return &NameError{Field: field, LimitBytes: maxNameBytes}
 	}
 	return nil
 }
 
 // checkOptionalName is like checkName, but accepts an empty name.
-func checkOptionalName(what, name string) error {
+func checkOptionalName(field, name string) error {
 	if name == "" {
 		return nil
 	}
-	return checkName(what, name)
+	return checkName(field, name)
 }
--- a/records/model_helpers_test.go
+++ b/records/model_helpers_test.go
@@ -43,11 +43,11 @@
 		}
 	}
 	for _, write := range transaction.Writes {
-		held := uint64(0)
+		actual := uint64(0)
 		if record := m.last()[write.Key]; record != nil {
-			held = record.Revision
+			actual = record.Revision
 		}
-		if !write.AnyRevision && held != write.ExpectedRevision {
+		if !write.AnyRevision && actual != write.ExpectedRevision {
 			return "conflict"
 		}
 		if write.Body == nil {
@@ -61,7 +61,7 @@
 		record.Revision = revision
 		next[write.Key] = record
 	}
-	if !keepsAllRules(m.last(), next) {
+	if !satisfiesAllRules(m.last(), next) {
 		return "check"
 	}
 	m.revisions = append(m.revisions, revision)
@@ -85,8 +85,8 @@
 	return 0
 }
 
-// keepsAllRules reports whether all records of a state satisfy all rules.
-func keepsAllRules(before, state map[Key]*Record) bool {
+// satisfiesAllRules reports whether all records of a state satisfy all rules.
+func satisfiesAllRules(before, state map[Key]*Record) bool {
 	prefixes, shares := map[string]bool{}, map[string]int64{}
 	for _, record := range state {
 		if record.Service != "" && state[Key{KindService, record.Service}] == nil {
@@ -122,14 +122,14 @@
 }
 
 // recordsInScope is the reference implementation of InScope.
-func recordsInScope(state map[Key]*Record, scope Scope) (held []*Record) {
+func recordsInScope(state map[Key]*Record, scope Scope) (records []*Record) {
 	for _, record := range state {
 		if scope.Normalized().Contains(record) {
-			held = append(held, record)
+			records = append(records, record)
 		}
 	}
-	sortByKey(held)
-	return held
+	sortByKey(records)
+	return records
 }
 
 // updatesBetween is the reference implementation of Since: it compares two complete states.
@@ -162,8 +162,8 @@
 	kind := kindsInOrder[random.IntN(len(kindsInOrder))]
 	key := Key{Kind: kind, Name: fmt.Sprintf("%c%d", "rsto"[kind-1], random.IntN(4))}
 	write := Write{Key: key, AnyRevision: random.IntN(4) == 0}
-	if held := state[key]; held != nil {
-		write.ExpectedRevision = held.Revision
+	if current := state[key]; current != nil {
+		write.ExpectedRevision = current.Revision
 	}
 	if random.IntN(20) == 0 {
 		write.ExpectedRevision += uint64(random.IntN(3))
--- a/records/routingrevisions_test.go
+++ b/records/routingrevisions_test.go
@@ -45,7 +45,7 @@
 
 // The routing revision of a scope is the revision of the last change of its routes, also if the newest route is removed
 // or a route moves to another service. Otherwise the number would decrease, and sidecars would reject the routes.
-func TestRoutingRevisionIsThatOfTheLastRouteChange(t *testing.T) {
+func TestRoutingRevisionIsLastRouteChange(t *testing.T) {
 	s := storeWithRemovedRoute(t)
 	expectRouting(t, s, map[string]uint64{"": 2, "a": 4, "b": 6, "c": 6, "a b": 6, "none": 2, "all": 6})
 	apply(t, s, removal(KindOverride, "n"), removal(KindTenant, "t"))
@@ -60,14 +60,14 @@
 
 // A snapshot preserves the routing revisions of removed routes.
 func TestRoutingRevisionsAreInTheSnapshot(t *testing.T) {
-	s, again := storeWithRemovedRoute(t), NewStore()
-	s.Forget()
+	s, restored := storeWithRemovedRoute(t), NewStore()
+	s.DropHistory()
 	snapshot := s.Snapshot()
-	if err := again.Restore(snapshot); err != nil {
+	if err := restored.Restore(snapshot); err != nil {
 		t.Fatal(err)
 	}
-	expectRouting(t, again, map[string]uint64{"": 2, "a": 4, "b": 6, "c": 6, "all": 6})
-	if !slices.Equal(again.Snapshot(), snapshot) {
+	expectRouting(t, restored, map[string]uint64{"": 2, "a": 4, "b": 6, "c": 6, "all": 6})
+	if !slices.Equal(restored.Snapshot(), snapshot) {
 		t.Error("the snapshot of the restored store differs from the original")
 	}
 }
@@ -82,19 +82,19 @@
 // The routing revisions of an older snapshot are derived from its changes, and from the current routes where changes
 // are no longer retained.
 func TestRoutingRevisionsAreDerivedFromAnOlderSnapshot(t *testing.T) {
-	s, again := storeWithRemovedRoute(t), NewStore()
-	if err := again.Restore(withoutRouting(s)); err != nil {
+	s, restored := storeWithRemovedRoute(t), NewStore()
+	if err := restored.Restore(withoutRouting(s)); err != nil {
 		t.Fatal(err)
 	}
-	expectRouting(t, again, map[string]uint64{"": 2, "a": 4, "b": 6, "c": 6, "all": 6})
-	if !slices.Equal(again.Snapshot(), s.Snapshot()) {
+	expectRouting(t, restored, map[string]uint64{"": 2, "a": 4, "b": 6, "c": 6, "all": 6})
+	if !slices.Equal(restored.Snapshot(), s.Snapshot()) {
 		t.Error("the snapshot of the store restored from the older format differs from the original")
 	}
-	s.Forget()
-	if err := again.Restore(withoutRouting(s)); err != nil {
+	s.DropHistory()
+	if err := restored.Restore(withoutRouting(s)); err != nil {
 		t.Fatal(err)
 	}
-	expectRouting(t, again, map[string]uint64{"": 2, "a": 2, "b": 2, "c": 6, "all": 6})
+	expectRouting(t, restored, map[string]uint64{"": 2, "a": 2, "b": 2, "c": 6, "all": 6})
 }
 
 // A snapshot whose routing revisions are inconsistent with its records is rejected.
@@ -115,13 +115,13 @@
 		t.Fatal("the encoding of the test differs from that of Snapshot")
 	}
 	for name, data := range map[string][]byte{
-		"over the revision":         encoded(0, "", 2, "a", 4, "b", 6, "c", 7),
-		"default over the revision": encoded(7),
-		"out of order":              encoded(0, "", 2, "b", 6, "a", 4, "c", 6),
-		"twice":                     encoded(0, "", 2, "a", 4, "a", 5, "c", 6),
-		"not over the default":      encoded(2, "", 2, "a", 4, "b", 6, "c", 6),
-		"under a route's":           encoded(0, "", 2, "a", 4, "b", 6, "c", 5),
-		"a service missing":         encoded(0, "", 2, "a", 4, "b", 6),
+		"greater than the revision":         encoded(0, "", 2, "a", 4, "b", 6, "c", 7),
+		"default greater than the revision": encoded(7),
+		"out of order":                      encoded(0, "", 2, "b", 6, "a", 4, "c", 6),
+		"duplicate service":                 encoded(0, "", 2, "a", 4, "a", 5, "c", 6),
+		"not greater than the default":      encoded(2, "", 2, "a", 4, "b", 6, "c", 6),
+		"less than a route's":               encoded(0, "", 2, "a", 4, "b", 6, "c", 5),
+		"a service missing":                 encoded(0, "", 2, "a", 4, "b", 6),
 	} {
 		if err := NewStore().Restore(data); err == nil {
 			t.Errorf("%s: got no error, want one", name)
@@ -131,9 +131,9 @@
 
 // After a transaction with Restamp, as used for full texts, stores with different routing revisions have equal
 // snapshots.
-func TestRestampLeavesOneRoutingRevision(t *testing.T) {
+func TestRestampMakesRoutingRevisionsEqual(t *testing.T) {
 	s := storeWithRemovedRoute(t)
-	s.Forget()
+	s.DropHistory()
 	derived := NewStore()
 	if err := derived.Restore(withoutRouting(s)); err != nil {
 		t.Fatal(err)
@@ -155,28 +155,28 @@
 	s := NewStore()
 	s.routing.maxServices = 10
 	apply(t, s, routeOf("plain", "", 1))
-	last := map[string]uint64{}
+	lastSeen := map[string]uint64{}
 	for n := range 100 {
 		service, name := fmt.Sprintf("s%02d", n), fmt.Sprintf("r%02d", n)
 		apply(t, s, write(KindService, service, ServiceSpec{}), routeOf(name, service, 1))
 		apply(t, s, removal(KindRoute, name), removal(KindService, service))
-		last[service] = s.Revision()
+		lastSeen[service] = s.Revision()
 		if retained := len(s.routing.byService); retained > 10 {
 			t.Fatalf("got %d retained services, want at most 10", retained)
 		}
-		for known, before := range last {
+		for known, before := range lastSeen {
 			now := s.InScope(scopeOf(known)).RoutingRevision
 			if now < before || now > s.Revision() {
 				t.Fatalf("routing revision of %s: got %d, want %d to %d", known, now, before, s.Revision())
 			}
-			last[known] = now
+			lastSeen[known] = now
 		}
 	}
 	if s.InScope(scopeOf("s99")).RoutingRevision != s.Revision() || s.InScope(Scope{All: true}).RoutingRevision != s.Revision() {
 		t.Errorf("newest routing revision: got %d in its service and %d in all, want %d", s.InScope(scopeOf("s99")).RoutingRevision, s.InScope(Scope{All: true}).RoutingRevision, s.Revision())
 	}
-	again := NewStore()
-	if err := again.Restore(s.Snapshot()); err != nil || !slices.Equal(again.Snapshot(), s.Snapshot()) {
+	restored := NewStore()
+	if err := restored.Restore(s.Snapshot()); err != nil || !slices.Equal(restored.Snapshot(), s.Snapshot()) {
 		t.Errorf("the snapshot of the restored store differs from the original, or it was rejected: %v", err)
 	}
 }
--- a/records/rules_test.go
+++ b/records/rules_test.go
@@ -8,7 +8,7 @@
 )
 
 func TestRulesOverSeveralRecords(t *testing.T) {
-	begin := []Write{
+	initial := []Write{
 		write(KindService, "pay", ServiceSpec{}),
 		write(KindService, "ship", ServiceSpec{}),
 		write(KindRoute, "quote", RouteSpec{Service: "pay", Prefix: "/quote", TimeLimitMS: 10}),
@@ -18,23 +18,23 @@
 		writes []Write
 		want   string // substring of the error; empty: accepted
 	}{
-		"service unknown":        {[]Write{write(KindRoute, "a", RouteSpec{Service: "none", Prefix: "/a", TimeLimitMS: 1})}, `service "none" does not exist`},
-		"service with it":        {[]Write{write(KindTenant, "a", TenantSpec{Service: "new", Share: 1}), write(KindService, "new", ServiceSpec{})}, ""},
-		"service referred to":    {[]Write{removal(KindService, "pay")}, "2 records refer to this service"},
-		"service left behind":    {[]Write{removal(KindService, "pay"), removal(KindTenant, "one"), write(KindRoute, "quote", RouteSpec{Service: "ship", Prefix: "/quote", TimeLimitMS: 10})}, ""},
-		"prefix twice":           {[]Write{write(KindRoute, "a", RouteSpec{Prefix: "/quote", TimeLimitMS: 1})}, `route/quote has the same prefix "/quote"`},
-		"prefix handed over":     {[]Write{write(KindRoute, "a", RouteSpec{Prefix: "/quote", TimeLimitMS: 1}), removal(KindRoute, "quote")}, ""},
-		"shares over one":        {[]Write{write(KindTenant, "two", TenantSpec{Service: "pay", Share: 0.26})}, `shares of service "pay" sum to 1.01`},
-		"shares of one":          {[]Write{write(KindTenant, "two", TenantSpec{Service: "pay", Share: 0.25})}, ""},
-		"share moved":            {[]Write{write(KindTenant, "one", TenantSpec{Service: "ship", Share: 1})}, ""},
-		"last route":             {[]Write{removal(KindRoute, "quote")}, "no route would be left"},
-		"override of no service": {[]Write{write(KindOverride, "n", OverrideSpec{Zone: "z", State: StateGone})}, ""},
-		"written twice":          {[]Write{removal(KindTenant, "one"), removal(KindTenant, "one")}, "written twice"},
-		"no share":               {[]Write{write(KindTenant, "a", TenantSpec{Service: "pay"})}, "over 0"},
+		"service unknown":                 {[]Write{write(KindRoute, "a", RouteSpec{Service: "none", Prefix: "/a", TimeLimitMS: 1})}, `service "none" does not exist`},
+		"service in the same transaction": {[]Write{write(KindTenant, "a", TenantSpec{Service: "new", Share: 1}), write(KindService, "new", ServiceSpec{})}, ""},
+		"service referred to":             {[]Write{removal(KindService, "pay")}, "2 records refer to this service"},
+		"service without references":      {[]Write{removal(KindService, "pay"), removal(KindTenant, "one"), write(KindRoute, "quote", RouteSpec{Service: "ship", Prefix: "/quote", TimeLimitMS: 10})}, ""},
+		"duplicate prefix":                {[]Write{write(KindRoute, "a", RouteSpec{Prefix: "/quote", TimeLimitMS: 1})}, `route/quote has the same prefix "/quote"`},
+		"prefix moved":                    {[]Write{write(KindRoute, "a", RouteSpec{Prefix: "/quote", TimeLimitMS: 1}), removal(KindRoute, "quote")}, ""},
+		"shares above one":                {[]Write{write(KindTenant, "two", TenantSpec{Service: "pay", Share: 0.26})}, `shares of service "pay" sum to 1.01`},
+		"shares of one":                   {[]Write{write(KindTenant, "two", TenantSpec{Service: "pay", Share: 0.25})}, ""},
+		"share moved":                     {[]Write{write(KindTenant, "one", TenantSpec{Service: "ship", Share: 1})}, ""},
+		"last route":                      {[]Write{removal(KindRoute, "quote")}, "no route would be left"},
+		"override of no service":          {[]Write{write(KindOverride, "n", OverrideSpec{Zone: "z", State: StateGone})}, ""},
+		"written twice":                   {[]Write{removal(KindTenant, "one"), removal(KindTenant, "one")}, "written twice"},
+		"no share":                        {[]Write{write(KindTenant, "a", TenantSpec{Service: "pay"})}, "over 0"},
 	} {
 		t.Run(name, func(t *testing.T) {
 			s := NewStore()
-			apply(t, s, begin...)
+			apply(t, s, initial...)
 			before := s.Snapshot()
 			_, err := s.Apply(9, Transaction{Writes: c.writes})
 			if c.want == "" && err != nil || c.want != "" && (err == nil || !strings.Contains(err.Error(), c.want)) {
--- a/records/scope.go
+++ b/records/scope.go
@@ -46,8 +46,8 @@
 	return found
 }
 
-// withUnnamed adds the empty name, which stands for all, to the names of a normalized scope.
-func withUnnamed(names []string) []string {
+// withEmptyName adds the empty name, which stands for all, to the names of a normalized scope.
+func withEmptyName(names []string) []string {
 	if len(names) > 0 && names[0] == "" {
 		return names
 	}
--- a/records/sorted.go
+++ b/records/sorted.go
@@ -26,7 +26,7 @@
 	if o.records == nil {
 		return
 	}
-	if _, back := o.removed[record]; back {
+	if _, wasRemoved := o.removed[record]; wasRemoved {
 		delete(o.removed, record)
 		return
 	}
@@ -44,12 +44,12 @@
 
 func (o *sortedRecords) limitUnsorted() {
 	if max(len(o.added), len(o.removed)) > len(o.records)/unsortedLimitRatio {
-		o.forget()
+		o.invalidate()
 	}
 }
 
-// forget discards the cache, so that the next snapshot sorts all records.
-func (o *sortedRecords) forget() {
+// invalidate discards the cache, so that the next snapshot sorts all records.
+func (o *sortedRecords) invalidate() {
 	o.records = nil
 	o.added = nil
 	o.removed = nil
@@ -63,11 +63,11 @@
 }
 
 // all returns all records of an index, ordered by key. The store's lock must be held for reading.
-func (o *sortedRecords) all(held *index) []*Record {
+func (o *sortedRecords) all(x *index) []*Record {
 	o.recordsMutex.Lock()
 	defer o.recordsMutex.Unlock()
 	if o.records == nil {
-		records := held.ofKinds(kindsInOrder)
+		records := x.ofKinds(kindsInOrder)
 		sortByKey(records)
 		o.set(records)
 		return o.records
@@ -80,13 +80,13 @@
 
 // withoutRemoved returns the records of a list that were not removed.
 func (o *sortedRecords) withoutRemoved(list []*Record) []*Record {
-	held := make([]*Record, 0, len(list))
+	remaining := make([]*Record, 0, len(list))
 	for _, record := range list {
 		if _, removed := o.removed[record]; !removed {
-			held = append(held, record)
+			remaining = append(remaining, record)
 		}
 	}
-	return held
+	return remaining
 }
 
 // mergeByKey merges two sorted lists that have no common keys.
--- a/records/specs.go
+++ b/records/specs.go
@@ -53,18 +53,18 @@
 }
 
 // Route returns the content of a route. The error is returned if the body is not valid JSON for a RouteSpec.
-func (r *Record) Route() (RouteSpec, error) { return specOf[RouteSpec](r) }
+func (r *Record) Route() (RouteSpec, error) { return decodeSpec[RouteSpec](r) }
 
 // ServiceSpec returns the content of a service. The error is returned if the body is not valid JSON for a ServiceSpec.
-func (r *Record) ServiceSpec() (ServiceSpec, error) { return specOf[ServiceSpec](r) }
+func (r *Record) ServiceSpec() (ServiceSpec, error) { return decodeSpec[ServiceSpec](r) }
 
 // Tenant returns the content of a tenant. The error is returned if the body is not valid JSON for a TenantSpec.
-func (r *Record) Tenant() (TenantSpec, error) { return specOf[TenantSpec](r) }
+func (r *Record) Tenant() (TenantSpec, error) { return decodeSpec[TenantSpec](r) }
 
 // Override returns the content of an override. The error is returned if the body is not valid JSON for an OverrideSpec.
-func (r *Record) Override() (OverrideSpec, error) { return specOf[OverrideSpec](r) }
+func (r *Record) Override() (OverrideSpec, error) { return decodeSpec[OverrideSpec](r) }
 
-func specOf[Spec any](r *Record) (Spec, error) {
+func decodeSpec[Spec any](r *Record) (Spec, error) {
 	var spec Spec
 	err := json.Unmarshal(r.Body, &spec)
 	return spec, err
@@ -92,13 +92,13 @@
 		return err
 	}
 	if !strings.HasPrefix(spec.Prefix, "/") || len(spec.Prefix) > maxNameBytes {
-		return &FieldError{Field: "its prefix", Want: fmt.Sprintf("begin with a slash and be at most %d bytes long", maxNameBytes)}
+		return &FieldError{Field: "its prefix", Requirement: fmt.Sprintf("begin with a slash and be at most %d bytes long", maxNameBytes)}
 	}
 	if !isBetween(spec.TimeLimitMS, minTimeLimitMS, maxTimeLimitMS) {
-		return &FieldError{Field: "its time limit", Want: fmt.Sprintf("be between %d and %d ms", minTimeLimitMS, maxTimeLimitMS)}
+		return &FieldError{Field: "its time limit", Requirement: fmt.Sprintf("be between %d and %d ms", minTimeLimitMS, maxTimeLimitMS)}
 	}
 	if !isBetween(spec.MaxAdmitted, 0, 1) {
-		return &FieldError{Field: "the part that it admits", Want: "be between 0 and 1"}
+		return &FieldError{Field: "the part that it admits", Requirement: "be between 0 and 1"}
 	}
 	if err := checkOptionalName("service", spec.Service); err != nil {
 		return err
@@ -132,7 +132,7 @@
 		return err
 	}
 	if spec.Share == 0 || !isBetween(spec.Share, 0, 1) {
-		return &FieldError{Field: "its share", Want: "be over 0 and at most 1"}
+		return &FieldError{Field: "its share", Requirement: "be over 0 and at most 1"}
 	}
 	r.Service = spec.Service
 	r.share = int64(spec.Share * shareUnit)
@@ -145,7 +145,7 @@
 		return err
 	}
 	if spec.State != StateDraining && spec.State != StateGone {
-		return &FieldError{Field: "its state", Want: fmt.Sprintf("be %q or %q", StateDraining, StateGone)}
+		return &FieldError{Field: "its state", Requirement: fmt.Sprintf("be %q or %q", StateDraining, StateGone)}
 	}
 	if err := checkOptionalName("service", spec.Service); err != nil {
 		return err
--- a/records/specs_test.go
+++ b/records/specs_test.go
@@ -7,7 +7,7 @@
 	"testing"
 )
 
-func TestSpecsAreReadBack(t *testing.T) {
+func TestSpecsRoundTrip(t *testing.T) {
 	route, err := New(Key{KindRoute, "a"}, RouteSpec{Service: "s", Prefix: "/a", TimeLimitMS: 5, Mutating: true, MaxAdmitted: 0.5})
 	if err != nil {
 		t.Fatal(err)
@@ -29,9 +29,9 @@
 	}
 }
 
-// TestBrokenSpecsAreTyped verifies for each cause that an invalid spec is rejected with a SpecError and an exact
+// TestInvalidSpecsAreRejected verifies for each cause that an invalid spec is rejected with a SpecError and an exact
 // message.
-func TestBrokenSpecsAreTyped(t *testing.T) {
+func TestInvalidSpecsAreRejected(t *testing.T) {
 	longName := strings.Repeat("x", maxNameBytes+1)
 	cases := map[string]struct {
 		key  Key
@@ -61,11 +61,11 @@
 	}
 }
 
-func TestKeysAreReadBack(t *testing.T) {
+func TestKeysRoundTrip(t *testing.T) {
 	for _, kind := range kindsInOrder {
 		key := Key{Kind: kind, Name: "a/b"}
-		if again, err := ParseKey(key.String()); err != nil || again != key {
-			t.Errorf("got %v, %v, want %s", again, err, key)
+		if parsed, err := ParseKey(key.String()); err != nil || parsed != key {
+			t.Errorf("got %v, %v, want %s", parsed, err, key)
 		}
 	}
 	_, err := ParseKey("route")
@@ -80,7 +80,7 @@
 	}
 	_, err = ParseKey("route/")
 	var nameError *NameError
-	if !errors.As(err, &nameError) || nameError.What != "name" {
+	if !errors.As(err, &nameError) || nameError.Field != "name" {
 		t.Errorf("key without a name: got error %v, want a NameError of %q", err, "name")
 	}
 }
--- a/records/store_test.go
+++ b/records/store_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-func TestRevisionsOnlyRise(t *testing.T) {
+func TestRevisionsOnlyIncrease(t *testing.T) {
 	s := NewStore()
 	apply(t, s, write(KindService, "a", ServiceSpec{}))
 	var revisionError *RevisionError
@@ -20,7 +20,7 @@
 	}
 }
 
-func TestLastChangeIsKeptByKind(t *testing.T) {
+func TestLastChangeIsTrackedByKind(t *testing.T) {
 	s := NewStore()
 	expect := func(want uint64, kinds ...Kind) {
 		t.Helper()
@@ -65,16 +65,16 @@
 				default:
 				}
 				view := s.InScope(Scope{})
-				held, at := view.Records, view.Revision
-				if view.RoutingRevision != at {
-					t.Errorf("routing revision: got %d, want %d, the revision of the view", view.RoutingRevision, at)
+				records, revision := view.Records, view.Revision
+				if view.RoutingRevision != revision {
+					t.Errorf("routing revision: got %d, want %d, the revision of the view", view.RoutingRevision, revision)
 					return
 				}
-				if len(held) != 2 || held[0].Revision != at || held[1].Revision != at {
-					t.Errorf("view: got %q, want two records with revision %d", describeAll(held), at)
+				if len(records) != 2 || records[0].Revision != revision || records[1].Revision != revision {
+					t.Errorf("view: got %q, want two records with revision %d", describeAll(records), revision)
 					return
 				}
-				delta := s.Since(at-1, Scope{})
+				delta := s.Since(revision-1, Scope{})
 				if updates := delta.Updates; !delta.Available || len(updates) != 2 || updates[0].After.Revision != updates[1].After.Revision || updates[0].After.Revision != delta.RoutingRevision {
 					t.Errorf("delta: got updates %q, available %v, want two updates of revision %d, available true", describeUpdates(updates), delta.Available, delta.RoutingRevision)
 					return
--- a/records/transaction_test.go
+++ b/records/transaction_test.go
@@ -41,10 +41,10 @@
 		transaction Transaction
 		want        string // substring of the error
 	}{
-		"writes":  {many, "at most 256 records, not 257"},
-		"bytes":   {large, "at most 262144 bytes, not 262145"},
-		"nothing": {Transaction{}, "at least one"},
-		"kind":    {Transaction{Writes: []Write{{Key: Key{9, "a"}, Body: []byte("{}")}}}, "not known"},
+		"writes":    {many, "at most 256 records, not 257"},
+		"bytes":     {large, "at most 262144 bytes, not 262145"},
+		"no writes": {Transaction{}, "at least one"},
+		"kind":      {Transaction{Writes: []Write{{Key: Key{9, "a"}, Body: []byte("{}")}}}, "not known"},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
--- a/scaling/plantedrecords_test.go
+++ b/scaling/plantedrecords_test.go
@@ -53,7 +53,7 @@
 	if err != nil {
 		return s, err
 	}
-	r.state.Store().Forget()
+	r.state.Store().DropHistory()
 	snapshot, err := r.state.Snapshot()
 	if err != nil {
 		return s, err
--- a/scaling/record.go
+++ b/scaling/record.go
@@ -125,7 +125,7 @@
 
 // historyBytes is what the history of the records takes for a change, once it holds nothing of before.
 func historyBytes(r *recordState, change func(*recordState) (int, error)) (float64, error) {
-	r.state.Store().Forget()
+	r.state.Store().DropHistory()
 	var before int
 	for n := range historyChanges + 1 {
 		if n == 1 { // the first change sets the size of what follows
@@ -144,7 +144,7 @@
 	heap, r, err := measureHeap(func() (*recordState, error) {
 		r, err := newRecordState(tenants)
 		if err == nil {
-			r.state.Store().Forget()
+			r.state.Store().DropHistory()
 		}
 		return r, err
 	})
@@ -168,7 +168,7 @@
 	if err != nil {
 		return s, err
 	}
-	r.state.Store().Forget()
+	r.state.Store().DropHistory()
 	var m meter
 	taken := 0
 	for ; taken == 0 || !effort.isEnough(&m, taken-1, fullMinOperations); taken++ { // the first one, which sorts all, is not counted
@@ -199,7 +199,7 @@
 	if err != nil {
 		return s, err
 	}
-	r.state.Store().Forget()
+	r.state.Store().DropHistory()
 	snapshot, err := r.state.Snapshot()
 	if err != nil {
 		return s, err
--- a/simulation/followers/member.go
+++ b/simulation/followers/member.go
@@ -86,7 +86,7 @@
 // dropHistory forgets which records changed when, as hours of changes would.
 func (m *member) dropHistory() {
 	m.markDisturbed()
-	m.store.Forget()
+	m.store.DropHistory()
 	m.historyFrom = m.store.Revision()
 }
 
