--- a/configsync/backoff.go
+++ b/configsync/backoff.go
@@ -5,17 +5,17 @@
 	"time"
 )
 
-// The limit of the delay doubles at each failure, and the delay is drawn between zero and that limit (full jitter), so that
-// followers that lost a member together do not reconnect together.
+// The upper limit of the delay doubles with each failure, and the delay is drawn at random between zero and that limit
+// (full jitter), so that followers that lost the same member do not all reconnect at the same time.
 const (
 	backoffBase = 200 * time.Millisecond
 	backoffMax  = 5 * time.Second
-	// maxDoublings keeps the shift from overflowing; backoffMax is reached long before.
+	// maxDoublings prevents the shift from overflowing; the limit reaches backoffMax long before.
 	maxDoublings = 10
 )
 
-// Backoff chooses the member that a follower connects to next, and the delay before it does. It is not safe for concurrent
-// use.
+// Backoff selects the member that a follower connects to next and the delay before it connects. It is not safe for
+// concurrent use.
 type Backoff struct {
 	random     *rand.Rand
 	members    []string
@@ -23,7 +23,8 @@
 	failures   int
 }
 
-// NewBackoff returns one that goes through the members in an order drawn from the seed. There has to be a member.
+// NewBackoff returns a Backoff that cycles through the members in a random order derived from the seed. Members must
+// not be empty.
 func NewBackoff(members []string, seed uint64) *Backoff {
 	random := rand.New(rand.NewPCG(seed, uint64(len(members))))
 	order := make([]string, len(members))
@@ -33,14 +34,14 @@
 	return &Backoff{random: random, members: order}
 }
 
-// Member returns the member to connect to now.
+// Member returns the member to connect to next.
 func (b *Backoff) Member() string { return b.members[b.nextMember%len(b.members)] }
 
-// Succeeded resets the delay: the member has answered.
+// Succeeded resets the delay after the member has answered.
 func (b *Backoff) Succeeded() { b.failures = 0 }
 
-// Failed moves on to the next member and returns the delay before it is connected to. The first attempt after a member that
-// had answered is delayed as well, since that member's other followers move at the same time.
+// Failed advances to the next member and returns the delay before connecting to it. The first attempt after losing a
+// member that had answered is delayed as well, since that member's other followers reconnect at the same time.
 func (b *Backoff) Failed() time.Duration {
 	b.nextMember++
 	limit := min(backoffMax, backoffBase<<min(b.failures, maxDoublings))
--- a/configsync/backoff_test.go
+++ b/configsync/backoff_test.go
@@ -5,7 +5,8 @@
 	"time"
 )
 
-// Delays are drawn from all of a range that doubles up to a limit, and begin anew after a success.
+// Delays are spread over the whole range from zero to a limit, which doubles with each failure up to a maximum and is
+// reset by a success.
 func TestBackoffHasFullJitter(t *testing.T) {
 	const many = 2000
 	limits := []time.Duration{backoffBase, 2 * backoffBase, 4 * backoffBase, 8 * backoffBase, 16 * backoffBase, backoffMax, backoffMax}
@@ -15,23 +16,24 @@
 		for n, limit := range limits {
 			pause := b.Failed()
 			if pause < 0 || pause >= limit {
-				t.Fatalf("failure %d: %v", n, pause)
+				t.Fatalf("failure %d: got delay %v, want at least 0 and less than %v", n, pause, limit)
 			}
 			halves[int(2*pause/limit)][n]++
 		}
 		b.Succeeded()
 		if pause := b.Failed(); pause >= backoffBase {
-			t.Fatalf("after a success: %v", pause)
+			t.Fatalf("after a success: got delay %v, want less than %v", pause, backoffBase)
 		}
 	}
 	for n := range limits {
 		if low := halves[0][n]; low < many*4/10 || low > many*6/10 {
-			t.Errorf("failure %d: %d of %d in the lower half", n, low, many)
+			t.Errorf("failure %d: got %d of %d delays in the lower half of the range, want 40%% to 60%%", n, low, many)
 		}
 	}
 }
 
-// Each failure moves on to the next member; all members are tried in turn, and followers begin at different ones.
+// Each failure advances to the next member, so that all members are tried in turn. Followers start at different
+// members.
 func TestBackoffTriesEveryMember(t *testing.T) {
 	members := []string{"a", "b", "c", "d", "e"}
 	first := map[string]int{}
@@ -44,22 +46,22 @@
 			b.Failed()
 		}
 		if len(seen) != len(members) {
-			t.Fatalf("seed %d: %v", seed, seen)
+			t.Fatalf("seed %d: got members %v, want all of %v", seed, seen, members)
 		}
 	}
 	for _, member := range members {
 		if first[member] < 140 || first[member] > 260 {
-			t.Errorf("%s comes first for %d of 1000", member, first[member])
+			t.Errorf("member %s: first for %d of 1000 seeds, want 140 to 260", member, first[member])
 		}
 	}
 }
 
-// Failures for days do not overflow the delay.
+// Repeated failures over several days do not overflow the delay.
 func TestBackoffMovesOnAfterEachFailure(t *testing.T) {
 	b := NewBackoff([]string{"a"}, 1)
 	for range 10000 {
 		if pause := b.Failed(); pause < 0 || pause >= backoffMax {
-			t.Fatal(pause)
+			t.Fatalf("got delay %v, want at least 0 and less than %v", pause, backoffMax)
 		}
 	}
 }
--- a/configsync/convergence.go
+++ b/configsync/convergence.go
@@ -7,51 +7,53 @@
 	"time"
 )
 
-// UnknownReason is why the leases of a member are not all known. Its values are part of the tools' JSON.
+// UnknownReason describes why the leases of a member are not all known. Its values are part of the tools' JSON output.
 type UnknownReason string
 
-// The reasons.
+// The reasons for which the leases of a member are not all known.
 const (
 	ReasonNoAnswer   UnknownReason = "did not answer"
 	ReasonNotSettled UnknownReason = "has not served for a lease's time since it started"
 )
 
-// UnknownMember is a member whose leases are not all known, and why.
+// UnknownMember is a member whose leases are not all known, and the reason.
 type UnknownMember struct {
 	Member string        `json:"member"`
 	Reason UnknownReason `json:"reason"`
 }
 
-// FollowerStatus is what all members together know of a follower.
+// FollowerStatus is the status of a follower according to all members: its latest lease and the member that has it.
 type FollowerStatus struct {
 	LeaseStatus
-	Member string `json:"member"` // that received its latest renewal
+	Member string `json:"member"` // the member that received its latest renewal
 }
 
-// MemberProgress is the revision of a member and the number of its followers.
+// MemberProgress contains the revision of a member and the number of its followers.
 type MemberProgress struct {
 	Member   string `json:"member"`
 	Revision uint64 `json:"revision"`
-	Live     int    `json:"live"` // followers with a lease whose latest renewal it received
+	Live     int    `json:"live"` // followers with a lease whose latest renewal this member received
 }
 
-// Convergence tells which revision is in effect everywhere, over all members.
+// Convergence describes which revision is in effect at all followers, across all members.
 type Convergence struct {
-	Revision          uint64           `json:"revision"` // the newest of any member
+	Revision          uint64           `json:"revision"` // the newest revision of any member
 	ConvergedRevision uint64           `json:"in_force"` // accepted by every known follower with a lease
-	Known             bool             `json:"known"`    // false: ConvergedRevision may be too new, because of UnknownMembers
+	Known             bool             `json:"known"`    // false if unknown members may make ConvergedRevision too new
 	UnknownMembers    []UnknownMember  `json:"doubts,omitempty"`
 	Live              int              `json:"live"`             // followers with a lease
-	Members           []MemberProgress `json:"members"`          // those that answered, by name
-	Behind            []FollowerStatus `json:"behind,omitempty"` // with a lease and below Revision; by revision, then by name
-	// Stale are the followers whose lease has run out, by name: they go on with what they have. A member forgets a lease
-	// one lease's time after it ran out, so a follower that stays away is listed for that long only.
+	Members           []MemberProgress `json:"members"`          // the members that answered, sorted by name
+	Behind            []FollowerStatus `json:"behind,omitempty"` // live, below Revision; sorted by revision, then by name
+	// Stale lists the followers whose lease has expired, sorted by name: they continue to use their records. A member
+	// removes a lease one lease duration after it expired, so a follower that does not return is listed only until
+	// then.
 	Stale []FollowerStatus `json:"stale,omitempty"`
 }
 
-// Merge combines the statuses of members that were queried at about the same time. Members names all that followers may be
-// connected to; one without a status, or whose status is not settled, makes the result uncertain. Of several leases of one
-// follower the one renewed last counts. Ages are by each member's own clock, so clocks need not agree.
+// Merge combines the statuses of members that were queried at about the same time. Members lists all members that
+// followers may be connected to; a member without a status, or whose status is not settled, makes the result uncertain.
+// If a follower has several leases, the one renewed last is used. Ages are measured by each member's own clock, so the
+// clocks need not be synchronized.
 func Merge(statuses []MemberStatus, members []string) Convergence {
 	byMember := latestStatuses(statuses)
 	convergence := Convergence{UnknownMembers: unknownMembers(byMember, members)}
@@ -68,7 +70,8 @@
 	return convergence
 }
 
-// liveByMember counts the followers with a lease by the member that received their latest renewal.
+// liveByMember returns the number of followers with a lease for each member, by the member that received their latest
+// renewal.
 func liveByMember(followers map[string]FollowerStatus) map[string]int {
 	live := map[string]int{}
 	for _, follower := range followers {
@@ -79,7 +82,7 @@
 	return live
 }
 
-// addFollowers sets the converged revision and lists the followers that are behind or stale. Revision has to be set.
+// addFollowers sets the converged revision and lists the followers that are behind or stale. Revision must be set.
 func (c *Convergence) addFollowers(followers map[string]FollowerStatus, byMember map[string]MemberStatus) {
 	c.ConvergedRevision = c.Revision
 	for _, name := range slices.Sorted(maps.Keys(followers)) {
@@ -111,7 +114,7 @@
 	return latest
 }
 
-// unknownMembers lists the members whose leases are not all known, by name.
+// unknownMembers returns the members whose leases are not all known, sorted by name.
 func unknownMembers(byMember map[string]MemberStatus, members []string) (unknown []UnknownMember) {
 	for _, name := range members {
 		if _, answered := byMember[name]; !answered {
@@ -127,8 +130,8 @@
 	return slices.Compact(unknown)
 }
 
-// latestLeases returns the lease of each follower that was renewed last; of two renewed at once the one with the lower
-// accepted revision.
+// latestLeases returns for each follower the lease that was renewed last. If two were renewed at the same time, it
+// returns the one with the lower accepted revision.
 func latestLeases(byMember map[string]MemberStatus) map[string]FollowerStatus {
 	latest := map[string]FollowerStatus{}
 	remaining := map[string]time.Duration{} // of the lease in latest
@@ -152,8 +155,8 @@
 	return cmp.Or(cmp.Compare(lease.Accepted, other.Accepted), cmp.Compare(member, other.Member)) < 0
 }
 
-// longestLag returns for how long a revision after the accepted one has been committed at some member, as far back as the
-// members' recent commits reach.
+// longestLag returns the time since any member committed the first revision after the accepted one, as far as the
+// members' recent commits go back.
 func longestLag(accepted uint64, byMember map[string]MemberStatus) (longest time.Duration) {
 	for _, status := range byMember {
 		for _, recent := range status.Recent { // oldest first
--- a/configsync/cost_test.go
+++ b/configsync/cost_test.go
@@ -9,14 +9,14 @@
 	"harehook.dev/harehook/records"
 )
 
-// Bounds, in bytes: of a changed record for a follower whose scope has it, beside its name and body, and of the progress
-// that the others are sent.
+// Upper bounds in bytes: for a changed record sent to a follower whose scope contains it, in addition to its name and
+// body, and for the empty update sent to the other followers.
 const (
 	maxRecordOverhead = 1 << 10
 	maxProgressBytes  = 128
 )
 
-// followerGroup is a member with followers that are up to date, each with a service of its own and a route in it.
+// followerGroup is a member with followers that are up to date. Each follower has its own service with one route.
 type followerGroup struct {
 	*testMember
 	followers []*connection
@@ -42,7 +42,7 @@
 	return c
 }
 
-// commitChange commits a change of the first route, passes all messages, and returns their number and sizes.
+// commitChange commits a change of the first route, delivers all messages, and returns their number and sizes.
 func (c *followerGroup) commitChange(revision uint64) (messages, interestedBytes, otherBytes int) {
 	c.commit(at(0), revision, oneRecord(newRouteRecord(c.t, "r0", "s0", float64(revision))))
 	for n, follower := range c.followers {
@@ -59,33 +59,35 @@
 	return messages, interestedBytes, otherBytes
 }
 
-// A change is one message for each follower: a delta for the one whose scope has it, progress for the others.
+// A change causes one message to each follower: a delta to the one whose scope contains it, an empty update to the
+// others.
 func TestBytesOfOneChange(t *testing.T) {
 	const size = 50
 	c := newFollowerGroup(t, size)
 	if got := c.server.Counts; got.FullScopes != size || got.Heartbeats != size {
-		t.Errorf("at the start: %+v", got)
+		t.Errorf("at the start: got %+v, want %d full scopes and heartbeats", got, size)
 	}
 	record := newRouteRecord(t, "r0", "s0", 10)
 	for revision := uint64(2); revision < 12; revision++ {
 		messages, interested, others := c.commitChange(revision)
 		if messages != size {
-			t.Errorf("%d messages to %d followers", messages, size)
+			t.Errorf("revision %d: got %d messages, want one for each of %d followers", revision, messages, size)
 		}
 		if interested > len(record.Name)+len(record.Body)+maxRecordOverhead {
-			t.Errorf("%d bytes to the interested follower", interested)
+			t.Errorf("revision %d: got %d bytes for the interested follower, want at most %d", revision, interested,
+				len(record.Name)+len(record.Body)+maxRecordOverhead)
 		}
 		if others > maxProgressBytes {
-			t.Errorf("%d bytes to another follower", others)
+			t.Errorf("revision %d: got %d bytes for another follower, want at most %d", revision, others, maxProgressBytes)
 		}
-		t.Log(messages, "messages;", interested, "bytes to the interested follower,", others, "to each other")
+		t.Log(messages, "messages;", interested, "bytes for the interested follower,", others, "for each other follower")
 	}
 	if got := c.server.Counts; got.FullScopes != size || got.Changes != 10 || got.EmptyUpdates != 10*(size-1) {
-		t.Errorf("%+v", got)
+		t.Errorf("got %+v, want %d full scopes, 10 changes and %d empty updates", got, size, 10*(size-1))
 	}
 }
 
-// The allocations of a revision, per follower, do not grow with the number of followers.
+// The number of allocations per revision and follower does not grow with the number of followers.
 func TestAllocationsPerFollowerDoNotGrow(t *testing.T) {
 	perFollower := func(size int) float64 {
 		c := newFollowerGroup(t, size)
@@ -99,13 +101,13 @@
 		}) / float64(size)
 	}
 	few, many := perFollower(20), perFollower(400)
-	t.Logf("%.1f allocations a follower with 20, %.1f with 400", few, many)
+	t.Logf("%.1f allocations per follower with 20 followers, %.1f with 400", few, many)
 	if many > 1.2*few {
-		t.Errorf("%.1f allocations a follower with 20, %.1f with 400", few, many)
+		t.Errorf("got %.1f allocations per follower with 400 followers, want at most 1.2 times the %.1f with 20", many, few)
 	}
 }
 
-// A commit allocates nothing for the leases.
+// The number of allocations of a commit does not grow with the number of leases.
 func TestCommittedAllocationsAreBounded(t *testing.T) {
 	c := newFollowerGroup(t, 500)
 	revision := uint64(1)
@@ -113,11 +115,11 @@
 		revision++
 		c.server.Committed(at(0), revision)
 	}); got > 1 {
-		t.Errorf("%v allocations", got)
+		t.Errorf("got %v allocations per commit, want at most 1", got)
 	}
 }
 
-// BenchmarkCommitted measures what a commit costs a member by the number of its leases.
+// BenchmarkCommitted measures the cost of a commit for different numbers of leases.
 func BenchmarkCommitted(b *testing.B) {
 	for _, size := range []int{20, 200, 2000} {
 		b.Run(fmt.Sprint(size), func(b *testing.B) {
@@ -131,7 +133,7 @@
 	}
 }
 
-// BenchmarkSendChange sends followers progress, from a source that costs nothing.
+// BenchmarkSendChange measures the cost of sending empty updates to followers, with a source of negligible cost.
 func BenchmarkSendChange(b *testing.B) {
 	for _, size := range []int{20, 200, 2000} {
 		b.Run(fmt.Sprint(size), func(b *testing.B) {
@@ -150,7 +152,7 @@
 	}
 }
 
-// progressSource has revisions that change nothing.
+// progressSource is a source whose revisions change no records.
 type progressSource struct {
 	records.Source
 	revision uint64
@@ -162,7 +164,7 @@
 	return records.Delta{Revision: s.revision, RoutingRevision: 1, Available: true}
 }
 
-// A record on the wire costs no more beside its name and body than the comment of MaxMessage says.
+// The overhead of a record on the wire beyond its name and body is not larger than documented at MaxMessage.
 func TestRecordOverhead(t *testing.T) {
 	var all []*records.Record
 	bytes := 0
@@ -173,12 +175,12 @@
 	}
 	message := proto.Size(encodeUpdate(t, Update{Revision: 123456789, Nonce: "1", FullScope: true, Records: all}))
 	overhead := (message - bytes) / len(all)
-	t.Logf("%d bytes a record, %d beside its name and body", message/len(all), overhead)
+	t.Logf("%d bytes per record, %d beyond its name and body", message/len(all), overhead)
 	if overhead > 90 {
-		t.Errorf("%d bytes a record beside its name and body", overhead)
+		t.Errorf("got %d bytes per record beyond its name and body, want at most 90", overhead)
 	}
 	const twiceTheTenants = 280000
 	if twiceTheTenants*message/len(all) > MaxMessage {
-		t.Errorf("%d tenants don't fit a message: %d bytes each", twiceTheTenants, message/len(all))
+		t.Errorf("%d tenants of %d bytes each: larger than a message of %d bytes", twiceTheTenants, message/len(all), MaxMessage)
 	}
 }
--- a/configsync/doc.go
+++ b/configsync/doc.go
@@ -1,25 +1,26 @@
 // Package configsync distributes the agreed configuration from a group's members to controllers that are not members.
 //
-// A [Server] is the member's half: it knows the scope, the lease and the accepted revision of each follower and gives the
-// next message of each [Stream]. A [Follower] is the other half: it checks each [Update], applies or rejects it, and
-// answers with an ACK or NACK. Both are state machines without I/O that are given the time; package
-// configsync/transport connects them to gRPC, and the simulation and load test connect them to each other.
+// A [Server] is the member's side: it tracks the scope, the lease and the accepted revision of each follower and
+// returns the next message of each [Stream]. A [Follower] is the other side: it checks each [Update], applies or
+// rejects it, and answers with an ACK or NACK. Both are state machines without I/O, and the caller passes in the
+// current time; package configsync/transport connects them to gRPC, and the simulation and load test connect them to
+// each other.
 //
-// The course of a stream:
+// A stream proceeds as follows:
 //
 //  1. The follower sends a [Handshake] with its name, scope and accepted revision. The member answers with a heartbeat.
-//  2. The member sends an update: the full scope, or a delta since the accepted revision while its history reaches that
-//     far. At most one update is unanswered, so that commits meanwhile arrive as one delta.
-//  3. The follower answers with the update's nonce. A NACK carries the reason; the member sends that revision again after
-//     a backoff.
-//  4. The follower renews its lease at each [Follower.RenewInterval]; each renewal is answered by a heartbeat.
+//  2. The member sends an update: a delta since the accepted revision if its history goes back that far, otherwise the
+//     full scope. At most one update is unanswered, so that commits made in the meantime arrive as one delta.
+//  3. The follower answers with the update's nonce. A NACK contains the reason; the member sends that revision again
+//     after a backoff.
+//  4. The follower renews its lease every [Follower.RenewInterval]; the member answers each renewal with a heartbeat.
 //
-// [Merge] combines the [MemberStatus] of all members into a [Convergence], which tells the revision that every follower
-// with a lease has accepted.
+// [Merge] combines the [MemberStatus] of all members into a [Convergence], which contains the revision that every
+// follower with a lease has accepted.
 //
-// If a change is not in effect at a controller, Convergence.Behind has the revision that its follower has accepted, the one
-// that it rejected last and the reason; Convergence.Stale has the followers without a lease, and Convergence.UnknownMembers
-// the members whose followers are not all known.
+// If a change is not in effect at a controller, Convergence.Behind contains the revision that its follower has
+// accepted, the revision that it rejected last and the reason. Convergence.Stale lists the followers without a lease,
+// and Convergence.UnknownMembers the members whose leases are not all known.
 //
-// The messages are those of delta xDS; wire.go has their form.
+// The messages are those of delta xDS; wire.go defines their encoding.
 package configsync
--- a/configsync/example_test.go
+++ b/configsync/example_test.go
@@ -8,7 +8,7 @@
 	"harehook.dev/harehook/records"
 )
 
-// routeSource is a member's records: one route, without history.
+// routeSource is the record source of a member. It contains one route and no history.
 type routeSource struct{ route *records.Record }
 
 func (s routeSource) Revision() uint64 { return s.route.Revision }
@@ -29,7 +29,7 @@
 	return route
 }
 
-// A follower connects to a member, gets the full scope and acknowledges it.
+// A follower connects to a member, receives the full scope and acknowledges it.
 func Example() {
 	now := time.Unix(0, 0)
 	limits := configsync.DefaultLimits
@@ -64,7 +64,7 @@
 	// Output: revision 7 records 1 stale false
 }
 
-// Two members were queried; the follower's lease is at the first one.
+// Two of three members answered; the follower's lease is at the first one.
 func ExampleMerge() {
 	now := time.Unix(0, 0)
 	lease := configsync.LeaseStatus{Name: "controller-4", Accepted: 6, Live: true, Expires: now.Add(time.Second)}
--- a/configsync/follower.go
+++ b/configsync/follower.go
@@ -13,21 +13,21 @@
 	"harehook.dev/harehook/records"
 )
 
-// Reasons for which a follower leaves a member; [Follower.Receive] returns them.
+// Errors after which a follower must disconnect from a member; [Follower.Receive] returns them.
 var (
-	ErrOlderRevision      = errors.New("the member sends an older revision than the accepted one")
-	ErrConflictingContent = errors.New("the member sends other contents for the accepted revision")
+	ErrOlderRevision      = errors.New("member sent a revision older than the accepted one")
+	ErrConflictingContent = errors.New("member sent different content for the accepted revision")
 )
 
-// errNoBaseRevision rejects a delta without an accepted revision to apply it to.
-var errNoBaseRevision = errors.New("a delta was sent, but no revision is accepted")
+// errNoBaseRevision is the rejection of a delta by a follower that has no accepted revision to apply it to.
+var errNoBaseRevision = errors.New("delta received without an accepted base revision")
 
-// Validator returns why a follower can't use records, nil if it can. It gets all records that the follower would have, and
-// must not retain the map.
+// Validator returns an error if a follower cannot use the records of a revision. It receives all records that the
+// follower would have after the update, and must not retain the map.
 type Validator func(revision uint64, accepted map[records.Key]*records.Record) error
 
-// Follower is the state of a controller that follows the group: the records that it has accepted, and its lease. It is not
-// safe for concurrent use.
+// Follower is the state of a controller that follows the group: its accepted records and its lease. It is not safe for
+// concurrent use.
 type Follower struct {
 	name      string
 	scope     records.Scope
@@ -38,16 +38,17 @@
 	routingRevision uint64
 	records         map[records.Key]*records.Record
 
-	// renewalSentAt is when the oldest request was sent that no heartbeat has answered yet; zero if there is none.
+	// renewalSentAt is the time at which the oldest request not yet answered by a heartbeat was sent; zero if there is
+	// none.
 	renewalSentAt time.Time
 	leaseUntil    time.Time
 
-	// Accepted and Rejected count updates since the follower was made.
+	// Accepted and Rejected count the updates since the follower was created.
 	Accepted, Rejected uint64
 }
 
-// NewFollower returns a follower without records. The lease is at most the members', see [Limits]: a follower
-// must not take itself for up to date for longer than they do. A nil validator accepts all records.
+// NewFollower returns a follower without records. The lease must not be longer than that of the members (see [Limits]):
+// a follower must not consider itself up to date for longer than they do. A nil validator accepts all records.
 func NewFollower(name string, scope records.Scope, lease time.Duration, validate Validator) *Follower {
 	return &Follower{
 		name:      name,
@@ -58,33 +59,34 @@
 	}
 }
 
-// Revision is the accepted revision, 0 if none.
+// Revision returns the accepted revision, or 0 if there is none.
 func (f *Follower) Revision() uint64 { return f.revision }
 
-// RoutingRevision is the revision at which a route of the scope last changed, as of the accepted revision. It never goes
-// down, also if a member names a lower one, as a member may that restored a snapshot without it: sidecars reject routes of a
-// lower number than they have.
+// RoutingRevision returns the revision at which a route of the scope last changed, as of the accepted revision. It
+// never decreases, because sidecars reject routes with a lower number than they have. A member that restored a snapshot
+// without the routing revision may send a lower one.
 func (f *Follower) RoutingRevision() uint64 { return f.routingRevision }
 
-// Records returns the accepted records. The map must not be changed and is valid until the next Receive, which changes it
-// in place; a caller that needs it for longer clones it.
+// Records returns the accepted records. The caller must not modify the map, which is valid until the next Receive
+// modifies it in place; a caller that needs it for longer must clone it.
 func (f *Follower) Records() map[records.Key]*records.Record { return f.records }
 
-// Stale tells whether the lease has run out: the records stay in use, but may be out of date.
+// Stale reports whether the lease has expired: the records remain in use, but may be out of date.
 func (f *Follower) Stale(now time.Time) bool { return !now.Before(f.leaseUntil) }
 
-// RenewInterval is the interval between renewals: the lease outlasts the loss of one.
+// RenewInterval returns the interval between renewals, which is short enough that the lease survives the loss of one
+// renewal.
 func (f *Follower) RenewInterval() time.Duration { return f.lease / 3 }
 
-// Begin returns the first request of a new stream, sent at now. Responses of earlier streams must not be passed to Receive
-// any more.
+// Begin returns the first request of a new stream, sent at now. After it, responses of earlier streams must not be
+// passed to Receive.
 func (f *Follower) Begin(now time.Time) *discoveryv3.DeltaDiscoveryRequest {
 	f.renewalSentAt = now
 	return Handshake{Name: f.name, Scope: f.scope, Revision: f.revision}.request()
 }
 
-// Renew returns a request that renews the lease, sent at now. It is due every RenewInterval, also between answers to
-// updates.
+// Renew returns a request that renews the lease, sent at now. The caller must send one every RenewInterval, even if it
+// sends answers to updates in between.
 func (f *Follower) Renew(now time.Time) *discoveryv3.DeltaDiscoveryRequest {
 	if f.renewalSentAt.IsZero() {
 		f.renewalSentAt = now
@@ -92,14 +94,14 @@
 	return &discoveryv3.DeltaDiscoveryRequest{TypeUrl: TypeURL}
 }
 
-// Receive handles a response of the stream that the last Begin opened. A reply that is not nil has to be sent; accepted
-// tells whether there is another revision now. After an error ([ErrOlderRevision], [ErrConflictingContent], or a response
-// that can't be read or answered) the stream has to be ended and another member connected to.
+// Receive handles a response on the stream that the last Begin opened. The caller must send a non-nil reply; accepted
+// reports whether the accepted revision advanced. After an error ([ErrOlderRevision], [ErrConflictingContent], or a
+// response that cannot be decoded or answered) the caller must end the stream and connect to another member.
 func (f *Follower) Receive(response *discoveryv3.DeltaDiscoveryResponse) (reply *discoveryv3.DeltaDiscoveryRequest, accepted bool, err error) {
 	update, err := parseUpdate(response)
 	switch {
 	case err != nil && response.GetNonce() == "":
-		return nil, false, err // without a nonce there is no NACK
+		return nil, false, err // a NACK needs a nonce
 	case err != nil:
 		return f.reject(response.GetNonce(), err), false, nil
 	case update.IsHeartbeat():
@@ -121,10 +123,11 @@
 	return f.acknowledge(update.Nonce), f.commit(update), nil
 }
 
-// checkContinuity returns an error if the member's configuration contradicts what was accepted, as its revision shows.
+// checkContinuity returns an error if the revision of an update contradicts the accepted state: it is older, or a delta
+// changes records of the accepted revision.
 func (f *Follower) checkContinuity(update Update) error {
 	if update.Revision < f.revision {
-		return fmt.Errorf("%w: %d, accepted is %d", ErrOlderRevision, update.Revision, f.revision)
+		return fmt.Errorf("%w: got %d, accepted %d", ErrOlderRevision, update.Revision, f.revision)
 	}
 	if update.Revision == f.revision && !update.FullScope && !update.isEmpty() {
 		return fmt.Errorf("%w: %d", ErrConflictingContent, update.Revision)
@@ -132,14 +135,15 @@
 	return nil
 }
 
-// checkApplicable returns why an update can't follow the accepted revision, whatever its records say.
+// checkApplicable returns an error if an update cannot be applied to the accepted revision, regardless of the content
+// of its records.
 func (f *Follower) checkApplicable(update Update) error {
 	if !update.FullScope && f.revision == 0 {
 		return errNoBaseRevision
 	}
 	for _, record := range update.Records {
 		if !f.scope.Contains(record) {
-			return fmt.Errorf("%s is not in the scope", record.Key)
+			return fmt.Errorf("%s is outside the follower's scope", record.Key)
 		}
 		if !update.FullScope && record.Revision <= f.revision {
 			return fmt.Errorf("%s: its revision %d is no change after %d", record.Key, record.Revision, f.revision)
@@ -148,7 +152,7 @@
 	return nil
 }
 
-// checkSameContent returns an error if a full scope of the accepted revision has other records than were accepted.
+// checkSameContent returns an error if a full scope of the accepted revision differs from the accepted records.
 func (f *Follower) checkSameContent(update Update) error {
 	if !update.FullScope || update.Revision != f.revision {
 		return nil
@@ -159,7 +163,8 @@
 	return nil
 }
 
-// apply makes an update's records the accepted ones if the validator accepts the result. After an error these are as before.
+// apply applies an update to the accepted records if the validator accepts the result. After an error they are
+// unchanged.
 func (f *Follower) apply(update Update) error {
 	if update.FullScope {
 		return f.applyFullScope(update)
@@ -179,8 +184,8 @@
 	return nil
 }
 
-// applyDelta changes the records in place, so that the cost is that of the delta. It is rolled back if the validator
-// rejects the result.
+// applyDelta modifies the records in place, so that the cost is proportional to the delta. The change is rolled back if
+// the validator rejects the result.
 func (f *Follower) applyDelta(update Update) error {
 	if update.isEmpty() {
 		return nil
@@ -204,7 +209,7 @@
 	return err
 }
 
-// commit makes an update's revision the accepted one, and tells whether it is another one than before.
+// commit sets the accepted revision to that of an update and reports whether it advanced.
 func (f *Follower) commit(update Update) (advanced bool) {
 	advanced = update.Revision > f.revision
 	f.revision = update.Revision
@@ -213,7 +218,7 @@
 	return advanced
 }
 
-// rollBack undoes a delta: before has the earlier record of each key that it named, nil if there was none.
+// rollBack reverts a delta: before contains the previous record of each key in the delta, nil if there was none.
 func (f *Follower) rollBack(before map[records.Key]*records.Record) {
 	for key, record := range before {
 		if record == nil {
@@ -224,9 +229,9 @@
 	}
 }
 
-// handleHeartbeat extends the lease, counted from when the request was sent: it ends no later than the member's, which is
-// counted from when the member receives the request. An update does not extend it, since the member may have received no
-// request since.
+// handleHeartbeat extends the lease, measured from the time at which the request was sent. The lease thus ends no later
+// than the member's lease, which is measured from the time at which the member received the request. An update does not
+// extend the lease, since the member may not have received a request since the last renewal.
 func (f *Follower) handleHeartbeat() {
 	if f.renewalSentAt.IsZero() {
 		return
@@ -243,7 +248,7 @@
 	return &discoveryv3.DeltaDiscoveryRequest{TypeUrl: TypeURL, ResponseNonce: nonce}
 }
 
-// reject returns the NACK of an update that can't be used; the records stay.
+// reject returns the NACK of an update that cannot be used; the records are unchanged.
 func (f *Follower) reject(nonce string, reason error) *discoveryv3.DeltaDiscoveryRequest {
 	f.Rejected++
 	return &discoveryv3.DeltaDiscoveryRequest{
@@ -261,7 +266,7 @@
 	return byKey
 }
 
-// equalRecords tells whether two sets have the same records at the same revisions.
+// equalRecords reports whether two sets contain the same records at the same revisions.
 func equalRecords(a, b map[records.Key]*records.Record) bool {
 	return maps.EqualFunc(a, b, func(x, y *records.Record) bool { return x.Revision == y.Revision && x.SameContent(y) })
 }
--- a/configsync/follower_test.go
+++ b/configsync/follower_test.go
@@ -12,17 +12,17 @@
 
 var testStart = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 
-// at is a time of a test, in seconds after its start.
+// at returns the time that is the given number of seconds after the start of a test.
 func at(seconds float64) time.Time {
 	return testStart.Add(time.Duration(seconds * float64(time.Second)))
 }
 
-// A follower's lease starts when its request is sent. If it started with the heartbeat it would end after the member's, and
-// the follower would be the last to know that it is stale.
+// A follower's lease starts when the follower sends its request. If it started with the heartbeat it would end after
+// the member's lease, and the follower would consider itself up to date after the member considers it stale.
 func TestFollowerLeaseRunsFromItsRequest(t *testing.T) {
 	follower := NewFollower("a", records.Scope{All: true}, 3*time.Second, nil)
 	if !follower.Stale(at(0)) {
-		t.Error("a follower that was never answered has a lease")
+		t.Error("before the first heartbeat: got a live lease, want stale")
 	}
 	heartbeat, err := Update{Revision: 0}.response()
 	if err != nil {
@@ -35,23 +35,24 @@
 			t.Fatal(err)
 		}
 	}
-	receive() // when it arrives does not count
+	receive() // its arrival time is ignored
 	if follower.Stale(at(2.9)) || !follower.Stale(at(3)) {
-		t.Error("the lease of a request sent at 0 has to end at 3")
+		t.Error("request sent at 0s: the lease does not end at 3s")
 	}
-	receive() // answers nothing
+	receive() // no request precedes it
 	if !follower.Stale(at(3)) {
-		t.Error("a heartbeat that was not asked for renewed the lease")
+		t.Error("a heartbeat without a request renewed the lease")
 	}
 	follower.Renew(at(3))
 	follower.Renew(at(4))
 	receive()
 	if follower.Stale(at(5.9)) || !follower.Stale(at(6)) {
-		t.Error("of two requests under way the older one counts: the lease has to end at 6")
+		t.Error("requests sent at 3s and 4s: the lease does not end at 6s, 3s after the older one")
 	}
 }
 
-// A member may send an update without a request since: the update must not renew the follower's lease.
+// A member may send an update without having received a request since the last one, so an update must not renew the
+// follower's lease.
 func TestUpdateDoesNotRenewLease(t *testing.T) {
 	follower := NewFollower("a", records.Scope{All: true}, 3*time.Second, nil)
 	follower.Begin(at(0))
@@ -60,14 +61,14 @@
 		t.Fatal(err)
 	}
 	if _, accepted, err := follower.Receive(update); err != nil || !accepted {
-		t.Fatal(accepted, err)
+		t.Fatalf("got accepted %v, error %v; want accepted", accepted, err)
 	}
 	if !follower.Stale(at(1)) {
-		t.Error("an update renewed the lease")
+		t.Error("got a live lease after an update, want stale")
 	}
 }
 
-// encodeUpdate returns the message of an update.
+// encodeUpdate encodes an update as a response.
 func encodeUpdate(t testing.TB, update Update) *discoveryv3.DeltaDiscoveryResponse {
 	t.Helper()
 	response, err := update.response()
@@ -89,12 +90,12 @@
 	f.Begin(at(0))
 	fullScope := encodeUpdate(t, Update{Revision: 5, Nonce: "1", FullScope: true, Records: oneRecord(withRevision(newRouteRecord(t, "a", "s1", 10), 4))})
 	if _, accepted, err := f.Receive(fullScope); err != nil || !accepted {
-		t.Fatal(accepted, err)
+		t.Fatalf("got accepted %v, error %v; want accepted", accepted, err)
 	}
 	return f
 }
 
-// An update that can't follow the accepted revision is rejected, and the accepted records stay.
+// An update that cannot be applied to the accepted revision is rejected, and the accepted records are unchanged.
 func TestFollowerRejectsInapplicableUpdates(t *testing.T) {
 	changed := withRevision(newRouteRecord(t, "a", "s1", 11), 6)
 	for name, update := range map[string]Update{
@@ -113,16 +114,16 @@
 			f := newFollowerWithRecords(t)
 			reply, accepted, err := f.Receive(encodeUpdate(t, update))
 			if err != nil || accepted || reply.GetErrorDetail() == nil || reply.GetResponseNonce() != "2" {
-				t.Errorf("reply %v, accepted %v, %v", reply, accepted, err)
+				t.Errorf("got reply %v, accepted %v, error %v; want a NACK of nonce 2", reply, accepted, err)
 			}
 			if f.Revision() != 5 || len(f.Records()) != 1 || f.Records()[changed.Key].Revision != 4 {
-				t.Errorf("revision %d, %v", f.Revision(), f.Records())
+				t.Errorf("got revision %d and records %v, want revision 5 and the record of revision 4", f.Revision(), f.Records())
 			}
 		})
 	}
 }
 
-// A message that can't be read as an update is rejected, and the accepted records stay.
+// A message that is not a valid update is rejected, and the accepted records are unchanged.
 func TestFollowerRejectsMalformedMessages(t *testing.T) {
 	good := func() *discoveryv3.DeltaDiscoveryResponse {
 		return encodeUpdate(t, Update{Revision: 6, Nonce: "2", Records: oneRecord(withRevision(newRouteRecord(t, "a", "s1", 11), 6))})
@@ -148,46 +149,49 @@
 			spoil(response)
 			reply, accepted, err := f.Receive(response)
 			if err != nil || accepted || reply.GetErrorDetail() == nil || f.Revision() != 5 || f.Rejected != 1 {
-				t.Errorf("reply %v, accepted %v, %v, revision %d", reply, accepted, err, f.Revision())
+				t.Errorf("got reply %v, accepted %v, error %v, revision %d and %d rejections; want a NACK, revision 5 and 1 rejection",
+					reply, accepted, err, f.Revision(), f.Rejected)
 			}
 		})
 	}
 	f, response := newFollowerWithRecords(t), good()
 	if _, accepted, err := f.Receive(response); err != nil || !accepted {
-		t.Errorf("what is good: %v, %v", accepted, err)
+		t.Errorf("valid update: got accepted %v, error %v; want accepted", accepted, err)
 	}
 }
 
-// A malformed message without a nonce can't be answered by a NACK: its member is left.
+// A malformed message without a nonce cannot be answered with a NACK, so the follower must disconnect from the member.
 func TestFollowerLeavesMemberAfterMalformedHeartbeat(t *testing.T) {
 	f := newFollowerWithRecords(t)
 	if reply, _, err := f.Receive(&discoveryv3.DeltaDiscoveryResponse{TypeUrl: "x"}); err == nil || reply != nil {
-		t.Errorf("reply %v, %v", reply, err)
+		t.Errorf("got reply %v, error %v; want an error without a reply", reply, err)
 	}
 	if f.Rejected != 0 {
-		t.Error("counted as a rejected update")
+		t.Error("a malformed heartbeat was counted as a rejected update")
 	}
 }
 
-// A member offers an older revision than the accepted one: the follower must neither accept nor reject it, but leave.
+// If a member sends an older revision than the accepted one, the follower must neither accept nor reject it, but
+// disconnect from the member.
 func TestFollowerLeavesMemberWithOlderRevision(t *testing.T) {
 	f := newFollowerWithRecords(t)
 	for _, fullScope := range []bool{true, false} {
 		reply, accepted, err := f.Receive(encodeUpdate(t, Update{Revision: 4, Nonce: "2", FullScope: fullScope}))
 		if !errors.Is(err, ErrOlderRevision) || accepted || reply != nil || f.Revision() != 5 || len(f.Records()) != 1 {
-			t.Errorf("reply %v, accepted %v, %v", reply, accepted, err)
+			t.Errorf("full scope %v: got reply %v, accepted %v, error %v, revision %d; want ErrOlderRevision and revision 5",
+				fullScope, reply, accepted, err, f.Revision())
 		}
 	}
 }
 
-// The accepted revision may come again, as a full scope or as progress, but not with other contents.
+// A member may send the accepted revision again, as a full scope or as an empty update, but not with different content.
 func TestFollowerDetectsConflictAtSameRevision(t *testing.T) {
 	same := Update{Revision: 5, Nonce: "2", FullScope: true, Records: oneRecord(withRevision(newRouteRecord(t, "a", "s1", 10), 4))}
 	for name, update := range map[string]Update{"full scope": same, "progress": {Revision: 5, Nonce: "2"}} {
 		t.Run(name, func(t *testing.T) {
 			f := newFollowerWithRecords(t)
 			if reply, accepted, err := f.Receive(encodeUpdate(t, update)); err != nil || accepted || reply.GetErrorDetail() != nil {
-				t.Errorf("%s: reply %v, accepted %v, %v", name, reply, accepted, err)
+				t.Errorf("got reply %v, accepted %v, error %v; want an ACK of the same revision", reply, accepted, err)
 			}
 		})
 	}
@@ -201,26 +205,27 @@
 		t.Run(name, func(t *testing.T) {
 			f := newFollowerWithRecords(t)
 			if _, accepted, err := f.Receive(encodeUpdate(t, update)); !errors.Is(err, ErrConflictingContent) || accepted || len(f.Records()) != 1 {
-				t.Errorf("%s: accepted %v, %v", name, accepted, err)
+				t.Errorf("got accepted %v, error %v and %d records; want ErrConflictingContent and 1 record", accepted, err, len(f.Records()))
 			}
 		})
 	}
 }
 
-// A delta can't be applied without a base revision: all else of the scope would be missing.
+// A delta cannot be applied without a base revision, since the unchanged records of the scope would be missing.
 func TestFollowerRejectsDeltaWithoutBaseRevision(t *testing.T) {
 	f := NewFollower("f", services("s1"), 3*time.Second, nil)
 	for _, update := range []Update{{Revision: 5, Nonce: "1", Records: oneRecord(withRevision(newRouteRecord(t, "a", "s1", 10), 5))}, {Revision: 5, Nonce: "1"}} {
 		if reply, accepted, err := f.Receive(encodeUpdate(t, update)); err != nil || accepted || reply.GetErrorDetail() == nil {
-			t.Errorf("reply %v, accepted %v, %v", reply, accepted, err)
+			t.Errorf("got reply %v, accepted %v, error %v; want a NACK", reply, accepted, err)
 		}
 	}
 }
 
-// A follower whose lease ran out goes on with its records.
+// A follower whose lease has expired keeps its records.
 func TestStaleFollowerKeepsRecords(t *testing.T) {
 	f := newFollowerWithRecords(t)
 	if !f.Stale(at(100000)) || f.Revision() != 5 || len(f.Records()) != 1 {
-		t.Errorf("revision %d, %v", f.Revision(), f.Records())
+		t.Errorf("got stale %v, revision %d, records %v; want a stale follower with 1 record of revision 5",
+			f.Stale(at(100000)), f.Revision(), f.Records())
 	}
 }
--- a/configsync/fullscope_limiter.go
+++ b/configsync/fullscope_limiter.go
@@ -6,33 +6,35 @@
 )
 
 const (
-	// initialAverageBytes is the size of a full scope by which delays are estimated until one was sent.
+	// initialAverageBytes is the assumed average size of a full scope before any was sent, used to estimate delays.
 	initialAverageBytes = 16 << 10
-	// averagedScopes is the number of latest scopes that the average size covers.
+	// averagedScopes is the number of recent scopes over which the average size is computed.
 	averagedScopes = 8
-	// minRetryDelay keeps queued streams from asking continuously.
+	// minRetryDelay prevents queued streams from polling continuously.
 	minRetryDelay = 10 * time.Millisecond
-	// lateAfter is how long after its time the head of the queue may ask. Then it loses its place: its stream may be
-	// stuck in a write, and must not delay those behind it.
+	// lateAfter is the maximum time by which the head of the queue may miss its retry time. After it, the stream is
+	// removed from the queue: it may be blocked in a write, and must not delay the streams behind it.
 	lateAfter = time.Second
-	// earlyRetryFactor is the part of the estimated delay after which a stream behind the head of the queue asks again.
-	// The estimate goes by the average size: with 4 scopes of 1 MB ahead at 1 MB/s, the fifth stream asks after 2 s instead
-	// of 4 s. If those turn out to have 0.5 MB it asks just in time, else it is told a new delay.
+	// earlyRetryFactor is the fraction of the estimated delay after which a stream behind the head of the queue
+	// retries. The estimate is based on the average size: with 4 scopes of 1 MB ahead at 1 MB/s, the fifth stream
+	// retries after 2 s instead of 4 s. If those scopes are in fact 0.5 MB each, it retries just in time; otherwise it
+	// gets a new delay.
 	earlyRetryFactor = 0.5
 )
 
-// fullScopeLimiter limits the bytes a second that are sent as full scopes. Streams are served in the order in which they
-// came, so that many followers that reconnect together do not delay the deltas of the others.
+// fullScopeLimiter is a token bucket that limits the bytes per second sent as full scopes, so that many followers that
+// reconnect at the same time do not delay the deltas of the others. Streams are served in the order in which they
+// arrived.
 type fullScopeLimiter struct {
 	bytesPerSecond float64
-	burstBytes     float64 // that may be sent at once
-	availableBytes float64 // negative after a scope larger than what was available
-	averageBytes   float64 // of the latest scopes
+	burstBytes     float64 // the maximum of availableBytes
+	availableBytes float64 // negative after a scope that was larger than the available bytes
+	averageBytes   float64 // average size of recent scopes
 	refilledAt     time.Time
 	queue          []queuedStream
 }
 
-// queuedStream is a stream that waits for a full scope, and when it was told to ask again.
+// queuedStream is a stream that waits for a full scope, and the time at which it should retry.
 type queuedStream struct {
 	stream  *Stream
 	retryAt time.Time
@@ -46,7 +48,8 @@
 	}
 }
 
-// acquire returns 0 if a stream may be sent a full scope now, and else after how long to ask again.
+// acquire returns 0 if a full scope may be sent to a stream now, and otherwise the delay before the caller should
+// retry.
 func (l *fullScopeLimiter) acquire(now time.Time, stream *Stream) (retryAfter time.Duration) {
 	l.refill(now)
 	index := l.queueIndex(stream)
@@ -75,13 +78,13 @@
 	l.refilledAt = now
 }
 
-// queueIndex returns the index of a stream in the queue, or -1.
+// queueIndex returns the index of a stream in the queue, or -1 if it is not queued.
 func (l *fullScopeLimiter) queueIndex(stream *Stream) int {
 	return slices.IndexFunc(l.queue, func(queued queuedStream) bool { return queued.stream == stream })
 }
 
-// dropLate removes the streams before an index that did not ask in time, up to the first that is not late, and returns
-// their number.
+// dropLate removes the late streams at the head of the queue, up to the first that is not late or to the given index,
+// and returns their number.
 func (l *fullScopeLimiter) dropLate(now time.Time, index int) (dropped int) {
 	for dropped < index && now.Sub(l.queue[dropped].retryAt) > lateAfter {
 		dropped++
@@ -90,8 +93,8 @@
 	return dropped
 }
 
-// estimateDelay returns after how long the stream at an index asks again: the head when it may have its scope, those behind
-// it by earlyRetryFactor sooner.
+// estimateDelay returns the delay before the stream at an index should retry: for the head the time until its scope may
+// be sent, for the streams behind it earlyRetryFactor times the estimate.
 func (l *fullScopeLimiter) estimateDelay(index int) time.Duration {
 	missingBytes := max(0, -l.availableBytes) + float64(index)*l.averageBytes
 	delay := time.Duration(missingBytes / l.bytesPerSecond * float64(time.Second))
@@ -101,7 +104,7 @@
 	return max(minRetryDelay, delay)
 }
 
-// charge accounts for a scope that was sent to the stream at the head of the queue.
+// charge subtracts the bytes of a scope that was sent to a stream and removes the stream from the queue.
 func (l *fullScopeLimiter) charge(stream *Stream, bytes float64) {
 	l.availableBytes -= bytes
 	l.averageBytes += (bytes - l.averageBytes) / averagedScopes
--- a/configsync/fullscope_limiter_test.go
+++ b/configsync/fullscope_limiter_test.go
@@ -8,8 +8,8 @@
 	"harehook.dev/harehook/records"
 )
 
-// Streams that wait for full scopes are served in the order in which they came, all of them, with most of the limit in use,
-// whatever the size of a scope.
+// All streams that wait for full scopes are served in the order in which they arrived, and most of the limit is used,
+// regardless of the size of a scope.
 func TestFullScopeLimiterServesCrowdInOrder(t *testing.T) {
 	for _, bytes := range []float64{1 << 10, 16 << 10, 300 << 10} {
 		a := newFullScopeLimiter(1<<20, 64<<10)
@@ -40,21 +40,21 @@
 		}
 		for n, stream := range served {
 			if n != stream {
-				t.Errorf("scopes of %v bytes: served as number %d: %d", bytes, n, stream)
+				t.Errorf("scopes of %v bytes: got stream %d at position %d, want stream %d", bytes, stream, n, n)
 			}
 		}
 		least := (waiting - 1) * bytes / a.bytesPerSecond
 		if took := now.Sub(at(0)).Seconds(); took > 1.3*least+0.1 {
-			t.Errorf("scopes of %v bytes: %v s, %v s if the limit was fully used", bytes, took, least)
+			t.Errorf("scopes of %v bytes: got %v s, want at most %v s (%v s at full use of the limit)", bytes, took, 1.3*least+0.1, least)
 		}
 		if asked > 30*waiting {
-			t.Errorf("scopes of %v bytes: asked %d times", bytes, asked)
+			t.Errorf("scopes of %v bytes: got %d calls of acquire, want at most %d", bytes, asked, 30*waiting)
 		}
 	}
 }
 
-// A stream at the head of the queue does not ask any more, for instance because it is stuck in a write, and those behind it
-// would wait for good: it has to lose its place.
+// A stream at the head of the queue that does not retry, for example because it is blocked in a write, must be removed
+// from the queue. Otherwise the streams behind it would wait forever.
 func TestFullScopeLimiterSkipsLateStreams(t *testing.T) {
 	a := newFullScopeLimiter(1000, 1000)
 	dead, alive, dying := &Stream{}, &Stream{}, &Stream{}
@@ -63,48 +63,48 @@
 	deadAsks := at(0).Add(a.acquire(at(0), dead))
 	a.acquire(at(0), dying)
 	if wait := a.acquire(at(0), alive); wait == 0 {
-		t.Fatal("served before its turn")
+		t.Fatal("the second stream was served before the head of the queue")
 	}
 	a.dequeue(dying)
 	due := deadAsks.Add(lateAfter)
 	if wait := a.acquire(due, alive); wait == 0 {
-		t.Error("served before a head that is not too late yet")
+		t.Error("the second stream was served although the head of the queue is not late yet")
 	}
 	if wait := a.acquire(due.Add(time.Millisecond), alive); wait != 0 {
-		t.Errorf("delayed for %v by a head that does not ask any more", wait)
+		t.Errorf("got wait %v behind a head that is late, want 0", wait)
 	}
 	a.charge(alive, 100)
 	if wait := a.acquire(due.Add(time.Millisecond), dead); wait != 0 {
-		t.Errorf("one that lost its place waits for %v with nobody before it", wait)
+		t.Errorf("got wait %v for a removed stream that retries with an empty queue, want 0", wait)
 	}
 }
 
-// The limiter refills by the time that passed, up to the burst; a clock that goes back refills nothing.
+// The limiter refills in proportion to the elapsed time, up to the burst size. A clock that goes back adds nothing.
 func TestFullScopeLimiterRefillsToBurst(t *testing.T) {
 	a := newFullScopeLimiter(1000, 500)
 	stream := &Stream{}
 	spend := func(seconds, bytes float64) {
 		t.Helper()
 		if wait := a.acquire(at(seconds), stream); wait != 0 {
-			t.Fatalf("at %v: wait %v", seconds, wait)
+			t.Fatalf("at %v s: got wait %v, want 0", seconds, wait)
 		}
 		a.charge(stream, bytes)
 	}
 	spend(0, 1500)
 	if wait := a.acquire(at(0), stream); wait != time.Second {
-		t.Errorf("wait %v", wait)
+		t.Errorf("at 0 s: got wait %v, want 1s", wait)
 	}
 	if wait := a.acquire(at(-5), stream); wait != time.Second {
-		t.Errorf("wait %v", wait)
+		t.Errorf("at -5 s: got wait %v, want 1s", wait)
 	}
 	spend(6, 0)
 	if a.availableBytes != 500 {
-		t.Errorf("left %v", a.availableBytes)
+		t.Errorf("got %v available bytes, want 500", a.availableBytes)
 	}
 }
 
-// While many streams wait for full scopes, followers that are up to date get deltas at once. A stream that is closed or
-// replaced while it waits leaves the queue.
+// While many streams wait for full scopes, followers that are up to date receive deltas immediately. A stream that is
+// closed or replaced while it waits is removed from the queue.
 func TestWaitingFullScopesDoNotDelayDeltas(t *testing.T) {
 	source := newModelSource()
 	limits := testLimits
@@ -119,28 +119,29 @@
 		c := connect(t, server, NewFollower(fmt.Sprint("f", n), services("s1"), limits.Lease, nil), at(0))
 		c.settle(at(0))
 		if c.follower.Revision() != 0 {
-			t.Fatal("served beyond the limit")
+			t.Fatal("a full scope was sent beyond the limit")
 		}
 		waiting = append(waiting, c)
 	}
 	server.Committed(at(0.1), source.commit(2, oneRecord(newRouteRecord(t, "a", "s1", 11))).Revision)
 	inStep.settle(at(0.1))
 	if f.Revision() != 2 {
-		t.Error("delayed by streams that wait for full scopes")
+		t.Error("the delta was delayed by streams that wait for full scopes")
 	}
 	for _, c := range waiting[:10] {
 		server.Close(c.stream)
 	}
 	connect(t, server, waiting[10].follower, at(0.2))
 	if got := server.limiter.queue[0].stream; got != waiting[11].stream {
-		t.Errorf("the head is %q", got.Name())
+		t.Errorf("got %q at the head of the queue, want %q", got.Name(), waiting[11].stream.Name())
 	}
 	if len(server.limiter.queue) != 9 {
-		t.Errorf("%d in the queue", len(server.limiter.queue))
+		t.Errorf("got %d streams in the queue, want 9", len(server.limiter.queue))
 	}
 }
 
-// A follower that rejects a full scope again and again uses up the limit: it has to queue behind the others each time.
+// A follower that repeatedly rejects a full scope consumes the limit, so it must wait behind the other streams each
+// time.
 func TestRejectedFullScopeIsChargedAndQueuesAgain(t *testing.T) {
 	source := newModelSource()
 	limits := testLimits
@@ -159,10 +160,10 @@
 		rejecting.settle(now)
 		other.settle(now)
 		if rejecting.follower.Rejected == 2 && other.follower.Revision() == 0 {
-			t.Fatal("the rejecting follower was served twice before the other once")
+			t.Fatal("the rejecting follower was served twice before the other follower was served")
 		}
 	}
 	if other.follower.Revision() != 2 || rejecting.follower.Rejected != 2 {
-		t.Errorf("revision %d, rejected %d", other.follower.Revision(), rejecting.follower.Rejected)
+		t.Errorf("got revision %d and %d rejections, want revision 2 and 2 rejections", other.follower.Revision(), rejecting.follower.Rejected)
 	}
 }
--- a/configsync/fuzz_test.go
+++ b/configsync/fuzz_test.go
@@ -10,7 +10,7 @@
 	"harehook.dev/harehook/records"
 )
 
-// encodeMessage returns a message on the wire.
+// encodeMessage returns the wire encoding of a message.
 func encodeMessage(t testing.TB, message proto.Message) []byte {
 	t.Helper()
 	data, err := proto.Marshal(message)
@@ -20,7 +20,8 @@
 	return data
 }
 
-// FuzzServerReceive passes a member the first two requests of a stream. Whatever they are, it goes on serving others.
+// FuzzServerReceive passes arbitrary first and second requests of a stream to a member, which must continue to serve
+// other followers.
 func FuzzServerReceive(f *testing.F) {
 	hello := encodeMessage(f, Handshake{Name: "f", Scope: services("s1", "s2"), Revision: 1}.request())
 	for _, second := range []*discoveryv3.DeltaDiscoveryRequest{
@@ -52,7 +53,7 @@
 		}
 		status := member.server.Status(at(1))
 		if status.ConvergedRevision > status.Revision || len(status.Leases) > 2 {
-			t.Errorf("%+v", status)
+			t.Errorf("got status %+v, want a converged revision of at most %d and at most 2 leases", status, status.Revision)
 		}
 		member.server.Close(stream)
 		if stream.Name() != "bystander" {
@@ -62,8 +63,8 @@
 	})
 }
 
-// FuzzFollowerReceive passes a follower a response. Whatever it is, the follower has only records of its scope and revision,
-// and rejects the response or leaves the member without a change of its records.
+// FuzzFollowerReceive passes an arbitrary response to a follower. The follower must contain only records of its scope
+// with revisions up to its own. If it rejects the response or returns an error, its records must be unchanged.
 func FuzzFollowerReceive(f *testing.F) {
 	record := withRevision(newRouteRecord(f, "a", "s1", 11), 6)
 	for _, update := range []Update{
@@ -91,17 +92,19 @@
 		follower := newFollowerWithRecords(t)
 		reply, accepted, err := follower.Receive(response)
 		if (err != nil || reply.GetErrorDetail() != nil) && (accepted || follower.Revision() != 5 || follower.Records()[routeKey("a")].Revision != 4) {
-			t.Errorf("%s: rejected, and revision %d with %v", protojson.Format(response), follower.Revision(), follower.Records())
+			t.Errorf("response %s: rejected, but got accepted %v, revision %d with records %v; want revision 5 unchanged",
+				protojson.Format(response), accepted, follower.Revision(), follower.Records())
 		}
 		if accepted != (follower.Revision() > 5) {
-			t.Errorf("accepted %v, revision %d", accepted, follower.Revision())
+			t.Errorf("got accepted %v with revision %d, want accepted only above revision 5", accepted, follower.Revision())
 		}
 		if follower.RoutingRevision() > follower.Revision() {
-			t.Errorf("routes changed at revision %d, over %d", follower.RoutingRevision(), follower.Revision())
+			t.Errorf("got routing revision %d, want at most revision %d", follower.RoutingRevision(), follower.Revision())
 		}
 		for key, record := range follower.Records() {
 			if record == nil || record.Key != key || !follower.scope.Contains(record) || record.Revision == 0 || record.Revision > follower.Revision() {
-				t.Errorf("at revision %d it has %v", follower.Revision(), record)
+				t.Errorf("key %s: got record %v at revision %d, want one of the key and scope with revision 1 to %d",
+					key, record, follower.Revision(), follower.Revision())
 			}
 		}
 	})
--- a/configsync/golden_test.go
+++ b/configsync/golden_test.go
@@ -12,8 +12,8 @@
 	"harehook.dev/harehook/records"
 )
 
-// TestGoldenMessages compares the bytes of each kind of message between members and followers with those that commit
-// 3968cf4 sent.
+// TestGoldenMessages compares the encoding of each kind of message between members and followers with that of commit
+// 3968cf4.
 func TestGoldenMessages(t *testing.T) {
 	route, err := records.New(records.Key{Kind: records.KindRoute, Name: "quote"}, records.RouteSpec{Service: "pay", Prefix: "/quote", TimeLimitMS: 900})
 	if err != nil {
@@ -77,7 +77,7 @@
 	goldentest.Compare(t, "messages.txt", out.String())
 }
 
-// TestGoldenStatus compares the JSON of members' statuses and of harehookctl with that of an earlier release.
+// TestGoldenStatus compares the JSON of member statuses and of harehookctl output with that of an earlier release.
 func TestGoldenStatus(t *testing.T) {
 	goldentest.CompareJSON(t, "status.json", &MemberStatus{}, &Convergence{}, &Counts{})
 }
--- a/configsync/hostile_input_test.go
+++ b/configsync/hostile_input_test.go
@@ -9,7 +9,7 @@
 	"harehook.dev/harehook/records"
 )
 
-// A member serves no more streams than it may, and another one once one has closed.
+// A member rejects streams beyond its maximum number.
 func TestStreamCountIsBounded(t *testing.T) {
 	member := newTestMember(t)
 	for range testLimits.MaxStreams {
@@ -18,11 +18,11 @@
 		}
 	}
 	if _, err := member.server.Open(at(0)); !errors.Is(err, ErrTooManyStreams) {
-		t.Error(err)
+		t.Errorf("stream %d: got error %v, want %v", testLimits.MaxStreams+1, err, ErrTooManyStreams)
 	}
 }
 
-// A NACK's reason is truncated between characters.
+// The reason of a NACK is truncated at a character boundary.
 func TestRejectionReasonIsTruncated(t *testing.T) {
 	member := newTestMember(t)
 	member.commit(at(0), 1, nil)
@@ -32,11 +32,11 @@
 	connect(t, member.server, f, at(0)).settle(at(0))
 	reason := member.server.Status(at(0)).Leases[0].Reason
 	if len(reason) != maxReasonBytes-1 || strings.Trim(reason, "ü") != "x" {
-		t.Errorf("%q", reason)
+		t.Errorf("got reason %q of %d bytes, want x and a number of ü in %d bytes", reason, len(reason), maxReasonBytes-1)
 	}
 }
 
-// An answer to an update that was not sent, or was answered before, ends the stream.
+// An answer to an update that was not sent or has already been answered ends the stream.
 func TestUnknownNonceEndsStream(t *testing.T) {
 	member := newTestMember(t)
 	member.commit(at(0), 1, nil)
@@ -51,17 +51,17 @@
 	err = member.server.Receive(at(0), c.stream, reply)
 	var unknownNonce *UnknownNonceError
 	if !errors.As(err, &unknownNonce) || unknownNonce.Nonce != reply.GetResponseNonce() {
-		t.Errorf("an answer was accepted twice: %v", err)
+		t.Errorf("second answer with nonce %q: got error %v, want an UnknownNonceError", reply.GetResponseNonce(), err)
 	}
 	reply.TypeUrl = "other"
 	err = member.server.Receive(at(0), c.stream, reply)
 	var unsupportedType *UnsupportedTypeError
 	if !errors.As(err, &unsupportedType) || unsupportedType.TypeURL != "other" {
-		t.Errorf("another type was accepted: %v", err)
+		t.Errorf("resource type %q: got error %v, want an UnsupportedTypeError", "other", err)
 	}
 }
 
-// A stream's first request comes from anyone: names that can't be shown and scopes that are too large are rejected.
+// The first request of a stream is untrusted: names that cannot be shown and scopes that are too large are rejected.
 func TestHandshakeRejectsHostileInput(t *testing.T) {
 	many := make([]string, maxScopeNames+1)
 	for n := range many {
@@ -83,10 +83,10 @@
 				t.Fatal(err)
 			}
 			if err := member.server.Receive(at(0), stream, hello.request()); err == nil {
-				t.Errorf("%s: accepted", name)
+				t.Error("got no error for the handshake, want it rejected")
 			}
 			if len(member.server.leases.leases) != 0 || len(member.server.byName) != 0 {
-				t.Errorf("%s: it has a lease", name)
+				t.Errorf("got %d leases and %d streams by name, want none", len(member.server.leases.leases), len(member.server.byName))
 			}
 		})
 	}
@@ -97,6 +97,6 @@
 		t.Fatal(err)
 	}
 	if got := stream.handshake.Scope.Services; len(got) != 2 || got[0] != "a" {
-		t.Errorf("services %v", got)
+		t.Errorf("services b, a, b: got %v, want them sorted without duplicates", got)
 	}
 }
--- a/configsync/lease.go
+++ b/configsync/lease.go
@@ -7,74 +7,75 @@
 )
 
 const (
-	// maxCommits is the number of revisions whose commit time a member remembers, to tell since when a follower is behind.
+	// maxCommits is the maximum number of revisions whose commit time a member retains to compute how long a follower
+	// has been behind.
 	maxCommits = 4096
-	// maxRecentCommits is the number of revisions whose age a status tells.
+	// maxRecentCommits is the maximum number of revisions whose age a status contains.
 	maxRecentCommits = 64
 )
 
-// lease is what a member knows of a follower. It ends some time after the follower's last request.
+// lease is a member's state of a follower. It expires the lease duration after the follower's last request.
 type lease struct {
 	accepted         uint64
 	expires          time.Time
-	behindSince      time.Time // zero: not behind
-	rejectedRevision uint64    // of the last NACK since the last ACK, 0 if none
+	behindSince      time.Time // zero if the follower is not behind
+	rejectedRevision uint64    // of the latest NACK since the last ACK, 0 if there is none
 	rejectionReason  string
 }
 
-// LeaseStatus is a lease as operators see it. Followers are told apart by their names alone: two of one name end each
-// other's streams, and only the one that sent the last request is known.
+// LeaseStatus is a lease as shown to operators. Followers are identified only by name: two followers with the same name
+// end each other's streams, and the status shows only the one that sent the last request.
 type LeaseStatus struct {
 	Name             string        `json:"name"`
 	Accepted         uint64        `json:"accepted"` // revision
 	Live             bool          `json:"live"`
 	Expires          time.Time     `json:"expires"`
-	Behind           time.Duration `json:"behind_ns"` // since the first revision that it has not accepted was committed here
+	Behind           time.Duration `json:"behind_ns"` // since this member committed the first unaccepted revision
 	RejectedRevision uint64        `json:"refused,omitempty"`
 	Reason           string        `json:"reason,omitempty"`
 }
 
-// MemberStatus tells what a member knows of its followers.
+// MemberStatus contains a member's revision and the leases of its followers.
 type MemberStatus struct {
 	Member            string         `json:"member"`
-	At                time.Time      `json:"at"`       // by this member's clock
+	At                time.Time      `json:"at"`       // according to this member's clock
 	Revision          uint64         `json:"revision"` // of this member
-	ConvergedRevision uint64         `json:"in_force"` // accepted by every follower with a lease here
-	Settled           bool           `json:"settled"`  // it has served for a lease's time: no lease from before its start is missing
-	Live              int            `json:"live"`     // followers with a lease here
-	Recent            []CommitStatus `json:"recent"`   // the latest revisions, oldest first
-	Leases            []LeaseStatus  `json:"leases"`   // by name
+	ConvergedRevision uint64         `json:"in_force"` // accepted by every follower with a lease at this member
+	Settled           bool           `json:"settled"`  // has served for a lease duration, so all leases are known
+	Live              int            `json:"live"`     // followers with a lease at this member
+	Recent            []CommitStatus `json:"recent"`   // the most recent revisions, oldest first
+	Leases            []LeaseStatus  `json:"leases"`   // sorted by name
 }
 
-// CommitStatus is a revision and how long ago it was committed at a member.
+// CommitStatus is a revision and the time since it was committed at a member.
 type CommitStatus struct {
 	Revision uint64        `json:"revision"`
 	Age      time.Duration `json:"age_ns"`
 }
 
-// commit is a revision and when this member applied it.
+// commit is a revision and the time at which this member applied it.
 type commit struct {
 	revision    uint64
 	committedAt time.Time
 }
 
-// leaseTable has the leases of a member's followers.
+// leaseTable contains the leases of a member's followers.
 type leaseTable struct {
 	duration  time.Duration
 	maxLeases int
 	leases    map[string]*lease // by the follower's name
-	commits   []commit          // the latest, oldest first, never empty; at first what the member started with
+	commits   []commit          // most recent, oldest first; initially the revision at start, so never empty
 }
 
 func newLeaseTable(duration time.Duration, maxLeases int, first commit) *leaseTable {
 	return &leaseTable{duration: duration, maxLeases: maxLeases, leases: map[string]*lease{}, commits: []commit{first}}
 }
 
-// newestRevision is the last revision that was committed here.
+// newestRevision returns the last revision that was committed at this member.
 func (t *leaseTable) newestRevision() uint64 { return t.commits[len(t.commits)-1].revision }
 
-// renew extends the lease of a follower that sent a request, and sets its accepted revision. It returns
-// [ErrTooManyStreams] if there is no room for one more lease.
+// renew extends the lease of a follower that sent a request and sets its accepted revision. It returns
+// [ErrTooManyStreams] if the table has no room for a new lease.
 func (t *leaseTable) renew(now time.Time, name string, accepted uint64) (*lease, error) {
 	renewed := t.leases[name]
 	if renewed == nil {
@@ -89,7 +90,7 @@
 	return renewed, nil
 }
 
-// makeRoom removes leases that have run out if the table is full, and tells whether one more fits.
+// makeRoom removes expired leases if the table is full and reports whether there is room for one more.
 func (t *leaseTable) makeRoom(now time.Time) bool {
 	if len(t.leases) >= t.maxLeases {
 		maps.DeleteFunc(t.leases, func(_ string, old *lease) bool { return !now.Before(old.expires) })
@@ -97,7 +98,7 @@
 	return len(t.leases) < t.maxLeases
 }
 
-// accept sets the revision that a follower has accepted, and since when it is behind.
+// accept sets the revision that a follower has accepted and the time since which it is behind.
 func (t *leaseTable) accept(now time.Time, follower *lease, accepted uint64) {
 	if accepted > follower.accepted {
 		follower.rejectedRevision = 0
@@ -109,15 +110,15 @@
 	case accepted >= t.newestRevision():
 		follower.behindSince = time.Time{}
 	case unchanged && !follower.behindSince.IsZero():
-		// It is as far behind as it was.
+		// The lag continues from the same time.
 	case accepted == 0:
-		follower.behindSince = now // it has just joined
+		follower.behindSince = now // the follower has just joined
 	default:
 		follower.behindSince = t.commitTimeAfter(accepted)
 	}
 }
 
-// addCommit records a revision; followers that were up to date are behind from now on.
+// addCommit records a committed revision; followers that were up to date are behind from this time.
 func (t *leaseTable) addCommit(now time.Time, revision uint64) {
 	if revision <= t.newestRevision() {
 		return
@@ -133,9 +134,9 @@
 	}
 }
 
-// commitTimeAfter returns when the first revision after one was committed here. There has to be a later revision. For a
-// revision from before the member's start it is that start, for one that is forgotten the earliest that is not: both are
-// later than the true time.
+// commitTimeAfter returns the time at which this member committed the first revision after the given one. A later
+// revision must exist. If that commit was before the member's start, the result is the start time; if it is no longer
+// retained, the result is the time of the earliest retained commit. Both are later than the true time.
 func (t *leaseTable) commitTimeAfter(revision uint64) time.Time {
 	index, _ := slices.BinarySearchFunc(t.commits, revision, func(c commit, revision uint64) int {
 		if c.revision <= revision {
@@ -146,7 +147,7 @@
 	return t.commits[index].committedAt
 }
 
-// recentCommits returns the ages of the latest revisions, oldest first.
+// recentCommits returns the most recent revisions and their ages, oldest first.
 func (t *leaseTable) recentCommits(now time.Time) (recent []CommitStatus) {
 	for _, applied := range t.commits[max(0, len(t.commits)-maxRecentCommits):] {
 		recent = append(recent, CommitStatus{Revision: applied.revision, Age: now.Sub(applied.committedAt)})
@@ -154,13 +155,13 @@
 	return recent
 }
 
-// removeExpired forgets leases that ran out more than a lease's time ago: until then a status shows them as not live.
+// removeExpired removes leases that expired more than a lease duration ago; until then a status lists them as not live.
 func (t *leaseTable) removeExpired(now time.Time) {
 	maps.DeleteFunc(t.leases, func(_ string, old *lease) bool { return now.Sub(old.expires) > t.duration })
 }
 
-// addTo adds the leases to a status, by name, with the lowest revision that a live one has accepted. The status's revision
-// has to be set: it is the upper bound.
+// addTo adds the leases to a status, sorted by name, and sets its converged revision to the lowest revision that a
+// follower with a live lease has accepted. The revision of the status must be set: it is the upper bound.
 func (t *leaseTable) addTo(status *MemberStatus, now time.Time) {
 	status.ConvergedRevision = status.Revision
 	for _, name := range slices.Sorted(maps.Keys(t.leases)) {
--- a/configsync/lease_test.go
+++ b/configsync/lease_test.go
@@ -9,7 +9,8 @@
 	"harehook.dev/harehook/records"
 )
 
-// A follower's lag runs from the first revision that it lacks, over NACKs and renewals, until it accepts the newest.
+// A follower's lag starts at the commit of the first revision that it has not accepted and continues across NACKs and
+// renewals until it accepts the newest revision.
 func TestLagRunsFromFirstMissingCommit(t *testing.T) {
 	member := newTestMember(t)
 	member.commit(at(0), 1, oneRecord(newRouteRecord(t, "a", "s1", 10)))
@@ -25,7 +26,7 @@
 	behind := func(seconds float64, want time.Duration) {
 		t.Helper()
 		if got := member.server.Status(at(seconds)).Leases[0].Behind; got != want {
-			t.Errorf("at %v: behind for %v, want %v", seconds, got, want)
+			t.Errorf("at %v s: got lag %v, want %v", seconds, got, want)
 		}
 	}
 	behind(1, 0)
@@ -36,7 +37,7 @@
 	behind(2, time.Second)
 	c.request(at(2.5), f.Renew(at(2.5)))
 	behind(3, 2*time.Second)
-	for revision := uint64(4); revision < 4+maxCommits; revision++ { // more than are remembered
+	for revision := uint64(4); revision < 4+maxCommits; revision++ { // more than are retained
 		member.server.Committed(at(3), revision)
 	}
 	member.source.commit(4+maxCommits, nil)
@@ -48,7 +49,8 @@
 	behind(4, 0)
 }
 
-// A member that has just started does not know when earlier revisions were committed: a follower's lag runs from its start.
+// A member that has just started does not know when earlier revisions were committed, so a follower's lag starts at the
+// member's start.
 func TestLagAfterMemberRestart(t *testing.T) {
 	member := newTestMember(t)
 	member.commit(at(0), 7, oneRecord(newRouteRecord(t, "a", "s1", 10)))
@@ -62,22 +64,22 @@
 	}
 	status := server.Status(at(12.5))
 	if status.Settled || status.ConvergedRevision != 3 || status.Leases[0].Behind != 2500*time.Millisecond {
-		t.Errorf("%+v", status)
+		t.Errorf("got %+v, want not settled, converged revision 3 and a lag of 2.5s", status)
 	}
 	if !server.Status(at(13)).Settled {
-		t.Error("not settled after a lease's time")
+		t.Error("got a status that is not settled after a lease duration, want it settled")
 	}
 	stream, _ = server.Open(at(13))
 	if err := server.Receive(at(13), stream, Handshake{Name: "new", Scope: services("s1")}.request()); err != nil {
 		t.Fatal(err)
 	}
 	if lease := server.Status(at(14)).Leases[0]; lease.Name != "new" || lease.Behind != time.Second {
-		t.Errorf("one that has only come: %+v", lease)
+		t.Errorf("follower that has just joined: got lease %+v, want new with a lag of 1s", lease)
 	}
 }
 
-// Followers' names come from the wire, so the leases of a member are bounded: those that ran out make room, live ones never
-// do.
+// Follower names come from the wire, so the number of leases of a member is bounded. Expired leases are removed to make
+// room, live leases never are.
 func TestLeaseCountIsBounded(t *testing.T) {
 	member := newTestMember(t)
 	limit := maxLeasesPerStream * testLimits.MaxStreams
@@ -95,15 +97,15 @@
 		}
 	}
 	if err := open(at(1), "one more"); !errors.Is(err, ErrTooManyStreams) {
-		t.Errorf("lease %d: %v", limit+1, err)
+		t.Errorf("lease %d: got error %v, want %v", limit+1, err, ErrTooManyStreams)
 	}
 	if err := open(at(1), "f7"); err != nil {
-		t.Errorf("a follower that is known: %v", err)
+		t.Errorf("follower with a lease: got error %v, want none", err)
 	}
 	if err := open(at(3.5), "one more"); err != nil {
-		t.Errorf("though the others ran out: %v", err)
+		t.Errorf("after the other leases have expired: got error %v, want none", err)
 	}
 	if got := len(member.server.leases.leases); got != 2 {
-		t.Errorf("%d leases", got)
+		t.Errorf("got %d leases, want 2", got)
 	}
 }
--- a/configsync/messages.go
+++ b/configsync/messages.go
@@ -8,33 +8,34 @@
 	"harehook.dev/harehook/records"
 )
 
-// Handshake is what a follower says with the first request of a stream.
+// Handshake is the content of the first request of a stream.
 type Handshake struct {
 	Name     string
 	Scope    records.Scope
-	Revision uint64 // that it has accepted, 0 if none
+	Revision uint64 // the accepted revision, 0 if there is none
 }
 
-// Update is a response of a member: a heartbeat, or records and what they do to those that a follower has.
+// Update is a response of a member: a heartbeat, or a full scope or delta of records.
 type Update struct {
 	Revision        uint64
-	RoutingRevision uint64 // the revision at which a route of the scope last changed, also if the update has no route
-	Nonce           string // empty: a heartbeat, which is not answered
-	FullScope       bool   // Records are the full scope; else they are what changed
+	RoutingRevision uint64 // the revision at which a route of the scope last changed, even if the update contains no route
+	Nonce           string // empty for a heartbeat, which is not answered
+	FullScope       bool   // whether Records is the full scope or only the changed records
 	Records         []*records.Record
 	Removed         []records.Key
 }
 
-// IsHeartbeat tells whether an update has no nonce: it renews the lease and is not answered.
+// IsHeartbeat reports whether an update is a heartbeat, which has no nonce, confirms a lease renewal and is not
+// answered.
 func (u Update) IsHeartbeat() bool { return u.Nonce == "" }
 
-// isEmpty tells whether an update changes no record.
+// isEmpty reports whether an update contains no changed or removed record.
 func (u Update) isEmpty() bool { return len(u.Records)+len(u.Removed) == 0 }
 
-// Content summarizes a response, for measurements and checks.
+// Content is the summary of a response for measurements and checks.
 type Content struct {
 	FullScope bool
-	Records   int // that it has or removes
+	Records   int // number of records that the response contains or removes
 }
 
 // ContentOf returns the summary of a response without decoding its records.
@@ -52,18 +53,18 @@
 	return content
 }
 
-// UnsupportedTypeError says that a request is for another type of resource than [TypeURL].
+// UnsupportedTypeError is returned when a request is for a resource type other than [TypeURL].
 type UnsupportedTypeError struct{ TypeURL string }
 
-// Error implements error. The URL comes from the wire, so it is quoted and cut.
+// Error implements error. The URL comes from the wire, so it is quoted and truncated.
 func (e *UnsupportedTypeError) Error() string {
 	return fmt.Sprintf("type %.100q is not served here", e.TypeURL)
 }
 
-// UnknownNonceError says that a request answers an update that was not sent, or was answered before.
+// UnknownNonceError is returned when a request answers an update that was not sent or has already been answered.
 type UnknownNonceError struct{ Nonce string }
 
-// Error implements error. The nonce comes from the wire, so it is quoted and cut.
+// Error implements error. The nonce comes from the wire, so it is quoted and truncated.
 func (e *UnknownNonceError) Error() string {
 	return fmt.Sprintf("nonce %.100q answers nothing that was sent", e.Nonce)
 }
--- a/configsync/routing_revision_test.go
+++ b/configsync/routing_revision_test.go
@@ -10,8 +10,9 @@
 	"harehook.dev/harehook/records"
 )
 
-// Followers of one scope have the same routing revision at the same revision, however they came there: by each delta, by
-// several commits in one, or by a full scope. It never goes down, also when the newest route is removed.
+// Followers of one scope have the same routing revision at the same revision, whether they received one delta per
+// commit, one delta for several commits, or a full scope. The routing revision never decreases, even when the newest
+// route is removed.
 func TestRoutingRevisionMatchesRevision(t *testing.T) {
 	removals, comeAndGone := 0, 0
 	for seed := range uint64(20) {
@@ -34,7 +35,7 @@
 			last := each.follower.RoutingRevision()
 			each.settle(at(0))
 			if each.follower.RoutingRevision() < last {
-				t.Fatalf("seed %d: %d after %d", seed, each.follower.RoutingRevision(), last)
+				t.Fatalf("seed %d, revision %d: got routing revision %d, want at least %d", seed, revision, each.follower.RoutingRevision(), last)
 			}
 			member.checkFollower(each.follower)
 			if random.IntN(4) > 0 {
@@ -51,17 +52,18 @@
 			member.checkFollower(fullScope.follower)
 			member.server.Close(fullScope.stream)
 			if t.Failed() {
-				t.Fatalf("seed %d, revision %d", seed, revision)
+				t.Fatalf("failed with seed %d at revision %d", seed, revision)
 			}
 		}
 	}
 	if removals < 50 || comeAndGone == 0 {
-		t.Errorf("%d removals, %d times a route came and went between two updates: the draw does not cover it", removals, comeAndGone)
+		t.Errorf("got %d removals and %d routes both created and removed between two updates, want at least 50 and 1 for coverage",
+			removals, comeAndGone)
 	}
 }
 
-// A member that restored a snapshot may name a lower routing revision than the accepted one: the follower's must not go
-// down, as sidecars reject routes of a lower number. A rejected update changes nothing.
+// A member that restored a snapshot may send a lower routing revision than the accepted one. The follower's routing
+// revision must not decrease, since sidecars reject routes with a lower number. A rejected update does not change it.
 func TestRoutingRevisionNeverGoesDown(t *testing.T) {
 	f := newFollowerWithRecords(t)
 	for _, step := range []struct {
@@ -70,16 +72,16 @@
 	}{
 		{Update{Revision: 7, RoutingRevision: 6, Nonce: "2"}, 6},
 		{Update{Revision: 8, RoutingRevision: 4, Nonce: "3"}, 6},
-		{Update{Revision: 9, RoutingRevision: 9, Nonce: "4", Records: oneRecord(withRevision(newRouteRecord(t, "x", "s2", 1), 9))}, 6}, // another scope's
+		{Update{Revision: 9, RoutingRevision: 9, Nonce: "4", Records: oneRecord(withRevision(newRouteRecord(t, "x", "s2", 1), 9))}, 6}, // another scope
 		{Update{Revision: 9, RoutingRevision: 9, Nonce: "5"}, 9},
 	} {
 		if _, _, err := f.Receive(encodeUpdate(t, step.update)); err != nil || f.RoutingRevision() != step.want {
-			t.Errorf("%+v: %d, want %d, %v", step.update, f.RoutingRevision(), step.want, err)
+			t.Errorf("update %+v: got routing revision %d, error %v; want %d", step.update, f.RoutingRevision(), err, step.want)
 		}
 	}
 }
 
-// An update has to have exactly one routing revision, a number not over its revision.
+// An update must have exactly one routing revision, which must be a number not greater than its revision.
 func TestUpdateWithoutRoutingRevisionIsRejected(t *testing.T) {
 	marker := func(version string) *discoveryv3.Resource {
 		return &discoveryv3.Resource{Name: routingRevisionName, Version: version}
@@ -93,7 +95,8 @@
 				response.Resources = append(response.Resources[:len(records)], markers...)
 				reply, accepted, err := f.Receive(response)
 				if err != nil || accepted || reply.GetErrorDetail() == nil || f.Revision() != 5 || f.RoutingRevision() != 0 {
-					t.Errorf("%s: reply %v, accepted %v, %v, revision %d", name, reply, accepted, err, f.Revision())
+					t.Errorf("%d records: got reply %v, accepted %v, error %v, revision %d, routing revision %d; want a NACK, revision 5 and 0",
+						len(records), reply, accepted, err, f.Revision(), f.RoutingRevision())
 				}
 			}
 		})
--- a/configsync/server.go
+++ b/configsync/server.go
@@ -10,29 +10,30 @@
 	"harehook.dev/harehook/records"
 )
 
-// MaxMessage is the size of a response, in bytes, that both sides have to accept. A full scope and the changes since a
-// revision are one response each, so it bounds the size of a scope. A record costs some 90 bytes beside its name and body.
+// MaxMessage is the maximum size of a response in bytes, which both sides must accept. A full scope or a delta is
+// always a single response, so it bounds the size of a scope. A record takes about 90 bytes in addition to its name and
+// body.
 const MaxMessage = 64 << 20
 
 const (
-	// maxLeasesPerStream bounds the leases that a member has, those that ran out included, by the streams that it serves:
-	// their names come from the wire.
+	// maxLeasesPerStream bounds the number of leases of a member, including expired ones, in proportion to its maximum
+	// number of streams. A bound is needed because follower names come from the wire.
 	maxLeasesPerStream = 2
-	// maxReasonBytes is the part of a NACK's reason that is retained.
+	// maxReasonBytes is the maximum length to which the reason of a NACK is truncated.
 	maxReasonBytes = 500
 )
 
-// Limits bound what a member does for its followers.
+// Limits contains the limits of a member's service to its followers.
 type Limits struct {
-	Lease                   time.Duration // of a follower, from its last request on
+	Lease                   time.Duration // duration of a follower's lease, from its last request
 	MaxStreams              int
-	FullScopeBytesPerSecond float64       // that are sent as full scopes
-	FullScopeBurstBytes     float64       // of full scopes that may be sent at once
-	RejectedBackoff         time.Duration // until a rejected revision is sent again
-	MaxMessage              int           // bytes of a response; 0: the constant MaxMessage
+	FullScopeBytesPerSecond float64       // maximum rate of full scopes
+	FullScopeBurstBytes     float64       // full scopes that may be sent in a burst
+	RejectedBackoff         time.Duration // delay before a rejected revision is sent again
+	MaxMessage              int           // maximum bytes of a response; 0 means the constant MaxMessage
 }
 
-// DefaultLimits are those of members.
+// DefaultLimits are the limits that members use.
 var DefaultLimits = Limits{
 	Lease:                   3 * time.Second,
 	MaxStreams:              4096,
@@ -42,10 +43,11 @@
 	MaxMessage:              MaxMessage,
 }
 
-// ErrTooManyStreams says that a member serves as many followers as it may; [Server.Open] and [Server.Receive] return it.
-var ErrTooManyStreams = errors.New("this member serves as many followers as it may: try another one")
+// ErrTooManyStreams is returned by [Server.Open] and [Server.Receive] when a member has reached its maximum number of
+// streams or leases.
+var ErrTooManyStreams = errors.New("member has reached its maximum number of followers; connect to another member")
 
-// Server is a member's half of configuration sync: it sends the records of a source to followers. It is not safe for
+// Server is a member's side of configuration sync: it sends the records of a source to followers. It is not safe for
 // concurrent use.
 type Server struct {
 	member  string
@@ -54,19 +56,19 @@
 	started time.Time
 	limiter fullScopeLimiter
 	leases  *leaseTable
-	streams map[*Stream]bool   // all that are open
-	byName  map[string]*Stream // the latest of each follower, from its handshake on
+	streams map[*Stream]bool   // all open streams
+	byName  map[string]*Stream // the latest stream of each follower whose handshake is done
 
-	// Counts is what was sent and answered since the server was made.
+	// Counts counts the messages and answers since the server was created.
 	Counts Counts
 }
 
-// Counts are the messages and bytes that a server has sent, and the answers to them. Its JSON names are those of the
-// tools.
+// Counts contains the number of messages and bytes that a server has sent and of the answers to them. The tools use its
+// JSON names.
 type Counts struct {
 	FullScopes     uint64 `json:"Whole"`      // messages with a full scope
 	Changes        uint64 `json:"Changes"`    // messages with a delta that changes records
-	EmptyUpdates   uint64 `json:"Progress"`   // messages for revisions that change nothing of the scope
+	EmptyUpdates   uint64 `json:"Progress"`   // messages for revisions that change nothing in the scope
 	Heartbeats     uint64 `json:"Heartbeats"` // messages
 	FullScopeBytes uint64 `json:"WholeBytes"`
 	ChangeBytes    uint64 `json:"ChangeBytes"`
@@ -74,7 +76,7 @@
 	Rejected       uint64 `json:"Refused"`  // NACKs
 }
 
-// addSent counts an update that was sent.
+// addSent counts a sent update.
 func (c *Counts) addSent(update *Update, bytes int) {
 	switch {
 	case update.FullScope:
@@ -88,7 +90,7 @@
 	}
 }
 
-// NewServer returns the server of a member. It reads the source's current revision.
+// NewServer returns the server of a member, which starts at the source's current revision.
 func NewServer(member string, source records.Source, limits Limits, now time.Time) *Server {
 	if limits.MaxMessage == 0 {
 		limits.MaxMessage = MaxMessage
@@ -106,8 +108,8 @@
 	}
 }
 
-// Open adds a stream, whose follower is known with its first request. It returns [ErrTooManyStreams] if there are as many
-// as there may be.
+// Open adds a stream. Its follower is unknown until the first request. Open returns [ErrTooManyStreams] if the maximum
+// number of streams is open.
 func (s *Server) Open(now time.Time) (*Stream, error) {
 	if len(s.streams) >= s.limits.MaxStreams {
 		return nil, ErrTooManyStreams
@@ -117,7 +119,7 @@
 	return stream, nil
 }
 
-// Close removes a stream. Its follower's lease runs on.
+// Close removes a stream. Its follower's lease remains until it expires.
 func (s *Server) Close(stream *Stream) {
 	delete(s.streams, stream)
 	s.limiter.dequeue(stream)
@@ -126,19 +128,19 @@
 	}
 }
 
-// Committed has to be called when the source has a new revision; the caller then calls Send of every stream. Its work grows
-// with the number of leases, by some tens of nanoseconds each.
+// Committed must be called when the source has a new revision; the caller must then call Send on every stream. Its cost
+// is some tens of nanoseconds for each lease.
 func (s *Server) Committed(now time.Time, revision uint64) {
 	s.leases.addCommit(now, revision)
 	s.leases.removeExpired(now)
 }
 
-// Receive handles a request of a stream: its handshake, a lease renewal, an ACK or a NACK. After an error the stream has to
-// be ended: [ErrReplaced], [ErrTooManyStreams], an [UnsupportedTypeError], an [UnknownNonceError], or what makes a
-// handshake invalid.
+// Receive handles a request on a stream: a handshake, a lease renewal, an ACK or a NACK. After an error the caller must
+// end the stream. The error is [ErrReplaced], [ErrTooManyStreams], an [UnsupportedTypeError], an [UnknownNonceError],
+// or the reason why a handshake is invalid.
 func (s *Server) Receive(now time.Time, stream *Stream, request *discoveryv3.DeltaDiscoveryRequest) error {
 	if stream.replaced {
-		return ErrReplaced // its follower has moved on, and its answers are out of date
+		return ErrReplaced // the follower uses a later stream, so the answers on this one are out of date
 	}
 	stream.lastRequestAt = now
 	if !stream.handshakeDone {
@@ -164,8 +166,8 @@
 	return err
 }
 
-// handleHandshake handles a stream's first request. An earlier stream of the same follower is replaced: it may not have
-// ended yet here although the follower has left it.
+// handleHandshake handles the first request of a stream. It replaces an earlier stream of the same follower, which may
+// still be open at this member although the follower has closed it.
 func (s *Server) handleHandshake(now time.Time, stream *Stream, request *discoveryv3.DeltaDiscoveryRequest) error {
 	handshake, err := parseHandshake(request)
 	if err != nil {
@@ -182,11 +184,11 @@
 	stream.handshakeDone = true
 	stream.handshake = handshake
 	stream.acceptedRevision = handshake.Revision
-	stream.heartbeatDue = true // at once, so that the follower knows its lease
+	stream.heartbeatDue = true // immediately, so that the follower's lease starts
 	return nil
 }
 
-// handleNACK handles the rejection of the update that was sent last.
+// handleNACK handles the rejection of the last sent update.
 func (s *Server) handleNACK(now time.Time, stream *Stream, reason string) error {
 	stream.awaitingAnswer = false
 	stream.rejectedRevision = stream.sentRevision
@@ -201,7 +203,7 @@
 	return nil
 }
 
-// Status tells what the followers of this member have accepted.
+// Status returns the revision of this member and the leases of its followers.
 func (s *Server) Status(now time.Time) MemberStatus {
 	s.leases.removeExpired(now)
 	status := MemberStatus{
--- a/configsync/server_test.go
+++ b/configsync/server_test.go
@@ -25,7 +25,7 @@
 	member.server.Committed(now, member.source.commit(revision, put, removed...).Revision)
 }
 
-// checkFollower compares a follower's records with the source's.
+// checkFollower checks that a follower's revisions and records match those of the source.
 func (member *testMember) checkFollower(f *Follower) {
 	member.t.Helper()
 	want := map[records.Key]*records.Record{}
@@ -33,14 +33,14 @@
 		want[record.Key] = record
 	}
 	if f.Revision() != member.source.Revision() || !equalRecords(want, f.Records()) {
-		member.t.Errorf("revision %d with %v, want %d with %v", f.Revision(), f.Records(), member.source.Revision(), want)
+		member.t.Errorf("got revision %d with %v, want %d with %v", f.Revision(), f.Records(), member.source.Revision(), want)
 	}
 	if routing := member.source.routingRevision(f.scope); f.RoutingRevision() != routing {
-		member.t.Errorf("routes changed at revision %d, want %d", f.RoutingRevision(), routing)
+		member.t.Errorf("got routing revision %d, want %d", f.RoutingRevision(), routing)
 	}
 }
 
-// A follower gets a full scope once, and deltas from then on.
+// A follower receives the full scope only once, and then deltas.
 func TestFollowerGetsFullScopeThenDeltas(t *testing.T) {
 	member := newTestMember(t)
 	member.commit(at(0), 3, []*records.Record{newRouteRecord(t, "a", "s1", 10), newRouteRecord(t, "b", "s2", 10), newRouteRecord(t, "c", "", 10)})
@@ -55,21 +55,21 @@
 	member.commit(at(2), 6, oneRecord(newRouteRecord(t, "b", "s2", 20))) // not in its scope
 	c.settle(at(2))
 	member.checkFollower(f)
-	member.commit(at(3), 7, oneRecord(newRouteRecord(t, "a", "s2", 20))) // moves out of its scope
+	member.commit(at(3), 7, oneRecord(newRouteRecord(t, "a", "s2", 20))) // leaves its scope
 	c.settle(at(3))
 	member.checkFollower(f)
-	member.commit(at(4), 8, oneRecord(newRouteRecord(t, "b", "s1", 20))) // and one into it
+	member.commit(at(4), 8, oneRecord(newRouteRecord(t, "b", "s1", 20))) // enters its scope
 	c.settle(at(4))
 	member.checkFollower(f)
 	member.commit(at(5), 9, nil, routeKey("c"))
 	c.settle(at(5))
 	member.checkFollower(f)
 	if got := member.server.Counts; got.FullScopes != 1 || got.Changes != 4 || got.EmptyUpdates != 1 || got.Accepted != 6 {
-		t.Errorf("%+v", got)
+		t.Errorf("got %+v, want 1 full scope, 4 changes, 1 empty update and 6 ACKs", got)
 	}
 }
 
-// What is committed while an update is unanswered is sent as one delta afterwards.
+// All revisions committed while an update is unanswered are sent as one delta after the answer.
 func TestBurstOfCommitsIsOneDelta(t *testing.T) {
 	member := newTestMember(t)
 	member.commit(at(0), 1, oneRecord(newRouteRecord(t, "a", "s1", 10)))
@@ -81,17 +81,18 @@
 	for revision := uint64(3); revision < 100; revision++ {
 		member.commit(at(1), revision, oneRecord(newRouteRecord(t, "a", "s1", float64(revision))))
 		if c.send(at(1)) != nil {
-			t.Fatal("a second update while the first is unanswered")
+			t.Fatal("got a second update while the first is unanswered, want none")
 		}
 	}
 	c.receive(at(1), update)
 	if messages := c.settle(at(1)); messages != 1 {
-		t.Errorf("%d messages for a burst", messages)
+		t.Errorf("got %d messages for a burst of commits, want 1", messages)
 	}
 	member.checkFollower(f)
 }
 
-// A follower is further behind than the source's history reaches: no delta brings it up to date, so it gets a full scope.
+// A follower that is behind the oldest revision of the source's history cannot be updated by a delta, so it receives a
+// full scope.
 func TestFollowerBehindHistoryGetsFullScope(t *testing.T) {
 	member := newTestMember(t)
 	member.source.known = 4
@@ -106,12 +107,12 @@
 	connect(t, member.server, f, at(2)).settle(at(2))
 	member.checkFollower(f)
 	if member.server.Counts.FullScopes != 2 || member.server.Counts.Changes != 0 {
-		t.Errorf("%+v", member.server.Counts)
+		t.Errorf("got %+v, want 2 full scopes and no changes", member.server.Counts)
 	}
 }
 
-// A stream is cut between an update and its answer, before or after the follower has accepted it: the next stream has to go
-// on from what the follower has.
+// If a stream breaks between an update and its answer, before or after the follower has accepted the update, the next
+// stream must continue from the revision that the follower has accepted.
 func TestStreamCutBetweenUpdateAndAnswer(t *testing.T) {
 	for _, arrived := range []bool{false, true} {
 		member := newTestMember(t)
@@ -123,27 +124,27 @@
 		update := c.nextUpdate(at(1))
 		if arrived {
 			if _, accepted, err := f.Receive(update); err != nil || !accepted {
-				t.Fatal(accepted, err)
+				t.Fatalf("got accepted %v, error %v; want accepted", accepted, err)
 			}
 		}
 		member.server.Close(c.stream)
 		if status := member.server.Status(at(1)); status.ConvergedRevision != 1 {
-			t.Errorf("converged revision %d before the member was answered", status.ConvergedRevision)
+			t.Errorf("before the member received the answer: got converged revision %d, want 1", status.ConvergedRevision)
 		}
 		again := connect(t, member.server, f, at(1.5))
 		again.settle(at(1.5))
 		member.checkFollower(f)
 		if got := member.server.Counts.FullScopes; got != 1 {
-			t.Errorf("%d full scopes", got)
+			t.Errorf("update received %v: got %d full scopes, want 1", arrived, got)
 		}
 		if status := member.server.Status(at(1.5)); status.ConvergedRevision != 2 {
-			t.Errorf("converged revision %d", status.ConvergedRevision)
+			t.Errorf("update received %v: got converged revision %d, want 2", arrived, status.ConvergedRevision)
 		}
 	}
 }
 
-// A follower moves to a member that has applied less than it has accepted: the member sends no records until it has caught
-// up.
+// If a follower connects to a member that has not applied the follower's accepted revision yet, the member sends no
+// update until it has applied a later revision.
 func TestMemberBehindFollowerSendsNothing(t *testing.T) {
 	member := newTestMember(t)
 	member.commit(at(0), 5, oneRecord(newRouteRecord(t, "a", "s1", 10)))
@@ -154,21 +155,22 @@
 	behind.commit(at(0), 3, oneRecord(newRouteRecord(t, "a", "s1", 9)))
 	c := connect(t, behind.server, f, at(1))
 	if update := c.nextUpdate(at(1)); update != nil {
-		t.Fatalf("offered %v", update)
+		t.Fatalf("member at revision 3: got update %v, want none", update)
 	}
 	if status := behind.server.Status(at(1)); status.ConvergedRevision != 3 || status.Leases[0].Behind != 0 {
-		t.Errorf("%+v", status)
+		t.Errorf("got %+v, want converged revision 3 and no lag", status)
 	}
 	behind.commit(at(2), 5, oneRecord(newRouteRecord(t, "a", "s1", 10)))
 	if update := c.nextUpdate(at(2)); update != nil {
-		t.Fatalf("offered %v", update)
+		t.Fatalf("member at revision 5: got update %v, want none", update)
 	}
 	behind.commit(at(2), 8, oneRecord(newRouteRecord(t, "a", "s1", 12)))
 	c.settle(at(2))
 	behind.checkFollower(f)
 }
 
-// A rejected revision is sent again after a backoff, a newer one at once, both with all that the follower lacks.
+// A rejected revision is sent again after a backoff, a newer one immediately. Both contain all changes since the
+// accepted revision.
 func TestRejectedRevisionIsSentAgainAfterBackoff(t *testing.T) {
 	member := newTestMember(t)
 	member.commit(at(0), 1, []*records.Record{newRouteRecord(t, "a", "s1", 10), newRouteRecord(t, "b", "s1", 10)})
@@ -184,10 +186,11 @@
 	member.commit(at(1), 2, []*records.Record{newRouteRecord(t, "a", "s1", 666), newRouteRecord(t, "new", "s1", 5)}, routeKey("b"))
 	c.settle(at(1))
 	if f.Revision() != 1 || f.Rejected != 1 || f.Records()[routeKey("b")] == nil || f.Records()[routeKey("new")] != nil {
-		t.Fatalf("after a NACK: revision %d, %v", f.Revision(), f.Records())
+		t.Fatalf("after a NACK: got revision %d, %d rejections and records %v, want the records of revision 1 and 1 rejection",
+			f.Revision(), f.Rejected, f.Records())
 	}
 	if lease := member.server.Status(at(1)).Leases[0]; lease.RejectedRevision != 2 || lease.Reason != "666 is no time limit" || lease.Accepted != 1 {
-		t.Errorf("%+v", lease)
+		t.Errorf("got lease %+v, want accepted revision 1 and rejected revision 2 with its reason", lease)
 	}
 	renew := func(seconds float64) {
 		c.request(at(seconds), f.Renew(at(seconds)))
@@ -195,12 +198,12 @@
 	renew(3)
 	renew(5)
 	if update := c.nextUpdate(at(5)); update != nil {
-		t.Fatal("the rejected revision was sent again at once")
+		t.Fatal("got the rejected revision before the backoff elapsed, want no update")
 	}
-	member.commit(at(5), 4, oneRecord(newRouteRecord(t, "c", "s1", 7))) // newer, and as bad as before
+	member.commit(at(5), 4, oneRecord(newRouteRecord(t, "c", "s1", 7))) // newer, with the same invalid record
 	c.settle(at(5))
 	if f.Revision() != 1 || f.Rejected != 2 {
-		t.Errorf("revision %d, rejected %d", f.Revision(), f.Rejected)
+		t.Errorf("got revision %d and %d rejections, want revision 1 and 2 rejections", f.Revision(), f.Rejected)
 	}
 	renew(7)
 	renew(9)
@@ -208,17 +211,17 @@
 	renew(13)
 	renew(14.9)
 	if update := c.nextUpdate(at(14.9)); update != nil {
-		t.Fatal("offered again too early")
+		t.Fatal("got the rejected revision 9.9 s after the NACK, want no update before 10 s")
 	}
 	bad = false
 	c.settle(at(15))
 	member.checkFollower(f)
 	if lease := member.server.Status(at(15)).Leases[0]; lease.RejectedRevision != 0 || lease.Accepted != 4 || lease.Behind != 0 {
-		t.Errorf("%+v", lease)
+		t.Errorf("got lease %+v, want accepted revision 4, no rejection and no lag", lease)
 	}
 }
 
-// A follower that opens a second stream replaces its first one; requests that still come by that are ignored.
+// When a follower opens a second stream, the first one is replaced and requests that still arrive on it are ignored.
 func TestSecondStreamReplacesFirst(t *testing.T) {
 	member := newTestMember(t)
 	member.commit(at(0), 1, oneRecord(newRouteRecord(t, "a", "s1", 10)))
@@ -229,18 +232,18 @@
 	f := NewFollower("f", services("s1"), testLimits.Lease, nil)
 	connect(t, member.server, f, at(1)).settle(at(1))
 	if err := member.server.Receive(at(2), first.stream, old.Renew(at(2))); !errors.Is(err, ErrReplaced) {
-		t.Errorf("the earlier stream: %v", err)
+		t.Errorf("Receive on the replaced stream: got error %v, want %v", err, ErrReplaced)
 	}
 	if _, _, err := first.stream.Send(at(2)); !errors.Is(err, ErrReplaced) {
-		t.Errorf("the earlier stream: %v", err)
+		t.Errorf("Send on the replaced stream: got error %v, want %v", err, ErrReplaced)
 	}
 	member.server.Close(first.stream)
 	if status := member.server.Status(at(2)); status.ConvergedRevision != 2 || status.Live != 1 || status.Leases[0].Expires != at(4) {
-		t.Errorf("%+v", status)
+		t.Errorf("got %+v, want converged revision 2 and 1 live lease that expires at %v", status, at(4))
 	}
 }
 
-// A follower that restarts with another scope begins without records and gets a full scope.
+// A follower that restarts with another scope has no records at first and receives a full scope.
 func TestRestartWithOtherScopeGetsFullScope(t *testing.T) {
 	member := newTestMember(t)
 	member.commit(at(0), 1, []*records.Record{newRouteRecord(t, "a", "s1", 10), newRouteRecord(t, "b", "s2", 10)})
@@ -249,33 +252,35 @@
 	f = NewFollower("f", services("s2"), testLimits.Lease, nil)
 	c := connect(t, member.server, f, at(1))
 	if status := member.server.Status(at(1)); status.ConvergedRevision != 0 {
-		t.Errorf("converged revision %d while the follower has no records", status.ConvergedRevision)
+		t.Errorf("while the follower has no records: got converged revision %d, want 0", status.ConvergedRevision)
 	}
 	c.settle(at(1))
 	member.checkFollower(f)
 }
 
-// A follower sends nothing for a lease's time, perhaps because it is gone: its stream ends, and its lease has run out.
+// If a follower sends no request for a lease duration, for example because it has crashed, its stream ends and its
+// lease expires.
 func TestSilentStreamEndsAfterLease(t *testing.T) {
 	member := newTestMember(t)
 	f := NewFollower("f", services("s1"), testLimits.Lease, nil)
 	c := connect(t, member.server, f, at(0))
 	c.settle(at(0))
 	if _, wait, err := c.stream.Send(at(1)); err != nil || wait != 2*time.Second {
-		t.Error(wait, err)
+		t.Errorf("at 1 s: got wait %v, error %v; want 2s", wait, err)
 	}
 	if _, _, err := c.stream.Send(at(3)); !errors.Is(err, ErrFollowerTimeout) {
-		t.Error(err)
+		t.Errorf("at 3 s: got error %v, want %v", err, ErrFollowerTimeout)
 	}
 	if status := member.server.Status(at(3)); status.Live != 0 || len(status.Leases) != 1 {
-		t.Errorf("%+v", status)
+		t.Errorf("got %+v, want 1 lease that is not live", status)
 	}
 	if status := member.server.Status(at(6.1)); len(status.Leases) != 0 {
-		t.Errorf("a lease that ran out is kept for ever: %+v", status)
+		t.Errorf("more than a lease duration after the expiry: got %+v, want no leases", status)
 	}
 }
 
-// A scope that is larger than a message may be ends the stream with an error, and uses up the limit as though it were sent.
+// A scope that exceeds the maximum message size ends the stream with an error, and is charged to the full-scope limiter
+// as if it had been sent.
 func TestScopeOverMessageLimitEndsStream(t *testing.T) {
 	source := newModelSource()
 	limits := testLimits
@@ -291,9 +296,10 @@
 	c.receive(at(0), c.send(at(0)))
 	_, _, err := c.stream.Send(at(0))
 	if !errors.Is(err, ErrTooLarge) {
-		t.Fatal(err)
+		t.Fatalf("got error %v, want %v", err, ErrTooLarge)
 	}
 	if server.limiter.availableBytes >= limits.FullScopeBurstBytes || len(server.limiter.queue) != 0 {
-		t.Errorf("left %v of %v, %d in the queue", server.limiter.availableBytes, limits.FullScopeBurstBytes, len(server.limiter.queue))
+		t.Errorf("got %v available bytes and %d queued streams, want less than %v and none",
+			server.limiter.availableBytes, len(server.limiter.queue), limits.FullScopeBurstBytes)
 	}
 }
--- a/configsync/source_test.go
+++ b/configsync/source_test.go
@@ -11,11 +11,11 @@
 	"harehook.dev/harehook/records"
 )
 
-// modelSource is the simplest source: it has all states that ever were, of which Since knows a number.
+// modelSource is a simple reference source. It retains all states, and Since uses a limited number of the latest ones.
 type modelSource struct {
 	states  []modelState     // oldest first
-	known   int              // states that changes are told from; 0: all
-	changes []records.Change // all, oldest first
+	known   int              // number of latest states that Since can start from; 0 means all
+	changes []records.Change // all changes, oldest first
 }
 
 type modelState struct {
@@ -29,7 +29,7 @@
 
 func (m *modelSource) last() modelState { return m.states[len(m.states)-1] }
 
-// commit puts and removes records at a revision and returns the change.
+// commit puts and removes records at a revision, and returns a change that contains only the revision.
 func (m *modelSource) commit(revision uint64, put []*records.Record, removed ...records.Key) records.Change {
 	next := maps.Clone(m.last().records)
 	change := records.Change{Revision: revision}
@@ -50,7 +50,7 @@
 	return records.Change{Revision: revision}
 }
 
-// routingRevision is that of the last update of a route that touched a scope.
+// routingRevision returns the revision of the last update of a route that touched a scope, or 0 if there is none.
 func (m *modelSource) routingRevision(scope records.Scope) uint64 {
 	for _, change := range slices.Backward(m.changes) {
 		if slices.ContainsFunc(change.Updates, func(u records.Update) bool { return u.Key().Kind == records.KindRoute && scope.Touches(u) }) {
@@ -108,7 +108,7 @@
 	return record
 }
 
-// newRouteRecord returns the record of a route of a service.
+// newRouteRecord returns a route record of a service.
 func newRouteRecord(t testing.TB, name, service string, timeLimit float64) *records.Record {
 	return newRecord(t, routeKey(name), records.RouteSpec{Service: service, Prefix: "/" + name, TimeLimitMS: timeLimit})
 }
@@ -119,7 +119,7 @@
 
 func services(names ...string) records.Scope { return records.Scope{Services: names}.Normalized() }
 
-// connection is a follower on a stream.
+// connection is a stream between a follower and a member's server.
 type connection struct {
 	t        testing.TB
 	server   *Server
@@ -147,7 +147,7 @@
 	}
 }
 
-// send returns the next message, nil if there is none.
+// send returns the next message, or nil if there is none.
 func (c *connection) send(now time.Time) *discoveryv3.DeltaDiscoveryResponse {
 	c.t.Helper()
 	response, _, err := c.stream.Send(now)
@@ -157,7 +157,7 @@
 	return response
 }
 
-// nextUpdate returns the next message that is no heartbeat, nil if there is none.
+// nextUpdate delivers heartbeats and returns the next update, or nil if there is none.
 func (c *connection) nextUpdate(now time.Time) *discoveryv3.DeltaDiscoveryResponse {
 	c.t.Helper()
 	for {
@@ -169,7 +169,7 @@
 	}
 }
 
-// receive passes a message to the follower and its answer to the member.
+// receive passes a message to the follower and the follower's answer to the member.
 func (c *connection) receive(now time.Time, response *discoveryv3.DeltaDiscoveryResponse) (accepted bool) {
 	c.t.Helper()
 	reply, accepted, err := c.follower.Receive(response)
@@ -182,16 +182,16 @@
 	return accepted
 }
 
-// maxSettle is more messages than any test passes at one time.
+// maxSettle is greater than the number of messages that any test delivers at one time.
 const maxSettle = 50
 
-// settle passes messages until there are none.
+// settle delivers messages until there are none left, and returns their number.
 func (c *connection) settle(now time.Time) (messages int) {
 	c.t.Helper()
 	for response := c.send(now); response != nil; response = c.send(now) {
 		c.receive(now, response)
 		if messages++; messages > maxSettle {
-			c.t.Fatal("messages without an end")
+			c.t.Fatalf("got more than %d messages, want an end", maxSettle)
 		}
 	}
 	return messages
--- a/configsync/stream.go
+++ b/configsync/stream.go
@@ -11,15 +11,15 @@
 	"harehook.dev/harehook/records"
 )
 
-// Reasons for which a member ends a stream; [Stream.Send] returns them, and [Server.Receive] the second.
+// Errors after which a member must end a stream. [Stream.Send] returns them, and [Server.Receive] returns ErrReplaced.
 var (
-	ErrFollowerTimeout = errors.New("the follower was not heard for a lease's time")
-	ErrReplaced        = errors.New("the follower has opened another stream")
-	ErrTooLarge        = errors.New("what the follower is to be told is larger than a message may be: it needs a smaller scope")
+	ErrFollowerTimeout = errors.New("no request from the follower within the lease duration")
+	ErrReplaced        = errors.New("stream replaced by a later stream of the same follower")
+	ErrTooLarge        = errors.New("update exceeds the maximum message size; the follower needs a smaller scope")
 )
 
-// Stream is the connection of one follower to a member. At most one update is unanswered, so that what is committed
-// meanwhile is sent as one delta.
+// Stream is the connection of one follower to a member. At most one update is unanswered, so that revisions committed
+// in the meantime are sent as one delta.
 type Stream struct {
 	server        *Server
 	handshake     Handshake
@@ -29,21 +29,21 @@
 	lastRequestAt time.Time
 
 	acceptedRevision uint64
-	awaitingAnswer   bool   // to the update that was sent last
+	awaitingAnswer   bool   // to the last sent update
 	sentRevision     uint64 // of that update
 	nonce            string // of that update
 	updateCount      uint64
 
-	rejectedRevision uint64    // the last one, 0 if none
-	retryAt          time.Time // when it may be sent again
+	rejectedRevision uint64    // the last rejected revision, 0 if there is none
+	retryAt          time.Time // time at which it may be sent again
 }
 
-// Name is the follower's; empty until its first request came.
+// Name returns the follower's name; it is empty until the first request.
 func (st *Stream) Name() string { return st.handshake.Name }
 
-// Send returns the next message for a stream, nil if there is none. Then wait is after how long to call it again at the
-// latest, although no request came and nothing was committed. After an error ([ErrFollowerTimeout], [ErrReplaced],
-// [ErrTooLarge]) the stream has to be ended.
+// Send returns the next message for a stream, or nil if there is none. In that case wait is the maximum time after
+// which the caller must call Send again, even if there was no request or commit. After an error ([ErrFollowerTimeout],
+// [ErrReplaced], [ErrTooLarge]) the caller must end the stream.
 func (st *Stream) Send(now time.Time) (response *discoveryv3.DeltaDiscoveryResponse, wait time.Duration, err error) {
 	if st.replaced {
 		return nil, 0, ErrReplaced
@@ -74,7 +74,7 @@
 	return response, 0, err
 }
 
-// sendUpdate gives an update its nonce, encodes and counts it.
+// sendUpdate sets the nonce of an update, encodes it and counts it.
 func (st *Stream) sendUpdate(update *Update) (*discoveryv3.DeltaDiscoveryResponse, error) {
 	st.updateCount++
 	st.nonce = strconv.FormatUint(st.updateCount, 10)
@@ -87,21 +87,23 @@
 	}
 	bytes := encodedBytes(response)
 	if update.FullScope {
-		st.server.limiter.charge(st, float64(bytes)) // also if it is too large: encoding it costs as much
+		st.server.limiter.charge(st, float64(bytes)) // even if it is too large, since it was encoded at the same cost
 	}
 	if maxMessage := st.server.limits.MaxMessage; bytes > maxMessage {
-		return nil, fmt.Errorf("%w: %d bytes, %d at most", ErrTooLarge, bytes, maxMessage)
+		return nil, fmt.Errorf("%w: got %d bytes, maximum %d", ErrTooLarge, bytes, maxMessage)
 	}
 	st.server.Counts.addSent(update, bytes)
 	return response, nil
 }
 
-// nextUpdate returns the next update, nil if none is due now; retryAfter, if it is not 0, is when one may be.
+// nextUpdate returns the next update, or nil if none is due. In that case a nonzero retryAfter is the delay after which
+// one may be due.
 func (st *Stream) nextUpdate(now time.Time) (update *Update, retryAfter time.Duration) {
 	source := st.server.source
 	revision := source.Revision()
 	if st.awaitingAnswer || revision <= st.acceptedRevision {
-		// A follower that has accepted more than this member has applied waits until the member has caught up.
+		// If the follower has accepted a later revision than this member has applied, it waits until the member catches
+		// up.
 		return nil, 0
 	}
 	if revision == st.rejectedRevision && now.Before(st.retryAt) {
@@ -121,7 +123,7 @@
 	return &Update{Revision: view.Revision, RoutingRevision: view.RoutingRevision, FullScope: true, Records: view.Records}, 0
 }
 
-// newDelta returns the update for what changed in a scope. A record that left the scope is removed.
+// newDelta returns the update for the changes in a scope. It removes records that left the scope.
 func newDelta(scope records.Scope, delta records.Delta) *Update {
 	update := &Update{Revision: delta.Revision, RoutingRevision: delta.RoutingRevision}
 	for _, change := range delta.Updates {
--- a/configsync/wire.go
+++ b/configsync/wire.go
@@ -17,9 +17,9 @@
 	"harehook.dev/harehook/records"
 )
 
-// This file is the only one that knows the form of the messages on the wire.
+// This file contains all code that depends on the encoding of the messages on the wire.
 
-// TypeURL is the type of resource of a follower's stream.
+// TypeURL is the resource type of a follower's stream.
 const TypeURL = "type.googleapis.com/harehook.config.v1.Record"
 
 // Names on the wire.
@@ -32,27 +32,28 @@
 	metadataAll      = "all"
 	metadataRevision = "revision"
 
-	// Names of resources that are no records: the marker of a full scope, and the one whose version is the routing
-	// revision.
+	// Names of resources that are not records: the marker of a full scope, and the resource whose version is the
+	// routing revision.
 	fullScopeName       = "scope/whole"
 	routingRevisionName = "scope/routing"
 )
 
 const (
-	maxScopeNames = 4096 // services or zones of one scope
+	maxScopeNames = 4096 // maximum number of services or zones in a scope
 	maxNameBytes  = 200
 )
 
-// Reasons for which a response is no update.
+// Errors for responses that are not valid updates.
 var (
-	errNoRevision         = errors.New("an update has no revision")
-	errDuplicateFullScope = errors.New("an update is marked as a full scope twice")
-	errFullScopeRemoves   = errors.New("a full scope removes records")
-	// A missing routing revision can't be derived from the newest accepted route: it goes down when that route is removed.
-	errNoRoutingRevision = errors.New("an update does not have one routing revision")
+	errNoRevision         = errors.New("update revision must be greater than 0")
+	errDuplicateFullScope = errors.New("update has more than one full-scope marker")
+	errFullScopeRemoves   = errors.New("full scope must not remove records")
+	// A missing routing revision cannot be derived from the newest accepted route: it would decrease when that route is
+	// removed.
+	errNoRoutingRevision = errors.New("update must have exactly one routing revision")
 )
 
-// errInvalidName rejects names that can't be shown to operators.
+// errInvalidName is returned for names that cannot be shown to operators.
 var errInvalidName = fmt.Errorf("a name has to be 1 to %d bytes without control characters", maxNameBytes)
 
 // request returns the first request of a stream.
@@ -69,7 +70,7 @@
 	}
 }
 
-// parseHandshake reads the first request of a stream.
+// parseHandshake decodes the first request of a stream.
 func parseHandshake(request *discoveryv3.DeltaDiscoveryRequest) (handshake Handshake, err error) {
 	if request.GetTypeUrl() != TypeURL {
 		return handshake, &UnsupportedTypeError{TypeURL: request.GetTypeUrl()}
@@ -105,7 +106,7 @@
 func decodeNames(value *structpb.Value) (names []string, err error) {
 	list := value.GetListValue().GetValues()
 	if len(list) > maxScopeNames {
-		return nil, fmt.Errorf("%d names, %d at most", len(list), maxScopeNames)
+		return nil, fmt.Errorf("got %d names, maximum %d", len(list), maxScopeNames)
 	}
 	for _, element := range list {
 		name := element.GetStringValue()
@@ -117,7 +118,7 @@
 	return names, nil
 }
 
-// checkName returns errInvalidName if a name from the wire can't be retained and shown to operators.
+// checkName returns errInvalidName if a name from the wire cannot be retained and shown to operators.
 func checkName(name string) error {
 	if name == "" || len(name) > maxNameBytes || strings.ContainsFunc(name, unicode.IsControl) {
 		return errInvalidName
@@ -129,7 +130,7 @@
 
 func parseRevision(text string) (uint64, error) { return strconv.ParseUint(text, 10, 64) }
 
-// encodeRecord returns a record as a resource.
+// encodeRecord encodes a record as a resource.
 func encodeRecord(record *records.Record) (*discoveryv3.Resource, error) {
 	body, err := anypb.New(wrapperspb.Bytes(record.Body))
 	if err != nil {
@@ -142,7 +143,7 @@
 	}, nil
 }
 
-// decodeRecord reads a record from a resource.
+// decodeRecord decodes a record from a resource.
 func decodeRecord(resource *discoveryv3.Resource) (*records.Record, error) {
 	key, err := records.ParseKey(resource.GetName())
 	if err != nil {
@@ -189,15 +190,15 @@
 	return response, nil
 }
 
-// marker returns a resource that is no record: only its name and version count.
+// marker returns a resource that is not a record: it has only a name and a version.
 func marker(name string, revision uint64) *discoveryv3.Resource {
 	return &discoveryv3.Resource{Name: name, Version: formatRevision(revision)}
 }
 
-// parseUpdate reads a response. Of one without a nonce, a heartbeat, only the revision is read.
+// parseUpdate decodes a response. For a heartbeat, which has no nonce, it decodes only the revision.
 func parseUpdate(response *discoveryv3.DeltaDiscoveryResponse) (update Update, err error) {
 	if response.GetTypeUrl() != TypeURL {
-		return update, fmt.Errorf("type %.100q was not asked for", response.GetTypeUrl())
+		return update, fmt.Errorf("unexpected resource type %.100q", response.GetTypeUrl())
 	}
 	update.Revision, err = parseRevision(response.GetSystemVersionInfo())
 	if err != nil {
@@ -221,7 +222,7 @@
 	return update, update.parseRemoved(response.GetRemovedResources(), named)
 }
 
-// parseMarkers reads the resources that are no records and returns the others.
+// parseMarkers decodes the resources that are not records and returns the others.
 func (u *Update) parseMarkers(resources []*discoveryv3.Resource) (others []*discoveryv3.Resource, err error) {
 	routingRevisions := 0
 	others = make([]*discoveryv3.Resource, 0, len(resources))
@@ -249,12 +250,12 @@
 	case routingRevisions == 0:
 		return nil, errNoRoutingRevision
 	case u.RoutingRevision > u.Revision:
-		return nil, fmt.Errorf("its routing revision %d is over its revision %d", u.RoutingRevision, u.Revision)
+		return nil, fmt.Errorf("routing revision %d must not be greater than the update's revision %d", u.RoutingRevision, u.Revision)
 	}
 	return others, nil
 }
 
-// parseRecords reads the records of an update and adds their keys to named.
+// parseRecords decodes the records of an update and adds their keys to named.
 func (u *Update) parseRecords(resources []*discoveryv3.Resource, named map[records.Key]bool) error {
 	for _, resource := range resources {
 		record, err := decodeRecord(resource)
@@ -262,10 +263,10 @@
 			return err
 		}
 		if record.Revision == 0 || record.Revision > u.Revision {
-			return fmt.Errorf("%s: its revision %d is not one of 1 to %d", record.Key, record.Revision, u.Revision)
+			return fmt.Errorf("%s: revision %d must be between 1 and the update's revision %d", record.Key, record.Revision, u.Revision)
 		}
 		if named[record.Key] {
-			return fmt.Errorf("%s is named twice", record.Key)
+			return fmt.Errorf("%s appears more than once in the update", record.Key)
 		}
 		named[record.Key] = true
 		u.Records = append(u.Records, record)
@@ -273,7 +274,7 @@
 	return nil
 }
 
-// parseRemoved reads the keys that an update removes and adds them to named.
+// parseRemoved decodes the keys that an update removes and adds them to named.
 func (u *Update) parseRemoved(names []string, named map[records.Key]bool) error {
 	if u.FullScope && len(names) > 0 {
 		return errFullScopeRemoves
@@ -284,7 +285,7 @@
 			return err
 		}
 		if named[key] {
-			return fmt.Errorf("%s is named twice", key)
+			return fmt.Errorf("%s appears more than once in the update", key)
 		}
 		named[key] = true
 		u.Removed = append(u.Removed, key)
@@ -292,5 +293,5 @@
 	return nil
 }
 
-// encodedBytes is the size of a response on the wire.
+// encodedBytes returns the size of a response on the wire.
 func encodedBytes(response *discoveryv3.DeltaDiscoveryResponse) int { return proto.Size(response) }
