--- a/configsync/convergence.go
+++ b/configsync/convergence.go
@@ -43,7 +43,7 @@
 	UnknownMembers    []UnknownMember  `json:"doubts,omitempty"`
 	Live              int              `json:"live"`             // followers with a lease
 	Members           []MemberProgress `json:"members"`          // the members that answered, sorted by name
-	Behind            []FollowerStatus `json:"behind,omitempty"` // live, below Revision; sorted by revision, then by name
+	Behind            []FollowerStatus `json:"behind,omitempty"` // live and below Revision, by revision and name
 	// Stale lists the followers whose lease has expired, sorted by name: they continue to use their records. A member
 	// removes a lease one lease duration after it expired, so a follower that does not return is listed only until
 	// then.
@@ -134,16 +134,16 @@
 // returns the one with the lower accepted revision.
 func latestLeases(byMember map[string]MemberStatus) map[string]FollowerStatus {
 	latest := map[string]FollowerStatus{}
-	remaining := map[string]time.Duration{} // of the lease in latest
+	longestRemaining := map[string]time.Duration{} // of the lease in latest
 	for member, status := range byMember {
 		for _, lease := range status.Leases {
-			left := lease.Expires.Sub(status.At)
+			remaining := lease.Expires.Sub(status.At)
 			other, seen := latest[lease.Name]
-			newer := left > remaining[lease.Name]
-			equal := left == remaining[lease.Name]
+			newer := remaining > longestRemaining[lease.Name]
+			equal := remaining == longestRemaining[lease.Name]
 			if !seen || newer || equal && leaseBefore(lease, member, other) {
 				latest[lease.Name] = FollowerStatus{LeaseStatus: lease, Member: member}
-				remaining[lease.Name] = left
+				longestRemaining[lease.Name] = remaining
 			}
 		}
 	}
--- a/configsync/convergence_test.go
+++ b/configsync/convergence_test.go
@@ -7,12 +7,12 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-// leaseStatus returns a lease as it appears in a status at the given time; it is live if it expires after that time.
-func leaseStatus(name string, accepted uint64, at, expires time.Time, behind time.Duration) LeaseStatus {
+// newLeaseStatus returns a lease as it appears in a status at the given time; it is live if it expires after that time.
+func newLeaseStatus(name string, accepted uint64, at, expires time.Time, behind time.Duration) LeaseStatus {
 	return LeaseStatus{Name: name, Accepted: accepted, Live: at.Before(expires), Expires: expires, Behind: behind}
 }
 
-func memberStatus(member string, at time.Time, revision uint64, leases ...LeaseStatus) MemberStatus {
+func newMemberStatus(member string, at time.Time, revision uint64, leases ...LeaseStatus) MemberStatus {
 	return MemberStatus{Member: member, At: at, Revision: revision, Settled: true, Leases: leases}
 }
 
@@ -20,15 +20,15 @@
 func TestMergeCombinesMembers(t *testing.T) {
 	now := at(100)
 	convergence := Merge([]MemberStatus{
-		memberStatus("m2", now, 9, leaseStatus("d", 7, now, at(102), 4*time.Second), leaseStatus("c", 7, now, at(101), 4*time.Second)),
-		memberStatus("m1", now, 9, leaseStatus("a", 9, now, at(102), 0), leaseStatus("b", 8, now, at(102), time.Second)),
+		newMemberStatus("m2", now, 9, newLeaseStatus("d", 7, now, at(102), 4*time.Second), newLeaseStatus("c", 7, now, at(101), 4*time.Second)),
+		newMemberStatus("m1", now, 9, newLeaseStatus("a", 9, now, at(102), 0), newLeaseStatus("b", 8, now, at(102), time.Second)),
 	}, []string{"m1", "m2"})
 	if !convergence.Known || convergence.Revision != 9 || convergence.ConvergedRevision != 7 || convergence.Live != 4 {
 		t.Errorf("got %+v, want known revision 9, converged revision 7 and 4 live followers", convergence)
 	}
 	var behind []string
-	for _, one := range convergence.Behind {
-		behind = append(behind, one.Name+" at "+one.Member+" for "+one.Behind.String())
+	for _, follower := range convergence.Behind {
+		behind = append(behind, follower.Name+" at "+follower.Member+" for "+follower.Behind.String())
 	}
 	if diff := cmp.Diff([]string{"c at m2 for 4s", "d at m2 for 4s", "b at m1 for 1s"}, behind); diff != "" {
 		t.Errorf("followers behind (-want +got):\n%s", diff)
@@ -42,21 +42,21 @@
 // though the members' clocks differ by an hour.
 func TestMergeUsesLeaseRenewedLast(t *testing.T) {
 	now, ahead := at(100), at(3700)
-	leftBehind := memberStatus("m1", ahead, 9, leaseStatus("a", 3, ahead, ahead.Add(time.Second), time.Second))
-	came := memberStatus("m2", now, 9, leaseStatus("a", 9, now, now.Add(2*time.Second), 0))
-	for _, statuses := range [][]MemberStatus{{leftBehind, came}, {came, leftBehind}} {
+	previousMember := newMemberStatus("m1", ahead, 9, newLeaseStatus("a", 3, ahead, ahead.Add(time.Second), time.Second))
+	currentMember := newMemberStatus("m2", now, 9, newLeaseStatus("a", 9, now, now.Add(2*time.Second), 0))
+	for _, statuses := range [][]MemberStatus{{previousMember, currentMember}, {currentMember, previousMember}} {
 		if convergence := Merge(statuses, []string{"m1", "m2"}); convergence.ConvergedRevision != 9 || convergence.Live != 1 || len(convergence.Behind) != 0 {
 			t.Errorf("got %+v, want converged revision 9, 1 live follower and none behind", convergence)
 		}
 	}
 	// The follower restarted without records at m2: the revision accepted before the restart is ignored.
-	came.Leases[0].Accepted = 0
-	if convergence := Merge([]MemberStatus{leftBehind, came}, []string{"m1", "m2"}); convergence.ConvergedRevision != 0 {
+	currentMember.Leases[0].Accepted = 0
+	if convergence := Merge([]MemberStatus{previousMember, currentMember}, []string{"m1", "m2"}); convergence.ConvergedRevision != 0 {
 		t.Errorf("after a restart without records: got converged revision %d, want 0", convergence.ConvergedRevision)
 	}
 	// If both leases were renewed at the same time, the lower revision is used.
-	came.Leases[0].Accepted, leftBehind.Leases[0].Expires = 9, ahead.Add(2*time.Second)
-	for _, statuses := range [][]MemberStatus{{leftBehind, came}, {came, leftBehind}} {
+	currentMember.Leases[0].Accepted, previousMember.Leases[0].Expires = 9, ahead.Add(2*time.Second)
+	for _, statuses := range [][]MemberStatus{{previousMember, currentMember}, {currentMember, previousMember}} {
 		if convergence := Merge(statuses, []string{"m1", "m2"}); convergence.ConvergedRevision != 3 {
 			t.Errorf("leases renewed at the same time: got converged revision %d, want 3", convergence.ConvergedRevision)
 		}
@@ -66,9 +66,9 @@
 // A member that did not answer or has just started may have unknown leases, so the result is uncertain.
 func TestMergeListsUnknownMembers(t *testing.T) {
 	now := at(100)
-	restarted := memberStatus("m3", now, 9)
+	restarted := newMemberStatus("m3", now, 9)
 	restarted.Settled = false
-	convergence := Merge([]MemberStatus{memberStatus("m1", now, 9), restarted}, []string{"m3", "m2", "m1"})
+	convergence := Merge([]MemberStatus{newMemberStatus("m1", now, 9), restarted}, []string{"m3", "m2", "m1"})
 	if convergence.Known {
 		t.Error("got Known with unknown members, want it false")
 	}
@@ -81,10 +81,10 @@
 }
 
 // An expired lease does not delay convergence; its follower is listed as stale.
-func TestMergeLeavesOutStaleFollowers(t *testing.T) {
+func TestMergeExcludesStaleFollowers(t *testing.T) {
 	now := at(100)
-	convergence := Merge([]MemberStatus{memberStatus("m1", now, 9,
-		leaseStatus("a", 9, now, at(102), 0), leaseStatus("b", 2, now, at(99), 50*time.Second))}, []string{"m1"})
+	convergence := Merge([]MemberStatus{newMemberStatus("m1", now, 9,
+		newLeaseStatus("a", 9, now, at(102), 0), newLeaseStatus("b", 2, now, at(99), 50*time.Second))}, []string{"m1"})
 	if convergence.ConvergedRevision != 9 || convergence.Live != 1 || len(convergence.Stale) != 1 || convergence.Stale[0].Name != "b" {
 		t.Errorf("got %+v, want converged revision 9, 1 live follower and b stale", convergence)
 	}
@@ -94,9 +94,9 @@
 // members.
 func TestMergeReportsLagOfFollowerAtLaggingMember(t *testing.T) {
 	now := at(100)
-	newest := memberStatus("m1", now, 9)
+	newest := newMemberStatus("m1", now, 9)
 	newest.Recent = []CommitStatus{{5, 60 * time.Second}, {6, 40 * time.Second}, {9, time.Second}}
-	lagging := memberStatus("m2", now, 5, leaseStatus("a", 5, now, at(102), 0))
+	lagging := newMemberStatus("m2", now, 5, newLeaseStatus("a", 5, now, at(102), 0))
 	lagging.Recent = []CommitStatus{{5, 60 * time.Second}}
 	convergence := Merge([]MemberStatus{newest, lagging}, []string{"m1", "m2"})
 	if convergence.ConvergedRevision != 5 || len(convergence.Behind) != 1 || convergence.Behind[0].Behind != 40*time.Second {
@@ -106,8 +106,8 @@
 
 // If there are two statuses of one member, the later one is used.
 func TestMergeUsesLatestStatusOfMember(t *testing.T) {
-	earlier := memberStatus("m1", at(100), 8, leaseStatus("a", 8, at(100), at(103), 0))
-	later := memberStatus("m1", at(101), 9, leaseStatus("a", 9, at(101), at(104), 0))
+	earlier := newMemberStatus("m1", at(100), 8, newLeaseStatus("a", 8, at(100), at(103), 0))
+	later := newMemberStatus("m1", at(101), 9, newLeaseStatus("a", 9, at(101), at(104), 0))
 	for _, statuses := range [][]MemberStatus{{earlier, later}, {later, earlier}} {
 		if convergence := Merge(statuses, []string{"m1"}); convergence.ConvergedRevision != 9 || len(convergence.Members) != 1 {
 			t.Errorf("got %+v, want converged revision 9 and 1 member", convergence)
--- a/configsync/follower.go
+++ b/configsync/follower.go
@@ -24,7 +24,7 @@
 
 // Validator returns an error if a follower cannot use the records of a revision. It receives all records that the
 // follower would have after the update, and must not retain the map.
-type Validator func(revision uint64, accepted map[records.Key]*records.Record) error
+type Validator func(revision uint64, updated map[records.Key]*records.Record) error
 
 // Follower is the state of a controller that follows the group: its accepted records and its lease. It is not safe for
 // concurrent use.
--- a/configsync/follower_test.go
+++ b/configsync/follower_test.go
@@ -19,7 +19,7 @@
 
 // A follower's lease starts when the follower sends its request. If it started with the heartbeat it would end after
 // the member's lease, and the follower would consider itself up to date after the member considers it stale.
-func TestFollowerLeaseRunsFromItsRequest(t *testing.T) {
+func TestFollowerLeaseStartsAtRequest(t *testing.T) {
 	follower := NewFollower("a", records.Scope{All: true}, 3*time.Second, nil)
 	if !follower.Stale(at(0)) {
 		t.Error("before the first heartbeat: got a live lease, want stale")
@@ -86,7 +86,7 @@
 // newFollowerWithRecords returns a follower with one route at revision 5.
 func newFollowerWithRecords(t testing.TB) *Follower {
 	t.Helper()
-	f := NewFollower("f", services("s1"), 3*time.Second, nil)
+	f := NewFollower("f", serviceScope("s1"), 3*time.Second, nil)
 	f.Begin(at(0))
 	fullScope := encodeUpdate(t, Update{Revision: 5, Nonce: "1", FullScope: true, Records: oneRecord(withRevision(newRouteRecord(t, "a", "s1", 10), 4))})
 	if _, accepted, err := f.Receive(fullScope); err != nil || !accepted {
@@ -99,16 +99,16 @@
 func TestFollowerRejectsInapplicableUpdates(t *testing.T) {
 	changed := withRevision(newRouteRecord(t, "a", "s1", 11), 6)
 	for name, update := range map[string]Update{
-		"revision 0":                             {Revision: 0, Nonce: "2"},
-		"put twice":                              {Revision: 6, Nonce: "2", Records: []*records.Record{changed, changed}},
-		"put and removed":                        {Revision: 6, Nonce: "2", Records: oneRecord(changed), Removed: []records.Key{changed.Key}},
-		"removed twice":                          {Revision: 6, Nonce: "2", Removed: []records.Key{changed.Key, changed.Key}},
-		"full scope that removes":                {Revision: 6, Nonce: "2", FullScope: true, Removed: []records.Key{changed.Key}},
-		"record newer than the update":           {Revision: 6, Nonce: "2", Records: oneRecord(withRevision(newRouteRecord(t, "a", "s1", 11), 7))},
-		"record without a revision":              {Revision: 6, Nonce: "2", FullScope: true, Records: oneRecord(newRouteRecord(t, "a", "s1", 11))},
-		"change as old as the accepted revision": {Revision: 6, Nonce: "2", Records: oneRecord(withRevision(newRouteRecord(t, "a", "s1", 11), 5))},
-		"record of another scope":                {Revision: 6, Nonce: "2", Records: oneRecord(withRevision(newRouteRecord(t, "x", "s2", 11), 6))},
-		"full scope with a record of another":    {Revision: 6, Nonce: "2", FullScope: true, Records: oneRecord(withRevision(newRouteRecord(t, "x", "s2", 11), 6))},
+		"revision 0":                              {Revision: 0, Nonce: "2"},
+		"put twice":                               {Revision: 6, Nonce: "2", Records: []*records.Record{changed, changed}},
+		"put and removed":                         {Revision: 6, Nonce: "2", Records: oneRecord(changed), Removed: []records.Key{changed.Key}},
+		"removed twice":                           {Revision: 6, Nonce: "2", Removed: []records.Key{changed.Key, changed.Key}},
+		"full scope that removes":                 {Revision: 6, Nonce: "2", FullScope: true, Removed: []records.Key{changed.Key}},
+		"record newer than the update":            {Revision: 6, Nonce: "2", Records: oneRecord(withRevision(newRouteRecord(t, "a", "s1", 11), 7))},
+		"record without a revision":               {Revision: 6, Nonce: "2", FullScope: true, Records: oneRecord(newRouteRecord(t, "a", "s1", 11))},
+		"change as old as the accepted revision":  {Revision: 6, Nonce: "2", Records: oneRecord(withRevision(newRouteRecord(t, "a", "s1", 11), 5))},
+		"record of another scope":                 {Revision: 6, Nonce: "2", Records: oneRecord(withRevision(newRouteRecord(t, "x", "s2", 11), 6))},
+		"full scope with record of another scope": {Revision: 6, Nonce: "2", FullScope: true, Records: oneRecord(withRevision(newRouteRecord(t, "x", "s2", 11), 6))},
 	} {
 		t.Run(name, func(t *testing.T) {
 			f := newFollowerWithRecords(t)
@@ -128,25 +128,25 @@
 	good := func() *discoveryv3.DeltaDiscoveryResponse {
 		return encodeUpdate(t, Update{Revision: 6, Nonce: "2", Records: oneRecord(withRevision(newRouteRecord(t, "a", "s1", 11), 6))})
 	}
-	for name, spoil := range map[string]func(*discoveryv3.DeltaDiscoveryResponse){
-		"type":           func(r *discoveryv3.DeltaDiscoveryResponse) { r.TypeUrl = "x" },
-		"no revision":    func(r *discoveryv3.DeltaDiscoveryResponse) { r.SystemVersionInfo = "" },
-		"negative":       func(r *discoveryv3.DeltaDiscoveryResponse) { r.SystemVersionInfo = "-1" },
-		"no body":        func(r *discoveryv3.DeltaDiscoveryResponse) { r.Resources[0].Resource = nil },
-		"no resource":    func(r *discoveryv3.DeltaDiscoveryResponse) { r.Resources[0] = nil },
-		"key":            func(r *discoveryv3.DeltaDiscoveryResponse) { r.Resources[0].Name = "route" },
-		"kind":           func(r *discoveryv3.DeltaDiscoveryResponse) { r.Resources[0].Name = "thing/a" },
-		"body":           func(r *discoveryv3.DeltaDiscoveryResponse) { r.Resources[0].Name = "tenant/a" },
-		"record version": func(r *discoveryv3.DeltaDiscoveryResponse) { r.Resources[0].Version = "six" },
-		"removed key":    func(r *discoveryv3.DeltaDiscoveryResponse) { r.RemovedResources = []string{""} },
-		"marked twice": func(r *discoveryv3.DeltaDiscoveryResponse) {
+	for name, corrupt := range map[string]func(*discoveryv3.DeltaDiscoveryResponse){
+		"resource type":        func(r *discoveryv3.DeltaDiscoveryResponse) { r.TypeUrl = "x" },
+		"no revision":          func(r *discoveryv3.DeltaDiscoveryResponse) { r.SystemVersionInfo = "" },
+		"negative revision":    func(r *discoveryv3.DeltaDiscoveryResponse) { r.SystemVersionInfo = "-1" },
+		"no body":              func(r *discoveryv3.DeltaDiscoveryResponse) { r.Resources[0].Resource = nil },
+		"no resource":          func(r *discoveryv3.DeltaDiscoveryResponse) { r.Resources[0] = nil },
+		"malformed key":        func(r *discoveryv3.DeltaDiscoveryResponse) { r.Resources[0].Name = "route" },
+		"unknown kind":         func(r *discoveryv3.DeltaDiscoveryResponse) { r.Resources[0].Name = "thing/a" },
+		"body of another kind": func(r *discoveryv3.DeltaDiscoveryResponse) { r.Resources[0].Name = "tenant/a" },
+		"record version":       func(r *discoveryv3.DeltaDiscoveryResponse) { r.Resources[0].Version = "six" },
+		"removed key":          func(r *discoveryv3.DeltaDiscoveryResponse) { r.RemovedResources = []string{""} },
+		"full scope marked twice": func(r *discoveryv3.DeltaDiscoveryResponse) {
 			marker := &discoveryv3.Resource{Name: fullScopeName}
 			r.Resources = append(r.Resources, marker, marker)
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
 			f, response := newFollowerWithRecords(t), good()
-			spoil(response)
+			corrupt(response)
 			reply, accepted, err := f.Receive(response)
 			if err != nil || accepted || reply.GetErrorDetail() == nil || f.Revision() != 5 || f.Rejected != 1 {
 				t.Errorf("got reply %v, accepted %v, error %v, revision %d and %d rejections; want a NACK, revision 5 and 1 rejection",
@@ -161,7 +161,7 @@
 }
 
 // A malformed message without a nonce cannot be answered with a NACK, so the follower must disconnect from the member.
-func TestFollowerLeavesMemberAfterMalformedHeartbeat(t *testing.T) {
+func TestFollowerDisconnectsAfterMalformedHeartbeat(t *testing.T) {
 	f := newFollowerWithRecords(t)
 	if reply, _, err := f.Receive(&discoveryv3.DeltaDiscoveryResponse{TypeUrl: "x"}); err == nil || reply != nil {
 		t.Errorf("got reply %v, error %v; want an error without a reply", reply, err)
@@ -173,7 +173,7 @@
 
 // If a member sends an older revision than the accepted one, the follower must neither accept nor reject it, but
 // disconnect from the member.
-func TestFollowerLeavesMemberWithOlderRevision(t *testing.T) {
+func TestFollowerDisconnectsFromMemberWithOlderRevision(t *testing.T) {
 	f := newFollowerWithRecords(t)
 	for _, fullScope := range []bool{true, false} {
 		reply, accepted, err := f.Receive(encodeUpdate(t, Update{Revision: 4, Nonce: "2", FullScope: fullScope}))
@@ -198,7 +198,7 @@
 	for name, update := range map[string]Update{
 		"other content":  {Revision: 5, Nonce: "2", FullScope: true, Records: oneRecord(withRevision(newRouteRecord(t, "a", "s1", 11), 4))},
 		"other revision": {Revision: 5, Nonce: "2", FullScope: true, Records: oneRecord(withRevision(newRouteRecord(t, "a", "s1", 10), 3))},
-		"less":           {Revision: 5, Nonce: "2", FullScope: true},
+		"missing record": {Revision: 5, Nonce: "2", FullScope: true},
 		"removed":        {Revision: 5, Nonce: "2", Removed: []records.Key{routeKey("a")}},
 		"changed":        {Revision: 5, Nonce: "2", Records: oneRecord(withRevision(newRouteRecord(t, "a", "s1", 11), 5))},
 	} {
@@ -213,7 +213,7 @@
 
 // A delta cannot be applied without a base revision, since the unchanged records of the scope would be missing.
 func TestFollowerRejectsDeltaWithoutBaseRevision(t *testing.T) {
-	f := NewFollower("f", services("s1"), 3*time.Second, nil)
+	f := NewFollower("f", serviceScope("s1"), 3*time.Second, nil)
 	for _, update := range []Update{{Revision: 5, Nonce: "1", Records: oneRecord(withRevision(newRouteRecord(t, "a", "s1", 10), 5))}, {Revision: 5, Nonce: "1"}} {
 		if reply, accepted, err := f.Receive(encodeUpdate(t, update)); err != nil || accepted || reply.GetErrorDetail() == nil {
 			t.Errorf("got reply %v, accepted %v, error %v; want a NACK", reply, accepted, err)
--- a/configsync/fuzz_test.go
+++ b/configsync/fuzz_test.go
@@ -23,19 +23,19 @@
 // FuzzServerReceive passes arbitrary first and second requests of a stream to a member, which must continue to serve
 // other followers.
 func FuzzServerReceive(f *testing.F) {
-	hello := encodeMessage(f, Handshake{Name: "f", Scope: services("s1", "s2"), Revision: 1}.request())
+	handshake := encodeMessage(f, Handshake{Name: "f", Scope: serviceScope("s1", "s2"), Revision: 1}.request())
 	for _, second := range []*discoveryv3.DeltaDiscoveryRequest{
 		{TypeUrl: TypeURL}, {TypeUrl: TypeURL, ResponseNonce: "1"}, {TypeUrl: TypeURL, ResponseNonce: "9"}, {TypeUrl: "other"},
 	} {
-		f.Add(hello, encodeMessage(f, second))
+		f.Add(handshake, encodeMessage(f, second))
 	}
 	f.Add(encodeMessage(f, Handshake{Name: "victim", Revision: 1<<64 - 1}.request()), []byte{})
-	f.Add(encodeMessage(f, Handshake{Name: "", Scope: records.Scope{All: true}}.request()), hello)
+	f.Add(encodeMessage(f, Handshake{Name: "", Scope: records.Scope{All: true}}.request()), handshake)
 	f.Fuzz(func(t *testing.T, first, second []byte) {
 		member := newTestMember(t)
 		member.commit(at(0), 1, oneRecord(newRouteRecord(t, "a", "s1", 10)))
 		member.commit(at(0), 2, oneRecord(newRouteRecord(t, "b", "s1", 10)))
-		victim := connect(t, member.server, NewFollower("bystander", services("s1"), testLimits.Lease, nil), at(0))
+		bystander := connect(t, member.server, NewFollower("bystander", serviceScope("s1"), testLimits.Lease, nil), at(0))
 		stream, err := member.server.Open(at(0))
 		if err != nil {
 			t.Fatal(err)
@@ -57,8 +57,8 @@
 		}
 		member.server.Close(stream)
 		if stream.Name() != "bystander" {
-			victim.settle(at(1))
-			member.checkFollower(victim.follower)
+			bystander.deliverAll(at(1))
+			member.checkFollower(bystander.follower)
 		}
 	})
 }
--- a/configsync/golden_test.go
+++ b/configsync/golden_test.go
@@ -30,13 +30,13 @@
 		{"revision alone", Update{Revision: 9, RoutingRevision: 5, Nonce: "3"}},
 		{"heartbeat", Update{Revision: 9}},
 	}
-	var out strings.Builder
+	var output strings.Builder
 	write := func(name string, message proto.Message) {
 		data, err := proto.MarshalOptions{Deterministic: true}.Marshal(message)
 		if err != nil {
 			t.Fatal(err)
 		}
-		fmt.Fprintf(&out, "%s: %x\n", name, data)
+		fmt.Fprintf(&output, "%s: %x\n", name, data)
 	}
 	start := time.Unix(1700000000, 0)
 	reject := false
@@ -48,17 +48,17 @@
 			return nil
 		})
 	write("first request", follower.Begin(start))
-	for _, one := range updates {
-		response, err := one.update.response()
+	for _, step := range updates {
+		response, err := step.update.response()
 		if err != nil {
 			t.Fatal(err)
 		}
-		write(one.name, response)
+		write(step.name, response)
 		reply, accepted, err := follower.Receive(response)
 		if err != nil {
 			t.Fatal(err)
 		}
-		fmt.Fprintf(&out, "accepted: %t\n", accepted)
+		fmt.Fprintf(&output, "accepted: %t\n", accepted)
 		if reply != nil {
 			write("reply", reply)
 		}
@@ -74,7 +74,7 @@
 		t.Fatal(err)
 	}
 	write("refusal", nack)
-	goldentest.Compare(t, "messages.txt", out.String())
+	goldentest.Compare(t, "messages.txt", output.String())
 }
 
 // TestGoldenStatus compares the JSON of member statuses and of harehookctl output with that of an earlier release.
--- a/configsync/hostile_input_test.go
+++ b/configsync/hostile_input_test.go
@@ -26,10 +26,10 @@
 func TestRejectionReasonIsTruncated(t *testing.T) {
 	member := newTestMember(t)
 	member.commit(at(0), 1, nil)
-	f := NewFollower("f", services("s1"), testLimits.Lease, func(uint64, map[records.Key]*records.Record) error {
+	f := NewFollower("f", serviceScope("s1"), testLimits.Lease, func(uint64, map[records.Key]*records.Record) error {
 		return errors.New("x" + strings.Repeat("ü", maxReasonBytes))
 	})
-	connect(t, member.server, f, at(0)).settle(at(0))
+	connect(t, member.server, f, at(0)).deliverAll(at(0))
 	reason := member.server.Status(at(0)).Leases[0].Reason
 	if len(reason) != maxReasonBytes-1 || strings.Trim(reason, "ü") != "x" {
 		t.Errorf("got reason %q of %d bytes, want x and a number of ü in %d bytes", reason, len(reason), maxReasonBytes-1)
@@ -40,7 +40,7 @@
 func TestUnknownNonceEndsStream(t *testing.T) {
 	member := newTestMember(t)
 	member.commit(at(0), 1, nil)
-	f := NewFollower("f", services("s1"), testLimits.Lease, nil)
+	f := NewFollower("f", serviceScope("s1"), testLimits.Lease, nil)
 	c := connect(t, member.server, f, at(0))
 	update := c.nextUpdate(at(0))
 	reply, _, err := f.Receive(update)
@@ -67,7 +67,7 @@
 	for n := range many {
 		many[n] = fmt.Sprint("s", n)
 	}
-	for name, hello := range map[string]Handshake{
+	for name, handshake := range map[string]Handshake{
 		"no name":           {},
 		"long name":         {Name: strings.Repeat("x", maxNameBytes+1)},
 		"control character": {Name: "a\x1b[2J"},
@@ -82,7 +82,7 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			if err := member.server.Receive(at(0), stream, hello.request()); err == nil {
+			if err := member.server.Receive(at(0), stream, handshake.request()); err == nil {
 				t.Error("got no error for the handshake, want it rejected")
 			}
 			if len(member.server.leases.leases) != 0 || len(member.server.byName) != 0 {
--- a/configsync/lease.go
+++ b/configsync/lease.go
@@ -79,7 +79,7 @@
 func (t *leaseTable) renew(now time.Time, name string, accepted uint64) (*lease, error) {
 	renewed := t.leases[name]
 	if renewed == nil {
-		if !t.makeRoom(now) {
+		if !t.ensureCapacity(now) {
 			return nil, ErrTooManyStreams
 		}
 		renewed = &lease{}
@@ -90,10 +90,10 @@
 	return renewed, nil
 }
 
-// makeRoom removes expired leases if the table is full and reports whether there is room for one more.
-func (t *leaseTable) makeRoom(now time.Time) bool {
+// ensureCapacity removes expired leases if the table is full and reports whether there is room for one more.
+func (t *leaseTable) ensureCapacity(now time.Time) bool {
 	if len(t.leases) >= t.maxLeases {
-		maps.DeleteFunc(t.leases, func(_ string, old *lease) bool { return !now.Before(old.expires) })
+		maps.DeleteFunc(t.leases, func(_ string, existing *lease) bool { return !now.Before(existing.expires) })
 	}
 	return len(t.leases) < t.maxLeases
 }
@@ -157,7 +157,7 @@
 
 // removeExpired removes leases that expired more than a lease duration ago; until then a status lists them as not live.
 func (t *leaseTable) removeExpired(now time.Time) {
-	maps.DeleteFunc(t.leases, func(_ string, old *lease) bool { return now.Sub(old.expires) > t.duration })
+	maps.DeleteFunc(t.leases, func(_ string, existing *lease) bool { return now.Sub(existing.expires) > t.duration })
 }
 
 // addTo adds the leases to a status, sorted by name, and sets its converged revision to the lowest revision that a
@@ -165,12 +165,12 @@
 func (t *leaseTable) addTo(status *MemberStatus, now time.Time) {
 	status.ConvergedRevision = status.Revision
 	for _, name := range slices.Sorted(maps.Keys(t.leases)) {
-		one := t.leases[name].status(name, now, status.Revision)
-		if one.Live {
+		follower := t.leases[name].status(name, now, status.Revision)
+		if follower.Live {
 			status.Live++
-			status.ConvergedRevision = min(status.ConvergedRevision, one.Accepted)
+			status.ConvergedRevision = min(status.ConvergedRevision, follower.Accepted)
 		}
-		status.Leases = append(status.Leases, one)
+		status.Leases = append(status.Leases, follower)
 	}
 }
 
--- a/configsync/lease_test.go
+++ b/configsync/lease_test.go
@@ -11,18 +11,18 @@
 
 // A follower's lag starts at the commit of the first revision that it has not accepted and continues across NACKs and
 // renewals until it accepts the newest revision.
-func TestLagRunsFromFirstMissingCommit(t *testing.T) {
+func TestLagStartsAtFirstMissingCommit(t *testing.T) {
 	member := newTestMember(t)
 	member.commit(at(0), 1, oneRecord(newRouteRecord(t, "a", "s1", 10)))
 	reject := true
-	f := NewFollower("f", services("s1"), testLimits.Lease, func(revision uint64, _ map[records.Key]*records.Record) error {
+	f := NewFollower("f", serviceScope("s1"), testLimits.Lease, func(revision uint64, _ map[records.Key]*records.Record) error {
 		if revision > 1 && reject {
 			return errors.New("not now")
 		}
 		return nil
 	})
 	c := connect(t, member.server, f, at(0))
-	c.settle(at(0))
+	c.deliverAll(at(0))
 	behind := func(seconds float64, want time.Duration) {
 		t.Helper()
 		if got := member.server.Status(at(seconds)).Leases[0].Behind; got != want {
@@ -33,7 +33,7 @@
 	member.commit(at(1), 2, oneRecord(newRouteRecord(t, "a", "s1", 11)))
 	behind(1.5, 500*time.Millisecond)
 	member.commit(at(2), 3, oneRecord(newRouteRecord(t, "a", "s1", 12)))
-	c.settle(at(2))
+	c.deliverAll(at(2))
 	behind(2, time.Second)
 	c.request(at(2.5), f.Renew(at(2.5)))
 	behind(3, 2*time.Second)
@@ -44,7 +44,7 @@
 	c.request(at(3), f.Renew(at(3)))
 	behind(4, 3*time.Second)
 	reject = false
-	c.settle(at(4))
+	c.deliverAll(at(4))
 	member.server.Committed(at(4), 4+maxCommits)
 	behind(4, 0)
 }
@@ -59,7 +59,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if err := server.Receive(at(12), stream, Handshake{Name: "old", Scope: services("s1"), Revision: 3}.request()); err != nil {
+	if err := server.Receive(at(12), stream, Handshake{Name: "old", Scope: serviceScope("s1"), Revision: 3}.request()); err != nil {
 		t.Fatal(err)
 	}
 	status := server.Status(at(12.5))
@@ -70,7 +70,7 @@
 		t.Error("got a status that is not settled after a lease duration, want it settled")
 	}
 	stream, _ = server.Open(at(13))
-	if err := server.Receive(at(13), stream, Handshake{Name: "new", Scope: services("s1")}.request()); err != nil {
+	if err := server.Receive(at(13), stream, Handshake{Name: "new", Scope: serviceScope("s1")}.request()); err != nil {
 		t.Fatal(err)
 	}
 	if lease := server.Status(at(14)).Leases[0]; lease.Name != "new" || lease.Behind != time.Second {
--- a/configsync/messages.go
+++ b/configsync/messages.go
@@ -18,7 +18,7 @@
 // Update is a response of a member: a heartbeat, or a full scope or delta of records.
 type Update struct {
 	Revision        uint64
-	RoutingRevision uint64 // the revision at which a route of the scope last changed, even if the update contains no route
+	RoutingRevision uint64 // at which a route of the scope last changed, even if the update contains no route
 	Nonce           string // empty for a heartbeat, which is not answered
 	FullScope       bool   // whether Records is the full scope or only the changed records
 	Records         []*records.Record
--- a/configsync/routing_revision_test.go
+++ b/configsync/routing_revision_test.go
@@ -14,40 +14,40 @@
 // commit, one delta for several commits, or a full scope. The routing revision never decreases, even when the newest
 // route is removed.
 func TestRoutingRevisionMatchesRevision(t *testing.T) {
-	removals, comeAndGone := 0, 0
+	removals, createdAndRemoved := 0, 0
 	for seed := range uint64(20) {
 		random := rand.New(rand.NewPCG(seed, 5))
 		member := newTestMember(t)
 		member.commit(at(0), 1, oneRecord(newRouteRecord(t, "a", "s1", 10)))
-		each := connect(t, member.server, NewFollower("each", services("s1"), testLimits.Lease, nil), at(0))
-		some := connect(t, member.server, NewFollower("some", services("s1"), testLimits.Lease, nil), at(0))
-		each.settle(at(0))
-		some.settle(at(0))
+		each := connect(t, member.server, NewFollower("each", serviceScope("s1"), testLimits.Lease, nil), at(0))
+		some := connect(t, member.server, NewFollower("some", serviceScope("s1"), testLimits.Lease, nil), at(0))
+		each.deliverAll(at(0))
+		some.deliverAll(at(0))
 		for revision := uint64(2); revision < 60; revision++ {
 			name := fmt.Sprint("r", random.IntN(3))
-			before := member.source.last().records[routeKey(name)]
+			before := member.source.latestState().records[routeKey(name)]
 			if before != nil && random.IntN(2) == 0 {
 				member.commit(at(0), revision, nil, routeKey(name))
 				removals++
 			} else {
 				member.commit(at(0), revision, oneRecord(newRouteRecord(t, name, fmt.Sprint("s", 1+random.IntN(2)), float64(revision))))
 			}
-			last := each.follower.RoutingRevision()
-			each.settle(at(0))
-			if each.follower.RoutingRevision() < last {
-				t.Fatalf("seed %d, revision %d: got routing revision %d, want at least %d", seed, revision, each.follower.RoutingRevision(), last)
+			previous := each.follower.RoutingRevision()
+			each.deliverAll(at(0))
+			if each.follower.RoutingRevision() < previous {
+				t.Fatalf("seed %d, revision %d: got routing revision %d, want at least %d", seed, revision, each.follower.RoutingRevision(), previous)
 			}
 			member.checkFollower(each.follower)
 			if random.IntN(4) > 0 {
 				continue
 			}
-			heldBefore, routingBefore := len(member.source.Since(some.follower.Revision(), services("s1")).Updates), some.follower.RoutingRevision()
-			some.settle(at(0))
-			if heldBefore == 0 && some.follower.RoutingRevision() > routingBefore {
-				comeAndGone++
+			pendingUpdates, previousRouting := len(member.source.Since(some.follower.Revision(), serviceScope("s1")).Updates), some.follower.RoutingRevision()
+			some.deliverAll(at(0))
+			if pendingUpdates == 0 && some.follower.RoutingRevision() > previousRouting {
+				createdAndRemoved++
 			}
-			fullScope := connect(t, member.server, NewFollower(fmt.Sprint("full", revision), services("s1"), testLimits.Lease, nil), at(0))
-			fullScope.settle(at(0))
+			fullScope := connect(t, member.server, NewFollower(fmt.Sprint("full", revision), serviceScope("s1"), testLimits.Lease, nil), at(0))
+			fullScope.deliverAll(at(0))
 			member.checkFollower(some.follower)
 			member.checkFollower(fullScope.follower)
 			member.server.Close(fullScope.stream)
@@ -56,9 +56,9 @@
 			}
 		}
 	}
-	if removals < 50 || comeAndGone == 0 {
+	if removals < 50 || createdAndRemoved == 0 {
 		t.Errorf("got %d removals and %d routes both created and removed between two updates, want at least 50 and 1 for coverage",
-			removals, comeAndGone)
+			removals, createdAndRemoved)
 	}
 }
 
@@ -72,7 +72,8 @@
 	}{
 		{Update{Revision: 7, RoutingRevision: 6, Nonce: "2"}, 6},
 		{Update{Revision: 8, RoutingRevision: 4, Nonce: "3"}, 6},
-		{Update{Revision: 9, RoutingRevision: 9, Nonce: "4", Records: oneRecord(withRevision(newRouteRecord(t, "x", "s2", 1), 9))}, 6}, // another scope
+		// The record belongs to another scope, so the update is rejected.
+		{Update{Revision: 9, RoutingRevision: 9, Nonce: "4", Records: oneRecord(withRevision(newRouteRecord(t, "x", "s2", 1), 9))}, 6},
 		{Update{Revision: 9, RoutingRevision: 9, Nonce: "5"}, 9},
 	} {
 		if _, _, err := f.Receive(encodeUpdate(t, step.update)); err != nil || f.RoutingRevision() != step.want {
--- a/configsync/server_test.go
+++ b/configsync/server_test.go
@@ -29,7 +29,7 @@
 func (member *testMember) checkFollower(f *Follower) {
 	member.t.Helper()
 	want := map[records.Key]*records.Record{}
-	for _, record := range inScope(member.source.last().records, f.scope) {
+	for _, record := range recordsInScope(member.source.latestState().records, f.scope) {
 		want[record.Key] = record
 	}
 	if f.Revision() != member.source.Revision() || !equalRecords(want, f.Records()) {
@@ -44,25 +44,25 @@
 func TestFollowerGetsFullScopeThenDeltas(t *testing.T) {
 	member := newTestMember(t)
 	member.commit(at(0), 3, []*records.Record{newRouteRecord(t, "a", "s1", 10), newRouteRecord(t, "b", "s2", 10), newRouteRecord(t, "c", "", 10)})
-	f := NewFollower("f", services("s1"), testLimits.Lease, nil)
+	f := NewFollower("f", serviceScope("s1"), testLimits.Lease, nil)
 	c := connect(t, member.server, f, at(0))
-	c.settle(at(0))
+	c.deliverAll(at(0))
 	member.checkFollower(f)
 
 	member.commit(at(1), 5, oneRecord(newRouteRecord(t, "a", "s1", 20)))
-	c.settle(at(1))
+	c.deliverAll(at(1))
 	member.checkFollower(f)
 	member.commit(at(2), 6, oneRecord(newRouteRecord(t, "b", "s2", 20))) // not in its scope
-	c.settle(at(2))
+	c.deliverAll(at(2))
 	member.checkFollower(f)
 	member.commit(at(3), 7, oneRecord(newRouteRecord(t, "a", "s2", 20))) // leaves its scope
-	c.settle(at(3))
+	c.deliverAll(at(3))
 	member.checkFollower(f)
 	member.commit(at(4), 8, oneRecord(newRouteRecord(t, "b", "s1", 20))) // enters its scope
-	c.settle(at(4))
+	c.deliverAll(at(4))
 	member.checkFollower(f)
 	member.commit(at(5), 9, nil, routeKey("c"))
-	c.settle(at(5))
+	c.deliverAll(at(5))
 	member.checkFollower(f)
 	if got := member.server.Counts; got.FullScopes != 1 || got.Changes != 4 || got.EmptyUpdates != 1 || got.Accepted != 6 {
 		t.Errorf("got %+v, want 1 full scope, 4 changes, 1 empty update and 6 ACKs", got)
@@ -73,9 +73,9 @@
 func TestBurstOfCommitsIsOneDelta(t *testing.T) {
 	member := newTestMember(t)
 	member.commit(at(0), 1, oneRecord(newRouteRecord(t, "a", "s1", 10)))
-	f := NewFollower("f", services("s1"), testLimits.Lease, nil)
+	f := NewFollower("f", serviceScope("s1"), testLimits.Lease, nil)
 	c := connect(t, member.server, f, at(0))
-	c.settle(at(0))
+	c.deliverAll(at(0))
 	member.commit(at(1), 2, oneRecord(newRouteRecord(t, "a", "s1", 11)))
 	update := c.nextUpdate(at(1))
 	for revision := uint64(3); revision < 100; revision++ {
@@ -85,7 +85,7 @@
 		}
 	}
 	c.receive(at(1), update)
-	if messages := c.settle(at(1)); messages != 1 {
+	if messages := c.deliverAll(at(1)); messages != 1 {
 		t.Errorf("got %d messages for a burst of commits, want 1", messages)
 	}
 	member.checkFollower(f)
@@ -95,16 +95,16 @@
 // full scope.
 func TestFollowerBehindHistoryGetsFullScope(t *testing.T) {
 	member := newTestMember(t)
-	member.source.known = 4
+	member.source.historyLength = 4
 	member.commit(at(0), 1, oneRecord(newRouteRecord(t, "a", "s1", 10)))
-	f := NewFollower("f", services("s1"), testLimits.Lease, nil)
+	f := NewFollower("f", serviceScope("s1"), testLimits.Lease, nil)
 	c := connect(t, member.server, f, at(0))
-	c.settle(at(0))
+	c.deliverAll(at(0))
 	member.server.Close(c.stream)
 	for revision := uint64(2); revision < 10; revision++ {
 		member.commit(at(1), revision, oneRecord(newRouteRecord(t, fmt.Sprint("r", revision), "s1", 10)), routeKey("a"))
 	}
-	connect(t, member.server, f, at(2)).settle(at(2))
+	connect(t, member.server, f, at(2)).deliverAll(at(2))
 	member.checkFollower(f)
 	if member.server.Counts.FullScopes != 2 || member.server.Counts.Changes != 0 {
 		t.Errorf("got %+v, want 2 full scopes and no changes", member.server.Counts)
@@ -113,16 +113,16 @@
 
 // If a stream breaks between an update and its answer, before or after the follower has accepted the update, the next
 // stream must continue from the revision that the follower has accepted.
-func TestStreamCutBetweenUpdateAndAnswer(t *testing.T) {
-	for _, arrived := range []bool{false, true} {
+func TestReconnectBetweenUpdateAndAnswer(t *testing.T) {
+	for _, delivered := range []bool{false, true} {
 		member := newTestMember(t)
 		member.commit(at(0), 1, oneRecord(newRouteRecord(t, "a", "s1", 10)))
-		f := NewFollower("f", services("s1"), testLimits.Lease, nil)
+		f := NewFollower("f", serviceScope("s1"), testLimits.Lease, nil)
 		c := connect(t, member.server, f, at(0))
-		c.settle(at(0))
+		c.deliverAll(at(0))
 		member.commit(at(1), 2, oneRecord(newRouteRecord(t, "a", "s1", 11)))
 		update := c.nextUpdate(at(1))
-		if arrived {
+		if delivered {
 			if _, accepted, err := f.Receive(update); err != nil || !accepted {
 				t.Fatalf("got accepted %v, error %v; want accepted", accepted, err)
 			}
@@ -132,13 +132,13 @@
 			t.Errorf("before the member received the answer: got converged revision %d, want 1", status.ConvergedRevision)
 		}
 		again := connect(t, member.server, f, at(1.5))
-		again.settle(at(1.5))
+		again.deliverAll(at(1.5))
 		member.checkFollower(f)
 		if got := member.server.Counts.FullScopes; got != 1 {
-			t.Errorf("update received %v: got %d full scopes, want 1", arrived, got)
+			t.Errorf("update received %v: got %d full scopes, want 1", delivered, got)
 		}
 		if status := member.server.Status(at(1.5)); status.ConvergedRevision != 2 {
-			t.Errorf("update received %v: got converged revision %d, want 2", arrived, status.ConvergedRevision)
+			t.Errorf("update received %v: got converged revision %d, want 2", delivered, status.ConvergedRevision)
 		}
 	}
 }
@@ -148,8 +148,8 @@
 func TestMemberBehindFollowerSendsNothing(t *testing.T) {
 	member := newTestMember(t)
 	member.commit(at(0), 5, oneRecord(newRouteRecord(t, "a", "s1", 10)))
-	f := NewFollower("f", services("s1"), testLimits.Lease, nil)
-	connect(t, member.server, f, at(0)).settle(at(0))
+	f := NewFollower("f", serviceScope("s1"), testLimits.Lease, nil)
+	connect(t, member.server, f, at(0)).deliverAll(at(0))
 
 	behind := newTestMember(t)
 	behind.commit(at(0), 3, oneRecord(newRouteRecord(t, "a", "s1", 9)))
@@ -165,7 +165,7 @@
 		t.Fatalf("member at revision 5: got update %v, want none", update)
 	}
 	behind.commit(at(2), 8, oneRecord(newRouteRecord(t, "a", "s1", 12)))
-	c.settle(at(2))
+	c.deliverAll(at(2))
 	behind.checkFollower(f)
 }
 
@@ -175,16 +175,16 @@
 	member := newTestMember(t)
 	member.commit(at(0), 1, []*records.Record{newRouteRecord(t, "a", "s1", 10), newRouteRecord(t, "b", "s1", 10)})
 	bad := true
-	f := NewFollower("f", services("s1"), testLimits.Lease, func(_ uint64, accepted map[records.Key]*records.Record) error {
+	f := NewFollower("f", serviceScope("s1"), testLimits.Lease, func(_ uint64, accepted map[records.Key]*records.Record) error {
 		if spec, err := accepted[routeKey("a")].Route(); err == nil && spec.TimeLimitMS == 666 && bad {
 			return errors.New("666 is no time limit")
 		}
 		return nil
 	})
 	c := connect(t, member.server, f, at(0))
-	c.settle(at(0))
+	c.deliverAll(at(0))
 	member.commit(at(1), 2, []*records.Record{newRouteRecord(t, "a", "s1", 666), newRouteRecord(t, "new", "s1", 5)}, routeKey("b"))
-	c.settle(at(1))
+	c.deliverAll(at(1))
 	if f.Revision() != 1 || f.Rejected != 1 || f.Records()[routeKey("b")] == nil || f.Records()[routeKey("new")] != nil {
 		t.Fatalf("after a NACK: got revision %d, %d rejections and records %v, want the records of revision 1 and 1 rejection",
 			f.Revision(), f.Rejected, f.Records())
@@ -201,7 +201,7 @@
 		t.Fatal("got the rejected revision before the backoff elapsed, want no update")
 	}
 	member.commit(at(5), 4, oneRecord(newRouteRecord(t, "c", "s1", 7))) // newer, with the same invalid record
-	c.settle(at(5))
+	c.deliverAll(at(5))
 	if f.Revision() != 1 || f.Rejected != 2 {
 		t.Errorf("got revision %d and %d rejections, want revision 1 and 2 rejections", f.Revision(), f.Rejected)
 	}
@@ -214,7 +214,7 @@
 		t.Fatal("got the rejected revision 9.9 s after the NACK, want no update before 10 s")
 	}
 	bad = false
-	c.settle(at(15))
+	c.deliverAll(at(15))
 	member.checkFollower(f)
 	if lease := member.server.Status(at(15)).Leases[0]; lease.RejectedRevision != 0 || lease.Accepted != 4 || lease.Behind != 0 {
 		t.Errorf("got lease %+v, want accepted revision 4, no rejection and no lag", lease)
@@ -225,12 +225,12 @@
 func TestSecondStreamReplacesFirst(t *testing.T) {
 	member := newTestMember(t)
 	member.commit(at(0), 1, oneRecord(newRouteRecord(t, "a", "s1", 10)))
-	old := NewFollower("f", services("s1"), testLimits.Lease, nil)
+	old := NewFollower("f", serviceScope("s1"), testLimits.Lease, nil)
 	first := connect(t, member.server, old, at(0))
-	first.settle(at(0))
+	first.deliverAll(at(0))
 	member.commit(at(1), 2, oneRecord(newRouteRecord(t, "a", "s1", 11)))
-	f := NewFollower("f", services("s1"), testLimits.Lease, nil)
-	connect(t, member.server, f, at(1)).settle(at(1))
+	f := NewFollower("f", serviceScope("s1"), testLimits.Lease, nil)
+	connect(t, member.server, f, at(1)).deliverAll(at(1))
 	if err := member.server.Receive(at(2), first.stream, old.Renew(at(2))); !errors.Is(err, ErrReplaced) {
 		t.Errorf("Receive on the replaced stream: got error %v, want %v", err, ErrReplaced)
 	}
@@ -247,14 +247,14 @@
 func TestRestartWithOtherScopeGetsFullScope(t *testing.T) {
 	member := newTestMember(t)
 	member.commit(at(0), 1, []*records.Record{newRouteRecord(t, "a", "s1", 10), newRouteRecord(t, "b", "s2", 10)})
-	f := NewFollower("f", services("s1"), testLimits.Lease, nil)
-	connect(t, member.server, f, at(0)).settle(at(0))
-	f = NewFollower("f", services("s2"), testLimits.Lease, nil)
+	f := NewFollower("f", serviceScope("s1"), testLimits.Lease, nil)
+	connect(t, member.server, f, at(0)).deliverAll(at(0))
+	f = NewFollower("f", serviceScope("s2"), testLimits.Lease, nil)
 	c := connect(t, member.server, f, at(1))
 	if status := member.server.Status(at(1)); status.ConvergedRevision != 0 {
 		t.Errorf("while the follower has no records: got converged revision %d, want 0", status.ConvergedRevision)
 	}
-	c.settle(at(1))
+	c.deliverAll(at(1))
 	member.checkFollower(f)
 }
 
@@ -262,9 +262,9 @@
 // lease expires.
 func TestSilentStreamEndsAfterLease(t *testing.T) {
 	member := newTestMember(t)
-	f := NewFollower("f", services("s1"), testLimits.Lease, nil)
+	f := NewFollower("f", serviceScope("s1"), testLimits.Lease, nil)
 	c := connect(t, member.server, f, at(0))
-	c.settle(at(0))
+	c.deliverAll(at(0))
 	if _, wait, err := c.stream.Send(at(1)); err != nil || wait != 2*time.Second {
 		t.Errorf("at 1 s: got wait %v, error %v; want 2s", wait, err)
 	}
@@ -291,7 +291,7 @@
 		many = append(many, newRouteRecord(t, fmt.Sprint("r", n), "s1", 10))
 	}
 	server.Committed(at(0), source.commit(1, many).Revision)
-	f := NewFollower("f", services("s1"), limits.Lease, nil)
+	f := NewFollower("f", serviceScope("s1"), limits.Lease, nil)
 	c := connect(t, server, f, at(0))
 	c.receive(at(0), c.send(at(0)))
 	_, _, err := c.stream.Send(at(0))
--- a/configsync/source_test.go
+++ b/configsync/source_test.go
@@ -13,9 +13,9 @@
 
 // modelSource is a simple reference source. It retains all states, and Since uses a limited number of the latest ones.
 type modelSource struct {
-	states  []modelState     // oldest first
-	known   int              // number of latest states that Since can start from; 0 means all
-	changes []records.Change // all changes, oldest first
+	states        []modelState     // oldest first
+	historyLength int              // number of latest states that Since can start from; 0 means all
+	changes       []records.Change // all changes, oldest first
 }
 
 type modelState struct {
@@ -27,17 +27,17 @@
 	return &modelSource{states: []modelState{{records: map[records.Key]*records.Record{}}}}
 }
 
-func (m *modelSource) last() modelState { return m.states[len(m.states)-1] }
+func (m *modelSource) latestState() modelState { return m.states[len(m.states)-1] }
 
 // commit puts and removes records at a revision, and returns a change that contains only the revision.
 func (m *modelSource) commit(revision uint64, put []*records.Record, removed ...records.Key) records.Change {
-	next := maps.Clone(m.last().records)
+	next := maps.Clone(m.latestState().records)
 	change := records.Change{Revision: revision}
 	for _, record := range put {
-		one := *record
-		one.Revision = revision
-		change.Updates = append(change.Updates, records.Update{Before: next[one.Key], After: &one})
-		next[one.Key] = &one
+		updated := *record
+		updated.Revision = revision
+		change.Updates = append(change.Updates, records.Update{Before: next[updated.Key], After: &updated})
+		next[updated.Key] = &updated
 	}
 	for _, key := range removed {
 		if next[key] != nil {
@@ -60,33 +60,33 @@
 	return 0
 }
 
-func (m *modelSource) Revision() uint64 { return m.last().revision }
+func (m *modelSource) Revision() uint64 { return m.latestState().revision }
 
 func (m *modelSource) InScope(scope records.Scope) records.View {
-	return records.View{Records: inScope(m.last().records, scope), Revision: m.Revision(), RoutingRevision: m.routingRevision(scope)}
+	return records.View{Records: recordsInScope(m.latestState().records, scope), Revision: m.Revision(), RoutingRevision: m.routingRevision(scope)}
 }
 
-func inScope(all map[records.Key]*records.Record, scope records.Scope) (next []*records.Record) {
+func recordsInScope(all map[records.Key]*records.Record, scope records.Scope) (matching []*records.Record) {
 	for _, key := range slices.SortedFunc(maps.Keys(all), records.Key.Compare) {
 		if scope.Contains(all[key]) {
-			next = append(next, all[key])
+			matching = append(matching, all[key])
 		}
 	}
-	return next
+	return matching
 }
 
 func (m *modelSource) Since(revision uint64, scope records.Scope) records.Delta {
 	delta := records.Delta{Revision: m.Revision(), RoutingRevision: m.routingRevision(scope)}
-	from := -1
-	for place, state := range m.states {
+	baseIndex := -1
+	for index, state := range m.states {
 		if state.revision <= revision {
-			from = place
+			baseIndex = index
 		}
 	}
-	if m.known > 0 && from < len(m.states)-m.known {
+	if m.historyLength > 0 && baseIndex < len(m.states)-m.historyLength {
 		return delta
 	}
-	before, after := m.states[from].records, m.last().records
+	before, after := m.states[baseIndex].records, m.latestState().records
 	all := maps.Clone(before)
 	maps.Copy(all, after)
 	for _, key := range slices.SortedFunc(maps.Keys(all), records.Key.Compare) {
@@ -117,7 +117,7 @@
 
 func oneRecord(record *records.Record) []*records.Record { return []*records.Record{record} }
 
-func services(names ...string) records.Scope { return records.Scope{Services: names}.Normalized() }
+func serviceScope(names ...string) records.Scope { return records.Scope{Services: names}.Normalized() }
 
 // connection is a stream between a follower and a member's server.
 type connection struct {
@@ -182,16 +182,16 @@
 	return accepted
 }
 
-// maxSettle is greater than the number of messages that any test delivers at one time.
-const maxSettle = 50
+// maxDeliveries is greater than the number of messages that any test delivers at one time.
+const maxDeliveries = 50
 
-// settle delivers messages until there are none left, and returns their number.
-func (c *connection) settle(now time.Time) (messages int) {
+// deliverAll delivers messages until there are none left, and returns their number.
+func (c *connection) deliverAll(now time.Time) (messages int) {
 	c.t.Helper()
 	for response := c.send(now); response != nil; response = c.send(now) {
 		c.receive(now, response)
-		if messages++; messages > maxSettle {
-			c.t.Fatalf("got more than %d messages, want an end", maxSettle)
+		if messages++; messages > maxDeliveries {
+			c.t.Fatalf("got more than %d messages, want an end", maxDeliveries)
 		}
 	}
 	return messages
