--- a/configsync/transport/client.go
+++ b/configsync/transport/client.go
@@ -14,60 +14,60 @@
 	"harehook.dev/harehook/records"
 )
 
-// errIncompleteConfig is what [NewClient] returns for a configuration without what it needs.
-var errIncompleteConfig = errors.New("a follower needs a name, members and the length of their leases")
+// errIncompleteConfig is returned by [NewClient] for a configuration that lacks a required value.
+var errIncompleteConfig = errors.New("name, members and a lease greater than 0 are required")
 
-// Config is the configuration of a [Client]. Name, Members and Lease are required.
+// Config holds the configuration of a [Client]. Name, Members and Lease are required.
 type Config struct {
 	Name    string
 	Scope   records.Scope
 	Members []string      // addresses of the group's members
-	Lease   time.Duration // the members'
-	Seed    uint64        // of the order of members and of the backoff
+	Lease   time.Duration // lease duration, the same as on the members
+	Seed    uint64        // seed of the member order and of the backoff
 
-	// Validate returns why records can't be used: the update is rejected then. Nil accepts all.
+	// Validate returns an error if records cannot be used; the update is then rejected. If nil, all updates are accepted.
 	Validate configsync.Validator
-	// Accepted is called with each revision that was accepted, in order, by Run's goroutine. It must not change the map,
-	// nor retain it: the next delta changes it.
+	// Accepted is called on Run's goroutine with each accepted revision, in order. It must not modify or retain the map:
+	// the next delta changes it.
 	Accepted func(revision uint64, accepted map[records.Key]*records.Record)
-	// StaleChanged is called when the lease has run out (true) and when there is one again (false). It must not block.
+	// StaleChanged is called when the lease has expired (true) and when it is valid again (false). It must not block.
 	StaleChanged func(stale bool)
 
-	Credentials credentials.TransportCredentials // nil: plain text
+	Credentials credentials.TransportCredentials // if nil, connections are not encrypted
 	DialOptions []grpc.DialOption                // in addition to the client's own
-	Log         *zap.Logger                      // nil: no log
+	Log         *zap.Logger                      // if nil, nothing is logged
 }
 
-// Client follows the group for one controller. Run drives it; the other methods may be called from any goroutine.
+// Client follows the group for one controller. Run drives it; the other methods are safe for concurrent use.
 type Client struct {
 	config  Config
 	log     *zap.Logger
-	backoff *configsync.Backoff // Run's goroutine only
+	backoff *configsync.Backoff // used only by Run's goroutine
 
-	// Traffic counts the bytes on the wire since the client was made.
+	// Traffic counts the bytes on the wire since the client was created.
 	Traffic Traffic
 
-	stateMutex sync.Mutex // guards all below
+	stateMutex sync.Mutex // guards the fields below
 	running    bool
 	leaseTimer *time.Timer // calls checkLease
 	follower   *configsync.Follower
-	member     string // that answers, empty between two
-	stale      bool   // as StaleChanged was told last
+	member     string // the member that responds; empty while there is none
+	stale      bool   // value of the last call of StaleChanged, initially true
 	failovers  uint64
 	lastError  error
 }
 
-// ClientStatus is the state of a client.
+// ClientStatus describes the state of a client.
 type ClientStatus struct {
-	Member             string // that is followed, empty between two
-	Revision           uint64 // accepted
-	Stale              bool   // the lease has run out
-	Accepted, Rejected uint64 // updates
-	Failovers          uint64 // how often a member that had answered was left
-	LastError          error  // for which a member was left last
+	Member             string // the member that is followed; empty while there is none
+	Revision           uint64 // last accepted revision
+	Stale              bool   // the lease has expired
+	Accepted, Rejected uint64 // number of updates
+	Failovers          uint64 // number of streams that ended after the member had responded
+	LastError          error  // why the last stream to a member ended
 }
 
-// NewClient returns a client without records. It returns an error if the configuration lacks what is required.
+// NewClient returns a client without records. It returns an error if the configuration lacks a required value.
 func NewClient(config Config) (*Client, error) {
 	if config.Name == "" || len(config.Members) == 0 || config.Lease <= 0 {
 		return nil, errIncompleteConfig
@@ -100,15 +100,15 @@
 	}
 }
 
-// RoutingRevision is the revision at which a route of the scope last changed, as of the accepted revision. Within
-// Config.Accepted it is that of the revision that was accepted.
+// RoutingRevision returns the revision at which a route of the scope last changed, as of the accepted revision. During
+// a call of Config.Accepted it belongs to the revision passed to that call.
 func (c *Client) RoutingRevision() uint64 {
 	c.stateMutex.Lock()
 	defer c.stateMutex.Unlock()
 	return c.follower.RoutingRevision()
 }
 
-// Run follows members, one at a time, until ctx ends.
+// Run follows one member at a time until ctx is done.
 func (c *Client) Run(ctx context.Context) {
 	c.startLeaseTimer()
 	defer c.stopLeaseTimer()
@@ -127,7 +127,7 @@
 	}
 }
 
-// memberFailed records why a member was left.
+// memberFailed records why the stream to a member ended.
 func (c *Client) memberFailed(member string, err error, delay time.Duration) {
 	c.stateMutex.Lock()
 	if c.member != "" {
@@ -136,16 +136,16 @@
 	c.member = ""
 	c.lastError = err
 	c.stateMutex.Unlock()
-	c.log.Info("member left", zap.String("member", member), zap.Error(err), zap.Duration("backoff", delay))
+	c.log.Info("stream to member failed", zap.String("member", member), zap.Error(err), zap.Duration("backoff", delay))
 }
 
-// memberAnswered records that a member sent its first response.
+// memberAnswered records that a member has sent the first response of a stream.
 func (c *Client) memberAnswered(member string) {
 	c.backoff.Succeeded()
 	c.stateMutex.Lock()
 	c.member = member
 	c.stateMutex.Unlock()
-	c.log.Info("member followed", zap.String("member", member))
+	c.log.Info("following member", zap.String("member", member))
 }
 
 // handshakeRequest returns the first request of a stream.
@@ -162,14 +162,14 @@
 	return c.follower.Renew(time.Now())
 }
 
-// renewInterval is the interval between renewals.
+// renewInterval returns the interval between lease renewals.
 func (c *Client) renewInterval() time.Duration {
 	c.stateMutex.Lock()
 	defer c.stateMutex.Unlock()
 	return c.follower.RenewInterval()
 }
 
-// receive handles a response and calls back what came of it.
+// receive handles a response, calls the callbacks of the configuration, and returns the reply, nil if there is none.
 func (c *Client) receive(in *response) (reply *request, err error) {
 	c.stateMutex.Lock()
 	now := time.Now()
@@ -193,5 +193,5 @@
 	return reply, err
 }
 
-// isHeartbeat tells whether a response renews the lease.
+// isHeartbeat reports whether a response renews the lease.
 func isHeartbeat(in *response) bool { return in.GetNonce() == "" }
--- a/configsync/transport/client_lease.go
+++ b/configsync/transport/client_lease.go
@@ -2,7 +2,8 @@
 
 import "time"
 
-// leaseCheckFraction of the lease is the delay of the next check where the timer has found the lease renewed.
+// leaseCheckFraction is the divisor of the lease duration that yields the delay of the next check if the timer finds
+// that the lease was renewed.
 const leaseCheckFraction = 10
 
 func (c *Client) startLeaseTimer() {
@@ -19,14 +20,14 @@
 	c.leaseTimer.Stop()
 }
 
-// checkLease reports, once, that the lease has run out. The lease timer calls it.
+// checkLease reports only once that the lease has expired. It is called by the lease timer.
 func (c *Client) checkLease() {
 	c.stateMutex.Lock()
 	expired := c.follower.Stale(time.Now())
 	report := expired && !c.stale && c.running
 	c.stale = c.stale || expired
 	if !expired && c.running {
-		c.leaseTimer.Reset(c.config.Lease / leaseCheckFraction) // it was renewed meanwhile
+		c.leaseTimer.Reset(c.config.Lease / leaseCheckFraction) // it was renewed in the meantime
 	}
 	c.stateMutex.Unlock()
 	if report && c.config.StaleChanged != nil {
--- a/configsync/transport/client_stream.go
+++ b/configsync/transport/client_stream.go
@@ -11,24 +11,25 @@
 	"google.golang.org/grpc"
 )
 
-// errMemberTimeout says that a member sent nothing, or took nothing, for a lease's time.
-var errMemberTimeout = errors.New("the member was not heard for a lease's time")
+// errMemberTimeout is returned when a member sends nothing, or a send to it blocks, for the lease duration.
+var errMemberTimeout = errors.New("member did not respond within the lease duration")
 
 type deltaClient = discoveryv3.AggregatedDiscoveryService_DeltaAggregatedResourcesClient
 
-// memberStream is a stream to a member. Its receiver is a goroutine of its own; all else is the client's Run goroutine.
+// memberStream is a stream to a member. It receives in a separate goroutine; everything else runs in the client's Run
+// goroutine.
 type memberStream struct {
 	client     *Client
 	grpcStream deltaClient
 	cancel     context.CancelCauseFunc
 
 	responses       chan *response
-	receiverErr     chan error    // why the receiver ended, with room for it
-	receiverStopped chan struct{} // closed at the receiver's end
+	receiverErr     chan error    // why the receiver ended; buffered for one error
+	receiverStopped chan struct{} // closed when the receiver has ended
 }
 
-// followMember opens a stream to a member and runs it until it ends. It returns the reason of the end; nothing of the
-// stream goes on after.
+// followMember opens a stream to a member, runs it until it ends and returns the reason. All goroutines of the stream
+// have ended when it returns.
 func (c *Client) followMember(ctx context.Context, member string) error {
 	options := append(dialOptions(c.config.Credentials, &c.Traffic), c.config.DialOptions...)
 	conn, err := grpc.NewClient("passthrough:///"+member, options...)
@@ -61,7 +62,7 @@
 	return streamError(ctx, err)
 }
 
-// streamError returns why a stream ended: the timeout if one has ended it.
+// streamError returns why a stream ended: errMemberTimeout if a timeout ended it, else err.
 func streamError(ctx context.Context, err error) error {
 	if cause := context.Cause(ctx); cause != nil && !errors.Is(cause, context.Canceled) {
 		return cause
@@ -69,13 +70,13 @@
 	return err
 }
 
-// startTimeout ends the stream after a lease's time unless the timer is stopped or reset.
+// startTimeout starts a timer that ends the stream after the lease duration unless it is stopped or reset.
 func (s *memberStream) startTimeout() *time.Timer {
 	return time.AfterFunc(s.client.config.Lease, func() { s.cancel(errMemberTimeout) })
 }
 
-// run sends the handshake, answers responses and renews the lease, until the stream ends or the member sends nothing for a
-// lease's time.
+// run sends the handshake, replies to responses and renews the lease, until the stream ends or the member sends nothing
+// for the lease duration.
 func (s *memberStream) run(ctx context.Context, member string) error {
 	if err := s.send(s.client.handshakeRequest()); err != nil {
 		return err
@@ -115,7 +116,7 @@
 	}
 }
 
-// send sends a request; one that blocks for a lease's time ends the stream.
+// send sends a request. If it blocks for the lease duration, the stream is ended.
 func (s *memberStream) send(out *request) error {
 	timer := s.startTimeout()
 	defer timer.Stop()
@@ -125,24 +126,24 @@
 	return nil
 }
 
-// sendError returns why nothing can be sent: if the member has ended the stream, that is what is received last.
+// sendError returns why a send failed: if the member has ended the stream, the reason is the receiver's error.
 func (s *memberStream) sendError(err error) error {
 	if !errors.Is(err, io.EOF) {
 		return err
 	}
 	for {
 		select {
-		case <-s.responses: // too late to be answered
+		case <-s.responses: // discarded: a reply can no longer be sent
 		case err := <-s.receiverErr:
 			return receiverEnded(err)
 		}
 	}
 }
 
-// receiverEnded wraps the error with which the receiver ended.
+// receiverEnded wraps the receiver's error.
 func receiverEnded(err error) error { return fmt.Errorf("stream ended: %w", err) }
 
-// receive passes responses on until the stream ends.
+// receive forwards responses to run until the stream ends.
 func (s *memberStream) receive(ctx context.Context) error {
 	for {
 		in, err := s.grpcStream.Recv()
--- a/configsync/transport/client_test.go
+++ b/configsync/transport/client_test.go
@@ -12,7 +12,7 @@
 
 var shop = records.Scope{Services: []string{"shop"}}
 
-// A follower gets a full scope, then deltas, and progress for revisions that change nothing of its scope.
+// A follower receives a full scope, then deltas, and empty updates for revisions that do not change its scope.
 func TestFollowerGetsScopeDeltasAndProgress(t *testing.T) {
 	log := newGroupLog(100)
 	log.put(t, "buy", "shop", 1000)
@@ -25,7 +25,7 @@
 	log.put(t, "sell", "market", 2000)
 	c.awaitAccepted(log)
 	if counts := m.service.Counts(); counts.FullScopes != 1 || counts.Changes != 1 || counts.EmptyUpdates != 1 {
-		t.Errorf("sent: %+v", counts)
+		t.Errorf("got counts %+v, want 1 full scope, 1 change and 1 empty update", counts)
 	}
 	waitFor(t, "the revision has converged", func() bool {
 		status := m.service.Status()
@@ -33,10 +33,10 @@
 	})
 }
 
-// A change is sent as it is committed, not with the follower's next request.
+// A change is sent when it is committed, not with the follower's next request.
 func TestCommitIsSentWithoutDelay(t *testing.T) {
 	limits := testLimits()
-	limits.Lease = 6 * testTimeout // the follower is heard every two minutes
+	limits.Lease = 6 * testTimeout // the follower sends a request only every two minutes
 	log := newGroupLog(100)
 	log.put(t, "buy", "shop", 1000)
 	m := newMember(t, log, limits)
@@ -48,8 +48,8 @@
 	}
 }
 
-// The connection is cut in the midst of a delta: the follower must accept nothing of it, and gets the delta from another
-// member.
+// The connection is closed in the middle of a delta: the follower must accept no part of it, and receives the delta
+// from another member.
 func TestConnectionCutWithinDelta(t *testing.T) {
 	first, second := newGroupLog(100), newGroupLog(100)
 	one, two := newMember(t, first, testLimits()), newMember(t, second, testLimits())
@@ -62,20 +62,20 @@
 	c := newFollowerController(t, Config{Scope: shop, Members: []string{proxies[0].address(), proxies[1].address()}})
 	c.awaitAccepted(first)
 	followed := slices.IndexFunc(proxies, func(proxy *cuttableProxy) bool { return proxy.address() == c.client.Status().Member })
-	proxies[followed].cutAfter.Store(20) // a frame's head and a few bytes of the message
+	proxies[followed].cutAfter.Store(20) // a frame header and a few bytes of the message
 	put("buy", 2000)
 	c.awaitAccepted(first)
 	status := c.client.Status()
 	if status.Failovers == 0 || status.Member != proxies[1-followed].address() {
-		t.Errorf("after the cut: %+v", status)
+		t.Errorf("after the cut: got status %+v, want at least 1 failover and member %s", status, proxies[1-followed].address())
 	}
 	if last := c.last(); last.revision != 2 || len(last.records) != 1 {
-		t.Errorf("accepted %+v", last)
+		t.Errorf("got accepted revision %+v, want revision 2 with 1 record", last)
 	}
 }
 
-// The member that is followed stops while changes are committed one after the other: in the end no follower must lack one,
-// and none must accept an older revision after a newer one.
+// The followed member stops during a series of commits: in the end every follower must have all changes, and none may
+// accept an older revision after a newer one.
 func TestFollowersMoveWhenMemberStops(t *testing.T) {
 	logs := []*groupLog{newGroupLog(1000), newGroupLog(1000), newGroupLog(1000)}
 	var members []*member
@@ -88,7 +88,7 @@
 		for at, log := range logs {
 			log.put(t, fmt.Sprintf("route-%d", int(limit)%7), "shop", limit)
 			if at == 0 && limit == 1050 {
-				members[0].stop() // in the midst of it: the others have not got it yet
+				members[0].stop() // the change has not reached the other members yet
 			}
 		}
 	}
@@ -106,7 +106,7 @@
 		}
 	}
 	if moved == 0 {
-		t.Fatal("no follower of the member that is lost: choose other seeds")
+		t.Fatal("no controller follows the member that stops: choose other seeds")
 	}
 	for limit := range 100 {
 		put(float64(1000 + limit))
@@ -114,15 +114,15 @@
 	for _, c := range controllers {
 		c.awaitAccepted(logs[1])
 		if member := c.client.Status().Member; member == addresses[0] {
-			t.Errorf("%s still follows the member that has stopped", c.client.config.Name)
+			t.Errorf("%s still follows stopped member %s", c.client.config.Name, member)
 		}
 	}
 }
 
-// A follower is cut off for longer than its lease, once with its connections closed and once in silence: it has to go on
-// with its records, report that it is stale, and get only a delta when it is back.
+// A follower is disconnected for longer than its lease, either with its connections closed or with stalled ones. It
+// must keep its records, report that it is stale, and receive only a delta after it has reconnected.
 func TestFollowerCutOffLongerThanLease(t *testing.T) {
-	for name, cut := range map[string]func(*cuttableProxy, bool){"ended": (*cuttableProxy).cut, "silent": (*cuttableProxy).stall} {
+	for name, cut := range map[string]func(*cuttableProxy, bool){"closed": (*cuttableProxy).cut, "stalled": (*cuttableProxy).stall} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			log := newGroupLog(100)
@@ -132,30 +132,30 @@
 			c := newFollowerController(t, Config{Scope: shop, Members: []string{proxy.address()}})
 			c.awaitAccepted(log)
 			cut(proxy, true)
-			waitFor(t, "it is stale", func() bool { return c.client.Status().Stale })
-			waitFor(t, "it has left the member", func() bool { return c.client.Status().Member == "" })
-			waitFor(t, "the member knows", func() bool { return m.service.Status().Live == 0 })
+			waitFor(t, "follower is stale", func() bool { return c.client.Status().Stale })
+			waitFor(t, "follower has no member", func() bool { return c.client.Status().Member == "" })
+			waitFor(t, "member has no live follower", func() bool { return m.service.Status().Live == 0 })
 			accepted := c.last()
 			log.put(t, "buy", "shop", 2000)
 			if last := c.last(); last.revision != accepted.revision {
-				t.Errorf("accepted revision %d, cut off it had %d", last.revision, accepted.revision)
+				t.Errorf("while disconnected: got accepted revision %d, want %d", last.revision, accepted.revision)
 			}
 			cut(proxy, false)
 			c.awaitAccepted(log)
-			waitFor(t, "it is not stale any more", func() bool { return !c.client.Status().Stale })
-			waitFor(t, "all of that was reported", func() bool {
+			waitFor(t, "follower is no longer stale", func() bool { return !c.client.Status().Stale })
+			waitFor(t, "all stale changes are reported", func() bool {
 				c.resultsMutex.Lock()
 				defer c.resultsMutex.Unlock()
 				return slices.Equal(c.staleChanges, []bool{false, true, false})
 			})
 			if counts := m.service.Counts(); counts.FullScopes != 1 || counts.Changes != 1 {
-				t.Errorf("sent: %+v", counts)
+				t.Errorf("got counts %+v, want 1 full scope and 1 change", counts)
 			}
 		})
 	}
 }
 
-// A follower that was away for longer than the member's history reaches gets a full scope.
+// A follower whose revision is older than the member's history receives a full scope when it reconnects.
 func TestFollowerBehindHistoryGetsFullScope(t *testing.T) {
 	log := newGroupLog(5)
 	log.put(t, "buy", "shop", 1000)
@@ -164,24 +164,24 @@
 	c := newFollowerController(t, Config{Scope: shop, Members: []string{proxy.address()}})
 	c.awaitAccepted(log)
 	proxy.cut(true)
-	waitFor(t, "the member has noticed", func() bool { return m.openStreams() == 0 })
+	waitFor(t, "member has closed the stream", func() bool { return m.openStreams() == 0 })
 	for change := range 20 {
 		log.put(t, "sell", "shop", float64(1000+change))
 	}
 	proxy.cut(false)
 	c.awaitAccepted(log)
 	if counts := m.service.Counts(); counts.FullScopes != 2 {
-		t.Errorf("sent: %+v", counts)
+		t.Errorf("got counts %+v, want 2 full scopes", counts)
 	}
 }
 
-// Two followers accept a change and one rejects it: it has to go on with its records, its reason is shown, and the converged
-// revision stays until it accepts a later one.
+// Two followers accept a change and one rejects it. The one that rejects must keep its records, its reason must be in
+// the member's status, and the converged revision must not advance until it accepts a later revision.
 func TestRejectionHoldsBackConvergence(t *testing.T) {
 	log := newGroupLog(100)
 	log.put(t, "buy", "shop", 1000)
 	limits := testLimits()
-	limits.RejectedBackoff = testTimeout // it is not offered again in this test
+	limits.RejectedBackoff = testTimeout // the change is not sent again during this test
 	m := newMember(t, log, limits)
 	rejects := func(_ uint64, accepted map[records.Key]*records.Record) error {
 		route, err := accepted[records.Key{Kind: records.KindRoute, Name: "buy"}].Route()
@@ -201,7 +201,7 @@
 		c.awaitAccepted(log)
 	}
 	var rejected configsync.LeaseStatus
-	waitFor(t, "the NACK is known", func() bool {
+	waitFor(t, "member has received the NACK", func() bool {
 		leases := m.service.Status().Leases
 		at := slices.IndexFunc(leases, func(one configsync.LeaseStatus) bool { return one.Name == "rejecting" })
 		if at < 0 || leases[at].RejectedRevision == 0 {
@@ -211,19 +211,20 @@
 		return true
 	})
 	if rejected.RejectedRevision != 2 || rejected.Accepted != 1 || rejected.Reason != "two seconds are too long" || rejected.Behind <= 0 {
-		t.Errorf("%+v", rejected)
+		t.Errorf("got lease %+v, want rejected revision 2, accepted 1, the reason and a positive lag", rejected)
 	}
 	if status := m.service.Status(); status.ConvergedRevision != 1 || status.Live != 3 {
-		t.Errorf("converged revision %d at %d followers", status.ConvergedRevision, status.Live)
+		t.Errorf("got converged revision %d with %d live followers, want 1 with 3", status.ConvergedRevision, status.Live)
 	}
 	log.put(t, "buy", "shop", 3000)
 	for _, c := range append(others, rejecting) {
 		c.awaitAccepted(log)
 	}
-	waitFor(t, "the later change has converged", func() bool { return m.service.Status().ConvergedRevision == 3 })
+	waitFor(t, "revision 3 has converged", func() bool { return m.service.Status().ConvergedRevision == 3 })
 }
 
-// A follower moves to a member that has not caught up: it has to stay at its revision, and go on once that member has more.
+// A follower moves to a member with an older revision: it must keep its own revision, and advance when that member has
+// a newer one.
 func TestFollowerMovesToLaggingMember(t *testing.T) {
 	ahead, behind := newGroupLog(100), newGroupLog(100)
 	one, two := newMember(t, ahead, testLimits()), newMember(t, behind, testLimits())
@@ -239,16 +240,16 @@
 	c.awaitAccepted(ahead)
 	one.stop()
 	proxy.cut(false)
-	waitFor(t, "it follows the other", func() bool { return c.client.Status().Member == proxy.address() })
-	waitFor(t, "the other has renewed its lease", func() bool { return !c.client.Status().Stale && two.service.Counts().Heartbeats > 2 })
+	waitFor(t, "follower follows the lagging member", func() bool { return c.client.Status().Member == proxy.address() })
+	waitFor(t, "lagging member has renewed the lease", func() bool { return !c.client.Status().Stale && two.service.Counts().Heartbeats > 2 })
 	if last := c.last(); last.revision != 10 {
-		t.Errorf("accepted revision %d", last.revision)
+		t.Errorf("got accepted revision %d, want 10", last.revision)
 	}
 	for change := 5; change < 12; change++ {
 		behind.put(t, "buy", "shop", float64(1000+change))
 	}
 	c.awaitAccepted(behind)
 	if counts := two.service.Counts(); counts.FullScopes != 0 {
-		t.Errorf("sent: %+v", counts)
+		t.Errorf("got counts %+v, want no full scope", counts)
 	}
 }
--- a/configsync/transport/dial.go
+++ b/configsync/transport/dial.go
@@ -14,16 +14,16 @@
 )
 
 const (
-	// bufferBytes is the buffer of a connection each way: hundreds of followers may run in one process, and most messages
-	// are small.
+	// bufferBytes is the size of a connection's read buffer and of its write buffer. It is small because hundreds of
+	// followers may run in one process, and most messages are small.
 	bufferBytes = 4 << 10
-	// windowBytes is what a member may send ahead of the reader, on a stream and on its connection: the minimum of HTTP/2.
+	// windowBytes is the flow control window of a stream and of its connection: the minimum that gRPC accepts.
 	windowBytes = 64 << 10
 	// connectTimeout is the timeout of a TCP connection attempt.
 	connectTimeout = 2 * time.Second
 )
 
-// Traffic counts the bytes that a client's connections receive and send, with all framing above TCP.
+// Traffic counts the bytes that a client's connections receive and send, including all framing above TCP.
 type Traffic struct {
 	In, Out atomic.Uint64
 }
@@ -48,7 +48,7 @@
 	return n, err
 }
 
-// dialOptions are those of a client's connections.
+// dialOptions returns the dial options of a client's connections.
 func dialOptions(secure credentials.TransportCredentials, traffic *Traffic) []grpc.DialOption {
 	if secure == nil {
 		secure = insecure.NewCredentials()
--- a/configsync/transport/doc.go
+++ b/configsync/transport/doc.go
@@ -1,8 +1,8 @@
 // Package transport connects the state machines of package configsync to the network.
 //
-// A [Service] runs at a group's member: it serves followers on the group's gRPC server, with one goroutine that receives
-// and one that sends per stream, beside the stream's own that decides. A [Client] runs at a controller that is not a
-// member: it follows one member at a time and moves to another one where that fails.
+// A [Service] runs on a member of the group and serves followers on the group's gRPC server. Each stream has three
+// goroutines: one receives, one sends, and the RPC handler's own decides what to send. A [Client] runs on a controller
+// that is not a member: it follows one member at a time and fails over to another one.
 //
-// [FetchMemberStatus] and [FetchFollowerReport] are the operators' queries to both.
+// [FetchMemberStatus] and [FetchFollowerReport] let operators query the state of a member and of a follower.
 package transport
--- a/configsync/transport/errors.go
+++ b/configsync/transport/errors.go
@@ -10,7 +10,7 @@
 	"harehook.dev/harehook/configsync"
 )
 
-// invalidRequestError says that a follower's request was rejected, and why.
+// invalidRequestError is returned when a follower's request violates the protocol. It wraps the reason.
 type invalidRequestError struct{ reason error }
 
 // Error implements error.
@@ -19,7 +19,7 @@
 // Unwrap returns the reason.
 func (e *invalidRequestError) Unwrap() error { return e.reason }
 
-// grpcStatus returns the reason of a stream's end as a gRPC status. Errors that are one already stay as they are.
+// grpcStatus returns the reason why a stream ended as a gRPC status. An error that already is a status is unchanged.
 func grpcStatus(err error) error {
 	if err == nil {
 		return nil
--- a/configsync/transport/fixture_test.go
+++ b/configsync/transport/fixture_test.go
@@ -20,16 +20,16 @@
 )
 
 const (
-	// testLease is long beside a busy machine's delays and short beside testTimeout.
+	// testLease is long compared with the delays of a busy machine and short compared with testTimeout.
 	testLease = 2 * time.Second
-	// testTimeout is how long these tests wait for what has to happen.
+	// testTimeout is the maximum time that a test waits for a condition.
 	testTimeout = 60 * time.Second
 )
 
-// groupLog is a group's log as one member has applied it, with a bounded history.
+// groupLog is the group's log as applied by one member, with a bounded history.
 type groupLog struct {
 	stateMutex sync.Mutex
-	history    int // changes that are kept
+	history    int // maximum number of retained changes
 	revision   uint64
 	records    map[records.Key]*records.Record
 	changes    []records.Change
@@ -40,14 +40,14 @@
 	return &groupLog{history: history, records: map[records.Key]*records.Record{}}
 }
 
-// Revision is that of the last change.
+// Revision returns the revision of the last change.
 func (l *groupLog) Revision() uint64 {
 	l.stateMutex.Lock()
 	defer l.stateMutex.Unlock()
 	return l.revision
 }
 
-// InScope returns a full scope.
+// InScope returns all records of a scope.
 func (l *groupLog) InScope(scope records.Scope) records.View {
 	l.stateMutex.Lock()
 	defer l.stateMutex.Unlock()
@@ -61,7 +61,7 @@
 	return view
 }
 
-// routingRevision is the highest revision of a scope's routes, none of which is ever removed or moved here.
+// routingRevision returns the highest revision of the routes in a scope. These tests never remove or move a route.
 func (l *groupLog) routingRevision(scope records.Scope) (highest uint64) {
 	for _, record := range l.records {
 		if scope.Contains(record) {
@@ -71,7 +71,7 @@
 	return highest
 }
 
-// Since returns what changed in a scope.
+// Since returns the changes of a scope since a revision.
 func (l *groupLog) Since(revision uint64, scope records.Scope) records.Delta {
 	l.stateMutex.Lock()
 	defer l.stateMutex.Unlock()
@@ -101,7 +101,7 @@
 	return delta
 }
 
-// put commits a route as the next revision and tells the member's service.
+// put commits a route as the next revision and notifies the member's service.
 func (l *groupLog) put(t testing.TB, name, service string, limit float64) uint64 {
 	t.Helper()
 	key := records.Key{Kind: records.KindRoute, Name: name}
@@ -124,7 +124,7 @@
 	return change.Revision
 }
 
-// member is a member's service on a loopback socket, which may be stopped and started again on the same address.
+// member is a member's service on a loopback socket. It can be stopped and started again on the same address.
 type member struct {
 	t       testing.TB
 	log     *groupLog
@@ -176,7 +176,7 @@
 	records         map[records.Key]*records.Record
 }
 
-// followerController is a client that runs, and what it has reported.
+// followerController is a running client and the results it has reported.
 type followerController struct {
 	t      testing.TB
 	client *Client
@@ -214,19 +214,19 @@
 	return c
 }
 
-// checkRevisionsRise checks that each revision that was reported is higher than the one before.
+// checkRevisionsRise checks that each reported revision is higher than the previous one.
 func (c *followerController) checkRevisionsRise() {
 	c.t.Helper()
 	c.resultsMutex.Lock()
 	defer c.resultsMutex.Unlock()
 	for at := 1; at < len(c.acceptedRevisions); at++ {
 		if c.acceptedRevisions[at].revision <= c.acceptedRevisions[at-1].revision {
-			c.t.Errorf("%s accepted revision %d after %d", c.client.config.Name, c.acceptedRevisions[at].revision, c.acceptedRevisions[at-1].revision)
+			c.t.Errorf("%s: got accepted revision %d after %d, want a higher one", c.client.config.Name, c.acceptedRevisions[at].revision, c.acceptedRevisions[at-1].revision)
 		}
 	}
 }
 
-// last is the revision that was accepted last.
+// last returns the revision that was accepted last, or the zero value if there is none.
 func (c *followerController) last() acceptedRevision {
 	c.resultsMutex.Lock()
 	defer c.resultsMutex.Unlock()
@@ -236,7 +236,7 @@
 	return c.acceptedRevisions[len(c.acceptedRevisions)-1]
 }
 
-// awaitAccepted waits until the client has accepted what a log has of its scope.
+// awaitAccepted waits until the client has accepted the log's current revision and its records in the client's scope.
 func (c *followerController) awaitAccepted(log *groupLog) {
 	c.t.Helper()
 	waitFor(c.t, fmt.Sprintf("%s has accepted revision %d", c.client.config.Name, log.Revision()), func() bool {
@@ -255,12 +255,12 @@
 	})
 }
 
-// waitFor waits for a condition.
+// waitFor waits until holds returns true. It fails the test after testTimeout.
 func waitFor(t testing.TB, what string, holds func() bool) {
 	t.Helper()
 	for end := time.Now().Add(testTimeout); !holds(); time.Sleep(5 * time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatalf("not within %s: %s", testTimeout, what)
+			t.Fatalf("condition not met within %s: %s", testTimeout, what)
 		}
 	}
 }
--- a/configsync/transport/leaderguard.go
+++ b/configsync/transport/leaderguard.go
@@ -13,20 +13,20 @@
 	leaderPollTimeout  = time.Second
 )
 
-// ErrNoLeader is why a paused service sends its followers to another member.
-var ErrNoLeader = errors.New("this member knows no leader and may be out of date: ask another one")
+// ErrNoLeader is the reason with which a paused service ends its streams, so that followers try another member.
+var ErrNoLeader = errors.New("member has no leader and may be out of date; try another member")
 
-// LeaderGuard pauses a member's service once the member has known no leader for a lease's time, and resumes it when it
-// knows one again. Such a member may be cut off from the others: it must not extend leases, so that its followers go to
-// members that are not, or know that they are stale.
+// LeaderGuard pauses a member's service when the member has had no leader for the lease duration, and resumes it when a
+// leader is known again. Such a member may be partitioned from the others: it must not extend leases, so that its
+// followers move to connected members or detect that they are stale.
 type LeaderGuard struct {
 	Service   *Service
-	HasLeader func(ctx context.Context) bool // is asked every half second, with a timeout of one second
+	HasLeader func(ctx context.Context) bool // called every half second with a timeout of one second
 	Lease     time.Duration
 	Log       *zap.Logger
 }
 
-// Run polls until ctx ends.
+// Run polls HasLeader until ctx is done.
 func (g *LeaderGuard) Run(ctx context.Context) {
 	ticker := time.NewTicker(leaderPollInterval)
 	defer ticker.Stop()
@@ -57,10 +57,10 @@
 
 func (g *LeaderGuard) setPaused(paused bool) {
 	if paused {
-		g.Log.Warn("followers are sent to other members: no leader is known")
+		g.Log.Warn("follower service paused: no leader")
 		g.Service.SetUnavailable(ErrNoLeader)
 		return
 	}
-	g.Log.Info("followers are served again")
+	g.Log.Info("follower service resumed")
 	g.Service.SetUnavailable(nil)
 }
--- a/configsync/transport/proxy_test.go
+++ b/configsync/transport/proxy_test.go
@@ -7,7 +7,7 @@
 	"testing"
 )
 
-// cuttableProxy passes the connections of a follower on to a member until a test cuts or stalls them.
+// cuttableProxy forwards the connections of a follower to a member until a test cuts or stalls them.
 type cuttableProxy struct {
 	listener net.Listener
 	target   string
@@ -15,10 +15,10 @@
 
 	mutex   sync.Mutex
 	refuses bool
-	stalled chan struct{} // nil: bytes pass; else they wait until it is closed
+	stalled chan struct{} // if not nil, no bytes are forwarded until it is closed
 	conns   map[net.Conn]struct{}
 
-	cutAfter atomic.Int64 // bytes towards the follower after which the connections are cut, once; 0: never
+	cutAfter atomic.Int64 // bytes to the follower after which the connection is cut, only once; 0: never
 	dialled  atomic.Int64
 }
 
@@ -43,7 +43,7 @@
 	p.passing.Wait()
 }
 
-// cut closes all connections and accepts no new ones, or accepts them again.
+// cut closes all connections and rejects new ones, or accepts new ones again.
 func (p *cuttableProxy) cut(yes bool) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
@@ -59,7 +59,7 @@
 	}
 }
 
-// stall holds all bytes back in silence, or lets them pass again.
+// stall stops forwarding bytes without closing the connections, or resumes it.
 func (p *cuttableProxy) stall(yes bool) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
@@ -107,7 +107,7 @@
 	delete(p.conns, far)
 }
 
-// copy passes bytes one way until either side ends or the limit is reached.
+// copy forwards bytes in one direction until either side closes or the limit is reached.
 func (p *cuttableProxy) copy(to, from net.Conn, limit *atomic.Int64) {
 	defer to.Close()
 	defer from.Close()
--- a/configsync/transport/service.go
+++ b/configsync/transport/service.go
@@ -16,13 +16,14 @@
 )
 
 const (
-	// handshakeTimeout is how long a stream may be open without its first request.
+	// handshakeTimeout is the maximum time between the opening of a stream and its first request.
 	handshakeTimeout = 2 * time.Second
-	// maxPendingCommits is the number of commits that wait while no stream runs: as many as a lease table remembers.
+	// maxPendingCommits is the maximum number of commits queued while no stream processes them. The lease table keeps as
+	// many.
 	maxPendingCommits = 4096
 )
 
-// Service serves the followers of one member. Its methods may be called from any goroutine.
+// Service serves the followers of one member. Its methods are safe for concurrent use.
 type Service struct {
 	discoveryv3.UnimplementedAggregatedDiscoveryServiceServer
 
@@ -32,21 +33,21 @@
 	serverMutex sync.Mutex // guards server and all configsync.Streams; never held during a send
 	server      *configsync.Server
 
-	// pendingMutex is the only one that the goroutine that applies the group's log takes. It is never held for longer than
-	// it takes to wake each stream.
+	// pendingMutex guards the fields below. It is the only mutex that the goroutine that applies the group's log acquires,
+	// and is held only for as long as waking all streams takes.
 	pendingMutex   sync.Mutex
 	pendingCommits []pendingCommit
 	streams        map[*stream]struct{}
-	unavailable    error // why no stream is served, nil: they are
+	unavailable    error // why streams are rejected; nil if they are served
 }
 
-// pendingCommit is a revision that the server has not been told of yet.
+// pendingCommit is a committed revision that has not been passed to the server yet.
 type pendingCommit struct {
 	revision    uint64
 	committedAt time.Time
 }
 
-// NewService returns the service of a member that sends the records of a source.
+// NewService returns the service of a member. Followers receive the records of source.
 func NewService(member string, source records.Source, limits configsync.Limits, log *zap.Logger) *Service {
 	return &Service{
 		log:     log,
@@ -62,8 +63,8 @@
 	registrar.RegisterService(statusDescription(followersService, s.Status), s)
 }
 
-// Committed has to be called when the source has changed; it wakes all streams, which query the source. It waits for no
-// stream, so the goroutine that applies the group's log may call it.
+// Committed must be called after the source has changed. It wakes all streams, which then query the source. It does not
+// wait for any stream, so the goroutine that applies the group's log may call it.
 func (s *Service) Committed(change records.Change) {
 	now := time.Now()
 	s.pendingMutex.Lock()
@@ -75,8 +76,8 @@
 	s.wakeStreams()
 }
 
-// SetUnavailable ends all streams and rejects new ones with a reason until it is called with nil: a member that may be out
-// of date must not extend leases.
+// SetUnavailable ends all streams and rejects new ones with the given reason until it is called with nil. It is meant
+// for a member that may be out of date, which must not extend leases.
 func (s *Service) SetUnavailable(reason error) {
 	s.pendingMutex.Lock()
 	defer s.pendingMutex.Unlock()
@@ -86,7 +87,7 @@
 	}
 }
 
-// wakeStreams needs pendingMutex.
+// wakeStreams wakes all streams. The caller must hold pendingMutex.
 func (s *Service) wakeStreams() {
 	for stream := range s.streams {
 		stream.wake()
@@ -99,7 +100,7 @@
 	return s.unavailable
 }
 
-// withServer calls a function that uses the server, which has been told of all commits before.
+// withServer passes all pending commits to the server, then calls use with serverMutex held.
 func (s *Service) withServer(use func(now time.Time)) {
 	s.serverMutex.Lock()
 	defer s.serverMutex.Unlock()
@@ -117,25 +118,26 @@
 	return taken
 }
 
-// Status tells what the followers of this member have accepted.
+// Status returns the state of this member's followers.
 func (s *Service) Status() (memberStatus configsync.MemberStatus) {
 	s.withServer(func(now time.Time) { memberStatus = s.server.Status(now) })
 	return memberStatus
 }
 
-// Counts tells what was sent since the service was made.
+// Counts returns the numbers of messages sent since the service was created.
 func (s *Service) Counts() (counts configsync.Counts) {
 	s.withServer(func(time.Time) { counts = s.server.Counts })
 	return counts
 }
 
-// StreamAggregatedResources returns Unimplemented: it is the variant of xDS that followers don't use.
+// StreamAggregatedResources returns Unimplemented: followers do not use state-of-the-world xDS.
 func (s *Service) StreamAggregatedResources(discoveryv3.AggregatedDiscoveryService_StreamAggregatedResourcesServer) error {
-	return status.Error(codes.Unimplemented, "followers are served by delta xDS only")
+	return status.Error(codes.Unimplemented, "only delta xDS is supported")
 }
 
-// DeltaAggregatedResources serves one follower until it ends the stream, sends nothing for a lease's time, or does not read
-// for as long. It runs two goroutines that end with the stream: one receives and one sends, and either may block.
+// DeltaAggregatedResources serves one follower until it ends the stream, or until it sends nothing or reads nothing for
+// the lease duration. It starts two goroutines that end with the stream: one receives and one sends, and either may
+// block.
 func (s *Service) DeltaAggregatedResources(grpcStream deltaServer) error {
 	opened, err := s.open()
 	if err != nil {
--- a/configsync/transport/service_test.go
+++ b/configsync/transport/service_test.go
@@ -19,7 +19,7 @@
 	"harehook.dev/harehook/records"
 )
 
-// rawStream opens a stream to a member as another implementation of a follower would.
+// rawStream opens a stream to a member without a Client.
 func rawStream(t *testing.T, m *member) discoveryv3.AggregatedDiscoveryService_DeltaAggregatedResourcesClient {
 	t.Helper()
 	wire, err := discoveryv3.NewAggregatedDiscoveryServiceClient(rawConn(t, m)).DeltaAggregatedResources(t.Context())
@@ -39,18 +39,18 @@
 	return conn
 }
 
-// openStreams is the number of streams that a member serves.
+// openStreams returns the number of streams that a member serves.
 func (m *member) openStreams() int {
 	m.service.pendingMutex.Lock()
 	defer m.service.pendingMutex.Unlock()
 	return len(m.service.streams)
 }
 
-// A follower renews its lease and does not read what it is sent, so that the sender blocks: its stream has to end after a
-// lease's time, and other followers have to get changes meanwhile.
+// A follower renews its lease but does not read, so that the member's sender blocks. The member must end its stream
+// after the lease duration, and other followers must receive changes without delay in the meantime.
 func TestFollowerThatDoesNotReadDelaysNobody(t *testing.T) {
 	log := newGroupLog(100)
-	for name := range 3000 { // far more than the windows and buffers between the two hold
+	for name := range 3000 { // much more than the windows and buffers of the connection hold
 		log.put(t, fmt.Sprintf("%0150d", name), "shop", 1000)
 	}
 	m := newMember(t, log, testLimits())
@@ -61,13 +61,13 @@
 	if err := stuck.Send(follower.Begin(time.Now())); err != nil {
 		t.Fatal(err)
 	}
-	waitFor(t, "the full scope is being sent to it", func() bool { return m.service.Counts().FullScopes == 2 })
+	waitFor(t, "member is sending the full scope to the blocked follower", func() bool { return m.service.Counts().FullScopes == 2 })
 	for change := range 20 {
 		log.put(t, "buy", "other", float64(1000+change))
 		c.awaitAccepted(log)
 		stuck.Send(follower.Renew(time.Now())) // fails once the member has ended the stream
 	}
-	waitFor(t, "the member has left it", func() bool {
+	waitFor(t, "member has ended the blocked stream", func() bool {
 		stuck.Send(follower.Renew(time.Now()))
 		return m.openStreams() == 1
 	})
@@ -76,13 +76,14 @@
 		_, err = stuck.Recv()
 	}
 	if !strings.Contains(err.Error(), errNotReading.Error()) {
-		t.Errorf("ended with: %v", err)
+		t.Errorf("got error %v, want %v", err, errNotReading)
 	}
 	log.put(t, "buy", "other", 5000)
 	c.awaitAccepted(log)
 }
 
-// While many followers wait for full scopes under the limit, those that are up to date get each delta at once.
+// While many followers wait for full scopes because of the rate limit, up-to-date followers receive each delta
+// immediately.
 func TestFullScopesDoNotDelayDeltas(t *testing.T) {
 	log := newGroupLog(1000)
 	for name := range 100 {
@@ -98,23 +99,23 @@
 		waiting = append(waiting, newFollowerController(t, Config{Name: fmt.Sprintf("waiting-%d", k), Scope: shop, Members: []string{m.address}}))
 	}
 	for _, c := range waiting {
-		waitFor(t, "it has its lease", func() bool { return !c.client.Status().Stale })
+		waitFor(t, "waiting follower has a lease", func() bool { return !c.client.Status().Stale })
 	}
 	for change := range 10 {
 		log.put(t, "route-1", "shop", float64(2000+change))
 		inStep.awaitAccepted(log)
 	}
 	if counts := m.service.Counts(); counts.FullScopes != 1 {
-		t.Errorf("sent: %+v", counts)
+		t.Errorf("got counts %+v, want 1 full scope", counts)
 	}
 	for _, c := range waiting {
 		if c.last().revision != 0 || c.client.Status().Stale {
-			t.Errorf("%s: %+v", c.client.config.Name, c.client.Status())
+			t.Errorf("%s: got status %+v, want no accepted revision and a valid lease", c.client.config.Name, c.client.Status())
 		}
 	}
 }
 
-// All members restart at the same time: all followers have to converge again.
+// All followers start at the same time, twice: all of them must converge each time.
 func TestAllMembersRestart(t *testing.T) {
 	logs := []*groupLog{newGroupLog(1000), newGroupLog(1000), newGroupLog(1000)}
 	var addresses []string
@@ -153,11 +154,11 @@
 		fullScopes += m.service.Counts().FullScopes
 	}
 	if fullScopes < 120 {
-		t.Errorf("%d full scopes sent, 120 starts", fullScopes)
+		t.Errorf("got %d full scopes, want at least 120, one for each start", fullScopes)
 	}
 }
 
-// No goroutine goes on once followers and members have ended.
+// No goroutine is left after followers and members have stopped.
 func TestGoroutinesEndWithStreams(t *testing.T) {
 	before := runtime.NumGoroutine()
 	log := newGroupLog(100)
@@ -174,29 +175,29 @@
 	for _, c := range all[:10] {
 		c.stop()
 	}
-	waitFor(t, "the streams of those that went are closed", func() bool { return m.openStreams() == 10 })
-	m.stop() // under the others
+	waitFor(t, "streams of the stopped followers are closed", func() bool { return m.openStreams() == 10 })
+	m.stop() // while the other followers are connected
 	for _, c := range all[10:] {
-		waitFor(t, "it has left the member", func() bool { return c.client.Status().Failovers > 0 })
+		waitFor(t, "follower has no member", func() bool { return c.client.Status().Failovers > 0 })
 		c.stop()
 	}
-	waitFor(t, fmt.Sprintf("%d goroutines as before, %d ran", before, running), func() bool { return runtime.NumGoroutine() <= before })
+	waitFor(t, fmt.Sprintf("at most %d goroutines as before the test, %d were running", before, running), func() bool { return runtime.NumGoroutine() <= before })
 	if m.openStreams() != 0 {
-		t.Errorf("%d streams are open", m.openStreams())
+		t.Errorf("got %d open streams, want 0", m.openStreams())
 	}
 }
 
-// A request that violates the protocol ends the stream with a status and a reason.
+// A stream that violates the protocol is ended with a status code and a reason.
 func TestProtocolFaultsEndStream(t *testing.T) {
 	log := newGroupLog(100)
 	log.put(t, "buy", "shop", 1000)
 	limits := testLimits()
 	limits.MaxStreams = 1
-	limits.Lease = 2 * handshakeTimeout // so that the two are told apart
+	limits.Lease = 2 * handshakeTimeout // so that the two timeouts can be distinguished
 	m := newMember(t, log, limits)
 	end := func(name string, code codes.Code, reason string, requests ...*discoveryv3.DeltaDiscoveryRequest) {
 		t.Helper()
-		waitFor(t, "no stream is left", func() bool { return m.openStreams() == 0 })
+		waitFor(t, "all streams are closed", func() bool { return m.openStreams() == 0 })
 		wire := rawStream(t, m)
 		for _, out := range requests {
 			if err := wire.Send(out); err != nil {
@@ -208,16 +209,16 @@
 			_, err = wire.Recv()
 		}
 		if status.Code(err) != code || !strings.Contains(err.Error(), reason) {
-			t.Errorf("%s: ended with %v, want %v: %s", name, err, code, reason)
+			t.Errorf("%s: got error %v, want %v: %s", name, err, code, reason)
 		}
 	}
 	follower := configsync.NewFollower("raw", shop, testLease, nil)
 	begin := follower.Begin(time.Now())
 	end("no request", codes.DeadlineExceeded, errNoHandshake.Error())
-	end("another type", codes.InvalidArgument, "is not served here", &discoveryv3.DeltaDiscoveryRequest{TypeUrl: "type.googleapis.com/other"})
+	end("unknown type", codes.InvalidArgument, "is not served here", &discoveryv3.DeltaDiscoveryRequest{TypeUrl: "type.googleapis.com/other"})
 	end("no name", codes.InvalidArgument, "a name has to be", configsync.NewFollower("", shop, testLease, nil).Begin(time.Now()))
-	end("an answer to nothing", codes.InvalidArgument, "answers nothing that was sent", begin, &discoveryv3.DeltaDiscoveryRequest{TypeUrl: configsync.TypeURL, ResponseNonce: "77"})
-	end("silence", codes.DeadlineExceeded, configsync.ErrFollowerTimeout.Error(), begin)
+	end("unknown nonce", codes.InvalidArgument, "answers nothing that was sent", begin, &discoveryv3.DeltaDiscoveryRequest{TypeUrl: configsync.TypeURL, ResponseNonce: "77"})
+	end("no renewal", codes.DeadlineExceeded, configsync.ErrFollowerTimeout.Error(), begin)
 
 	first := rawStream(t, m)
 	if err := first.Send(begin); err != nil {
@@ -227,18 +228,18 @@
 		t.Fatal(err)
 	}
 	if _, err := rawStream(t, m).Recv(); status.Code(err) != codes.ResourceExhausted {
-		t.Errorf("one too many: %v", err)
+		t.Errorf("stream beyond the limit: got error %v, want %v", err, codes.ResourceExhausted)
 	}
 	state, err := discoveryv3.NewAggregatedDiscoveryServiceClient(rawConn(t, m)).StreamAggregatedResources(t.Context())
 	if err != nil {
 		t.Fatal(err)
 	}
 	if _, err := state.Recv(); status.Code(err) != codes.Unimplemented {
-		t.Errorf("the variant that is not served: %v", err)
+		t.Errorf("StreamAggregatedResources: got error %v, want %v", err, codes.Unimplemented)
 	}
 }
 
-// A follower that opens a second stream replaces its first one, which ends with Aborted.
+// A second stream of the same follower replaces the first one, which ends with Aborted.
 func TestReplacedStreamEndsWithAborted(t *testing.T) {
 	m := newMember(t, newGroupLog(100), testLimits())
 	begin := configsync.NewFollower("raw", shop, testLease, nil).Begin(time.Now())
@@ -251,14 +252,14 @@
 			t.Fatal(err)
 		}
 	}
-	first.Send(&discoveryv3.DeltaDiscoveryRequest{TypeUrl: configsync.TypeURL}) // wakes it
+	first.Send(&discoveryv3.DeltaDiscoveryRequest{TypeUrl: configsync.TypeURL}) // wakes the stream
 	if _, err := first.Recv(); status.Code(err) != codes.Aborted {
-		t.Errorf("the first stream: %v", err)
+		t.Errorf("first stream: got error %v, want %v", err, codes.Aborted)
 	}
 }
 
-// A member that may be out of date must extend no lease: it ends its streams, and its followers go elsewhere and come back
-// afterwards.
+// A member that may be out of date must not extend leases: it ends its streams, and its followers reconnect when it is
+// available again.
 func TestUnavailableMemberEndsStreams(t *testing.T) {
 	log := newGroupLog(100)
 	log.put(t, "buy", "shop", 1000)
@@ -266,16 +267,16 @@
 	c := newFollowerController(t, Config{Scope: shop, Members: []string{m.address}})
 	c.awaitAccepted(log)
 	m.service.SetUnavailable(errors.New("no leader is known"))
-	waitFor(t, "its lease has run out", func() bool { return c.client.Status().Stale })
+	waitFor(t, "lease has expired", func() bool { return c.client.Status().Stale })
 	if err := c.client.Status().LastError; status.Code(errors.Unwrap(err)) != codes.Unavailable || !strings.Contains(err.Error(), "no leader is known") {
-		t.Errorf("left with %v", err)
+		t.Errorf("got error %v, want %v: no leader is known", err, codes.Unavailable)
 	}
 	m.service.SetUnavailable(nil)
 	log.put(t, "buy", "shop", 2000)
 	c.awaitAccepted(log)
 }
 
-// Operators get what followers have accepted.
+// Operators can query the revisions that followers have accepted.
 func TestFetchStatus(t *testing.T) {
 	log := newGroupLog(100)
 	log.put(t, "buy", "shop", 1000)
@@ -283,7 +284,7 @@
 	c := newFollowerController(t, Config{Scope: shop, Members: []string{m.address}})
 	c.awaitAccepted(log)
 	conn := rawConn(t, m)
-	waitFor(t, "the follower is shown as up to date", func() bool {
+	waitFor(t, "member status shows the follower as up to date", func() bool {
 		ctx, cancel := context.WithTimeout(t.Context(), testTimeout)
 		defer cancel()
 		reported, err := FetchMemberStatus(ctx, conn)
@@ -295,19 +296,19 @@
 	})
 }
 
-// A change costs under 1 KB on the wire, both ways together and beside its record, for a follower whose scope has it as well
-// as for one whose scope has not.
+// A change costs less than 1 KB on the wire in addition to its record, both directions together, no matter whether it
+// is in the follower's scope.
 func TestBytesOnWirePerChange(t *testing.T) {
 	const (
 		changes          = 200
-		maxBytes         = 1 << 10 // a change, beside the record
-		maxHeartbeat     = 512     // bytes of a renewal and its answer
-		bytesOfOneRecord = 100     // at most, in this test
+		maxBytes         = 1 << 10 // per change, in addition to the record
+		maxHeartbeat     = 512     // per renewal and its response
+		bytesOfOneRecord = 100     // upper bound of the records in this test
 	)
 	log := newGroupLog(2 * changes)
 	log.put(t, "buy", "shop", 1000)
 	m := newMember(t, log, testLimits())
-	for name, service := range map[string]string{"within its scope": "shop", "outside": "other"} {
+	for name, service := range map[string]string{"in scope": "shop", "out of scope": "other"} {
 		t.Run(name, func(t *testing.T) {
 			c := newFollowerController(t, Config{Name: service, Scope: shop, Members: []string{m.address}})
 			c.awaitAccepted(log)
@@ -319,9 +320,10 @@
 				c.awaitAccepted(log)
 			}
 			spent, renewed := wire()-before, heartbeats()-heartbeatsBefore
-			t.Logf("%s: %d bytes for %d changes, with %d renewals", name, spent, changes, renewed)
+			t.Logf("%s: %d bytes for %d changes and %d renewals", name, spent, changes, renewed)
 			if spent > changes*(maxBytes+bytesOfOneRecord)+(renewed+1)*maxHeartbeat {
-				t.Errorf("%s: %d bytes for %d changes, with %d renewals", name, spent, changes, renewed)
+				t.Errorf("%s: got %d bytes for %d changes and %d renewals, want at most %d", name, spent, changes, renewed,
+					changes*(maxBytes+bytesOfOneRecord)+(renewed+1)*maxHeartbeat)
 			}
 			c.stop()
 		})
--- a/configsync/transport/status.go
+++ b/configsync/transport/status.go
@@ -10,22 +10,22 @@
 	"harehook.dev/harehook/configsync"
 )
 
-// The operators' queries on the wire. Their bodies are bytes: an empty request, and JSON.
+// Names of the operators' queries on the wire. The request is empty, the response is JSON; both are sent as BytesValue.
 const (
-	followersService = "harehook.follow.v1.Followers" // of members: what their followers have accepted
-	followerService  = "harehook.follow.v1.Follower"  // of a follower: its own state
+	followersService = "harehook.follow.v1.Followers" // on members: the state of their followers
+	followerService  = "harehook.follow.v1.Follower"  // on followers: their own state
 	statusMethod     = "Status"
 )
 
-// FollowerReport is the state of a follower, for operators.
+// FollowerReport describes the state of a follower for operators.
 type FollowerReport struct {
 	Name      string `json:"name"`
-	Member    string `json:"member,omitempty"` // that is followed, empty between two
-	Revision  uint64 `json:"revision"`         // accepted
+	Member    string `json:"member,omitempty"` // the member that is followed; empty while there is none
+	Revision  uint64 `json:"revision"`         // last accepted revision
 	Stale     bool   `json:"stale"`
-	Accepted  uint64 `json:"accepted"` // updates
+	Accepted  uint64 `json:"accepted"` // number of accepted updates
 	Rejected  uint64 `json:"refused"`
-	Failovers uint64 `json:"moves"` // how often a member that had answered was left
+	Failovers uint64 `json:"moves"` // number of streams that ended after the member had responded
 	LastError string `json:"last_error,omitempty"`
 }
 
@@ -52,7 +52,8 @@
 	registrar.RegisterService(statusDescription(followerService, c.Report), c)
 }
 
-// statusDescription describes a service with one method that answers with a function's result as JSON.
+// statusDescription returns the description of a service with one method that responds with the result of current as
+// JSON.
 func statusDescription[Status any](name string, current func() Status) *grpc.ServiceDesc {
 	handler := func(_ any, _ context.Context, decode func(any) error, _ grpc.UnaryServerInterceptor) (any, error) {
 		var in wrapperspb.BytesValue
@@ -72,7 +73,7 @@
 	}
 }
 
-// FetchMemberStatus queries a member for what its followers have accepted.
+// FetchMemberStatus queries a member for the state of its followers.
 func FetchMemberStatus(ctx context.Context, conn grpc.ClientConnInterface) (configsync.MemberStatus, error) {
 	return fetchStatus[configsync.MemberStatus](ctx, conn, followersService)
 }
--- a/configsync/transport/stream.go
+++ b/configsync/transport/stream.go
@@ -10,10 +10,10 @@
 	"harehook.dev/harehook/configsync"
 )
 
-// Reasons for which a member ends a stream, beside those of package configsync.
+// Reasons why a member ends a stream, in addition to those of package configsync.
 var (
-	errNoHandshake = errors.New("the first request did not come in time")
-	errNotReading  = errors.New("the follower did not read for a lease's time")
+	errNoHandshake = errors.New("no request received within the handshake timeout")
+	errNotReading  = errors.New("follower did not read within the lease duration")
 )
 
 type (
@@ -24,21 +24,21 @@
 
 // stream is the connection of one follower.
 type stream struct {
-	wakeUp chan struct{} // with room for one: something may have to be sent
+	wakeUp chan struct{} // buffered for one signal: a response may be due
 
 	state  *configsync.Stream // guarded by Service.serverMutex
-	closed bool               // likewise: requests that are still received are ignored
+	closed bool               // guarded by Service.serverMutex; later requests are ignored
 }
 
-// wake has the stream's supervisor call Send.
+// wake signals the stream's supervisor to call Send. It does not block.
 func (st *stream) wake() {
 	select {
 	case st.wakeUp <- struct{}{}:
-	default: // it is to do so already
+	default: // a signal is already pending
 	}
 }
 
-// open adds a stream unless the member is unavailable or full.
+// open adds a stream. It returns an error if the member is unavailable or has too many streams.
 func (s *Service) open() (opened *stream, err error) {
 	if err := s.unavailableReason(); err != nil {
 		return nil, err
@@ -64,7 +64,7 @@
 	})
 }
 
-// receive handles requests until the stream ends, and returns the reason.
+// receive handles requests until the stream ends and returns the reason.
 func (s *Service) receive(grpcStream deltaServer, from *stream) error {
 	for {
 		in, err := grpcStream.Recv()
@@ -83,10 +83,10 @@
 	}
 }
 
-// nextMessage is what a stream has to send now.
+// nextMessage describes what a stream must send now.
 type nextMessage struct {
-	response      *response     // nil: nothing
-	wait          time.Duration // until the next look at the latest
+	response      *response     // nil if nothing is due
+	wait          time.Duration // maximum time until the next check
 	handshakeDone bool
 }
 
@@ -98,7 +98,8 @@
 	return next, err
 }
 
-// supervise sends what is due whenever something may have changed. It returns the reason for which the stream ends.
+// supervise sends the responses that are due, each time the stream is woken or its wait has passed. It returns the
+// reason why the stream ends.
 func (s *Service) supervise(ctx context.Context, supervised *stream, received <-chan error, sender *sender) error {
 	handshakeDeadline := time.Now().Add(handshakeTimeout)
 	timer := time.NewTimer(handshakeTimeout)
@@ -136,25 +137,26 @@
 	}
 }
 
-// sender is the goroutine that sends, which blocks while the follower does not read.
+// sender sends responses in a separate goroutine, which blocks while the follower does not read.
 type sender struct {
 	outbox chan *response
-	sent   chan error // with room for the result of one send
+	sent   chan error // buffered for the result of one send
 }
 
-// run sends until ctx, which is the stream's, ends.
+// run sends messages until the stream's ctx is done.
 func (s *sender) run(ctx context.Context, grpcStream deltaServer) {
 	for {
 		select {
 		case <-ctx.Done():
 			return
 		case out := <-s.outbox:
-			s.sent <- grpcStream.Send(out) // does not block: send reads it before it passes on another message
+			s.sent <- grpcStream.Send(out) // does not block: send reads each result before it queues the next message
 		}
 	}
 }
 
-// send has a message sent. It returns errNotReading after a timeout, and the receiver's reason if that ends first.
+// send passes a message to run and waits for the result. It returns errNotReading after the timeout, or the receiver's
+// error if the receiver ends first.
 func (s *sender) send(ctx context.Context, out *response, timeout time.Duration, received <-chan error) error {
 	timer := time.NewTimer(timeout)
 	defer timer.Stop()
--- a/internal/certs/reloader.go
+++ b/internal/certs/reloader.go
@@ -1,9 +1,9 @@
-// Package certs has a program's certificate, its private key and the roots by which it verifies others, and reloads them in
-// service: open streams go on, new ones use the new certificate. A pair that does not match, is half written or has expired
-// leaves the one in use in place.
+// Package certs loads a program's certificate, its private key and the roots that verify its peers, and reloads them
+// while the program runs: existing connections continue, new ones use the new certificate. If the new pair does not
+// match, is partially written or has expired, the previous one stays in use.
 //
-// Controllers and sidecars [Load] a [Store] at their start, use its TLS configurations, and call ReloadIfChanged from time
-// to time.
+// Controllers and sidecars call [Load] at their start, use the TLS configurations of the [Reloader], and call
+// [Reloader.ReloadIfChanged] periodically.
 package certs
 
 import (
@@ -18,16 +18,16 @@
 	"go.uber.org/zap"
 )
 
-// alpnHTTP2 is the protocol that gRPC negotiates.
+// alpnHTTP2 is the ALPN protocol that gRPC negotiates.
 const alpnHTTP2 = "h2"
 
-// Reasons for which certificates are not used.
+// Reasons why certificates are rejected.
 var (
-	errNoPeerCertificate = errors.New("no certificate was shown")
-	errNoRoots           = errors.New("no certificate in it")
+	errNoPeerCertificate = errors.New("peer presented no certificate")
+	errNoRoots           = errors.New("no certificates found")
 )
 
-// ValidityError says that a certificate has expired, or is not valid yet; [Load] and [Store.Reload] return it.
+// ValidityError is returned by [Load] and [Reloader.Reload] when a certificate has expired or is not valid yet.
 type ValidityError struct {
 	Path                string
 	NotBefore, NotAfter time.Time
@@ -35,14 +35,14 @@
 
 // Error implements error.
 func (e *ValidityError) Error() string {
-	return fmt.Sprintf("%s: valid from %s to %s only", e.Path, e.NotBefore, e.NotAfter)
+	return fmt.Sprintf("%s: certificate is valid only from %s to %s", e.Path, e.NotBefore, e.NotAfter)
 }
 
-// Files are the paths of PEM files: all, or none.
+// Files holds the paths of PEM files. Either all are set or none.
 type Files struct{ Certificate, Key, Roots string }
 
-// Reloader has the certificate, key and roots in use. The TLS configurations that it returns may be used by any goroutine;
-// Load and the methods that reload are called by one.
+// Reloader holds the certificate, key and roots in use. The TLS configurations that it returns are safe for concurrent
+// use; Reload and ReloadIfChanged must be called by only one goroutine at a time.
 type Reloader struct {
 	files    Files
 	now      func() time.Time
@@ -50,17 +50,17 @@
 	modTimes modTimes // of the files in use
 }
 
-// modTimes are those of certificate, key and roots.
+// modTimes are the modification times of the certificate, key and roots files.
 type modTimes [3]time.Time
 
-// credentials are what one load of the files gave.
+// credentials is the result of loading the files once.
 type credentials struct {
 	certificate tls.Certificate
 	roots       *x509.CertPool
 	expires     time.Time
 }
 
-// Load reads the files, which have to be usable at the start. Without files the store is nil.
+// Load reads the files and returns an error if they cannot be used. Without files the Reloader is nil.
 func Load(files Files) (*Reloader, error) {
 	if files == (Files{}) {
 		return nil, nil
@@ -72,8 +72,8 @@
 	return r, nil
 }
 
-// Reload reads the files again if one of them has changed. It tells whether new credentials are in use; an error says why
-// those before stay in use: the file's, a mismatch of certificate and key, or a [ValidityError].
+// Reload reads the files again if one of them has changed, and reports whether new credentials are in use. On an error
+// the previous credentials stay in use: a file cannot be read, certificate and key do not match, or a [ValidityError].
 func (r *Reloader) Reload() (changed bool, err error) {
 	found, err := r.findModTimes()
 	if err != nil {
@@ -84,7 +84,7 @@
 	}
 	next, err := r.load()
 	if err != nil {
-		return false, err // tried again the next time: a pair may be half written
+		return false, err // the next call tries again: the pair may be partially written
 	}
 	r.modTimes = found
 	r.active.Store(next)
@@ -126,7 +126,7 @@
 	return &credentials{certificate: certificate, roots: roots, expires: leaf.NotAfter}, nil
 }
 
-// ReloadIfChanged reloads changed files and logs what came of it. A nil store has no files.
+// ReloadIfChanged reloads changed files and logs the result. It does nothing on a nil Reloader, which has no files.
 func (r *Reloader) ReloadIfChanged(log *zap.Logger) {
 	if r == nil {
 		return
@@ -134,16 +134,16 @@
 	changed, err := r.Reload()
 	switch {
 	case err != nil:
-		log.Error("keys kept, the new ones can't be used", zap.Error(err))
+		log.Error("certificate reload failed, previous certificate stays in use", zap.Error(err))
 	case changed:
-		log.Info("new keys", zap.Time("until", r.Expires()))
+		log.Info("certificate reloaded", zap.Time("until", r.Expires()))
 	}
 }
 
-// Expires is when the certificate in use expires.
+// Expires returns the time at which the certificate in use expires.
 func (r *Reloader) Expires() time.Time { return r.active.Load().expires }
 
-// ServerConfig returns a server's TLS configuration. Both sides need a certificate that the roots have signed.
+// ServerConfig returns a server's TLS configuration. Both sides must present a certificate signed by one of the roots.
 func (r *Reloader) ServerConfig() *tls.Config {
 	return &tls.Config{
 		MinVersion: tls.VersionTLS13,
@@ -158,13 +158,13 @@
 	}
 }
 
-// ClientConfig returns a client's TLS configuration. The server's certificate has to be for a name.
+// ClientConfig returns a client's TLS configuration. The server's certificate must be valid for serverName.
 func (r *Reloader) ClientConfig(serverName string) *tls.Config {
 	return &tls.Config{
 		MinVersion: tls.VersionTLS13,
 		NextProtos: []string{alpnHTTP2},
 		ServerName: serverName,
-		// VerifyConnection verifies instead: it reads the roots at each connection, so that new ones count at once.
+		// VerifyConnection verifies instead: it reads the roots at each connection, so that new roots apply immediately.
 		InsecureSkipVerify: true,
 		GetClientCertificate: func(*tls.CertificateRequestInfo) (*tls.Certificate, error) {
 			return &r.active.Load().certificate, nil
@@ -175,7 +175,7 @@
 	}
 }
 
-// verify returns why the peer's certificate is not valid for a usage and, unless it is empty, a name.
+// verify returns an error unless the peer's certificate is valid for a usage and, if name is not empty, for that name.
 func (r *Reloader) verify(state tls.ConnectionState, usage x509.ExtKeyUsage, name string) error {
 	if len(state.PeerCertificates) == 0 {
 		return errNoPeerCertificate
--- a/internal/certs/reloader_test.go
+++ b/internal/certs/reloader_test.go
@@ -13,7 +13,8 @@
 	"harehook.dev/harehook/internal/fakeplatform"
 )
 
-// writeFiles writes certificate files with modification times that differ, as a file system's may be coarse.
+// writeFiles writes certificate files. It sets their modification times explicitly, since those of the file system may
+// be too coarse to differ between two writes.
 func writeFiles(t *testing.T, folder string, at int, cert, key, roots []byte) Files {
 	t.Helper()
 	f := Files{filepath.Join(folder, "cert"), filepath.Join(folder, "key"), filepath.Join(folder, "roots")}
@@ -29,7 +30,7 @@
 	return f
 }
 
-// handshake runs a TLS handshake over loopback and passes a byte.
+// handshake performs a TLS handshake over loopback and sends one byte.
 func handshake(t *testing.T, server, client *Reloader) error {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -68,8 +69,8 @@
 	return err
 }
 
-// Certificates and roots are replaced in service. Files that can't be used, for instance half written ones, must leave those in
-// use in place, and both sides have to connect at each step of a rotation.
+// Certificates and roots are replaced while the programs run. Files that cannot be used, for instance partially written
+// ones, must leave the previous ones in use, and both sides must be able to connect at each step of a rotation.
 func TestCertificateRotation(t *testing.T) {
 	old, next := fakeplatform.NewAuthority(t), fakeplatform.NewAuthority(t)
 	both := append(old.Roots(), next.Roots()...)
@@ -88,59 +89,59 @@
 	meets := func(when string, want bool) {
 		t.Helper()
 		if err := handshake(t, server, client); (err == nil) != want {
-			t.Errorf("%s: %v", when, err)
+			t.Errorf("%s: got handshake error %v, want success %t", when, err, want)
 		}
 	}
-	meets("at first", true)
+	meets("initial certificates", true)
 
 	newCert, newKey := next.Issue("conductor", now.Add(-time.Hour), now.Add(time.Hour))
 	lateCert, lateKey := next.Issue("conductor", now.Add(-2*time.Hour), now.Add(-time.Hour))
 	for when, files := range map[string][3][]byte{
 		"mismatched":  {newCert, key, both},
-		"half":        {newCert[:len(newCert)/2], newKey, both},
+		"truncated":   {newCert[:len(newCert)/2], newKey, both},
 		"expired":     {lateCert, lateKey, both},
 		"empty roots": {newCert, newKey, nil},
 	} {
 		writeFiles(t, folder, 1, files[0], files[1], files[2])
 		changed, err := server.Reload()
 		if changed || err == nil {
-			t.Errorf("%s: changed %t, error %v", when, changed, err)
+			t.Errorf("%s: got changed %t, error %v, want false and an error", when, changed, err)
 		}
 		var invalid *ValidityError
 		if errors.As(err, &invalid) != (when == "expired") {
-			t.Errorf("%s: %T", when, err)
+			t.Errorf("%s: got error %T, want *ValidityError only if expired", when, err)
 		}
 		meets(when, true)
 	}
 
 	writeFiles(t, folder, 2, newCert, newKey, both)
 	if changed, err := server.Reload(); !changed || err != nil {
-		t.Fatalf("changed %t, error %v", changed, err)
+		t.Fatalf("rotation: got changed %t, error %v, want true and no error", changed, err)
 	}
-	meets("a client that knows the old roots only", false)
+	meets("client has only the old roots", false)
 	writeFiles(t, other, 2, clientCert, clientKey, both)
 	if _, err := client.Reload(); err != nil {
 		t.Fatal(err)
 	}
-	meets("roots overlap, the client has its old certificate", true)
+	meets("both have both roots, client has its old certificate", true)
 	writeFiles(t, folder, 3, newCert, newKey, next.Roots())
 	if _, err := server.Reload(); err != nil {
 		t.Fatal(err)
 	}
-	meets("the old roots are gone", false)
+	meets("server has only the new roots, client has its old certificate", false)
 	clientCert, clientKey = next.Issue("till", now.Add(-time.Hour), now.Add(time.Hour))
 	writeFiles(t, other, 3, clientCert, clientKey, next.Roots())
 	if _, err := client.Reload(); err != nil {
 		t.Fatal(err)
 	}
-	meets("both are new", true)
+	meets("both have new certificates and roots", true)
 	if changed, err := client.Reload(); changed || err != nil {
-		t.Errorf("nothing changed: %t, %v", changed, err)
+		t.Errorf("unchanged files: got changed %t, error %v, want false and no error", changed, err)
 	}
 	wrong, wrongKey := next.Issue("someone", now.Add(-time.Hour), now.Add(time.Hour))
 	writeFiles(t, folder, 4, wrong, wrongKey, next.Roots())
 	if _, err := server.Reload(); err != nil {
 		t.Fatal(err)
 	}
-	meets("a server of another name", false)
+	meets("server certificate has another name", false)
 }
--- a/internal/daemon/followerrole_test.go
+++ b/internal/daemon/followerrole_test.go
@@ -279,7 +279,7 @@
 	in.configure(settings)
 	stop := in.start("harehook-xds", "conductor.kdl")
 	in.waitUntil("one without keys is told why", func() bool {
-		return strings.Contains(in.logs["conductor.kdl"].String(), "member left")
+		return strings.Contains(in.logs["conductor.kdl"].String(), "stream to member failed")
 	})
 	if live := m.service.Status().Live; live != 0 {
 		t.Errorf("%d followers without keys have a lease", live)
--- a/raftlog/checksum.go
+++ b/raftlog/checksum.go
@@ -5,19 +5,19 @@
 	"hash/crc32"
 )
 
-// checksumBytes is the length of a checksum, which stands before its value.
+// checksumBytes is the length of the checksum that is stored in front of each value.
 const checksumBytes = crc32.Size
 
 var castagnoli = crc32.MakeTable(crc32.Castagnoli)
 
 func checksum(value []byte) uint32 { return crc32.Checksum(value, castagnoli) }
 
-// addChecksum puts a checksum before a value.
+// addChecksum returns value prefixed with its checksum.
 func addChecksum(value []byte) []byte {
 	return append(binary.BigEndian.AppendUint32(nil, checksum(value)), value...)
 }
 
-// verifyChecksum gives the value behind its checksum, or errChecksum if they do not match.
+// verifyChecksum returns the value without its checksum prefix, or errChecksum if they do not match.
 func verifyChecksum(stored []byte) ([]byte, error) {
 	if len(stored) < checksumBytes {
 		return nil, errChecksum
--- a/raftlog/damage_test.go
+++ b/raftlog/damage_test.go
@@ -13,7 +13,7 @@
 	"go.etcd.io/raft/v3/raftpb"
 )
 
-// files are the contents of a folder.
+// files holds the contents of the two files in a folder.
 type files struct{ database, marker []byte }
 
 func readFiles(t *testing.T, folder string) (f files) {
@@ -40,7 +40,7 @@
 	return folder
 }
 
-// saveAll saves batches into a new folder and gives its files after each.
+// saveAll saves batches in a new folder and returns the folder's files after each batch.
 func saveAll(t *testing.T, batches []Batch) (after []files) {
 	t.Helper()
 	folder := t.TempDir()
@@ -58,33 +58,33 @@
 	return after
 }
 
-// expectRefused opens files that are damaged. Either they are refused, or they are read as one of the descriptions.
+// expectRefused opens damaged files and checks that they are either rejected or read as one of the given descriptions.
 func expectRefused(t *testing.T, damage string, f files, orReadAs ...string) {
 	t.Helper()
 	log, saved, err := Open(writeFiles(t, f))
 	if err != nil {
 		var unusable *UnusableError
 		if !errors.As(err, &unusable) {
-			t.Errorf("%s: an error of another type: %v", damage, err)
+			t.Errorf("%s: got error %T (%v), want *UnusableError", damage, err, err)
 		}
 		return
 	}
 	defer log.Close()
 	if !slices.Contains(orReadAs, describe(saved)) {
-		t.Errorf("%s: read as\n%s\nbut it may be\n%q", damage, describe(saved), orReadAs)
+		t.Errorf("%s: got state\n%s\nwant an error or one of\n%q", damage, describe(saved), orReadAs)
 	}
 }
 
-// withBitFlipped gives a copy in which one bit differs.
+// withBitFlipped returns a copy of content with one bit flipped.
 func withBitFlipped(content []byte, offset int, bit byte) []byte {
 	damaged := slices.Clone(content)
 	damaged[offset] ^= bit
 	return damaged
 }
 
-// A disk turns a bit, a file is cut short, or one of the two files is put back from an older copy. A member that read
-// less than it promised would vote twice in a term or lose an entry that was agreed. So all that was promised has to be
-// there, or the files have to be refused.
+// A disk flips a bit, a file is truncated, or one of the two files is restored from an older copy. A member that read
+// less than it acknowledged could vote twice in a term or lose a committed entry. Open must return everything that was
+// acknowledged, or reject the files.
 func TestDamagedFilesAreNeverReadAsLess(t *testing.T) {
 	batches, descriptions := randomBatches(9, 25)
 	after := saveAll(t, batches)
@@ -93,43 +93,42 @@
 
 	t.Run("older files", func(t *testing.T) {
 		for k, older := range after[:len(after)-1] {
-			expectRefused(t, fmt.Sprint("the database of batch ", k), files{older.database, last.marker})
-			// A crash between the two files: the database is ahead, which has all that was promised.
-			expectRefused(t, fmt.Sprint("the marker of batch ", k), files{last.database, older.marker}, promised)
+			expectRefused(t, fmt.Sprint("database of batch ", k), files{older.database, last.marker})
+			// A crash between the two writes: the database is ahead and contains everything that was acknowledged.
+			expectRefused(t, fmt.Sprint("marker of batch ", k), files{last.database, older.marker}, promised)
 		}
 	})
 	random := rand.New(rand.NewPCG(1, 1))
-	t.Run("database cut short", func(t *testing.T) {
+	t.Run("truncated database", func(t *testing.T) {
 		for range 60 {
 			size := random.IntN(len(last.database))
-			// A cut behind the last page in use takes nothing away.
-			expectRefused(t, fmt.Sprint("the database cut at ", size), files{last.database[:size], last.marker}, promised)
+			// Truncation after the last page in use removes nothing.
+			expectRefused(t, fmt.Sprint("database truncated to size ", size), files{last.database[:size], last.marker}, promised)
 		}
 	})
-	t.Run("a bit of the database", func(t *testing.T) {
+	t.Run("flipped bit in database", func(t *testing.T) {
 		for range 400 {
 			offset := random.IntN(len(last.database))
-			if random.IntN(2) == 0 { // in the meta pages, which are a small part of the file
+			if random.IntN(2) == 0 { // half of the bits in the meta pages, which are a small part of the file
 				offset = random.IntN(2*os.Getpagesize()) % len(last.database)
 			}
 			damaged := withBitFlipped(last.database, offset, 1<<random.IntN(8))
-			expectRefused(t, fmt.Sprint("a bit of byte ", offset), files{damaged, last.marker}, promised)
+			expectRefused(t, fmt.Sprint("flipped bit in database byte ", offset), files{damaged, last.marker}, promised)
 		}
 	})
-	t.Run("a bit of the marker", func(t *testing.T) {
+	t.Run("flipped bit in marker", func(t *testing.T) {
 		for offset := range last.marker {
 			damaged := withBitFlipped(last.marker, offset, 4)
-			expectRefused(t, fmt.Sprint("a bit of byte ", offset), files{last.database, damaged}, promised)
+			expectRefused(t, fmt.Sprint("flipped bit in marker byte ", offset), files{last.database, damaged}, promised)
 		}
 	})
 }
 
-// One of the two files is lost. A member that took the folder for a new one would forget its votes.
+// One of the two files is lost. A member that treated the folder as new would lose its votes.
 //
-// Open once created the missing file before it refused. The supervisor started the member again, and the second start
-// found both files: with an empty database it said that nothing was promised yet and that the folder may be taken away,
-// with an empty marker that the witness is damaged. Every start has to say the same as the first, and to leave the folder
-// as it is.
+// If Open created the missing file before it returned the error, the next start would find both files: with an empty
+// database it would report that nothing was saved yet and that the folder can be deleted, with an empty marker that the
+// witness is damaged. Every start must return the same error as the first and leave the folder unchanged.
 func TestFolderWithOneFileIsNotTakenForNew(t *testing.T) {
 	for _, lost := range []string{databaseName, markerName} {
 		t.Run(lost, func(t *testing.T) {
@@ -149,27 +148,27 @@
 			first := expectUnusable(t, folder, path)
 			for _, start := range []string{"second", "third"} {
 				if again := expectUnusable(t, folder, path); again != first {
-					t.Errorf("the %s start says %q, the first said %q", start, again, first)
+					t.Errorf("%s start: got error %q, want %q as at the first start", start, again, first)
 				}
 			}
 			if _, err := os.Stat(path); !errors.Is(err, os.ErrNotExist) {
-				t.Errorf("Open created the file that was lost: %v", err)
+				t.Errorf("os.Stat(%q): got %v, want os.ErrNotExist: Open created the missing file", path, err)
 			}
 		})
 	}
 }
 
-// expectUnusable opens a folder that has to be refused for one of its files, and gives the text of the error.
+// expectUnusable opens a folder that must be rejected because of the file at path, and returns the error text.
 func expectUnusable(t *testing.T, folder, path string) string {
 	t.Helper()
 	log, _, err := Open(folder)
 	if err == nil {
 		log.Close()
-		t.Fatal("the folder was taken for new")
+		t.Fatalf("Open(%q) without %s: got no error, want *UnusableError", folder, path)
 	}
 	var unusable *UnusableError
 	if !errors.As(err, &unusable) || unusable.Path != path {
-		t.Errorf("%v, want an UnusableError of %s", err, path)
+		t.Errorf("got error %v, want *UnusableError with path %s", err, path)
 	}
 	return err.Error()
 }
@@ -178,12 +177,12 @@
 	batches, _ := randomBatches(1, 3)
 	saved := saveAll(t, batches)[2]
 	_, _, err := Open(writeFiles(t, files{saved.database[:100], saved.marker}))
-	if !errors.Is(err, errShortFile) || !strings.Contains(err.Error(), databaseName+": the file is cut short") {
-		t.Errorf("a file cut short: %v", err)
+	if !errors.Is(err, errShortFile) || !strings.Contains(err.Error(), databaseName+": file is truncated") {
+		t.Errorf("truncated database: got error %v, want %v with the file name", err, errShortFile)
 	}
 	_, _, err = Open(writeFiles(t, files{saved.database, nil}))
-	if !errors.Is(err, errNoSlot) || !strings.Contains(err.Error(), markerName+": the witness is damaged") {
-		t.Errorf("an empty marker: %v", err)
+	if !errors.Is(err, errNoSlot) || !strings.Contains(err.Error(), markerName+": file is damaged") {
+		t.Errorf("empty marker: got error %v, want %v with the file name", err, errNoSlot)
 	}
 }
 
@@ -192,11 +191,11 @@
 		state SavedState
 		want  string
 	}{
-		"none broken": {SavedState{HardState: hardState(3, 0, 6), Snapshot: newSnapshot(5, 2), Entries: []*raftpb.Entry{newEntry(6, 3, "")}}, ""},
-		"gap":         {SavedState{HardState: hardState(3, 0, 0), Snapshot: newSnapshot(5, 2), Entries: []*raftpb.Entry{newEntry(7, 3, "")}}, "entry 7 follows 5"},
-		"older term":  {SavedState{HardState: hardState(3, 0, 0), Snapshot: newSnapshot(5, 2), Entries: []*raftpb.Entry{newEntry(6, 1, "")}}, "entry 6 is of term 1, the one before of 2"},
-		"commit":      {SavedState{HardState: hardState(3, 0, 6), Snapshot: newSnapshot(5, 2)}, "6 was committed, it ends at 5"},
-		"hard state":  {SavedState{HardState: hardState(1, 0, 0), Snapshot: newSnapshot(5, 2)}, "its term is 1, its last entry's 2"},
+		"valid":      {SavedState{HardState: hardState(3, 0, 6), Snapshot: newSnapshot(5, 2), Entries: []*raftpb.Entry{newEntry(6, 3, "")}}, ""},
+		"gap":        {SavedState{HardState: hardState(3, 0, 0), Snapshot: newSnapshot(5, 2), Entries: []*raftpb.Entry{newEntry(7, 3, "")}}, "entry 7 follows index 5"},
+		"older term": {SavedState{HardState: hardState(3, 0, 0), Snapshot: newSnapshot(5, 2), Entries: []*raftpb.Entry{newEntry(6, 1, "")}}, "entry 6 has term 1, lower than the previous term 2"},
+		"commit":     {SavedState{HardState: hardState(3, 0, 6), Snapshot: newSnapshot(5, 2)}, "commit index 6 is beyond the last index 5"},
+		"hard state": {SavedState{HardState: hardState(1, 0, 0), Snapshot: newSnapshot(5, 2)}, "term 1 is lower than the last entry's term 2"},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -205,7 +204,7 @@
 				got = err.Error()
 			}
 			if got != c.want {
-				t.Errorf("%q, want %q", got, c.want)
+				t.Errorf("got %q, want %q", got, c.want)
 			}
 		})
 	}
--- a/raftlog/database.go
+++ b/raftlog/database.go
@@ -10,12 +10,12 @@
 )
 
 const (
-	formatVersion = 2 // of the files; version 1 had no witness
+	formatVersion = 2 // of the files; version 1 had no witness file
 	identityBytes = 12
-	indexBytes    = 8 // of an entry's key
+	indexBytes    = 8 // length of an entry's key
 )
 
-// The buckets of the database, and the keys of the bucket meta.
+// The buckets of the database, and the keys in the bucket meta.
 var (
 	metaBucket    = []byte("meta")
 	entriesBucket = []byte("entries")
@@ -27,10 +27,11 @@
 	lastBatchKey = []byte("count")
 )
 
-// errNoBuckets says that the database was made but not filled: a crash came between, before the first Save.
-var errNoBuckets = errors.New("it has no buckets: its making was cut short, and nothing was promised yet; take the folder away")
+// errNoBuckets is returned when the database exists but has no buckets: the process crashed while it created the log,
+// before the first Save.
+var errNoBuckets = errors.New("no buckets: creation was interrupted before anything was saved; delete the folder")
 
-// createBuckets fills a new database.
+// createBuckets initializes a new database.
 func createBuckets(tx *bbolt.Tx) error {
 	meta, err := tx.CreateBucket(metaBucket)
 	if err != nil {
@@ -52,7 +53,7 @@
 	return putLastBatch(meta, 0)
 }
 
-// entryKey is the key of an entry: big-endian, so that bbolt's order of keys is the order of indexes.
+// entryKey returns the key of an entry. It is big-endian so that bbolt's key order is the index order.
 func entryKey(index uint64) []byte { return binary.BigEndian.AppendUint64(nil, index) }
 
 func putLastBatch(meta *bbolt.Bucket, number uint64) error {
--- a/raftlog/doc.go
+++ b/raftlog/doc.go
@@ -1,9 +1,9 @@
-// Package raftlog persists what a member of a Raft group has promised: its term and vote, its log entries and its
-// snapshot. Its one job is durability: what Save has returned for survives a crash, and a folder whose content is not
-// provably complete is refused at the start rather than read as less than was promised.
+// Package raftlog persists the state of a Raft group's member: its term and vote, its log entries and its snapshot. A
+// batch survives a crash once Save has returned nil. Open rejects a folder whose content is not provably complete,
+// since a member that restarts with less than it acknowledged could vote twice in a term or lose a committed entry.
 //
-// The node of package cluster is the caller. It opens the Log of its data folder, starts its member from the SavedState
-// that Open returns, and saves a Batch before it sends the messages that depend on it:
+// The caller is the node of package cluster. It opens the Log in its data folder, starts its member from the SavedState
+// that Open returns, and saves each Batch before it sends the messages that depend on it:
 //
 //	log, saved, err := raftlog.Open(folder)
 //	...
@@ -11,24 +11,24 @@
 //
 // # Files
 //
-// A folder has two files. raft.db is a bbolt database with two buckets: "meta" (format, identity of the disk, hard
-// state, snapshot, number of the last batch) and "entries" (the entries by index, big-endian). Each value has a checksum
-// before it. The file witness is the marker of the last batch: it has that batch's number a second time.
+// A folder contains two files. raft.db is a bbolt database with two buckets: "meta" (format, identity of the disk, hard
+// state, snapshot, number of the last batch) and "entries" (the entries by index, big-endian). Each value is prefixed
+// with a checksum. The file witness is the last-batch marker: it stores the number of the last batch a second time.
 //
 // # Failures that are guarded against
 //
-//   - A bit turned in a value: the value's checksum does not match (checksum.go).
-//   - A file cut short: bbolt would read behind the end of the mapped file, which ends the process. The number of pages
-//     is compared with the size of the file before bbolt sees it (pages.go).
+//   - A flipped bit in a value: the value's checksum does not match (checksum.go).
+//   - A truncated file: bbolt would read past the end of the mapped file, which kills the process. The number of pages
+//     is compared with the size of the file before bbolt opens it (pages.go).
 //   - A damaged page: bbolt panics or reads outside the mapped file. Open turns both into an error (log.go).
-//   - A damaged root page: bbolt silently falls back to the root page of the transaction before, which would forget a
+//   - A damaged meta page: bbolt silently falls back to the meta page of the previous transaction, which would lose a
 //     vote. The number of the last batch is then lower than the marker's (witness.go).
-//   - One of the two files is gone: the folder is not taken for a new one (log.go).
-//   - raft.db was put back from an older copy, and the file witness was not: as with a damaged root page (witness.go). A
-//     witness that was put back alone does no harm: the database has all that was promised.
-//   - A failed sync: nobody knows what the disk holds, so that every later Save returns the same error (log.go).
+//   - A missing file: a folder with only one of the two files is not treated as a new one (log.go).
+//   - raft.db restored from an older copy without the file witness: detected like a damaged meta page (witness.go).
+//     Restoring only the witness is harmless: the database contains everything that was acknowledged.
+//   - A failed sync: the content of the disk is unknown, so every later Save returns the same error (log.go).
 //
-// What is not detected: both files put back from the same older copy, or a copy of the whole folder in use by a second
-// process. Such a copy has the same identity and agrees with itself, and the member forgets what it promised since.
-// Operators must not do it (docs/raft.md).
+// Two cases are not detected: both files restored from the same older copy, and a copy of the whole folder in use by a
+// second process. Such a copy has the same identity and is consistent, and the member loses what it acknowledged since
+// the copy was made. Operators must not do either (docs/raft.md).
 package raftlog
--- a/raftlog/errors.go
+++ b/raftlog/errors.go
@@ -5,17 +5,19 @@
 	"strings"
 )
 
-// UnusableError says why the files of a folder cannot be used: damaged, cut short, incomplete, of another format, or a
-// database that is older than the marker beside it. Open returns it. A folder that was put back as a whole from a copy is
-// not detected. A member without its log may have promised what it no longer knows, so
-// that it must not go on under its number: it is replaced by a member with a new one.
+// UnusableError is returned by Open when the files of a folder cannot be used: they are damaged, truncated, incomplete
+// or of another format, or the database is older than its marker. A folder that was restored as a whole from a copy is
+// not detected.
+//
+// A member that has lost its log may have acknowledged votes and entries that it no longer knows, so it must not rejoin
+// under its number: it must be replaced by a member with a new number.
 type UnusableError struct {
-	Path   string // of the file; empty if the reason is none of one file's
-	Reason string // what is wrong with it
-	Err    error  // what was found; nil if the reason says it all
+	Path   string // path of the file; empty if the error does not concern a single file
+	Reason string // what is wrong with the file; may be empty
+	Err    error  // the cause; nil if Reason is sufficient
 }
 
-// Error names the file, the reason and the cause.
+// Error returns the path, the reason and the cause.
 func (e *UnusableError) Error() string {
 	var parts []string
 	if e.Path != "" {
@@ -27,15 +29,15 @@
 	if e.Err != nil {
 		parts = append(parts, e.Err.Error())
 	}
-	return "the log can't be gone on with: " + strings.Join(parts, ": ")
+	return "raft log is unusable: " + strings.Join(parts, ": ")
 }
 
-// Unwrap gives the cause.
+// Unwrap returns the cause.
 func (e *UnusableError) Unwrap() error { return e.Err }
 
 var (
-	// errChecksum says that a value is not the one that was written.
-	errChecksum = errors.New("its checksum does not match")
-	// errShortFile says that a file ends before the pages that it speaks of.
-	errShortFile = errors.New("the file is cut short")
+	// errChecksum is returned when a value differs from the one that was written.
+	errChecksum = errors.New("checksum mismatch")
+	// errShortFile is returned when a file is shorter than its meta pages require.
+	errShortFile = errors.New("file is truncated")
 )
--- a/raftlog/example_test.go
+++ b/raftlog/example_test.go
@@ -10,7 +10,7 @@
 	"harehook.dev/harehook/raftlog"
 )
 
-// A member saves its vote before it sends it, and finds it after a restart.
+// A member saves its vote before it sends it, and reads it back after a restart.
 func ExampleOpen() {
 	folder, err := os.MkdirTemp("", "raftlog")
 	if err != nil {
--- a/raftlog/log.go
+++ b/raftlog/log.go
@@ -13,21 +13,22 @@
 
 const (
 	databaseName = "raft.db"
-	markerName   = "witness"       // of the lastBatchMarker; this package knows no vote-only members
-	lockTimeout  = 2 * time.Second // for another process that has the database open
+	markerName   = "witness"       // of the lastBatchMarker; unrelated to vote-only members
+	lockTimeout  = 2 * time.Second // how long Open waits for another process to close the database
 )
 
-// Log is the disk of one member: a database, and a marker of its last batch. It is used by one goroutine.
+// Log is the durable storage of one member: a database and the marker of its last batch. It must be used by only one
+// goroutine at a time.
 type Log struct {
 	folder    string
 	db        *bbolt.DB
 	marker    *lastBatchMarker
-	lastBatch uint64 // number of the last batch that Save began
-	failure   error  // of the first Save that failed; every later one returns it
+	lastBatch uint64 // number of the last batch passed to write
+	failure   error  // error of the first Save that failed; every later Save returns it
 }
 
-// Open opens the log in a folder and reads it, or makes an empty one where the folder has none. It waits 2 s at most for
-// another process that has the log open. The error is an *UnusableError if the files are there but must not be used.
+// Open opens and reads the log in a folder, or creates an empty one if the folder has none. It waits at most 2 s for
+// another process that has the log open. The error is an *UnusableError if the files exist but must not be used.
 func Open(folder string) (*Log, *SavedState, error) {
 	if err := os.MkdirAll(folder, 0o700); err != nil {
 		return nil, nil, err
@@ -43,8 +44,9 @@
 
 // open opens both files and reads them.
 //
-// It guards against damaged pages: bbolt panics at a page that cannot be, or follows it out of the mapped file, a fault
-// that Open has the runtime turn into a panic. All pages are read here, so that none of it is met later.
+// It guards against damaged pages: bbolt panics on an invalid page, or follows a reference out of the mapped file, a
+// fault that Open makes the runtime turn into a panic. All pages are read here, so that damage is detected now and not
+// later.
 func (l *Log) open() (saved *SavedState, err error) {
 	defer func() {
 		if fault := recover(); fault != nil {
@@ -64,7 +66,7 @@
 	return l.load()
 }
 
-// openFiles opens the database and the marker, or makes both.
+// openFiles opens the database and the marker, and creates both if neither exists.
 func (l *Log) openFiles() (isNew bool, err error) {
 	isNew, err = l.checkFiles()
 	if err != nil {
@@ -86,10 +88,11 @@
 	return isNew, nil
 }
 
-// checkFiles reports whether the folder has neither file, and refuses one of them alone: the other was lost.
+// checkFiles reports whether the folder has neither file. It returns an *UnusableError if only one exists: the other
+// was lost.
 //
-// It looks before anything is opened, since opening creates a missing file: the next start would find both, and take the
-// loss for a folder whose making was cut short.
+// The check runs before anything is opened, since opening creates a missing file: the next start would find both files
+// and mistake the loss for an interrupted creation.
 func (l *Log) checkFiles() (isNew bool, err error) {
 	hasDatabase, err := fileExists(l.databasePath())
 	if err != nil {
@@ -100,10 +103,10 @@
 		return false, err
 	}
 	if hasMarker && !hasDatabase {
-		return false, &UnusableError{Path: l.databasePath(), Reason: "it is gone, its witness is there"}
+		return false, &UnusableError{Path: l.databasePath(), Reason: "file is missing, but witness exists"}
 	}
 	if hasDatabase && !hasMarker {
-		return false, &UnusableError{Path: l.markerPath(), Reason: "it is gone, the log is there"}
+		return false, &UnusableError{Path: l.markerPath(), Reason: "file is missing, but raft.db exists"}
 	}
 	return !hasDatabase, nil
 }
@@ -119,7 +122,7 @@
 		return nil, err
 	}
 	if lastBatch < recorded {
-		reason := fmt.Sprintf("it ends at batch %d, and batch %d was promised", lastBatch, recorded)
+		reason := fmt.Sprintf("last batch is %d, but the witness records batch %d", lastBatch, recorded)
 		return nil, &UnusableError{Path: l.databasePath(), Reason: reason}
 	}
 	if err := saved.checkInvariants(); err != nil {
@@ -129,7 +132,7 @@
 	return saved, nil
 }
 
-// create fills a new database and marker, and syncs the folder so that the files themselves survive a crash.
+// create initializes a new database and marker, and syncs the folder so that the files themselves survive a crash.
 func (l *Log) create() error {
 	if err := l.db.Update(createBuckets); err != nil {
 		return err
@@ -144,10 +147,10 @@
 	return errors.Join(folder.Sync(), folder.Close())
 }
 
-// Save persists a batch: once it has returned nil, the batch survives a crash. An empty batch does nothing.
+// Save persists a batch: once it has returned nil, the batch survives a crash. An empty batch is ignored.
 //
-// After an error every later Save returns the same one: once a sync has failed, nobody knows what the disk holds, and
-// what it would be asked to hold next must not be promised either.
+// After an error every later Save returns the same error: once a sync has failed, the content of the disk is unknown,
+// so no further batch may be acknowledged.
 func (l *Log) Save(batch Batch) error {
 	if l.failure != nil || batch.Empty() {
 		return l.failure
@@ -157,8 +160,8 @@
 	return l.failure
 }
 
-// write commits a batch to the database, and only then to the marker: a crash between the two leaves the database
-// ahead, which has all that was promised.
+// write commits a batch to the database and only then to the marker: a crash between the two leaves the database ahead,
+// which contains everything that was acknowledged.
 func (l *Log) write(batch Batch) error {
 	commit := func(tx *bbolt.Tx) error { return writeBatch(tx, batch, l.lastBatch) }
 	if err := l.db.Update(commit); err != nil {
@@ -183,7 +186,7 @@
 
 func (l *Log) markerPath() string { return filepath.Join(l.folder, markerName) }
 
-// fileExists reports whether there is a file. The error is that of looking.
+// fileExists reports whether a file exists. The error is that of os.Stat.
 func fileExists(path string) (bool, error) {
 	_, err := os.Stat(path)
 	if errors.Is(err, os.ErrNotExist) {
--- a/raftlog/log_test.go
+++ b/raftlog/log_test.go
@@ -24,7 +24,7 @@
 	return &raftpb.Snapshot{Data: []byte("state"), Metadata: metadata}
 }
 
-// describe gives what a member has to find again: hard state, the snapshot's index, and the entries.
+// describe returns the state that must survive a restart as text: the hard state, the snapshot's index and the entries.
 func describe(s *SavedState) string {
 	text := fmt.Sprint(s.HardState.GetTerm(), " ", s.HardState.GetVote(), " ", s.HardState.GetCommit(), " after ", s.Snapshot.GetMetadata().GetIndex())
 	for _, entry := range s.Entries {
@@ -33,7 +33,7 @@
 	return text
 }
 
-// randomBatches is a run of batches, and the description of what is saved after each.
+// randomBatches returns a sequence of batches and the description of the saved state after each.
 func randomBatches(seed uint64, count int) (batches []Batch, descriptions []string) {
 	random := rand.New(rand.NewPCG(seed, 5))
 	saved := &SavedState{HardState: hardState(1, 0, 0), Snapshot: &raftpb.Snapshot{}}
@@ -47,7 +47,7 @@
 			for range 1 + random.IntN(3) {
 				b.Entries = append(b.Entries, newEntry(lastIndex()+uint64(len(b.Entries))+1, term, fmt.Sprint(random.IntN(1000))))
 			}
-		case 2: // a new term overwrites what was not committed
+		case 2: // a new term overwrites the uncommitted entries
 			term++
 			b.Entries = append(b.Entries, newEntry(max(commit, first)+1, term, "over"))
 		case 3:
@@ -73,7 +73,7 @@
 	return batches, descriptions
 }
 
-// What was saved is there after each batch and a new start, under the same identity.
+// After each batch and a restart, the saved state is complete and the identity of the disk is unchanged.
 func TestSavedBatchesAreReadBack(t *testing.T) {
 	for seed := range uint64(4) {
 		t.Run(fmt.Sprint("seed=", seed), func(t *testing.T) {
@@ -89,11 +89,11 @@
 					identity = saved.Identity
 				}
 				if saved.Identity != identity || identity == "" {
-					t.Errorf("identity %q, then %q", identity, saved.Identity)
+					t.Errorf("batch %d: got identity %q, want %q and not empty", k, saved.Identity, identity)
 				}
 				if k > 0 {
 					if diff := cmp.Diff(descriptions[k-1], describe(saved)); diff != "" {
-						t.Fatalf("batch %d:\n%s", k, diff)
+						t.Fatalf("before batch %d: state differs (-want +got):\n%s", k, diff)
 					}
 				}
 				if err := log.Save(batch); err != nil {
@@ -105,8 +105,8 @@
 	}
 }
 
-// A sync fails, and nobody knows what the disk holds. A member that went on would promise what it may not know after a
-// crash. So every later Save has to fail as well, and the next start finds the state before or after the failed batch.
+// After a failed sync the content of the disk is unknown. A member that continued could acknowledge state that is lost
+// in a crash. Every later Save must fail as well, and the next start finds the state before or after the failed batch.
 func TestSaveFailsForGoodAfterAFailedWrite(t *testing.T) {
 	folder := t.TempDir()
 	log, _, err := Open(folder)
@@ -116,11 +116,11 @@
 	if err := log.Save(Batch{HardState: hardState(2, 1, 0)}); err != nil {
 		t.Fatal(err)
 	}
-	log.marker.Close() // as a disk that fails to sync
+	log.marker.Close() // simulates a disk that fails to sync
 	first := log.Save(Batch{HardState: hardState(3, 2, 0)})
 	second := log.Save(Batch{HardState: hardState(4, 2, 0)})
 	if first == nil || !errors.Is(second, first) {
-		t.Errorf("a failed write was promised: %v, then %v", first, second)
+		t.Errorf("Save after a failed write: got errors %v, then %v, want the same error twice", first, second)
 	}
 	log.db.Close()
 	log, saved, err := Open(folder)
@@ -129,10 +129,10 @@
 	}
 	defer log.Close()
 	if term := saved.HardState.GetTerm(); term != 2 && term != 3 {
-		t.Errorf("term %d", term)
+		t.Errorf("got term %d, want 2 or 3", term)
 	}
 	if !proto.Equal(saved.Snapshot, &raftpb.Snapshot{}) {
-		t.Error("a snapshot from nowhere")
+		t.Errorf("got snapshot %v, want an empty one", saved.Snapshot)
 	}
 }
 
--- a/raftlog/pages.go
+++ b/raftlog/pages.go
@@ -5,8 +5,9 @@
 	"os"
 )
 
-// The layout of bbolt's two meta pages, which name the root of the tree. Each has a page header, then a magic number,
-// the version, the page size, flags, the root's page and sequence, the page of the free list, and the number of pages.
+// The layout of bbolt's two meta pages, which reference the root of the tree. Each has a page header, then a magic
+// number, the version, the page size, flags, the root's page and sequence, the page of the free list, and the number of
+// pages.
 const (
 	pageHeaderBytes = 16
 	metaBytes       = 56
@@ -15,10 +16,10 @@
 	pageCountOffset = 40 // within the meta data
 )
 
-// checkPages returns an *UnusableError if a database file lacks pages that its meta pages speak of.
+// checkPages returns an *UnusableError if a database file has fewer pages than its meta pages state.
 //
-// It guards against a file cut short: bbolt maps the file and would read behind its end, a fault that ends the process
-// without a word. A meta page without the magic number is passed over, since bbolt checks meta pages itself.
+// It guards against a truncated file: bbolt maps the file and would read past its end, a fault that kills the process
+// without an error. A meta page without the magic number is skipped, since bbolt checks meta pages itself.
 func checkPages(path string) error {
 	content, err := os.ReadFile(path)
 	if err != nil {
--- a/raftlog/read.go
+++ b/raftlog/read.go
@@ -9,7 +9,7 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// readDatabase gives all that a database holds, and the number of its last batch.
+// readDatabase returns the saved state of a database and the number of its last batch.
 func readDatabase(db *bbolt.DB) (saved *SavedState, lastBatch uint64, err error) {
 	saved = &SavedState{HardState: &raftpb.HardState{}, Snapshot: &raftpb.Snapshot{}}
 	read := func(tx *bbolt.Tx) (err error) {
@@ -31,14 +31,14 @@
 	return saved, lastBatch, nil
 }
 
-// readMeta reads all but the entries into a state.
+// readMeta reads everything except the entries into saved.
 func readMeta(meta *bbolt.Bucket, saved *SavedState) (lastBatch uint64, err error) {
 	format, err := getValue(meta, formatKey)
 	if err != nil {
 		return 0, err
 	}
 	if len(format) != 1 || format[0] != formatVersion {
-		return 0, fmt.Errorf("its format is %v, this program knows %d", format, formatVersion)
+		return 0, fmt.Errorf("format version is %v, want %d", format, formatVersion)
 	}
 	identity, err := getValue(meta, identityKey)
 	if err != nil {
@@ -56,7 +56,7 @@
 		return 0, err
 	}
 	if len(number) != batchNumberBytes {
-		return 0, fmt.Errorf("the number of its last batch has %d bytes, not %d", len(number), batchNumberBytes)
+		return 0, fmt.Errorf("last batch number has %d bytes, want %d", len(number), batchNumberBytes)
 	}
 	return binary.BigEndian.Uint64(number), nil
 }
@@ -74,7 +74,7 @@
 	return entries, err
 }
 
-// readEntry reads an entry, whose key has to be that of its index.
+// readEntry decodes an entry and verifies that its index matches its key.
 func readEntry(key, stored []byte) (*raftpb.Entry, error) {
 	data, err := verifyChecksum(stored)
 	if err != nil {
@@ -85,12 +85,12 @@
 		return nil, err
 	}
 	if len(key) != indexBytes || entry.GetIndex() != binary.BigEndian.Uint64(key) {
-		return nil, fmt.Errorf("it is stored under another entry's key, its index is %d", entry.GetIndex())
+		return nil, fmt.Errorf("index %d does not match the key", entry.GetIndex())
 	}
 	return entry, nil
 }
 
-// getMessage reads a message. One that was never put is left as it is.
+// getMessage reads the message stored under a key. If there is none, the message is left empty.
 func getMessage(meta *bbolt.Bucket, key []byte, into proto.Message) error {
 	data, err := getValue(meta, key)
 	if err != nil {
@@ -102,7 +102,7 @@
 	return nil
 }
 
-// getValue reads a value, nil if it was never put.
+// getValue returns the value stored under a key, or nil if there is none.
 func getValue(meta *bbolt.Bucket, key []byte) ([]byte, error) {
 	stored := meta.Get(key)
 	if stored == nil {
--- a/raftlog/witness.go
+++ b/raftlog/witness.go
@@ -6,28 +6,30 @@
 	"os"
 )
 
-// slotBytes is the size of a slot of the marker: a batch number, its checksum, and unused bytes.
+// slotBytes is the size of a slot of the marker: a batch number, its checksum and unused bytes.
 const slotBytes = 16
 
 // batchNumberBytes is the size of a batch number on disk.
 const batchNumberBytes = 8
 
-// errNoSlot says that neither slot of a marker can be read.
-var errNoSlot = errors.New("neither of its slots can be read")
+// errNoSlot is returned when neither slot of a marker is valid.
+var errNoSlot = errors.New("no valid slot")
 
-// lastBatchMarker is a file that holds the number of the last batch beside the database. The file is called "witness" on
-// disk and in errors; it has nothing to do with the witness of other Raft implementations, a member that only votes.
+// lastBatchMarker is a file that stores the number of the last batch separately from the database. The file is called
+// "witness" on disk and in errors; it is unrelated to the witness of other Raft implementations, a member that only
+// votes.
 //
-// It guards against a database that went back: where bbolt's newest root page is damaged, bbolt opens the state of the
-// transaction before without an error, and a vote or an entry that was promised would be forgotten. The database's batch
-// number is then lower than the marker's.
+// It guards against a database that reverts to an older state: if bbolt's newest meta page is damaged, bbolt opens the
+// state of the previous transaction without an error, and an acknowledged vote or entry would be lost. The database's
+// batch number is then lower than the marker's.
 //
-// There are two slots, which batches use in turn: a crash in the middle of a write leaves the slot of the batch before.
+// The batches alternate between two slots: a crash in the middle of a write leaves the slot of the previous batch
+// intact.
 type lastBatchMarker struct {
 	file *os.File
 }
 
-// openLastBatchMarker opens the file, or makes an empty one.
+// openLastBatchMarker opens the file, or creates an empty one.
 func openLastBatchMarker(path string) (*lastBatchMarker, error) {
 	file, err := os.OpenFile(path, os.O_RDWR|os.O_CREATE, 0o600)
 	if err != nil {
@@ -36,7 +38,7 @@
 	return &lastBatchMarker{file: file}, nil
 }
 
-// Record syncs the number of a batch that the database has.
+// Record writes and syncs the number of a batch that is already in the database.
 func (m *lastBatchMarker) Record(batch uint64) error {
 	slot := make([]byte, slotBytes)
 	binary.BigEndian.PutUint64(slot, batch)
@@ -48,7 +50,7 @@
 	return m.file.Sync()
 }
 
-// LastBatch is the highest batch number that was recorded. The error is an *UnusableError if no slot can be read.
+// LastBatch returns the highest recorded batch number. The error is an *UnusableError if no slot is valid.
 func (m *lastBatchMarker) LastBatch() (uint64, error) {
 	last := uint64(0)
 	found := false
@@ -60,12 +62,12 @@
 		}
 	}
 	if !found {
-		return 0, &UnusableError{Path: m.file.Name(), Reason: "the witness is damaged", Err: errNoSlot}
+		return 0, &UnusableError{Path: m.file.Name(), Reason: "file is damaged", Err: errNoSlot}
 	}
 	return last, nil
 }
 
-// readSlot gives the batch number of a slot, if the slot is there and not damaged.
+// readSlot returns the batch number of a slot, and whether the slot exists and is undamaged.
 func (m *lastBatchMarker) readSlot(offset int64) (batch uint64, readable bool) {
 	slot := make([]byte, slotBytes)
 	if _, err := m.file.ReadAt(slot, offset); err != nil {
--- a/raftlog/write.go
+++ b/raftlog/write.go
@@ -8,7 +8,7 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// writeBatch puts a batch and its number into the database.
+// writeBatch writes a batch and its number to the database.
 func writeBatch(tx *bbolt.Tx, batch Batch, number uint64) error {
 	meta := tx.Bucket(metaBucket)
 	entries := tx.Bucket(entriesBucket)
@@ -28,7 +28,7 @@
 	return putLastBatch(meta, number)
 }
 
-// putSnapshot sets the snapshot and deletes the entries that it covers.
+// putSnapshot replaces the snapshot and deletes the entries that it covers.
 func putSnapshot(meta, entries *bbolt.Bucket, snapshot *raftpb.Snapshot) error {
 	if err := putMessage(meta, snapshotKey, snapshot); err != nil {
 		return err
@@ -36,7 +36,7 @@
 	return deleteEntries(entries, 0, snapshot.GetMetadata().GetIndex()+1)
 }
 
-// putEntries puts entries in place of those at and after the first one's index.
+// putEntries replaces the existing entries from the first added entry's index on.
 func putEntries(entries *bbolt.Bucket, added []*raftpb.Entry) error {
 	if len(added) == 0 {
 		return nil
@@ -52,7 +52,7 @@
 	return nil
 }
 
-// deleteEntries deletes the entries from an index up to before another.
+// deleteEntries deletes the entries with from <= index < before.
 func deleteEntries(entries *bbolt.Bucket, from, before uint64) error {
 	var keys [][]byte
 	end := entryKey(before)
