--- a/configsync/transport/client_stream.go
+++ b/configsync/transport/client_stream.go
@@ -46,9 +46,9 @@
 		receiverErr:     make(chan error, 1),
 		receiverStopped: make(chan struct{}),
 	}
-	opening := stream.startTimeout()
+	openTimer := stream.startTimeout()
 	stream.grpcStream, err = discoveryv3.NewAggregatedDiscoveryServiceClient(conn).DeltaAggregatedResources(ctx)
-	opening.Stop()
+	openTimer.Stop()
 	if err != nil {
 		return streamError(ctx, err)
 	}
@@ -83,8 +83,8 @@
 	}
 	renew := time.NewTicker(s.client.renewInterval())
 	defer renew.Stop()
-	silence := s.startTimeout()
-	defer silence.Stop()
+	silenceTimer := s.startTimeout()
+	defer silenceTimer.Stop()
 	answered := false
 	for {
 		select {
@@ -97,7 +97,7 @@
 				return err
 			}
 		case in := <-s.responses:
-			silence.Reset(s.client.config.Lease)
+			silenceTimer.Reset(s.client.config.Lease)
 			reply, err := s.client.receive(in)
 			if err != nil {
 				return err
--- a/configsync/transport/client_test.go
+++ b/configsync/transport/client_test.go
@@ -13,7 +13,7 @@
 var shop = records.Scope{Services: []string{"shop"}}
 
 // A follower receives a full scope, then deltas, and empty updates for revisions that do not change its scope.
-func TestFollowerGetsScopeDeltasAndProgress(t *testing.T) {
+func TestFollowerReceivesScopeDeltasAndEmptyUpdates(t *testing.T) {
 	log := newGroupLog(100)
 	log.put(t, "buy", "shop", 1000)
 	log.put(t, "sell", "market", 1000)
@@ -121,7 +121,7 @@
 
 // A follower is disconnected for longer than its lease, either with its connections closed or with stalled ones. It
 // must keep its records, report that it is stale, and receive only a delta after it has reconnected.
-func TestFollowerCutOffLongerThanLease(t *testing.T) {
+func TestFollowerDisconnectedLongerThanLease(t *testing.T) {
 	for name, cut := range map[string]func(*cuttableProxy, bool){"closed": (*cuttableProxy).cut, "stalled": (*cuttableProxy).stall} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
@@ -156,7 +156,7 @@
 }
 
 // A follower whose revision is older than the member's history receives a full scope when it reconnects.
-func TestFollowerBehindHistoryGetsFullScope(t *testing.T) {
+func TestFollowerBehindHistoryReceivesFullScope(t *testing.T) {
 	log := newGroupLog(5)
 	log.put(t, "buy", "shop", 1000)
 	m := newMember(t, log, testLimits())
@@ -177,7 +177,7 @@
 
 // Two followers accept a change and one rejects it. The one that rejects must keep its records, its reason must be in
 // the member's status, and the converged revision must not advance until it accepts a later revision.
-func TestRejectionHoldsBackConvergence(t *testing.T) {
+func TestRejectionDelaysConvergence(t *testing.T) {
 	log := newGroupLog(100)
 	log.put(t, "buy", "shop", 1000)
 	limits := testLimits()
--- a/configsync/transport/fixture_test.go
+++ b/configsync/transport/fixture_test.go
@@ -79,7 +79,7 @@
 	if l.revision-min(l.revision, revision) > uint64(len(l.changes)) {
 		return delta
 	}
-	differs := map[records.Key]records.Update{}
+	latest := map[records.Key]records.Update{}
 	for _, change := range l.changes {
 		if change.Revision <= revision {
 			continue
@@ -88,14 +88,14 @@
 			if !scope.Touches(update) {
 				continue
 			}
-			if earlier, known := differs[update.Key()]; known {
+			if earlier, known := latest[update.Key()]; known {
 				update.Before = earlier.Before
 			}
-			differs[update.Key()] = update
+			latest[update.Key()] = update
 		}
 	}
-	for _, key := range slices.SortedFunc(maps.Keys(differs), records.Key.Compare) {
-		delta.Updates = append(delta.Updates, differs[key])
+	for _, key := range slices.SortedFunc(maps.Keys(latest), records.Key.Compare) {
+		delta.Updates = append(delta.Updates, latest[key])
 	}
 	delta.Available = true
 	return delta
@@ -132,7 +132,7 @@
 	address string
 	service *Service
 	server  *grpc.Server
-	ended   chan struct{}
+	stopped chan struct{}
 }
 
 func testLimits() configsync.Limits {
@@ -156,17 +156,17 @@
 	}
 	m.address = listener.Addr().String()
 	m.service = NewService(m.address, m.log, m.limits, zap.NewNop())
-	m.server, m.ended = cluster.NewServer(nil), make(chan struct{})
+	m.server, m.stopped = cluster.NewServer(nil), make(chan struct{})
 	m.service.Register(m.server)
 	m.log.stateMutex.Lock()
 	m.log.member = m
 	m.log.stateMutex.Unlock()
-	go func() { defer close(m.ended); m.server.Serve(listener) }()
+	go func() { defer close(m.stopped); m.server.Serve(listener) }()
 }
 
 func (m *member) stop() {
 	m.server.Stop()
-	<-m.ended
+	<-m.stopped
 }
 
 // acceptedRevision is a revision that a client reported as accepted.
@@ -207,9 +207,9 @@
 		t.Fatal(err)
 	}
 	ctx, cancel := context.WithCancel(context.Background())
-	ended := make(chan struct{})
-	go func() { defer close(ended); c.client.Run(ctx) }()
-	c.stop = func() { cancel(); <-ended }
+	stopped := make(chan struct{})
+	go func() { defer close(stopped); c.client.Run(ctx) }()
+	c.stop = func() { cancel(); <-stopped }
 	t.Cleanup(func() { c.stop(); c.checkRevisionsRise() })
 	return c
 }
@@ -256,11 +256,11 @@
 }
 
 // waitFor waits until holds returns true. It fails the test after testTimeout.
-func waitFor(t testing.TB, what string, holds func() bool) {
+func waitFor(t testing.TB, condition string, holds func() bool) {
 	t.Helper()
 	for end := time.Now().Add(testTimeout); !holds(); time.Sleep(5 * time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatalf("condition not met within %s: %s", testTimeout, what)
+			t.Fatalf("condition not met within %s: %s", testTimeout, condition)
 		}
 	}
 }
--- a/configsync/transport/proxy_test.go
+++ b/configsync/transport/proxy_test.go
@@ -9,14 +9,14 @@
 
 // cuttableProxy forwards the connections of a follower to a member until a test cuts or stalls them.
 type cuttableProxy struct {
-	listener net.Listener
-	target   string
-	passing  sync.WaitGroup
+	listener   net.Listener
+	target     string
+	goroutines sync.WaitGroup
 
-	mutex   sync.Mutex
-	refuses bool
-	stalled chan struct{} // if not nil, no bytes are forwarded until it is closed
-	conns   map[net.Conn]struct{}
+	mutex     sync.Mutex
+	rejecting bool
+	stalled   chan struct{} // if not nil, no bytes are forwarded until it is closed
+	conns     map[net.Conn]struct{}
 
 	cutAfter atomic.Int64 // bytes to the follower after which the connection is cut, only once; 0: never
 	dialled  atomic.Int64
@@ -29,7 +29,7 @@
 		t.Fatal(err)
 	}
 	p := &cuttableProxy{listener: listener, target: target, conns: map[net.Conn]struct{}{}}
-	p.passing.Go(p.accept)
+	p.goroutines.Go(p.accept)
 	t.Cleanup(p.close)
 	return p
 }
@@ -40,20 +40,20 @@
 	p.listener.Close()
 	p.stall(false)
 	p.cut(true)
-	p.passing.Wait()
+	p.goroutines.Wait()
 }
 
 // cut closes all connections and rejects new ones, or accepts new ones again.
 func (p *cuttableProxy) cut(yes bool) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
-	p.refuses = yes
+	p.rejecting = yes
 	if yes {
-		p.endAll()
+		p.closeConns()
 	}
 }
 
-func (p *cuttableProxy) endAll() {
+func (p *cuttableProxy) closeConns() {
 	for conn := range p.conns {
 		conn.Close()
 	}
@@ -74,37 +74,37 @@
 
 func (p *cuttableProxy) accept() {
 	for {
-		near, err := p.listener.Accept()
+		followerConn, err := p.listener.Accept()
 		if err != nil {
 			return
 		}
 		p.dialled.Add(1)
-		p.passing.Go(func() { p.pass(near) })
+		p.goroutines.Go(func() { p.forward(followerConn) })
 	}
 }
 
-func (p *cuttableProxy) pass(near net.Conn) {
-	defer near.Close()
-	far, err := net.Dial("tcp", p.target)
+func (p *cuttableProxy) forward(followerConn net.Conn) {
+	defer followerConn.Close()
+	memberConn, err := net.Dial("tcp", p.target)
 	if err != nil {
 		return
 	}
-	defer far.Close()
+	defer memberConn.Close()
 	p.mutex.Lock()
-	if p.refuses {
+	if p.rejecting {
 		p.mutex.Unlock()
 		return
 	}
-	p.conns[near], p.conns[far] = struct{}{}, struct{}{}
+	p.conns[followerConn], p.conns[memberConn] = struct{}{}, struct{}{}
 	p.mutex.Unlock()
 	var both sync.WaitGroup
-	both.Go(func() { p.copy(far, near, nil) })
-	both.Go(func() { p.copy(near, far, &p.cutAfter) })
+	both.Go(func() { p.copy(memberConn, followerConn, nil) })
+	both.Go(func() { p.copy(followerConn, memberConn, &p.cutAfter) })
 	both.Wait()
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
-	delete(p.conns, near)
-	delete(p.conns, far)
+	delete(p.conns, followerConn)
+	delete(p.conns, memberConn)
 }
 
 // copy forwards bytes in one direction until either side closes or the limit is reached.
--- a/configsync/transport/service.go
+++ b/configsync/transport/service.go
@@ -60,7 +60,7 @@
 // Register adds the followers' and the operators' services to a gRPC server.
 func (s *Service) Register(registrar grpc.ServiceRegistrar) {
 	discoveryv3.RegisterAggregatedDiscoveryServiceServer(registrar, s)
-	registrar.RegisterService(statusDescription(followersService, s.Status), s)
+	registrar.RegisterService(statusServiceDesc(followersService, s.Status), s)
 }
 
 // Committed must be called after the source has changed. It wakes all streams, which then query the source. It does not
@@ -104,18 +104,18 @@
 func (s *Service) withServer(use func(now time.Time)) {
 	s.serverMutex.Lock()
 	defer s.serverMutex.Unlock()
-	for _, pending := range s.takePendingCommits() {
+	for _, pending := range s.drainPendingCommits() {
 		s.server.Committed(pending.committedAt, pending.revision)
 	}
 	use(time.Now())
 }
 
-func (s *Service) takePendingCommits() []pendingCommit {
+func (s *Service) drainPendingCommits() []pendingCommit {
 	s.pendingMutex.Lock()
 	defer s.pendingMutex.Unlock()
-	taken := s.pendingCommits
+	commits := s.pendingCommits
 	s.pendingCommits = nil
-	return taken
+	return commits
 }
 
 // Status returns the state of this member's followers.
@@ -139,16 +139,16 @@
 // the lease duration. It starts two goroutines that end with the stream: one receives and one sends, and either may
 // block.
 func (s *Service) DeltaAggregatedResources(grpcStream deltaServer) error {
-	opened, err := s.open()
+	st, err := s.open()
 	if err != nil {
 		return grpcStatus(err)
 	}
-	defer s.close(opened)
+	defer s.close(st)
 	ctx, cancel := context.WithCancel(grpcStream.Context())
 	defer cancel()
-	received := make(chan error, 1)
-	go func() { received <- s.receive(grpcStream, opened) }()
+	receiverErr := make(chan error, 1)
+	go func() { receiverErr <- s.receive(grpcStream, st) }()
 	sender := &sender{outbox: make(chan *response), sent: make(chan error, 1)}
 	go sender.run(ctx, grpcStream)
-	return grpcStatus(s.supervise(ctx, opened, received, sender))
+	return grpcStatus(s.supervise(ctx, st, receiverErr, sender))
 }
--- a/configsync/transport/service_test.go
+++ b/configsync/transport/service_test.go
@@ -48,7 +48,7 @@
 
 // A follower renews its lease but does not read, so that the member's sender blocks. The member must end its stream
 // after the lease duration, and other followers must receive changes without delay in the meantime.
-func TestFollowerThatDoesNotReadDelaysNobody(t *testing.T) {
+func TestBlockedFollowerDelaysNoOthers(t *testing.T) {
 	log := newGroupLog(100)
 	for name := range 3000 { // much more than the windows and buffers of the connection hold
 		log.put(t, fmt.Sprintf("%0150d", name), "shop", 1000)
@@ -56,24 +56,24 @@
 	m := newMember(t, log, testLimits())
 	c := newFollowerController(t, Config{Scope: records.Scope{Services: []string{"other"}}, Members: []string{m.address}})
 	c.awaitAccepted(log)
-	stuck := rawStream(t, m)
+	blocked := rawStream(t, m)
 	follower := configsync.NewFollower("stuck", shop, testLease, nil)
-	if err := stuck.Send(follower.Begin(time.Now())); err != nil {
+	if err := blocked.Send(follower.Begin(time.Now())); err != nil {
 		t.Fatal(err)
 	}
 	waitFor(t, "member is sending the full scope to the blocked follower", func() bool { return m.service.Counts().FullScopes == 2 })
 	for change := range 20 {
 		log.put(t, "buy", "other", float64(1000+change))
 		c.awaitAccepted(log)
-		stuck.Send(follower.Renew(time.Now())) // fails once the member has ended the stream
+		blocked.Send(follower.Renew(time.Now())) // fails once the member has ended the stream
 	}
 	waitFor(t, "member has ended the blocked stream", func() bool {
-		stuck.Send(follower.Renew(time.Now()))
+		blocked.Send(follower.Renew(time.Now()))
 		return m.openStreams() == 1
 	})
 	var err error
 	for err == nil {
-		_, err = stuck.Recv()
+		_, err = blocked.Recv()
 	}
 	if !strings.Contains(err.Error(), errNotReading.Error()) {
 		t.Errorf("got error %v, want %v", err, errNotReading)
@@ -92,8 +92,8 @@
 	limits := testLimits()
 	limits.FullScopeBurstBytes, limits.FullScopeBytesPerSecond = 1, 1 // one scope, then none for hours
 	m := newMember(t, log, limits)
-	inStep := newFollowerController(t, Config{Name: "up to date", Scope: shop, Members: []string{m.address}})
-	inStep.awaitAccepted(log)
+	upToDate := newFollowerController(t, Config{Name: "up to date", Scope: shop, Members: []string{m.address}})
+	upToDate.awaitAccepted(log)
 	var waiting []*followerController
 	for k := range 40 {
 		waiting = append(waiting, newFollowerController(t, Config{Name: fmt.Sprintf("waiting-%d", k), Scope: shop, Members: []string{m.address}}))
@@ -103,7 +103,7 @@
 	}
 	for change := range 10 {
 		log.put(t, "route-1", "shop", float64(2000+change))
-		inStep.awaitAccepted(log)
+		upToDate.awaitAccepted(log)
 	}
 	if counts := m.service.Counts(); counts.FullScopes != 1 {
 		t.Errorf("got counts %+v, want 1 full scope", counts)
@@ -116,7 +116,7 @@
 }
 
 // All followers start at the same time, twice: all of them must converge each time.
-func TestAllMembersRestart(t *testing.T) {
+func TestAllFollowersRestart(t *testing.T) {
 	logs := []*groupLog{newGroupLog(1000), newGroupLog(1000), newGroupLog(1000)}
 	var addresses []string
 	var members []*member
@@ -132,7 +132,7 @@
 	for name := range 200 {
 		put(fmt.Sprintf("route-%d", name), fmt.Sprintf("service-%d", name%10), 1000)
 	}
-	begin := func(generation uint64) (all []*followerController) {
+	startControllers := func(generation uint64) (all []*followerController) {
 		for k := range 60 {
 			scope := records.Scope{Services: []string{fmt.Sprintf("service-%d", k%10), fmt.Sprintf("service-%d", (k+3)%10)}}
 			all = append(all, newFollowerController(t, Config{Name: fmt.Sprintf("conductor-%d", k), Scope: scope, Members: addresses, Seed: generation<<8 | uint64(k)}))
@@ -140,7 +140,7 @@
 		return all
 	}
 	for generation := range uint64(2) {
-		all := begin(generation)
+		all := startControllers(generation)
 		put("route-7", "service-7", float64(2000+generation))
 		for _, c := range all {
 			c.awaitAccepted(logs[0])
@@ -188,14 +188,14 @@
 }
 
 // A stream that violates the protocol is ended with a status code and a reason.
-func TestProtocolFaultsEndStream(t *testing.T) {
+func TestProtocolViolationsEndStream(t *testing.T) {
 	log := newGroupLog(100)
 	log.put(t, "buy", "shop", 1000)
 	limits := testLimits()
 	limits.MaxStreams = 1
 	limits.Lease = 2 * handshakeTimeout // so that the two timeouts can be distinguished
 	m := newMember(t, log, limits)
-	end := func(name string, code codes.Code, reason string, requests ...*discoveryv3.DeltaDiscoveryRequest) {
+	expectEnd := func(name string, code codes.Code, reason string, requests ...*discoveryv3.DeltaDiscoveryRequest) {
 		t.Helper()
 		waitFor(t, "all streams are closed", func() bool { return m.openStreams() == 0 })
 		wire := rawStream(t, m)
@@ -213,15 +213,15 @@
 		}
 	}
 	follower := configsync.NewFollower("raw", shop, testLease, nil)
-	begin := follower.Begin(time.Now())
-	end("no request", codes.DeadlineExceeded, errNoHandshake.Error())
-	end("unknown type", codes.InvalidArgument, "is not served here", &discoveryv3.DeltaDiscoveryRequest{TypeUrl: "type.googleapis.com/other"})
-	end("no name", codes.InvalidArgument, "a name has to be", configsync.NewFollower("", shop, testLease, nil).Begin(time.Now()))
-	end("unknown nonce", codes.InvalidArgument, "answers nothing that was sent", begin, &discoveryv3.DeltaDiscoveryRequest{TypeUrl: configsync.TypeURL, ResponseNonce: "77"})
-	end("no renewal", codes.DeadlineExceeded, configsync.ErrFollowerTimeout.Error(), begin)
+	handshake := follower.Begin(time.Now())
+	expectEnd("no request", codes.DeadlineExceeded, errNoHandshake.Error())
+	expectEnd("unknown type", codes.InvalidArgument, "is not served here", &discoveryv3.DeltaDiscoveryRequest{TypeUrl: "type.googleapis.com/other"})
+	expectEnd("no name", codes.InvalidArgument, "a name has to be", configsync.NewFollower("", shop, testLease, nil).Begin(time.Now()))
+	expectEnd("unknown nonce", codes.InvalidArgument, "answers nothing that was sent", handshake, &discoveryv3.DeltaDiscoveryRequest{TypeUrl: configsync.TypeURL, ResponseNonce: "77"})
+	expectEnd("no renewal", codes.DeadlineExceeded, configsync.ErrFollowerTimeout.Error(), handshake)
 
 	first := rawStream(t, m)
-	if err := first.Send(begin); err != nil {
+	if err := first.Send(handshake); err != nil {
 		t.Fatal(err)
 	}
 	if _, err := first.Recv(); err != nil {
@@ -242,10 +242,10 @@
 // A second stream of the same follower replaces the first one, which ends with Aborted.
 func TestReplacedStreamEndsWithAborted(t *testing.T) {
 	m := newMember(t, newGroupLog(100), testLimits())
-	begin := configsync.NewFollower("raw", shop, testLease, nil).Begin(time.Now())
+	handshake := configsync.NewFollower("raw", shop, testLease, nil).Begin(time.Now())
 	first := rawStream(t, m)
 	for _, wire := range []discoveryv3.AggregatedDiscoveryService_DeltaAggregatedResourcesClient{first, rawStream(t, m)} {
-		if err := wire.Send(begin); err != nil {
+		if err := wire.Send(handshake); err != nil {
 			t.Fatal(err)
 		}
 		if _, err := wire.Recv(); err != nil {
@@ -300,10 +300,10 @@
 // is in the follower's scope.
 func TestBytesOnWirePerChange(t *testing.T) {
 	const (
-		changes          = 200
-		maxBytes         = 1 << 10 // per change, in addition to the record
-		maxHeartbeat     = 512     // per renewal and its response
-		bytesOfOneRecord = 100     // upper bound of the records in this test
+		changes         = 200
+		maxChangeBytes  = 1 << 10 // per change, in addition to the record
+		maxRenewalBytes = 512     // per renewal and its response
+		maxRecordBytes  = 100     // upper bound of the records in this test
 	)
 	log := newGroupLog(2 * changes)
 	log.put(t, "buy", "shop", 1000)
@@ -319,11 +319,11 @@
 				log.put(t, "buy-"+service, service, float64(1000+change))
 				c.awaitAccepted(log)
 			}
-			spent, renewed := wire()-before, heartbeats()-heartbeatsBefore
-			t.Logf("%s: %d bytes for %d changes and %d renewals", name, spent, changes, renewed)
-			if spent > changes*(maxBytes+bytesOfOneRecord)+(renewed+1)*maxHeartbeat {
-				t.Errorf("%s: got %d bytes for %d changes and %d renewals, want at most %d", name, spent, changes, renewed,
-					changes*(maxBytes+bytesOfOneRecord)+(renewed+1)*maxHeartbeat)
+			usedBytes, renewals := wire()-before, heartbeats()-heartbeatsBefore
+			t.Logf("%s: %d bytes for %d changes and %d renewals", name, usedBytes, changes, renewals)
+			if usedBytes > changes*(maxChangeBytes+maxRecordBytes)+(renewals+1)*maxRenewalBytes {
+				t.Errorf("%s: got %d bytes for %d changes and %d renewals, want at most %d", name, usedBytes, changes, renewals,
+					changes*(maxChangeBytes+maxRecordBytes)+(renewals+1)*maxRenewalBytes)
 			}
 			c.stop()
 		})
--- a/configsync/transport/status.go
+++ b/configsync/transport/status.go
@@ -49,12 +49,12 @@
 
 // Register adds the operators' service to the controller's gRPC server.
 func (c *Client) Register(registrar grpc.ServiceRegistrar) {
-	registrar.RegisterService(statusDescription(followerService, c.Report), c)
+	registrar.RegisterService(statusServiceDesc(followerService, c.Report), c)
 }
 
-// statusDescription returns the description of a service with one method that responds with the result of current as
+// statusServiceDesc returns the description of a service with one method that responds with the result of current as
 // JSON.
-func statusDescription[Status any](name string, current func() Status) *grpc.ServiceDesc {
+func statusServiceDesc[Status any](name string, current func() Status) *grpc.ServiceDesc {
 	handler := func(_ any, _ context.Context, decode func(any) error, _ grpc.UnaryServerInterceptor) (any, error) {
 		var in wrapperspb.BytesValue
 		if err := decode(&in); err != nil {
--- a/configsync/transport/stream.go
+++ b/configsync/transport/stream.go
@@ -39,47 +39,47 @@
 }
 
 // open adds a stream. It returns an error if the member is unavailable or has too many streams.
-func (s *Service) open() (opened *stream, err error) {
+func (s *Service) open() (st *stream, err error) {
 	if err := s.unavailableReason(); err != nil {
 		return nil, err
 	}
-	opened = &stream{wakeUp: make(chan struct{}, 1)}
-	s.withServer(func(now time.Time) { opened.state, err = s.server.Open(now) })
+	st = &stream{wakeUp: make(chan struct{}, 1)}
+	s.withServer(func(now time.Time) { st.state, err = s.server.Open(now) })
 	if err != nil {
 		return nil, err
 	}
 	s.pendingMutex.Lock()
 	defer s.pendingMutex.Unlock()
-	s.streams[opened] = struct{}{}
-	return opened, nil
+	s.streams[st] = struct{}{}
+	return st, nil
 }
 
-func (s *Service) close(ended *stream) {
+func (s *Service) close(st *stream) {
 	s.pendingMutex.Lock()
-	delete(s.streams, ended)
+	delete(s.streams, st)
 	s.pendingMutex.Unlock()
 	s.withServer(func(time.Time) {
-		ended.closed = true
-		s.server.Close(ended.state)
+		st.closed = true
+		s.server.Close(st.state)
 	})
 }
 
 // receive handles requests until the stream ends and returns the reason.
-func (s *Service) receive(grpcStream deltaServer, from *stream) error {
+func (s *Service) receive(grpcStream deltaServer, st *stream) error {
 	for {
 		in, err := grpcStream.Recv()
 		if err != nil {
 			return err
 		}
 		s.withServer(func(now time.Time) {
-			if !from.closed {
-				err = s.server.Receive(now, from.state, in)
+			if !st.closed {
+				err = s.server.Receive(now, st.state, in)
 			}
 		})
 		if err != nil {
 			return &invalidRequestError{reason: err}
 		}
-		from.wake()
+		st.wake()
 	}
 }
 
@@ -90,17 +90,17 @@
 	handshakeDone bool
 }
 
-func (s *Service) next(to *stream) (next nextMessage, err error) {
+func (s *Service) next(st *stream) (next nextMessage, err error) {
 	s.withServer(func(now time.Time) {
-		next.response, next.wait, err = to.state.Send(now)
-		next.handshakeDone = to.state.Name() != ""
+		next.response, next.wait, err = st.state.Send(now)
+		next.handshakeDone = st.state.Name() != ""
 	})
 	return next, err
 }
 
 // supervise sends the responses that are due, each time the stream is woken or its wait has passed. It returns the
 // reason why the stream ends.
-func (s *Service) supervise(ctx context.Context, supervised *stream, received <-chan error, sender *sender) error {
+func (s *Service) supervise(ctx context.Context, st *stream, receiverErr <-chan error, sender *sender) error {
 	handshakeDeadline := time.Now().Add(handshakeTimeout)
 	timer := time.NewTimer(handshakeTimeout)
 	defer timer.Stop()
@@ -108,12 +108,12 @@
 		if err := s.unavailableReason(); err != nil {
 			return err
 		}
-		next, err := s.next(supervised)
+		next, err := s.next(st)
 		if err != nil {
 			return err
 		}
 		if next.response != nil {
-			if err := sender.send(ctx, next.response, s.lease, received); err != nil {
+			if err := sender.send(ctx, next.response, s.lease, receiverErr); err != nil {
 				return err
 			}
 			continue
@@ -129,9 +129,9 @@
 		select {
 		case <-ctx.Done():
 			return ctx.Err()
-		case err := <-received:
+		case err := <-receiverErr:
 			return err
-		case <-supervised.wakeUp:
+		case <-st.wakeUp:
 		case <-timer.C:
 		}
 	}
@@ -157,7 +157,7 @@
 
 // send passes a message to run and waits for the result. It returns errNotReading after the timeout, or the receiver's
 // error if the receiver ends first.
-func (s *sender) send(ctx context.Context, out *response, timeout time.Duration, received <-chan error) error {
+func (s *sender) send(ctx context.Context, out *response, timeout time.Duration, receiverErr <-chan error) error {
 	timer := time.NewTimer(timeout)
 	defer timer.Stop()
 	select {
@@ -168,7 +168,7 @@
 	select {
 	case err := <-s.sent:
 		return err
-	case err := <-received:
+	case err := <-receiverErr:
 		return err
 	case <-ctx.Done():
 		return ctx.Err()
--- a/internal/certs/reloader.go
+++ b/internal/certs/reloader.go
@@ -75,31 +75,31 @@
 // Reload reads the files again if one of them has changed, and reports whether new credentials are in use. On an error
 // the previous credentials stay in use: a file cannot be read, certificate and key do not match, or a [ValidityError].
 func (r *Reloader) Reload() (changed bool, err error) {
-	found, err := r.findModTimes()
+	current, err := r.readModTimes()
 	if err != nil {
 		return false, err
 	}
-	if r.active.Load() != nil && found == r.modTimes {
+	if r.active.Load() != nil && current == r.modTimes {
 		return false, nil
 	}
 	next, err := r.load()
 	if err != nil {
 		return false, err // the next call tries again: the pair may be partially written
 	}
-	r.modTimes = found
+	r.modTimes = current
 	r.active.Store(next)
 	return true, nil
 }
 
-func (r *Reloader) findModTimes() (found modTimes, err error) {
+func (r *Reloader) readModTimes() (current modTimes, err error) {
 	for index, path := range []string{r.files.Certificate, r.files.Key, r.files.Roots} {
 		info, err := os.Stat(path)
 		if err != nil {
-			return found, err
+			return current, err
 		}
-		found[index] = info.ModTime()
+		current[index] = info.ModTime()
 	}
-	return found, nil
+	return current, nil
 }
 
 func (r *Reloader) load() (*credentials, error) {
--- a/raftlog/checksum.go
+++ b/raftlog/checksum.go
@@ -17,14 +17,14 @@
 	return append(binary.BigEndian.AppendUint32(nil, checksum(value)), value...)
 }
 
-// verifyChecksum returns the value without its checksum prefix, or errChecksum if they do not match.
+// verifyChecksum returns the value without its checksum prefix, or errChecksumMismatch if they do not match.
 func verifyChecksum(stored []byte) ([]byte, error) {
 	if len(stored) < checksumBytes {
-		return nil, errChecksum
+		return nil, errChecksumMismatch
 	}
 	value := stored[checksumBytes:]
 	if binary.BigEndian.Uint32(stored) != checksum(value) {
-		return nil, errChecksum
+		return nil, errChecksumMismatch
 	}
 	return value, nil
 }
--- a/raftlog/damage_test.go
+++ b/raftlog/damage_test.go
@@ -41,7 +41,7 @@
 }
 
 // saveAll saves batches in a new folder and returns the folder's files after each batch.
-func saveAll(t *testing.T, batches []Batch) (after []files) {
+func saveAll(t *testing.T, batches []Batch) (filesByBatch []files) {
 	t.Helper()
 	folder := t.TempDir()
 	log, _, err := Open(folder)
@@ -53,13 +53,14 @@
 		if err := log.Save(batch); err != nil {
 			t.Fatal(err)
 		}
-		after = append(after, readFiles(t, folder))
+		filesByBatch = append(filesByBatch, readFiles(t, folder))
 	}
-	return after
+	return filesByBatch
 }
 
-// expectRefused opens damaged files and checks that they are either rejected or read as one of the given descriptions.
-func expectRefused(t *testing.T, damage string, f files, orReadAs ...string) {
+// expectUnusableOr opens damaged files and checks that they are either rejected or read as one of the allowed
+// descriptions.
+func expectUnusableOr(t *testing.T, damage string, f files, allowed ...string) {
 	t.Helper()
 	log, saved, err := Open(writeFiles(t, f))
 	if err != nil {
@@ -70,8 +71,8 @@
 		return
 	}
 	defer log.Close()
-	if !slices.Contains(orReadAs, describe(saved)) {
-		t.Errorf("%s: got state\n%s\nwant an error or one of\n%q", damage, describe(saved), orReadAs)
+	if !slices.Contains(allowed, describe(saved)) {
+		t.Errorf("%s: got state\n%s\nwant an error or one of\n%q", damage, describe(saved), allowed)
 	}
 }
 
@@ -85,17 +86,17 @@
 // A disk flips a bit, a file is truncated, or one of the two files is restored from an older copy. A member that read
 // less than it acknowledged could vote twice in a term or lose a committed entry. Open must return everything that was
 // acknowledged, or reject the files.
-func TestDamagedFilesAreNeverReadAsLess(t *testing.T) {
+func TestDamageNeverLosesAcknowledgedState(t *testing.T) {
 	batches, descriptions := randomBatches(9, 25)
-	after := saveAll(t, batches)
-	promised := descriptions[len(descriptions)-1]
-	last := after[len(after)-1]
+	filesByBatch := saveAll(t, batches)
+	acknowledged := descriptions[len(descriptions)-1]
+	last := filesByBatch[len(filesByBatch)-1]
 
 	t.Run("older files", func(t *testing.T) {
-		for k, older := range after[:len(after)-1] {
-			expectRefused(t, fmt.Sprint("database of batch ", k), files{older.database, last.marker})
+		for k, older := range filesByBatch[:len(filesByBatch)-1] {
+			expectUnusableOr(t, fmt.Sprint("database of batch ", k), files{older.database, last.marker})
 			// A crash between the two writes: the database is ahead and contains everything that was acknowledged.
-			expectRefused(t, fmt.Sprint("marker of batch ", k), files{last.database, older.marker}, promised)
+			expectUnusableOr(t, fmt.Sprint("marker of batch ", k), files{last.database, older.marker}, acknowledged)
 		}
 	})
 	random := rand.New(rand.NewPCG(1, 1))
@@ -103,7 +104,7 @@
 		for range 60 {
 			size := random.IntN(len(last.database))
 			// Truncation after the last page in use removes nothing.
-			expectRefused(t, fmt.Sprint("database truncated to size ", size), files{last.database[:size], last.marker}, promised)
+			expectUnusableOr(t, fmt.Sprint("database truncated to size ", size), files{last.database[:size], last.marker}, acknowledged)
 		}
 	})
 	t.Run("flipped bit in database", func(t *testing.T) {
@@ -113,13 +114,13 @@
 				offset = random.IntN(2*os.Getpagesize()) % len(last.database)
 			}
 			damaged := withBitFlipped(last.database, offset, 1<<random.IntN(8))
-			expectRefused(t, fmt.Sprint("flipped bit in database byte ", offset), files{damaged, last.marker}, promised)
+			expectUnusableOr(t, fmt.Sprint("flipped bit in database byte ", offset), files{damaged, last.marker}, acknowledged)
 		}
 	})
 	t.Run("flipped bit in marker", func(t *testing.T) {
 		for offset := range last.marker {
 			damaged := withBitFlipped(last.marker, offset, 4)
-			expectRefused(t, fmt.Sprint("flipped bit in marker byte ", offset), files{last.database, damaged}, promised)
+			expectUnusableOr(t, fmt.Sprint("flipped bit in marker byte ", offset), files{last.database, damaged}, acknowledged)
 		}
 	})
 }
@@ -129,7 +130,7 @@
 // If Open created the missing file before it returned the error, the next start would find both files: with an empty
 // database it would report that nothing was saved yet and that the folder can be deleted, with an empty marker that the
 // witness is damaged. Every start must return the same error as the first and leave the folder unchanged.
-func TestFolderWithOneFileIsNotTakenForNew(t *testing.T) {
+func TestMissingFileIsRejected(t *testing.T) {
 	for _, lost := range []string{databaseName, markerName} {
 		t.Run(lost, func(t *testing.T) {
 			folder := t.TempDir()
@@ -173,16 +174,16 @@
 	return err.Error()
 }
 
-func TestUnusableErrorKeepsItsCause(t *testing.T) {
+func TestUnusableErrorWrapsCause(t *testing.T) {
 	batches, _ := randomBatches(1, 3)
 	saved := saveAll(t, batches)[2]
 	_, _, err := Open(writeFiles(t, files{saved.database[:100], saved.marker}))
-	if !errors.Is(err, errShortFile) || !strings.Contains(err.Error(), databaseName+": file is truncated") {
-		t.Errorf("truncated database: got error %v, want %v with the file name", err, errShortFile)
+	if !errors.Is(err, errTruncated) || !strings.Contains(err.Error(), databaseName+": file is truncated") {
+		t.Errorf("truncated database: got error %v, want %v with the file name", err, errTruncated)
 	}
 	_, _, err = Open(writeFiles(t, files{saved.database, nil}))
-	if !errors.Is(err, errNoSlot) || !strings.Contains(err.Error(), markerName+": file is damaged") {
-		t.Errorf("empty marker: got error %v, want %v with the file name", err, errNoSlot)
+	if !errors.Is(err, errNoValidSlot) || !strings.Contains(err.Error(), markerName+": file is damaged") {
+		t.Errorf("empty marker: got error %v, want %v with the file name", err, errNoValidSlot)
 	}
 }
 
--- a/raftlog/errors.go
+++ b/raftlog/errors.go
@@ -36,8 +36,8 @@
 func (e *UnusableError) Unwrap() error { return e.Err }
 
 var (
-	// errChecksum is returned when a value differs from the one that was written.
-	errChecksum = errors.New("checksum mismatch")
-	// errShortFile is returned when a file is shorter than its meta pages require.
-	errShortFile = errors.New("file is truncated")
+	// errChecksumMismatch is returned when a value differs from the one that was written.
+	errChecksumMismatch = errors.New("checksum mismatch")
+	// errTruncated is returned when a file is shorter than its meta pages require.
+	errTruncated = errors.New("file is truncated")
 )
--- a/raftlog/log_test.go
+++ b/raftlog/log_test.go
@@ -107,7 +107,7 @@
 
 // After a failed sync the content of the disk is unknown. A member that continued could acknowledge state that is lost
 // in a crash. Every later Save must fail as well, and the next start finds the state before or after the failed batch.
-func TestSaveFailsForGoodAfterAFailedWrite(t *testing.T) {
+func TestSaveFailsPermanentlyAfterWriteError(t *testing.T) {
 	folder := t.TempDir()
 	log, _, err := Open(folder)
 	if err != nil {
--- a/raftlog/pages.go
+++ b/raftlog/pages.go
@@ -28,7 +28,7 @@
 	for _, offset := range []int{0, os.Getpagesize()} {
 		metaStart := offset + pageHeaderBytes
 		if len(content) < metaStart+metaBytes {
-			return &UnusableError{Path: path, Err: errShortFile}
+			return &UnusableError{Path: path, Err: errTruncated}
 		}
 		meta := content[metaStart:]
 		if binary.LittleEndian.Uint32(meta) != metaMagic {
@@ -37,7 +37,7 @@
 		pageSize := uint64(binary.LittleEndian.Uint32(meta[pageSizeOffset:]))
 		pageCount := binary.LittleEndian.Uint64(meta[pageCountOffset:])
 		if pageSize == 0 || pageCount > uint64(len(content))/pageSize {
-			return &UnusableError{Path: path, Err: errShortFile}
+			return &UnusableError{Path: path, Err: errTruncated}
 		}
 	}
 	return nil
--- a/raftlog/read.go
+++ b/raftlog/read.go
@@ -33,25 +33,25 @@
 
 // readMeta reads everything except the entries into saved.
 func readMeta(meta *bbolt.Bucket, saved *SavedState) (lastBatch uint64, err error) {
-	format, err := getValue(meta, formatKey)
+	format, err := readValue(meta, formatKey)
 	if err != nil {
 		return 0, err
 	}
 	if len(format) != 1 || format[0] != formatVersion {
 		return 0, fmt.Errorf("format version is %v, want %d", format, formatVersion)
 	}
-	identity, err := getValue(meta, identityKey)
+	identity, err := readValue(meta, identityKey)
 	if err != nil {
 		return 0, err
 	}
 	saved.Identity = string(identity)
-	if err := getMessage(meta, hardStateKey, saved.HardState); err != nil {
+	if err := readMessage(meta, hardStateKey, saved.HardState); err != nil {
 		return 0, err
 	}
-	if err := getMessage(meta, snapshotKey, saved.Snapshot); err != nil {
+	if err := readMessage(meta, snapshotKey, saved.Snapshot); err != nil {
 		return 0, err
 	}
-	number, err := getValue(meta, lastBatchKey)
+	number, err := readValue(meta, lastBatchKey)
 	if err != nil {
 		return 0, err
 	}
@@ -90,9 +90,9 @@
 	return entry, nil
 }
 
-// getMessage reads the message stored under a key. If there is none, the message is left empty.
-func getMessage(meta *bbolt.Bucket, key []byte, into proto.Message) error {
-	data, err := getValue(meta, key)
+// readMessage reads the message stored under a key. If there is none, the message is left empty.
+func readMessage(meta *bbolt.Bucket, key []byte, into proto.Message) error {
+	data, err := readValue(meta, key)
 	if err != nil {
 		return err
 	}
@@ -102,8 +102,8 @@
 	return nil
 }
 
-// getValue returns the value stored under a key, or nil if there is none.
-func getValue(meta *bbolt.Bucket, key []byte) ([]byte, error) {
+// readValue returns the value stored under a key, or nil if there is none.
+func readValue(meta *bbolt.Bucket, key []byte) ([]byte, error) {
 	stored := meta.Get(key)
 	if stored == nil {
 		return nil, nil
--- a/raftlog/witness.go
+++ b/raftlog/witness.go
@@ -12,8 +12,8 @@
 // batchNumberBytes is the size of a batch number on disk.
 const batchNumberBytes = 8
 
-// errNoSlot is returned when neither slot of a marker is valid.
-var errNoSlot = errors.New("no valid slot")
+// errNoValidSlot is returned when neither slot of a marker is valid.
+var errNoValidSlot = errors.New("no valid slot")
 
 // lastBatchMarker is a file that stores the number of the last batch separately from the database. The file is called
 // "witness" on disk and in errors; it is unrelated to the witness of other Raft implementations, a member that only
@@ -62,7 +62,7 @@
 		}
 	}
 	if !found {
-		return 0, &UnusableError{Path: m.file.Name(), Reason: "file is damaged", Err: errNoSlot}
+		return 0, &UnusableError{Path: m.file.Name(), Reason: "file is damaged", Err: errNoValidSlot}
 	}
 	return last, nil
 }
