--- a/xds/compiler.go
+++ b/xds/compiler.go
@@ -10,20 +10,20 @@
 	"harehook.dev/harehook/planner"
 )
 
-// Route is a kind of request as it is configured.
+// Route is the configuration of one route.
 type Route struct {
 	Name        string
-	Prefix      string // of the path
+	Prefix      string // of the request path
 	Mutating    bool
 	TimeLimit   time.Duration
-	MaxAdmitted float64 // upper bound of the admitted fraction, by operators; 0: none
+	MaxAdmitted float64 // upper bound of the admitted fraction, set by operators; 0: no bound
 }
 
-// Compiler has the routing tables as the planner's commands leave them, and turns them into resources. It is not safe for
-// concurrent use.
+// Compiler applies the planner's commands to the routing tables and compiles the tables into resources. It is not safe
+// for concurrent use.
 type Compiler struct {
 	routes          []Route
-	routingRevision uint64 // of the agreed routes, 0: none were agreed
+	routingRevision uint64 // of the agreed routes; 0: none have been agreed
 	connectTimeout  time.Duration
 
 	addresses      map[string]Address // by node
@@ -31,24 +31,24 @@
 	nodesByAddress map[Address]string
 
 	tables    map[int]*routingTable
-	admission map[string]admissionLevel // of all tables, by route
-	snapshots map[int]*Snapshot         // the latest of each table
+	admission map[string]admissionLevel // for all tables, by route
+	snapshots map[int]*Snapshot         // the latest snapshot, by table
 }
 
-// routingTable is a table of the planner.
+// routingTable is one of the planner's routing tables.
 type routingTable struct {
 	weights   map[string]float64        // by node
-	admission map[string]admissionLevel // of this table alone, by route
+	admission map[string]admissionLevel // for this table only, by route
 }
 
-// admissionLevel is the admitted fraction of a route's requests, and its retry policy.
+// admissionLevel holds the admitted fraction of a route's requests and the route's retry policy.
 type admissionLevel struct {
 	fraction float64
 	retry    planner.RetryPolicy
 }
 
-// NewCompiler returns a compiler for some routes without nodes. Sidecars give up a connection to a node after
-// connectTimeout.
+// NewCompiler returns a compiler for the given routes, without nodes. Sidecars abandon an attempt to connect to a node
+// after connectTimeout.
 func NewCompiler(routes []Route, connectTimeout time.Duration) *Compiler {
 	return &Compiler{
 		routes:         routes,
@@ -62,13 +62,13 @@
 	}
 }
 
-// SetAgreedRoutes replaces the routes by those of a routing revision; all snapshots may change.
+// SetAgreedRoutes replaces the routes with those of a routing revision. It may change the snapshots of all tables.
 func (c *Compiler) SetAgreedRoutes(routingRevision uint64, routes []Route) {
 	c.routes = routes
 	c.routingRevision = routingRevision
 }
 
-// SetAddress sets the address and zone of a node; snapshots that are made afterwards have them.
+// SetAddress sets the address and zone of a node. They take effect in the snapshots that are built afterwards.
 func (c *Compiler) SetAddress(node, zone string, address Address) {
 	previous, known := c.addresses[node]
 	if known && c.nodesByAddress[previous] == node {
@@ -79,13 +79,13 @@
 	c.nodesByAddress[address] = node
 }
 
-// NodeAt returns the node with an address.
+// NodeAt returns the node with the given address.
 func (c *Compiler) NodeAt(address Address) (node string, ok bool) {
 	node, ok = c.nodesByAddress[address]
 	return node, ok
 }
 
-// ApplyCommands applies commands to the routing tables, and returns the numbers of the tables that may have changed.
+// ApplyCommands applies commands to the routing tables and returns the numbers of the tables that may have changed.
 func (c *Compiler) ApplyCommands(batch []controller.Command) (touched map[int]bool) {
 	touched = map[int]bool{}
 	for _, command := range batch {
@@ -102,7 +102,7 @@
 	return touched
 }
 
-// setWeight sets a node's weight; one that is not positive removes the node.
+// setWeight sets a node's weight. A weight that is not greater than 0 removes the node.
 func (t *routingTable) setWeight(node string, weight float64) {
 	if weight <= 0 {
 		delete(t.weights, node)
@@ -111,7 +111,8 @@
 	t.weights[node] = weight
 }
 
-// setAdmission sets the admission level of one table or of all, and marks those that it touches.
+// setAdmission sets the admission level of a route for one table or for all tables, and marks the affected tables as
+// changed.
 func (c *Compiler) setAdmission(command controller.Command, touched map[int]bool) {
 	level := admissionLevel{fraction: command.Value, retry: command.Retry}
 	if command.Table != planner.AllTables {
@@ -125,7 +126,7 @@
 	}
 }
 
-// table returns the table with a number, which is made if there is none.
+// table returns the table with the given number and creates it if it does not exist.
 func (c *Compiler) table(number int) *routingTable {
 	table := c.tables[number]
 	if table == nil {
@@ -135,8 +136,8 @@
 	return table
 }
 
-// admissionLevel returns a route's level in a table: the lower fraction of the table's own level and that of all tables,
-// and the table's retry policy where both are set.
+// admissionLevel returns the admission level of a route in a table. If a level is set both for the table and for all
+// tables, it has the lower of the two fractions and the table's retry policy.
 func (c *Compiler) admissionLevel(table *routingTable, route string) admissionLevel {
 	common, hasCommon := c.admission[route]
 	own, hasOwn := table.admission[route]
@@ -151,8 +152,8 @@
 	return admissionLevel{fraction: 1, retry: planner.NoRetry}
 }
 
-// Snapshot returns what the sidecars of a table are to have: the same as the last one if that has not changed. The error is
-// the encoder's.
+// Snapshot returns the target snapshot of a table's sidecars. If no resource has changed, it is the same pointer as
+// that of the previous call. The error is that of [NewResource].
 func (c *Compiler) Snapshot(number int) (*Snapshot, error) {
 	table := c.table(number)
 	cluster := fmt.Sprint(clusterPrefix, number)
@@ -174,9 +175,9 @@
 	return c.snapshots[number], nil
 }
 
-// namedMessage is a resource before it has a version.
+// namedMessage is a resource that has no version yet.
 type namedMessage struct {
 	name     string
 	message  proto.Message
-	clusters []string // that it refers to
+	clusters []string // referenced by the message
 }
--- a/xds/compiler_messages.go
+++ b/xds/compiler_messages.go
@@ -23,15 +23,15 @@
 )
 
 const (
-	// totalWeight is the sum of an endpoint list's weights, which are integers on the wire.
+	// totalWeight is the sum to which the weights of an endpoint list are scaled, as they are integers on the wire.
 	totalWeight = 100000
-	// fractionDenominator is that of admitted fractions, which are told in millionths.
+	// fractionDenominator is the denominator of admitted fractions: they are encoded in millionths.
 	fractionDenominator = 1000000
 	rejectedStatus      = http.StatusServiceUnavailable
 	maxRetries          = 1
 )
 
-// adsConfigSource says that a resource comes by the same stream.
+// adsConfigSource returns the config source of resources that are delivered on the same aggregated stream.
 func adsConfigSource() *corev3.ConfigSource {
 	return &corev3.ConfigSource{
 		ResourceApiVersion:    corev3.ApiVersion_V3,
@@ -51,7 +51,7 @@
 	}
 }
 
-// endpointsMessage lists a table's nodes by zone. Nodes without an address are left out.
+// endpointsMessage returns a table's nodes, grouped by zone. Nodes without a known address are omitted.
 func (c *Compiler) endpointsMessage(table *routingTable, cluster string) *endpointv3.ClusterLoadAssignment {
 	weightSum := 0.0
 	nodesByZone := map[string][]string{}
@@ -90,7 +90,7 @@
 }
 
 func listenerMessage() *listenerv3.Listener {
-	router, _ := anypb.New(&routerv3.Router{}) // an empty message is always encoded
+	router, _ := anypb.New(&routerv3.Router{}) // encoding an empty message cannot fail
 	manager, _ := anypb.New(&hcmv3.HttpConnectionManager{
 		StatPrefix: ListenerName,
 		RouteSpecifier: &hcmv3.HttpConnectionManager_Rds{
@@ -104,8 +104,8 @@
 	return &listenerv3.Listener{Name: ListenerName, ApiListener: &listenerv3.ApiListener{ApiListener: manager}}
 }
 
-// routesMessage has for each route an entry for the admitted fraction and, if that is not all, one behind it that rejects
-// the rest at once.
+// routesMessage returns the route configuration. Each route has an entry for the admitted fraction, followed by one
+// that immediately rejects the remaining requests if the fraction is less than 1.
 func (c *Compiler) routesMessage(table *routingTable, cluster string) *routev3.RouteConfiguration {
 	host := &routev3.VirtualHost{Name: "all", Domains: []string{"*"}}
 	for _, route := range c.routes {
@@ -129,7 +129,7 @@
 	if c.routingRevision > 0 {
 		fields[RoutingRevisionKey] = float64(c.routingRevision)
 	}
-	values, _ := structpb.NewStruct(fields) // fails for other types of values only
+	values, _ := structpb.NewStruct(fields) // fails only for unsupported value types
 	return &corev3.Metadata{FilterMetadata: map[string]*structpb.Struct{MetadataKey: values}}
 }
 
@@ -171,8 +171,8 @@
 	}
 }
 
-// retryPolicy allows a retry only after proof that the first attempt never ran. That is safe on every route, and a mutating
-// route can get no other by construction.
+// retryPolicy returns a policy that retries only after proof that the first attempt never ran, or nil. Such a retry is
+// safe on every route, and a mutating route cannot get any other policy by construction.
 func retryPolicy(policy planner.RetryPolicy) *routev3.RetryPolicy {
 	if policy != planner.RetryIfNotSent {
 		return nil
--- a/xds/compiler_test.go
+++ b/xds/compiler_test.go
@@ -12,7 +12,8 @@
 	"harehook.dev/harehook/planner"
 )
 
-// A mutating route is never compiled with a retry that could run a request twice, whatever the command says.
+// Guards against retries that could run a mutating request twice: for every retry policy of a command, the compiled
+// route retries only if the first attempt never ran.
 func TestCompiledRetryPolicies(t *testing.T) {
 	c := NewCompiler([]Route{{Name: "issue", Prefix: "/issue", Mutating: true, TimeLimit: time.Second}}, time.Second)
 	for retries := range planner.RetryPolicy(5) {
@@ -24,11 +25,11 @@
 		text := fmt.Sprint(mustUnmarshal(t, s.Sets[Routes][RoutesName]))
 		for _, on := range []string{"5xx", "reset\"", "gateway-error", "retriable"} {
 			if strings.Contains(text, on) {
-				t.Errorf("policy %d: %s", retries, text)
+				t.Errorf("policy %d: got %s, want no retry on %q", retries, text, on)
 			}
 		}
 		if with := strings.Contains(text, RetryIfNotSent); with != (retries == planner.RetryIfNotSent) {
-			t.Errorf("policy %d: retries %t", retries, with)
+			t.Errorf("policy %d: got retries %t, want %t", retries, with, !with)
 		}
 	}
 }
--- a/xds/doc.go
+++ b/xds/doc.go
@@ -1,16 +1,18 @@
-// Package xds turns a controller's commands into versioned xDS resources and decides what each sidecar is sent. It speaks
-// the aggregated discovery service in both variants, state of the world and delta.
+// Package xds compiles a controller's commands into versioned xDS resources and computes the responses that each
+// sidecar receives. It implements the server side of the aggregated discovery service (ADS) in both variants, state of
+// the world and delta.
 //
-// All types are state machines without I/O: they are given messages and times, and return messages. Package xds/transport
-// connects them to gRPC. Times are seconds on the caller's monotonic clock.
+// All types are state machines without I/O: callers pass in messages and times, and get messages back. Package
+// xds/transport connects them to gRPC. Times are in seconds on the caller's monotonic clock.
 //
-//   - A [Compiler] has the routing tables as the planner's commands leave them, and makes a [Snapshot] of each: one
+//   - A [Compiler] applies the planner's commands to the routing tables and builds a [Snapshot] of each table: one
 //     [ResourceSet] per [ResourceType]. The version of a [Resource] is the hash of its content.
-//   - A [Stream] knows what one sidecar has subscribed to, was sent, has accepted (ACK) and has rejected (NACK), and returns
-//     the next response of each type.
-//   - A [Server] has the streams and the sidecars behind them. It sets the target snapshot of each from the commands and
-//     tells its [Sink] when a sidecar has accepted all up to a nonce of the planner.
+//   - A [Stream] tracks the subscriptions of one sidecar, the pending responses, and the resources that the sidecar has
+//     accepted (ACK) or rejected (NACK). It returns the next response that is due.
+//   - A [Server] manages the sidecars and their streams. It sets the target snapshot of each stream from the commands
+//     and notifies its [Sink] when a sidecar has accepted all resources up to a nonce of the planner.
 //
-// If a sidecar does not route as it should, [Server.Sidecars] has its table, and for each resource the accepted and the target
-// version, since when a response is pending, and what was rejected and why. Operators get it by client status discovery.
+// To diagnose a sidecar that routes incorrectly, [Server.Sidecars] returns its routing table and, for each resource,
+// the accepted and the target version, how long a response has been pending, and the rejected version with its reason.
+// The client status discovery service exposes the same data to operators.
 package xds
--- a/xds/equivalence_test.go
+++ b/xds/equivalence_test.go
@@ -18,7 +18,8 @@
 	"harehook.dev/harehook/xds"
 )
 
-// dualHost is a planner whose commands go both ways: as calls to a relay, which applies them, and as versions to sidecars.
+// dualHost delivers the commands of a planner on two paths: as calls to a simulated relay, which applies them for
+// proxies, and as xDS resources to sidecars.
 type dualHost struct {
 	t       *testing.T
 	planner *planner.Planner
@@ -26,14 +27,14 @@
 	wakeAt  float64
 	batch   []controller.Command
 
-	calls                wire.CommandQueue // to the relay
+	calls                wire.CommandQueue // sent to the relay
 	tables               map[int]map[string]float64
 	bound                map[int]int
 	admission            map[string]string
-	throttledComparisons int // in which a route was not fully admitted
+	throttledComparisons int // comparisons of a route that was not fully admitted
 	comparedEntries      int
 
-	server   *xds.Server // for the sidecars
+	server   *xds.Server
 	sidecars map[uint64]*sidecar.ResourceCache
 	inbox    []func()
 }
@@ -93,7 +94,7 @@
 	host.planner.Acknowledged(host.now, proxy, nonce)
 }
 
-// deliverCommands passes the commands of an iteration on, both ways, until no message is in flight.
+// deliverCommands delivers the commands of an iteration on both paths until no message is in flight.
 func (host *dualHost) deliverCommands() {
 	for len(host.batch)+len(host.inbox) > 0 {
 		if batch := host.batch; len(batch) > 0 {
@@ -117,7 +118,7 @@
 	}
 }
 
-// applyRelayCall applies a call as the relay does, and returns how many of its commands were accepted.
+// applyRelayCall applies a call as the relay does, and returns the number of accepted commands.
 func (host *dualHost) applyRelayCall(text string) (accepted int) {
 	for _, o := range strings.Split(strings.TrimSpace(strings.TrimPrefix(text, "txn ")), ";") {
 		part := strings.Split(o, ",")
@@ -141,7 +142,7 @@
 	return accepted
 }
 
-// compare checks that each sidecar routes as the proxy with its number does.
+// compare checks that each sidecar routes in the same way as the proxy with the same number.
 func (host *dualHost) compare(seed uint64) {
 	for id, h := range host.sidecars {
 		table, proxy := h.Table(), int(id-1)
@@ -155,12 +156,12 @@
 			sum += l.Weight
 		}
 		if len(got) != len(weights) {
-			host.t.Fatalf("seed %d, %.1f s: %s has %d lines, the proxy %d", seed, host.now, h.ID, len(got), len(weights))
+			host.t.Fatalf("seed %d, %.1f s: %s: got %d endpoints, want %d as at the proxy", seed, host.now, h.ID, len(got), len(weights))
 		}
 		host.comparedEntries += len(got)
 		for _, l := range got {
 			if want := weights[l.Node] / weightSum; math.Abs(l.Weight/sum-want) > 1e-4 {
-				host.t.Fatalf("seed %d, %.1f s: %s gives %s %.5f, the proxy %.5f", seed, host.now, h.ID, l.Node, l.Weight/sum, want)
+				host.t.Fatalf("seed %d, %.1f s: %s: got share of %s %.5f, want %.5f as at the proxy", seed, host.now, h.ID, l.Node, l.Weight/sum, want)
 			}
 		}
 		let := map[string]string{}
@@ -176,14 +177,15 @@
 				host.throttledComparisons++
 			}
 			if want := fmt.Sprintf("%.4f %s", math.Round(figure*1e6)/1e6, part[1]); let[route] != want {
-				host.t.Fatalf("seed %d, %.1f s: %s lets in %q of %s, the proxy %q", seed, host.now, h.ID, let[route], route, want)
+				host.t.Fatalf("seed %d, %.1f s: %s: got admitted fraction and retries %q of %s, want %q as at the proxy", seed, host.now, h.ID, let[route], route, want)
 			}
 		}
 	}
 }
 
-// The same decisions reach the platform's proxies and sidecars alike: the same nodes in the same proportions, the same
-// admission levels and retries, whatever the endpoint list, the nodes and the demand do.
+// Guards against differences between the two paths of the planner's commands: proxies behind the relay and sidecars
+// must have the same nodes with the same shares, and the same admission levels and retries, while endpoint states, node
+// load and demand change.
 func TestSidecarsAndRelayGetSameTables(t *testing.T) {
 	const proxies, nodes = 12, 24
 	for seed := range uint64(4) {
@@ -252,7 +254,7 @@
 			host.compare(seed)
 		}
 		if host.comparedEntries < 10000 || host.throttledComparisons < 100 {
-			t.Errorf("seed %d: %d lines and %d throttled routes were compared", seed, host.comparedEntries, host.throttledComparisons)
+			t.Errorf("seed %d: got %d compared endpoints and %d compared throttled routes, want at least 10000 and 100", seed, host.comparedEntries, host.throttledComparisons)
 		}
 	}
 }
--- a/xds/errors.go
+++ b/xds/errors.go
@@ -7,30 +7,32 @@
 )
 
 const (
-	// maxReasonBytes is the part of a text from the wire that is retained or shown.
+	// maxReasonBytes is the length at which texts received from clients are truncated before they are stored or shown.
 	maxReasonBytes = 500
-	// maxNodeIDBytes is the longest node id of a sidecar.
+	// maxNodeIDBytes is the maximum length of a sidecar's node id.
 	maxNodeIDBytes = 500
 )
 
-// ErrNoNodeID says that a stream's first request names no node; [Server.Open] returns it.
-var ErrNoNodeID = errors.New("the first request names no node id")
+// ErrNoNodeID is returned by [Server.Open] when the first request of a stream has no node id.
+var ErrNoNodeID = errors.New("the first request has no node id")
 
-// NodeIDTooLongError says that a stream's first request names a node whose id is too long; [Server.Open] returns it.
+// NodeIDTooLongError is returned by [Server.Open] when the node id in the first request of a stream is too long.
 type NodeIDTooLongError struct{ Bytes int }
 
 // Error implements error.
-func (e *NodeIDTooLongError) Error() string { return fmt.Sprintf("a node id of %d bytes", e.Bytes) }
+func (e *NodeIDTooLongError) Error() string {
+	return fmt.Sprintf("node id must be at most %d bytes, got %d", maxNodeIDBytes, e.Bytes)
+}
 
-// TooManySidecarsError says that all sidecars that may join are connected; [Server.Open] returns it.
+// TooManySidecarsError is returned by [Server.Open] when the maximum number of sidecars is connected.
 type TooManySidecarsError struct{ Max int }
 
 // Error implements error.
 func (e *TooManySidecarsError) Error() string {
-	return fmt.Sprintf("%d sidecars are known, and no more may join", e.Max)
+	return fmt.Sprintf("%d sidecars are connected, and no more may join", e.Max)
 }
 
-// UnsupportedTypeError says that a request is for a type that is no [ResourceType].
+// UnsupportedTypeError is returned when the type URL of a request is not that of a [ResourceType].
 type UnsupportedTypeError struct{ TypeURL string }
 
 // Error implements error.
@@ -38,15 +40,15 @@
 	return fmt.Sprintf("type %q is not served", truncateReason(e.TypeURL))
 }
 
-// TooManyNamesError says that a subscription would have more names than a sidecar has use for.
+// TooManyNamesError is returned when a subscription would have more resource names than a sidecar can need.
 type TooManyNamesError struct{ Names int }
 
 // Error implements error.
 func (e *TooManyNamesError) Error() string {
-	return fmt.Sprintf("%d names, %d at most", e.Names, maxSubscribedNames)
+	return fmt.Sprintf("subscription to %d resource names, %d at most", e.Names, maxSubscribedNames)
 }
 
-// truncateReason returns the part of a text from the wire that is shown, as valid UTF-8.
+// truncateReason truncates a text received from a client to maxReasonBytes and replaces invalid UTF-8.
 func truncateReason(text string) string {
 	return strings.ToValidUTF8(text[:min(len(text), maxReasonBytes)], "?")
 }
--- a/xds/errors_test.go
+++ b/xds/errors_test.go
@@ -9,7 +9,8 @@
 	discoveryv3 "github.com/envoyproxy/go-control-plane/envoy/service/discovery/v3"
 )
 
-// Requests that a server can't serve have typed errors, by which callers tell them apart.
+// Each kind of invalid request returns an error of its own type with the invalid value, so that callers can distinguish
+// them.
 func TestErrorsOfInvalidRequests(t *testing.T) {
 	newServer := func(t *testing.T) *Server {
 		t.Helper()
@@ -64,7 +65,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			if err := story.request(newServer(t)); !story.is(err) {
-				t.Errorf("%T: %v", err, err)
+				t.Errorf("got %T: %v, want the typed error of %q", err, err, name)
 			}
 		})
 	}
--- a/xds/example_test.go
+++ b/xds/example_test.go
@@ -9,7 +9,7 @@
 	"harehook.dev/harehook/xds"
 )
 
-// The commands of a planner become the snapshot of a routing table.
+// This example compiles commands of a planner into the snapshot of a routing table.
 func ExampleCompiler() {
 	routes := []xds.Route{{Name: "quote", Prefix: "/quote", TimeLimit: time.Second}}
 	compiler := xds.NewCompiler(routes, 250*time.Millisecond)
--- a/xds/faulty_network_test.go
+++ b/xds/faulty_network_test.go
@@ -18,7 +18,8 @@
 	"harehook.dev/harehook/xds"
 )
 
-// faultyNetwork is a server and sidecars with a network between them that delays, cuts and forgets, without sockets.
+// faultyNetwork simulates a server, sidecars, and a network between them that delays messages and breaks streams,
+// without sockets. Servers and sidecars can restart and lose their state.
 type faultyNetwork struct {
 	t            *testing.T
 	random       *rand.Rand
@@ -28,10 +29,10 @@
 	streams      map[uint64]*stream
 	lastStreamID uint64
 	lastNonce    int
-	removedAt    map[string]int // by cluster and node: the nonce after which no sidecar may have it
+	removedAt    map[string]int // by cluster and node: the nonce with which the node was removed
 	changes      int
 	violations   []string
-	joined       map[int]bool // and not bound yet
+	joined       map[int]bool // sidecars that are not bound to a table yet, by number
 	bound        map[int]bool
 }
 
@@ -39,12 +40,12 @@
 	*sidecar.ResourceCache
 	number           int
 	stream           *stream
-	sent             map[string]bool // type, name and version that a server sent to it
+	sent             map[string]bool // version keys of the resources that a server sent
 	rejected         map[string]bool
-	routesByRejected bool // routes by what it rejects: the checker has to see it
+	routesByRejected bool // planted fault: answers invalid responses with an ACK
 }
 
-// stream is one connection; messages in flight arrive in order.
+// stream is one stream with its messages in flight, which arrive in order.
 type stream struct {
 	id        uint64
 	sidecar   *simulatedSidecar
@@ -59,7 +60,7 @@
 	for k := range sidecars {
 		h := &simulatedSidecar{number: k, sent: map[string]bool{}, rejected: map[string]bool{}}
 		h.ResourceCache = &sidecar.ResourceCache{ID: fmt.Sprint("till-", k), Zone: "north", Delta: k%2 == 0}
-		// Each sidecar rejects some contents, always the same ones.
+		// Each sidecar rejects 1 in 16 contents, always the same ones.
 		h.ExtraCheck = func(_ xds.ResourceType, _ string, body *anypb.Any) error {
 			sum := fnv.New32a()
 			sum.Write(body.GetValue())
@@ -79,7 +80,7 @@
 	return fmt.Sprint(resourceType, " ", name, " ", version)
 }
 
-// restart is a controller that dies and comes back: it knows neither sidecars nor nonces.
+// restart replaces the server with a new one that has no sidecars and no pending nonces.
 func (network *faultyNetwork) restart() {
 	for _, s := range network.streams {
 		s.closed = true
@@ -160,7 +161,7 @@
 	delete(network.bound, proxy)
 }
 
-// Acknowledged checks that a sidecar that acknowledged a nonce routes to no node that was removed up to it.
+// Acknowledged checks that a sidecar does not route to a node that was removed at or before the acknowledged nonce.
 func (network *faultyNetwork) Acknowledged(proxy, nonce int) {
 	for _, h := range network.sidecars {
 		if n, known := network.server.Number(h.ID); !known || n != proxy {
@@ -169,7 +170,7 @@
 		for cluster, nodes := range h.Table().Clusters {
 			for _, l := range nodes {
 				if at, gone := network.removedAt[cluster+" "+l.Node]; gone && at <= nonce && network.routesUse(h, cluster) {
-					network.addViolation("%s acknowledged %d and has %s in %s, removed at %d", h.ID, nonce, l.Node, cluster, at)
+					network.addViolation("%s acknowledged nonce %d, but routes to %s in %s, which was removed at nonce %d", h.ID, nonce, l.Node, cluster, at)
 				}
 			}
 		}
@@ -191,7 +192,7 @@
 	network.violations = append(network.violations, fmt.Sprintf("%.2f: ", network.now)+fmt.Sprintf(format, args...))
 }
 
-// dial begins a stream; messages of the one before may still be in flight.
+// dial opens a stream for a sidecar. Messages of its previous stream may still be in flight.
 func (network *faultyNetwork) dial(h *simulatedSidecar) {
 	network.lastStreamID++
 	s := &stream{id: network.lastStreamID, sidecar: h}
@@ -208,7 +209,7 @@
 	network.streams[s.id] = s
 }
 
-// deliver delivers one message of a stream.
+// deliver delivers the next message of a stream, to the server if up is set and otherwise to the sidecar.
 func (network *faultyNetwork) deliver(s *stream, up bool) {
 	if s.closed {
 		return
@@ -270,7 +271,7 @@
 
 func (network *faultyNetwork) unopened(id uint64) bool { return !network.server.Connected(id) }
 
-// bindJoined binds those that joined to a table, as the planner does.
+// bindJoined binds the sidecars that joined to a table, as the planner does.
 func (network *faultyNetwork) bindJoined() {
 	var batch []controller.Command
 	for proxy := range len(network.sidecars) {
@@ -292,7 +293,7 @@
 	table, node := network.random.IntN(2), network.random.IntN(8)
 	name, cluster := fmt.Sprint("s-", node), fmt.Sprint("pool-", table)
 	switch network.random.IntN(6) {
-	case 0: // the first two stay, one a table: no sidecar is left without a node
+	case 0: // nodes 0 and 1 stay, one for each table, so that no sidecar is left without a node
 		if node > 1 {
 			network.removedAt[cluster+" "+name] = network.lastNonce
 			network.applyCommands([]controller.Command{{Kind: controller.SetWeight, Table: table, Node: name}})
@@ -305,15 +306,15 @@
 	case 3, 4:
 		network.applyCommands([]controller.Command{{Kind: controller.SetAdmission, Table: planner.AllTables, Route: "issue",
 			Value: network.random.Float64(), Retry: planner.RetryPolicy(network.random.IntN(2))}})
-	case 5: // a sidecar moves to the other table
+	case 5: // bind a sidecar to a table, possibly the other one
 		if proxy := network.random.IntN(len(network.sidecars)); network.bound[proxy] {
 			network.applyCommands([]controller.Command{{Kind: controller.BindProxy, Proxy: proxy, Table: table}})
 		}
 	}
 }
 
-// checkRouting checks the rule: no sidecar routes by a version that it rejected or that was never sent to it, and none has a
-// route to a cluster that it has not accepted.
+// checkRouting checks that a sidecar does not route by a version that it rejected or that was never sent to it, and has
+// no route to a cluster that it has not accepted.
 func (network *faultyNetwork) checkRouting(h *simulatedSidecar) {
 	table := h.Table()
 	for resourceType, versions := range table.Versions {
@@ -329,12 +330,13 @@
 	}
 	for _, r := range table.Routes {
 		if _, hasCluster := table.Clusters[r.Cluster]; r.Cluster != "" && !hasCluster {
-			network.addViolation("%s has a route to %s, which it does not hold", h.ID, r.Cluster)
+			network.addViolation("%s has a route to %s, which it has not accepted", h.ID, r.Cluster)
 		}
 	}
 }
 
-// play lets random events happen and checks the rule after each.
+// play applies random events and checks the routing of a sidecar after each, until the given number of changes or the
+// first violation.
 func (network *faultyNetwork) play(pushes int) {
 	for network.changes < pushes && len(network.violations) == 0 {
 		network.now += 0.01
@@ -342,13 +344,13 @@
 		switch network.random.IntN(40) {
 		case 0, 1, 2, 3, 4, 5:
 			network.changeTables()
-		case 6: // the stream breaks; the server notices now or when the next one begins
+		case 6: // the stream breaks; the server detects it now or when the next one opens
 			if s := h.stream; s != nil && !s.closed && network.random.IntN(2) == 0 {
 				network.server.Close(network.now, s.id)
 				s.closed = true
 			}
 			network.dial(h)
-		case 7: // the sidecar restarts, with what it had accepted or, its disk lost, with nothing
+		case 7: // the sidecar restarts with its accepted resources, or with none because its disk was lost
 			if network.random.IntN(4) == 0 {
 				h.Clear()
 			}
@@ -358,7 +360,7 @@
 				network.restart()
 			}
 		case 9:
-			if s := h.stream; s != nil && network.random.IntN(20) == 0 { // an answer to no pending response
+			if s := h.stream; s != nil && network.random.IntN(20) == 0 { // an unmatched answer
 				nonce := fmt.Sprint(network.random.IntN(50), "-", network.random.IntN(4), "-", network.random.IntN(50))
 				resourceType := xds.ResourceType(network.random.IntN(int(xds.NumResourceTypes)))
 				if h.Delta {
@@ -376,7 +378,8 @@
 	}
 }
 
-// settle lets all faults end; it returns the steps until every sidecar has its target but for what it rejected.
+// settle delivers all messages without faults and returns the number of steps until no message is in flight, at most
+// 200.
 func (network *faultyNetwork) settle() (steps int) {
 	for ; steps < 200; steps++ {
 		moved := false
@@ -398,7 +401,7 @@
 	return steps
 }
 
-// blocked tells whether a sidecar rejected something that other resources wait for.
+// blocked reports whether a sidecar has rejected a resource, for which its other resources may wait.
 func (network *faultyNetwork) blocked(c xds.SidecarStatus) bool {
 	for _, s := range c.Resources {
 		if s.Rejection != nil {
--- a/xds/names.go
+++ b/xds/names.go
@@ -1,25 +1,26 @@
 package xds
 
-// Names on the wire that controllers and sidecars share.
+// Names that controllers and sidecars share on the wire.
 const (
-	// ListenerName is the only listener, and the cluster of load reports whose metrics are routes.
+	// ListenerName is the name of the only listener, and the cluster name in load reports whose metrics are routes.
 	ListenerName = "calls"
-	// RoutesName is the only route configuration.
+	// RoutesName is the name of the only route configuration.
 	RoutesName = "calls"
-	// MetadataKey is the key in a route's filter metadata under which its name and whether it is mutating are told.
+	// MetadataKey is the key in a route's filter metadata that holds the route's name and whether it is mutating.
 	MetadataKey = "harehook"
-	// MutatingKey is the field there that tells whether the route is mutating.
+	// MutatingKey is the metadata field that indicates whether the route is mutating.
 	MutatingKey = "mutating"
-	// RoutingRevisionKey is the field there with the routing revision: that of the agreed configuration at which a route
-	// last changed.
+	// RoutingRevisionKey is the metadata field with the routing revision: the revision of the agreed configuration at
+	// which a route last changed.
 	RoutingRevisionKey = "agreed"
-	// RejectedHeader is the header of a response to a rejected request; its value is the route's name.
+	// RejectedHeader is the response header that marks a rejected request; its value is the route's name.
 	RejectedHeader = "x-harehook-throttled"
 	// RouteMetric is the prefix of the load metrics that count a route's requests.
 	RouteMetric = "route:"
-	// LatencySumMetric is the load metric of an endpoint that sums the seconds of its successful attempts.
+	// LatencySumMetric is the load metric with the sum of the latencies of an endpoint's successful attempts, in
+	// seconds.
 	LatencySumMetric = "seconds"
-	// RetryIfNotSent are the retry conditions that prove that the first attempt never ran.
+	// RetryIfNotSent lists the retry conditions which prove that the first attempt never ran.
 	RetryIfNotSent = "connect-failure,refused-stream"
 
 	clusterPrefix          = "pool-" // followed by the routing table's number
@@ -29,9 +30,11 @@
 )
 
 const (
-	// MaxRoutes is the maximum number of routes of a routing table. Configurations with more are rejected, as sidecars
-	// reject such tables. Throttled, 1,024 routes are a route configuration of under 1 MB; sidecars take messages of 8 MB.
+	// MaxRoutes is the maximum number of routes of a routing table. Configurations with more are rejected because
+	// sidecars reject such tables. With 1,024 throttled routes, a route configuration is less than 1 MB; sidecars
+	// accept messages of up to 8 MB.
 	MaxRoutes = 1024
-	// EntriesPerRoute is the maximum number of entries of a route: one for the admitted fraction, one that rejects the rest.
+	// EntriesPerRoute is the maximum number of entries of a route: one for the admitted fraction, and one that rejects
+	// the remaining requests.
 	EntriesPerRoute = 2
 )
--- a/xds/random_faults_test.go
+++ b/xds/random_faults_test.go
@@ -8,8 +8,9 @@
 	"harehook.dev/harehook/xds"
 )
 
-// Over at least ten thousand changes with restarts on both sides, cuts, delays and NACKs no sidecar ever routes by a version
-// that it rejected or was never sent, and once faults end all converge.
+// Guards against sidecars that route by a version that they rejected or that was never sent to them. At least 10,000
+// changes are applied while servers and sidecars restart, streams break, and messages are delayed or rejected. All
+// sidecars must converge after the last fault.
 func TestSidecarNeverRoutesByRejectedVersion(t *testing.T) {
 	total := 0
 	for seed := range uint64(12) {
@@ -18,12 +19,12 @@
 		steps := network.settle()
 		total += network.changes
 		if steps >= 60 {
-			network.addViolation("not settled after %d steps", steps)
+			network.addViolation("all sidecars converged after %d steps, want less than 60", steps)
 		}
 		for _, c := range network.server.Sidecars(network.now) {
 			for _, s := range c.Resources {
 				if s.Accepted != s.Target && s.Rejection == nil && s.Type != xds.Routes && s.Type != xds.Listeners && s.Target != "" && !network.blocked(c) {
-					network.addViolation("%s has accepted %s of %s %s, not %s", c.ID, s.Accepted, s.Type, s.Name, s.Target)
+					network.addViolation("%s: got accepted version %q of %s %s, want %q", c.ID, s.Accepted, s.Type, s.Name, s.Target)
 				}
 			}
 		}
@@ -32,11 +33,12 @@
 		}
 	}
 	if total < 10000 {
-		t.Errorf("%d pushes only", total)
+		t.Errorf("got %d changes, want at least 10000", total)
 	}
 }
 
-// The checker finds a sidecar that acknowledges what it rejected, and one that routes by what it rejects.
+// The checker must detect planted faults: sidecars that accept a version which they record as rejected, and sidecars
+// that answer an invalid response with an ACK.
 func TestCheckerFindsPlantedFaults(t *testing.T) {
 	network := newFaultyNetwork(t, 1, 4)
 	for _, h := range network.sidecars {
@@ -45,14 +47,14 @@
 			if err := reject(resourceType, name, body); err != nil && resourceType == xds.Endpoints {
 				m, _ := body.UnmarshalNew()
 				r, _ := xds.NewResource(resourceType, name, m)
-				h.rejected[versionKey(resourceType, name, r.Version)] = true // rejected, and routed by all the same
+				h.rejected[versionKey(resourceType, name, r.Version)] = true // recorded as rejected, but accepted
 			}
 			return nil
 		}
 	}
 	network.play(1000)
 	if len(network.violations) == 0 {
-		t.Error("sidecars that route by what they rejected were not found")
+		t.Error("got no violation from sidecars that route by rejected versions, want at least 1")
 	}
 	network = newFaultyNetwork(t, 1, 4)
 	for _, h := range network.sidecars {
@@ -60,6 +62,6 @@
 	}
 	network.play(3000)
 	if len(network.violations) == 0 {
-		t.Error("a rejection answered by an ACK was not found")
+		t.Error("got no violation from sidecars that answer invalid responses with an ACK, want at least 1")
 	}
 }
--- a/xds/resource.go
+++ b/xds/resource.go
@@ -12,8 +12,8 @@
 	"google.golang.org/protobuf/types/known/anypb"
 )
 
-// ResourceType is a type of xDS resource. The order of the values is that in which they are sent: what is referred to comes
-// before what refers to it.
+// ResourceType is a type of xDS resource. Types are sent in the order of their values, so that a resource is sent
+// before those that reference it.
 type ResourceType uint8
 
 // The resource types.
@@ -22,7 +22,7 @@
 	Endpoints
 	Listeners
 	Routes
-	NumResourceTypes // how many there are
+	NumResourceTypes // number of resource types
 )
 
 const typePrefix = "type.googleapis.com/envoy.config."
@@ -34,38 +34,40 @@
 	typePrefix + "route.v3.RouteConfiguration",
 }
 
-// TypeURL is the type's name on the wire.
+// TypeURL returns the type URL.
 func (t ResourceType) TypeURL() string { return typeURLs[t] }
 
-// String is the type's name for operators.
+// String returns the type's name as shown to operators.
 func (t ResourceType) String() string {
 	return [...]string{"cluster", "endpoints", "listener", "routes", "none"}[t]
 }
 
-// ParseTypeURL returns the type with a name on the wire; known is false if there is none.
+// ParseTypeURL returns the resource type with the given type URL; known is false if there is none.
 func ParseTypeURL(url string) (t ResourceType, known bool) {
 	index := slices.Index(typeURLs[:], url)
 	return ResourceType(max(index, 0)), index >= 0
 }
 
-// isFullyListed tells whether a state-of-the-world response lists all resources of the type, so that one that is not listed
-// is removed. Sidecars drop resources of the other types by themselves once nothing refers to them.
+// isFullyListed reports whether a state-of-the-world response must list all resources of the type, so that the absence
+// of a resource removes it. Sidecars drop a resource of the other types on their own when no resource references it any
+// more.
 func (t ResourceType) isFullyListed() bool { return t == Clusters || t == Listeners }
 
-// Resource is a versioned xDS resource. The version is the hash of the content: the same version means the same content on
-// every controller and after every restart, and other content never has it.
+// Resource is a versioned xDS resource. The version is the hash of the content: equal versions mean equal content on
+// every controller and after every restart, and different content has different versions.
 type Resource struct {
 	Type     ResourceType
 	Name     string
 	Version  string
-	Body     *anypb.Any // nil: only the version is known
-	Clusters []string   // that routes refer to
+	Body     *anypb.Any // nil if only the version is known
+	Clusters []string   // referenced by a route configuration
 }
 
-// versionBytes of a hash make a version: 80 bits, so that versions of other content differ.
+// versionBytes is the length of the hash prefix that forms a version: 80 bits, so that collisions are negligible.
 const versionBytes = 10
 
-// NewResource returns the resource of a message. The error is the encoder's, with the type and name.
+// NewResource returns a resource with the content of a message. The error is that of the encoder, with the type and
+// name.
 func NewResource(t ResourceType, name string, message proto.Message, clusters ...string) (*Resource, error) {
 	body, err := proto.MarshalOptions{Deterministic: true}.Marshal(message)
 	if err != nil {
@@ -80,7 +82,7 @@
 	}, nil
 }
 
-// VersionOf returns the version of a content.
+// VersionOf returns the version of a resource with the given type, name and encoded content.
 func VersionOf(t ResourceType, name string, body []byte) string {
 	sum := sha256.New()
 	fmt.Fprintf(sum, "%d\x00%s\x00", t, name)
@@ -90,10 +92,10 @@
 
 func versionText(sum hash.Hash) string { return hex.EncodeToString(sum.Sum(nil)[:versionBytes]) }
 
-// ResourceSet has resources of one type by name.
+// ResourceSet holds resources of one type by name.
 type ResourceSet map[string]*Resource
 
-// Version returns the version of the set, a hash of its names and versions.
+// Version returns the version of the set: the hash of the names and versions of its resources.
 func (s ResourceSet) Version() string {
 	sum := sha256.New()
 	for _, name := range sortedKeys(s) {
@@ -102,7 +104,7 @@
 	return versionText(sum)
 }
 
-// Equal tells whether two sets have the same versions of the same names.
+// Equal reports whether two sets have the same names with the same versions.
 func (s ResourceSet) Equal(other ResourceSet) bool {
 	if len(s) != len(other) {
 		return false
@@ -116,7 +118,7 @@
 	return true
 }
 
-// has tells whether the set has a resource at its version.
+// has reports whether the set contains a resource with the same name and version.
 func (s ResourceSet) has(resource *Resource) bool {
 	own := s[resource.Name]
 	return own != nil && own.Version == resource.Version
--- a/xds/server.go
+++ b/xds/server.go
@@ -4,30 +4,33 @@
 	discoveryv3 "github.com/envoyproxy/go-control-plane/envoy/service/discovery/v3"
 )
 
-// maxPendingAcks is the maximum of the planner's nonces that wait for one sidecar: a later one stands for those before it.
+// maxPendingAcks is the maximum number of the planner's nonces that are pending for one sidecar. The oldest one can be
+// dropped, because the acknowledgement of a nonce covers all earlier ones.
 const maxPendingAcks = 64
 
-// Sink is how a [Server] acts. All methods are called by the goroutine that calls the server, and must neither block nor call
-// the server back.
+// Sink receives the responses and events of a [Server]. All methods are called on the goroutine that calls the server.
+// They must neither block nor call methods of the server.
 type Sink interface {
-	// Send and SendDelta are called with each response of a stream of their variant, in the order in which they have to be
-	// sent. Of each type one response at most is not answered.
+	// Send and SendDelta are called with each response of a state-of-the-world or delta stream, in the order in which
+	// the responses must be sent. At most one response of each type is unanswered.
 	Send(stream uint64, r *discoveryv3.DiscoveryResponse)
 	SendDelta(stream uint64, r *discoveryv3.DeltaDiscoveryResponse)
-	// CloseStream is called when a stream has to be closed, and why; the server has forgotten it by then.
-	CloseStream(stream uint64, why string)
-	// Joined is called when a sidecar's stream begins; proxy is the sidecar's number.
+	// CloseStream is called when a stream must be closed, with the reason. The server has already removed the
+	// stream.
+	CloseStream(stream uint64, reason string)
+	// Joined is called when a sidecar opens a stream; proxy is the sidecar's number.
 	Joined(proxy int, zone string)
-	// Left is called when that stream ends.
+	// Left is called when the stream of a sidecar ends.
 	Left(proxy int)
-	// Acknowledged is called when a sidecar has accepted, of all types, what the commands up to a nonce of the planner
-	// made of its routing table.
+	// Acknowledged is called when a sidecar has accepted the resources of all types that result from the commands up to
+	// a nonce of the planner.
 	Acknowledged(proxy, nonce int)
-	// Rejected is called with each NACK of a sidecar and its reason.
-	Rejected(sidecar string, t ResourceType, why string)
+	// Rejected is called for each NACK of a sidecar, with its reason.
+	Rejected(sidecar string, t ResourceType, reason string)
 }
 
-// Server has the sidecars, their streams and the routing tables that they are bound to. It is not safe for concurrent use.
+// Server manages the sidecars, their streams and the routing tables that they are bound to. It is not safe for
+// concurrent use.
 type Server struct {
 	Compiler *Compiler
 
@@ -38,28 +41,29 @@
 	streams     map[uint64]*sidecar // by stream id
 }
 
-// sidecar is what a server knows of one. It keeps its number over streams.
+// sidecar is the server's state of one sidecar. A sidecar keeps its number when it opens another stream.
 type sidecar struct {
 	id, zone string
 	number   int
-	stream   *Stream // nil: not connected
+	stream   *Stream // nil if not connected
 	table    int
-	bound    bool // to table
+	bound    bool // whether the sidecar is bound to table
 
 	pendingAcks        []pendingAck
-	reportedRejections uint64 // of the stream
+	reportedRejections uint64 // the NACKs of the stream that the sink was notified of
 
-	disconnectedAt float64          // seconds; the end of its last stream
-	lastResources  []ResourceStatus // at that time
+	disconnectedAt float64          // when the last stream ended, in seconds
+	lastResources  []ResourceStatus // when the last stream ended
 }
 
-// pendingAck is a nonce of the planner that waits for a sidecar, and the sequences that have to be accepted for it.
+// pendingAck is a nonce of the planner that a sidecar has not acknowledged yet. It is acknowledged when the sidecar has
+// accepted the target at these sequences.
 type pendingAck struct {
 	nonce    int
 	sequence [NumResourceTypes]uint64
 }
 
-// NewServer returns a server without sidecars for at most maxSidecars.
+// NewServer returns a server for at most maxSidecars sidecars.
 func NewServer(compiler *Compiler, sink Sink, maxSidecars int) *Server {
 	return &Server{
 		Compiler:    compiler,
@@ -70,8 +74,9 @@
 	}
 }
 
-// Open begins a stream with the sidecar that its first request names. An earlier stream of the same sidecar is closed:
-// nothing that still comes by it counts. It returns [ErrNoNodeID], a [NodeIDTooLongError] or a [TooManySidecarsError].
+// Open opens a stream for the sidecar with the node id and zone of the stream's first request. An earlier stream of the
+// same sidecar is closed, and requests that still arrive on it are ignored. Open may return [ErrNoNodeID], a
+// [NodeIDTooLongError] or a [TooManySidecarsError].
 func (s *Server) Open(now float64, stream uint64, delta bool, id, zone string) error {
 	if id == "" {
 		return ErrNoNodeID
@@ -86,7 +91,7 @@
 	if joining.stream != nil {
 		earlier := joining.stream.ID
 		s.Close(now, earlier)
-		s.sink.CloseStream(earlier, "another stream of the same node began")
+		s.sink.CloseStream(earlier, "replaced by another stream of the same node")
 	}
 	joining.zone = zone
 	joining.stream = NewStream(stream, delta)
@@ -98,7 +103,7 @@
 	return nil
 }
 
-// sidecarOf returns the sidecar with an id, which gets a number if it is new.
+// sidecarOf returns the sidecar with the given id. It adds the sidecar and allocates a number if the id is unknown.
 func (s *Server) sidecarOf(id string) (*sidecar, error) {
 	if number, known := s.numbers[id]; known {
 		return s.sidecars[number], nil
@@ -113,8 +118,9 @@
 	return added, nil
 }
 
-// allocateNumber returns the number for one more sidecar: a new one, or if there is none left that of the sidecar that has
-// been disconnected for longest. Sidecars with another id at each start would otherwise use up all numbers.
+// allocateNumber returns a number for a new sidecar: an unused one, or, if there is none, that of the sidecar that has
+// been disconnected for the longest time. Otherwise sidecars that use another id after each restart would exhaust the
+// numbers.
 func (s *Server) allocateNumber() (number int, ok bool) {
 	if len(s.sidecars) < s.maxSidecars {
 		s.sidecars = append(s.sidecars, nil)
@@ -135,7 +141,7 @@
 	return number, ok
 }
 
-// Close ends a stream. One that is not known, or was replaced, is ignored.
+// Close removes a stream. It does nothing if the stream is unknown or has been replaced.
 func (s *Server) Close(now float64, stream uint64) {
 	leaving := s.streams[stream]
 	if leaving == nil {
@@ -148,17 +154,17 @@
 	s.sink.Left(leaving.number)
 }
 
-// Connected tells whether a stream is open.
+// Connected reports whether a stream is open.
 func (s *Server) Connected(stream uint64) bool { return s.streams[stream] != nil }
 
-// Number returns a sidecar's number by its id.
+// Number returns the number of the sidecar with the given id.
 func (s *Server) Number(id string) (number int, known bool) {
 	number, known = s.numbers[id]
 	return number, known
 }
 
-// HandleStateOfTheWorld handles a request of the state-of-the-world variant. One of a closed stream is ignored. The errors
-// are those of [Stream.HandleStateOfTheWorld].
+// HandleStateOfTheWorld handles a request of the state-of-the-world variant. Requests on a closed stream are ignored.
+// The errors are those of [Stream.HandleStateOfTheWorld].
 func (s *Server) HandleStateOfTheWorld(now float64, stream uint64, r *discoveryv3.DiscoveryRequest) error {
 	from := s.streams[stream]
 	if from == nil {
@@ -171,7 +177,7 @@
 	return nil
 }
 
-// HandleDelta handles a request of the delta variant. One of a closed stream is ignored. The errors are those of
+// HandleDelta handles a request of the delta variant. Requests on a closed stream are ignored. The errors are those of
 // [Stream.HandleDelta].
 func (s *Server) HandleDelta(now float64, stream uint64, r *discoveryv3.DeltaDiscoveryRequest) error {
 	from := s.streams[stream]
@@ -185,11 +191,11 @@
 	return nil
 }
 
-// requestHandled reports a NACK and sends what a request has made due.
+// requestHandled reports a NACK to the sink and sends the next response if one is due after a request.
 func (s *Server) requestHandled(now float64, from *sidecar, typeURL, reason string) {
 	if from.stream.Rejected > from.reportedRejections {
 		from.reportedRejections = from.stream.Rejected
-		t, _ := ParseTypeURL(typeURL) // the stream has handled it, so it is known
+		t, _ := ParseTypeURL(typeURL) // known, since the stream has handled the request
 		s.sink.Rejected(from.id, t, truncateReason(reason))
 	}
 	s.sendDue(now, from)
--- a/xds/server_commands.go
+++ b/xds/server_commands.go
@@ -7,15 +7,16 @@
 	"harehook.dev/harehook/controller"
 )
 
-// noNonce says that no acknowledgement is requested.
+// noNonce is the nonce of a batch that requests no acknowledgement.
 const noNonce = -1
 
-// ApplyCommands applies the commands of one iteration of the controller's event loop: tables change, sidecars are bound, and
-// all that this concerns are sent what is due. The error is that of [Compiler.Snapshot].
+// ApplyCommands applies the commands of one iteration of the controller's event loop: it updates the routing tables,
+// binds sidecars to tables and sends the responses that are due to the affected sidecars. The error is that of
+// [Compiler.Snapshot].
 func (s *Server) ApplyCommands(now float64, batch []controller.Command) error {
 	nonce := noNonce
 	concerned := map[int]bool{}
-	rebound := map[int]bool{} // bound to another table than before
+	rebound := map[int]bool{} // bound to a different table than before
 	for _, command := range batch {
 		switch command.Kind {
 		case controller.RequestAck:
@@ -52,10 +53,10 @@
 	return s.setTargets(now, noNonce, concerned, nil)
 }
 
-// setTargets sets the target of concerned sidecars to their tables' snapshots and sends what is due. A nonce waits until
-// they have accepted it.
+// setTargets sets the targets of the affected sidecars to the snapshots of their tables and sends the responses that
+// are due. The nonce is pending for each of these sidecars until it has accepted its target.
 func (s *Server) setTargets(now float64, nonce int, concerned, rebound map[int]bool) error {
-	snapshots := map[int]*Snapshot{} // by table: made once, however many sidecars are bound to it
+	snapshots := map[int]*Snapshot{} // by table: compiled once for all sidecars of the table
 	for _, proxy := range slices.Sorted(maps.Keys(concerned)) {
 		c := s.sidecars[proxy]
 		target := snapshots[c.table]
@@ -73,11 +74,12 @@
 	return nil
 }
 
-// setTarget sets what a sidecar is to have, and the nonce that waits for it.
+// setTarget sets the target of a sidecar and adds the nonce to its pending acknowledgements.
 func (c *sidecar) setTarget(target *Snapshot, nonce int, rebound bool) {
 	c.stream.SetTarget(target, rebound)
 	if rebound {
-		// A sidecar that has all of the new table needs nothing of the old one.
+		// The sequences of the old table are obsolete: a sidecar that has accepted all of the new table needs nothing
+		// of it.
 		for index := range c.pendingAcks {
 			c.pendingAcks[index].sequence = target.sequence
 		}
@@ -87,12 +89,12 @@
 	}
 	c.pendingAcks = append(c.pendingAcks, pendingAck{nonce: nonce, sequence: target.sequence})
 	if len(c.pendingAcks) > maxPendingAcks {
-		c.pendingAcks = slices.Delete(c.pendingAcks, 0, 1) // the next one stands for it
+		c.pendingAcks = slices.Delete(c.pendingAcks, 0, 1) // covered by the next one
 	}
 }
 
-// sendDue sends what is due to a sidecar and acknowledges the nonces whose resources it has accepted. A rejection
-// acknowledges nothing.
+// sendDue sends the response that is due to a sidecar, if any, and acknowledges the nonces whose resources the sidecar
+// has accepted. A NACK acknowledges no nonce.
 func (s *Server) sendDue(now float64, c *sidecar) {
 	state, delta := c.stream.Next(now)
 	if state != nil {
@@ -109,8 +111,8 @@
 	c.pendingAcks = slices.Delete(c.pendingAcks, 0, acknowledged+1)
 }
 
-// lastAcknowledged returns the index of the last pending nonce whose resources the sidecar has accepted, or -1. It stands
-// for all before it.
+// lastAcknowledged returns the index of the last pending nonce whose resources the sidecar has accepted, or -1 if there
+// is none. It covers all earlier nonces.
 func (c *sidecar) lastAcknowledged() int {
 	last := -1
 	for index, pending := range c.pendingAcks {
@@ -130,7 +132,7 @@
 	return true
 }
 
-// connectedSidecar returns the sidecar with a number, nil if there is none or it is not connected.
+// connectedSidecar returns the sidecar with the given number, or nil if it is unknown or not connected.
 func (s *Server) connectedSidecar(proxy int) *sidecar {
 	if proxy < 0 || proxy >= len(s.sidecars) || s.sidecars[proxy].stream == nil {
 		return nil
--- a/xds/server_status.go
+++ b/xds/server_status.go
@@ -1,17 +1,17 @@
 package xds
 
-// SidecarStatus is the state of one sidecar, for operators.
+// SidecarStatus describes the state of one sidecar to operators.
 type SidecarStatus struct {
 	ID, Zone                      string
-	Number, Table                 int // Table: if Bound
+	Number, Table                 int // Table is valid if Bound is set
 	Bound, Connected, Delta       bool
-	DisconnectedSeconds           float64 // since the end of its last stream
-	Unmatched, Rejected, Accepted uint64  // answers on its stream: to no pending response, NACKs, ACKs
-	Unacknowledged                int     // nonces of the planner
+	DisconnectedSeconds           float64 // since its last stream ended
+	Unmatched, Rejected, Accepted uint64  // answers on its stream: unmatched ones, NACKs and ACKs
+	Unacknowledged                int     // number of pending nonces of the planner
 	Resources                     []ResourceStatus
 }
 
-// Sidecars lists all sidecars that are known, by id.
+// Sidecars returns the status of all known sidecars, sorted by id.
 func (s *Server) Sidecars(now float64) (all []SidecarStatus) {
 	for _, id := range sortedKeys(s.numbers) {
 		all = append(all, s.sidecars[s.numbers[id]].status(now))
--- a/xds/server_test.go
+++ b/xds/server_test.go
@@ -12,8 +12,9 @@
 	"harehook.dev/harehook/controller"
 )
 
-// Sidecars with another id at each start would use up all numbers: if none is left, a new sidecar gets that of the one that
-// has been disconnected for longest, and never that of a connected one.
+// Guards against exhaustion of the numbers by sidecars that use another id after each restart: if no number is left, a
+// new sidecar gets that of the sidecar that has been disconnected for the longest time, and never that of a connected
+// one.
 func TestSidecarNumbersAreReused(t *testing.T) {
 	s := NewServer(NewCompiler([]Route{{Name: "q", Prefix: "/"}}, time.Second), &countingSink{responses: map[string]int{}}, 3)
 	stream := uint64(0)
@@ -41,14 +42,14 @@
 	}
 	want := []string{"a0", "b1", "c2", "d rejected", "e1", "a0", "b rejected"}
 	if diff := cmp.Diff(want, got); diff != "" {
-		t.Errorf("numbers (-want +got):\n%s", diff)
+		t.Errorf("sidecar numbers (-want +got):\n%s", diff)
 	}
 	if n := len(s.Sidecars(10)); n != 3 {
-		t.Errorf("%d sidecars are known", n)
+		t.Errorf("got %d known sidecars, want 3", n)
 	}
 }
 
-// Whatever a client sends, a server neither panics nor sends a second response of a type before the first is answered.
+// No sequence of client requests may make a server panic or send responses without end.
 func FuzzServer(f *testing.F) {
 	f.Add([]byte{0, 1, 2, 3}, "7-0-1", "x")
 	f.Add([]byte{9, 9, 0, 4, 4, 1}, "", "*")
@@ -80,7 +81,7 @@
 			for id, c := range s.streams {
 				for resourceType, sub := range c.stream.subscriptions {
 					if n := out.responses[fmt.Sprint(id, typeURLs[resourceType])]; sub.pending == nil && n > 1000 {
-						t.Fatalf("%d responses", n)
+						t.Fatalf("got %d responses on one stream for %s, want at most 1000", n, ResourceType(resourceType))
 					}
 				}
 			}
--- a/xds/snapshot.go
+++ b/xds/snapshot.go
@@ -1,13 +1,14 @@
 package xds
 
-// Snapshot is all that the sidecars of one routing table are to have. It does not change once it is made.
+// Snapshot holds all resources for the sidecars of one routing table. It is immutable.
 type Snapshot struct {
 	Sets [NumResourceTypes]ResourceSet
-	// sequence counts the changes of each type, on this controller only.
+	// sequence counts the changes of each type. It is local to this controller.
 	sequence [NumResourceTypes]uint64
 }
 
-// next returns the snapshot that follows s, which is nil for the first one: s itself if nothing changed.
+// next returns the successor of s with the given sets, or s itself if no set has changed. For the first snapshot s is
+// nil.
 func (s *Snapshot) next(sets [NumResourceTypes]ResourceSet) *Snapshot {
 	if s == nil {
 		first := &Snapshot{Sets: sets}
--- a/xds/stream.go
+++ b/xds/stream.go
@@ -4,18 +4,19 @@
 	"google.golang.org/genproto/googleapis/rpc/status"
 )
 
-// Stream is one aggregated stream of one sidecar. It knows what the sidecar has subscribed to, was sent, has accepted and
-// has rejected, and returns the next response of each type. At most one response of a type is unanswered, so that for a
-// slow reader only the newest state waits.
+// Stream is one aggregated stream of one sidecar. It tracks the sidecar's subscriptions, the pending responses, and the
+// resources that the sidecar has accepted or rejected, and returns the next response that is due. At most one response
+// of each type is unanswered, so that responses do not queue up for a slow client: its next response has the newest
+// state.
 type Stream struct {
 	ID    uint64
-	Delta bool // variant: delta, else state of the world
+	Delta bool // delta variant if true, otherwise state of the world
 
-	target        *Snapshot // nil: not known yet
+	target        *Snapshot // nil until it is set
 	subscriptions [NumResourceTypes]subscription
 	responseCount uint64
 
-	// Unmatched counts answers to a response that is not pending, Rejected NACKs and Accepted ACKs.
+	// Unmatched counts the answers to a response that is not pending, Rejected the NACKs and Accepted the ACKs.
 	Unmatched, Rejected, Accepted uint64
 }
 
@@ -28,7 +29,8 @@
 	return s
 }
 
-// SetTarget sets what the sidecar is to have. The sequences of another routing table say nothing of this one's.
+// SetTarget sets the snapshot that the sidecar should have. If it is that of another routing table than before, the
+// accepted sequences are reset, because the sequences of two tables are not comparable.
 func (s *Stream) SetTarget(target *Snapshot, otherTable bool) {
 	s.target = target
 	if !otherTable {
@@ -43,8 +45,8 @@
 	}
 }
 
-// handleAnswer handles an ACK, or a NACK if there is a fault. An answer to another response than the pending one
-// is unmatched: it only counts.
+// handleAnswer handles an ACK, or a NACK if fault is not nil. An answer to any response but the pending one is
+// unmatched: it is counted and otherwise ignored.
 func (s *Stream) handleAnswer(now float64, sub *subscription, nonce string, fault *status.Status) {
 	answered := sub.pending
 	if answered == nil || answered.nonce != nonce {
@@ -61,9 +63,9 @@
 	sub.reject(now, answered, fault)
 }
 
-// Holds tells whether the sidecar has accepted all of a type that the target had at a sequence, or at a later one. A type
-// that it has not subscribed to yet is not accepted: a new stream subscribes to one type after the other, and its sidecar
-// may still have old resources.
+// Holds reports whether the sidecar has accepted all resources of a type in the target at the given sequence or a later
+// one. It is false for a type that the sidecar has not subscribed to yet: sidecars subscribe to one type after the
+// other on a new stream, and may still have old resources of the later types.
 func (s *Stream) Holds(t ResourceType, sequence uint64) bool {
 	sub := &s.subscriptions[t]
 	return sub.subscribed && sub.acceptedSequence >= sequence
--- a/xds/stream_delta.go
+++ b/xds/stream_delta.go
@@ -6,7 +6,7 @@
 )
 
 // HandleDelta handles a request of the delta variant: a change of subscriptions, an ACK or a NACK. After an error
-// ([UnsupportedTypeError], [TooManyNamesError]) the stream has to be ended.
+// ([UnsupportedTypeError], [TooManyNamesError]) the caller must close the stream.
 func (s *Stream) HandleDelta(now float64, r *discoveryv3.DeltaDiscoveryRequest) error {
 	t, known := ParseTypeURL(r.GetTypeUrl())
 	if !known {
@@ -23,13 +23,14 @@
 	} else if r.GetResponseNonce() != "" {
 		s.handleAnswer(now, sub, r.GetResponseNonce(), r.GetErrorDetail())
 	}
-	// Subscriptions count even if the answer is unmatched.
+	// Changes of subscriptions apply even if the answer is unmatched.
 	sub.subscribe(r.GetResourceNamesSubscribe(), first)
 	sub.unsubscribe(r.GetResourceNamesUnsubscribe())
 	return nil
 }
 
-// openDelta handles the first request of a type. A sidecar that states the versions that it has gets only what changed.
+// openDelta handles the first request of a type. A sidecar that states its initial resource versions receives only the
+// resources that differ from them.
 func (sub *subscription) openDelta(t ResourceType, r *discoveryv3.DeltaDiscoveryRequest) {
 	sub.subscribed = true
 	sub.firstResponseDue = len(r.GetInitialResourceVersions()) == 0
@@ -39,7 +40,7 @@
 	}
 }
 
-// subscribe adds names. A name that is subscribed to is sent, whatever the sidecar has of it.
+// subscribe adds names. The resource of an added name is sent even if the sidecar has already accepted its version.
 func (sub *subscription) subscribe(names []string, first bool) {
 	for _, name := range names {
 		if name == wildcard {
@@ -54,7 +55,7 @@
 	}
 }
 
-// unsubscribe removes names. The sidecar drops the resources that are not subscribed to any more.
+// unsubscribe removes names. The sidecar drops the resources to which it is no longer subscribed.
 func (sub *subscription) unsubscribe(names []string) {
 	for _, name := range names {
 		if name == wildcard {
@@ -78,7 +79,7 @@
 	}
 }
 
-// deltaResponse encodes the pending response.
+// deltaResponse returns the pending response as a message of the delta variant.
 func (sub *subscription) deltaResponse(t ResourceType, removed []string) *discoveryv3.DeltaDiscoveryResponse {
 	response := &discoveryv3.DeltaDiscoveryResponse{
 		TypeUrl:           t.TypeURL(),
--- a/xds/stream_next.go
+++ b/xds/stream_next.go
@@ -8,19 +8,21 @@
 	discoveryv3 "github.com/envoyproxy/go-control-plane/envoy/service/discovery/v3"
 )
 
-// responsePlan is what the next response of a type would bring.
+// responsePlan describes the next response of a type.
 type responsePlan struct {
-	after    ResourceSet // what is accepted after it
-	complete bool        // that is all of the target
-	changed  []string    // names that the sidecar has not or at another version
-	removed  []string    // names that it has and is to drop
-	missing  []string    // names that it has subscribed to and that do not exist; delta only
-	// setVersion is the version of after; empty if the response would tell nothing, and is not the first of its type.
+	after    ResourceSet // the accepted resources after an ACK
+	complete bool        // after includes all of the target
+	changed  []string    // names that the sidecar has accepted at another version or not at all
+	removed  []string    // accepted names that the sidecar must drop
+	missing  []string    // subscribed names that do not exist; delta only
+	// setVersion is the version of after. It is empty if the response would contain no change and is not the first of
+	// its type.
 	setVersion string
 }
 
-// Next returns the response that is due, of the stream's variant; both are nil if none is. Types are sent in their order,
-// and those after a pending one wait, so that nothing refers to what the sidecar has not.
+// Next returns the next response in the variant of the stream; both results are nil if none is due. Types are sent in
+// order, and a pending response delays all later types, so that no resource references one that the sidecar does not
+// have.
 func (s *Stream) Next(now float64) (state *discoveryv3.DiscoveryResponse, delta *discoveryv3.DeltaDiscoveryResponse) {
 	if s.target == nil {
 		return nil, nil
@@ -34,7 +36,7 @@
 			return nil, nil
 		}
 		if sub.statedVersion != "" {
-			s.handleStatedVersion(t, sub.statedVersion) // it may have been stated before there was a target
+			s.handleStatedVersion(t, sub.statedVersion) // it may have been stated before the target was set
 		}
 		s.learnStatedBodies(t)
 		plan := s.planResponse(t)
@@ -55,8 +57,8 @@
 	return nil, nil
 }
 
-// learnStatedBodies gives accepted resources of which only the version is known, as the sidecar stated it, the body that the
-// target has at that version.
+// learnStatedBodies completes the accepted resources of which only the version is known, because the sidecar stated it,
+// with the body from the target if the target has the same version.
 func (s *Stream) learnStatedBodies(t ResourceType) {
 	sub := &s.subscriptions[t]
 	for name, resource := range sub.wanted(s.target.Sets[t]) {
@@ -66,7 +68,7 @@
 	}
 }
 
-// planResponse returns what the next response of a type would bring. It changes nothing.
+// planResponse returns the plan of the next response of a type. It does not modify the stream.
 func (s *Stream) planResponse(t ResourceType) responsePlan {
 	sub := &s.subscriptions[t]
 	after, complete := s.nextResources(t)
@@ -91,9 +93,10 @@
 	return plan
 }
 
-// nextResources returns what a sidecar is to accept next of a type, and whether that is all of the target. It is the target
-// with three exceptions: a version that the sidecar rejected on this stream is not sent again, routes wait for the clusters
-// that they refer to, and clusters stay as long as accepted routes refer to them.
+// nextResources returns the resources of a type that the sidecar should have after the next response, and whether they
+// include all of the target. They are those of the target with three exceptions: a version that the sidecar rejected on
+// this stream is not sent again, routes wait until the clusters that they reference are accepted, and clusters remain
+// as long as accepted routes reference them.
 func (s *Stream) nextResources(t ResourceType) (next ResourceSet, complete bool) {
 	sub := &s.subscriptions[t]
 	next = sub.wanted(s.target.Sets[t])
@@ -115,7 +118,8 @@
 	return next, complete
 }
 
-// maySend tells whether the sidecar has not rejected a resource at its version, and has accepted what it refers to.
+// maySend reports whether a resource can be sent: the sidecar has not rejected its version, and has accepted the
+// resources that it references.
 func (s *Stream) maySend(sub *subscription, resource *Resource) bool {
 	rejection, rejected := sub.rejections[resource.Name]
 	if rejected && rejection.Version == resource.Version {
@@ -124,8 +128,8 @@
 	return s.dependenciesAccepted(resource)
 }
 
-// keepUsedClusters adds the accepted resources of clusters that routes may refer to. In state of the world one of which only
-// the version is known can't be listed again.
+// keepUsedClusters adds the accepted resources of clusters that accepted routes may reference. In state of the world, a
+// resource without a known body cannot be kept, because the response would have to list it.
 func (s *Stream) keepUsedClusters(sub *subscription, next ResourceSet) {
 	for name, accepted := range sub.accepted {
 		if next[name] == nil && s.mayUseCluster(name) && (s.Delta || accepted.Body != nil) {
@@ -134,7 +138,7 @@
 	}
 }
 
-// mayUseCluster tells whether accepted routes may refer to a cluster. Of routes of which only the version is known they may.
+// mayUseCluster reports whether accepted routes may reference a cluster. Routes without a known body may reference any.
 func (s *Stream) mayUseCluster(cluster string) bool {
 	for _, routes := range s.subscriptions[Routes].accepted {
 		if routes.Body == nil || slices.Contains(routes.Clusters, cluster) {
@@ -144,7 +148,8 @@
 	return false
 }
 
-// dependenciesAccepted tells whether the sidecar has accepted the clusters that a resource refers to, and their endpoints.
+// dependenciesAccepted reports whether the sidecar has accepted the clusters that a resource references, and their
+// endpoints.
 func (s *Stream) dependenciesAccepted(resource *Resource) bool {
 	for _, name := range resource.Clusters {
 		for _, t := range []ResourceType{Clusters, Endpoints} {
@@ -157,7 +162,8 @@
 	return true
 }
 
-// isolateSuspect reduces a plan to one suspect, if there is one beside others: what a sidecar then rejects is known.
+// isolateSuspect reduces a plan with several changed resources to the first suspect among them, if any. A NACK of the
+// response then identifies the invalid resource.
 func (sub *subscription) isolateSuspect(plan *responsePlan) {
 	if len(plan.changed) < 2 {
 		return
@@ -172,7 +178,7 @@
 	*plan = responsePlan{after: after, changed: []string{suspect}}
 }
 
-// missingNames returns the names that were subscribed to since the last response and do not exist.
+// missingNames returns the names that were subscribed to since the last response and have no resource.
 func (sub *subscription) missingNames(after ResourceSet) (missing []string) {
 	for _, name := range sortedKeys(sub.unansweredNames) {
 		if after[name] == nil && sub.accepted[name] == nil {
@@ -182,7 +188,7 @@
 	return missing
 }
 
-// hasNews tells whether a planned response has something to tell, or is the first of its type.
+// hasNews reports whether a planned response contains a change or is the first of its type.
 func (sub *subscription) hasNews(plan responsePlan) bool {
 	if len(plan.changed)+len(plan.removed)+len(plan.missing) > 0 {
 		return true
@@ -190,18 +196,20 @@
 	return sub.firstResponseDue && (sub.wildcard || len(plan.after) > 0)
 }
 
-// isDue tells whether a planned response has news that the sidecar has not rejected as a whole.
+// isDue reports whether a planned response must be sent: it has content, and the sidecar has not rejected this set as a
+// whole.
 func (sub *subscription) isDue(plan responsePlan) bool {
 	return plan.setVersion != "" && plan.setVersion != sub.rejectedSetVersion
 }
 
-// isImplicitRemoval tells whether a plan only removes resources that the sidecar drops by itself once nothing refers to them,
-// so that no response is needed.
+// isImplicitRemoval reports whether a plan only removes resources that the sidecar drops on its own when no resource
+// references them any more, so that no response is needed.
 func (s *Stream) isImplicitRemoval(t ResourceType, plan responsePlan) bool {
 	return !s.Delta && !t.isFullyListed() && len(plan.changed) == 0 && !s.subscriptions[t].firstResponseDue
 }
 
-// markAccepted notes that the sidecar has all of the target's type, if it has: a plan without a response may say so.
+// markAccepted records that the sidecar has accepted all of a type in the target, if a plan without a response shows
+// it.
 func (s *Stream) markAccepted(t ResourceType, plan responsePlan) {
 	sub := &s.subscriptions[t]
 	if plan.complete && sub.accepted.Equal(plan.after) {
@@ -209,7 +217,7 @@
 	}
 }
 
-// startResponse makes a planned response the pending one.
+// startResponse makes the planned response the pending response.
 func (s *Stream) startResponse(now float64, t ResourceType, plan responsePlan) {
 	sub := &s.subscriptions[t]
 	s.responseCount++
--- a/xds/stream_sotw.go
+++ b/xds/stream_sotw.go
@@ -5,7 +5,7 @@
 )
 
 // HandleStateOfTheWorld handles a request of the state-of-the-world variant: a subscription, an ACK or a NACK. After an
-// error ([UnsupportedTypeError], [TooManyNamesError]) the stream has to be ended.
+// error ([UnsupportedTypeError], [TooManyNamesError]) the caller must close the stream.
 func (s *Stream) HandleStateOfTheWorld(now float64, r *discoveryv3.DiscoveryRequest) error {
 	t, known := ParseTypeURL(r.GetTypeUrl())
 	if !known {
@@ -22,7 +22,7 @@
 		sub.subscribed = true
 		sub.firstResponseDue = true
 	case nonce != "" && nonce != sub.lastNonce:
-		// Nothing of an answer to an older response counts: one to the newest response follows.
+		// An answer to an older response is ignored, including its names: an answer to the newest response follows.
 		s.Unmatched++
 		return nil
 	case nonce != "" && sub.pending != nil:
@@ -35,8 +35,8 @@
 	return nil
 }
 
-// setNames replaces the names that are subscribed to. In a first request no names stand for all, and go on to do so until
-// names come; that is so for fully listed types only.
+// setNames replaces the subscribed names. For fully listed types, a first request without names subscribes to all
+// resources, and later requests without names keep that implicit wildcard until one has names.
 func (sub *subscription) setNames(t ResourceType, requested []string, first bool) {
 	names := map[string]bool{}
 	for _, name := range requested {
@@ -52,15 +52,15 @@
 	}
 	for name := range names {
 		if !sub.names[name] && !first && !sub.wildcard {
-			sub.drop(name) // a new subscription: sent again
+			sub.drop(name) // newly subscribed: the resource must be sent again
 		}
 	}
 	sub.wildcard = all
 	sub.names = names
 }
 
-// handleStatedVersion handles the version of a set that a sidecar says it accepted on an earlier stream. Without a target,
-// or if the target has another version, it is only remembered.
+// handleStatedVersion handles the version of a set that a sidecar states it accepted on an earlier stream. If there is
+// no target yet, or the target has another version, the stated version is only stored.
 func (s *Stream) handleStatedVersion(t ResourceType, version string) {
 	sub := &s.subscriptions[t]
 	if s.target == nil {
@@ -78,7 +78,7 @@
 	sub.statedVersion = ""
 }
 
-// stateOfTheWorldResponse encodes the pending response.
+// stateOfTheWorldResponse returns the pending response as a message of the state-of-the-world variant.
 func (sub *subscription) stateOfTheWorldResponse(t ResourceType) *discoveryv3.DiscoveryResponse {
 	response := &discoveryv3.DiscoveryResponse{
 		TypeUrl:     t.TypeURL(),
--- a/xds/stream_status.go
+++ b/xds/stream_status.go
@@ -6,18 +6,18 @@
 	"google.golang.org/protobuf/types/known/anypb"
 )
 
-// ResourceStatus is the state of one resource at one sidecar.
+// ResourceStatus describes the state of one resource at one sidecar.
 type ResourceStatus struct {
 	Type           ResourceType
 	Name           string
-	Accepted       string  // version, empty if none
-	Target         string  // version, empty if the resource is to be removed
-	PendingSeconds float64 // since a response with it was sent that is not answered; 0: there is none
+	Accepted       string  // accepted version; empty if none
+	Target         string  // target version; empty if the resource must be removed
+	PendingSeconds float64 // since the pending response with the resource was sent; 0 if there is none
 	Rejection      *Rejection
-	Body           *anypb.Any // of the target
+	Body           *anypb.Any // of the target version
 }
 
-// Resources lists all that a sidecar has accepted or is to have, by type and name.
+// Resources returns the status of all resources that the sidecar has accepted or should have, sorted by type and name.
 func (s *Stream) Resources(now float64) (all []ResourceStatus) {
 	for t := range NumResourceTypes {
 		sub := &s.subscriptions[t]
@@ -51,7 +51,7 @@
 	return all
 }
 
-// resourceStatus returns the state of one resource; target is nil if it is to be removed.
+// resourceStatus returns the status of one resource; target is nil if the resource must be removed.
 func (sub *subscription) resourceStatus(now float64, t ResourceType, name string, target *Resource) ResourceStatus {
 	status := ResourceStatus{Type: t, Name: name}
 	if accepted := sub.accepted[name]; accepted != nil {
--- a/xds/stream_test.go
+++ b/xds/stream_test.go
@@ -13,7 +13,7 @@
 	"google.golang.org/protobuf/types/known/durationpb"
 )
 
-// newTestCluster returns a cluster with some content.
+// newTestCluster returns a cluster whose content depends on the given number.
 func newTestCluster(t testing.TB, name string, content int) *Resource {
 	r, err := NewResource(Clusters, name, &clusterv3.Cluster{Name: name, ConnectTimeout: durationpb.New(time.Duration(content))})
 	if err != nil {
@@ -22,12 +22,12 @@
 	return r
 }
 
-// streamScript is a stream, its target and a log with a line for each response.
+// streamScript runs a sequence of steps on a stream, and logs a line for each response in its builder.
 type streamScript struct {
 	t      *testing.T
 	s      *Stream
 	target *Snapshot
-	names  map[string]string // the contents of versions, as in setTarget
+	names  map[string]string // by version: name and content, as in setTarget
 	nonces []string
 	strings.Builder
 }
@@ -38,7 +38,7 @@
 	return c
 }
 
-// setTarget sets the target: "a1" is the cluster a with the content 1.
+// setTarget sets the target to some clusters: "a1" is the cluster a with content 1.
 func (c *streamScript) setTarget(contents ...string) {
 	set := ResourceSet{}
 	for _, one := range contents {
@@ -49,11 +49,11 @@
 	c.s.SetTarget(c.target, false)
 }
 
-// next logs what is sent now.
+// next logs the next response of the stream.
 func (c *streamScript) next() {
 	state, delta := c.s.Next(1)
 	if state != nil && delta != nil {
-		c.t.Error("responses of both variants")
+		c.t.Error("got responses of both variants, want at most one response")
 	}
 	if state == nil && delta == nil {
 		c.WriteString("nothing\n")
@@ -78,7 +78,7 @@
 	}
 }
 
-// answer answers the response k before the last: by an ACK, or by a NACK if there is a reason.
+// answer answers the k-th response before the last, with an ACK or, if there is a reason, with a NACK.
 func (c *streamScript) answer(k int, why string) {
 	nonce := c.nonces[len(c.nonces)-1-k]
 	var fault *status.Status
@@ -116,16 +116,16 @@
 	fmt.Fprintf(c, "accepted %v complete %t stale %d\n", accepted, c.s.Holds(Clusters, c.target.sequence[Clusters]), c.s.Unmatched)
 }
 
-// Each story is a sequence of requests, changes of the target and answers, with the responses that have to follow.
+// Each case is a sequence of requests, target changes and answers, with the responses and the state that must result.
 func TestStreamExchanges(t *testing.T) {
 	for name, story := range map[string]struct {
 		delta bool
 		play  func(c *streamScript)
 		want  string
 	}{
-		"accepted, then nothing": {false, func(c *streamScript) { c.subscribe(); c.next(); c.answer(0, ""); c.printAccepted(); c.next() },
+		"no response after an ACK": {false, func(c *streamScript) { c.subscribe(); c.next(); c.answer(0, ""); c.printAccepted(); c.next() },
 			"sent [a1 b1]\naccepted [a1 b1] complete true stale 0\nnothing\n"},
-		"one response at a time, the newest state next": {false, func(c *streamScript) {
+		"only one pending response, followed by the newest state": {false, func(c *streamScript) {
 			c.subscribe()
 			c.next()
 			c.setTarget("a2", "b1")
@@ -156,7 +156,7 @@
 			c.answer(0, "")
 			c.printAccepted()
 		}, "sent [a1 b1] removed []\nsent [a2] removed []\naccepted [a2 b1] complete true stale 1\n"},
-		"a rejected version is not sent again, the next one is": {true, func(c *streamScript) {
+		"a rejected version is not sent again, but the next one is": {true, func(c *streamScript) {
 			c.subscribe()
 			c.next()
 			c.answer(0, "")
@@ -173,7 +173,7 @@
 			c.answer(0, "")
 			c.printAccepted()
 		}, "sent [a1 b1] removed []\nsent [a2] removed []\nnothing\naccepted [a1 b1] complete false stale 0\nsent [b2] removed []\nsent [a3] removed []\naccepted [a3 b2] complete true stale 0\n"},
-		"one bad among good ones, delta": {true, func(c *streamScript) {
+		"one invalid resource among valid ones, delta": {true, func(c *streamScript) {
 			c.setTarget("a1", "b1", "c1")
 			c.subscribe()
 			c.next()
@@ -185,7 +185,7 @@
 			c.next()
 			c.printAccepted()
 		}, "sent [a1 b1 c1] removed []\nsent [a1] removed []\nsent [b1] removed []\nsent [c1] removed []\nnothing\naccepted [a1 c1] complete false stale 0\n"},
-		"one bad among good ones, state of the world": {false, func(c *streamScript) {
+		"one invalid resource among valid ones, state of the world": {false, func(c *streamScript) {
 			c.subscribe()
 			c.next()
 			c.answer(0, "")
@@ -199,7 +199,7 @@
 			c.next()
 			c.printAccepted()
 		}, "sent [a1 b1]\nsent [a2 b2]\nsent [a2 b1]\nsent [a1 b2]\nnothing\naccepted [a1 b2] complete false stale 0\n"},
-		"back to the accepted version": {true, func(c *streamScript) {
+		"the target returns to the accepted version": {true, func(c *streamScript) {
 			c.subscribe()
 			c.next()
 			c.answer(0, "")
@@ -210,7 +210,7 @@
 			c.next()
 			c.printAccepted()
 		}, "sent [a1 b1] removed []\nsent [a2] removed []\nnothing\naccepted [a1 b1] complete true stale 0\n"},
-		"a rejected version on a new stream": {true, func(c *streamScript) {
+		"a rejected version is sent again on a new stream": {true, func(c *streamScript) {
 			c.subscribe()
 			c.next()
 			c.answer(0, "")
@@ -223,7 +223,7 @@
 			c.subscribe()
 			c.next()
 		}, "sent [a1 b1] removed []\nsent [a2] removed []\nnothing\nsent [a2 b1] removed []\n"},
-		"removed": {true, func(c *streamScript) {
+		"a removed resource": {true, func(c *streamScript) {
 			c.subscribe()
 			c.next()
 			c.answer(0, "")
@@ -232,7 +232,7 @@
 			c.answer(0, "")
 			c.printAccepted()
 		}, "sent [a1 b1] removed []\nsent [] removed [a]\naccepted [b1] complete true stale 0\n"},
-		"a removal that is rejected is not repeated": {false, func(c *streamScript) {
+		"a rejected removal is not sent again": {false, func(c *streamScript) {
 			c.subscribe()
 			c.next()
 			c.answer(0, "")
@@ -242,7 +242,7 @@
 			c.next()
 			c.printAccepted()
 		}, "sent [a1 b1]\nsent [b1]\nnothing\naccepted [a1 b1] complete false stale 0\n"},
-		"named, then all, then named": {true, func(c *streamScript) {
+		"names, then a wildcard, then names again": {true, func(c *streamScript) {
 			c.subscribe("a")
 			c.next()
 			c.answer(0, "")
@@ -254,7 +254,7 @@
 			c.printAccepted()
 			c.next()
 		}, "sent [a1] removed []\nsent [b1] removed []\naccepted [a1 b1] complete true stale 0\naccepted [a1] complete true stale 0\nnothing\n"},
-		"what is not there is said once, and comes when it is": {true, func(c *streamScript) {
+		"a missing resource is reported once and sent when it exists": {true, func(c *streamScript) {
 			c.subscribe("z")
 			c.next()
 			c.answer(0, "")
@@ -262,14 +262,14 @@
 			c.setTarget("a1", "z1")
 			c.next()
 		}, "sent [] removed [z]\nnothing\nsent [z1] removed []\n"},
-		"asked for again": {true, func(c *streamScript) {
+		"a resource is sent again after a new subscription": {true, func(c *streamScript) {
 			c.subscribe("a")
 			c.next()
 			c.answer(0, "")
 			c.subscribe("a")
 			c.next()
 		}, "sent [a1] removed []\nsent [a1] removed []\n"},
-		"removed while it is asked for": {true, func(c *streamScript) {
+		"a resource is removed from the target while its response is pending": {true, func(c *streamScript) {
 			c.subscribe("a")
 			c.next()
 			c.setTarget("b1")
@@ -284,14 +284,14 @@
 			c := newScript(t, story.delta, "a1", "b1")
 			story.play(c)
 			if diff := cmp.Diff(story.want, c.String()); diff != "" {
-				t.Errorf("-want +got:\n%s", diff)
+				t.Errorf("exchange (-want +got):\n%s", diff)
 			}
 		})
 	}
 }
 
-// A sidecar that comes back and states the versions that it has is not sent these again, also not by a controller that
-// restarted: the version is that of the content.
+// Guards against needless responses after a reconnect: a sidecar that states the versions it has accepted does not
+// receive them again, even from a restarted controller, because versions are hashes of the content.
 func TestStatedVersionsAreNotSentAgain(t *testing.T) {
 	for _, delta := range []bool{true, false} {
 		c := newScript(t, delta, "a1", "b1")
@@ -304,7 +304,7 @@
 		c.next()
 		want := map[bool]string{true: "sent [b1] removed [gone]\n", false: "nothing\n"}[delta]
 		if diff := cmp.Diff(want, c.String()); diff != "" {
-			t.Errorf("delta %t, -want +got:\n%s", delta, diff)
+			t.Errorf("delta %t: responses (-want +got):\n%s", delta, diff)
 		}
 	}
 }
--- a/xds/subscription.go
+++ b/xds/subscription.go
@@ -8,44 +8,44 @@
 
 const (
 	wildcard = "*"
-	// maxSubscribedNames is the maximum of names of one subscription: a client with more is no sidecar.
+	// maxSubscribedNames is the maximum number of names of one subscription: no valid sidecar needs more.
 	maxSubscribedNames = 4096
 )
 
-// Rejection is a version that a sidecar rejected (NACK), and its reason.
+// Rejection describes a version that a sidecar rejected (NACK).
 type Rejection struct {
 	Version, Reason string
 	At              float64 // seconds
 }
 
-// subscription is what a stream knows of one resource type.
+// subscription is the state of one resource type on a stream.
 type subscription struct {
 	subscribed       bool
-	firstResponseDue bool // even an empty one
-	wildcard         bool // all names
+	firstResponseDue bool // the first response is sent even if it is empty
+	wildcard         bool // subscribed to all names
 	names            map[string]bool
-	unansweredNames  map[string]bool // subscribed to since the last response; delta tells once which do not exist
+	unansweredNames  map[string]bool // subscribed to since the last response; delta reports missing ones once
 
-	accepted         ResourceSet // by ACK, or stated when the stream began
-	acceptedSequence uint64      // of the target's type, as far as all of it was accepted
-	statedVersion    string      // of a set, stated by the sidecar and not known here
+	accepted         ResourceSet // accepted by an ACK, or stated in the first request
+	acceptedSequence uint64      // the last sequence of the target at which all of this type was accepted
+	statedVersion    string      // set version that the sidecar stated and the target does not have
 
-	pending   *pendingResponse // at most one response is unanswered
-	lastNonce string           // of the newest response
+	pending   *pendingResponse // nil if no response is unanswered
+	lastNonce string           // nonce of the newest response
 
-	rejections         map[string]Rejection // by name, wildcard for a set; such a version is not sent again
-	suspects           map[string]bool      // names of a response that was rejected as a whole: sent one by one
-	rejectedSetVersion string               // of a rejected response in which no single resource is at fault
+	rejections         map[string]Rejection // by name, or wildcard for a set; a rejected version is not sent again
+	suspects           map[string]bool      // names in a rejected response with several resources; sent one by one
+	rejectedSetVersion string               // version of a rejected set without a single resource at fault
 }
 
-// pendingResponse is a response that was sent and not answered.
+// pendingResponse is a response that was sent and has not been answered.
 type pendingResponse struct {
 	nonce      string
 	sentAt     float64     // seconds
-	after      ResourceSet // what is accepted after an ACK
+	after      ResourceSet // the accepted resources after an ACK
 	changed    []string    // names of the resources in it
-	sequence   uint64      // of the target if it brings all of it, else 0
-	setVersion string      // of after
+	sequence   uint64      // of the target if the response completes it, otherwise 0
+	setVersion string      // version of after
 }
 
 func newSubscription() subscription {
@@ -58,8 +58,8 @@
 	}
 }
 
-// drop removes a resource from the accepted ones. It is also removed from what is accepted after the pending response
-// unless that response brings it: else an ACK of what was sent before would make it accepted again.
+// drop removes a resource from the accepted resources, and from those that an ACK of the pending response would make
+// accepted, unless that response contains it. Otherwise the ACK of a response sent before would restore the resource.
 func (sub *subscription) drop(name string) {
 	delete(sub.accepted, name)
 	if pending := sub.pending; pending != nil && !slices.Contains(pending.changed, name) {
@@ -85,7 +85,8 @@
 	reason := truncateReason(fault.GetMessage())
 	switch {
 	case len(response.changed) > 1:
-		// The NACK does not tell which resource is at fault: each is sent by itself, so that the others are accepted.
+		// A NACK does not identify the invalid resource: each one is sent in a response of its own, so that the valid
+		// ones are accepted.
 		for _, name := range response.changed {
 			sub.suspects[name] = true
 		}
@@ -99,7 +100,7 @@
 	}
 }
 
-// wanted returns the resources of a target set that are subscribed to.
+// wanted returns the resources of a target set to which the sidecar is subscribed.
 func (sub *subscription) wanted(target ResourceSet) ResourceSet {
 	wanted := ResourceSet{}
 	for name, resource := range target {
