--- a/xds/compiler.go
+++ b/xds/compiler.go
@@ -86,20 +86,20 @@
 }
 
 // ApplyCommands applies commands to the routing tables and returns the numbers of the tables that may have changed.
-func (c *Compiler) ApplyCommands(batch []controller.Command) (touched map[int]bool) {
-	touched = map[int]bool{}
+func (c *Compiler) ApplyCommands(batch []controller.Command) (changedTables map[int]bool) {
+	changedTables = map[int]bool{}
 	for _, command := range batch {
 		switch command.Kind {
 		case controller.SetWeight:
 			c.table(command.Table).setWeight(command.Node, command.Value)
-			touched[command.Table] = true
+			changedTables[command.Table] = true
 		case controller.SetAdmission:
-			c.setAdmission(command, touched)
+			c.setAdmission(command, changedTables)
 		case controller.BindProxy:
 			c.table(command.Table)
 		}
 	}
-	return touched
+	return changedTables
 }
 
 // setWeight sets a node's weight. A weight that is not greater than 0 removes the node.
@@ -113,16 +113,16 @@
 
 // setAdmission sets the admission level of a route for one table or for all tables, and marks the affected tables as
 // changed.
-func (c *Compiler) setAdmission(command controller.Command, touched map[int]bool) {
+func (c *Compiler) setAdmission(command controller.Command, changedTables map[int]bool) {
 	level := admissionLevel{fraction: command.Value, retry: command.Retry}
 	if command.Table != planner.AllTables {
 		c.table(command.Table).admission[command.Route] = level
-		touched[command.Table] = true
+		changedTables[command.Table] = true
 		return
 	}
 	c.admission[command.Route] = level
 	for number := range c.tables {
-		touched[number] = true
+		changedTables[number] = true
 	}
 }
 
--- a/xds/compiler_messages.go
+++ b/xds/compiler_messages.go
@@ -125,7 +125,7 @@
 }
 
 func (c *Compiler) routeMetadata(route Route) *corev3.Metadata {
-	fields := map[string]any{metadataRoute: route.Name, MutatingKey: route.Mutating}
+	fields := map[string]any{routeNameKey: route.Name, MutatingKey: route.Mutating}
 	if c.routingRevision > 0 {
 		fields[RoutingRevisionKey] = float64(c.routingRevision)
 	}
--- a/xds/equivalence_test.go
+++ b/xds/equivalence_test.go
@@ -59,13 +59,13 @@
 
 func (host *dualHost) Send(stream uint64, r *discoveryv3.DiscoveryResponse) {
 	host.inbox = append(host.inbox, func() {
-		out, err := host.sidecars[stream].HandleStateOfTheWorld(r)
+		answers, err := host.sidecars[stream].HandleStateOfTheWorld(r)
 		if err != nil {
 			host.t.Fatal(err)
 		}
-		for _, answer := range out {
-			if why := answer.GetErrorDetail().GetMessage(); why != "" {
-				host.t.Fatal(why)
+		for _, answer := range answers {
+			if reason := answer.GetErrorDetail().GetMessage(); reason != "" {
+				host.t.Fatal(reason)
 			}
 			host.server.HandleStateOfTheWorld(host.now, stream, answer)
 		}
@@ -74,13 +74,13 @@
 
 func (host *dualHost) SendDelta(stream uint64, r *discoveryv3.DeltaDiscoveryResponse) {
 	host.inbox = append(host.inbox, func() {
-		out, err := host.sidecars[stream].HandleDelta(r)
+		answers, err := host.sidecars[stream].HandleDelta(r)
 		if err != nil {
 			host.t.Fatal(err)
 		}
-		for _, answer := range out {
-			if why := answer.GetErrorDetail().GetMessage(); why != "" {
-				host.t.Fatal(why)
+		for _, answer := range answers {
+			if reason := answer.GetErrorDetail().GetMessage(); reason != "" {
+				host.t.Fatal(reason)
 			}
 			host.server.HandleDelta(host.now, stream, answer)
 		}
@@ -111,31 +111,31 @@
 			}
 		}
 		for len(host.inbox) > 0 {
-			do := host.inbox[0]
+			deliverMessage := host.inbox[0]
 			host.inbox = host.inbox[1:]
-			do()
+			deliverMessage()
 		}
 	}
 }
 
 // applyRelayCall applies a call as the relay does, and returns the number of accepted commands.
 func (host *dualHost) applyRelayCall(text string) (accepted int) {
-	for _, o := range strings.Split(strings.TrimSpace(strings.TrimPrefix(text, "txn ")), ";") {
-		part := strings.Split(o, ",")
-		number, _ := strconv.Atoi(part[1])
-		switch part[0] {
+	for _, operation := range strings.Split(strings.TrimSpace(strings.TrimPrefix(text, "txn ")), ";") {
+		fields := strings.Split(operation, ",")
+		number, _ := strconv.Atoi(fields[1])
+		switch fields[0] {
 		case "put":
 			if host.tables[number] == nil {
 				host.tables[number] = map[string]float64{}
 			}
-			weight, _ := strconv.ParseFloat(part[3], 64)
-			if host.tables[number][part[2]] = weight; weight == 0 {
-				delete(host.tables[number], part[2])
+			weight, _ := strconv.ParseFloat(fields[3], 64)
+			if host.tables[number][fields[2]] = weight; weight == 0 {
+				delete(host.tables[number], fields[2])
 			}
 		case "attach":
-			host.bound[number], _ = strconv.Atoi(part[2])
+			host.bound[number], _ = strconv.Atoi(fields[2])
 		case "gate":
-			host.admission[part[2]] = part[3] + " " + part[4]
+			host.admission[fields[2]] = fields[3] + " " + fields[4]
 		}
 		accepted++
 	}
@@ -144,40 +144,40 @@
 
 // compare checks that each sidecar routes in the same way as the proxy with the same number.
 func (host *dualHost) compare(seed uint64) {
-	for id, h := range host.sidecars {
-		table, proxy := h.Table(), int(id-1)
+	for id, client := range host.sidecars {
+		table, proxy := client.Table(), int(id-1)
 		weights := host.tables[host.bound[proxy]]
 		weightSum := 0.0
 		for _, weight := range weights {
 			weightSum += weight
 		}
 		got, sum := table.Clusters[fmt.Sprint("pool-", host.bound[proxy])], 0.0
-		for _, l := range got {
-			sum += l.Weight
+		for _, endpoint := range got {
+			sum += endpoint.Weight
 		}
 		if len(got) != len(weights) {
-			host.t.Fatalf("seed %d, %.1f s: %s: got %d endpoints, want %d as at the proxy", seed, host.now, h.ID, len(got), len(weights))
+			host.t.Fatalf("seed %d, %.1f s: %s: got %d endpoints, want %d as at the proxy", seed, host.now, client.ID, len(got), len(weights))
 		}
 		host.comparedEntries += len(got)
-		for _, l := range got {
-			if want := weights[l.Node] / weightSum; math.Abs(l.Weight/sum-want) > 1e-4 {
-				host.t.Fatalf("seed %d, %.1f s: %s: got share of %s %.5f, want %.5f as at the proxy", seed, host.now, h.ID, l.Node, l.Weight/sum, want)
+		for _, endpoint := range got {
+			if want := weights[endpoint.Node] / weightSum; math.Abs(endpoint.Weight/sum-want) > 1e-4 {
+				host.t.Fatalf("seed %d, %.1f s: %s: got share of %s %.5f, want %.5f as at the proxy", seed, host.now, client.ID, endpoint.Node, endpoint.Weight/sum, want)
 			}
 		}
-		let := map[string]string{}
-		for _, e := range table.Routes {
-			if e.Status == 0 {
-				let[e.Name] = fmt.Sprintf("%.4f %d", e.Fraction, e.MaxRetries)
+		admitted := map[string]string{}
+		for _, entry := range table.Routes {
+			if entry.Status == 0 {
+				admitted[entry.Name] = fmt.Sprintf("%.4f %d", entry.Fraction, entry.MaxRetries)
 			}
 		}
 		for route, level := range host.admission {
-			part := strings.Fields(level)
-			figure, _ := strconv.ParseFloat(part[0], 64)
-			if figure < 1 {
+			fields := strings.Fields(level)
+			fraction, _ := strconv.ParseFloat(fields[0], 64)
+			if fraction < 1 {
 				host.throttledComparisons++
 			}
-			if want := fmt.Sprintf("%.4f %s", math.Round(figure*1e6)/1e6, part[1]); let[route] != want {
-				host.t.Fatalf("seed %d, %.1f s: %s: got admitted fraction and retries %q of %s, want %q as at the proxy", seed, host.now, h.ID, let[route], route, want)
+			if want := fmt.Sprintf("%.4f %s", math.Round(fraction*1e6)/1e6, fields[1]); admitted[route] != want {
+				host.t.Fatalf("seed %d, %.1f s: %s: got admitted fraction and retries %q of %s, want %q as at the proxy", seed, host.now, client.ID, admitted[route], route, want)
 			}
 		}
 	}
@@ -194,57 +194,57 @@
 		compiler := xds.NewCompiler([]xds.Route{{Name: "quote", Prefix: "/quote", TimeLimit: time.Second},
 			{Name: "issue", Prefix: "/issue", Mutating: true, TimeLimit: time.Second}}, time.Second)
 		host.server = xds.NewServer(compiler, host, proxies)
-		var rows []planner.Endpoint
+		var endpoints []planner.Endpoint
 		for n := range uint32(nodes) {
 			zone := []string{"north", "south"}[n%2]
 			compiler.SetAddress(fmt.Sprint("s-", n), zone, xds.Address{Host: "127.0.0.1", Port: 1000 + n})
-			rows = append(rows, planner.Endpoint{Node: n, Zone: int(n % 2), State: planner.Ready})
+			endpoints = append(endpoints, planner.Endpoint{Node: n, Zone: int(n % 2), State: planner.Ready})
 		}
 		host.planner = planner.New(host, planner.Config{Seed: seed, Zones: 2, MachineTypes: 1, Controllers: 1, Proxies: proxies, SubscribeTimeout: 10, UtilizationIndex: -1,
 			QueueLengthIndex: -1, Admission: planner.AdmissionFraction, EntriesPerSecond: 1e5, MaxInFlightEntries: 1e6, MessageOverhead: 1, MessageWindow: 10, ReportInterval: 0.5, SlowStartWindow: 8, OverloadMultiple: 4,
 			Routes: []planner.Route{{LatencyObjective: 1, PriorityWeight: 1}, {LatencyObjective: 1, PriorityWeight: 3}}}, 0)
-		host.planner.ReplaceEndpoints(0, rows)
+		host.planner.ReplaceEndpoints(0, endpoints)
 		host.deliverCommands()
-		for p := range proxies {
-			stream := uint64(p + 1)
-			h := &sidecar.ResourceCache{ID: fmt.Sprint("till-", p), Zone: []string{"north", "south"}[p%2], Delta: p%3 == 0}
-			host.sidecars[stream] = h
-			if err := host.server.Open(0, stream, h.Delta, h.ID, h.Zone); err != nil {
+		for proxy := range proxies {
+			stream := uint64(proxy + 1)
+			client := &sidecar.ResourceCache{ID: fmt.Sprint("sidecar-", proxy), Zone: []string{"north", "south"}[proxy%2], Delta: proxy%3 == 0}
+			host.sidecars[stream] = client
+			if err := host.server.Open(0, stream, client.Delta, client.ID, client.Zone); err != nil {
 				t.Fatal(err)
 			}
-			if h.Delta {
-				for _, r := range h.BeginDelta() {
+			if client.Delta {
+				for _, r := range client.BeginDelta() {
 					host.server.HandleDelta(0, stream, r)
 				}
 			} else {
-				for _, r := range h.BeginStateOfTheWorld() {
+				for _, r := range client.BeginStateOfTheWorld() {
 					host.server.HandleStateOfTheWorld(0, stream, r)
 				}
 			}
-			host.planner.ProxyJoined(0, p, p%2, 5)
+			host.planner.ProxyJoined(0, proxy, proxy%2, 5)
 			host.deliverCommands()
 		}
 		for step := 1; step < 400; step++ {
 			host.now = float64(step) * 0.1
 			if random.IntN(25) == 0 {
-				k := random.IntN(nodes)
-				rows[k].State = planner.EndpointState(random.IntN(3))
-				if rows[k].State == planner.Ready {
-					rows[k].StartTime = host.now
+				index := random.IntN(nodes)
+				endpoints[index].State = planner.EndpointState(random.IntN(3))
+				if endpoints[index].State == planner.Ready {
+					endpoints[index].StartTime = host.now
 				}
-				host.planner.UpdateEndpoints(host.now, rows[k:k+1])
+				host.planner.UpdateEndpoints(host.now, endpoints[index:index+1])
 			}
 			if step%5 == 0 {
-				jam := step/150%2 == 1
+				overloaded := step/150%2 == 1
 				for n := range uint32(nodes) {
-					s := planner.LoadReport{Node: n, Completed: 10, MeanLatency: 0.2, Interval: 0.5}
-					if jam {
-						s.Failed, s.MeanLatency = 6, 1.2
+					report := planner.LoadReport{Node: n, Completed: 10, MeanLatency: 0.2, Interval: 0.5}
+					if overloaded {
+						report.Failed, report.MeanLatency = 6, 1.2
 					}
-					host.planner.AddLoadReport(host.now, s)
+					host.planner.AddLoadReport(host.now, report)
 				}
-				for p := range proxies {
-					host.planner.AddDemandReport(host.now, planner.DemandReport{Proxy: p, Route: planner.RouteID(random.IntN(2)), Requests: 10 + random.IntN(40), Interval: 0.5})
+				for proxy := range proxies {
+					host.planner.AddDemandReport(host.now, planner.DemandReport{Proxy: proxy, Route: planner.RouteID(random.IntN(2)), Requests: 10 + random.IntN(40), Interval: 0.5})
 				}
 			}
 			if host.now >= host.wakeAt {
--- a/xds/errors_test.go
+++ b/xds/errors_test.go
@@ -21,10 +21,10 @@
 		}
 		return server
 	}
-	tooMany := make([]string, maxSubscribedNames+1)
-	for name, story := range map[string]struct {
+	tooManyNames := make([]string, maxSubscribedNames+1)
+	for name, test := range map[string]struct {
 		request func(s *Server) error
-		is      func(err error) bool
+		matches func(err error) bool
 	}{
 		"no node id": {
 			func(s *Server) error { return s.Open(1, 2, true, "", "z") },
@@ -40,8 +40,8 @@
 		"one sidecar too many": {
 			func(s *Server) error { return s.Open(1, 2, true, "other", "z") },
 			func(err error) bool {
-				var full *TooManySidecarsError
-				return errors.As(err, &full) && full.Max == 1
+				var tooManySidecars *TooManySidecarsError
+				return errors.As(err, &tooManySidecars) && tooManySidecars.Max == 1
 			},
 		},
 		"unsupported type": {
@@ -49,22 +49,22 @@
 				return s.HandleDelta(1, 1, &discoveryv3.DeltaDiscoveryRequest{TypeUrl: "other"})
 			},
 			func(err error) bool {
-				var unsupported *UnsupportedTypeError
-				return errors.As(err, &unsupported) && unsupported.TypeURL == "other"
+				var unsupportedType *UnsupportedTypeError
+				return errors.As(err, &unsupportedType) && unsupportedType.TypeURL == "other"
 			},
 		},
 		"too many names": {
 			func(s *Server) error {
-				return s.HandleDelta(1, 1, &discoveryv3.DeltaDiscoveryRequest{TypeUrl: Clusters.TypeURL(), ResourceNamesSubscribe: tooMany})
+				return s.HandleDelta(1, 1, &discoveryv3.DeltaDiscoveryRequest{TypeUrl: Clusters.TypeURL(), ResourceNamesSubscribe: tooManyNames})
 			},
 			func(err error) bool {
-				var names *TooManyNamesError
-				return errors.As(err, &names) && names.Names == len(tooMany)
+				var tooMany *TooManyNamesError
+				return errors.As(err, &tooMany) && tooMany.Names == len(tooManyNames)
 			},
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
-			if err := story.request(newServer(t)); !story.is(err) {
+			if err := test.request(newServer(t)); !test.matches(err) {
 				t.Errorf("got %T: %v, want the typed error of %q", err, err, name)
 			}
 		})
--- a/xds/faulty_network_test.go
+++ b/xds/faulty_network_test.go
@@ -38,11 +38,11 @@
 
 type simulatedSidecar struct {
 	*sidecar.ResourceCache
-	number           int
-	stream           *stream
-	sent             map[string]bool // version keys of the resources that a server sent
-	rejected         map[string]bool
-	routesByRejected bool // planted fault: answers invalid responses with an ACK
+	number               int
+	stream               *stream
+	sent                 map[string]bool // version keys of the resources that a server sent
+	rejected             map[string]bool
+	acknowledgesRejected bool // planted fault: answers invalid responses with an ACK
 }
 
 // stream is one stream with its messages in flight, which arrive in order.
@@ -58,20 +58,20 @@
 	network := &faultyNetwork{t: t, random: rand.New(rand.NewPCG(seed, 3)), streams: map[uint64]*stream{}, removedAt: map[string]int{}}
 	network.restart()
 	for k := range sidecars {
-		h := &simulatedSidecar{number: k, sent: map[string]bool{}, rejected: map[string]bool{}}
-		h.ResourceCache = &sidecar.ResourceCache{ID: fmt.Sprint("till-", k), Zone: "north", Delta: k%2 == 0}
+		client := &simulatedSidecar{number: k, sent: map[string]bool{}, rejected: map[string]bool{}}
+		client.ResourceCache = &sidecar.ResourceCache{ID: fmt.Sprint("sidecar-", k), Zone: "north", Delta: k%2 == 0}
 		// Each sidecar rejects 1 in 16 contents, always the same ones.
-		h.ExtraCheck = func(_ xds.ResourceType, _ string, body *anypb.Any) error {
+		client.ExtraCheck = func(_ xds.ResourceType, _ string, body *anypb.Any) error {
 			sum := fnv.New32a()
 			sum.Write(body.GetValue())
-			fmt.Fprint(sum, h.number)
+			fmt.Fprint(sum, client.number)
 			if sum.Sum32()%16 == 0 {
 				return errors.New("rejected by this test")
 			}
 			return nil
 		}
-		h.OnReject = func(r sidecar.RejectedResource) { h.rejected[versionKey(r.Type, r.Name, r.Version)] = true }
-		network.sidecars = append(network.sidecars, h)
+		client.OnReject = func(r sidecar.RejectedResource) { client.rejected[versionKey(r.Type, r.Name, r.Version)] = true }
+		network.sidecars = append(network.sidecars, client)
 	}
 	return network
 }
@@ -117,30 +117,30 @@
 		s.responses = append(s.responses, r)
 		resourceType, _ := xds.ParseTypeURL(r.GetTypeUrl())
 		for _, body := range r.GetResources() {
-			m, _ := body.UnmarshalNew()
-			name := nameOf(m)
-			one, err := xds.NewResource(resourceType, name, m)
+			message, _ := body.UnmarshalNew()
+			name := nameOf(message)
+			resource, err := xds.NewResource(resourceType, name, message)
 			if err != nil {
 				network.t.Fatal(err)
 			}
-			s.sidecar.sent[versionKey(resourceType, name, one.Version)] = true
+			s.sidecar.sent[versionKey(resourceType, name, resource.Version)] = true
 		}
 	}
 }
 
-func nameOf(m proto.Message) string {
-	if named, ok := m.(interface{ GetName() string }); ok {
+func nameOf(message proto.Message) string {
+	if named, ok := message.(interface{ GetName() string }); ok {
 		return named.GetName()
 	}
-	return m.(interface{ GetClusterName() string }).GetClusterName()
+	return message.(interface{ GetClusterName() string }).GetClusterName()
 }
 
 func (network *faultyNetwork) SendDelta(id uint64, r *discoveryv3.DeltaDiscoveryResponse) {
 	if s := network.streams[id]; s != nil {
 		s.responses = append(s.responses, r)
 		resourceType, _ := xds.ParseTypeURL(r.GetTypeUrl())
-		for _, one := range r.GetResources() {
-			s.sidecar.sent[versionKey(resourceType, one.GetName(), one.GetVersion())] = true
+		for _, resource := range r.GetResources() {
+			s.sidecar.sent[versionKey(resourceType, resource.GetName(), resource.GetVersion())] = true
 		}
 	}
 }
@@ -163,22 +163,22 @@
 
 // Acknowledged checks that a sidecar does not route to a node that was removed at or before the acknowledged nonce.
 func (network *faultyNetwork) Acknowledged(proxy, nonce int) {
-	for _, h := range network.sidecars {
-		if n, known := network.server.Number(h.ID); !known || n != proxy {
+	for _, client := range network.sidecars {
+		if n, known := network.server.Number(client.ID); !known || n != proxy {
 			continue
 		}
-		for cluster, nodes := range h.Table().Clusters {
-			for _, l := range nodes {
-				if at, gone := network.removedAt[cluster+" "+l.Node]; gone && at <= nonce && network.routesUse(h, cluster) {
-					network.addViolation("%s acknowledged nonce %d, but routes to %s in %s, which was removed at nonce %d", h.ID, nonce, l.Node, cluster, at)
+		for cluster, nodes := range client.Table().Clusters {
+			for _, endpoint := range nodes {
+				if removalNonce, removed := network.removedAt[cluster+" "+endpoint.Node]; removed && removalNonce <= nonce && network.routesUse(client, cluster) {
+					network.addViolation("%s acknowledged nonce %d, but routes to %s in %s, which was removed at nonce %d", client.ID, nonce, endpoint.Node, cluster, removalNonce)
 				}
 			}
 		}
 	}
 }
 
-func (network *faultyNetwork) routesUse(h *simulatedSidecar, cluster string) bool {
-	for _, r := range h.Table().Routes {
+func (network *faultyNetwork) routesUse(client *simulatedSidecar, cluster string) bool {
+	for _, r := range client.Table().Routes {
 		if r.Cluster == cluster {
 			return true
 		}
@@ -193,41 +193,41 @@
 }
 
 // dial opens a stream for a sidecar. Messages of its previous stream may still be in flight.
-func (network *faultyNetwork) dial(h *simulatedSidecar) {
+func (network *faultyNetwork) dial(client *simulatedSidecar) {
 	network.lastStreamID++
-	s := &stream{id: network.lastStreamID, sidecar: h}
-	h.stream = s
-	if h.Delta {
-		for _, r := range h.BeginDelta() {
+	s := &stream{id: network.lastStreamID, sidecar: client}
+	client.stream = s
+	if client.Delta {
+		for _, r := range client.BeginDelta() {
 			s.requests = append(s.requests, r)
 		}
 	} else {
-		for _, r := range h.BeginStateOfTheWorld() {
+		for _, r := range client.BeginStateOfTheWorld() {
 			s.requests = append(s.requests, r)
 		}
 	}
 	network.streams[s.id] = s
 }
 
-// deliver delivers the next message of a stream, to the server if up is set and otherwise to the sidecar.
-func (network *faultyNetwork) deliver(s *stream, up bool) {
+// deliver delivers the next message of a stream, to the server if toServer is set and otherwise to the sidecar.
+func (network *faultyNetwork) deliver(s *stream, toServer bool) {
 	if s.closed {
 		return
 	}
-	if up && len(s.requests) > 0 {
-		m := s.requests[0]
+	if toServer && len(s.requests) > 0 {
+		message := s.requests[0]
 		s.requests = s.requests[1:]
 		err := error(nil)
-		switch r := m.(type) {
+		switch r := message.(type) {
 		case *discoveryv3.DiscoveryRequest:
-			if r.GetNode() != nil && network.unopened(s.id) {
+			if r.GetNode() != nil && network.notOpened(s.id) {
 				err = network.server.Open(network.now, s.id, false, r.GetNode().GetId(), "north")
 			}
 			if err == nil {
 				err = network.server.HandleStateOfTheWorld(network.now, s.id, r)
 			}
 		case *discoveryv3.DeltaDiscoveryRequest:
-			if r.GetNode() != nil && network.unopened(s.id) {
+			if r.GetNode() != nil && network.notOpened(s.id) {
 				err = network.server.Open(network.now, s.id, true, r.GetNode().GetId(), "north")
 			}
 			if err == nil {
@@ -238,29 +238,29 @@
 			network.t.Fatal(err)
 		}
 	}
-	if !up && len(s.responses) > 0 && s.sidecar.stream == s {
-		m := s.responses[0]
+	if !toServer && len(s.responses) > 0 && s.sidecar.stream == s {
+		message := s.responses[0]
 		s.responses = s.responses[1:]
-		h := s.sidecar
-		switch r := m.(type) {
+		client := s.sidecar
+		switch r := message.(type) {
 		case *discoveryv3.DiscoveryResponse:
-			out, err := h.HandleStateOfTheWorld(r)
+			answers, err := client.HandleStateOfTheWorld(r)
 			if err != nil {
 				network.t.Fatal(err)
 			}
-			for _, answer := range out {
-				if h.routesByRejected {
+			for _, answer := range answers {
+				if client.acknowledgesRejected {
 					answer.ErrorDetail = nil
 				}
 				s.requests = append(s.requests, answer)
 			}
 		case *discoveryv3.DeltaDiscoveryResponse:
-			out, err := h.HandleDelta(r)
+			answers, err := client.HandleDelta(r)
 			if err != nil {
 				network.t.Fatal(err)
 			}
-			for _, answer := range out {
-				if h.routesByRejected {
+			for _, answer := range answers {
+				if client.acknowledgesRejected {
 					answer.ErrorDetail = nil
 				}
 				s.requests = append(s.requests, answer)
@@ -269,7 +269,7 @@
 	}
 }
 
-func (network *faultyNetwork) unopened(id uint64) bool { return !network.server.Connected(id) }
+func (network *faultyNetwork) notOpened(id uint64) bool { return !network.server.Connected(id) }
 
 // bindJoined binds the sidecars that joined to a table, as the planner does.
 func (network *faultyNetwork) bindJoined() {
@@ -315,83 +315,83 @@
 
 // checkRouting checks that a sidecar does not route by a version that it rejected or that was never sent to it, and has
 // no route to a cluster that it has not accepted.
-func (network *faultyNetwork) checkRouting(h *simulatedSidecar) {
-	table := h.Table()
+func (network *faultyNetwork) checkRouting(client *simulatedSidecar) {
+	table := client.Table()
 	for resourceType, versions := range table.Versions {
 		for name, version := range versions {
-			k := versionKey(xds.ResourceType(resourceType), name, version)
-			if h.rejected[k] {
-				network.addViolation("%s routes by %s, which it rejected", h.ID, k)
+			key := versionKey(xds.ResourceType(resourceType), name, version)
+			if client.rejected[key] {
+				network.addViolation("%s routes by %s, which it rejected", client.ID, key)
 			}
-			if !h.sent[k] {
-				network.addViolation("%s routes by %s, which was never sent", h.ID, k)
+			if !client.sent[key] {
+				network.addViolation("%s routes by %s, which was never sent", client.ID, key)
 			}
 		}
 	}
 	for _, r := range table.Routes {
 		if _, hasCluster := table.Clusters[r.Cluster]; r.Cluster != "" && !hasCluster {
-			network.addViolation("%s has a route to %s, which it has not accepted", h.ID, r.Cluster)
+			network.addViolation("%s has a route to %s, which it has not accepted", client.ID, r.Cluster)
 		}
 	}
 }
 
-// play applies random events and checks the routing of a sidecar after each, until the given number of changes or the
+// run applies random events and checks the routing of a sidecar after each, until the given number of changes or the
 // first violation.
-func (network *faultyNetwork) play(pushes int) {
-	for network.changes < pushes && len(network.violations) == 0 {
+func (network *faultyNetwork) run(maxChanges int) {
+	for network.changes < maxChanges && len(network.violations) == 0 {
 		network.now += 0.01
-		h := network.sidecars[network.random.IntN(len(network.sidecars))]
+		client := network.sidecars[network.random.IntN(len(network.sidecars))]
 		switch network.random.IntN(40) {
 		case 0, 1, 2, 3, 4, 5:
 			network.changeTables()
 		case 6: // the stream breaks; the server detects it now or when the next one opens
-			if s := h.stream; s != nil && !s.closed && network.random.IntN(2) == 0 {
+			if s := client.stream; s != nil && !s.closed && network.random.IntN(2) == 0 {
 				network.server.Close(network.now, s.id)
 				s.closed = true
 			}
-			network.dial(h)
+			network.dial(client)
 		case 7: // the sidecar restarts with its accepted resources, or with none because its disk was lost
 			if network.random.IntN(4) == 0 {
-				h.Clear()
+				client.Clear()
 			}
-			network.dial(h)
+			network.dial(client)
 		case 8:
 			if network.random.IntN(40) == 0 {
 				network.restart()
 			}
 		case 9:
-			if s := h.stream; s != nil && network.random.IntN(20) == 0 { // an unmatched answer
+			if s := client.stream; s != nil && network.random.IntN(20) == 0 { // an unmatched answer
 				nonce := fmt.Sprint(network.random.IntN(50), "-", network.random.IntN(4), "-", network.random.IntN(50))
 				resourceType := xds.ResourceType(network.random.IntN(int(xds.NumResourceTypes)))
-				if h.Delta {
+				if client.Delta {
 					s.requests = append(s.requests, &discoveryv3.DeltaDiscoveryRequest{TypeUrl: resourceType.TypeURL(), ResponseNonce: nonce})
 				}
 			}
 		default:
-			if h.stream == nil || h.stream.closed {
-				network.dial(h)
+			if client.stream == nil || client.stream.closed {
+				network.dial(client)
 			}
-			network.deliver(h.stream, network.random.IntN(2) == 0)
+			network.deliver(client.stream, network.random.IntN(2) == 0)
 		}
 		network.bindJoined()
-		network.checkRouting(h)
+		network.checkRouting(client)
 	}
 }
 
-// settle delivers all messages without faults and returns the number of steps until no message is in flight, at most
-// 200.
-func (network *faultyNetwork) settle() (steps int) {
+// deliverAll delivers all messages without faults and returns the number of steps until no message is in flight, at
+// most 200.
+func (network *faultyNetwork) deliverAll() (steps int) {
 	for ; steps < 200; steps++ {
 		moved := false
-		for _, h := range network.sidecars {
-			if h.stream == nil || h.stream.closed {
-				network.dial(h)
+		for _, client := range network.sidecars {
+			if client.stream == nil || client.stream.closed {
+				network.dial(client)
 			}
-			s := h.stream
+			s := client.stream
 			moved = moved || len(s.requests)+len(s.responses) > 0
 			network.deliver(s, true)
 			network.deliver(s, false)
-			network.checkRouting(h)
+			network.checkRouting(client)
 		}
 		network.bindJoined()
 		if !moved {
@@ -401,8 +401,8 @@
 	return steps
 }
 
-// blocked reports whether a sidecar has rejected a resource, for which its other resources may wait.
-func (network *faultyNetwork) blocked(c xds.SidecarStatus) bool {
+// hasRejection reports whether a sidecar has rejected a resource, for which its other resources may wait.
+func (network *faultyNetwork) hasRejection(c xds.SidecarStatus) bool {
 	for _, s := range c.Resources {
 		if s.Rejection != nil {
 			return true
--- a/xds/names.go
+++ b/xds/names.go
@@ -24,7 +24,7 @@
 	RetryIfNotSent = "connect-failure,refused-stream"
 
 	clusterPrefix          = "pool-" // followed by the routing table's number
-	metadataRoute          = "route"
+	routeNameKey           = "route"
 	previousHostsPredicate = "envoy.retry_host_predicates.previous_hosts"
 	routerFilter           = "envoy.filters.http.router"
 )
--- a/xds/random_faults_test.go
+++ b/xds/random_faults_test.go
@@ -12,28 +12,28 @@
 // changes are applied while servers and sidecars restart, streams break, and messages are delayed or rejected. All
 // sidecars must converge after the last fault.
 func TestSidecarNeverRoutesByRejectedVersion(t *testing.T) {
-	total := 0
+	totalChanges := 0
 	for seed := range uint64(12) {
 		network := newFaultyNetwork(t, seed, 8)
-		network.play(1000)
-		steps := network.settle()
-		total += network.changes
+		network.run(1000)
+		steps := network.deliverAll()
+		totalChanges += network.changes
 		if steps >= 60 {
 			network.addViolation("all sidecars converged after %d steps, want less than 60", steps)
 		}
-		for _, c := range network.server.Sidecars(network.now) {
-			for _, s := range c.Resources {
-				if s.Accepted != s.Target && s.Rejection == nil && s.Type != xds.Routes && s.Type != xds.Listeners && s.Target != "" && !network.blocked(c) {
-					network.addViolation("%s: got accepted version %q of %s %s, want %q", c.ID, s.Accepted, s.Type, s.Name, s.Target)
+		for _, status := range network.server.Sidecars(network.now) {
+			for _, resource := range status.Resources {
+				if resource.Accepted != resource.Target && resource.Rejection == nil && resource.Type != xds.Routes && resource.Type != xds.Listeners && resource.Target != "" && !network.hasRejection(status) {
+					network.addViolation("%s: got accepted version %q of %s %s, want %q", status.ID, resource.Accepted, resource.Type, resource.Name, resource.Target)
 				}
 			}
 		}
-		for _, f := range network.violations {
-			t.Fatalf("seed %d: %s", seed, f)
+		for _, violation := range network.violations {
+			t.Fatalf("seed %d: %s", seed, violation)
 		}
 	}
-	if total < 10000 {
-		t.Errorf("got %d changes, want at least 10000", total)
+	if totalChanges < 10000 {
+		t.Errorf("got %d changes, want at least 10000", totalChanges)
 	}
 }
 
@@ -41,26 +41,26 @@
 // that answer an invalid response with an ACK.
 func TestCheckerFindsPlantedFaults(t *testing.T) {
 	network := newFaultyNetwork(t, 1, 4)
-	for _, h := range network.sidecars {
-		reject := h.ExtraCheck
-		h.ExtraCheck = func(resourceType xds.ResourceType, name string, body *anypb.Any) error {
+	for _, client := range network.sidecars {
+		reject := client.ExtraCheck
+		client.ExtraCheck = func(resourceType xds.ResourceType, name string, body *anypb.Any) error {
 			if err := reject(resourceType, name, body); err != nil && resourceType == xds.Endpoints {
-				m, _ := body.UnmarshalNew()
-				r, _ := xds.NewResource(resourceType, name, m)
-				h.rejected[versionKey(resourceType, name, r.Version)] = true // recorded as rejected, but accepted
+				message, _ := body.UnmarshalNew()
+				resource, _ := xds.NewResource(resourceType, name, message)
+				client.rejected[versionKey(resourceType, name, resource.Version)] = true // recorded, but accepted
 			}
 			return nil
 		}
 	}
-	network.play(1000)
+	network.run(1000)
 	if len(network.violations) == 0 {
 		t.Error("got no violation from sidecars that route by rejected versions, want at least 1")
 	}
 	network = newFaultyNetwork(t, 1, 4)
-	for _, h := range network.sidecars {
-		h.routesByRejected = true
+	for _, client := range network.sidecars {
+		client.acknowledgesRejected = true
 	}
-	network.play(3000)
+	network.run(3000)
 	if len(network.violations) == 0 {
 		t.Error("got no violation from sidecars that answer invalid responses with an ACK, want at least 1")
 	}
--- a/xds/resource.go
+++ b/xds/resource.go
@@ -87,10 +87,10 @@
 	sum := sha256.New()
 	fmt.Fprintf(sum, "%d\x00%s\x00", t, name)
 	sum.Write(body)
-	return versionText(sum)
+	return encodeVersion(sum)
 }
 
-func versionText(sum hash.Hash) string { return hex.EncodeToString(sum.Sum(nil)[:versionBytes]) }
+func encodeVersion(sum hash.Hash) string { return hex.EncodeToString(sum.Sum(nil)[:versionBytes]) }
 
 // ResourceSet holds resources of one type by name.
 type ResourceSet map[string]*Resource
@@ -101,7 +101,7 @@
 	for _, name := range sortedKeys(s) {
 		fmt.Fprint(sum, name+"\x00"+s[name].Version+"\x00")
 	}
-	return versionText(sum)
+	return encodeVersion(sum)
 }
 
 // Equal reports whether two sets have the same names with the same versions.
@@ -120,8 +120,8 @@
 
 // has reports whether the set contains a resource with the same name and version.
 func (s ResourceSet) has(resource *Resource) bool {
-	own := s[resource.Name]
-	return own != nil && own.Version == resource.Version
+	current := s[resource.Name]
+	return current != nil && current.Version == resource.Version
 }
 
 func sortedKeys[V any](m map[string]V) []string { return slices.Sorted(maps.Keys(m)) }
--- a/xds/server.go
+++ b/xds/server.go
@@ -84,7 +84,7 @@
 	if len(id) > maxNodeIDBytes {
 		return &NodeIDTooLongError{Bytes: len(id)}
 	}
-	joining, err := s.sidecarOf(id)
+	joining, err := s.findOrAddSidecar(id)
 	if err != nil {
 		return err
 	}
@@ -103,8 +103,9 @@
 	return nil
 }
 
-// sidecarOf returns the sidecar with the given id. It adds the sidecar and allocates a number if the id is unknown.
-func (s *Server) sidecarOf(id string) (*sidecar, error) {
+// findOrAddSidecar returns the sidecar with the given id. It adds the sidecar and allocates a number if the id is
+// unknown.
+func (s *Server) findOrAddSidecar(id string) (*sidecar, error) {
 	if number, known := s.numbers[id]; known {
 		return s.sidecars[number], nil
 	}
@@ -166,37 +167,37 @@
 // HandleStateOfTheWorld handles a request of the state-of-the-world variant. Requests on a closed stream are ignored.
 // The errors are those of [Stream.HandleStateOfTheWorld].
 func (s *Server) HandleStateOfTheWorld(now float64, stream uint64, r *discoveryv3.DiscoveryRequest) error {
-	from := s.streams[stream]
-	if from == nil {
+	sender := s.streams[stream]
+	if sender == nil {
 		return nil
 	}
-	if err := from.stream.HandleStateOfTheWorld(now, r); err != nil {
+	if err := sender.stream.HandleStateOfTheWorld(now, r); err != nil {
 		return err
 	}
-	s.requestHandled(now, from, r.GetTypeUrl(), r.GetErrorDetail().GetMessage())
+	s.completeRequest(now, sender, r.GetTypeUrl(), r.GetErrorDetail().GetMessage())
 	return nil
 }
 
 // HandleDelta handles a request of the delta variant. Requests on a closed stream are ignored. The errors are those of
 // [Stream.HandleDelta].
 func (s *Server) HandleDelta(now float64, stream uint64, r *discoveryv3.DeltaDiscoveryRequest) error {
-	from := s.streams[stream]
-	if from == nil {
+	sender := s.streams[stream]
+	if sender == nil {
 		return nil
 	}
-	if err := from.stream.HandleDelta(now, r); err != nil {
+	if err := sender.stream.HandleDelta(now, r); err != nil {
 		return err
 	}
-	s.requestHandled(now, from, r.GetTypeUrl(), r.GetErrorDetail().GetMessage())
+	s.completeRequest(now, sender, r.GetTypeUrl(), r.GetErrorDetail().GetMessage())
 	return nil
 }
 
-// requestHandled reports a NACK to the sink and sends the next response if one is due after a request.
-func (s *Server) requestHandled(now float64, from *sidecar, typeURL, reason string) {
-	if from.stream.Rejected > from.reportedRejections {
-		from.reportedRejections = from.stream.Rejected
+// completeRequest reports a NACK to the sink and sends the next response if one is due after a request.
+func (s *Server) completeRequest(now float64, sender *sidecar, typeURL, reason string) {
+	if sender.stream.Rejected > sender.reportedRejections {
+		sender.reportedRejections = sender.stream.Rejected
 		t, _ := ParseTypeURL(typeURL) // known, since the stream has handled the request
-		s.sink.Rejected(from.id, t, truncateReason(reason))
+		s.sink.Rejected(sender.id, t, truncateReason(reason))
 	}
-	s.sendDue(now, from)
+	s.sendDue(now, sender)
 }
--- a/xds/server_commands.go
+++ b/xds/server_commands.go
@@ -15,7 +15,7 @@
 // [Compiler.Snapshot].
 func (s *Server) ApplyCommands(now float64, batch []controller.Command) error {
 	nonce := noNonce
-	concerned := map[int]bool{}
+	affected := map[int]bool{}
 	rebound := map[int]bool{} // bound to a different table than before
 	for _, command := range batch {
 		switch command.Kind {
@@ -29,35 +29,35 @@
 			rebound[command.Proxy] = !c.bound || c.table != command.Table
 			c.table = command.Table
 			c.bound = true
-			concerned[command.Proxy] = true
+			affected[command.Proxy] = true
 		}
 	}
-	touched := s.Compiler.ApplyCommands(batch)
+	changedTables := s.Compiler.ApplyCommands(batch)
 	for _, c := range s.sidecars {
-		if c.stream != nil && c.bound && touched[c.table] {
-			concerned[c.number] = true
+		if c.stream != nil && c.bound && changedTables[c.table] {
+			affected[c.number] = true
 		}
 	}
-	return s.setTargets(now, nonce, concerned, rebound)
+	return s.setTargets(now, nonce, affected, rebound)
 }
 
 // SetAgreedRoutes sends the routes of a routing revision to all sidecars. The error is that of [Compiler.Snapshot].
 func (s *Server) SetAgreedRoutes(now float64, routingRevision uint64, routes []Route) error {
 	s.Compiler.SetAgreedRoutes(routingRevision, routes)
-	concerned := map[int]bool{}
+	affected := map[int]bool{}
 	for _, c := range s.sidecars {
 		if c.stream != nil && c.bound {
-			concerned[c.number] = true
+			affected[c.number] = true
 		}
 	}
-	return s.setTargets(now, noNonce, concerned, nil)
+	return s.setTargets(now, noNonce, affected, nil)
 }
 
 // setTargets sets the targets of the affected sidecars to the snapshots of their tables and sends the responses that
 // are due. The nonce is pending for each of these sidecars until it has accepted its target.
-func (s *Server) setTargets(now float64, nonce int, concerned, rebound map[int]bool) error {
+func (s *Server) setTargets(now float64, nonce int, affected, rebound map[int]bool) error {
 	snapshots := map[int]*Snapshot{} // by table: compiled once for all sidecars of the table
-	for _, proxy := range slices.Sorted(maps.Keys(concerned)) {
+	for _, proxy := range slices.Sorted(maps.Keys(affected)) {
 		c := s.sidecars[proxy]
 		target := snapshots[c.table]
 		if target == nil {
@@ -103,7 +103,7 @@
 	if delta != nil {
 		s.sink.SendDelta(c.stream.ID, delta)
 	}
-	acknowledged := c.lastAcknowledged()
+	acknowledged := c.lastAcknowledgedIndex()
 	if acknowledged < 0 {
 		return
 	}
@@ -111,9 +111,9 @@
 	c.pendingAcks = slices.Delete(c.pendingAcks, 0, acknowledged+1)
 }
 
-// lastAcknowledged returns the index of the last pending nonce whose resources the sidecar has accepted, or -1 if there
-// is none. It covers all earlier nonces.
-func (c *sidecar) lastAcknowledged() int {
+// lastAcknowledgedIndex returns the index of the last pending nonce whose resources the sidecar has accepted, or -1 if
+// there is none. It covers all earlier nonces.
+func (c *sidecar) lastAcknowledgedIndex() int {
 	last := -1
 	for index, pending := range c.pendingAcks {
 		if c.hasAccepted(pending.sequence) {
@@ -125,7 +125,7 @@
 
 func (c *sidecar) hasAccepted(sequence [NumResourceTypes]uint64) bool {
 	for t := range NumResourceTypes {
-		if !c.stream.Holds(t, sequence[t]) {
+		if !c.stream.HasAccepted(t, sequence[t]) {
 			return false
 		}
 	}
--- a/xds/server_status.go
+++ b/xds/server_status.go
@@ -12,11 +12,11 @@
 }
 
 // Sidecars returns the status of all known sidecars, sorted by id.
-func (s *Server) Sidecars(now float64) (all []SidecarStatus) {
+func (s *Server) Sidecars(now float64) (statuses []SidecarStatus) {
 	for _, id := range sortedKeys(s.numbers) {
-		all = append(all, s.sidecars[s.numbers[id]].status(now))
+		statuses = append(statuses, s.sidecars[s.numbers[id]].status(now))
 	}
-	return all
+	return statuses
 }
 
 func (c *sidecar) status(now float64) SidecarStatus {
--- a/xds/server_test.go
+++ b/xds/server_test.go
@@ -53,34 +53,34 @@
 func FuzzServer(f *testing.F) {
 	f.Add([]byte{0, 1, 2, 3}, "7-0-1", "x")
 	f.Add([]byte{9, 9, 0, 4, 4, 1}, "", "*")
-	f.Fuzz(func(t *testing.T, moves []byte, nonce, name string) {
-		out := &countingSink{responses: map[string]int{}}
+	f.Fuzz(func(t *testing.T, operations []byte, nonce, name string) {
+		sink := &countingSink{responses: map[string]int{}}
 		compiler := NewCompiler([]Route{{Name: "q", Prefix: "/"}}, time.Second)
 		compiler.SetAddress("n", "z", Address{"127.0.0.1", 1})
-		s := NewServer(compiler, out, 4)
-		for k, move := range moves[:min(len(moves), 200)] {
-			stream, resourceType := uint64(move%3), ResourceType(move/3%4)
-			node := &corev3.Node{Id: fmt.Sprint(move % 5)}
-			if !s.Connected(stream) && s.Open(float64(k), stream, stream == 1, node.GetId(), "z") != nil {
+		s := NewServer(compiler, sink, 4)
+		for step, operation := range operations[:min(len(operations), 200)] {
+			stream, resourceType := uint64(operation%3), ResourceType(operation/3%4)
+			node := &corev3.Node{Id: fmt.Sprint(operation % 5)}
+			if !s.Connected(stream) && s.Open(float64(step), stream, stream == 1, node.GetId(), "z") != nil {
 				continue
 			}
-			if move > 200 {
-				s.ApplyCommands(float64(k), []controller.Command{{Kind: controller.SetWeight, Table: int(move % 2), Node: "n", Value: float64(move)},
-					{Kind: controller.BindProxy, Proxy: int(move % 4), Table: int(move % 2)}, {Kind: controller.RequestAck, Nonce: k}})
+			if operation > 200 {
+				s.ApplyCommands(float64(step), []controller.Command{{Kind: controller.SetWeight, Table: int(operation % 2), Node: "n", Value: float64(operation)},
+					{Kind: controller.BindProxy, Proxy: int(operation % 4), Table: int(operation % 2)}, {Kind: controller.RequestAck, Nonce: step}})
 			}
-			if move%7 == 0 {
-				nonce = out.lastNonce
+			if operation%7 == 0 {
+				nonce = sink.lastNonce
 			}
 			if stream == 1 {
-				s.HandleDelta(float64(k), stream, &discoveryv3.DeltaDiscoveryRequest{TypeUrl: resourceType.TypeURL(), ResponseNonce: nonce,
-					ResourceNamesSubscribe: []string{name}, ResourceNamesUnsubscribe: []string{name}[:move%2]})
+				s.HandleDelta(float64(step), stream, &discoveryv3.DeltaDiscoveryRequest{TypeUrl: resourceType.TypeURL(), ResponseNonce: nonce,
+					ResourceNamesSubscribe: []string{name}, ResourceNamesUnsubscribe: []string{name}[:operation%2]})
 			} else {
-				s.HandleStateOfTheWorld(float64(k), stream, &discoveryv3.DiscoveryRequest{TypeUrl: resourceType.TypeURL(), ResponseNonce: nonce,
-					ResourceNames: []string{name}[:move%2]})
+				s.HandleStateOfTheWorld(float64(step), stream, &discoveryv3.DiscoveryRequest{TypeUrl: resourceType.TypeURL(), ResponseNonce: nonce,
+					ResourceNames: []string{name}[:operation%2]})
 			}
 			for id, c := range s.streams {
 				for resourceType, sub := range c.stream.subscriptions {
-					if n := out.responses[fmt.Sprint(id, typeURLs[resourceType])]; sub.pending == nil && n > 1000 {
+					if n := sink.responses[fmt.Sprint(id, typeURLs[resourceType])]; sub.pending == nil && n > 1000 {
 						t.Fatalf("got %d responses on one stream for %s, want at most 1000", n, ResourceType(resourceType))
 					}
 				}
--- a/xds/snapshot.go
+++ b/xds/snapshot.go
@@ -18,15 +18,15 @@
 		return first
 	}
 	changed := false
-	following := &Snapshot{Sets: sets, sequence: s.sequence}
+	successor := &Snapshot{Sets: sets, sequence: s.sequence}
 	for t := range sets {
 		if !sets[t].Equal(s.Sets[t]) {
-			following.sequence[t]++
+			successor.sequence[t]++
 			changed = true
 		}
 	}
 	if !changed {
 		return s
 	}
-	return following
+	return successor
 }
--- a/xds/stream.go
+++ b/xds/stream.go
@@ -45,28 +45,28 @@
 	}
 }
 
-// handleAnswer handles an ACK, or a NACK if fault is not nil. An answer to any response but the pending one is
+// handleAnswer handles an ACK, or a NACK if errorDetail is not nil. An answer to any response but the pending one is
 // unmatched: it is counted and otherwise ignored.
-func (s *Stream) handleAnswer(now float64, sub *subscription, nonce string, fault *status.Status) {
+func (s *Stream) handleAnswer(now float64, sub *subscription, nonce string, errorDetail *status.Status) {
 	answered := sub.pending
 	if answered == nil || answered.nonce != nonce {
 		s.Unmatched++
 		return
 	}
 	sub.pending = nil
-	if fault == nil {
+	if errorDetail == nil {
 		s.Accepted++
 		sub.accept(answered)
 		return
 	}
 	s.Rejected++
-	sub.reject(now, answered, fault)
+	sub.reject(now, answered, errorDetail)
 }
 
-// Holds reports whether the sidecar has accepted all resources of a type in the target at the given sequence or a later
-// one. It is false for a type that the sidecar has not subscribed to yet: sidecars subscribe to one type after the
-// other on a new stream, and may still have old resources of the later types.
-func (s *Stream) Holds(t ResourceType, sequence uint64) bool {
+// HasAccepted reports whether the sidecar has accepted all resources of a type in the target at the given sequence or a
+// later one. It is false for a type that the sidecar has not subscribed to yet: sidecars subscribe to one type after
+// the other on a new stream, and may still have old resources of the later types.
+func (s *Stream) HasAccepted(t ResourceType, sequence uint64) bool {
 	sub := &s.subscriptions[t]
 	return sub.subscribed && sub.acceptedSequence >= sequence
 }
--- a/xds/stream_delta.go
+++ b/xds/stream_delta.go
@@ -19,7 +19,7 @@
 	}
 	first := !sub.subscribed
 	if first {
-		sub.openDelta(t, r)
+		sub.initDelta(t, r)
 	} else if r.GetResponseNonce() != "" {
 		s.handleAnswer(now, sub, r.GetResponseNonce(), r.GetErrorDetail())
 	}
@@ -29,9 +29,9 @@
 	return nil
 }
 
-// openDelta handles the first request of a type. A sidecar that states its initial resource versions receives only the
+// initDelta handles the first request of a type. A sidecar that states its initial resource versions receives only the
 // resources that differ from them.
-func (sub *subscription) openDelta(t ResourceType, r *discoveryv3.DeltaDiscoveryRequest) {
+func (sub *subscription) initDelta(t ResourceType, r *discoveryv3.DeltaDiscoveryRequest) {
 	sub.subscribed = true
 	sub.firstResponseDue = len(r.GetInitialResourceVersions()) == 0
 	sub.wildcard = len(r.GetResourceNamesSubscribe()) == 0
@@ -88,7 +88,7 @@
 		RemovedResources:  removed,
 	}
 	for _, name := range sub.pending.changed {
-		resource := sub.pending.after[name]
+		resource := sub.pending.acceptedAfter[name]
 		body := &anypb.Any{TypeUrl: resource.Body.GetTypeUrl(), Value: resource.Body.GetValue()}
 		response.Resources = append(response.Resources, &discoveryv3.Resource{
 			Name:     name,
--- a/xds/stream_next.go
+++ b/xds/stream_next.go
@@ -10,13 +10,13 @@
 
 // responsePlan describes the next response of a type.
 type responsePlan struct {
-	after    ResourceSet // the accepted resources after an ACK
-	complete bool        // after includes all of the target
-	changed  []string    // names that the sidecar has accepted at another version or not at all
-	removed  []string    // accepted names that the sidecar must drop
-	missing  []string    // subscribed names that do not exist; delta only
-	// setVersion is the version of after. It is empty if the response would contain no change and is not the first of
-	// its type.
+	acceptedAfter ResourceSet // the accepted resources after an ACK of the response
+	complete      bool        // acceptedAfter includes all of the target
+	changed       []string    // names that the sidecar has accepted at another version or not at all
+	removed       []string    // accepted names that the sidecar must drop
+	missing       []string    // subscribed names that do not exist; delta only
+	// setVersion is the version of acceptedAfter. It is empty if the response would contain no change and is not the
+	// first of its type.
 	setVersion string
 }
 
@@ -38,14 +38,14 @@
 		if sub.statedVersion != "" {
 			s.handleStatedVersion(t, sub.statedVersion) // it may have been stated before the target was set
 		}
-		s.learnStatedBodies(t)
+		s.fillStatedBodies(t)
 		plan := s.planResponse(t)
 		switch {
 		case !sub.isDue(plan):
 			s.markAccepted(t, plan)
 			continue
 		case s.isImplicitRemoval(t, plan):
-			sub.accepted = plan.after
+			sub.accepted = plan.acceptedAfter
 			continue
 		}
 		s.startResponse(now, t, plan)
@@ -57,11 +57,11 @@
 	return nil, nil
 }
 
-// learnStatedBodies completes the accepted resources of which only the version is known, because the sidecar stated it,
+// fillStatedBodies completes the accepted resources of which only the version is known, because the sidecar stated it,
 // with the body from the target if the target has the same version.
-func (s *Stream) learnStatedBodies(t ResourceType) {
+func (s *Stream) fillStatedBodies(t ResourceType) {
 	sub := &s.subscriptions[t]
-	for name, resource := range sub.wanted(s.target.Sets[t]) {
+	for name, resource := range sub.filterSubscribed(s.target.Sets[t]) {
 		if sub.accepted.has(resource) && s.maySend(sub, resource) {
 			sub.accepted[name] = resource
 		}
@@ -71,24 +71,24 @@
 // planResponse returns the plan of the next response of a type. It does not modify the stream.
 func (s *Stream) planResponse(t ResourceType) responsePlan {
 	sub := &s.subscriptions[t]
-	after, complete := s.nextResources(t)
-	plan := responsePlan{after: after, complete: complete}
-	for _, name := range sortedKeys(after) {
-		if !sub.accepted.has(after[name]) {
+	acceptedAfter, complete := s.nextResources(t)
+	plan := responsePlan{acceptedAfter: acceptedAfter, complete: complete}
+	for _, name := range sortedKeys(acceptedAfter) {
+		if !sub.accepted.has(acceptedAfter[name]) {
 			plan.changed = append(plan.changed, name)
 		}
 	}
 	for _, name := range sortedKeys(sub.accepted) {
-		if after[name] == nil {
+		if acceptedAfter[name] == nil {
 			plan.removed = append(plan.removed, name)
 		}
 	}
 	sub.isolateSuspect(&plan)
 	if s.Delta {
-		plan.missing = sub.missingNames(plan.after)
+		plan.missing = sub.missingNames(plan.acceptedAfter)
 	}
-	if sub.hasNews(plan) {
-		plan.setVersion = plan.after.Version()
+	if sub.hasContent(plan) {
+		plan.setVersion = plan.acceptedAfter.Version()
 	}
 	return plan
 }
@@ -99,7 +99,7 @@
 // as long as accepted routes reference them.
 func (s *Stream) nextResources(t ResourceType) (next ResourceSet, complete bool) {
 	sub := &s.subscriptions[t]
-	next = sub.wanted(s.target.Sets[t])
+	next = sub.filterSubscribed(s.target.Sets[t])
 	complete = true
 	for name, resource := range next {
 		if s.maySend(sub, resource) {
@@ -173,27 +173,27 @@
 		return
 	}
 	suspect := plan.changed[index]
-	after := maps.Clone(sub.accepted)
-	after[suspect] = plan.after[suspect]
-	*plan = responsePlan{after: after, changed: []string{suspect}}
+	acceptedAfter := maps.Clone(sub.accepted)
+	acceptedAfter[suspect] = plan.acceptedAfter[suspect]
+	*plan = responsePlan{acceptedAfter: acceptedAfter, changed: []string{suspect}}
 }
 
 // missingNames returns the names that were subscribed to since the last response and have no resource.
-func (sub *subscription) missingNames(after ResourceSet) (missing []string) {
+func (sub *subscription) missingNames(acceptedAfter ResourceSet) (missing []string) {
 	for _, name := range sortedKeys(sub.unansweredNames) {
-		if after[name] == nil && sub.accepted[name] == nil {
+		if acceptedAfter[name] == nil && sub.accepted[name] == nil {
 			missing = append(missing, name)
 		}
 	}
 	return missing
 }
 
-// hasNews reports whether a planned response contains a change or is the first of its type.
-func (sub *subscription) hasNews(plan responsePlan) bool {
+// hasContent reports whether a planned response contains a change or is the first of its type.
+func (sub *subscription) hasContent(plan responsePlan) bool {
 	if len(plan.changed)+len(plan.removed)+len(plan.missing) > 0 {
 		return true
 	}
-	return sub.firstResponseDue && (sub.wildcard || len(plan.after) > 0)
+	return sub.firstResponseDue && (sub.wildcard || len(plan.acceptedAfter) > 0)
 }
 
 // isDue reports whether a planned response must be sent: it has content, and the sidecar has not rejected this set as a
@@ -212,7 +212,7 @@
 // it.
 func (s *Stream) markAccepted(t ResourceType, plan responsePlan) {
 	sub := &s.subscriptions[t]
-	if plan.complete && sub.accepted.Equal(plan.after) {
+	if plan.complete && sub.accepted.Equal(plan.acceptedAfter) {
 		sub.acceptedSequence = s.target.sequence[t]
 	}
 }
@@ -224,11 +224,11 @@
 	sub.firstResponseDue = false
 	sub.lastNonce = fmt.Sprintf("%d-%d-%d", s.ID, t, s.responseCount)
 	sub.pending = &pendingResponse{
-		nonce:      sub.lastNonce,
-		sentAt:     now,
-		after:      plan.after,
-		changed:    plan.changed,
-		setVersion: plan.setVersion,
+		nonce:         sub.lastNonce,
+		sentAt:        now,
+		acceptedAfter: plan.acceptedAfter,
+		changed:       plan.changed,
+		setVersion:    plan.setVersion,
 	}
 	if plan.complete {
 		sub.pending.sequence = s.target.sequence[t]
--- a/xds/stream_sotw.go
+++ b/xds/stream_sotw.go
@@ -67,12 +67,12 @@
 		sub.statedVersion = version
 		return
 	}
-	wanted := sub.wanted(s.target.Sets[t])
-	if wanted.Version() != version {
+	targetSet := sub.filterSubscribed(s.target.Sets[t])
+	if targetSet.Version() != version {
 		sub.statedVersion = version
 		return
 	}
-	sub.accepted = wanted
+	sub.accepted = targetSet
 	sub.acceptedSequence = s.target.sequence[t]
 	sub.firstResponseDue = false
 	sub.statedVersion = ""
@@ -87,10 +87,10 @@
 	}
 	names := sub.pending.changed
 	if t.isFullyListed() {
-		names = sortedKeys(sub.pending.after)
+		names = sortedKeys(sub.pending.acceptedAfter)
 	}
 	for _, name := range names {
-		if body := sub.pending.after[name].Body; body != nil {
+		if body := sub.pending.acceptedAfter[name].Body; body != nil {
 			response.Resources = append(response.Resources, body)
 		}
 	}
--- a/xds/stream_status.go
+++ b/xds/stream_status.go
@@ -18,37 +18,37 @@
 }
 
 // Resources returns the status of all resources that the sidecar has accepted or should have, sorted by type and name.
-func (s *Stream) Resources(now float64) (all []ResourceStatus) {
+func (s *Stream) Resources(now float64) (statuses []ResourceStatus) {
 	for t := range NumResourceTypes {
 		sub := &s.subscriptions[t]
 		if !sub.subscribed {
 			continue
 		}
-		wanted := ResourceSet{}
+		targetSet := ResourceSet{}
 		if s.target != nil {
-			wanted = sub.wanted(s.target.Sets[t])
+			targetSet = sub.filterSubscribed(s.target.Sets[t])
 		}
 		names := map[string]bool{}
-		for name := range wanted {
+		for name := range targetSet {
 			names[name] = true
 		}
 		for name := range sub.accepted {
 			names[name] = true
 		}
 		for _, name := range sortedKeys(names) {
-			all = append(all, sub.resourceStatus(now, t, name, wanted[name]))
+			statuses = append(statuses, sub.resourceStatus(now, t, name, targetSet[name]))
 		}
 		if rejection, rejected := sub.rejections[wildcard]; rejected {
-			all = append(all, ResourceStatus{
+			statuses = append(statuses, ResourceStatus{
 				Type:      t,
 				Name:      wildcard,
 				Accepted:  sub.accepted.Version(),
-				Target:    wanted.Version(),
+				Target:    targetSet.Version(),
 				Rejection: &rejection,
 			})
 		}
 	}
-	return all
+	return statuses
 }
 
 // resourceStatus returns the status of one resource; target is nil if the resource must be removed.
--- a/xds/stream_test.go
+++ b/xds/stream_test.go
@@ -32,7 +32,7 @@
 	strings.Builder
 }
 
-func newScript(t *testing.T, delta bool, contents ...string) *streamScript {
+func newStreamScript(t *testing.T, delta bool, contents ...string) *streamScript {
 	c := &streamScript{t: t, s: NewStream(7, delta), names: map[string]string{}}
 	c.setTarget(contents...)
 	return c
@@ -41,9 +41,9 @@
 // setTarget sets the target to some clusters: "a1" is the cluster a with content 1.
 func (c *streamScript) setTarget(contents ...string) {
 	set := ResourceSet{}
-	for _, one := range contents {
-		r := newTestCluster(c.t, one[:1], int(one[1]))
-		set[r.Name], c.names[r.Version] = r, one
+	for _, content := range contents {
+		r := newTestCluster(c.t, content[:1], int(content[1]))
+		set[r.Name], c.names[r.Version] = r, content
 	}
 	c.target = c.target.next([NumResourceTypes]ResourceSet{Clusters: set, Endpoints: {}, Listeners: {}, Routes: {}})
 	c.s.SetTarget(c.target, false)
@@ -62,16 +62,16 @@
 		var got []string
 		for _, body := range state.GetResources() {
 			m, _ := body.UnmarshalNew()
-			one, _ := NewResource(Clusters, m.(*clusterv3.Cluster).GetName(), m)
-			got = append(got, c.names[one.Version])
+			resource, _ := NewResource(Clusters, m.(*clusterv3.Cluster).GetName(), m)
+			got = append(got, c.names[resource.Version])
 		}
 		fmt.Fprintf(c, "sent %v\n", got)
 		c.nonces = append(c.nonces, state.GetNonce())
 	}
 	if delta != nil {
 		var got []string
-		for _, one := range delta.GetResources() {
-			got = append(got, c.names[one.GetVersion()])
+		for _, resource := range delta.GetResources() {
+			got = append(got, c.names[resource.GetVersion()])
 		}
 		fmt.Fprintf(c, "sent %v removed %v\n", got, delta.GetRemovedResources())
 		c.nonces = append(c.nonces, delta.GetNonce())
@@ -79,17 +79,17 @@
 }
 
 // answer answers the k-th response before the last, with an ACK or, if there is a reason, with a NACK.
-func (c *streamScript) answer(k int, why string) {
+func (c *streamScript) answer(k int, reason string) {
 	nonce := c.nonces[len(c.nonces)-1-k]
-	var fault *status.Status
-	if why != "" {
-		fault = &status.Status{Message: why}
+	var errorDetail *status.Status
+	if reason != "" {
+		errorDetail = &status.Status{Message: reason}
 	}
 	var err error
 	if c.s.Delta {
-		err = c.s.HandleDelta(1, &discoveryv3.DeltaDiscoveryRequest{TypeUrl: Clusters.TypeURL(), ResponseNonce: nonce, ErrorDetail: fault})
+		err = c.s.HandleDelta(1, &discoveryv3.DeltaDiscoveryRequest{TypeUrl: Clusters.TypeURL(), ResponseNonce: nonce, ErrorDetail: errorDetail})
 	} else {
-		err = c.s.HandleStateOfTheWorld(1, &discoveryv3.DiscoveryRequest{TypeUrl: Clusters.TypeURL(), ResponseNonce: nonce, ErrorDetail: fault})
+		err = c.s.HandleStateOfTheWorld(1, &discoveryv3.DiscoveryRequest{TypeUrl: Clusters.TypeURL(), ResponseNonce: nonce, ErrorDetail: errorDetail})
 	}
 	if err != nil {
 		c.t.Fatal(err)
@@ -113,14 +113,14 @@
 	for _, name := range sortedKeys(c.s.subscriptions[Clusters].accepted) {
 		accepted = append(accepted, c.names[c.s.subscriptions[Clusters].accepted[name].Version])
 	}
-	fmt.Fprintf(c, "accepted %v complete %t stale %d\n", accepted, c.s.Holds(Clusters, c.target.sequence[Clusters]), c.s.Unmatched)
+	fmt.Fprintf(c, "accepted %v complete %t stale %d\n", accepted, c.s.HasAccepted(Clusters, c.target.sequence[Clusters]), c.s.Unmatched)
 }
 
 // Each case is a sequence of requests, target changes and answers, with the responses and the state that must result.
 func TestStreamExchanges(t *testing.T) {
-	for name, story := range map[string]struct {
+	for name, test := range map[string]struct {
 		delta bool
-		play  func(c *streamScript)
+		run   func(c *streamScript)
 		want  string
 	}{
 		"no response after an ACK": {false, func(c *streamScript) { c.subscribe(); c.next(); c.answer(0, ""); c.printAccepted(); c.next() },
@@ -281,9 +281,9 @@
 		}, "sent [a1] removed []\nsent [b1] removed [a]\naccepted [b1] complete true stale 0\n"},
 	} {
 		t.Run(name, func(t *testing.T) {
-			c := newScript(t, story.delta, "a1", "b1")
-			story.play(c)
-			if diff := cmp.Diff(story.want, c.String()); diff != "" {
+			c := newStreamScript(t, test.delta, "a1", "b1")
+			test.run(c)
+			if diff := cmp.Diff(test.want, c.String()); diff != "" {
 				t.Errorf("exchange (-want +got):\n%s", diff)
 			}
 		})
@@ -294,7 +294,7 @@
 // receive them again, even from a restarted controller, because versions are hashes of the content.
 func TestStatedVersionsAreNotSentAgain(t *testing.T) {
 	for _, delta := range []bool{true, false} {
-		c := newScript(t, delta, "a1", "b1")
+		c := newStreamScript(t, delta, "a1", "b1")
 		versions := map[string]string{"a": newTestCluster(t, "a", '1').Version, "b": newTestCluster(t, "b", '0').Version, "gone": "x"}
 		if delta {
 			c.s.HandleDelta(1, &discoveryv3.DeltaDiscoveryRequest{TypeUrl: Clusters.TypeURL(), InitialResourceVersions: versions})
--- a/xds/subscription.go
+++ b/xds/subscription.go
@@ -40,12 +40,12 @@
 
 // pendingResponse is a response that was sent and has not been answered.
 type pendingResponse struct {
-	nonce      string
-	sentAt     float64     // seconds
-	after      ResourceSet // the accepted resources after an ACK
-	changed    []string    // names of the resources in it
-	sequence   uint64      // of the target if the response completes it, otherwise 0
-	setVersion string      // version of after
+	nonce         string
+	sentAt        float64     // seconds
+	acceptedAfter ResourceSet // the accepted resources after an ACK
+	changed       []string    // names of the resources in it
+	sequence      uint64      // of the target if the response completes it, otherwise 0
+	setVersion    string      // version of acceptedAfter
 }
 
 func newSubscription() subscription {
@@ -63,13 +63,13 @@
 func (sub *subscription) drop(name string) {
 	delete(sub.accepted, name)
 	if pending := sub.pending; pending != nil && !slices.Contains(pending.changed, name) {
-		delete(pending.after, name)
+		delete(pending.acceptedAfter, name)
 	}
 }
 
 // accept handles the ACK of a response.
 func (sub *subscription) accept(response *pendingResponse) {
-	sub.accepted = response.after
+	sub.accepted = response.acceptedAfter
 	sub.statedVersion = ""
 	if response.sequence > 0 {
 		sub.acceptedSequence = response.sequence
@@ -81,8 +81,8 @@
 }
 
 // reject handles the NACK of a response.
-func (sub *subscription) reject(now float64, response *pendingResponse, fault *status.Status) {
-	reason := truncateReason(fault.GetMessage())
+func (sub *subscription) reject(now float64, response *pendingResponse, errorDetail *status.Status) {
+	reason := truncateReason(errorDetail.GetMessage())
 	switch {
 	case len(response.changed) > 1:
 		// A NACK does not identify the invalid resource: each one is sent in a response of its own, so that the valid
@@ -90,23 +90,23 @@
 		for _, name := range response.changed {
 			sub.suspects[name] = true
 		}
-	case len(response.changed) == 1 && response.after[response.changed[0]] != nil:
+	case len(response.changed) == 1 && response.acceptedAfter[response.changed[0]] != nil:
 		name := response.changed[0]
 		delete(sub.suspects, name)
-		sub.rejections[name] = Rejection{Version: response.after[name].Version, Reason: reason, At: now}
+		sub.rejections[name] = Rejection{Version: response.acceptedAfter[name].Version, Reason: reason, At: now}
 	default:
 		sub.rejectedSetVersion = response.setVersion
 		sub.rejections[wildcard] = Rejection{Version: response.setVersion, Reason: reason, At: now}
 	}
 }
 
-// wanted returns the resources of a target set to which the sidecar is subscribed.
-func (sub *subscription) wanted(target ResourceSet) ResourceSet {
-	wanted := ResourceSet{}
+// filterSubscribed returns the resources of a target set to which the sidecar is subscribed.
+func (sub *subscription) filterSubscribed(target ResourceSet) ResourceSet {
+	filtered := ResourceSet{}
 	for name, resource := range target {
 		if sub.wildcard || sub.names[name] {
-			wanted[name] = resource
+			filtered[name] = resource
 		}
 	}
-	return wanted
+	return filtered
 }
