--- a/cmd/harehook-sidecar/main.go
+++ b/cmd/harehook-sidecar/main.go
@@ -1,4 +1,5 @@
-// Command harehook-sidecar forwards an application's HTTP/1.1 requests by the routing that a controller streams to it.
+// Command harehook-sidecar forwards an application's HTTP/1.1 requests by the routing configuration that it receives
+// from a controller over xDS.
 package main
 
 import (
@@ -22,17 +23,17 @@
 
 const (
 	reloadInterval  = time.Second      // of certificates
-	counterInterval = 10 * time.Second // between two log lines with counters
+	counterInterval = 10 * time.Second // between log messages with counters
 
-	// controllerName is the name that a controller's certificate has to be for.
+	// controllerName is the server name that a controller's certificate must have.
 	controllerName = "conductor"
 )
 
 func main() {
-	program.Main("harehook-sidecar", "Carries HTTP/1.1 calls by accepted versions", "sidecar.kdl", run)
+	program.Main("harehook-sidecar", "Forward HTTP/1.1 requests by routes received over xDS", "sidecar.kdl", run)
 }
 
-// run runs the sidecar until ctx ends. An error is a start that can't work.
+// run runs the sidecar until ctx is done. It returns an error only if the sidecar cannot start.
 func run(ctx context.Context, configPath string) error {
 	settings, err := config.ReadSidecar(configPath)
 	if err != nil {
@@ -89,14 +90,14 @@
 	return client
 }
 
-// newSeed returns a seed that differs between sidecars and between the starts of one.
+// newSeed returns a seed that differs between sidecars and between restarts of a sidecar.
 func newSeed(name string) uint64 {
 	sum := fnv.New64a()
 	fmt.Fprint(sum, name, time.Now().UnixNano())
 	return sum.Sum64()
 }
 
-// maintain reloads changed certificates and logs counters until ctx ends.
+// maintain periodically reloads changed certificates and logs counters until ctx is done.
 func maintain(ctx context.Context, client *sidecar.Client, load *sidecar.LoadRecorder, certificates *certs.Reloader, log *zap.Logger) {
 	ticker := time.NewTicker(reloadInterval)
 	defer ticker.Stop()
--- a/sidecar/client.go
+++ b/sidecar/client.go
@@ -19,17 +19,18 @@
 
 const (
 	dialTimeout = 3 * time.Second
-	// A controller that fell silent is left after keepaliveTime and keepaliveTimeout.
+	// The connection to an unresponsive controller is closed after keepaliveTime plus keepaliveTimeout.
 	keepaliveTime    = 10 * time.Second
 	keepaliveTimeout = 2 * time.Second
-	// The backoff before the next controller doubles with each failure; the delay is 0.5 to 1.5 times as long.
+	// The backoff before the next controller doubles with each failure; the delay is 0.5 to 1.5 times the backoff.
 	initialBackoff   = 200 * time.Millisecond
 	maxBackoff       = 5 * time.Second
 	minDelayFactor   = 0.5
 	maxResponseBytes = 8 << 20
 )
 
-// Client has a stream to one of some controllers, which fills a resource cache, and sends load reports by another one.
+// Client keeps an xDS stream open to one of several controllers, updates a resource cache from it, and sends load
+// reports over a second stream of the same connection.
 type Client struct {
 	Cache       *ResourceCache
 	Controllers []string                         // addresses
@@ -38,16 +39,16 @@
 	Credentials credentials.TransportCredentials // nil: plain text
 	Log         *zap.Logger
 
-	// Connected is set while a stream is open on which the first requests were sent. Before Run, while a controller is
-	// dialed and during a backoff it is not.
+	// Connected is true while a stream is open and its first requests have been sent. It is false before Run, while the
+	// client dials a controller and during a backoff.
 	Connected atomic.Bool
-	// Streams counts the streams that were begun since the start.
+	// Streams counts the streams opened since the start.
 	Streams atomic.Uint64
 
 	table atomic.Pointer[RoutingTable]
 }
 
-// Table returns the routing table in use, an empty one before Run. It may be called by any goroutine and does not wait.
+// Table returns the routing table in use, which is empty before Run. It is safe for concurrent use and does not block.
 func (c *Client) Table() *RoutingTable {
 	if table := c.table.Load(); table != nil {
 		return table
@@ -55,8 +56,8 @@
 	return &RoutingTable{}
 }
 
-// Run loads the stored resources and runs streams until ctx ends. Controllers are tried in turn, each sidecar begins at
-// another one.
+// Run loads the stored resources and runs streams until ctx is done. It tries the controllers in turn; the first one
+// depends on the sidecar's ID, so that sidecars spread over the controllers.
 func (c *Client) Run(ctx context.Context) {
 	c.loadStored()
 	seed := c.seed()
@@ -84,24 +85,25 @@
 	}
 }
 
-// loadStored makes the stored resources the routing table. Stored ones that can't be used are reported and left out.
+// loadStored builds the routing table from the stored resources. If they cannot be used, it logs the error and starts
+// empty.
 func (c *Client) loadStored() {
 	if c.Store != nil {
 		if err := c.Store.Load(c.Cache); err != nil {
-			c.Log.Error("stored resources are not used", zap.Error(err))
+			c.Log.Error("failed to load stored resources", zap.Error(err))
 		}
 	}
 	c.table.Store(c.Cache.Table())
 }
 
-// seed returns a hash of the sidecar's id, by which sidecars differ in the order of controllers and in their backoff.
+// seed returns a hash of the sidecar's ID. It varies the first controller and the backoff between sidecars.
 func (c *Client) seed() uint64 {
 	sum := fnv.New64a()
 	fmt.Fprint(sum, c.Cache.ID)
 	return sum.Sum64()
 }
 
-// runStream runs a stream to one controller until it ends, and returns the reason. The load reports end with it.
+// runStream runs a stream to one controller until it ends, and returns the reason. Load reports stop with the stream.
 func (c *Client) runStream(ctx context.Context, address string) error {
 	conn, err := c.dial(address)
 	if err != nil {
@@ -115,7 +117,7 @@
 	begun := func() {
 		c.Streams.Add(1)
 		c.Connected.Store(true)
-		c.Log.Info("stream begun", zap.String("conductor", address))
+		c.Log.Info("stream opened", zap.String("conductor", address))
 		reports.Go(func() { c.sendLoadReports(ctx, loadv3.NewLoadReportingServiceClient(conn)) })
 	}
 	client := discoveryv3.NewAggregatedDiscoveryServiceClient(conn)
@@ -145,20 +147,22 @@
 		grpc.WithDefaultCallOptions(grpc.MaxCallRecvMsgSize(maxResponseBytes)))
 }
 
-// publishAccepted routes by the accepted resources and persists them. It is called before each answer, also a NACK, after
-// which some resources may be accepted: what a sidecar has acknowledged it has after a crash as well.
+// publishAccepted publishes a routing table of the accepted resources and persists them. It is called before each ACK
+// and each NACK, so that a sidecar still has every acknowledged resource after a crash. A NACK leaves the accepted
+// resources as they were.
 func (c *Client) publishAccepted() {
 	c.table.Store(c.Cache.Table())
 	if c.Store == nil {
 		return
 	}
 	if err := c.Store.Save(c.Cache); err != nil {
-		// A full disk must not stop requests: only a restart would miss what is not persisted.
-		c.Log.Error("what is held could not be kept", zap.Error(err))
+		// A full disk must not stop request forwarding: resources that are not persisted are missing only after a
+		// restart.
+		c.Log.Error("failed to store accepted resources", zap.Error(err))
 	}
 }
 
-// Describe summarizes the routing table in use, for a log line.
+// Describe returns a summary of the routing table in use, for log messages.
 func (c *Client) Describe() string {
 	table := c.Table()
 	nodes := 0
--- a/sidecar/example_test.go
+++ b/sidecar/example_test.go
@@ -9,7 +9,7 @@
 	"harehook.dev/harehook/xds"
 )
 
-// A request is routed by its path, and a node is drawn by weight.
+// A request is routed by its path to a cluster, and a node of the cluster is selected by weight.
 func ExampleRoutingTable() {
 	address := xds.Address{Host: "192.0.2.1", Port: 8080}
 	table := &sidecar.RoutingTable{
@@ -38,7 +38,8 @@
 	// /other has no route
 }
 
-// A sidecar without accepted resources subscribes to clusters and its listener; what these refer to follows.
+// A sidecar without accepted resources subscribes to all clusters and its listener. It subscribes to the endpoints and
+// routes that these refer to once it has accepted them.
 func ExampleResourceCache_BeginDelta() {
 	cache := &sidecar.ResourceCache{ID: "till-1", Zone: "north", Delta: true}
 	for _, request := range cache.BeginDelta() {
--- a/sidecar/exchange.go
+++ b/sidecar/exchange.go
@@ -1,14 +1,14 @@
 package sidecar
 
-// Transport is a stream of either variant of xDS.
+// Transport is an xDS stream of either variant, state of the world or delta.
 type Transport[Request, Response any] interface {
 	Send(Request) error
 	Recv() (Response, error)
 }
 
-// Exchange sends the first requests and then answers each response until the stream ends; it returns the reason. Begun, if
-// it is not nil, is called once the first requests were sent. Handle returns the requests that answer a response, an ACK or a
-// NACK; beforeAnswer is called in either case before they are sent.
+// Exchange sends the first requests, then handles each response until the stream ends, and returns the reason. If begun
+// is not nil, it is called after the first requests are sent. The function handle returns the requests to send for a
+// response, starting with its ACK or NACK; beforeAnswer is called before they are sent in either case.
 func Exchange[Request, Response any](stream Transport[Request, Response], first []Request, begun func(),
 	handle func(Response) ([]Request, error), beforeAnswer func()) error {
 	if err := sendAll(stream, first); err != nil {
--- a/sidecar/forward.go
+++ b/sidecar/forward.go
@@ -14,10 +14,11 @@
 	"harehook.dev/harehook/xds"
 )
 
-// hopHeaders are meant for one connection only, as are those that the header Connection names.
+// hopHeaders are the hop-by-hop headers, which are not forwarded. The headers that Connection names are hop-by-hop as
+// well.
 var hopHeaders = []string{"Connection", "Keep-Alive", "Proxy-Connection", "Proxy-Authorization", "Te", "Trailer"}
 
-// handleRequest routes a request and writes its response. It tells whether the client's connection may be used on.
+// handleRequest routes a request and writes its response. It reports whether the client's connection can be reused.
 func (p *Proxy) handleRequest(ctx context.Context, client net.Conn, request *http.Request) (reusable bool) {
 	table := p.Table()
 	entry := table.Route(request.URL.Path, p.randomFraction)
@@ -35,7 +36,7 @@
 	return p.forwardRequest(ctx, client, request, table, entry)
 }
 
-// respond writes a response of the proxy's own and tells whether that succeeded.
+// respond writes a response that the proxy itself generates, and reports whether the write succeeded.
 func respond(client net.Conn, status int, header, body string) bool {
 	client.SetWriteDeadline(time.Now().Add(bodyTimeout))
 	_, err := fmt.Fprintf(client, "HTTP/1.1 %d %s\r\n%sContent-Type: text/plain\r\nContent-Length: %d\r\n\r\n%s",
@@ -50,8 +51,8 @@
 	began    time.Time
 }
 
-// forwardRequest forwards a request to a node of an entry's cluster and writes its response. It tells whether the client's
-// connection may be used on.
+// forwardRequest forwards a request to a node of an entry's cluster and writes its response. It reports whether the
+// client's connection can be reused.
 func (p *Proxy) forwardRequest(ctx context.Context, client net.Conn, request *http.Request, table *RoutingTable, entry *RouteEntry) (reusable bool) {
 	timeLimit := entry.TimeLimit
 	if timeLimit <= 0 {
@@ -78,8 +79,9 @@
 	return reusable
 }
 
-// connectWithRetries returns a connection to a node of an entry's cluster, nil if none accepts one. An attempt without a
-// connection never ran, so a retry is safe on every route. It is the only place with retries.
+// connectWithRetries returns a connection to a node of an entry's cluster, or nil if no attempt succeeds. While no
+// connection is established no node has run the request, so a retry is safe on every route. Requests are retried
+// nowhere else.
 func (p *Proxy) connectWithRetries(ctx context.Context, table *RoutingTable, entry *RouteEntry, deadline time.Time) *attempt {
 	var tried []xds.Address
 	for {
@@ -102,8 +104,9 @@
 	}
 }
 
-// forward sends a request to a node and its response to the client. From its first byte on the request may have run, so it is
-// never sent again. It tells whether the attempt failed, and whether the client's connection may be used on.
+// forward sends a request to a node and copies the response to the client. The node may run the request as soon as its
+// first byte is sent, so the request is never retried. It reports whether the attempt failed and whether the client's
+// connection can be reused.
 func (p *Proxy) forward(client net.Conn, request *http.Request, to *attempt, deadline time.Time) (failed, reusable bool) {
 	to.upstream.SetDeadline(deadline)
 	if err := writeRequest(to.upstream, request); err != nil {
@@ -136,15 +139,15 @@
 func writeRequest(to *upstream, request *http.Request) error {
 	request.URL.Scheme = ""
 	request.URL.Host = ""
-	// Whether the client's connection is closed concerns the client and the proxy only: "Connection: close" must not reach
-	// the node, whose connection is pooled.
+	// "Connection: close" applies to the client's connection only. It must not reach the node, whose connection is
+	// pooled and would be closed.
 	clientCloses := request.Close
 	request.Close = false
 	defer func() { request.Close = clientCloses }()
 	return request.Write(to)
 }
 
-// readResponse reads a node's response; interim responses are skipped.
+// readResponse reads a node's final response and skips interim (1xx) responses.
 func readResponse(from *upstream, request *http.Request) (*http.Response, error) {
 	for {
 		response, err := http.ReadResponse(from.reader, request)
@@ -158,7 +161,7 @@
 	}
 }
 
-// gatewayStatus returns the status for a response that could not be read.
+// gatewayStatus returns the status for the client if reading the node's response fails with err.
 func gatewayStatus(err error) int {
 	var netErr net.Error
 	if errors.As(err, &netErr) && netErr.Timeout() {
@@ -167,7 +170,8 @@
 	return http.StatusBadGateway
 }
 
-// failForward gives up the connection to a node that gave no response, and tells the client, which may have gone as well.
+// failForward closes the connection to a node that sent no response, and sends an error response to the client. Errors
+// of that write are ignored, as the client may have disconnected as well.
 func (p *Proxy) failForward(client net.Conn, to *attempt, status int, err error) {
 	to.upstream.Close()
 	p.Log.Warn("no response from node", zap.String("node", to.key.Address.Host),
@@ -176,10 +180,10 @@
 	fmt.Fprintf(client, "HTTP/1.1 %d %s\r\nConnection: close\r\nContent-Length: 0\r\n\r\n", status, http.StatusText(status))
 }
 
-// closeBody closes a response's body. Its error is ignored: copying the body has returned it.
+// closeBody closes a response's body. Its error is ignored: copying the body already returned it.
 func closeBody(response *http.Response) { _ = response.Body.Close() }
 
-// removeHopHeaders removes the headers that are meant for one connection only.
+// removeHopHeaders removes the hop-by-hop headers.
 func removeHopHeaders(header http.Header) {
 	for _, name := range strings.Split(header.Get("Connection"), ",") {
 		header.Del(strings.TrimSpace(name))
--- a/sidecar/golden_test.go
+++ b/sidecar/golden_test.go
@@ -8,11 +8,11 @@
 	"harehook.dev/harehook/internal/goldentest"
 )
 
-// goldenStore is a sidecar's store as commit 3968cf4 wrote it.
+// goldenStore is a sidecar's store file written by commit 3968cf4.
 const goldenStore = "testdata/store.held"
 
-// TestGoldenStore starts from the store of an earlier release: the routing table is the one that the release routed by, and
-// the file is written as it was.
+// TestGoldenStore guards against a store format that cannot read the files of an earlier release: the store of such a
+// release must load to the same routing table, and must be written again with the same length.
 func TestGoldenStore(t *testing.T) {
 	if goldentest.Update() {
 		if err := os.MkdirAll("testdata", 0o755); err != nil {
@@ -40,6 +40,6 @@
 		t.Fatal(err)
 	}
 	if len(got) != len(want) {
-		t.Errorf("%d bytes are written, %d were", len(got), len(want))
+		t.Errorf("length of the rewritten store: got %d bytes, want %d", len(got), len(want))
 	}
 }
--- a/sidecar/load_recorder.go
+++ b/sidecar/load_recorder.go
@@ -8,27 +8,27 @@
 	"harehook.dev/harehook/xds"
 )
 
-// LoadRecorder counts attempts and requests since the last load report. Its methods may be called from any goroutine.
+// LoadRecorder counts attempts and requests since the last load report. It is safe for concurrent use.
 type LoadRecorder struct {
-	// Requests since the start: answered by a node without a status of 5xx, rejected by admission, and all others but those
-	// of methods that are not supported.
+	// Requests since the start. Completed counts the responses of nodes with a status other than 5xx, Rejected the
+	// requests rejected by admission, and Failed all others except unsupported ones (CONNECT and Upgrade).
 	Completed, Rejected, Failed atomic.Uint64
-	// Retried counts how often another node was looked for after an attempt without a connection.
+	// Retried counts the retries after failed connection attempts, including those that find no other node.
 	Retried atomic.Uint64
 
-	reportMutex sync.Mutex // guards all below
+	reportMutex sync.Mutex // guards the fields below
 	report      LoadReport
-	startedAt   time.Time // of the report
+	startedAt   time.Time // start of the report's interval
 }
 
-// LoadReport is what came of attempts, and the requests of each route, over an interval.
+// LoadReport holds the outcomes of attempts by node and the number of requests by route over an interval.
 type LoadReport struct {
 	Nodes    map[NodeKey]*NodeLoad
 	Routes   map[string]int // requests by route
 	Interval time.Duration
 }
 
-// NodeKey names a node within a cluster.
+// NodeKey identifies a node within a cluster.
 type NodeKey struct {
 	Cluster, Zone string
 	Address       xds.Address
@@ -36,12 +36,12 @@
 
 // NodeLoad counts the attempts at a node.
 type NodeLoad struct {
-	Attempts   int           // also failed ones
-	Failed     int           // without a response, or with one of status 5xx
-	LatencySum time.Duration // of those that did not fail
+	Attempts   int           // includes failed ones
+	Failed     int           // without a response, or with a response of status 5xx
+	LatencySum time.Duration // of attempts that did not fail
 }
 
-// NewLoadRecorder returns a recorder whose first report begins now.
+// NewLoadRecorder returns a recorder whose first report starts at now.
 func NewLoadRecorder(now time.Time) *LoadRecorder {
 	return &LoadRecorder{report: newLoadReport(), startedAt: now}
 }
@@ -74,7 +74,7 @@
 	r.report.Routes[route]++
 }
 
-// Take returns the report since the last call, and begins the next one.
+// Take returns the report since the previous call and starts the next one at now.
 func (r *LoadRecorder) Take(now time.Time) LoadReport {
 	r.reportMutex.Lock()
 	defer r.reportMutex.Unlock()
--- a/sidecar/load_reports.go
+++ b/sidecar/load_reports.go
@@ -12,10 +12,11 @@
 	"harehook.dev/harehook/xds"
 )
 
-// defaultReportInterval is that of load reports if the controller states none.
+// defaultReportInterval is the interval of load reports if the controller does not set one.
 const defaultReportInterval = time.Second
 
-// sendLoadReports sends load reports until its stream or ctx ends. A controller without load reports is no fault.
+// sendLoadReports sends load reports until its stream ends or ctx is done. It logs no errors, as a controller need not
+// support load reports.
 func (c *Client) sendLoadReports(ctx context.Context, client loadv3.LoadReportingServiceClient) {
 	if c.Load == nil {
 		return
@@ -50,7 +51,7 @@
 	}
 }
 
-// statsBuilder collects the clusters and localities of a load report on the wire.
+// statsBuilder builds the cluster and locality messages of a load report.
 type statsBuilder struct {
 	interval   time.Duration
 	stats      []*endpointv3.ClusterStats
@@ -60,7 +61,8 @@
 
 type localityKey struct{ cluster, zone string }
 
-// clusterStats encodes a load report: a cluster's nodes by zone; routes are metrics of a cluster of their own.
+// clusterStats encodes a load report. Nodes are grouped by cluster and zone; the request counts of routes are metrics
+// of a separate cluster named [xds.ListenerName].
 func clusterStats(report LoadReport) []*endpointv3.ClusterStats {
 	builder := statsBuilder{
 		interval:   report.Interval,
--- a/sidecar/parse.go
+++ b/sidecar/parse.go
@@ -20,17 +20,18 @@
 	maxPort                = 65535
 )
 
-// Reasons for which a resource is rejected.
+// Reasons for the rejection of a resource.
 var (
-	errUnreadable   = errors.New("can't be read")
-	errNoName       = errors.New("it has no name")
-	errDuplicate    = errors.New("is there twice")
-	errNoManager    = errors.New("it has no connection manager as its API listener")
-	errRoutesSource = errors.New("its routes don't come by this stream")
+	errUnreadable   = errors.New("message cannot be decoded")
+	errNoName       = errors.New("name must not be empty")
+	errDuplicate    = errors.New("duplicate resource")
+	errNoManager    = errors.New("API listener must be an HTTP connection manager")
+	errRoutesSource = errors.New("route configuration must have a name and use ADS")
 )
 
-// parseResources validates the resources of a response and returns them by name. One fault rejects the response; the error
-// names each resource at fault. Without versions, as in state of the world, a version is that of the content.
+// parseResources validates the resources of a response and returns the valid ones by name. A single invalid resource
+// rejects the response; the error names each invalid resource. If versions is nil, as in state of the world, the
+// version of a resource is computed from its content.
 func (c *ResourceCache) parseResources(t xds.ResourceType, bodies []*anypb.Any, versions map[string]string) (map[string]CachedResource, error) {
 	parsed := map[string]CachedResource{}
 	var faults []error
@@ -52,10 +53,10 @@
 	return parsed, errors.Join(faults...)
 }
 
-// parseResource returns the name of a resource, and why it has to be rejected.
+// parseResource returns the name of a resource, and an error if the resource must be rejected.
 func (c *ResourceCache) parseResource(t xds.ResourceType, body *anypb.Any, parsed map[string]CachedResource) (name string, err error) {
 	if body.GetTypeUrl() != t.TypeURL() {
-		return "", fmt.Errorf("a resource of type %q among those of %s", body.GetTypeUrl(), t)
+		return "", fmt.Errorf("resource of type %q in a response of type %s", body.GetTypeUrl(), t)
 	}
 	name, err = c.validateResource(t, body)
 	if err != nil {
@@ -70,7 +71,7 @@
 	return name, nil
 }
 
-// validateResource decodes a resource and returns its name, and why it can't be used.
+// validateResource decodes a resource and returns its name, and an error if the resource is invalid.
 func (c *ResourceCache) validateResource(t xds.ResourceType, body *anypb.Any) (name string, err error) {
 	switch t {
 	case xds.Clusters:
@@ -88,7 +89,7 @@
 	return name, err
 }
 
-// unmarshal decodes the message of a resource.
+// unmarshal decodes the body of a resource into message.
 func unmarshal[M proto.Message](body *anypb.Any, message M) (M, error) {
 	if err := proto.Unmarshal(body.GetValue(), message); err != nil {
 		return message, errUnreadable
@@ -99,7 +100,7 @@
 func validateCluster(body *anypb.Any) (name string, err error) {
 	cluster, err := unmarshal(body, &clusterv3.Cluster{})
 	if err == nil && cluster.GetType() != clusterv3.Cluster_EDS {
-		err = fmt.Errorf("its type is %s, only EDS is known here", cluster.GetType())
+		err = fmt.Errorf("discovery type is %s, only EDS is supported", cluster.GetType())
 	}
 	return cluster.GetName(), err
 }
@@ -133,11 +134,11 @@
 	for _, entry := range entries {
 		_, hasCluster := c.accepted[xds.Clusters][entry.Cluster]
 		if entry.Cluster != "" && !hasCluster {
-			return config.GetName(), fmt.Errorf("route %q sends to cluster %q, which is not held", entry.Name, entry.Cluster)
+			return config.GetName(), fmt.Errorf("route %q refers to cluster %q, which is not accepted", entry.Name, entry.Cluster)
 		}
-		// A controller that lags, or was cut off, must not take a sidecar back to an earlier agreed configuration.
+		// A controller that lags or was partitioned must not roll a sidecar back to an earlier agreed configuration.
 		if entry.RoutingRevision < routingRevision {
-			return config.GetName(), fmt.Errorf("its routing revision %d is older than %d, the accepted one", entry.RoutingRevision, routingRevision)
+			return config.GetName(), fmt.Errorf("routing revision %d is older than the accepted routing revision %d", entry.RoutingRevision, routingRevision)
 		}
 	}
 	return config.GetName(), nil
@@ -160,7 +161,7 @@
 	return name, nil
 }
 
-// parseEndpoints returns the nodes of a cluster.
+// parseEndpoints returns the nodes of a cluster, or an error if an endpoint is invalid or there are too many.
 func parseEndpoints(assignment *endpointv3.ClusterLoadAssignment) (nodes []WeightedNode, err error) {
 	seen := map[xds.Address]bool{}
 	for _, locality := range assignment.GetEndpoints() {
@@ -170,7 +171,7 @@
 				return nil, err
 			}
 			if len(nodes) >= maxEndpointsPerCluster {
-				return nil, fmt.Errorf("over %d endpoints", maxEndpointsPerCluster)
+				return nil, fmt.Errorf("more than %d endpoints", maxEndpointsPerCluster)
 			}
 			seen[node.Address] = true
 			node.Zone = locality.GetLocality().GetZone()
@@ -180,7 +181,7 @@
 	return nodes, nil
 }
 
-// parseEndpoint returns the node of an endpoint, whose address must not have been seen.
+// parseEndpoint returns the node of an endpoint. Its address must not be in seen.
 func parseEndpoint(endpoint *endpointv3.LbEndpoint, seen map[xds.Address]bool) (node WeightedNode, err error) {
 	node.Node = endpoint.GetEndpoint().GetHostname()
 	node.Address = xds.AddressOf(endpoint.GetEndpoint().GetAddress())
@@ -192,11 +193,11 @@
 	address := node.Address
 	switch {
 	case address.Host == "" || address.Port == 0 || address.Port > maxPort:
-		return node, fmt.Errorf("endpoint %q has no address of host and port", node.Node)
+		return node, fmt.Errorf("endpoint %q must have an address with a host and a valid port", node.Node)
 	case seen[address]:
-		return node, fmt.Errorf("endpoint %s:%d is there twice", address.Host, address.Port)
+		return node, fmt.Errorf("duplicate endpoint %s:%d", address.Host, address.Port)
 	case weight != nil && weight.GetValue() == 0:
-		return node, fmt.Errorf("endpoint %s:%d has the weight 0", address.Host, address.Port)
+		return node, fmt.Errorf("weight of endpoint %s:%d must be greater than 0, got 0", address.Host, address.Port)
 	}
 	return node, nil
 }
--- a/sidecar/proxy.go
+++ b/sidecar/proxy.go
@@ -14,24 +14,24 @@
 	"go.uber.org/zap"
 )
 
-// HTTP/1.1 names no timeouts; these keep sockets from staying open for good.
+// HTTP/1.1 defines no timeouts; without these, sockets could stay open forever.
 const (
-	requestHeadTimeout = 10 * time.Second // from its first byte on
-	clientIdleTimeout  = 60 * time.Second // until a connection's next request
-	bodyTimeout        = 30 * time.Second // of each read or write of a body
-	defaultTimeLimit   = 15 * time.Second // of a route that states none
+	requestHeadTimeout = 10 * time.Second // from the first byte of the request
+	clientIdleTimeout  = 60 * time.Second // until the next request on a connection
+	bodyTimeout        = 30 * time.Second // for each read or write of a body
+	defaultTimeLimit   = 15 * time.Second // of a route without one
 	acceptRetryDelay   = 10 * time.Millisecond
 )
 
 const badRequest = "HTTP/1.1 400 Bad Request\r\nConnection: close\r\nContent-Length: 0\r\n\r\n"
 
-// Proxy takes HTTP/1.1 requests on a listener and forwards them by a routing table.
+// Proxy accepts HTTP/1.1 requests on a listener and forwards them by a routing table.
 type Proxy struct {
 	Listener       net.Listener
-	Table          func() *RoutingTable // returns the table in use; called for each request, from any goroutine
-	ConnectTimeout time.Duration        // to a node
-	MaxConnections int                  // of clients, at once
-	Seed           uint64               // of the draws of entries and nodes
+	Table          func() *RoutingTable // returns the table in use; called for each request, must be safe for concurrent use
+	ConnectTimeout time.Duration        // for connections to nodes
+	MaxConnections int                  // concurrent client connections
+	Seed           uint64               // of the random choice of entries and nodes
 	Log            *zap.Logger
 	Load           *LoadRecorder
 
@@ -41,7 +41,7 @@
 	random      Random
 }
 
-// Run takes requests until ctx ends; those in flight are then cut off.
+// Run serves requests until ctx is done; requests in flight are then aborted.
 func (p *Proxy) Run(ctx context.Context) {
 	p.upstreams = newUpstreamPool(p.ConnectTimeout)
 	p.random.Seed = p.Seed
@@ -55,14 +55,14 @@
 			if ctx.Err() != nil {
 				break
 			}
-			p.Log.Warn("accept", zap.Error(err))
-			time.Sleep(acceptRetryDelay) // descriptors may have run out: others are closed meanwhile
+			p.Log.Warn("failed to accept connection", zap.Error(err))
+			time.Sleep(acceptRetryDelay) // descriptors may have run out; other connections close in the meantime
 			continue
 		}
 		select {
 		case slots <- struct{}{}:
 		default:
-			conn.Close() // there are as many as there may be: the client is told at once
+			conn.Close() // the limit is reached: closing lets the client fail immediately
 			continue
 		}
 		connections.Go(func() {
@@ -74,18 +74,18 @@
 	p.upstreams.close()
 }
 
-// randomFraction returns a number from 0 to 1.
+// randomFraction returns a random number from 0 to 1.
 func (p *Proxy) randomFraction() float64 {
 	p.randomMutex.Lock()
 	defer p.randomMutex.Unlock()
 	return p.random.Next()
 }
 
-// serveConnection answers a client's requests, one after the other.
+// serveConnection serves the requests of a client connection in sequence.
 func (p *Proxy) serveConnection(ctx context.Context, client net.Conn) {
 	defer client.Close()
-	// The end of ctx closes the connection. A deadline would not do: the wait for the next request sets its own and may
-	// replace it, and the end would take as long as clientIdleTimeout.
+	// The connection is closed when ctx is done. A deadline is not enough: the loop below sets its own, which may
+	// replace it and delay the shutdown by up to clientIdleTimeout.
 	stop := context.AfterFunc(ctx, func() { client.Close() })
 	defer stop()
 	reader := bufio.NewReader(client)
@@ -105,7 +105,7 @@
 		if !p.handleRequest(ctx, client, request) || request.Close {
 			return
 		}
-		// The body of a request that was forwarded has been read to its end and closed.
+		// The body of a forwarded request is already read to its end and closed.
 		if _, err := io.Copy(io.Discard, request.Body); err != nil && !errors.Is(err, http.ErrBodyReadAfterClose) {
 			return
 		}
--- a/sidecar/proxy_test.go
+++ b/sidecar/proxy_test.go
@@ -19,7 +19,7 @@
 	"harehook.dev/harehook/xds"
 )
 
-// startProxy starts a proxy whose only forwarding route goes to some nodes.
+// startProxy starts a proxy whose only forwarding route, /q, leads to a cluster of the given nodes.
 func startProxy(t *testing.T, retries int, nodes ...*fakeplatform.NodeServer) (address string, p *Proxy) {
 	table := &RoutingTable{Routes: []RouteEntry{{Name: "q", Prefix: "/q", Fraction: 1, Cluster: "c", TimeLimit: 2 * time.Second, MaxRetries: retries, Mutating: true},
 		{Name: "shut", Prefix: "/shut", Fraction: 1, Status: 503}}, Clusters: map[string][]WeightedNode{}}
@@ -49,7 +49,7 @@
 	return n
 }
 
-// exchange writes bytes on a new connection and reads until it ends.
+// exchange writes text to a new connection and returns all that is read until the connection is closed.
 func exchange(t *testing.T, address, text string) string {
 	t.Helper()
 	conn, err := net.Dial("tcp", address)
@@ -67,21 +67,23 @@
 	return "POST " + path + " HTTP/1.1\r\nHost: x\r\n" + more + "\r\n"
 }
 
-// A client that asked for its connection to be closed had that passed on to the node, which closed a connection that was
-// pooled, and the next request on it was lost: clients that close their connections must not cost a request.
+// The header "Connection: close" of a client was forwarded to the node. The node then closed a connection that the
+// proxy had pooled, and the next request on it was lost. Clients that close their connections must not cause lost
+// requests.
 func TestIdleConnectionsAreReusedAndSwept(t *testing.T) {
 	address, p := startProxy(t, 0, startNode(t, "a"))
 	for k := range 200 {
 		if got := exchange(t, address, requestText("/q", "Connection: close\r\nContent-Length: 2\r\n")+"hi"); !strings.HasPrefix(got, "HTTP/1.1 200") {
-			t.Fatalf("call %d: %s", k, got)
+			t.Fatalf("request %d: got %q, want status 200", k, got)
 		}
 	}
 	if n := p.Load.Completed.Load(); n != 200 {
-		t.Errorf("%d answered", n)
+		t.Errorf("completed requests: got %d, want 200", n)
 	}
 }
 
-// Several requests on one connection, bodies of both forms, and what is not forwarded.
+// The proxy must handle several requests on one connection, bodies with a length and chunked ones, and requests that it
+// answers itself.
 func TestProxyForwardsRequests(t *testing.T) {
 	a := startNode(t, "a")
 	address, p := startProxy(t, 0, a)
@@ -101,13 +103,13 @@
 		states = append(states, fmt.Sprint(answer.StatusCode, answer.Header.Get(xds.RejectedHeader)))
 	}
 	if want := "[200 200 503shut 404 200 501 200]"; fmt.Sprint(states) != want {
-		t.Errorf("%v, want %s\n%s", states, want, got)
+		t.Errorf("statuses: got %v, want %s; responses:\n%s", states, want, got)
 	}
 	if a.BodyBytes() != 8 || a.Calls("/q/4") != 1 {
-		t.Errorf("%d bytes of bodies", a.BodyBytes())
+		t.Errorf("node: got %d body bytes and %d requests to /q/4, want 8 and 1", a.BodyBytes(), a.Calls("/q/4"))
 	}
 	if got := exchange(t, address, "what\r\n\r\n"); !strings.HasPrefix(got, "HTTP/1.1 400") {
-		t.Errorf("no request: %s", got)
+		t.Errorf("malformed request: got %q, want status 400", got)
 	}
 	report := p.Load.Take(time.Now())
 	attempts := 0
@@ -115,12 +117,13 @@
 		attempts += node.Attempts
 	}
 	if attempts != 4 || report.Routes["q"] != 4 || report.Routes["shut"] != 1 {
-		t.Errorf("%d attempts, routes %v", attempts, report.Routes)
+		t.Errorf("load report: got %d attempts and routes %v, want 4 attempts, 4 requests of q, 1 of shut", attempts, report.Routes)
 	}
 }
 
-// A node that takes a request and gives no response within the route's time limit may have run it: the client has to get a 504
-// at the end of the limit, and the request must not be sent to another node although the route has retries.
+// A node that accepts a connection but does not respond within the route's time limit may have run the request. The
+// client must get a 504 at the end of the limit, and the request must not be sent to another node although the route
+// has retries.
 func TestNoRetryOnceConnected(t *testing.T) {
 	address, p := startProxy(t, 3)
 	table := p.Table()
@@ -129,25 +132,25 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		t.Cleanup(func() { hanging.Close() }) // connections wait to be accepted: none is ever read
+		t.Cleanup(func() { hanging.Close() }) // connections stay in the accept queue; nothing is read from them
 		host, port, _ := net.SplitHostPort(hanging.Addr().String())
 		number, _ := strconv.Atoi(port)
 		table.Clusters["c"] = append(table.Clusters["c"], WeightedNode{Node: name, Weight: 1, Address: xds.Address{Host: host, Port: uint32(number)}})
 	}
 	began := time.Now()
 	if got := exchange(t, address, requestText("/q", "Connection: close\r\nContent-Length: 0\r\n")); !strings.HasPrefix(got, "HTTP/1.1 504") {
-		t.Errorf("no response: %s", got)
+		t.Errorf("unresponsive node: got %q, want status 504", got)
 	}
 	if limit := table.Routes[0].TimeLimit; time.Since(began) < limit {
-		t.Errorf("given up after %s, the time limit is %s", time.Since(began), limit)
+		t.Errorf("response after %s, want after the time limit of %s", time.Since(began), limit)
 	}
 	if p.Load.Retried.Load() != 0 || p.Load.Failed.Load() != 1 {
-		t.Errorf("%d retries, %d failed", p.Load.Retried.Load(), p.Load.Failed.Load())
+		t.Errorf("got %d retries and %d failed requests, want 0 and 1", p.Load.Retried.Load(), p.Load.Failed.Load())
 	}
 }
 
-// A node that refuses connections costs a retry if the route has one. One that takes a request and gives no response costs
-// the request: it may have run, so it must not be sent again.
+// A request must be retried if a node refuses the connection and the route allows a retry. It must not be retried if a
+// node accepts it and sends no response, because the node may have run it.
 func TestRetriesOnlyIfNotSent(t *testing.T) {
 	gone, silent, good := startNode(t, "gone"), startNode(t, "silent"), startNode(t, "good")
 	gone.Close()
@@ -155,23 +158,23 @@
 	address, p := startProxy(t, 1, gone, good)
 	for range 30 {
 		if got := exchange(t, address, requestText("/q", "Connection: close\r\nContent-Length: 0\r\n")); !strings.HasPrefix(got, "HTTP/1.1 200") {
-			t.Fatal(got)
+			t.Fatalf("one node is down: got %q, want status 200", got)
 		}
 	}
 	if good.Calls("/q") != 30 || p.Load.Retried.Load() == 0 {
-		t.Errorf("%d requests, %d retries", good.Calls("/q"), p.Load.Retried.Load())
+		t.Errorf("got %d requests and %d retries, want 30 requests and at least 1 retry", good.Calls("/q"), p.Load.Retried.Load())
 	}
 	address, _ = startProxy(t, 1, silent, silent)
 	for range 10 {
 		if got := exchange(t, address, requestText("/q", "Connection: close\r\nContent-Length: 0\r\n")); !strings.HasPrefix(got, "HTTP/1.1 502") {
-			t.Errorf("no answer: %s", got)
+			t.Errorf("node without a response: got %q, want status 502", got)
 		}
 	}
 	if silent.Calls("/q") != 10 {
-		t.Errorf("10 calls ran %d times", silent.Calls("/q"))
+		t.Errorf("requests at the node without a response: got %d, want 10", silent.Calls("/q"))
 	}
 	address, _ = startProxy(t, 0, gone)
 	if got := exchange(t, address, requestText("/q", "Connection: close\r\nContent-Length: 0\r\n")); !strings.HasPrefix(got, "HTTP/1.1 503") {
-		t.Errorf("no node: %s", got)
+		t.Errorf("no node is up: got %q, want status 503", got)
 	}
 }
--- a/sidecar/random.go
+++ b/sidecar/random.go
@@ -5,13 +5,13 @@
 	"hash/fnv"
 )
 
-// Random draws numbers from 0 to 1 from a seed and a counter. It is not safe for concurrent use.
+// Random generates random numbers from 0 to 1 from a seed and a counter. It is not safe for concurrent use.
 type Random struct {
 	Seed  uint64
 	draws uint64
 }
 
-// Next draws a number.
+// Next returns the next number.
 func (r *Random) Next() float64 {
 	r.draws++
 	sum := fnv.New64a()
@@ -19,8 +19,8 @@
 	return float64(mixBits(sum.Sum64())>>11) / (1 << 53)
 }
 
-// mixBits is the finalizer of SplitMix64: each bit of the input changes about half of the output's. FNV hashes of consecutive
-// counters differ in their lower bits only, and a draw goes by the upper ones.
+// mixBits is the finalizer of SplitMix64: a change of any input bit changes about half of the output bits. It is needed
+// because FNV hashes of consecutive counters differ in their lower bits only, and Next uses the upper ones.
 func mixBits(x uint64) uint64 {
 	x = (x ^ x>>30) * 0xbf58476d1ce4e5b9
 	x = (x ^ x>>27) * 0x94d049bb133111eb
--- a/sidecar/resource_cache.go
+++ b/sidecar/resource_cache.go
@@ -15,36 +15,37 @@
 
 const userAgent = "harehook-sidecar"
 
-// CachedResource is an accepted resource, as it was sent.
+// CachedResource is an accepted resource in the form in which the controller sent it.
 type CachedResource struct {
 	Version string
 	Body    *anypb.Any
 }
 
-// RejectedResource is a resource that was rejected, and why.
+// RejectedResource describes a rejected resource and the reason for its rejection.
 type RejectedResource struct {
 	Type         xds.ResourceType
 	Name, Reason string
 	Version      string
 }
 
-// ResourceCache accepts or rejects the resources that a controller sends. The accepted ones stay over streams and
-// controllers. It is not safe for concurrent use.
+// ResourceCache accepts or rejects the resources that a controller sends. It keeps the accepted ones when the stream or
+// the controller changes. It is not safe for concurrent use.
 type ResourceCache struct {
 	ID, Zone string
-	Delta    bool // variant of xDS: delta, else state of the world
-	// MutatingRoutes are the routes that the sidecar itself knows to be mutating, whatever a controller says.
+	Delta    bool // whether the delta variant of xDS is used instead of state of the world
+	// MutatingRoutes are the names of routes that are mutating by the sidecar's own configuration, even if a controller
+	// sends them as not mutating.
 	MutatingRoutes map[string]bool
-	// OnReject is called with each resource that is rejected; nil: none.
+	// OnReject, if not nil, is called for each rejected resource.
 	OnReject func(RejectedResource)
-	// ExtraCheck returns why the installation can't use a resource that is valid otherwise; nil: none.
+	// ExtraCheck, if not nil, returns an error if the installation cannot use a resource that is valid otherwise.
 	ExtraCheck func(t xds.ResourceType, name string, body *anypb.Any) error
 
 	accepted    [xds.NumResourceTypes]map[string]CachedResource
-	setVersions [xds.NumResourceTypes]string // state of the world: the version of all that was accepted
-	table       *RoutingTable                // made of accepted, nil: to be made
+	setVersions [xds.NumResourceTypes]string // state of the world: the version of the last accepted response
+	table       *RoutingTable                // built from accepted; nil: must be rebuilt
 
-	// State of the stream.
+	// State of the current stream.
 	subscribed [xds.NumResourceTypes][]string // names
 	nonces     [xds.NumResourceTypes]string   // of the latest responses
 }
@@ -56,7 +57,7 @@
 	c.table = nil
 }
 
-// RoutingRevision is the newest routing revision of the accepted routes, 0 if none was told.
+// RoutingRevision returns the newest routing revision of the accepted routes, or 0 if they have none.
 func (c *ResourceCache) RoutingRevision() (newest uint64) {
 	for _, entry := range c.Table().Routes {
 		newest = max(newest, entry.RoutingRevision)
@@ -73,7 +74,7 @@
 	return versions
 }
 
-// merge returns the accepted resources of a type with received ones over them.
+// merge returns the accepted resources of a type, with received ones added or replaced.
 func (c *ResourceCache) merge(t xds.ResourceType, received map[string]CachedResource) map[string]CachedResource {
 	merged := maps.Clone(c.accepted[t])
 	if merged == nil {
@@ -83,8 +84,8 @@
 	return merged
 }
 
-// wantedNames returns the names to subscribe to: none, which means all, of clusters, one listener, and the endpoints and
-// routes that accepted clusters and listeners refer to.
+// wantedNames returns the names to subscribe to: for clusters none, which subscribes to all, for listeners the only
+// one, and for endpoints and routes those that accepted clusters and listeners refer to.
 func (c *ResourceCache) wantedNames(t xds.ResourceType) (names []string) {
 	switch t {
 	case xds.Endpoints:
@@ -101,13 +102,13 @@
 	return names
 }
 
-// canSubscribe tells whether a type can be subscribed to: without names, endpoints and routes would mean none, and a later
-// request names them.
+// canSubscribe reports whether a subscription to a type is possible. Endpoints and routes need at least one name; until
+// one is known, no request for them is sent.
 func (c *ResourceCache) canSubscribe(t xds.ResourceType) bool {
 	return t == xds.Clusters || t == xds.Listeners || len(c.wantedNames(t)) > 0
 }
 
-// resetStream forgets the state of an earlier stream.
+// resetStream clears the state of the previous stream.
 func (c *ResourceCache) resetStream() {
 	c.subscribed = [xds.NumResourceTypes][]string{}
 	c.nonces = [xds.NumResourceTypes]string{}
@@ -117,8 +118,9 @@
 	return &corev3.Node{Id: c.ID, Locality: &corev3.Locality{Zone: c.Zone}, UserAgentName: userAgent}
 }
 
-// accept replaces the accepted resources of a type. Clusters and endpoints that accepted routes refer to stay, also if they
-// are not listed any more: the routes that replace these have not come yet or were rejected.
+// accept replaces the accepted resources of a type. Clusters and endpoints that accepted routes refer to are kept even
+// if next does not contain them, because the routes that replace the accepted ones have not arrived yet or were
+// rejected.
 func (c *ResourceCache) accept(t xds.ResourceType, next map[string]CachedResource) {
 	if t == xds.Clusters || t == xds.Endpoints {
 		for name, resource := range c.accepted[t] {
@@ -137,18 +139,18 @@
 	}
 }
 
-// routesUse tells whether accepted routes refer to a cluster.
+// routesUse reports whether accepted routes refer to a cluster.
 func (c *ResourceCache) routesUse(cluster string) bool {
 	return slices.ContainsFunc(c.Table().Routes, func(entry RouteEntry) bool { return entry.Cluster == cluster })
 }
 
-// nackDetail returns what a NACK says of a fault.
+// nackDetail returns the error detail of a NACK.
 func nackDetail(fault error) *status.Status {
 	return &status.Status{Code: int32(codes.InvalidArgument), Message: fault.Error()}
 }
 
-// BeginStateOfTheWorld returns the first requests of a stream of the state-of-the-world variant: each states the accepted
-// version.
+// BeginStateOfTheWorld starts a stream of the state-of-the-world variant and returns its first requests, each with the
+// accepted version of its type.
 func (c *ResourceCache) BeginStateOfTheWorld() (requests []*discoveryv3.DiscoveryRequest) {
 	c.resetStream()
 	for t := range xds.NumResourceTypes {
@@ -166,7 +168,8 @@
 	return requests
 }
 
-// BeginDelta returns the first requests of a stream of the delta variant: each states the accepted versions.
+// BeginDelta starts a stream of the delta variant and returns its first requests, each with the accepted versions of
+// its type.
 func (c *ResourceCache) BeginDelta() (requests []*discoveryv3.DeltaDiscoveryRequest) {
 	c.resetStream()
 	for t := range xds.NumResourceTypes {
--- a/sidecar/resource_cache_test.go
+++ b/sidecar/resource_cache_test.go
@@ -23,7 +23,8 @@
 	"harehook.dev/harehook/xds"
 )
 
-// compiledSnapshot is what a controller would send for a table of two nodes.
+// compiledSnapshot returns the snapshot that a controller sends for a table of two nodes. Node a has weight 1, node b
+// the given weight.
 func compiledSnapshot(t testing.TB, weight float64) *xds.Snapshot {
 	c := xds.NewCompiler([]xds.Route{{Name: "quote", Prefix: "/quote", TimeLimit: time.Second},
 		{Name: "issue", Prefix: "/issue", Mutating: true, TimeLimit: time.Second}}, time.Second)
@@ -39,7 +40,7 @@
 	return s
 }
 
-// acceptSnapshot passes a snapshot to a cache and returns the reason of the first NACK.
+// acceptSnapshot passes a snapshot to a cache and returns the reason of the first NACK, or an empty string.
 func acceptSnapshot(h *ResourceCache, s *xds.Snapshot) string {
 	for resourceType := range xds.NumResourceTypes {
 		r := &discoveryv3.DeltaDiscoveryResponse{TypeUrl: resourceType.TypeURL(), Nonce: "n"}
@@ -57,7 +58,7 @@
 	return ""
 }
 
-// newFilledCache returns a cache that has accepted such a snapshot.
+// newFilledCache returns a cache that has accepted compiledSnapshot(t, weight).
 func newFilledCache(t testing.TB, weight float64) *ResourceCache {
 	t.Helper()
 	h := &ResourceCache{ID: "till", Zone: "north"}
@@ -68,7 +69,7 @@
 	return h
 }
 
-// Requests are split by an entry's fraction and a cluster's weights, and a retry goes to another node.
+// Requests must be split by an entry's fraction and a cluster's weights, and a retry must select another node.
 func TestRoutingTableSplitsByFractionAndWeight(t *testing.T) {
 	h := newFilledCache(t, 3)
 	table, random := h.Table(), Random{Seed: 5}
@@ -81,29 +82,29 @@
 		}
 		node, ok := table.Pick(e.Cluster, nil, random.Next)
 		if !ok || e.MaxRetries != 1 || !e.Mutating {
-			t.Fatalf("%v %v", node, e)
+			t.Fatalf("got node %v (found: %t) and entry %+v, want a node and a mutating entry with 1 retry", node, ok, e)
 		}
 		got[node.Node]++
 	}
 	if throttled < 2850 || throttled > 3150 {
-		t.Errorf("%d of 4000 rejected, want three in four", throttled)
+		t.Errorf("rejected requests: got %d of 4000, want 2850 to 3150", throttled)
 	}
 	if part := float64(got["b"]) / float64(got["a"]+got["b"]); part < 0.7 || part > 0.8 {
-		t.Errorf("b got %.2f, want 0.75", part)
+		t.Errorf("fraction of node b: got %.2f, want 0.7 to 0.8", part)
 	}
 	if node, ok := table.Pick("pool-0", []xds.Address{{Host: "127.0.0.1", Port: 1}}, random.Next); !ok || node.Node != "b" {
-		t.Errorf("beside a: %v", node)
+		t.Errorf("node a was tried: got %v (found: %t), want b", node, ok)
 	}
 	if _, ok := table.Pick("pool-0", []xds.Address{{Host: "127.0.0.1", Port: 1}, {Host: "127.0.0.1", Port: 2}}, random.Next); ok {
-		t.Error("a node was tried twice")
+		t.Error("both nodes were tried: got a node, want none")
 	}
 	if e := table.Route("/other", random.Next); e != nil {
-		t.Errorf("/other goes to %s", e.Name)
+		t.Errorf("path /other: got entry %s, want none", e.Name)
 	}
 }
 
-// A table may have as many routes as a configuration, also if each is throttled and so has two entries; tables with more
-// routes, or with more entries for these, are rejected.
+// A table must be accepted with the maximum number of routes of a configuration, also if each route is throttled and
+// has two entries. Tables with more routes or more entries must be rejected.
 func TestMaxRoutesPerTable(t *testing.T) {
 	fillRoutes := func(count int, throttled bool) string {
 		compiler := xds.NewCompiler([]xds.Route{{Name: "first", Prefix: "/first", TimeLimit: time.Second}}, time.Second)
@@ -123,16 +124,16 @@
 			t.Fatal(err)
 		}
 		if size := len(snapshot.Sets[xds.Routes][xds.RoutesName].Body.GetValue()); size > 1<<20 {
-			t.Errorf("%d routes, throttled %t, take %d bytes", count, throttled, size)
+			t.Errorf("%d routes, throttled %t: got %d bytes, want at most %d", count, throttled, size, 1<<20)
 		}
 		return acceptSnapshot(&ResourceCache{ID: "s", Zone: "north"}, snapshot)
 	}
 	for _, throttled := range []bool{false, true} {
 		if why := fillRoutes(xds.MaxRoutes, throttled); why != "" {
-			t.Errorf("as many routes as may be, throttled %t: %q", throttled, why)
+			t.Errorf("maximum number of routes, throttled %t: got %q, want no error", throttled, why)
 		}
-		if why := fillRoutes(xds.MaxRoutes+1, throttled); !strings.Contains(why, "over 1024 routes") {
-			t.Errorf("one route more, throttled %t: %q", throttled, why)
+		if why := fillRoutes(xds.MaxRoutes+1, throttled); !strings.Contains(why, "more than 1024 routes") {
+			t.Errorf("one route too many, throttled %t: got %q, want an error with \"more than 1024 routes\"", throttled, why)
 		}
 	}
 	host := &routev3.VirtualHost{}
@@ -141,10 +142,10 @@
 			PathSpecifier: &routev3.RouteMatch_Prefix{Prefix: "/same"}},
 			Action: &routev3.Route_DirectResponse{DirectResponse: &routev3.DirectResponseAction{Status: 503}}})
 	}
-	for entries, want := range map[int]string{xds.EntriesPerRoute * xds.MaxRoutes: "", len(host.Routes): "over 2048 entries"} {
+	for entries, want := range map[int]string{xds.EntriesPerRoute * xds.MaxRoutes: "", len(host.Routes): "more than 2048 entries"} {
 		table := &routev3.RouteConfiguration{VirtualHosts: []*routev3.VirtualHost{{Routes: host.Routes[:entries]}}}
 		if _, err := (&ResourceCache{}).parseRoutes(table); want == "" && err != nil || want != "" && (err == nil || !strings.Contains(err.Error(), want)) {
-			t.Errorf("%d entries: %v, want %q", entries, err, want)
+			t.Errorf("%d entries: got error %v, want %q", entries, err, want)
 		}
 	}
 }
@@ -178,22 +179,22 @@
 		m            proto.Message
 		want         string
 	}{
-		"another type of cluster": {xds.Clusters, &clusterv3.Cluster{Name: "x"}, "only EDS is known"},
-		"no name":                 {xds.Clusters, &clusterv3.Cluster{ClusterDiscoveryType: &clusterv3.Cluster_Type{Type: clusterv3.Cluster_EDS}}, "it has no name"},
-		"no address":              {xds.Endpoints, &endpointv3.ClusterLoadAssignment{ClusterName: "pool-0", Endpoints: []*endpointv3.LocalityLbEndpoints{node(0, nil)}}, `endpoint "a" has no address`},
-		"weight 0":                {xds.Endpoints, &endpointv3.ClusterLoadAssignment{ClusterName: "pool-0", Endpoints: []*endpointv3.LocalityLbEndpoints{node(1, wrapperspb.UInt32(0))}}, "has the weight 0"},
-		"twice":                   {xds.Endpoints, &endpointv3.ClusterLoadAssignment{ClusterName: "pool-0", Endpoints: []*endpointv3.LocalityLbEndpoints{node(1, nil), node(1, nil)}}, "is there twice"},
-		"mutating and repeated": {xds.Routes, routes(func(r *routev3.Route) { r.GetRoute().RetryPolicy.RetryOn = "connect-failure,5xx" }),
-			`route "issue" is mutating and would be repeated on "5xx"`},
-		"nothing said of it, and repeated": {xds.Routes, routes(func(r *routev3.Route) { r.Metadata = nil; r.GetRoute().RetryPolicy.RetryOn = "reset" }),
+		"cluster not of type EDS":  {xds.Clusters, &clusterv3.Cluster{Name: "x"}, "only EDS is supported"},
+		"cluster without name":     {xds.Clusters, &clusterv3.Cluster{ClusterDiscoveryType: &clusterv3.Cluster_Type{Type: clusterv3.Cluster_EDS}}, "name must not be empty"},
+		"endpoint without address": {xds.Endpoints, &endpointv3.ClusterLoadAssignment{ClusterName: "pool-0", Endpoints: []*endpointv3.LocalityLbEndpoints{node(0, nil)}}, `endpoint "a" must have an address with a host and a valid port`},
+		"endpoint with weight 0":   {xds.Endpoints, &endpointv3.ClusterLoadAssignment{ClusterName: "pool-0", Endpoints: []*endpointv3.LocalityLbEndpoints{node(1, wrapperspb.UInt32(0))}}, "weight of endpoint 127.0.0.1:1 must be greater than 0"},
+		"duplicate endpoint":       {xds.Endpoints, &endpointv3.ClusterLoadAssignment{ClusterName: "pool-0", Endpoints: []*endpointv3.LocalityLbEndpoints{node(1, nil), node(1, nil)}}, "duplicate endpoint 127.0.0.1:1"},
+		"unsafe retry of mutating route": {xds.Routes, routes(func(r *routev3.Route) { r.GetRoute().RetryPolicy.RetryOn = "connect-failure,5xx" }),
+			`route "issue" is mutating and must not be retried on "5xx"`},
+		"unsafe retry of route without metadata": {xds.Routes, routes(func(r *routev3.Route) { r.Metadata = nil; r.GetRoute().RetryPolicy.RetryOn = "reset" }),
 			`route "issue" is mutating`},
-		"too many retries": {xds.Routes, routes(func(r *routev3.Route) { r.GetRoute().RetryPolicy.NumRetries = wrapperspb.UInt32(9) }), "9 more times"},
+		"too many retries": {xds.Routes, routes(func(r *routev3.Route) { r.GetRoute().RetryPolicy.NumRetries = wrapperspb.UInt32(9) }), `retries of route "issue" must be at most 3, got 9`},
 		"unknown cluster": {xds.Routes, routes(func(r *routev3.Route) {
 			r.GetRoute().ClusterSpecifier = &routev3.RouteAction_Cluster{Cluster: "pool-9"}
-		}), `cluster "pool-9", which is not held`},
-		"more than all":    {xds.Routes, routes(func(r *routev3.Route) { r.GetMatch().GetRuntimeFraction().GetDefaultValue().Numerator = 2000000 }), "lets in more than all"},
-		"no prefix":        {xds.Routes, routes(func(r *routev3.Route) { r.Match = &routev3.RouteMatch{} }), "no prefix"},
-		"no routes at all": {xds.Routes, &routev3.RouteConfiguration{Name: "calls"}, "it has no route"},
+		}), `cluster "pool-9", which is not accepted`},
+		"fraction above 1":     {xds.Routes, routes(func(r *routev3.Route) { r.GetMatch().GetRuntimeFraction().GetDefaultValue().Numerator = 2000000 }), `fraction of route "issue" must be at most 1, got 2`},
+		"route without prefix": {xds.Routes, routes(func(r *routev3.Route) { r.Match = &routev3.RouteMatch{} }), `path prefix of route "issue" must start with "/", got ""`},
+		"no routes":            {xds.Routes, &routev3.RouteConfiguration{Name: "calls"}, "route configuration has no routes"},
 	} {
 		t.Run(name, func(t *testing.T) {
 			h := newFilledCache(t, 1)
@@ -202,16 +203,16 @@
 			out, err := h.HandleDelta(&discoveryv3.DeltaDiscoveryResponse{TypeUrl: c.resourceType.TypeURL(), Nonce: "m", Resources: []*discoveryv3.Resource{
 				{Name: "x", Version: "v", Resource: &anypb.Any{TypeUrl: c.resourceType.TypeURL(), Value: body}}}})
 			if err != nil || !strings.Contains(out[0].GetErrorDetail().GetMessage(), c.want) {
-				t.Errorf("%v, %q; want %q", err, out[0].GetErrorDetail().GetMessage(), c.want)
+				t.Errorf("got error %v and reason %q, want reason %q", err, out[0].GetErrorDetail().GetMessage(), c.want)
 			}
 			if diff := cmp.Diff(before, h.Table().Versions); diff != "" {
-				t.Errorf("the accepted versions changed:\n%s", diff)
+				t.Errorf("accepted versions changed (-want +got):\n%s", diff)
 			}
 		})
 	}
 }
 
-// A crash at any step of a write has to leave the stored versions of before or of now, complete.
+// A crash at any step of a write must leave a complete file with either the old or the new versions.
 func TestStoreSurvivesCrashAtEachStep(t *testing.T) {
 	for _, step := range []string{"create", "write", "sync", "rename", "sync folder", ""} {
 		path := filepath.Join(t.TempDir(), "held")
@@ -226,23 +227,23 @@
 			return nil
 		}}
 		if err := s.Save(next); (err == nil) != (step == "") {
-			t.Errorf("%s: %v", step, err)
+			t.Errorf("crash at step %q: got error %v", step, err)
 		}
 		restored := &ResourceCache{ID: "till"}
 		if err := (&Store{Path: path}).Load(restored); err != nil {
-			t.Fatalf("%s: %v", step, err)
+			t.Fatalf("load after a crash at step %q: %v", step, err)
 		}
 		want := old
 		if step == "" || step == "sync folder" {
 			want = next
 		}
 		if diff := cmp.Diff(want.Table().Versions, restored.Table().Versions); diff != "" {
-			t.Errorf("%s:\n%s", step, diff)
+			t.Errorf("versions after a crash at step %q (-want +got):\n%s", step, diff)
 		}
 	}
 }
 
-// A stored file that was truncated anywhere, or in which a bit was flipped, must not be used.
+// A store file that is truncated at any byte, or that has a flipped bit, must not be used.
 func TestDamagedStoreIsNotUsed(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "held")
 	h := newFilledCache(t, 1)
@@ -260,26 +261,27 @@
 		restored := &ResourceCache{ID: "till"}
 		err := (&Store{Path: path}).Load(restored)
 		if err != nil && len(restored.Table().Routes) > 0 {
-			t.Error("a damaged file was used")
+			t.Error("routes were loaded from a damaged file, want none")
 		}
 		return err
 	}
 	for at := range complete {
 		if err := load(complete[:at]); !errors.Is(err, ErrStoreFormat) && !errors.Is(err, ErrStoreTruncated) {
-			t.Fatalf("cut at %d: %v", at, err)
+			t.Fatalf("truncated to %d bytes: got error %v, want ErrStoreFormat or ErrStoreTruncated", at, err)
 		}
 		flipped := append([]byte(nil), complete...)
 		flipped[at] ^= 1 << (at % 8)
 		if load(flipped) == nil {
-			t.Fatalf("a bit of byte %d: accepted", at)
+			t.Fatalf("bit flipped in byte %d: got no error", at)
 		}
 	}
 	if err := load(complete); err != nil {
-		t.Error(err)
+		t.Errorf("undamaged file: %v", err)
 	}
 }
 
-// After a restart the first requests state the accepted versions, in both variants.
+// After a restart the first requests must state the accepted versions, so that a controller does not send them again.
+// This test covers the delta variant.
 func TestStateOfTheWorldVersions(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "held")
 	h := newFilledCache(t, 1)
@@ -297,6 +299,6 @@
 	}
 	want := []string{"cluster 1[]", "endpoints 1[pool-0]", "listener 1[calls]", "routes 1[calls]"}
 	if diff := cmp.Diff(want, said); diff != "" {
-		t.Error(diff)
+		t.Errorf("first requests (-want +got):\n%s", diff)
 	}
 }
--- a/sidecar/responses.go
+++ b/sidecar/responses.go
@@ -10,16 +10,17 @@
 	"harehook.dev/harehook/xds"
 )
 
-// UnexpectedTypeError says that a response is of a type that was not subscribed to.
+// UnexpectedTypeError is returned for a response of a type that the sidecar does not subscribe to.
 type UnexpectedTypeError struct{ TypeURL string }
 
 // Error implements error.
 func (e *UnexpectedTypeError) Error() string {
-	return fmt.Sprintf("a response of type %q, which was not asked for", e.TypeURL)
+	return fmt.Sprintf("response of unexpected type %q", e.TypeURL)
 }
 
-// HandleStateOfTheWorld accepts or rejects a response. It returns the ACK or NACK, then the requests for what the accepted
-// resources refer to. After an [UnexpectedTypeError] the stream has to be ended.
+// HandleStateOfTheWorld accepts or rejects a response of the state-of-the-world variant. It returns the ACK or NACK,
+// followed by the requests for resources that the accepted ones refer to. After an [UnexpectedTypeError] the stream
+// must be closed.
 func (c *ResourceCache) HandleStateOfTheWorld(r *discoveryv3.DiscoveryResponse) (requests []*discoveryv3.DiscoveryRequest, err error) {
 	t, known := xds.ParseTypeURL(r.GetTypeUrl())
 	if !known {
@@ -54,8 +55,8 @@
 	return requests, nil
 }
 
-// nextStateOfTheWorld returns what is accepted after a response: a response lists all clusters and listeners, but only the
-// endpoints and routes that changed.
+// nextStateOfTheWorld returns the resources of a type to accept after a response. A response contains all clusters or
+// listeners, but only the changed endpoints or routes.
 func (c *ResourceCache) nextStateOfTheWorld(t xds.ResourceType, received map[string]CachedResource) map[string]CachedResource {
 	if t == xds.Endpoints || t == xds.Routes {
 		return c.merge(t, received)
@@ -63,7 +64,8 @@
 	return received
 }
 
-// HandleDelta accepts or rejects a response of the delta variant. Its results are those of HandleStateOfTheWorld.
+// HandleDelta accepts or rejects a response of the delta variant. Its results are like those of
+// [ResourceCache.HandleStateOfTheWorld].
 func (c *ResourceCache) HandleDelta(r *discoveryv3.DeltaDiscoveryResponse) (requests []*discoveryv3.DeltaDiscoveryRequest, err error) {
 	t, known := xds.ParseTypeURL(r.GetTypeUrl())
 	if !known {
@@ -95,7 +97,8 @@
 	return requests, nil
 }
 
-// subscriptionChange returns the request that subscribes to the wanted names of a type, nil if it is subscribed to them.
+// subscriptionChange returns the request that changes the subscription of a type to the wanted names, or nil if it
+// needs no change.
 func (c *ResourceCache) subscriptionChange(t xds.ResourceType) *discoveryv3.DeltaDiscoveryRequest {
 	wanted := c.wantedNames(t)
 	subscribed := c.subscribed[t]
@@ -115,7 +118,7 @@
 	return request
 }
 
-// missingFrom returns the names that list has not.
+// missingFrom returns those of names that are not in list.
 func missingFrom(list, names []string) (missing []string) {
 	for _, name := range names {
 		if !slices.Contains(list, name) {
--- a/sidecar/routing_table.go
+++ b/sidecar/routing_table.go
@@ -11,30 +11,30 @@
 	"harehook.dev/harehook/xds"
 )
 
-// WeightedNode is a node of a cluster.
+// WeightedNode is a node of a cluster with its weight.
 type WeightedNode struct {
 	Node, Zone string
 	Address    xds.Address
 	Weight     float64 // relative to the cluster's other nodes
 }
 
-// RouteEntry is a route, or the fraction of it that is rejected.
+// RouteEntry is a route: either the entry that forwards its requests, or the one that rejects a fraction of them.
 type RouteEntry struct {
 	Name, Prefix    string
-	Fraction        float64 // that this entry takes of the requests that reach it
-	Status          int     // answered at once with that, 0: forwarded
+	Fraction        float64 // fraction of the matching requests to which this entry applies
+	Status          int     // status of the proxy's own response; 0: the request is forwarded
 	Cluster         string
-	TimeLimit       time.Duration // 0: none is stated
-	MaxRetries      int           // each only after proof that no attempt before ran
+	TimeLimit       time.Duration // 0: the proxy's default applies
+	MaxRetries      int           // a retry requires that no earlier attempt can have run
 	Mutating        bool
-	RoutingRevision uint64 // of the agreed configuration, 0: not told
+	RoutingRevision uint64 // revision of the agreed configuration; 0: unknown
 }
 
-// RoutingTable is what accepted resources say of requests. It does not change once it is made.
+// RoutingTable holds the routes and clusters of the accepted resources. It is immutable.
 type RoutingTable struct {
-	Routes   []RouteEntry              // the first that matches a request counts
-	Clusters map[string][]WeightedNode // by name
-	Versions [xds.NumResourceTypes]map[string]string
+	Routes   []RouteEntry                            // in order: the first that matches a request applies
+	Clusters map[string][]WeightedNode               // by name
+	Versions [xds.NumResourceTypes]map[string]string // accepted versions by resource name
 }
 
 // Table returns the routing table of the accepted resources.
@@ -46,7 +46,7 @@
 	for t := range xds.NumResourceTypes {
 		table.Versions[t] = c.versions(t)
 	}
-	// The resources were validated when they were accepted, so there are no errors.
+	// Accepted resources are already validated, so errors cannot occur.
 	for name, resource := range c.accepted[xds.Endpoints] {
 		if assignment, err := unmarshal(resource.Body, &endpointv3.ClusterLoadAssignment{}); err == nil {
 			table.Clusters[name], _ = parseEndpoints(assignment)
@@ -62,8 +62,8 @@
 	return table
 }
 
-// Route returns the entry for a request with a path, nil if there is none. Random returns numbers from 0 to 1; it is called
-// for entries that take a fraction.
+// Route returns the entry for a request with a path, or nil if none matches. The function random returns numbers from 0
+// to 1; it is called for each matching entry with a fraction below 1.
 func (t *RoutingTable) Route(path string, random func() float64) *RouteEntry {
 	for index := range t.Routes {
 		entry := &t.Routes[index]
@@ -74,8 +74,8 @@
 	return nil
 }
 
-// Pick draws a node of a cluster by weight, except those at tried addresses; ok is false if none is left. Random returns a
-// number from 0 to 1.
+// Pick selects a random node of a cluster by weight and skips nodes at tried addresses; ok is false if no node remains.
+// The function random returns a number from 0 to 1.
 func (t *RoutingTable) Pick(cluster string, tried []xds.Address, random func() float64) (node WeightedNode, ok bool) {
 	nodes := t.Clusters[cluster]
 	weightSum := 0.0
@@ -99,5 +99,5 @@
 			return candidate, true
 		}
 	}
-	return nodes[last], true // the sum was rounded
+	return nodes[last], true // reached through rounding errors only
 }
--- a/sidecar/shutdown_test.go
+++ b/sidecar/shutdown_test.go
@@ -13,7 +13,7 @@
 	"harehook.dev/harehook/xds"
 )
 
-// hookedListener is a listener whose connections call a hook before each read deadline that is set.
+// hookedListener is a listener whose connections call a hook before they set a read deadline.
 type hookedListener struct {
 	net.Listener
 	beforeReadDeadline func()
@@ -37,10 +37,11 @@
 	return c.Conn.SetReadDeadline(at)
 }
 
-// The proxy is stopped in the instant in which a connection begins to wait for its next request, or while a node that never
-// answers has one: the wait then took up to a minute, and the request its time limit. Neither must delay the end.
+// The proxy is stopped just as a connection starts to wait for its next request, or while a request is in flight to a
+// node that never responds. Shutdown was delayed by up to a minute for the idle connection, and by the time limit for
+// the request. Neither must delay it.
 func TestShutdownDuringWaitOrRequest(t *testing.T) {
-	const endsWithin = 5 * time.Second // it takes milliseconds; a wait for a request lasts a minute, for this node 15 s
+	const endsWithin = 5 * time.Second // shutdown takes milliseconds; an idle connection waits a minute, a request to this node 15 s
 	silent, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -49,7 +50,7 @@
 	port := uint32(silent.Addr().(*net.TCPAddr).Port)
 	table := &RoutingTable{Routes: []RouteEntry{{Name: "q", Prefix: "/q", Fraction: 1, Cluster: "c"}},
 		Clusters: map[string][]WeightedNode{"c": {{Node: "s", Weight: 1, Address: xds.Address{Host: "127.0.0.1", Port: port}}}}}
-	for name, text := range map[string]string{"a wait": "", "a call": "GET /q HTTP/1.1\r\nHost: x\r\n\r\n"} {
+	for name, text := range map[string]string{"idle connection": "", "request in flight": "GET /q HTTP/1.1\r\nHost: x\r\n\r\n"} {
 		t.Run(name, func(t *testing.T) {
 			l, err := net.Listen("tcp", "127.0.0.1:0")
 			if err != nil {
@@ -79,13 +80,13 @@
 			}
 			cancel()
 			if text == "" {
-				// Whatever the shutdown does to the connection is done before the wait sets its deadline.
+				// Gives the shutdown time to act on the connection before the read deadline is set.
 				time.AfterFunc(100*time.Millisecond, func() { close(release) })
 			}
 			select {
 			case <-ended:
 			case <-time.After(endsWithin):
-				t.Errorf("%s delays the end", name)
+				t.Errorf("%s: shutdown takes longer than %s", name, endsWithin)
 			}
 			conn.Close()
 		})
--- a/sidecar/store.go
+++ b/sidecar/store.go
@@ -15,29 +15,30 @@
 	"harehook.dev/harehook/xds"
 )
 
-// A stored file is storeHeader, the body's length in bytes as a little-endian uint64, its SHA-256 sum and the body: a
-// DeltaDiscoveryResponse with the accepted resources. A resource without a message is a set's version, by the type's name.
+// A store file consists of storeHeader, the body's length in bytes as a little-endian uint64, the body's SHA-256
+// checksum and the body: a DeltaDiscoveryResponse with the accepted resources. A resource without a body holds the
+// version of the whole set of a type, and its name is the type URL.
 const (
-	storeHeader   = "harehook held 1\n" // the digit is the format's
+	storeHeader   = "harehook held 1\n" // the digit is the format version
 	lengthBytes   = 8
 	preambleBytes = len(storeHeader) + lengthBytes + sha256.Size
 )
 
-// Reasons for which a stored file is not used; [Store.Load] returns them with the path.
+// [Store.Load] returns these errors, wrapped with the path, for a store file that is damaged or of another format.
 var (
-	ErrStoreFormat    = errors.New("not a file of accepted resources, or of another format")
-	ErrStoreTruncated = errors.New("cut short")
-	ErrStoreChecksum  = errors.New("the checksum does not fit")
+	ErrStoreFormat    = errors.New("not a store file, or a store file of another format version")
+	ErrStoreTruncated = errors.New("store file is truncated")
+	ErrStoreChecksum  = errors.New("store file has a wrong checksum")
 )
 
-// Store persists the resources that a sidecar has accepted, in one file.
+// Store persists the accepted resources of a sidecar in one file.
 type Store struct {
 	Path string
-	// Step is called before each step of a write, for tests that crash there; nil: it is not.
+	// Step, if not nil, is called before each step of a write. Tests use it to simulate a crash at that step.
 	Step func(name string) error
 }
 
-// Save writes the accepted resources of a cache. After a crash at any time the file is the old or the new one.
+// Save writes the accepted resources of a cache. A crash at any time leaves either the old or the new file, complete.
 func (s *Store) Save(cache *ResourceCache) error {
 	body, err := proto.MarshalOptions{Deterministic: true}.Marshal(cache.storedResources())
 	if err != nil {
@@ -52,7 +53,7 @@
 	return s.replaceFile(content)
 }
 
-// storedResources returns the accepted resources and the versions of sets.
+// storedResources returns the accepted resources and the versions of the sets, in the form in which they are stored.
 func (c *ResourceCache) storedResources() *discoveryv3.DeltaDiscoveryResponse {
 	stored := &discoveryv3.DeltaDiscoveryResponse{}
 	for t := range xds.NumResourceTypes {
@@ -70,9 +71,9 @@
 	return stored
 }
 
-// Load reads the stored resources into an empty cache. A missing file is no error. If the file is damaged
-// ([ErrStoreFormat], [ErrStoreTruncated], [ErrStoreChecksum]) or has a resource that the cache rejects, the cache stays
-// empty.
+// Load reads the stored resources into an empty cache. A missing file is not an error. If the file is damaged
+// ([ErrStoreFormat], [ErrStoreTruncated], [ErrStoreChecksum]) or contains a resource that the cache rejects, Load
+// returns an error and the cache stays empty.
 func (s *Store) Load(cache *ResourceCache) error {
 	content, err := os.ReadFile(s.Path)
 	if errors.Is(err, os.ErrNotExist) {
@@ -95,7 +96,7 @@
 	return nil
 }
 
-// storedBody returns the body of a stored file, or why it is damaged.
+// storedBody returns the body of a store file, or an error if the file is damaged.
 func storedBody(content []byte) ([]byte, error) {
 	if !bytes.HasPrefix(content, []byte(storeHeader)) {
 		return nil, ErrStoreFormat
@@ -115,14 +116,14 @@
 	return body, nil
 }
 
-// storedSet is what a stored file has of one resource type.
+// storedSet holds the stored resources of one type.
 type storedSet struct {
 	bodies     []*anypb.Any
-	versions   map[string]string // by name; nil: no resource
+	versions   map[string]string // by name; nil if there are no resources
 	setVersion string
 }
 
-// restore accepts stored resources, by the same rules as received ones. After an error the cache is empty.
+// restore validates and accepts stored resources like received ones. If it returns an error, the cache is empty.
 func (c *ResourceCache) restore(stored *discoveryv3.DeltaDiscoveryResponse) error {
 	sets, err := storedSets(stored)
 	if err != nil {
@@ -151,7 +152,7 @@
 		}
 		t, known := xds.ParseTypeURL(resource.GetResource().GetTypeUrl())
 		if !known {
-			return sets, fmt.Errorf("a resource of type %q", resource.GetResource().GetTypeUrl())
+			return sets, fmt.Errorf("unknown resource type %q", resource.GetResource().GetTypeUrl())
 		}
 		set := &sets[t]
 		if set.versions == nil {
--- a/sidecar/store_file.go
+++ b/sidecar/store_file.go
@@ -11,8 +11,8 @@
 	storeMode       = 0o600
 )
 
-// replaceFile writes a file beside the stored one, syncs it and renames it, so that a crash leaves the old or the new one
-// complete.
+// replaceFile writes and syncs a temporary file in the folder of the store file, then renames it to the store file, so
+// that a crash leaves either the old or the new file, complete.
 func (s *Store) replaceFile(content []byte) error {
 	temporary := s.Path + temporarySuffix
 	if err := s.writeTemporary(temporary, content); err != nil {
@@ -30,7 +30,7 @@
 	return syncFolder(filepath.Dir(s.Path))
 }
 
-// writeTemporary writes and syncs a file.
+// writeTemporary writes and syncs the temporary file.
 func (s *Store) writeTemporary(path string, content []byte) (err error) {
 	if err := s.step("create"); err != nil {
 		return err
@@ -41,7 +41,7 @@
 	}
 	defer func() { err = errors.Join(err, file.Close()) }()
 	if err := s.step("write"); err != nil {
-		_, writeErr := file.Write(content[:len(content)/2]) // a crash in the midst of the write
+		_, writeErr := file.Write(content[:len(content)/2]) // simulates a crash in the middle of the write
 		return errors.Join(err, writeErr)
 	}
 	if _, err := file.Write(content); err != nil {
--- a/sidecar/upstream.go
+++ b/sidecar/upstream.go
@@ -14,7 +14,8 @@
 
 const (
 	maxIdlePerNode = 8
-	// upstreamIdleTimeout is how long a connection is pooled without use: nodes may close it at any time.
+	// upstreamIdleTimeout is the maximum idle time of a pooled connection. It is short because a node may close an idle
+	// connection at any time.
 	upstreamIdleTimeout = 5 * time.Second
 )
 
@@ -26,20 +27,20 @@
 	lastUsed time.Time
 }
 
-// upstreamPool has the idle connections to nodes. Its methods may be called from any goroutine.
+// upstreamPool holds the idle connections to nodes. It is safe for concurrent use.
 type upstreamPool struct {
 	connectTimeout time.Duration
 
-	idleMutex sync.Mutex // guards all below
+	idleMutex sync.Mutex // guards the fields below
 	idle      map[xds.Address][]*upstream
-	sweptAt   time.Time // when connections that were idle for too long were closed last
+	sweptAt   time.Time // time of the last sweep
 }
 
 func newUpstreamPool(connectTimeout time.Duration) *upstreamPool {
 	return &upstreamPool{connectTimeout: connectTimeout, idle: map[xds.Address][]*upstream{}}
 }
 
-// get returns a connection to a node: an idle one that the node has not closed, or a new one.
+// get returns a connection to a node: an idle one that is still open, or a new one.
 func (p *upstreamPool) get(ctx context.Context, address xds.Address, deadline time.Time) (*upstream, error) {
 	if pooled := p.takeIdle(address); pooled != nil {
 		return pooled, nil
@@ -53,8 +54,9 @@
 	return &upstream{Conn: conn, reader: bufio.NewReader(conn), address: address}, nil
 }
 
-// takeIdle returns the idle connection to a node that was used last, nil if there is none that can be used. A connection on
-// which something has arrived was closed by the node, or is out of step.
+// takeIdle removes the most recently used idle connection to a node from the pool and returns it, or nil if no
+// connection is usable. A connection with unread input is not usable: the node has closed it, or sent data outside of a
+// response.
 func (p *upstreamPool) takeIdle(address xds.Address) *upstream {
 	p.idleMutex.Lock()
 	defer p.idleMutex.Unlock()
@@ -90,8 +92,8 @@
 	}
 }
 
-// sweep closes connections that were idle for too long: nodes that are gone would have theirs open for good. It needs
-// idleMutex.
+// sweep closes connections that are idle for upstreamIdleTimeout or longer; otherwise connections to removed nodes
+// would stay open forever. The caller must hold idleMutex.
 func (p *upstreamPool) sweep(now time.Time) {
 	p.sweptAt = now
 	for address, conns := range p.idle {
