--- a/cmd/harehook-sidecar/main.go
+++ b/cmd/harehook-sidecar/main.go
@@ -61,11 +61,11 @@
 		Load:           load,
 	}
 	log.Info("started", zap.Stringer("listen", listener.Addr()), zap.Strings("conductors", settings.Controllers))
-	var parts sync.WaitGroup
-	parts.Go(func() { client.Run(ctx) })
-	parts.Go(func() { proxy.Run(ctx) })
-	parts.Go(func() { maintain(ctx, client, load, certificates, log) })
-	parts.Wait()
+	var tasks sync.WaitGroup
+	tasks.Go(func() { client.Run(ctx) })
+	tasks.Go(func() { proxy.Run(ctx) })
+	tasks.Go(func() { maintain(ctx, client, load, certificates, log) })
+	tasks.Wait()
 	log.Info("stopped")
 	return nil
 }
--- a/sidecar/client.go
+++ b/sidecar/client.go
@@ -63,16 +63,16 @@
 	seed := c.seed()
 	random := Random{Seed: seed}
 	backoff := initialBackoff
-	next := int(seed % uint64(len(c.Controllers)))
+	index := int(seed % uint64(len(c.Controllers)))
 	for ctx.Err() == nil {
-		began := time.Now()
-		err := c.runStream(ctx, c.Controllers[next])
+		startTime := time.Now()
+		err := c.runStream(ctx, c.Controllers[index])
 		c.Connected.Store(false)
 		if ctx.Err() != nil {
 			return
 		}
-		c.Log.Warn("stream ended", zap.String("conductor", c.Controllers[next]), zap.Error(err))
-		if time.Since(began) > maxBackoff {
+		c.Log.Warn("stream ended", zap.String("conductor", c.Controllers[index]), zap.Error(err))
+		if time.Since(startTime) > maxBackoff {
 			backoff = initialBackoff
 		}
 		delay := time.Duration((minDelayFactor + random.Next()) * float64(backoff))
@@ -81,7 +81,7 @@
 		case <-time.After(delay):
 		}
 		backoff = min(2*backoff, maxBackoff)
-		next = (next + 1) % len(c.Controllers)
+		index = (index + 1) % len(c.Controllers)
 	}
 }
 
@@ -114,7 +114,7 @@
 	var reports sync.WaitGroup
 	defer reports.Wait()
 	defer stop()
-	begun := func() {
+	onOpen := func() {
 		c.Streams.Add(1)
 		c.Connected.Store(true)
 		c.Log.Info("stream opened", zap.String("conductor", address))
@@ -126,22 +126,22 @@
 		if err != nil {
 			return err
 		}
-		return Exchange(stream, c.Cache.BeginDelta(), begun, c.Cache.HandleDelta, c.publishAccepted)
+		return Exchange(stream, c.Cache.BeginDelta(), onOpen, c.Cache.HandleDelta, c.publishAccepted)
 	}
 	stream, err := client.StreamAggregatedResources(ctx)
 	if err != nil {
 		return err
 	}
-	return Exchange(stream, c.Cache.BeginStateOfTheWorld(), begun, c.Cache.HandleStateOfTheWorld, c.publishAccepted)
+	return Exchange(stream, c.Cache.BeginStateOfTheWorld(), onOpen, c.Cache.HandleStateOfTheWorld, c.publishAccepted)
 }
 
 func (c *Client) dial(address string) (*grpc.ClientConn, error) {
-	secure := c.Credentials
-	if secure == nil {
-		secure = insecure.NewCredentials()
+	transportCredentials := c.Credentials
+	if transportCredentials == nil {
+		transportCredentials = insecure.NewCredentials()
 	}
 	return grpc.NewClient("passthrough:///"+address,
-		grpc.WithTransportCredentials(secure),
+		grpc.WithTransportCredentials(transportCredentials),
 		grpc.WithKeepaliveParams(keepalive.ClientParameters{Time: keepaliveTime, Timeout: keepaliveTimeout}),
 		grpc.WithConnectParams(grpc.ConnectParams{MinConnectTimeout: dialTimeout}),
 		grpc.WithDefaultCallOptions(grpc.MaxCallRecvMsgSize(maxResponseBytes)))
--- a/sidecar/exchange.go
+++ b/sidecar/exchange.go
@@ -6,16 +6,16 @@
 	Recv() (Response, error)
 }
 
-// Exchange sends the first requests, then handles each response until the stream ends, and returns the reason. If begun
+// Exchange sends the first requests, then handles each response until the stream ends, and returns the reason. If onOpen
 // is not nil, it is called after the first requests are sent. The function handle returns the requests to send for a
-// response, starting with its ACK or NACK; beforeAnswer is called before they are sent in either case.
-func Exchange[Request, Response any](stream Transport[Request, Response], first []Request, begun func(),
-	handle func(Response) ([]Request, error), beforeAnswer func()) error {
+// response, starting with its ACK or NACK; beforeReply is called before they are sent in either case.
+func Exchange[Request, Response any](stream Transport[Request, Response], first []Request, onOpen func(),
+	handle func(Response) ([]Request, error), beforeReply func()) error {
 	if err := sendAll(stream, first); err != nil {
 		return err
 	}
-	if begun != nil {
-		begun()
+	if onOpen != nil {
+		onOpen()
 	}
 	for {
 		response, err := stream.Recv()
@@ -26,7 +26,7 @@
 		if err != nil {
 			return err
 		}
-		beforeAnswer()
+		beforeReply()
 		if err := sendAll(stream, requests); err != nil {
 			return err
 		}
--- a/sidecar/forward.go
+++ b/sidecar/forward.go
@@ -46,9 +46,9 @@
 
 // attempt is a connection to the node that a request is forwarded to.
 type attempt struct {
-	upstream *upstream
-	key      NodeKey
-	began    time.Time
+	upstream  *upstream
+	key       NodeKey
+	startTime time.Time
 }
 
 // forwardRequest forwards a request to a node of an entry's cluster and writes its response. It reports whether the
@@ -60,16 +60,16 @@
 	}
 	deadline := time.Now().Add(timeLimit)
 	removeHopHeaders(request.Header)
-	to := p.connectWithRetries(ctx, table, entry, deadline)
-	if to == nil {
+	target := p.connectWithRetries(ctx, table, entry, deadline)
+	if target == nil {
 		p.Load.Failed.Add(1)
 		p.Load.addRequest(entry.Name)
 		return respond(client, http.StatusServiceUnavailable, "", "no node took the call\n")
 	}
-	stop := context.AfterFunc(ctx, func() { to.upstream.Close() })
-	failed, reusable := p.forward(client, request, to, deadline)
+	stop := context.AfterFunc(ctx, func() { target.upstream.Close() })
+	failed, reusable := p.forward(client, request, target, deadline)
 	stop()
-	p.Load.addAttempt(to.key, failed, time.Since(to.began))
+	p.Load.addAttempt(target.key, failed, time.Since(target.startTime))
 	p.Load.addRequest(entry.Name)
 	if failed {
 		p.Load.Failed.Add(1)
@@ -90,10 +90,10 @@
 			return nil
 		}
 		key := NodeKey{Cluster: entry.Cluster, Zone: node.Zone, Address: node.Address}
-		began := time.Now()
-		connected, err := p.upstreams.get(ctx, node.Address, deadline)
+		startTime := time.Now()
+		conn, err := p.upstreams.connect(ctx, node.Address, deadline)
 		if err == nil {
-			return &attempt{upstream: connected, key: key, began: began}
+			return &attempt{upstream: conn, key: key, startTime: startTime}
 		}
 		p.Load.addAttempt(key, true, 0)
 		tried = append(tried, node.Address)
@@ -107,15 +107,15 @@
 // forward sends a request to a node and copies the response to the client. The node may run the request as soon as its
 // first byte is sent, so the request is never retried. It reports whether the attempt failed and whether the client's
 // connection can be reused.
-func (p *Proxy) forward(client net.Conn, request *http.Request, to *attempt, deadline time.Time) (failed, reusable bool) {
-	to.upstream.SetDeadline(deadline)
-	if err := writeRequest(to.upstream, request); err != nil {
-		p.failForward(client, to, http.StatusBadGateway, err)
+func (p *Proxy) forward(client net.Conn, request *http.Request, target *attempt, deadline time.Time) (failed, reusable bool) {
+	target.upstream.SetDeadline(deadline)
+	if err := writeRequest(target.upstream, request); err != nil {
+		p.failForward(client, target, http.StatusBadGateway, err)
 		return true, false
 	}
-	response, err := readResponse(to.upstream, request)
+	response, err := readResponse(target.upstream, request)
 	if err != nil {
-		p.failForward(client, to, gatewayStatus(err), err)
+		p.failForward(client, target, gatewayStatus(err), err)
 		return true, false
 	}
 	defer closeBody(response)
@@ -124,19 +124,19 @@
 	response.Close = request.Close
 	client.SetWriteDeadline(time.Now().Add(max(bodyTimeout, time.Until(deadline))))
 	if err := response.Write(client); err != nil {
-		to.upstream.Close()
+		target.upstream.Close()
 		return true, false
 	}
 	if upstreamReusable {
-		p.upstreams.release(to.upstream)
+		p.upstreams.release(target.upstream)
 	} else {
-		to.upstream.Close()
+		target.upstream.Close()
 	}
 	return response.StatusCode >= http.StatusInternalServerError, true
 }
 
 // writeRequest sends a request to a node.
-func writeRequest(to *upstream, request *http.Request) error {
+func writeRequest(node *upstream, request *http.Request) error {
 	request.URL.Scheme = ""
 	request.URL.Host = ""
 	// "Connection: close" applies to the client's connection only. It must not reach the node, whose connection is
@@ -144,13 +144,13 @@
 	clientCloses := request.Close
 	request.Close = false
 	defer func() { request.Close = clientCloses }()
-	return request.Write(to)
+	return request.Write(node)
 }
 
 // readResponse reads a node's final response and skips interim (1xx) responses.
-func readResponse(from *upstream, request *http.Request) (*http.Response, error) {
+func readResponse(node *upstream, request *http.Request) (*http.Response, error) {
 	for {
-		response, err := http.ReadResponse(from.reader, request)
+		response, err := http.ReadResponse(node.reader, request)
 		if err != nil {
 			return nil, err
 		}
@@ -172,10 +172,10 @@
 
 // failForward closes the connection to a node that sent no response, and sends an error response to the client. Errors
 // of that write are ignored, as the client may have disconnected as well.
-func (p *Proxy) failForward(client net.Conn, to *attempt, status int, err error) {
-	to.upstream.Close()
-	p.Log.Warn("no response from node", zap.String("node", to.key.Address.Host),
-		zap.Uint32("port", to.key.Address.Port), zap.Error(err))
+func (p *Proxy) failForward(client net.Conn, target *attempt, status int, err error) {
+	target.upstream.Close()
+	p.Log.Warn("no response from node", zap.String("node", target.key.Address.Host),
+		zap.Uint32("port", target.key.Address.Port), zap.Error(err))
 	client.SetWriteDeadline(time.Now().Add(bodyTimeout))
 	fmt.Fprintf(client, "HTTP/1.1 %d %s\r\nConnection: close\r\nContent-Length: 0\r\n\r\n", status, http.StatusText(status))
 }
--- a/sidecar/golden_test.go
+++ b/sidecar/golden_test.go
@@ -22,20 +22,20 @@
 			t.Fatal(err)
 		}
 	}
-	h := &ResourceCache{ID: "till", Zone: "north"}
-	if err := (&Store{Path: goldenStore}).Load(h); err != nil {
+	cache := &ResourceCache{ID: "till", Zone: "north"}
+	if err := (&Store{Path: goldenStore}).Load(cache); err != nil {
 		t.Fatal(err)
 	}
-	goldentest.Compare(t, "store.txt", goldentest.Values(h.Table()))
-	again := filepath.Join(t.TempDir(), "again")
-	if err := (&Store{Path: again}).Save(h); err != nil {
+	goldentest.Compare(t, "store.txt", goldentest.Values(cache.Table()))
+	rewritten := filepath.Join(t.TempDir(), "again")
+	if err := (&Store{Path: rewritten}).Save(cache); err != nil {
 		t.Fatal(err)
 	}
 	want, err := os.ReadFile(goldenStore)
 	if err != nil {
 		t.Fatal(err)
 	}
-	got, err := os.ReadFile(again)
+	got, err := os.ReadFile(rewritten)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/sidecar/load_recorder.go
+++ b/sidecar/load_recorder.go
@@ -78,9 +78,9 @@
 func (r *LoadRecorder) Take(now time.Time) LoadReport {
 	r.reportMutex.Lock()
 	defer r.reportMutex.Unlock()
-	taken := r.report
-	taken.Interval = now.Sub(r.startedAt)
+	finished := r.report
+	finished.Interval = now.Sub(r.startedAt)
 	r.report = newLoadReport()
 	r.startedAt = now
-	return taken
+	return finished
 }
--- a/sidecar/parse.go
+++ b/sidecar/parse.go
@@ -22,11 +22,11 @@
 
 // Reasons for the rejection of a resource.
 var (
-	errUnreadable   = errors.New("message cannot be decoded")
-	errNoName       = errors.New("name must not be empty")
-	errDuplicate    = errors.New("duplicate resource")
-	errNoManager    = errors.New("API listener must be an HTTP connection manager")
-	errRoutesSource = errors.New("route configuration must have a name and use ADS")
+	errUndecodable          = errors.New("message cannot be decoded")
+	errNoName               = errors.New("name must not be empty")
+	errDuplicate            = errors.New("duplicate resource")
+	errNotConnectionManager = errors.New("API listener must be an HTTP connection manager")
+	errRouteSource          = errors.New("route configuration must have a name and use ADS")
 )
 
 // parseResources validates the resources of a response and returns the valid ones by name. A single invalid resource
@@ -34,23 +34,23 @@
 // version of a resource is computed from its content.
 func (c *ResourceCache) parseResources(t xds.ResourceType, bodies []*anypb.Any, versions map[string]string) (map[string]CachedResource, error) {
 	parsed := map[string]CachedResource{}
-	var faults []error
+	var errs []error
 	for _, body := range bodies {
-		name, fault := c.parseResource(t, body, parsed)
+		name, err := c.parseResource(t, body, parsed)
 		version := versions[name]
 		if versions == nil {
 			version = xds.VersionOf(t, name, body.GetValue())
 		}
-		if fault == nil {
+		if err == nil {
 			parsed[name] = CachedResource{Version: version, Body: body}
 			continue
 		}
-		faults = append(faults, fmt.Errorf("%s %q: %w", t, name, fault))
+		errs = append(errs, fmt.Errorf("%s %q: %w", t, name, err))
 		if c.OnReject != nil {
-			c.OnReject(RejectedResource{Type: t, Name: name, Reason: fault.Error(), Version: version})
+			c.OnReject(RejectedResource{Type: t, Name: name, Reason: err.Error(), Version: version})
 		}
 	}
-	return parsed, errors.Join(faults...)
+	return parsed, errors.Join(errs...)
 }
 
 // parseResource returns the name of a resource, and an error if the resource must be rejected.
@@ -92,7 +92,7 @@
 // unmarshal decodes the body of a resource into message.
 func unmarshal[M proto.Message](body *anypb.Any, message M) (M, error) {
 	if err := proto.Unmarshal(body.GetValue(), message); err != nil {
-		return message, errUnreadable
+		return message, errUndecodable
 	}
 	return message, nil
 }
@@ -152,11 +152,11 @@
 	}
 	var manager hcmv3.HttpConnectionManager
 	if err := listener.GetApiListener().GetApiListener().UnmarshalTo(&manager); err != nil {
-		return "", errNoManager
+		return "", errNotConnectionManager
 	}
 	name := manager.GetRds().GetRouteConfigName()
 	if name == "" || manager.GetRds().GetConfigSource().GetAds() == nil {
-		return "", errRoutesSource
+		return "", errRouteSource
 	}
 	return name, nil
 }
--- a/sidecar/proxy_test.go
+++ b/sidecar/proxy_test.go
@@ -23,30 +23,30 @@
 func startProxy(t *testing.T, retries int, nodes ...*fakeplatform.NodeServer) (address string, p *Proxy) {
 	table := &RoutingTable{Routes: []RouteEntry{{Name: "q", Prefix: "/q", Fraction: 1, Cluster: "c", TimeLimit: 2 * time.Second, MaxRetries: retries, Mutating: true},
 		{Name: "shut", Prefix: "/shut", Fraction: 1, Status: 503}}, Clusters: map[string][]WeightedNode{}}
-	for _, n := range nodes {
-		host, port, _ := net.SplitHostPort(n.Address())
-		number, _ := strconv.Atoi(port)
-		table.Clusters["c"] = append(table.Clusters["c"], WeightedNode{Node: n.Name, Weight: 1, Address: xds.Address{Host: host, Port: uint32(number)}})
+	for _, node := range nodes {
+		host, port, _ := net.SplitHostPort(node.Address())
+		portNumber, _ := strconv.Atoi(port)
+		table.Clusters["c"] = append(table.Clusters["c"], WeightedNode{Node: node.Name, Weight: 1, Address: xds.Address{Host: host, Port: uint32(portNumber)}})
 	}
-	l, err := net.Listen("tcp", "127.0.0.1:0")
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	p = &Proxy{Listener: l, Table: func() *RoutingTable { return table }, ConnectTimeout: time.Second, MaxConnections: 64, Seed: 1, Log: zap.NewNop(), Load: NewLoadRecorder(time.Now())}
+	p = &Proxy{Listener: listener, Table: func() *RoutingTable { return table }, ConnectTimeout: time.Second, MaxConnections: 64, Seed: 1, Log: zap.NewNop(), Load: NewLoadRecorder(time.Now())}
 	ctx, stop := context.WithCancel(context.Background())
-	var run sync.WaitGroup
-	run.Go(func() { p.Run(ctx) })
-	t.Cleanup(func() { stop(); run.Wait() })
-	return l.Addr().String(), p
+	var running sync.WaitGroup
+	running.Go(func() { p.Run(ctx) })
+	t.Cleanup(func() { stop(); running.Wait() })
+	return listener.Addr().String(), p
 }
 
 func startNode(t *testing.T, name string) *fakeplatform.NodeServer {
-	n, err := fakeplatform.NewNodeServer(name, "127.0.0.1:0")
+	node, err := fakeplatform.NewNodeServer(name, "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(n.Close)
-	return n
+	t.Cleanup(node.Close)
+	return node
 }
 
 // exchange writes text to a new connection and returns all that is read until the connection is closed.
@@ -63,22 +63,22 @@
 	return string(got)
 }
 
-func requestText(path, more string) string {
-	return "POST " + path + " HTTP/1.1\r\nHost: x\r\n" + more + "\r\n"
+func requestText(path, headers string) string {
+	return "POST " + path + " HTTP/1.1\r\nHost: x\r\n" + headers + "\r\n"
 }
 
 // The header "Connection: close" of a client was forwarded to the node. The node then closed a connection that the
 // proxy had pooled, and the next request on it was lost. Clients that close their connections must not cause lost
 // requests.
-func TestIdleConnectionsAreReusedAndSwept(t *testing.T) {
+func TestConnectionCloseIsNotForwarded(t *testing.T) {
 	address, p := startProxy(t, 0, startNode(t, "a"))
-	for k := range 200 {
+	for index := range 200 {
 		if got := exchange(t, address, requestText("/q", "Connection: close\r\nContent-Length: 2\r\n")+"hi"); !strings.HasPrefix(got, "HTTP/1.1 200") {
-			t.Fatalf("request %d: got %q, want status 200", k, got)
+			t.Fatalf("request %d: got %q, want status 200", index, got)
 		}
 	}
-	if n := p.Load.Completed.Load(); n != 200 {
-		t.Errorf("completed requests: got %d, want 200", n)
+	if completed := p.Load.Completed.Load(); completed != 200 {
+		t.Errorf("completed requests: got %d, want 200", completed)
 	}
 }
 
@@ -92,18 +92,18 @@
 		requestText("/shut", "Content-Length: 1\r\n")+"x"+requestText("/none", "Content-Length: 0\r\n")+
 		requestText("/q/3", "Connection: keep-alive, X-Hop\r\nX-Hop: 1\r\nContent-Length: 0\r\n")+
 		requestText("/q", "Upgrade: websocket\r\nConnection: upgrade\r\nContent-Length: 0\r\n")+requestText("/q/4", "Connection: close\r\n"))
-	var states []string
-	r := bufio.NewReader(strings.NewReader(got))
+	var statuses []string
+	reader := bufio.NewReader(strings.NewReader(got))
 	for {
-		answer, err := http.ReadResponse(r, nil)
+		response, err := http.ReadResponse(reader, nil)
 		if err != nil {
 			break
 		}
-		io.Copy(io.Discard, answer.Body)
-		states = append(states, fmt.Sprint(answer.StatusCode, answer.Header.Get(xds.RejectedHeader)))
+		io.Copy(io.Discard, response.Body)
+		statuses = append(statuses, fmt.Sprint(response.StatusCode, response.Header.Get(xds.RejectedHeader)))
 	}
-	if want := "[200 200 503shut 404 200 501 200]"; fmt.Sprint(states) != want {
-		t.Errorf("statuses: got %v, want %s; responses:\n%s", states, want, got)
+	if want := "[200 200 503shut 404 200 501 200]"; fmt.Sprint(statuses) != want {
+		t.Errorf("statuses: got %v, want %s; responses:\n%s", statuses, want, got)
 	}
 	if a.BodyBytes() != 8 || a.Calls("/q/4") != 1 {
 		t.Errorf("node: got %d body bytes and %d requests to /q/4, want 8 and 1", a.BodyBytes(), a.Calls("/q/4"))
@@ -128,21 +128,21 @@
 	address, p := startProxy(t, 3)
 	table := p.Table()
 	for _, name := range []string{"a", "b"} {
-		hanging, err := net.Listen("tcp", "127.0.0.1:0")
+		unresponsive, err := net.Listen("tcp", "127.0.0.1:0")
 		if err != nil {
 			t.Fatal(err)
 		}
-		t.Cleanup(func() { hanging.Close() }) // connections stay in the accept queue; nothing is read from them
-		host, port, _ := net.SplitHostPort(hanging.Addr().String())
-		number, _ := strconv.Atoi(port)
-		table.Clusters["c"] = append(table.Clusters["c"], WeightedNode{Node: name, Weight: 1, Address: xds.Address{Host: host, Port: uint32(number)}})
+		t.Cleanup(func() { unresponsive.Close() }) // connections stay in the accept queue; nothing is read from them
+		host, port, _ := net.SplitHostPort(unresponsive.Addr().String())
+		portNumber, _ := strconv.Atoi(port)
+		table.Clusters["c"] = append(table.Clusters["c"], WeightedNode{Node: name, Weight: 1, Address: xds.Address{Host: host, Port: uint32(portNumber)}})
 	}
-	began := time.Now()
+	startTime := time.Now()
 	if got := exchange(t, address, requestText("/q", "Connection: close\r\nContent-Length: 0\r\n")); !strings.HasPrefix(got, "HTTP/1.1 504") {
 		t.Errorf("unresponsive node: got %q, want status 504", got)
 	}
-	if limit := table.Routes[0].TimeLimit; time.Since(began) < limit {
-		t.Errorf("response after %s, want after the time limit of %s", time.Since(began), limit)
+	if limit := table.Routes[0].TimeLimit; time.Since(startTime) < limit {
+		t.Errorf("response after %s, want after the time limit of %s", time.Since(startTime), limit)
 	}
 	if p.Load.Retried.Load() != 0 || p.Load.Failed.Load() != 1 {
 		t.Errorf("got %d retries and %d failed requests, want 0 and 1", p.Load.Retried.Load(), p.Load.Failed.Load())
@@ -152,17 +152,17 @@
 // A request must be retried if a node refuses the connection and the route allows a retry. It must not be retried if a
 // node accepts it and sends no response, because the node may have run it.
 func TestRetriesOnlyIfNotSent(t *testing.T) {
-	gone, silent, good := startNode(t, "gone"), startNode(t, "silent"), startNode(t, "good")
-	gone.Close()
+	stopped, silent, healthy := startNode(t, "gone"), startNode(t, "silent"), startNode(t, "good")
+	stopped.Close()
 	silent.FailStatus.Store(-1)
-	address, p := startProxy(t, 1, gone, good)
+	address, p := startProxy(t, 1, stopped, healthy)
 	for range 30 {
 		if got := exchange(t, address, requestText("/q", "Connection: close\r\nContent-Length: 0\r\n")); !strings.HasPrefix(got, "HTTP/1.1 200") {
 			t.Fatalf("one node is down: got %q, want status 200", got)
 		}
 	}
-	if good.Calls("/q") != 30 || p.Load.Retried.Load() == 0 {
-		t.Errorf("got %d requests and %d retries, want 30 requests and at least 1 retry", good.Calls("/q"), p.Load.Retried.Load())
+	if healthy.Calls("/q") != 30 || p.Load.Retried.Load() == 0 {
+		t.Errorf("got %d requests and %d retries, want 30 requests and at least 1 retry", healthy.Calls("/q"), p.Load.Retried.Load())
 	}
 	address, _ = startProxy(t, 1, silent, silent)
 	for range 10 {
@@ -173,7 +173,7 @@
 	if silent.Calls("/q") != 10 {
 		t.Errorf("requests at the node without a response: got %d, want 10", silent.Calls("/q"))
 	}
-	address, _ = startProxy(t, 0, gone)
+	address, _ = startProxy(t, 0, stopped)
 	if got := exchange(t, address, requestText("/q", "Connection: close\r\nContent-Length: 0\r\n")); !strings.HasPrefix(got, "HTTP/1.1 503") {
 		t.Errorf("no node is up: got %q, want status 503", got)
 	}
--- a/sidecar/resource_cache.go
+++ b/sidecar/resource_cache.go
@@ -145,8 +145,8 @@
 }
 
 // nackDetail returns the error detail of a NACK.
-func nackDetail(fault error) *status.Status {
-	return &status.Status{Code: int32(codes.InvalidArgument), Message: fault.Error()}
+func nackDetail(rejection error) *status.Status {
+	return &status.Status{Code: int32(codes.InvalidArgument), Message: rejection.Error()}
 }
 
 // BeginStateOfTheWorld starts a stream of the state-of-the-world variant and returns its first requests, each with the
--- a/sidecar/resource_cache_test.go
+++ b/sidecar/resource_cache_test.go
@@ -26,33 +26,33 @@
 // compiledSnapshot returns the snapshot that a controller sends for a table of two nodes. Node a has weight 1, node b
 // the given weight.
 func compiledSnapshot(t testing.TB, weight float64) *xds.Snapshot {
-	c := xds.NewCompiler([]xds.Route{{Name: "quote", Prefix: "/quote", TimeLimit: time.Second},
+	compiler := xds.NewCompiler([]xds.Route{{Name: "quote", Prefix: "/quote", TimeLimit: time.Second},
 		{Name: "issue", Prefix: "/issue", Mutating: true, TimeLimit: time.Second}}, time.Second)
-	c.SetAddress("a", "north", xds.Address{Host: "127.0.0.1", Port: 1})
-	c.SetAddress("b", "south", xds.Address{Host: "127.0.0.1", Port: 2})
-	c.ApplyCommands([]controller.Command{{Kind: controller.SetWeight, Node: "a", Value: 1}, {Kind: controller.SetWeight, Node: "b", Value: weight},
+	compiler.SetAddress("a", "north", xds.Address{Host: "127.0.0.1", Port: 1})
+	compiler.SetAddress("b", "south", xds.Address{Host: "127.0.0.1", Port: 2})
+	compiler.ApplyCommands([]controller.Command{{Kind: controller.SetWeight, Node: "a", Value: 1}, {Kind: controller.SetWeight, Node: "b", Value: weight},
 		{Kind: controller.SetAdmission, Table: planner.AllTables, Route: "quote", Value: 0.25, Retry: planner.RetryIfNotSent},
 		{Kind: controller.SetAdmission, Table: planner.AllTables, Route: "issue", Value: 0.25, Retry: planner.RetryIfNotSent}})
-	s, err := c.Snapshot(0)
+	snapshot, err := compiler.Snapshot(0)
 	if err != nil {
 		t.Fatal(err)
 	}
-	return s
+	return snapshot
 }
 
 // acceptSnapshot passes a snapshot to a cache and returns the reason of the first NACK, or an empty string.
-func acceptSnapshot(h *ResourceCache, s *xds.Snapshot) string {
+func acceptSnapshot(cache *ResourceCache, snapshot *xds.Snapshot) string {
 	for resourceType := range xds.NumResourceTypes {
-		r := &discoveryv3.DeltaDiscoveryResponse{TypeUrl: resourceType.TypeURL(), Nonce: "n"}
-		for _, one := range s.Sets[resourceType] {
-			r.Resources = append(r.Resources, &discoveryv3.Resource{Name: one.Name, Version: one.Version, Resource: one.Body})
+		response := &discoveryv3.DeltaDiscoveryResponse{TypeUrl: resourceType.TypeURL(), Nonce: "n"}
+		for _, resource := range snapshot.Sets[resourceType] {
+			response.Resources = append(response.Resources, &discoveryv3.Resource{Name: resource.Name, Version: resource.Version, Resource: resource.Body})
 		}
-		out, err := h.HandleDelta(r)
+		requests, err := cache.HandleDelta(response)
 		if err != nil {
 			return err.Error()
 		}
-		if why := out[0].GetErrorDetail().GetMessage(); why != "" {
-			return why
+		if reason := requests[0].GetErrorDetail().GetMessage(); reason != "" {
+			return reason
 		}
 	}
 	return ""
@@ -61,36 +61,36 @@
 // newFilledCache returns a cache that has accepted compiledSnapshot(t, weight).
 func newFilledCache(t testing.TB, weight float64) *ResourceCache {
 	t.Helper()
-	h := &ResourceCache{ID: "till", Zone: "north"}
-	h.BeginDelta()
-	if why := acceptSnapshot(h, compiledSnapshot(t, weight)); why != "" {
-		t.Fatal(why)
+	cache := &ResourceCache{ID: "till", Zone: "north"}
+	cache.BeginDelta()
+	if reason := acceptSnapshot(cache, compiledSnapshot(t, weight)); reason != "" {
+		t.Fatal(reason)
 	}
-	return h
+	return cache
 }
 
 // Requests must be split by an entry's fraction and a cluster's weights, and a retry must select another node.
 func TestRoutingTableSplitsByFractionAndWeight(t *testing.T) {
-	h := newFilledCache(t, 3)
-	table, random := h.Table(), Random{Seed: 5}
-	got, throttled := map[string]int{}, 0
+	cache := newFilledCache(t, 3)
+	table, random := cache.Table(), Random{Seed: 5}
+	requests, throttled := map[string]int{}, 0
 	for range 4000 {
-		e := table.Route("/issue/7", random.Next)
-		if e.Status != 0 {
+		entry := table.Route("/issue/7", random.Next)
+		if entry.Status != 0 {
 			throttled++
 			continue
 		}
-		node, ok := table.Pick(e.Cluster, nil, random.Next)
-		if !ok || e.MaxRetries != 1 || !e.Mutating {
-			t.Fatalf("got node %v (found: %t) and entry %+v, want a node and a mutating entry with 1 retry", node, ok, e)
+		node, ok := table.Pick(entry.Cluster, nil, random.Next)
+		if !ok || entry.MaxRetries != 1 || !entry.Mutating {
+			t.Fatalf("got node %v (found: %t) and entry %+v, want a node and a mutating entry with 1 retry", node, ok, entry)
 		}
-		got[node.Node]++
+		requests[node.Node]++
 	}
 	if throttled < 2850 || throttled > 3150 {
 		t.Errorf("rejected requests: got %d of 4000, want 2850 to 3150", throttled)
 	}
-	if part := float64(got["b"]) / float64(got["a"]+got["b"]); part < 0.7 || part > 0.8 {
-		t.Errorf("fraction of node b: got %.2f, want 0.7 to 0.8", part)
+	if fraction := float64(requests["b"]) / float64(requests["a"]+requests["b"]); fraction < 0.7 || fraction > 0.8 {
+		t.Errorf("fraction of node b: got %.2f, want 0.7 to 0.8", fraction)
 	}
 	if node, ok := table.Pick("pool-0", []xds.Address{{Host: "127.0.0.1", Port: 1}}, random.Next); !ok || node.Node != "b" {
 		t.Errorf("node a was tried: got %v (found: %t), want b", node, ok)
@@ -98,21 +98,21 @@
 	if _, ok := table.Pick("pool-0", []xds.Address{{Host: "127.0.0.1", Port: 1}, {Host: "127.0.0.1", Port: 2}}, random.Next); ok {
 		t.Error("both nodes were tried: got a node, want none")
 	}
-	if e := table.Route("/other", random.Next); e != nil {
-		t.Errorf("path /other: got entry %s, want none", e.Name)
+	if entry := table.Route("/other", random.Next); entry != nil {
+		t.Errorf("path /other: got entry %s, want none", entry.Name)
 	}
 }
 
 // A table must be accepted with the maximum number of routes of a configuration, also if each route is throttled and
 // has two entries. Tables with more routes or more entries must be rejected.
 func TestMaxRoutesPerTable(t *testing.T) {
-	fillRoutes := func(count int, throttled bool) string {
+	rejectionReason := func(count int, throttled bool) string {
 		compiler := xds.NewCompiler([]xds.Route{{Name: "first", Prefix: "/first", TimeLimit: time.Second}}, time.Second)
 		compiler.SetAddress("a", "north", xds.Address{Host: "127.0.0.1", Port: 1})
 		compiler.ApplyCommands([]controller.Command{{Kind: controller.SetWeight, Node: "a", Value: 1}})
 		var routes []xds.Route
-		for r := range count {
-			name := fmt.Sprintf("route-%04d", r)
+		for index := range count {
+			name := fmt.Sprintf("route-%04d", index)
 			routes = append(routes, xds.Route{Name: name, Prefix: "/" + name, TimeLimit: time.Second})
 			if throttled {
 				compiler.ApplyCommands([]controller.Command{{Kind: controller.SetAdmission, Table: planner.AllTables, Route: name, Value: 0.25}})
@@ -129,11 +129,11 @@
 		return acceptSnapshot(&ResourceCache{ID: "s", Zone: "north"}, snapshot)
 	}
 	for _, throttled := range []bool{false, true} {
-		if why := fillRoutes(xds.MaxRoutes, throttled); why != "" {
-			t.Errorf("maximum number of routes, throttled %t: got %q, want no error", throttled, why)
+		if reason := rejectionReason(xds.MaxRoutes, throttled); reason != "" {
+			t.Errorf("maximum number of routes, throttled %t: got %q, want no error", throttled, reason)
 		}
-		if why := fillRoutes(xds.MaxRoutes+1, throttled); !strings.Contains(why, "more than 1024 routes") {
-			t.Errorf("one route too many, throttled %t: got %q, want an error with \"more than 1024 routes\"", throttled, why)
+		if reason := rejectionReason(xds.MaxRoutes+1, throttled); !strings.Contains(reason, "more than 1024 routes") {
+			t.Errorf("one route too many, throttled %t: got %q, want an error with \"more than 1024 routes\"", throttled, reason)
 		}
 	}
 	host := &routev3.VirtualHost{}
@@ -150,21 +150,21 @@
 	}
 }
 
-// Each impossible content is rejected with a reason that names what is wrong, and the accepted versions stay.
+// Each invalid resource must be rejected with a reason that names the fault, and the accepted versions must not change.
 func TestResourceCacheRejections(t *testing.T) {
-	node := func(port uint32, weight *wrapperspb.UInt32Value) *endpointv3.LocalityLbEndpoints {
-		s := compiledSnapshot(t, 1)
+	locality := func(port uint32, weight *wrapperspb.UInt32Value) *endpointv3.LocalityLbEndpoints {
+		snapshot := compiledSnapshot(t, 1)
 		var m endpointv3.ClusterLoadAssignment
-		proto.Unmarshal(s.Sets[xds.Endpoints]["pool-0"].Body.GetValue(), &m)
-		e := m.GetEndpoints()[0]
-		e.GetLbEndpoints()[0].GetEndpoint().GetAddress().GetSocketAddress().GetPortSpecifier()
-		e.GetLbEndpoints()[0].LoadBalancingWeight = weight
+		proto.Unmarshal(snapshot.Sets[xds.Endpoints]["pool-0"].Body.GetValue(), &m)
+		endpoints := m.GetEndpoints()[0]
+		endpoints.GetLbEndpoints()[0].GetEndpoint().GetAddress().GetSocketAddress().GetPortSpecifier()
+		endpoints.GetLbEndpoints()[0].LoadBalancingWeight = weight
 		if port == 0 {
-			e.GetLbEndpoints()[0].GetEndpoint().Address = nil
+			endpoints.GetLbEndpoints()[0].GetEndpoint().Address = nil
 		}
-		return e
+		return endpoints
 	}
-	routes := func(change func(r *routev3.Route)) proto.Message {
+	routesWith := func(change func(r *routev3.Route)) proto.Message {
 		var m routev3.RouteConfiguration
 		proto.Unmarshal(compiledSnapshot(t, 1).Sets[xds.Routes][xds.RoutesName].Body.GetValue(), &m)
 		for _, r := range m.GetVirtualHosts()[0].GetRoutes() {
@@ -174,38 +174,38 @@
 		}
 		return &m
 	}
-	for name, c := range map[string]struct {
+	for name, test := range map[string]struct {
 		resourceType xds.ResourceType
-		m            proto.Message
+		message      proto.Message
 		want         string
 	}{
 		"cluster not of type EDS":  {xds.Clusters, &clusterv3.Cluster{Name: "x"}, "only EDS is supported"},
 		"cluster without name":     {xds.Clusters, &clusterv3.Cluster{ClusterDiscoveryType: &clusterv3.Cluster_Type{Type: clusterv3.Cluster_EDS}}, "name must not be empty"},
-		"endpoint without address": {xds.Endpoints, &endpointv3.ClusterLoadAssignment{ClusterName: "pool-0", Endpoints: []*endpointv3.LocalityLbEndpoints{node(0, nil)}}, `endpoint "a" must have an address with a host and a valid port`},
-		"endpoint with weight 0":   {xds.Endpoints, &endpointv3.ClusterLoadAssignment{ClusterName: "pool-0", Endpoints: []*endpointv3.LocalityLbEndpoints{node(1, wrapperspb.UInt32(0))}}, "weight of endpoint 127.0.0.1:1 must be greater than 0"},
-		"duplicate endpoint":       {xds.Endpoints, &endpointv3.ClusterLoadAssignment{ClusterName: "pool-0", Endpoints: []*endpointv3.LocalityLbEndpoints{node(1, nil), node(1, nil)}}, "duplicate endpoint 127.0.0.1:1"},
-		"unsafe retry of mutating route": {xds.Routes, routes(func(r *routev3.Route) { r.GetRoute().RetryPolicy.RetryOn = "connect-failure,5xx" }),
+		"endpoint without address": {xds.Endpoints, &endpointv3.ClusterLoadAssignment{ClusterName: "pool-0", Endpoints: []*endpointv3.LocalityLbEndpoints{locality(0, nil)}}, `endpoint "a" must have an address with a host and a valid port`},
+		"endpoint with weight 0":   {xds.Endpoints, &endpointv3.ClusterLoadAssignment{ClusterName: "pool-0", Endpoints: []*endpointv3.LocalityLbEndpoints{locality(1, wrapperspb.UInt32(0))}}, "weight of endpoint 127.0.0.1:1 must be greater than 0"},
+		"duplicate endpoint":       {xds.Endpoints, &endpointv3.ClusterLoadAssignment{ClusterName: "pool-0", Endpoints: []*endpointv3.LocalityLbEndpoints{locality(1, nil), locality(1, nil)}}, "duplicate endpoint 127.0.0.1:1"},
+		"unsafe retry of mutating route": {xds.Routes, routesWith(func(r *routev3.Route) { r.GetRoute().RetryPolicy.RetryOn = "connect-failure,5xx" }),
 			`route "issue" is mutating and must not be retried on "5xx"`},
-		"unsafe retry of route without metadata": {xds.Routes, routes(func(r *routev3.Route) { r.Metadata = nil; r.GetRoute().RetryPolicy.RetryOn = "reset" }),
+		"unsafe retry of route without metadata": {xds.Routes, routesWith(func(r *routev3.Route) { r.Metadata = nil; r.GetRoute().RetryPolicy.RetryOn = "reset" }),
 			`route "issue" is mutating`},
-		"too many retries": {xds.Routes, routes(func(r *routev3.Route) { r.GetRoute().RetryPolicy.NumRetries = wrapperspb.UInt32(9) }), `retries of route "issue" must be at most 3, got 9`},
-		"unknown cluster": {xds.Routes, routes(func(r *routev3.Route) {
+		"too many retries": {xds.Routes, routesWith(func(r *routev3.Route) { r.GetRoute().RetryPolicy.NumRetries = wrapperspb.UInt32(9) }), `retries of route "issue" must be at most 3, got 9`},
+		"unknown cluster": {xds.Routes, routesWith(func(r *routev3.Route) {
 			r.GetRoute().ClusterSpecifier = &routev3.RouteAction_Cluster{Cluster: "pool-9"}
 		}), `cluster "pool-9", which is not accepted`},
-		"fraction above 1":     {xds.Routes, routes(func(r *routev3.Route) { r.GetMatch().GetRuntimeFraction().GetDefaultValue().Numerator = 2000000 }), `fraction of route "issue" must be at most 1, got 2`},
-		"route without prefix": {xds.Routes, routes(func(r *routev3.Route) { r.Match = &routev3.RouteMatch{} }), `path prefix of route "issue" must start with "/", got ""`},
+		"fraction above 1":     {xds.Routes, routesWith(func(r *routev3.Route) { r.GetMatch().GetRuntimeFraction().GetDefaultValue().Numerator = 2000000 }), `fraction of route "issue" must be at most 1, got 2`},
+		"route without prefix": {xds.Routes, routesWith(func(r *routev3.Route) { r.Match = &routev3.RouteMatch{} }), `path prefix of route "issue" must start with "/", got ""`},
 		"no routes":            {xds.Routes, &routev3.RouteConfiguration{Name: "calls"}, "route configuration has no routes"},
 	} {
 		t.Run(name, func(t *testing.T) {
-			h := newFilledCache(t, 1)
-			before := h.Table().Versions
-			body, _ := proto.Marshal(c.m)
-			out, err := h.HandleDelta(&discoveryv3.DeltaDiscoveryResponse{TypeUrl: c.resourceType.TypeURL(), Nonce: "m", Resources: []*discoveryv3.Resource{
-				{Name: "x", Version: "v", Resource: &anypb.Any{TypeUrl: c.resourceType.TypeURL(), Value: body}}}})
-			if err != nil || !strings.Contains(out[0].GetErrorDetail().GetMessage(), c.want) {
-				t.Errorf("got error %v and reason %q, want reason %q", err, out[0].GetErrorDetail().GetMessage(), c.want)
+			cache := newFilledCache(t, 1)
+			versionsBefore := cache.Table().Versions
+			body, _ := proto.Marshal(test.message)
+			requests, err := cache.HandleDelta(&discoveryv3.DeltaDiscoveryResponse{TypeUrl: test.resourceType.TypeURL(), Nonce: "m", Resources: []*discoveryv3.Resource{
+				{Name: "x", Version: "v", Resource: &anypb.Any{TypeUrl: test.resourceType.TypeURL(), Value: body}}}})
+			if err != nil || !strings.Contains(requests[0].GetErrorDetail().GetMessage(), test.want) {
+				t.Errorf("got error %v and reason %q, want reason %q", err, requests[0].GetErrorDetail().GetMessage(), test.want)
 			}
-			if diff := cmp.Diff(before, h.Table().Versions); diff != "" {
+			if diff := cmp.Diff(versionsBefore, cache.Table().Versions); diff != "" {
 				t.Errorf("accepted versions changed (-want +got):\n%s", diff)
 			}
 		})
@@ -216,26 +216,26 @@
 func TestStoreSurvivesCrashAtEachStep(t *testing.T) {
 	for _, step := range []string{"create", "write", "sync", "rename", "sync folder", ""} {
 		path := filepath.Join(t.TempDir(), "held")
-		old, next := newFilledCache(t, 1), newFilledCache(t, 2)
-		if err := (&Store{Path: path}).Save(old); err != nil {
+		before, after := newFilledCache(t, 1), newFilledCache(t, 2)
+		if err := (&Store{Path: path}).Save(before); err != nil {
 			t.Fatal(err)
 		}
-		s := &Store{Path: path, Step: func(name string) error {
+		store := &Store{Path: path, Step: func(name string) error {
 			if name == step {
 				return errors.New("crash")
 			}
 			return nil
 		}}
-		if err := s.Save(next); (err == nil) != (step == "") {
+		if err := store.Save(after); (err == nil) != (step == "") {
 			t.Errorf("crash at step %q: got error %v", step, err)
 		}
 		restored := &ResourceCache{ID: "till"}
 		if err := (&Store{Path: path}).Load(restored); err != nil {
 			t.Fatalf("load after a crash at step %q: %v", step, err)
 		}
-		want := old
+		want := before
 		if step == "" || step == "sync folder" {
-			want = next
+			want = after
 		}
 		if diff := cmp.Diff(want.Table().Versions, restored.Table().Versions); diff != "" {
 			t.Errorf("versions after a crash at step %q (-want +got):\n%s", step, diff)
@@ -246,16 +246,16 @@
 // A store file that is truncated at any byte, or that has a flipped bit, must not be used.
 func TestDamagedStoreIsNotUsed(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "held")
-	h := newFilledCache(t, 1)
-	if err := (&Store{Path: path}).Save(h); err != nil {
+	cache := newFilledCache(t, 1)
+	if err := (&Store{Path: path}).Save(cache); err != nil {
 		t.Fatal(err)
 	}
 	complete, err := os.ReadFile(path)
 	if err != nil {
 		t.Fatal(err)
 	}
-	load := func(text []byte) error {
-		if err := os.WriteFile(path, text, 0o600); err != nil {
+	load := func(content []byte) error {
+		if err := os.WriteFile(path, content, 0o600); err != nil {
 			t.Fatal(err)
 		}
 		restored := &ResourceCache{ID: "till"}
@@ -265,14 +265,14 @@
 		}
 		return err
 	}
-	for at := range complete {
-		if err := load(complete[:at]); !errors.Is(err, ErrStoreFormat) && !errors.Is(err, ErrStoreTruncated) {
-			t.Fatalf("truncated to %d bytes: got error %v, want ErrStoreFormat or ErrStoreTruncated", at, err)
+	for offset := range complete {
+		if err := load(complete[:offset]); !errors.Is(err, ErrStoreFormat) && !errors.Is(err, ErrStoreTruncated) {
+			t.Fatalf("truncated to %d bytes: got error %v, want ErrStoreFormat or ErrStoreTruncated", offset, err)
 		}
 		flipped := append([]byte(nil), complete...)
-		flipped[at] ^= 1 << (at % 8)
+		flipped[offset] ^= 1 << (offset % 8)
 		if load(flipped) == nil {
-			t.Fatalf("bit flipped in byte %d: got no error", at)
+			t.Fatalf("bit flipped in byte %d: got no error", offset)
 		}
 	}
 	if err := load(complete); err != nil {
@@ -282,23 +282,23 @@
 
 // After a restart the first requests must state the accepted versions, so that a controller does not send them again.
 // This test covers the delta variant.
-func TestStateOfTheWorldVersions(t *testing.T) {
+func TestRestoredCacheStatesAcceptedVersions(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "held")
-	h := newFilledCache(t, 1)
-	if err := (&Store{Path: path}).Save(h); err != nil {
+	cache := newFilledCache(t, 1)
+	if err := (&Store{Path: path}).Save(cache); err != nil {
 		t.Fatal(err)
 	}
 	restored := &ResourceCache{ID: "till", Delta: true}
 	if err := (&Store{Path: path}).Load(restored); err != nil {
 		t.Fatal(err)
 	}
-	var said []string
+	var got []string
 	for _, r := range restored.BeginDelta() {
 		resourceType, _ := xds.ParseTypeURL(r.GetTypeUrl())
-		said = append(said, fmt.Sprintf("%s %d%v", resourceType, len(r.GetInitialResourceVersions()), r.GetResourceNamesSubscribe()))
+		got = append(got, fmt.Sprintf("%s %d%v", resourceType, len(r.GetInitialResourceVersions()), r.GetResourceNamesSubscribe()))
 	}
 	want := []string{"cluster 1[]", "endpoints 1[pool-0]", "listener 1[calls]", "routes 1[calls]"}
-	if diff := cmp.Diff(want, said); diff != "" {
+	if diff := cmp.Diff(want, got); diff != "" {
 		t.Errorf("first requests (-want +got):\n%s", diff)
 	}
 }
--- a/sidecar/responses.go
+++ b/sidecar/responses.go
@@ -21,24 +21,24 @@
 // HandleStateOfTheWorld accepts or rejects a response of the state-of-the-world variant. It returns the ACK or NACK,
 // followed by the requests for resources that the accepted ones refer to. After an [UnexpectedTypeError] the stream
 // must be closed.
-func (c *ResourceCache) HandleStateOfTheWorld(r *discoveryv3.DiscoveryResponse) (requests []*discoveryv3.DiscoveryRequest, err error) {
-	t, known := xds.ParseTypeURL(r.GetTypeUrl())
+func (c *ResourceCache) HandleStateOfTheWorld(response *discoveryv3.DiscoveryResponse) (requests []*discoveryv3.DiscoveryRequest, err error) {
+	t, known := xds.ParseTypeURL(response.GetTypeUrl())
 	if !known {
-		return nil, &UnexpectedTypeError{TypeURL: r.GetTypeUrl()}
+		return nil, &UnexpectedTypeError{TypeURL: response.GetTypeUrl()}
 	}
-	answer := &discoveryv3.DiscoveryRequest{TypeUrl: t.TypeURL(), ResponseNonce: r.GetNonce()}
-	received, fault := c.parseResources(t, r.GetResources(), nil)
-	if fault == nil {
+	reply := &discoveryv3.DiscoveryRequest{TypeUrl: t.TypeURL(), ResponseNonce: response.GetNonce()}
+	received, rejection := c.parseResources(t, response.GetResources(), nil)
+	if rejection == nil {
 		c.accept(t, c.nextStateOfTheWorld(t, received))
-		c.setVersions[t] = r.GetVersionInfo()
+		c.setVersions[t] = response.GetVersionInfo()
 	} else {
-		answer.ErrorDetail = nackDetail(fault)
+		reply.ErrorDetail = nackDetail(rejection)
 	}
-	c.nonces[t] = r.GetNonce()
+	c.nonces[t] = response.GetNonce()
 	c.subscribed[t] = c.wantedNames(t)
-	answer.VersionInfo = c.setVersions[t]
-	answer.ResourceNames = c.subscribed[t]
-	requests = append(requests, answer)
+	reply.VersionInfo = c.setVersions[t]
+	reply.ResourceNames = c.subscribed[t]
+	requests = append(requests, reply)
 	for other := range xds.NumResourceTypes {
 		names := c.wantedNames(other)
 		if other == t || !c.canSubscribe(other) || slices.Equal(names, c.subscribed[other]) {
@@ -66,29 +66,29 @@
 
 // HandleDelta accepts or rejects a response of the delta variant. Its results are like those of
 // [ResourceCache.HandleStateOfTheWorld].
-func (c *ResourceCache) HandleDelta(r *discoveryv3.DeltaDiscoveryResponse) (requests []*discoveryv3.DeltaDiscoveryRequest, err error) {
-	t, known := xds.ParseTypeURL(r.GetTypeUrl())
+func (c *ResourceCache) HandleDelta(response *discoveryv3.DeltaDiscoveryResponse) (requests []*discoveryv3.DeltaDiscoveryRequest, err error) {
+	t, known := xds.ParseTypeURL(response.GetTypeUrl())
 	if !known {
-		return nil, &UnexpectedTypeError{TypeURL: r.GetTypeUrl()}
+		return nil, &UnexpectedTypeError{TypeURL: response.GetTypeUrl()}
 	}
-	answer := &discoveryv3.DeltaDiscoveryRequest{TypeUrl: t.TypeURL(), ResponseNonce: r.GetNonce()}
-	bodies := make([]*anypb.Any, 0, len(r.GetResources()))
+	reply := &discoveryv3.DeltaDiscoveryRequest{TypeUrl: t.TypeURL(), ResponseNonce: response.GetNonce()}
+	bodies := make([]*anypb.Any, 0, len(response.GetResources()))
 	versions := map[string]string{}
-	for _, resource := range r.GetResources() {
+	for _, resource := range response.GetResources() {
 		bodies = append(bodies, resource.GetResource())
 		versions[resource.GetName()] = resource.GetVersion()
 	}
-	received, fault := c.parseResources(t, bodies, versions)
-	if fault == nil {
+	received, rejection := c.parseResources(t, bodies, versions)
+	if rejection == nil {
 		next := c.merge(t, received)
-		for _, name := range r.GetRemovedResources() {
+		for _, name := range response.GetRemovedResources() {
 			delete(next, name)
 		}
 		c.accept(t, next)
 	} else {
-		answer.ErrorDetail = nackDetail(fault)
+		reply.ErrorDetail = nackDetail(rejection)
 	}
-	requests = append(requests, answer)
+	requests = append(requests, reply)
 	for other := range xds.NumResourceTypes {
 		if request := c.subscriptionChange(other); request != nil {
 			requests = append(requests, request)
--- a/sidecar/store.go
+++ b/sidecar/store.go
@@ -130,10 +130,10 @@
 		return err
 	}
 	for t := range xds.NumResourceTypes {
-		parsed, fault := c.parseResources(t, sets[t].bodies, sets[t].versions)
-		if fault != nil {
+		parsed, rejection := c.parseResources(t, sets[t].bodies, sets[t].versions)
+		if rejection != nil {
 			c.Clear()
-			return fault
+			return rejection
 		}
 		c.accepted[t] = parsed
 		c.setVersions[t] = sets[t].setVersion
--- a/sidecar/upstream.go
+++ b/sidecar/upstream.go
@@ -33,16 +33,16 @@
 
 	idleMutex sync.Mutex // guards the fields below
 	idle      map[xds.Address][]*upstream
-	sweptAt   time.Time // time of the last sweep
+	lastSweep time.Time // time at which sweep was last called
 }
 
 func newUpstreamPool(connectTimeout time.Duration) *upstreamPool {
 	return &upstreamPool{connectTimeout: connectTimeout, idle: map[xds.Address][]*upstream{}}
 }
 
-// get returns a connection to a node: an idle one that is still open, or a new one.
-func (p *upstreamPool) get(ctx context.Context, address xds.Address, deadline time.Time) (*upstream, error) {
-	if pooled := p.takeIdle(address); pooled != nil {
+// connect returns a connection to a node: an idle one that is still open, or a new one.
+func (p *upstreamPool) connect(ctx context.Context, address xds.Address, deadline time.Time) (*upstream, error) {
+	if pooled := p.popIdle(address); pooled != nil {
 		return pooled, nil
 	}
 	dialer := net.Dialer{Timeout: min(p.connectTimeout, time.Until(deadline))}
@@ -54,10 +54,9 @@
 	return &upstream{Conn: conn, reader: bufio.NewReader(conn), address: address}, nil
 }
 
-// takeIdle removes the most recently used idle connection to a node from the pool and returns it, or nil if no
-// connection is usable. A connection with unread input is not usable: the node has closed it, or sent data outside of a
-// response.
-func (p *upstreamPool) takeIdle(address xds.Address) *upstream {
+// popIdle removes the most recently used idle connection to a node from the pool and returns it, or nil if no connection
+// is usable. A connection with unread input is not usable: the node has closed it, or sent data outside of a response.
+func (p *upstreamPool) popIdle(address xds.Address) *upstream {
 	p.idleMutex.Lock()
 	defer p.idleMutex.Unlock()
 	conns := p.idle[address]
@@ -87,7 +86,7 @@
 	now := time.Now()
 	conn.lastUsed = now
 	p.idle[conn.address] = append(p.idle[conn.address], conn)
-	if now.Sub(p.sweptAt) >= upstreamIdleTimeout {
+	if now.Sub(p.lastSweep) >= upstreamIdleTimeout {
 		p.sweep(now)
 	}
 }
@@ -95,7 +94,7 @@
 // sweep closes connections that are idle for upstreamIdleTimeout or longer; otherwise connections to removed nodes
 // would stay open forever. The caller must hold idleMutex.
 func (p *upstreamPool) sweep(now time.Time) {
-	p.sweptAt = now
+	p.lastSweep = now
 	for address, conns := range p.idle {
 		recent := conns[:0]
 		for _, conn := range conns {
