--- a/config/agreed.go
+++ b/config/agreed.go
@@ -14,19 +14,19 @@
 
 // Agreed is the configuration that a group's controllers agree on.
 type Agreed struct {
-	Routes    []xds.Route                      // longer prefixes first: the first that matches a request counts
+	Routes    []xds.Route                      // longer prefixes first: the first match determines a request's route
 	Overrides map[string]planner.EndpointState // by node; they take precedence over the endpoint list
-	Records   []*records.Record                // all that it is made of, ordered by key
+	Records   []*records.Record                // the records of the configuration, ordered by key
 }
 
-// overrideStates are the endpoint states that the states of override records stand for.
+// overrideStates maps the state of an override record to the endpoint state that it sets.
 var overrideStates = map[string]planner.EndpointState{
 	records.StateDraining: planner.Draining,
 	records.StateGone:     planner.Removed,
 }
 
-// ParseAgreed reads an agreed configuration. The result depends on the text alone, so that it is the same at all
-// controllers. The error is of type kdl.Faults.
+// ParseAgreed parses an agreed configuration. The result depends only on the text, so that all controllers compute the
+// same result. The error is of type kdl.Faults.
 func ParseAgreed(text string) (*Agreed, error) {
 	nodes, err := kdl.Parse(text)
 	if err != nil {
@@ -61,8 +61,8 @@
 	return err
 }
 
-// AgreedFromRecords returns the configuration that records stand for, which have to be ordered by key. The error names the
-// record that can't be read.
+// AgreedFromRecords returns the configuration that consists of the given records, which must be ordered by key. The
+// error names the record that cannot be decoded.
 func AgreedFromRecords(list []*records.Record) (*Agreed, error) {
 	a := &Agreed{Records: list, Overrides: map[string]planner.EndpointState{}}
 	for _, record := range sortForText(list) {
@@ -104,8 +104,9 @@
 	return nil
 }
 
-// AgreedFromFollower returns the configuration that a follower's records stand for. Most of them may be tenants, which are
-// skipped before the sort. It returns an error for a record that can't be read, or a route whose prefix another one has.
+// AgreedFromFollower returns the configuration that consists of the records accepted by a follower. Most of them may be
+// tenants, which are skipped before sorting. It returns an error if a record cannot be decoded or if two routes have
+// the same prefix.
 func AgreedFromFollower(accepted map[records.Key]*records.Record) (*Agreed, error) {
 	var list []*records.Record
 	for key, record := range accepted {
@@ -121,7 +122,8 @@
 	return agreed, checkPrefixes(agreed.Routes)
 }
 
-// checkPrefixes returns an error if one of sorted routes is never reached: equal prefixes stand side by side.
+// checkPrefixes returns an error if a route is unreachable because another route has the same prefix. The routes must
+// be sorted by prefix, so that equal prefixes are adjacent.
 func checkPrefixes(routes []xds.Route) error {
 	for index := 1; index < len(routes); index++ {
 		before := routes[index-1]
@@ -133,7 +135,7 @@
 	return nil
 }
 
-// ApplyOverrides returns the list of nodes as the overrides have it.
+// ApplyOverrides returns the nodes with the states that the overrides assign. Removed nodes are left out.
 func (a *Agreed) ApplyOverrides(nodes []Node) (overridden []Node) {
 	for _, n := range nodes {
 		if state, overrides := a.Overrides[n.Node]; overrides {
--- a/config/agreed_format.go
+++ b/config/agreed_format.go
@@ -8,10 +8,10 @@
 	"harehook.dev/harehook/records"
 )
 
-// TextFormat is the text of an agreed configuration as operators write it, in KDL, and the records that it stands for.
+// TextFormat converts between the KDL text of an agreed configuration, as operators write it, and its records.
 type TextFormat struct{}
 
-// Parse returns the records of a text, ordered by key. The error is of type kdl.Faults.
+// Parse returns the records of a text, ordered by key. The error is that of [ParseAgreed].
 func (TextFormat) Parse(text string) ([]*records.Record, error) {
 	a, err := ParseAgreed(text)
 	if err != nil {
@@ -20,7 +20,8 @@
 	return a.Records, nil
 }
 
-// Format returns the text of records, which Parse reads as the same records. Routes with a longer prefix come first.
+// Format returns the text of the given records. Parse returns the same records for it. Routes with longer prefixes come
+// first.
 func (TextFormat) Format(list []*records.Record) string {
 	if len(list) == 0 {
 		return ""
@@ -40,7 +41,7 @@
 	return text.String()
 }
 
-// sortForText orders routes by their prefixes, longer ones first, and all else by key.
+// sortForText orders routes by prefix, longer prefixes first, and all other records by key.
 func sortForText(list []*records.Record) []*records.Record {
 	prefixes := map[*records.Record]string{}
 	for _, record := range list {
@@ -66,7 +67,7 @@
 	return strings.Compare(a, b)
 }
 
-// FormatRecord returns the line of text that stands for a record.
+// FormatRecord returns the line of text that defines a record.
 func FormatRecord(record *records.Record) string {
 	start := record.Kind.String() + " " + strconv.Quote(record.Name)
 	switch record.Kind {
@@ -110,7 +111,7 @@
 	return line + "; }"
 }
 
-// formatProperty returns a property, nothing if its value is empty.
+// formatProperty returns the text of a property, or "" if its value is empty.
 func formatProperty(name, value string) string {
 	if value == "" {
 		return ""
--- a/config/agreed_reader.go
+++ b/config/agreed_reader.go
@@ -6,13 +6,13 @@
 	"harehook.dev/harehook/xds"
 )
 
-// minAdmitted is the lowest fraction of a route's requests that operators may limit it to.
+// minAdmitted is the lowest limit that operators can set on the admitted fraction of a route's requests.
 const minAdmitted = 0.0001
 
-// recordReader reads the nodes that stand for records.
+// recordReader reads nodes that define records.
 type recordReader struct {
 	*reader
-	lineOf  map[records.Key]int // where each was read
+	lineOf  map[records.Key]int // the line on which each record is defined
 	records []*records.Record
 }
 
@@ -20,10 +20,10 @@
 	return &recordReader{reader: &reader{}, lineOf: map[records.Key]int{}}
 }
 
-// add adds a record; a key that is there twice or a spec that is no record's is a fault of its line.
+// add adds a record. A duplicate key or an invalid spec is a fault.
 func (r *recordReader) add(n *kdl.Node, key records.Key, spec any) {
 	if key.Name == "" {
-		return // a fault was added
+		return // the fault of the name has already been added
 	}
 	if _, twice := r.lineOf[key]; twice {
 		r.faults.Add(n.Line, "%s %q is there twice", key.Kind, key.Name)
@@ -38,14 +38,14 @@
 	r.records = append(r.records, record)
 }
 
-// readRouteRecord reads a route that follows others, whose prefixes must not cover its own.
+// readRouteRecord reads a route. The routes before it must not have a prefix that includes the prefix of this route.
 func (r *recordReader) readRouteRecord(n *kdl.Node, before []xds.Route) xds.Route {
 	service := r.extractName(n, "service")
 	faults := len(r.faults)
 	route := r.readRoute(n, before, routeReaders{
 		"most": func(n *kdl.Node, route *xds.Route) { route.MaxAdmitted = r.onlyNumber(n, minAdmitted, 1) },
 	})
-	tooMany := len(before) >= xds.MaxRoutes // the first of these is a fault, the others are not read
+	tooMany := len(before) >= xds.MaxRoutes // readRoute adds a fault for the first excess route only
 	if len(r.faults) > faults || tooMany {
 		return route
 	}
@@ -59,7 +59,8 @@
 	return route
 }
 
-// statedTimeLimitMS returns a route's time limit just as it is written: a record's text has to be read as the same record.
+// statedTimeLimitMS returns the time limit of a route exactly as it is written, without the rounding of a
+// time.Duration: the text of a record must be parsed as the same record.
 func statedTimeLimitMS(route *kdl.Node) (limit float64) {
 	for _, child := range route.Children {
 		if child.Name == "limit-ms" && len(child.Arguments) == 1 {
@@ -107,7 +108,7 @@
 	r.add(n, records.Key{Kind: records.KindOverride, Name: r.stringArgument(n, 0)}, spec)
 }
 
-// optionalName returns a property that names something, "" if it is not there.
+// optionalName returns the value of a property as a name, or "" if the node does not have the property.
 func (r *recordReader) optionalName(n *kdl.Node, property string) string {
 	value, stated := n.Properties[property]
 	if !stated {
@@ -116,7 +117,8 @@
 	return r.stringValue(n, value)
 }
 
-// extractName returns a property that names something and removes it from the node, whose other reader does not know it.
+// extractName returns the value of a property as a name. It removes the property from the node, because the reader of
+// the other settings rejects it as unknown.
 func (r *recordReader) extractName(n *kdl.Node, property string) string {
 	name := r.optionalName(n, property)
 	delete(n.Properties, property)
--- a/config/agreed_reader_test.go
+++ b/config/agreed_reader_test.go
@@ -23,7 +23,7 @@
 }
 `
 
-// A text becomes records and these the same text, in one order whatever the order in which it was written.
+// Formatting the records of a text must return the same text, with numbers in canonical form.
 func TestAgreedTextRoundTrip(t *testing.T) {
 	a, err := ParseAgreed(agreedExample)
 	if err != nil {
@@ -31,20 +31,20 @@
 	}
 	want := strings.Replace(agreedExample, "0.0015e3", "1.5", 1)
 	if got := (TextFormat{}).Format(a.Records); got != want {
-		t.Errorf("%s\nwant\n%s", got, want)
+		t.Errorf("got text\n%s\nwant\n%s", got, want)
 	}
 	if len(a.Routes) != 2 || a.Routes[0].Name != "quote-vip" || !a.Routes[0].Mutating || a.Routes[0].MaxAdmitted != 0.5 || a.Routes[1].TimeLimit.Microseconds() != 1500 {
-		t.Errorf("%+v", a.Routes)
+		t.Errorf("got routes %+v, want quote-vip and quote as in\n%s", a.Routes, agreedExample)
 	}
 	if len(a.Overrides) != 2 || a.Overrides["n-1"] != planner.Draining || a.Overrides["n-2"] != planner.Removed {
-		t.Errorf("%+v", a.Overrides)
+		t.Errorf("got overrides %+v, want n-1 draining and n-2 removed", a.Overrides)
 	}
-	if (TextFormat{}).Format(nil) != "" {
-		t.Error("no records have a text")
+	if got := (TextFormat{}).Format(nil); got != "" {
+		t.Errorf("got text %q without records, want \"\"", got)
 	}
 }
 
-// The text of random records is read as the same records.
+// The text of random records must be parsed as the same records.
 func TestFormatRandomRecordsRoundTrip(t *testing.T) {
 	for seed := range uint64(50) {
 		random := rand.New(rand.NewPCG(seed, 1))
@@ -67,15 +67,15 @@
 		text := TextFormat{}.Format(list)
 		restored, err := TextFormat{}.Parse(text)
 		if err != nil {
-			t.Fatalf("seed %d: %v\n%s", seed, err, text)
+			t.Fatalf("seed %d: parse: %v\n%s", seed, err, text)
 		}
 		if !slices.EqualFunc(list, restored, (*records.Record).SameContent) {
-			t.Fatalf("seed %d: other records\n%s", seed, text)
+			t.Fatalf("seed %d: the parsed records differ from the formatted ones, text:\n%s", seed, text)
 		}
 	}
 }
 
-// Faults of records in a text have their line and reason.
+// Faults of records in a text must state the line and the reason.
 func TestAgreedTextFaults(t *testing.T) {
 	route := ` route "a" { prefix "/a"; limit-ms 9; };`
 	for text, want := range map[string]string{
@@ -88,12 +88,12 @@
 		`agreed {` + route + ` service "s" { zones 5; }; }`:             `"zones" takes a name`,
 	} {
 		if err := ValidateAgreed(text); err == nil || !strings.Contains(err.Error(), want) {
-			t.Errorf("%s: %v, want %q", text, err, want)
+			t.Errorf("%s: got error %v, want %q", text, err, want)
 		}
 	}
 }
 
-// Writes have the key, body and expected revision that the file states.
+// Writes must have the key, the body and the expected revision that the file states.
 func TestParseRecordWrites(t *testing.T) {
 	writes, err := ParseRecordWrites(`route "a" service="s" revision=12 { prefix "/a"; limit-ms 9; }
 service "s" revision=0
@@ -109,7 +109,7 @@
 	}
 	want := []string{`route/a {"service":"s","prefix":"/a","time_limit_ms":9} 12 true`, `service/s {} 0 true`, `tenant/x  7 true`, `override/n  0 false`}
 	if !slices.Equal(got, want) {
-		t.Errorf("%q, want %q", got, want)
+		t.Errorf("got writes %q, want %q", got, want)
 	}
 	for text, want := range map[string]string{
 		``: "it has no record", `agreed { }`: `"agreed" is not known`, `remove "x"`: "expected kind/name", `remove`: "takes 1 values",
@@ -117,12 +117,12 @@
 		"remove \"service/s\"\nservice \"s\"": `line 2: service "s" is there twice`,
 	} {
 		if _, err := ParseRecordWrites(text); err == nil || !strings.Contains(err.Error(), want) {
-			t.Errorf("%q: %v, want %q", text, err, want)
+			t.Errorf("%q: got error %v, want %q", text, err, want)
 		}
 	}
 }
 
-// A text with far too many routes has one fault: that of the first one too many.
+// A text with many more routes than allowed must have a single fault, at the first excess route.
 func TestTooManyAgreedRoutesAreOneFault(t *testing.T) {
 	var text strings.Builder
 	text.WriteString("agreed {\n")
@@ -133,6 +133,6 @@
 	_, err := ParseAgreed(text.String())
 	want := fmt.Sprintf("line %d: route \"r-%d\" is one too many: a sidecar takes %d at most", xds.MaxRoutes+2, xds.MaxRoutes, xds.MaxRoutes)
 	if err == nil || err.Error() != want {
-		t.Errorf("%v, want %q", err, want)
+		t.Errorf("got error %v, want %q", err, want)
 	}
 }
--- a/config/controller.go
+++ b/config/controller.go
@@ -9,40 +9,40 @@
 	"harehook.dev/harehook/xds"
 )
 
-// Bounds of settings.
+// Bounds of the settings.
 const (
-	maxMilliseconds               = 60000 // of connect-ms, report-ms
+	maxMilliseconds               = 60000 // of connect-ms and report-ms
 	minReportIntervalMilliseconds = 10
 	maxSidecars                   = 65000
 	maxControllers                = 1024
-	maxSeed                       = 1 << 53 // the largest integer up to which a KDL number, a float64, has all
+	maxSeed                       = 1 << 53 // KDL numbers are float64, which represents all integers up to this one
 	maxSlowStartSeconds           = 3600
 	maxOverloadMultiple           = 1000
 )
 
-// Controller is the configuration of a controller of an installation without the platform. Its part in a group is at most
-// one of Group and Follower; with neither it runs alone.
+// Controller holds the configuration of a controller that runs without the platform. At most one of Group and Follower
+// is set; with neither of them the controller runs alone.
 type Controller struct {
-	Name, Listen   string // Listen: address for sidecars and operators
+	Name, Listen   string // Listen is the address for sidecars and operators
 	Seed           uint64
-	MaxSidecars    int // that may join
+	MaxSidecars    int // maximum number of sidecars
 	Routes         []xds.Route
-	ConnectTimeout time.Duration // of sidecars to nodes
+	ConnectTimeout time.Duration // for connections from sidecars to nodes
 	ReportInterval time.Duration // of load reports
-	NodesFile      string        // path of the list of nodes; or, if empty,
-	NodeService    string        // the address of an xDS service
-	Cluster        string        // and the cluster whose endpoints are the nodes
+	NodesFile      string        // path of the list of nodes; empty if NodeService lists the nodes
+	NodeService    string        // address of the xDS service that lists the nodes
+	Cluster        string        // the cluster at NodeService whose endpoints are the nodes
 	Certificates   certs.Files
 	Deployment     settings.Deployment
-	Zones          map[string]bool // those of Deployment
-	MachineTypes   map[string]bool // those of Deployment
-	Group          *Group          // its part as a member, or nil
-	Follower       *Follower       // its part as a follower, or nil
+	Zones          map[string]bool // the zones of Deployment
+	MachineTypes   map[string]bool // the machine types of Deployment
+	Group          *Group          // settings as a member of a group, or nil
+	Follower       *Follower       // settings as a follower of a group, or nil
 
-	flowControlStated bool // the entries a second, or those in flight
+	flowControlStated bool // the file states the entries a second or the entries in flight
 }
 
-// ReadController reads a controller's configuration. The error is the file's, or has the faults with their lines.
+// ReadController reads the configuration of a controller. The error is that of reading the file, or wraps a kdl.Faults.
 func ReadController(path string) (*Controller, error) {
 	c := defaultController()
 	err := read(path, func(r *reader, nodes []*kdl.Node) {
@@ -54,7 +54,7 @@
 	return c, err
 }
 
-// readController reads the top node of a controller's configuration.
+// readController reads the top node of the configuration of a controller.
 func (r *reader) readController(top *kdl.Node, c *Controller) {
 	c.Name = r.onlyString(top)
 	d := &c.Deployment
@@ -76,7 +76,8 @@
 	}
 }
 
-// controllerReaders are the readers of what a controller's configuration states at most once, by the KDL key.
+// controllerReaders returns the readers of the settings that a controller's configuration states at most once, by KDL
+// key.
 func (r *reader) controllerReaders(c *Controller) nodeReaders {
 	plannerConfig := &c.Deployment.Planner
 	return nodeReaders{
@@ -99,7 +100,7 @@
 	}
 }
 
-// readUniqueName appends the only argument of a node to names unless it was seen.
+// readUniqueName appends the only argument of a node to names. A name in seen is a fault.
 func (r *reader) readUniqueName(n *kdl.Node, names *[]string, seen map[string]bool) {
 	name := r.onlyString(n)
 	if seen[name] {
@@ -112,7 +113,7 @@
 	}
 }
 
-// readNodeService reads the address of the service that lists the nodes, and the cluster whose endpoints they are.
+// readNodeService reads the address of the xDS service that lists the nodes, and the cluster whose endpoints they are.
 func (r *reader) readNodeService(n *kdl.Node, c *Controller) {
 	r.onlyAddress(n, &c.NodeService, "cluster")
 	v, present := n.Properties["cluster"]
--- a/config/controller_defaults.go
+++ b/config/controller_defaults.go
@@ -7,9 +7,9 @@
 	"harehook.dev/harehook/settings"
 )
 
-// Values of what a controller's configuration does not state.
+// Defaults for settings that a controller's configuration does not state.
 const (
-	defaultEventInterval           = 4 * time.Millisecond // between two iterations of the event loop at least
+	defaultEventInterval           = 4 * time.Millisecond // minimum time between two iterations of the event loop
 	defaultReportInterval          = 500 * time.Millisecond
 	defaultConnectTimeout          = 250 * time.Millisecond
 	defaultSlowStartSeconds        = 16.0
@@ -17,20 +17,21 @@
 	defaultSubscribeTimeoutSeconds = 10.0
 	defaultMaxSidecars             = 1024
 	defaultMachineType             = "node"
-	// Streams share no channel, so the flow control is only a guard.
+	// Each sidecar has its own stream and no capacity is shared, so these flow control values are only a safeguard.
 	defaultEntriesPerSecond       = 100000.0
 	defaultMaxInFlightEntries     = 400000.0
 	defaultMessageOverheadEntries = 1.0
 	defaultMessageWindowSeconds   = 10.0
-	// inFlightLevelSets is how often the admission levels of all routes for all sidecars fit in flight where no flow
-	// control is stated. The planner fills four fifths of it at most and sends a subset all its levels or none.
+	// inFlightLevelSets is the number of complete sets of admission levels, one for each route and sidecar, that fit in
+	// flight if no flow control is stated. It exceeds 1 because the planner fills at most four fifths of the entries in
+	// flight, and sends a subset either all of its levels or none.
 	inFlightLevelSets = 1.5
 )
 
-// unsetIndex says that load reports have neither utilization nor queue length.
+// unsetIndex means that load reports contain neither the utilization nor the queue length.
 const unsetIndex = -1
 
-// defaultController returns the configuration of a controller that states nothing.
+// defaultController returns the defaults of a controller's configuration.
 func defaultController() *Controller {
 	return &Controller{
 		MaxSidecars:    defaultMaxSidecars,
@@ -57,7 +58,7 @@
 	}
 }
 
-// derivePlannerConfig sets what the planner's configuration repeats of the controller's.
+// derivePlannerConfig sets the planner settings that are determined by the controller's settings.
 func (c *Controller) derivePlannerConfig() {
 	plannerConfig := &c.Deployment.Planner
 	plannerConfig.Seed = c.Seed
--- a/config/doc.go
+++ b/config/doc.go
@@ -2,10 +2,10 @@
 // ([ReadController]), a sidecar's ([ReadSidecar]), a controller's list of nodes ([Controller.ReadNodes]) and the agreed
 // configuration of a group ([ParseAgreed], [ParseRecordWrites]).
 //
-// The structs mirror the KDL settings in the project's terms; the KDL keys are mapped to them once, where a reader is
-// registered by its key. A configuration with a fault is not used: the error is of type kdl.Faults, which has the line and
-// the reason of each, wrapped with the file's path.
+// The fields of the structs are named in the terms of the project. Each KDL key is mapped to its field in one place,
+// where a reader is registered by its key. A configuration with a fault must not be used: the error is of type
+// kdl.Faults, which has the line and the reason of each fault. Errors of files wrap it with the path of the file.
 //
-// The package also turns the records of the agreed configuration into routes and overrides ([Agreed]), and tells whether a
-// controller can use them ([Controller.ValidateProposal], [Controller.ValidateUpdate]).
+// The package also converts the records of the agreed configuration into routes and overrides ([Agreed]), and checks
+// whether a controller can use them ([Controller.ValidateProposal], [Controller.ValidateUpdate]).
 package config
--- a/config/example_test.go
+++ b/config/example_test.go
@@ -8,7 +8,7 @@
 	"harehook.dev/harehook/internal/kdl"
 )
 
-// An agreed configuration is read; its longest prefix comes first.
+// An agreed configuration is parsed and formatted. Routes with longer prefixes come first.
 func ExampleParseAgreed() {
 	agreed, err := config.ParseAgreed(`agreed {
   route "all" service="shop" { prefix "/quote"; limit-ms 500; }
@@ -30,7 +30,7 @@
 	// }
 }
 
-// Each fault of a configuration has its line.
+// Each fault of a configuration states its line.
 func ExampleParseRecordWrites_faults() {
 	_, err := config.ParseRecordWrites(`service "shop"
 service "shop"
--- a/config/faults_test.go
+++ b/config/faults_test.go
@@ -10,7 +10,7 @@
 	"harehook.dev/harehook/xds"
 )
 
-// Each broken configuration of a controller is rejected with a fault that names its line.
+// Each invalid configuration of a controller must be rejected with a fault that states its line.
 func TestBrokenConfigurationsNameFaultyLines(t *testing.T) {
 	conductor := func(lines ...string) string { return "conductor \"c\" {\n" + strings.Join(lines, "\n") + "\n}\n" }
 	good := []string{`listen "127.0.0.1:1"`, `nodes "n"`, `zone "north"`, `route "a" { prefix "/a"; limit-ms 1000; slo-ms 900; }`}
@@ -46,7 +46,7 @@
 	}
 }
 
-// Each broken agreed configuration is rejected with a fault that names its line.
+// Each invalid agreed configuration must be rejected with a fault that states its line.
 func TestBrokenAgreedConfigurationsNameFaultyLines(t *testing.T) {
 	for text, want := range map[string]string{
 		`agreed { route "a" { prefix "/a"; limit-ms 9; mutating; most 0.5; }; override "n" state="draining"; }`: "",
@@ -60,8 +60,8 @@
 	}
 }
 
-// A configuration may have as many routes as a sidecar accepts; the first one above is a fault with its line, also in an
-// agreed configuration.
+// A configuration can have at most as many routes as a sidecar accepts. With more, the configuration must be rejected
+// with a single fault, at the first excess route. The same holds for an agreed configuration.
 func TestTooManyRoutesAreOneFault(t *testing.T) {
 	routes := func(count int, more string) (lines string) {
 		for r := range count {
@@ -82,23 +82,23 @@
 		_, err := ReadController(path)
 		checkFault(t, fmt.Sprintf("%d routes", count), err, want)
 		if err != nil && strings.Count(err.Error(), "too many") != 1 {
-			t.Errorf("%d routes: not one reason: %v", count, err)
+			t.Errorf("%d routes: got error %v, want a single fault", count, err)
 		}
 	}
-	checkFault(t, "agreed, as many as may be", ValidateAgreed("agreed {\n"+routes(xds.MaxRoutes, "")+"}\n"), "")
-	checkFault(t, "agreed, one more", ValidateAgreed("agreed {\n"+routes(xds.MaxRoutes+1, "")+"}\n"),
+	checkFault(t, "agreed, maximum number of routes", ValidateAgreed("agreed {\n"+routes(xds.MaxRoutes, "")+"}\n"), "")
+	checkFault(t, "agreed, one route more", ValidateAgreed("agreed {\n"+routes(xds.MaxRoutes+1, "")+"}\n"),
 		"line 1026: route \"r-1024\" is one too many: a sidecar takes 1024 at most")
 }
 
-// checkFault checks that a wanted fault was found, or none if none is wanted.
+// checkFault checks that err contains the wanted text, or is nil if want is empty.
 func checkFault(t *testing.T, what string, err error, want string) {
 	t.Helper()
 	if want == "" && err != nil || want != "" && (err == nil || !strings.Contains(err.Error(), want)) {
-		t.Errorf("%s: %v, want %q", what, err, want)
+		t.Errorf("%s: got error %v, want %q", what, err, want)
 	}
 }
 
-// Faults of a list of nodes have their line and reason.
+// Faults of a list of nodes must state the line and the reason.
 func TestNodeListFaults(t *testing.T) {
 	folder := t.TempDir()
 	c := &Controller{NodesFile: filepath.Join(folder, "nodes.kdl"), Zones: map[string]bool{"north": true}, MachineTypes: map[string]bool{"small": true}}
@@ -118,7 +118,7 @@
 		}
 		_, err := c.ReadNodes()
 		if want == "" && err != nil || want != "" && (err == nil || !strings.Contains(err.Error(), want)) {
-			t.Errorf("%s: %v, want %q", text, err, want)
+			t.Errorf("%s: got error %v, want %q", text, err, want)
 		}
 	}
 }
--- a/config/filekind.go
+++ b/config/filekind.go
@@ -2,7 +2,7 @@
 
 import "harehook.dev/harehook/internal/kdl"
 
-// Names of top nodes, which tell the kinds of files apart.
+// Names of top nodes, which identify the kind of a file.
 const (
 	controllerNode = "conductor"
 	sidecarNode    = "sidecar"
@@ -10,8 +10,8 @@
 	agreedNode     = "agreed"
 )
 
-// FileKind returns what a file has, by its top nodes: "conductor", "sidecar", "node" if it has only nodes of a list, or ""
-// if none of these. The error is the file's or its syntax's.
+// FileKind returns the kind of a file, which is determined by its top nodes: "conductor", "sidecar", "node" for a list
+// of nodes, or "" for any other file. The error is that of reading the file, or wraps the kdl.Faults of its syntax.
 func FileKind(path string) (kind string, err error) {
 	err = read(path, func(_ *reader, nodes []*kdl.Node) { kind = kindOf(nodes) })
 	return kind, err
--- a/config/flowcontrol.go
+++ b/config/flowcontrol.go
@@ -10,7 +10,7 @@
 	maxFlowControlMessages = 1e6
 )
 
-// readFlowControl reads the bounds of what a controller sends to its sidecars.
+// readFlowControl reads the limits on the entries and messages that a controller sends to its sidecars.
 func (r *reader) readFlowControl(n *kdl.Node, c *Controller) {
 	plannerConfig := &c.Deployment.Planner
 	c.flowControlStated = n.Properties["queue"].Line > 0 || n.Properties["lines-per-s"].Line > 0
@@ -33,9 +33,9 @@
 	}
 }
 
-// widenFlowControl lets as many entries be in flight as the admission levels of many routes need: all sidecars may be of
-// one subset, and levels that never fit would never be sent. The entries a second grow in proportion, so that what is in
-// flight takes as long to be acknowledged.
+// widenFlowControl raises the limit on entries in flight to the number that the admission levels of all routes need.
+// All sidecars can be in one subset, and levels that exceed the limit would never be sent. The entries a second grow in
+// proportion, so that the entries in flight take the same time to be acknowledged.
 func widenFlowControl(plannerConfig *planner.Config) {
 	entriesPerSidecar := plannerConfig.MessageOverhead + 1 + float64(len(plannerConfig.Routes))
 	levels := float64(plannerConfig.Proxies) * entriesPerSidecar
--- a/config/follower.go
+++ b/config/follower.go
@@ -9,19 +9,19 @@
 	"harehook.dev/harehook/records"
 )
 
-// minFollowerLease is the shortest lease of a follower: it has to outlast a pause of the process.
+// minFollowerLease is the minimum lease of a follower: a lease must be longer than a pause of the process.
 const minFollowerLease = 300 * time.Millisecond
 
-// Follower is the part of a controller that follows a group without being a member.
+// Follower holds the settings of a controller that follows a group without being a member.
 type Follower struct {
 	Members []string // addresses of the group's members
 	Scope   records.Scope
-	// Lease is the time without a heartbeat after which the follower counts as stale. It is at most the members': a
-	// follower must not take itself for up to date for longer than they do.
+	// Lease is the time without a heartbeat after which the follower is stale. It is at most the lease at the members: a
+	// follower must not consider itself up to date for longer than the members do.
 	Lease time.Duration
 }
 
-// readFollower reads a controller's part as a follower.
+// readFollower reads the settings of a controller as a follower.
 func (r *reader) readFollower(n *kdl.Node) *Follower {
 	r.checkShape(n, 0)
 	maxLease := configsync.DefaultLimits.Lease
@@ -46,7 +46,7 @@
 	return f
 }
 
-// readFollowerMember reads the address of a member to follow.
+// readFollowerMember reads the address of a member of the followed group.
 func (r *reader) readFollowerMember(n *kdl.Node, f *Follower, seen map[string]bool) {
 	address := ""
 	r.onlyAddress(n, &address)
@@ -60,8 +60,8 @@
 
 func milliseconds(d time.Duration) float64 { return float64(d) / float64(time.Millisecond) }
 
-// checkRole adds a fault for a controller that would be both a member of a group and a follower, and gives a follower that
-// states no zones those of its nodes.
+// checkRole adds a fault if a controller is both a member of a group and a follower. A follower that states no zones
+// gets the zones of the controller.
 func (r *reader) checkRole(top *kdl.Node, c *Controller) {
 	if c.Follower == nil {
 		return
--- a/config/follower_test.go
+++ b/config/follower_test.go
@@ -16,7 +16,7 @@
 	"harehook.dev/harehook/xds"
 )
 
-// readFollowerLines reads a controller's configuration with lines behind its first five.
+// readFollowerLines reads the configuration of a controller that has the given lines after five common lines.
 func readFollowerLines(t *testing.T, lines string) (*Controller, error) {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), "c.kdl")
@@ -28,7 +28,8 @@
 	return ReadController(path)
 }
 
-// A follower's settings are read, with defaults for what is not stated, and faults have their lines.
+// The settings of a follower must be read, with defaults for those that are not stated, and faults must state their
+// lines.
 func TestReadFollowerSettings(t *testing.T) {
 	c, err := readFollowerLines(t, `follow { member "127.0.0.1:2"; member "127.0.0.1:3"; service "quotes"; service "issues"; zone "north"; lease-ms 1500; }`)
 	if err != nil {
@@ -37,14 +38,14 @@
 	f := c.Follower
 	if !slices.Equal(f.Members, []string{"127.0.0.1:2", "127.0.0.1:3"}) || !slices.Equal(f.Scope.Services, []string{"quotes", "issues"}) ||
 		!slices.Equal(f.Scope.Zones, []string{"north"}) || f.Scope.All || f.Lease != 1500*time.Millisecond {
-		t.Errorf("%+v", f)
+		t.Errorf("got %+v, want the settings of the file", f)
 	}
 	if c, err = readFollowerLines(t, `follow { member "127.0.0.1:2"; }`); err != nil || c.Follower.Lease != 3*time.Second ||
 		!slices.Equal(c.Follower.Scope.Zones, []string{"north", "south"}) {
-		t.Errorf("%+v, %v", c.Follower, err)
+		t.Errorf("without settings: got %+v and error %v, want a lease of 3s and the zones of the controller", c.Follower, err)
 	}
 	if c, err = readFollowerLines(t, `follow { member "127.0.0.1:2"; everything; }`); err != nil || !c.Follower.Scope.All || len(c.Follower.Scope.Zones) > 0 {
-		t.Errorf("%+v, %v", c.Follower, err)
+		t.Errorf("with everything: got %+v and error %v, want the full scope without zones", c.Follower, err)
 	}
 	for lines, want := range map[string]string{
 		`follow { service "quotes"; }`:                                   `line 6: "follow" lacks "member"`,
@@ -58,15 +59,15 @@
 		"group { id 1; listen \"127.0.0.1:3\"; data \"d\"; member 1 \"127.0.0.1:3\"; }\nfollow { member \"127.0.0.1:2\"; }": `line 7: a conductor is either a member of a group`,
 	} {
 		if _, err := readFollowerLines(t, lines); err == nil || !strings.Contains(err.Error(), want) {
-			t.Errorf("%s: %v, want %q", lines, err, want)
+			t.Errorf("%s: got error %v, want %q", lines, err, want)
 		}
 	}
 }
 
-// revisions are those of some records by name; the others have none.
+// revisions holds the revisions of records by name. Other records have revision 0.
 var revisions = map[string]uint64{"a": 3, "a-one": 9, "tenant": 50, "n-1": 60}
 
-// newRecords returns the records of specs.
+// newRecords returns a record for each spec, by key.
 func newRecords(t *testing.T, specs map[records.Key]any) map[records.Key]*records.Record {
 	t.Helper()
 	out := map[records.Key]*records.Record{}
@@ -84,7 +85,7 @@
 func routeKey(name string) records.Key    { return records.Key{Kind: records.KindRoute, Name: name} }
 func overrideKey(name string) records.Key { return records.Key{Kind: records.KindOverride, Name: name} }
 
-// Routes and overrides are made of records; a route that is never reached is an error.
+// Records must be converted into routes and overrides, and an unreachable route must be rejected.
 func TestAgreedFromFollower(t *testing.T) {
 	agreed, err := AgreedFromFollower(newRecords(t, map[records.Key]any{
 		routeKey("all"):   records.RouteSpec{Prefix: "/", TimeLimitMS: 100},
@@ -102,10 +103,10 @@
 		{Name: "a", Prefix: "/a", TimeLimit: 1500 * time.Millisecond, MaxAdmitted: 0.5}, {Name: "b", Prefix: "/b", TimeLimit: 100 * time.Millisecond},
 		{Name: "all", Prefix: "/", TimeLimit: 100 * time.Millisecond}}
 	if !slices.Equal(agreed.Routes, want) {
-		t.Errorf("routes %+v", agreed.Routes)
+		t.Errorf("got routes %+v, want %+v", agreed.Routes, want)
 	}
 	if len(agreed.Overrides) != 2 || agreed.Overrides["n-1"] != planner.Draining || agreed.Overrides["n-2"] != planner.Removed {
-		t.Errorf("overrides %v", agreed.Overrides)
+		t.Errorf("got overrides %v, want n-1 draining and n-2 removed", agreed.Overrides)
 	}
 	_, err = AgreedFromFollower(newRecords(t, map[records.Key]any{
 		routeKey("a"): records.RouteSpec{Prefix: "/a", TimeLimitMS: 100},
@@ -116,7 +117,7 @@
 	}
 }
 
-// A follower rejects agreed records that its configuration or its nodes do not allow.
+// A follower must reject agreed records that contradict its configuration or leave no ready node.
 func TestValidateUpdate(t *testing.T) {
 	c, err := readFollowerLines(t, `follow { member "127.0.0.1:2"; }`)
 	if err != nil {
@@ -135,16 +136,16 @@
 		nodes           []Node
 		want            string
 	}{
-		"as configured":                  {specs: both, nodes: nodes},
-		"no route was agreed on yet":     {nodes: nodes},
-		"all routes are gone":            {previous: both, nodes: nodes, want: `route "a" is missing: its calls would find no route; route "b" is missing`},
-		"one is missing":                 {specs: map[records.Key]any{routeKey("a"): a}, nodes: nodes, want: `route "b" is missing`},
-		"one is not known":               {specs: with(routeKey("c"), records.RouteSpec{Prefix: "/c", TimeLimitMS: 100}), nodes: nodes, want: `route "c" is not configured at conductor "c"`},
-		"protection lost":                {specs: with(routeKey("b"), unprotected), nodes: nodes, want: `route "b" is configured as mutating`},
-		"no node left":                   {specs: with(overrideKey("n-1"), gone), nodes: nodes, want: "leaves no node that takes calls"},
-		"the list has not come":          {specs: with(overrideKey("n-1"), gone)},
-		"override of an unlisted node":   {specs: with(overrideKey("n-9"), gone), nodes: nodes},
-		"override of a node that drains": {specs: with(overrideKey("n-2"), gone), nodes: nodes},
+		"as configured":             {specs: both, nodes: nodes},
+		"no routes agreed on yet":   {nodes: nodes},
+		"all routes removed":        {previous: both, nodes: nodes, want: `route "a" is missing: its calls would find no route; route "b" is missing`},
+		"route missing":             {specs: map[records.Key]any{routeKey("a"): a}, nodes: nodes, want: `route "b" is missing`},
+		"unknown route":             {specs: with(routeKey("c"), records.RouteSpec{Prefix: "/c", TimeLimitMS: 100}), nodes: nodes, want: `route "c" is not configured at conductor "c"`},
+		"route no longer mutating":  {specs: with(routeKey("b"), unprotected), nodes: nodes, want: `route "b" is configured as mutating`},
+		"no ready node":             {specs: with(overrideKey("n-1"), gone), nodes: nodes, want: "leaves no node that takes calls"},
+		"list not received yet":     {specs: with(overrideKey("n-1"), gone)},
+		"override of unlisted node": {specs: with(overrideKey("n-9"), gone), nodes: nodes},
+		"override of draining node": {specs: with(overrideKey("n-2"), gone), nodes: nodes},
 	} {
 		t.Run(name, func(t *testing.T) {
 			agreed, err := AgreedFromFollower(newRecords(t, one.specs))
@@ -159,13 +160,14 @@
 			checkFault(t, name, err, one.want)
 			var unusable *UnusableError
 			if err != nil && !errors.As(err, &unusable) {
-				t.Errorf("%s: %T is no *UnusableError", name, err)
+				t.Errorf("%s: got error of type %T, want *UnusableError", name, err)
 			}
 		})
 	}
 }
 
-// The cost of a follower's configuration is that of its routes and overrides: ten times the tenants add no allocation.
+// The cost of a follower's configuration must depend only on its routes and overrides: ten times the tenants must not
+// cause more allocations.
 func TestAgreedFromFollowerSkipsTenants(t *testing.T) {
 	allocations := func(tenants int) float64 {
 		specs := map[records.Key]any{routeKey("a"): records.RouteSpec{Prefix: "/a", TimeLimitMS: 100}}
@@ -176,6 +178,6 @@
 		return testing.AllocsPerRun(10, func() { AgreedFromFollower(all) })
 	}
 	if few, many := allocations(100), allocations(1000); many > few {
-		t.Errorf("%v allocations with 100 tenants, %v with 1,000", few, many)
+		t.Errorf("got %v allocations with 1,000 tenants, want at most %v, the number with 100", many, few)
 	}
 }
--- a/config/golden_test.go
+++ b/config/golden_test.go
@@ -9,8 +9,8 @@
 	"harehook.dev/harehook/internal/goldentest"
 )
 
-// TestGoldenConfigurations reads a file of each kind, with each key used, and compares what it comes to with what it
-// came to at commit 3968cf4.
+// The files in testdata contain a file of each kind and use every key. Their parsed values must be equal to those that
+// commit 3968cf4 computed.
 func TestGoldenConfigurations(t *testing.T) {
 	read := map[string]func(path string) (any, error){
 		"alone.kdl": func(path string) (any, error) {
--- a/config/group.go
+++ b/config/group.go
@@ -4,17 +4,17 @@
 
 const maxMemberID = 1 << 32
 
-// Group is a controller's part as a member of a group that agrees on configuration.
+// Group holds the settings of a controller that is a member of a group.
 type Group struct {
 	ID         uint64
 	Listen     string            // address for members and followers
-	DataFolder string            // of the raft log
+	DataFolder string            // of the Raft log
 	Addresses  map[uint64]string // of the members, by ID
-	Voters     []uint64          // the first voters; none at a member that is added later
-	AddedLater bool              // to a group that runs
+	Voters     []uint64          // the initial voters; empty for a member that is added later
+	AddedLater bool              // the member is added to a running group
 }
 
-// readGroup reads a controller's part as a member.
+// readGroup reads the settings of a controller as a member of a group.
 func (r *reader) readGroup(n *kdl.Node) *Group {
 	r.checkShape(n, 0)
 	g := &Group{Addresses: map[uint64]string{}}
--- a/config/nodes.go
+++ b/config/nodes.go
@@ -10,7 +10,7 @@
 	"harehook.dev/harehook/xds"
 )
 
-// Node is an endpoint of a controller's list, and where it takes requests.
+// Node is an endpoint of a controller's list of nodes, with the address at which it accepts requests.
 type Node struct {
 	controller.Endpoint
 	Address xds.Address
@@ -21,12 +21,12 @@
 	*reader
 	controller  *Controller
 	nodes       []Node
-	nameLine    map[string]int      // the first line of each name
-	addressLine map[xds.Address]int // the first line of each address
+	nameLine    map[string]int      // the line of each name
+	addressLine map[xds.Address]int // the line of each address
 }
 
-// ReadNodes reads the controller's list of nodes from its file; without one, where a service has the list, it returns none.
-// The error is the file's, or has the faults with their lines.
+// ReadNodes reads the controller's list of nodes from its file. It returns no nodes if the controller has no such file,
+// because an xDS service lists the nodes. The error is that of reading the file, or wraps a kdl.Faults.
 func (c *Controller) ReadNodes() ([]Node, error) {
 	if c.NodesFile == "" {
 		return nil, nil
@@ -72,7 +72,7 @@
 	l.nodes = append(l.nodes, node)
 }
 
-// readZone reads the zone of a node, which has to be one of the controller's.
+// readZone reads the zone of a node, which must be one of the controller's zones.
 func (l *endpointListReader) readZone(n *kdl.Node, node *Node) {
 	v, present := n.Properties["zone"]
 	if !present {
@@ -84,7 +84,7 @@
 	}
 }
 
-// readMachineType reads the machine type of a node, if it states one, which has to be one of the controller's.
+// readMachineType reads the machine type of a node, if there is one. It must be one of the controller's machine types.
 func (l *endpointListReader) readMachineType(n *kdl.Node, node *Node) {
 	v, present := n.Properties["kind"]
 	if !present {
@@ -95,7 +95,7 @@
 	}
 }
 
-// readAddress reads the address of a node, which has to be unique.
+// readAddress reads the address of a node, which must be unique.
 func (l *endpointListReader) readAddress(n *kdl.Node, node *Node) {
 	v, present := n.Properties["address"]
 	if !present {
@@ -115,7 +115,7 @@
 	l.addressLine[node.Address] = n.Line
 }
 
-// readState reads the state of a node: ready, or draining.
+// readState reads the state of a node, ready or draining.
 func (l *endpointListReader) readState(n *kdl.Node, node *Node) {
 	v, present := n.Properties["state"]
 	if !present {
--- a/config/reader.go
+++ b/config/reader.go
@@ -19,16 +19,17 @@
 	maxPort      = 65535
 )
 
-// nodeReaders are functions that read a child node, by the child's KDL key.
+// nodeReaders holds the functions that read a child node, by KDL key of the child.
 type nodeReaders map[string]func(n *kdl.Node)
 
-// reader walks a parsed document and collects its faults.
+// reader reads the nodes of a parsed document and collects its faults.
 type reader struct {
 	faults kdl.Faults
-	folder string // that relative paths in the document are relative to
+	folder string // the base of relative paths in the document
 }
 
-// read parses a file and passes its top nodes to readNodes. Its error names the file and wraps the kdl.Faults.
+// read parses a file and passes its top nodes to readNodes. The error is that of reading the file, or names the file
+// and wraps a kdl.Faults.
 func read(path string, readNodes func(r *reader, nodes []*kdl.Node)) error {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -65,7 +66,8 @@
 	return found
 }
 
-// readChildren passes every child of parent to its reader. A key of many may occur more than once, a key of once may not.
+// readChildren passes every child of parent to its reader. A key in many may occur more than once, a key in once at
+// most once.
 func (r *reader) readChildren(parent *kdl.Node, once, many nodeReaders) {
 	firstLine := map[string]int{}
 	for _, n := range parent.Children {
@@ -86,7 +88,7 @@
 	}
 }
 
-// checkShape checks that a node has the given number of arguments and no properties but those named.
+// checkShape checks that a node has the given number of arguments and only the given properties.
 func (r *reader) checkShape(n *kdl.Node, arguments int, properties ...string) {
 	if len(n.Arguments) != arguments {
 		r.faults.Add(n.Line, "%q takes %d values, not %d", n.Name, arguments, len(n.Arguments))
@@ -98,13 +100,13 @@
 	}
 }
 
-// requirement is a child or property that a node must have.
+// requirement is a required child of a node.
 type requirement struct {
 	name    string
 	missing bool
 }
 
-// checkRequired adds a fault for each requirement that is missing.
+// checkRequired adds a fault for each requirement that a node does not meet.
 func (r *reader) checkRequired(n *kdl.Node, requirements ...requirement) {
 	for _, required := range requirements {
 		if required.missing {
@@ -113,13 +115,13 @@
 	}
 }
 
-// flag checks a node that stands for "yes" by being there: it has no arguments.
+// flag returns true. It reads a node that enables a setting by its presence and must not have arguments.
 func (r *reader) flag(n *kdl.Node) bool {
 	r.checkShape(n, 0)
 	return true
 }
 
-// stringArgument returns the argument at an index as a name, or "" if there is none.
+// stringArgument returns the argument at an index as a name, or "" if the node has fewer arguments.
 func (r *reader) stringArgument(n *kdl.Node, index int) string {
 	if index >= len(n.Arguments) {
 		return ""
@@ -133,7 +135,7 @@
 	return r.stringArgument(n, 0)
 }
 
-// stringValue returns a value as a name, or "" and a fault.
+// stringValue returns a value as a name. If it is not a valid name, stringValue adds a fault and returns "".
 func (r *reader) stringValue(n *kdl.Node, v kdl.Value) string {
 	text, ok := v.Data.(string)
 	if !ok || text == "" || len(text) > maxNameBytes || strings.ContainsAny(text, "\r\n\x00") {
@@ -143,7 +145,8 @@
 	return text
 }
 
-// numberValue returns a value as a number within bounds, or the lower bound and a fault.
+// numberValue returns a value as a number. If it is not a number within the bounds, numberValue adds a fault and
+// returns the lower bound.
 func (r *reader) numberValue(n *kdl.Node, v kdl.Value, lowest, highest float64) float64 {
 	number, ok := v.Data.(float64)
 	if !ok || !(number >= lowest && number <= highest) {
@@ -153,7 +156,7 @@
 	return number
 }
 
-// onlyNumber returns the only argument of a node as a number within bounds.
+// onlyNumber returns the only argument of a node as a number within the bounds.
 func (r *reader) onlyNumber(n *kdl.Node, lowest, highest float64) float64 {
 	r.checkShape(n, 1)
 	if len(n.Arguments) == 0 {
@@ -162,12 +165,13 @@
 	return r.numberValue(n, n.Arguments[0], lowest, highest)
 }
 
-// onlyMilliseconds returns the only argument of a node, milliseconds within bounds, as a duration.
+// onlyMilliseconds returns the only argument of a node, a number of milliseconds within the bounds, as a duration.
 func (r *reader) onlyMilliseconds(n *kdl.Node, lowest, highest float64) time.Duration {
 	return time.Duration(r.onlyNumber(n, lowest, highest) * float64(time.Millisecond))
 }
 
-// addressValue returns a value as "host:port", or "" and a fault.
+// addressValue returns a value as an address of the form host:port. If it is not one, addressValue adds a fault and
+// returns "".
 func (r *reader) addressValue(n *kdl.Node, v kdl.Value) string {
 	text := r.stringValue(n, v)
 	if text == "" {
@@ -182,7 +186,7 @@
 	return text
 }
 
-// onlyAddress sets address to the only argument of a node, if there is one.
+// onlyAddress sets address to the only argument of a node, if the node has exactly one.
 func (r *reader) onlyAddress(n *kdl.Node, address *string, properties ...string) {
 	r.checkShape(n, 1, properties...)
 	if len(n.Arguments) == 1 {
@@ -190,12 +194,13 @@
 	}
 }
 
-// onlyPath returns the only argument of a node as a path.
+// onlyPath returns the only argument of a node as a resolved path.
 func (r *reader) onlyPath(n *kdl.Node) string {
 	return r.resolvePath(r.onlyString(n))
 }
 
-// resolvePath makes a path of the document independent of the working directory; "" stays.
+// resolvePath joins a relative path to the folder of the document, so that it does not depend on the working directory.
+// An empty path stays empty.
 func (r *reader) resolvePath(path string) string {
 	if path == "" || filepath.IsAbs(path) {
 		return path
@@ -203,7 +208,7 @@
 	return filepath.Join(r.folder, path)
 }
 
-// readCertificateFiles reads the paths of certificate, private key and roots.
+// readCertificateFiles reads the paths of the certificate, its private key and the root certificates.
 func (r *reader) readCertificateFiles(n *kdl.Node, files *certs.Files) {
 	r.checkShape(n, 0, "certificate", "key", "roots")
 	for _, property := range []struct {
--- a/config/record_writes.go
+++ b/config/record_writes.go
@@ -7,18 +7,19 @@
 	"harehook.dev/harehook/records"
 )
 
-// maxRevision is the largest integer that a KDL number, a float64, has exactly.
+// maxRevision is the highest revision that can be stated: a KDL number is a float64, which represents all integers up
+// to this one.
 const maxRevision = 1 << 53
 
-// RecordWrite is a write of a file of records.
+// RecordWrite is a write that a file of records describes.
 type RecordWrite struct {
 	records.Write
 	HasRevision bool // the file states the revision that the write expects
 }
 
-// ParseRecordWrites reads a file of records to be written together: route, service, tenant and override as in an agreed
-// configuration, and remove "kind/name". Each may have revision=, which the record has to have; 0: it must be new. The
-// error is of type kdl.Faults.
+// ParseRecordWrites parses a file of records that are written in one transaction. It has the nodes route, service,
+// tenant and override of an agreed configuration, and remove "kind/name". Each can state, with revision=, the revision
+// that the record must have; 0 means that the record must not exist. The error is of type kdl.Faults.
 func ParseRecordWrites(text string) (writes []RecordWrite, err error) {
 	nodes, err := kdl.Parse(text)
 	if err != nil {
@@ -61,7 +62,8 @@
 	return write
 }
 
-// extractRevision returns the revision that a write expects and removes it from the node.
+// extractRevision returns the revision that a write expects, and removes the property from the node, because the reader
+// of the record rejects it as unknown.
 func (r *recordReader) extractRevision(n *kdl.Node) (revision uint64, stated bool) {
 	value, stated := n.Properties["revision"]
 	if !stated {
--- a/config/route.go
+++ b/config/route.go
@@ -9,16 +9,16 @@
 )
 
 const (
-	maxRouteMilliseconds    = 600000 // of a route's times
+	maxRouteMilliseconds    = 600000 // of limit-ms and slo-ms
 	minPriorityWeight       = 0.001
 	maxPriorityWeight       = 1e6
 	defaultObjectiveSeconds = 1.0
 )
 
-// routeReaders are functions that read a child node of a route, by the child's name.
+// routeReaders holds the functions that read a child node of a route, by KDL key of the child.
 type routeReaders map[string]func(n *kdl.Node, route *xds.Route)
 
-// readControllerRoute reads a route of a controller's configuration.
+// readControllerRoute reads a route of the configuration of a controller.
 func (r *reader) readControllerRoute(n *kdl.Node, c *Controller) {
 	settings := planner.Route{LatencyObjective: defaultObjectiveSeconds, PriorityWeight: 1}
 	route := r.readRoute(n, c.Routes, routeReaders{
@@ -38,12 +38,12 @@
 	c.Deployment.Planner.Routes = append(c.Deployment.Planner.Routes, settings)
 }
 
-// readRoute reads a route that follows others. The extra readers are for what not every configuration's routes have.
-// A route too many is a fault and not read.
+// readRoute reads a route. before holds the routes that precede it in the document, extra the readers of the settings
+// that only one kind of configuration has. A route that exceeds the limit is not read; the first of them is a fault.
 func (r *reader) readRoute(n *kdl.Node, before []xds.Route, extra routeReaders) xds.Route {
 	route := xds.Route{Name: r.onlyString(n)}
 	if len(before) >= xds.MaxRoutes {
-		if len(before) == xds.MaxRoutes { // one fault is enough
+		if len(before) == xds.MaxRoutes { // only the first excess route is a fault
 			r.faults.Add(n.Line, "route %q is one too many: a sidecar takes %d at most", route.Name, xds.MaxRoutes)
 		}
 		return route
@@ -61,8 +61,8 @@
 	return route
 }
 
-// checkRoute adds a fault for what a route lacks, and for a name or prefix that an earlier route has: a prefix that an
-// earlier one covers is never reached.
+// checkRoute adds a fault for each required setting that a route does not have, for a duplicate name, and for a prefix
+// that begins with the prefix of an earlier route, which makes the route unreachable.
 func (r *reader) checkRoute(n *kdl.Node, route xds.Route, before []xds.Route) {
 	if !strings.HasPrefix(route.Prefix, "/") {
 		r.faults.Add(n.Line, "route %q has no prefix of a path, such as \"/quote\"", route.Name)
--- a/config/sidecar.go
+++ b/config/sidecar.go
@@ -12,19 +12,19 @@
 	maxConnections        = 65000
 )
 
-// Sidecar is the configuration of one sidecar.
+// Sidecar holds the configuration of a sidecar.
 type Sidecar struct {
-	Name, Zone, Listen string   // Listen: address for applications
-	Controllers        []string // addresses, in the order in which they are tried
-	Delta              bool     // delta xDS, else state of the world
-	StorePath          string   // of the file with the accepted versions, empty: none
+	Name, Zone, Listen string   // Listen is the address for applications
+	Controllers        []string // addresses, in the order in which the sidecar tries them
+	Delta              bool     // delta xDS; otherwise state of the world
+	StorePath          string   // of the file that stores the accepted versions; empty if there is none
 	MutatingRoutes     map[string]bool
-	MaxConnections     int           // of applications, at once
-	ConnectTimeout     time.Duration // to a node
+	MaxConnections     int           // maximum number of simultaneous connections from applications
+	ConnectTimeout     time.Duration // for connections to nodes
 	Certificates       certs.Files
 }
 
-// ReadSidecar reads a sidecar's configuration. The error is the file's, or has the faults with their lines.
+// ReadSidecar reads the configuration of a sidecar. The error is that of reading the file, or wraps a kdl.Faults.
 func ReadSidecar(path string) (*Sidecar, error) {
 	s := &Sidecar{
 		Delta:          true,
@@ -40,7 +40,7 @@
 	return s, err
 }
 
-// readSidecar reads the top node of a sidecar's configuration.
+// readSidecar reads the top node of the configuration of a sidecar.
 func (r *reader) readSidecar(top *kdl.Node, s *Sidecar) {
 	s.Name = r.onlyString(top)
 	r.readChildren(top, nodeReaders{
@@ -72,7 +72,7 @@
 	}
 }
 
-// readControllerAddress reads the address of a controller that a sidecar may connect to.
+// readControllerAddress reads the address of a controller to which a sidecar can connect.
 func (r *reader) readControllerAddress(n *kdl.Node, s *Sidecar) {
 	r.checkShape(n, 1)
 	if len(n.Arguments) == 1 {
--- a/config/validate.go
+++ b/config/validate.go
@@ -11,13 +11,13 @@
 
 const noReadyNode = "it leaves no node that takes calls"
 
-// UnusableError says why a controller can't use an agreed configuration.
+// UnusableError is returned when a controller cannot use an agreed configuration.
 type UnusableError struct{ Reasons []string }
 
 // Error implements error.
 func (e *UnusableError) Error() string { return strings.Join(e.Reasons, "; ") }
 
-// newUnusableError returns an *UnusableError with the reasons in order, nil if there are none.
+// newUnusableError returns an *UnusableError with the sorted reasons, or nil if there are none.
 func newUnusableError(reasons []string) error {
 	if len(reasons) == 0 {
 		return nil
@@ -26,8 +26,9 @@
 	return &UnusableError{Reasons: reasons}
 }
 
-// ValidateProposal returns an [UnusableError] if an agreed configuration does not fit this controller's own: routes that it
-// does not plan for, or overrides that leave no ready node or name one that is not listed. It is called before a proposal.
+// ValidateProposal returns an [UnusableError] if an agreed configuration contradicts the configuration of this
+// controller: its routes are not the controller's routes, no node would remain ready under its overrides, or an
+// override names a node that is not listed. It must be called before the configuration is proposed.
 func (c *Controller) ValidateProposal(a *Agreed, nodes []Node) error {
 	reasons := c.routeFaults(a.Routes)
 	if !a.leavesReadyNode(nodes) {
@@ -45,21 +46,22 @@
 	return newUnusableError(reasons)
 }
 
-// ValidateUpdate returns an [UnusableError] if a follower can't use agreed records. Records without a route are usable as
-// long as no routes were agreed on before (previous is nil or has none): until then controllers use their own files. An
-// override of a node that is not listed is no fault here: lists change, and such an override does nothing.
+// ValidateUpdate returns an [UnusableError] if a follower cannot use agreed records. Records without a route are usable
+// until routes have been agreed on (previous is nil or has no routes), because until then controllers use the routes of
+// their own files. An override of a node that is not listed is accepted: lists change, and such an override has no
+// effect.
 func (c *Controller) ValidateUpdate(agreed, previous *Agreed, nodes []Node) error {
 	var reasons []string
 	if len(agreed.Routes) > 0 || previous != nil && len(previous.Routes) > 0 {
 		reasons = c.routeFaults(agreed.Routes)
 	}
-	if len(nodes) > 0 && !agreed.leavesReadyNode(nodes) { // an empty list has not come yet
+	if len(nodes) > 0 && !agreed.leavesReadyNode(nodes) { // an empty list has not been received yet
 		reasons = append(reasons, noReadyNode)
 	}
 	return newUnusableError(reasons)
 }
 
-// routeFaults lists what would go wrong with requests if routes replaced this controller's.
+// routeFaults describes each difference that makes the given routes unusable in place of the controller's own routes.
 func (c *Controller) routeFaults(routes []xds.Route) (faults []string) {
 	missing := map[string]xds.Route{}
 	for _, route := range c.Routes {
@@ -81,7 +83,7 @@
 	return faults
 }
 
-// leavesReadyNode tells whether a listed node is ready under the overrides.
+// leavesReadyNode reports whether at least one listed node is ready and has no override.
 func (a *Agreed) leavesReadyNode(nodes []Node) bool {
 	return slices.ContainsFunc(nodes, func(n Node) bool {
 		_, overridden := a.Overrides[n.Node]
--- a/internal/kdl/convert.go
+++ b/internal/kdl/convert.go
@@ -5,10 +5,10 @@
 	"strings"
 )
 
-// nullWord is the keyword of a value that is nil.
+// nullWord is the keyword of a nil value.
 const nullWord = "null"
 
-// convertNodes returns the nodes of a syntax tree that are not disabled.
+// convertNodes converts the nodes of a syntax tree that are not disabled.
 func convertNodes(parsed []*node, faults *Faults) (nodes []*Node) {
 	for _, n := range parsed {
 		if !n.Disabled {
@@ -25,7 +25,7 @@
 		Properties: map[string]Value{},
 	}
 	for _, e := range n.Entries {
-		value := e.Value.convert(faults) // also of a disabled entry: what can't be read is a fault
+		value := e.Value.convert(faults) // disabled entries are converted too, because an invalid value in them is a fault
 		switch {
 		case e.Disabled:
 		case e.Key != nil:
@@ -49,7 +49,7 @@
 	return unquote(*n.Text, line, faults)
 }
 
-// unquote returns the text of a string. KDL strings may span lines and escape slashes, which Go's may not.
+// unquote returns the text of a quoted string. Unlike Go strings, KDL strings can span lines and escape slashes.
 func unquote(quoted string, line int, faults *Faults) string {
 	goQuoted := strings.ReplaceAll(quoted, `\/`, `/`)
 	goQuoted = strings.ReplaceAll(goQuoted, "\n", `\n`)
@@ -78,7 +78,7 @@
 	return converted
 }
 
-// parseNumber reads a decimal number, or an integer with a prefix of its base (0x, 0o, 0b); underscores separate digits.
+// parseNumber parses a decimal number or an integer with a base prefix (0x, 0o, 0b). Underscores separate digits.
 func parseNumber(text string) (number float64, ok bool) {
 	digits := strings.ReplaceAll(text, "_", "")
 	integer, err := strconv.ParseInt(digits, 0, 64)
--- a/internal/kdl/example_test.go
+++ b/internal/kdl/example_test.go
@@ -6,7 +6,7 @@
 	"harehook.dev/harehook/internal/kdl"
 )
 
-// A document is read into nodes; numbers are float64.
+// A document is parsed into nodes. Numbers have type float64.
 func ExampleParse() {
 	nodes, err := kdl.Parse(`node "node-1" zone="north" {
   weight 2.5;
--- a/internal/kdl/faults.go
+++ b/internal/kdl/faults.go
@@ -7,7 +7,7 @@
 	"strings"
 )
 
-// Fault is something wrong at a line of a document.
+// Fault describes a mistake at a line of a document.
 type Fault struct {
 	Line   int
 	Reason string
@@ -16,10 +16,10 @@
 // Error implements error.
 func (f Fault) Error() string { return fmt.Sprintf("line %d: %s", f.Line, f.Reason) }
 
-// Faults are all that is wrong with a document.
+// Faults holds all mistakes of a document.
 type Faults []Fault
 
-// Error implements error; it has a line of text for each fault.
+// Error implements error. It returns a line of text for each fault.
 func (f Faults) Error() string {
 	lines := make([]string, len(f))
 	for index, fault := range f {
@@ -33,7 +33,7 @@
 	*f = append(*f, Fault{Line: line, Reason: fmt.Sprintf(format, args...)})
 }
 
-// Err returns nil if there are no faults, else all of them ordered by line.
+// Err returns nil if there are no faults, otherwise all faults ordered by line.
 func (f Faults) Err() error {
 	if len(f) == 0 {
 		return nil
--- a/internal/kdl/grammar.go
+++ b/internal/kdl/grammar.go
@@ -5,11 +5,11 @@
 	"github.com/alecthomas/participle/v2/lexer"
 )
 
-// syntaxError is an error of the parser that has a position.
+// syntaxError is a parser error with a position.
 type syntaxError = participle.Error
 
-// The types of the grammar. Their names show in the reasons of syntax errors. A slashdash disables the node, argument,
-// property or block behind it.
+// The types of the grammar. Their names appear in the messages of syntax errors. A slashdash disables the node,
+// argument, property or block that follows it.
 type document struct {
 	Nodes []*node `parser:"End* (@@ End*)*"`
 }
@@ -23,8 +23,9 @@
 	Terminator terminator `parser:"@@"`
 }
 
-// terminator is what ends a node: End, the end of the document, or the brace that closes the parent, which is left to the
-// parent. It is no rule of the grammar: participle panics on a branch that matches without a token, as a lookahead does.
+// terminator is the end of a node: the token End, the end of the document, or the closing brace of the parent, which
+// the parent consumes. It has its own parser because participle panics on a branch of the grammar that matches without
+// consuming a token, such as a lookahead.
 type terminator struct{}
 
 // Parse implements participle.Parseable.
@@ -78,7 +79,7 @@
 	{Name: "Space", Pattern: `[ \t\r\f\v]+`},
 })
 
-// endToken is the type of the tokens that end nodes.
+// endToken is the type of the tokens that terminate nodes.
 var endToken = tokenRules.Symbols()["End"]
 
 var grammar = participle.MustBuild[document](
--- a/internal/kdl/kdl.go
+++ b/internal/kdl/kdl.go
@@ -1,6 +1,6 @@
-// Package kdl reads documents in the KDL language, version 1: nodes with arguments, properties and children. Type
-// annotations and raw strings are not supported. [Parse] returns the nodes, or the [Faults] with their lines; package config
-// gives the nodes their meaning and adds its own faults.
+// Package kdl parses documents in the KDL language, version 1: nodes with arguments, properties and children. Type
+// annotations and raw strings are not supported. [Parse] returns the nodes, or the [Faults] with their lines. Package
+// config interprets the nodes and adds its own faults.
 package kdl
 
 import "errors"
@@ -8,7 +8,7 @@
 // Node is a node of a document.
 type Node struct {
 	Name       string
-	Line       int // from 1 on
+	Line       int // starts at 1
 	Arguments  []Value
 	Properties map[string]Value
 	Children   []*Node
@@ -17,10 +17,10 @@
 // Value is an argument or a property.
 type Value struct {
 	Data any // a string, a float64, a bool, or nil for null
-	Line int // from 1 on
+	Line int // starts at 1
 }
 
-// Parse reads a document. The error is of type [Faults].
+// Parse parses a document. The error is of type [Faults].
 func Parse(text string) ([]*Node, error) {
 	parsed, err := grammar.ParseString("", text+"\n")
 	if err != nil {
@@ -31,7 +31,7 @@
 	return nodes, faults.Err()
 }
 
-// syntaxFault returns the fault of a parser's error.
+// syntaxFault converts an error of the parser into a fault.
 func syntaxFault(err error) Fault {
 	var positioned syntaxError
 	if errors.As(err, &positioned) {
--- a/internal/kdl/kdl_test.go
+++ b/internal/kdl/kdl_test.go
@@ -9,6 +9,7 @@
 	"github.com/google/go-cmp/cmp"
 )
 
+// show writes the nodes to out, one on each line, with their line numbers.
 func show(nodes []*Node, indent string, out *strings.Builder) {
 	for _, n := range nodes {
 		fmt.Fprintf(out, "%s%d %s", indent, n.Line, n.Name)
@@ -25,30 +26,30 @@
 	}
 }
 
-// Documents are read with the lines of their nodes, and faults have theirs.
+// Documents must be parsed with the lines of their nodes, and faults must state their lines.
 func TestParseDocuments(t *testing.T) {
 	for name, c := range map[string]struct{ in, want string }{
-		"values":        {`n "x" 1 -2.5e1 0x1f 1_000 true null a=false b="y\n"`, "1 n \"x\" 1 -25 31 1000 true <nil> a=false b=\"y\\n\"\n"},
-		"children":      {"n {\n  m 1\n  o {\n  }\n}\np", "1 n\n  2 m 1\n  3 o\n6 p\n"},
-		"one line":      {`n { m 1; o 2; }; p`, "1 n\n  1 m 1\n  1 o 2\n1 p\n"},
-		"comments":      {"// x\nn 1 // y\n/* z\n */ m /* w */ 2", "2 n 1\n4 m 2\n"},
-		"left out":      {"/-n 1 {\n m\n}\no /-1 2 /-a=1 b=2 /-{\n x\n}\n", "4 o 2 b=2\n"},
-		"continued":     {"n 1 \\\n  2\nm", "1 n 1 2\n3 m\n"},
-		"quoted names":  {`"two words" "c d"=1`, "1 two words c d=1\n"},
-		"empty":         {"\n\n", ""},
-		"dashes":        {"seat-hold on-full=1 a=\"/x\"", "1 seat-hold a=\"/x\"\n"},
-		"unclosed":      {"n {\n m\n", "line"},
-		"no value":      {"n\nm a=\n", "line 2"},
-		"no name":       {"n\n\n12 x\n", "line 3"},
-		"broken string": {"n \"x\n", "line"},
-		"odd escape":    {"\nn \"\\q\"\n", "line 2: the string \"\\q\" has an escape that is not known"},
+		"values":              {`n "x" 1 -2.5e1 0x1f 1_000 true null a=false b="y\n"`, "1 n \"x\" 1 -25 31 1000 true <nil> a=false b=\"y\\n\"\n"},
+		"children":            {"n {\n  m 1\n  o {\n  }\n}\np", "1 n\n  2 m 1\n  3 o\n6 p\n"},
+		"one line":            {`n { m 1; o 2; }; p`, "1 n\n  1 m 1\n  1 o 2\n1 p\n"},
+		"comments":            {"// x\nn 1 // y\n/* z\n */ m /* w */ 2", "2 n 1\n4 m 2\n"},
+		"slashdash":           {"/-n 1 {\n m\n}\no /-1 2 /-a=1 b=2 /-{\n x\n}\n", "4 o 2 b=2\n"},
+		"continued":           {"n 1 \\\n  2\nm", "1 n 1 2\n3 m\n"},
+		"quoted names":        {`"two words" "c d"=1`, "1 two words c d=1\n"},
+		"empty":               {"\n\n", ""},
+		"dashes":              {"seat-hold on-full=1 a=\"/x\"", "1 seat-hold a=\"/x\"\n"},
+		"unclosed":            {"n {\n m\n", "line"},
+		"no value":            {"n\nm a=\n", "line 2"},
+		"no name":             {"n\n\n12 x\n", "line 3"},
+		"unterminated string": {"n \"x\n", "line"},
+		"unknown escape":      {"\nn \"\\q\"\n", "line 2: the string \"\\q\" has an escape that is not known"},
 	} {
 		t.Run(name, func(t *testing.T) {
 			var out strings.Builder
 			nodes, err := Parse(c.in)
 			if strings.HasPrefix(c.want, "line") {
 				if err == nil || !strings.HasPrefix(err.Error(), c.want) {
-					t.Fatalf("error %v, want %q", err, c.want)
+					t.Fatalf("%q: got error %v, want %q", c.in, err, c.want)
 				}
 				return
 			}
@@ -57,15 +58,15 @@
 			}
 			show(nodes, "", &out)
 			if diff := cmp.Diff(c.want, out.String()); diff != "" {
-				t.Errorf("-want +got:\n%s", diff)
+				t.Errorf("%q: -want +got:\n%s", c.in, diff)
 			}
 		})
 	}
 }
 
-// A controller reloads its file in service. A document whose last child had neither ";" nor a line's end before "}", which
-// is valid, made the parser panic, and the panic ended the controller; so did a "}" without its "{". Valid documents have to
-// be read, and others to give a fault with its line.
+// A controller reloads its file while it runs. Two kinds of documents made the parser panic, which terminated the
+// controller: a valid document whose last child had neither ";" nor a line break before "}", and a document with "}"
+// without its "{". Valid documents must be parsed, and invalid ones must be rejected with a fault that states its line.
 func TestParseNodesBeforeClosingBrace(t *testing.T) {
 	for _, c := range []struct{ in, want, fault string }{
 		{in: "n { m }", want: "1 n\n  1 m\n"},
@@ -94,7 +95,7 @@
 			nodes, err := Parse(c.in)
 			if c.fault != "" {
 				if err == nil || !strings.HasPrefix(err.Error(), c.fault) {
-					t.Fatalf("error %v, want %q", err, c.fault)
+					t.Fatalf("%q: got error %v, want %q", c.in, err, c.fault)
 				}
 				return
 			}
@@ -104,13 +105,13 @@
 			var out strings.Builder
 			show(nodes, "", &out)
 			if diff := cmp.Diff(c.want, out.String()); diff != "" {
-				t.Errorf("-want +got:\n%s", diff)
+				t.Errorf("%q: -want +got:\n%s", c.in, diff)
 			}
 		})
 	}
 }
 
-// Whatever the text, a fault has a line.
+// A fault must state its line for any text.
 func FuzzParse(f *testing.F) {
 	f.Add("n { m }")
 	f.Add("n }")
@@ -123,7 +124,7 @@
 		}
 		var faults Faults
 		if !errors.As(err, &faults) || len(faults) == 0 || faults[0].Line < 1 {
-			t.Errorf("%q: no line in %v", text, err)
+			t.Errorf("%q: got error %v, want Faults with a line of at least 1", text, err)
 		}
 	})
 }
