--- a/config/agreed.go
+++ b/config/agreed.go
@@ -46,7 +46,7 @@
 		"override": r.readOverrideRecord,
 	})
 	if len(routes) == 0 {
-		r.faults.Add(top.Line, "it has no route: no call would be carried")
+		r.faults.Add(top.Line, "at least one route is required: without one no call is routed")
 	}
 	if err := r.faults.Err(); err != nil {
 		return nil, err
@@ -129,7 +129,7 @@
 		before := routes[index-1]
 		route := routes[index]
 		if before.Prefix == route.Prefix {
-			return fmt.Errorf("route %q is never reached: %q has its prefix %q", route.Name, before.Name, route.Prefix)
+			return fmt.Errorf("route %q is unreachable: route %q has the same prefix %q", route.Name, before.Name, route.Prefix)
 		}
 	}
 	return nil
--- a/config/agreed_reader.go
+++ b/config/agreed_reader.go
@@ -26,7 +26,7 @@
 		return // the fault of the name has already been added
 	}
 	if _, twice := r.lineOf[key]; twice {
-		r.faults.Add(n.Line, "%s %q is there twice", key.Kind, key.Name)
+		r.faults.Add(n.Line, "duplicate %s %q", key.Kind, key.Name)
 		return
 	}
 	r.lineOf[key] = n.Line
@@ -97,7 +97,7 @@
 	r.checkShape(n, 1, "state", "service", "zone")
 	state, _ := n.Properties["state"].Data.(string)
 	if state != records.StateDraining && state != records.StateGone {
-		r.faults.Add(n.Line, "the state of an override is \"draining\" or \"gone\"")
+		r.faults.Add(n.Line, "state of an override must be \"draining\" or \"gone\", got %v", n.Properties["state"].Data)
 		return
 	}
 	spec := records.OverrideSpec{
--- a/config/agreed_reader_test.go
+++ b/config/agreed_reader_test.go
@@ -79,13 +79,13 @@
 func TestAgreedTextFaults(t *testing.T) {
 	route := ` route "a" { prefix "/a"; limit-ms 9; };`
 	for text, want := range map[string]string{
-		`agreed {` + route + ` service "s"; service "s"; }`:             `line 1: service "s" is there twice`,
+		`agreed {` + route + ` service "s"; service "s"; }`:             `line 1: duplicate service "s"`,
 		`agreed {` + route + ` tenant "t" share=0.5; }`:                 `line 1: tenant/t: a service has to be`,
 		`agreed {` + route + ` tenant "t" service="s"; }`:               "its share has to be over 0",
-		`agreed {` + route + ` tenant "t" service="s" share=2; }`:       `"tenant" takes a number from 0 to 1`,
+		`agreed {` + route + ` tenant "t" service="s" share=2; }`:       `value in "tenant" must be a number from 0 to 1, got 2`,
 		`agreed {` + route + ` override "n" state="gone" region="r"; }`: `"override" has no property "region"`,
 		`agreed { route "a" region="r" { prefix "/a"; limit-ms 9; }; }`: `"route" has no property "region"`,
-		`agreed {` + route + ` service "s" { zones 5; }; }`:             `"zones" takes a name`,
+		`agreed {` + route + ` service "s" { zones 5; }; }`:             `value in "zones" must be a name`,
 	} {
 		if err := ValidateAgreed(text); err == nil || !strings.Contains(err.Error(), want) {
 			t.Errorf("%s: got error %v, want %q", text, err, want)
@@ -112,9 +112,9 @@
 		t.Errorf("got writes %q, want %q", got, want)
 	}
 	for text, want := range map[string]string{
-		``: "it has no record", `agreed { }`: `"agreed" is not known`, `remove "x"`: "expected kind/name", `remove`: "takes 1 values",
-		"service \"s\"\nremove \"service/s\"": "line 2: service/s is there twice", `service "s" revision=1.5`: "whole number",
-		"remove \"service/s\"\nservice \"s\"": `line 2: service "s" is there twice`,
+		``: "at least one record is required", `agreed { }`: `unknown key "agreed"`, `remove "x"`: "expected kind/name", `remove`: `number of arguments of "remove" must be 1, got 0`,
+		"service \"s\"\nremove \"service/s\"": "line 2: duplicate record service/s", `service "s" revision=1.5`: "revision must be a whole number, got 1.5",
+		"remove \"service/s\"\nservice \"s\"": `line 2: duplicate service "s"`,
 	} {
 		if _, err := ParseRecordWrites(text); err == nil || !strings.Contains(err.Error(), want) {
 			t.Errorf("%q: got error %v, want %q", text, err, want)
@@ -131,7 +131,7 @@
 	}
 	text.WriteString("}\n")
 	_, err := ParseAgreed(text.String())
-	want := fmt.Sprintf("line %d: route \"r-%d\" is one too many: a sidecar takes %d at most", xds.MaxRoutes+2, xds.MaxRoutes, xds.MaxRoutes)
+	want := fmt.Sprintf("line %d: route \"r-%d\" exceeds the limit: a sidecar accepts at most %d routes", xds.MaxRoutes+2, xds.MaxRoutes, xds.MaxRoutes)
 	if err == nil || err.Error() != want {
 		t.Errorf("got error %v, want %q", err, want)
 	}
--- a/config/controller.go
+++ b/config/controller.go
@@ -104,7 +104,7 @@
 func (r *reader) readUniqueName(n *kdl.Node, names *[]string, seen map[string]bool) {
 	name := r.onlyString(n)
 	if seen[name] {
-		r.faults.Add(n.Line, "%s %q is there twice", n.Name, name)
+		r.faults.Add(n.Line, "duplicate %s %q", n.Name, name)
 		return
 	}
 	seen[name] = true
@@ -118,7 +118,7 @@
 	r.onlyAddress(n, &c.NodeService, "cluster")
 	v, present := n.Properties["cluster"]
 	if !present {
-		r.faults.Add(n.Line, "%q lacks %q", n.Name, "cluster")
+		r.faults.Add(n.Line, "%q requires %q", n.Name, "cluster")
 		return
 	}
 	c.Cluster = r.stringValue(n, v)
--- a/config/example_test.go
+++ b/config/example_test.go
@@ -43,6 +43,6 @@
 		}
 	}
 	// Output:
-	// 2 service "shop" is there twice
-	// 3 a revision is a whole number
+	// 2 duplicate service "shop"
+	// 3 revision must be a whole number, got 0.5
 }
--- a/config/faults_test.go
+++ b/config/faults_test.go
@@ -17,24 +17,24 @@
 	with := func(line string) string { return conductor(append(append([]string(nil), good...), line)...) }
 	for text, want := range map[string]string{
 		conductor(good...):           "",
-		"":                           `line 1: there is no "conductor"`,
-		"sidecar \"x\" {\n}":         `line 1: there is no "conductor"`,
-		conductor(good[:3]...):       `line 1: "conductor" lacks "route"`,
-		with(`speed 9`):              `line 6: "speed" is not known in "conductor"`,
-		with(`listen "127.0.0.1:2"`): `line 6: "listen" is there twice, first in line 2`,
-		with(`sidecars 0`):           `line 6: "sidecars" takes a number from 1`,
-		with(`sidecars "many"`):      `line 6: "sidecars" takes a number`,
-		with(`route "a" { prefix "/b"; limit-ms 1000; }`):                               `line 6: route "a" is there twice`,
-		with(`route "b" { prefix "/ab"; limit-ms 1000; }`):                              `line 6: route "b" is never reached: "a" takes all of "/ab" before it`,
-		with(`route "b" { prefix "b"; limit-ms 1000; }`):                                `line 6: route "b" has no prefix of a path`,
+		"":                           `line 1: node "conductor" is missing`,
+		"sidecar \"x\" {\n}":         `line 1: node "conductor" is missing`,
+		conductor(good[:3]...):       `line 1: "conductor" requires "route"`,
+		with(`speed 9`):              `line 6: unknown key "speed" in "conductor"`,
+		with(`listen "127.0.0.1:2"`): `line 6: duplicate key "listen", first in line 2`,
+		with(`sidecars 0`):           `line 6: value in "sidecars" must be a number from 1 to 65000, got 0`,
+		with(`sidecars "many"`):      `line 6: value in "sidecars" must be a number from 1 to 65000, got many`,
+		with(`route "a" { prefix "/b"; limit-ms 1000; }`):                               `line 6: duplicate route "a"`,
+		with(`route "b" { prefix "/ab"; limit-ms 1000; }`):                              `line 6: route "b" is unreachable: route "a" before it matches all of "/ab"`,
+		with(`route "b" { prefix "b"; limit-ms 1000; }`):                                `line 6: prefix of route "b" must begin with "/", got "b"`,
 		with(`route "b" { prefix "/b"; }`):                                              `line 6: route "b" has no time limit`,
 		with(`channel speed=1`):                                                         `line 6: "channel" has no property "speed"`,
-		with(`keys certificate="c" key="k"`):                                            `line 6: "keys" lacks "roots"`,
-		with("group {\n id 1\n}"):                                                       `line 6: "group" lacks "data"`,
-		with(`group { id 4; listen "127.0.0.1:3"; data "d"; member 1 "127.0.0.1:3"; }`): `line 6: member 4 itself is not among the members`,
-		with(`group { id 1; listen "127.0.0.1:3"; data "d"; member 1 "127.0.0.1:3"; member 1 "127.0.0.1:4"; }`): `line 6: member 1 is there twice`,
-		with(`nodes-from "127.0.0.1:9" cluster="x"`):                                                            `lacks "nodes or nodes-from"`,
-		with(`nodes-from "127.0.0.1:9"`):                                                                        `line 6: "nodes-from" lacks "cluster"`,
+		with(`keys certificate="c" key="k"`):                                            `line 6: "keys" requires "roots"`,
+		with("group {\n id 1\n}"):                                                       `line 6: "group" requires "data"`,
+		with(`group { id 4; listen "127.0.0.1:3"; data "d"; member 1 "127.0.0.1:3"; }`): `line 6: member 4 must be in the list of members`,
+		with(`group { id 1; listen "127.0.0.1:3"; data "d"; member 1 "127.0.0.1:3"; member 1 "127.0.0.1:4"; }`): `line 6: duplicate member 1`,
+		with(`nodes-from "127.0.0.1:9" cluster="x"`):                                                            `requires "nodes or nodes-from"`,
+		with(`nodes-from "127.0.0.1:9"`):                                                                        `line 6: "nodes-from" requires "cluster"`,
 		with(`zone "`):                                                                                          "line 6",
 	} {
 		path := filepath.Join(t.TempDir(), "c.kdl")
@@ -50,11 +50,11 @@
 func TestBrokenAgreedConfigurationsNameFaultyLines(t *testing.T) {
 	for text, want := range map[string]string{
 		`agreed { route "a" { prefix "/a"; limit-ms 9; mutating; most 0.5; }; override "n" state="draining"; }`: "",
-		`agreed { }`: "line 1: it has no route",
-		"agreed {\n route \"a\" { prefix \"/a\"; limit-ms 9; most 2; }\n}":                                     `line 2: "most" takes a number from 0.0001 to 1`,
-		"agreed {\n route \"a\" { prefix \"/a\"; limit-ms 9; retry \"5xx\"; }\n}":                              `line 2: "retry" is not known in "route"`,
-		"agreed {\n route \"a\" { prefix \"/a\"; limit-ms 9; }\n override \"n\" state=\"fast\"\n}":             `line 3: the state of an override`,
-		"agreed {\n route \"a\" { prefix \"/\"; limit-ms 9; }\n route \"b\" { prefix \"/b\"; limit-ms 9; }\n}": `line 3: route "b" is never reached`,
+		`agreed { }`: "line 1: at least one route is required",
+		"agreed {\n route \"a\" { prefix \"/a\"; limit-ms 9; most 2; }\n}":                                     `line 2: value in "most" must be a number from 0.0001 to 1, got 2`,
+		"agreed {\n route \"a\" { prefix \"/a\"; limit-ms 9; retry \"5xx\"; }\n}":                              `line 2: unknown key "retry" in "route"`,
+		"agreed {\n route \"a\" { prefix \"/a\"; limit-ms 9; }\n override \"n\" state=\"fast\"\n}":             `line 3: state of an override must be "draining" or "gone", got fast`,
+		"agreed {\n route \"a\" { prefix \"/\"; limit-ms 9; }\n route \"b\" { prefix \"/b\"; limit-ms 9; }\n}": `line 3: route "b" is unreachable`,
 	} {
 		checkFault(t, text, ValidateAgreed(text), want)
 	}
@@ -71,8 +71,8 @@
 	}
 	for count, want := range map[int]string{
 		xds.MaxRoutes:       "",
-		xds.MaxRoutes + 1:   "line 1029: route \"r-1024\" is one too many: a sidecar takes 1024 at most",
-		2*xds.MaxRoutes + 1: "line 1029: route \"r-1024\" is one too many",
+		xds.MaxRoutes + 1:   "line 1029: route \"r-1024\" exceeds the limit: a sidecar accepts at most 1024 routes",
+		2*xds.MaxRoutes + 1: "line 1029: route \"r-1024\" exceeds the limit",
 	} {
 		path := filepath.Join(t.TempDir(), "c.kdl")
 		text := "conductor \"c\" {\nlisten \"127.0.0.1:1\"\nnodes \"n\"\nzone \"north\"\n" + routes(count, "slo-ms 900;") + "}\n"
@@ -81,13 +81,13 @@
 		}
 		_, err := ReadController(path)
 		checkFault(t, fmt.Sprintf("%d routes", count), err, want)
-		if err != nil && strings.Count(err.Error(), "too many") != 1 {
+		if err != nil && strings.Count(err.Error(), "exceeds the limit") != 1 {
 			t.Errorf("%d routes: got error %v, want a single fault", count, err)
 		}
 	}
 	checkFault(t, "agreed, maximum number of routes", ValidateAgreed("agreed {\n"+routes(xds.MaxRoutes, "")+"}\n"), "")
 	checkFault(t, "agreed, one route more", ValidateAgreed("agreed {\n"+routes(xds.MaxRoutes+1, "")+"}\n"),
-		"line 1026: route \"r-1024\" is one too many: a sidecar takes 1024 at most")
+		"line 1026: route \"r-1024\" exceeds the limit: a sidecar accepts at most 1024 routes")
 }
 
 // checkFault checks that err contains the wanted text, or is nil if want is empty.
@@ -105,13 +105,13 @@
 	c.Deployment.MachineTypes = []string{"small"}
 	for text, want := range map[string]string{
 		`node "a" zone="north" address="127.0.0.1:1" weight=2 state="draining"`:                "",
-		"node \"a\" zone=\"south\" address=\"127.0.0.1:1\"":                                    `line 1: zone "south" of node "a" is not known`,
+		"node \"a\" zone=\"south\" address=\"127.0.0.1:1\"":                                    `line 1: unknown zone "south" of node "a"`,
 		"node \"a\" zone=\"north\"":                                                            `line 1: node "a" has no address`,
-		"node \"a\" zone=\"north\" address=\"x\"":                                              "takes an address of host and port",
-		"node \"a\" zone=\"north\" address=\"h:1\"\nnode \"a\" zone=\"north\" address=\"h:2\"": `line 2: node "a" is there twice, first in line 1`,
-		"node \"a\" zone=\"north\" address=\"h:1\"\nnode \"b\" zone=\"north\" address=\"h:1\"": "line 2: the address h:1 is there twice",
-		"node \"a\" zone=\"north\" address=\"h:1\" state=\"odd\"":                              `the state of node "a" is "ready" or "draining"`,
-		"machine \"a\"": `line 1: "machine" has no place here`,
+		"node \"a\" zone=\"north\" address=\"x\"":                                              "value in \"node\" must be an address of the form host:port with a port of at most 65535, got \"x\"",
+		"node \"a\" zone=\"north\" address=\"h:1\"\nnode \"a\" zone=\"north\" address=\"h:2\"": `line 2: duplicate node "a", first in line 1`,
+		"node \"a\" zone=\"north\" address=\"h:1\"\nnode \"b\" zone=\"north\" address=\"h:1\"": "line 2: duplicate address h:1, first in line 1",
+		"node \"a\" zone=\"north\" address=\"h:1\" state=\"odd\"":                              `state of node "a" must be "ready" or "draining", got odd`,
+		"machine \"a\"": `line 1: unexpected node "machine", want "node"`,
 	} {
 		if err := os.WriteFile(c.NodesFile, []byte(text), 0o600); err != nil {
 			t.Fatal(err)
--- a/config/follower.go
+++ b/config/follower.go
@@ -41,7 +41,7 @@
 	})
 	r.checkRequired(n, requirement{"member", len(f.Members) == 0})
 	if f.Scope.All && len(f.Scope.Services)+len(f.Scope.Zones) > 0 {
-		r.faults.Add(n.Line, "%q takes either %q or services and zones", n.Name, "everything")
+		r.faults.Add(n.Line, "%q must have either %q or services and zones, not both", n.Name, "everything")
 	}
 	return f
 }
@@ -51,7 +51,7 @@
 	address := ""
 	r.onlyAddress(n, &address)
 	if seen[address] && address != "" {
-		r.faults.Add(n.Line, "%s %q is there twice", n.Name, address)
+		r.faults.Add(n.Line, "duplicate %s %q", n.Name, address)
 		return
 	}
 	seen[address] = true
@@ -68,7 +68,7 @@
 	}
 	if c.Group != nil {
 		index := slices.IndexFunc(top.Children, func(n *kdl.Node) bool { return n.Name == "follow" })
-		r.faults.Add(top.Children[index].Line, "a conductor is either a member of a group (%q) or follows one (%q)", "group", "follow")
+		r.faults.Add(top.Children[index].Line, "a conductor must be either a member of a group (%q) or a follower (%q), not both", "group", "follow")
 	}
 	if !c.Follower.Scope.All && len(c.Follower.Scope.Zones) == 0 {
 		c.Follower.Scope.Zones = slices.Clone(c.Deployment.Zones)
--- a/config/follower_test.go
+++ b/config/follower_test.go
@@ -48,15 +48,15 @@
 		t.Errorf("with everything: got %+v and error %v, want the full scope without zones", c.Follower, err)
 	}
 	for lines, want := range map[string]string{
-		`follow { service "quotes"; }`:                                   `line 6: "follow" lacks "member"`,
-		`follow { member "127.0.0.1"; }`:                                 `line 6: "member" takes an address of host and port`,
-		`follow { member; }`:                                             `line 6: "member" takes 1 values`,
-		"follow {\nmember \"127.0.0.1:2\"\nmember \"127.0.0.1:2\"\n}":    `line 8: member "127.0.0.1:2" is there twice`,
-		"follow {\nmember \"127.0.0.1:2\"\nspeed 9\n}":                   `line 8: "speed" is not known in "follow"`,
-		"follow {\nmember \"127.0.0.1:2\"\nlease-ms 3001\n}":             `line 8: "lease-ms" takes a number from 300 to 3000`,
-		`follow { member "127.0.0.1:2"; everything; zone "north"; }`:     `line 6: "follow" takes either "everything" or services and zones`,
-		"follow { member \"127.0.0.1:2\"; }\nfollow { member \"x:2\"; }": `line 7: "follow" is there twice`,
-		"group { id 1; listen \"127.0.0.1:3\"; data \"d\"; member 1 \"127.0.0.1:3\"; }\nfollow { member \"127.0.0.1:2\"; }": `line 7: a conductor is either a member of a group`,
+		`follow { service "quotes"; }`:                                   `line 6: "follow" requires "member"`,
+		`follow { member "127.0.0.1"; }`:                                 `line 6: value in "member" must be an address of the form host:port`,
+		`follow { member; }`:                                             `line 6: number of arguments of "member" must be 1`,
+		"follow {\nmember \"127.0.0.1:2\"\nmember \"127.0.0.1:2\"\n}":    `line 8: duplicate member "127.0.0.1:2"`,
+		"follow {\nmember \"127.0.0.1:2\"\nspeed 9\n}":                   `line 8: unknown key "speed" in "follow"`,
+		"follow {\nmember \"127.0.0.1:2\"\nlease-ms 3001\n}":             `line 8: value in "lease-ms" must be a number from 300 to 3000, got 3001`,
+		`follow { member "127.0.0.1:2"; everything; zone "north"; }`:     `line 6: "follow" must have either "everything" or services and zones`,
+		"follow { member \"127.0.0.1:2\"; }\nfollow { member \"x:2\"; }": `line 7: duplicate key "follow"`,
+		"group { id 1; listen \"127.0.0.1:3\"; data \"d\"; member 1 \"127.0.0.1:3\"; }\nfollow { member \"127.0.0.1:2\"; }": `line 7: a conductor must be either a member of a group`,
 	} {
 		if _, err := readFollowerLines(t, lines); err == nil || !strings.Contains(err.Error(), want) {
 			t.Errorf("%s: got error %v, want %q", lines, err, want)
@@ -112,8 +112,8 @@
 		routeKey("a"): records.RouteSpec{Prefix: "/a", TimeLimitMS: 100},
 		routeKey("b"): records.RouteSpec{Prefix: "/a", TimeLimitMS: 100},
 	}))
-	if err == nil || !strings.Contains(err.Error(), `route "b" is never reached: "a" has its prefix "/a"`) {
-		t.Errorf("%v", err)
+	if want := `route "b" is unreachable: route "a" has the same prefix "/a"`; err == nil || !strings.Contains(err.Error(), want) {
+		t.Errorf("two routes with the same prefix: got error %v, want %q", err, want)
 	}
 }
 
@@ -138,11 +138,11 @@
 	}{
 		"as configured":             {specs: both, nodes: nodes},
 		"no routes agreed on yet":   {nodes: nodes},
-		"all routes removed":        {previous: both, nodes: nodes, want: `route "a" is missing: its calls would find no route; route "b" is missing`},
+		"all routes removed":        {previous: both, nodes: nodes, want: `route "a" is missing: its calls would match no route; route "b" is missing`},
 		"route missing":             {specs: map[records.Key]any{routeKey("a"): a}, nodes: nodes, want: `route "b" is missing`},
 		"unknown route":             {specs: with(routeKey("c"), records.RouteSpec{Prefix: "/c", TimeLimitMS: 100}), nodes: nodes, want: `route "c" is not configured at conductor "c"`},
 		"route no longer mutating":  {specs: with(routeKey("b"), unprotected), nodes: nodes, want: `route "b" is configured as mutating`},
-		"no ready node":             {specs: with(overrideKey("n-1"), gone), nodes: nodes, want: "leaves no node that takes calls"},
+		"no ready node":             {specs: with(overrideKey("n-1"), gone), nodes: nodes, want: "no ready node would remain"},
 		"list not received yet":     {specs: with(overrideKey("n-1"), gone)},
 		"override of unlisted node": {specs: with(overrideKey("n-9"), gone), nodes: nodes},
 		"override of draining node": {specs: with(overrideKey("n-2"), gone), nodes: nodes},
--- a/config/group.go
+++ b/config/group.go
@@ -35,7 +35,7 @@
 	if g.AddedLater {
 		g.Voters = nil
 	} else if g.Addresses[g.ID] == "" {
-		r.faults.Add(n.Line, "member %d itself is not among the members; one that is added to a group that stands says \"added-later\"", g.ID)
+		r.faults.Add(n.Line, "member %d must be in the list of members; a member that is added to a running group must state \"added-later\"", g.ID)
 	}
 	return g
 }
@@ -48,7 +48,7 @@
 	}
 	id := uint64(r.numberValue(n, n.Arguments[0], 1, maxMemberID))
 	if g.Addresses[id] != "" {
-		r.faults.Add(n.Line, "member %d is there twice", id)
+		r.faults.Add(n.Line, "duplicate member %d", id)
 	}
 	g.Addresses[id] = r.addressValue(n, n.Arguments[1])
 	g.Voters = append(g.Voters, id)
--- a/config/nodes.go
+++ b/config/nodes.go
@@ -45,7 +45,7 @@
 // readNode reads one node of the list.
 func (l *endpointListReader) readNode(n *kdl.Node) {
 	if n.Name != listedNode {
-		l.faults.Add(n.Line, "%q has no place here, only \"node\"", n.Name)
+		l.faults.Add(n.Line, "unexpected node %q, want \"node\"", n.Name)
 		return
 	}
 	l.checkShape(n, 1, "zone", "kind", "address", "weight", "state", "started-ms")
@@ -56,7 +56,7 @@
 		State:       planner.Ready,
 	}}
 	if line := l.nameLine[node.Node]; line > 0 {
-		l.faults.Add(n.Line, "node %q is there twice, first in line %d", node.Node, line)
+		l.faults.Add(n.Line, "duplicate node %q, first in line %d", node.Node, line)
 	}
 	l.nameLine[node.Node] = n.Line
 	l.readZone(n, &node)
@@ -80,7 +80,7 @@
 		return
 	}
 	if node.Zone = l.stringValue(n, v); !l.controller.Zones[node.Zone] {
-		l.faults.Add(v.Line, "zone %q of node %q is not known", node.Zone, node.Node)
+		l.faults.Add(v.Line, "unknown zone %q of node %q", node.Zone, node.Node)
 	}
 }
 
@@ -91,7 +91,7 @@
 		return
 	}
 	if node.MachineType = l.stringValue(n, v); !l.controller.MachineTypes[node.MachineType] {
-		l.faults.Add(v.Line, "kind %q of node %q is not known", node.MachineType, node.Node)
+		l.faults.Add(v.Line, "unknown kind %q of node %q", node.MachineType, node.Node)
 	}
 }
 
@@ -110,7 +110,7 @@
 	number, _ := strconv.Atoi(port)
 	node.Address = xds.Address{Host: host, Port: uint32(number)}
 	if line := l.addressLine[node.Address]; line > 0 {
-		l.faults.Add(v.Line, "the address %s is there twice, first in line %d", text, line)
+		l.faults.Add(v.Line, "duplicate address %s, first in line %d", text, line)
 	}
 	l.addressLine[node.Address] = n.Line
 }
@@ -126,6 +126,6 @@
 	case "draining":
 		node.State = planner.Draining
 	default:
-		l.faults.Add(v.Line, "the state of node %q is \"ready\" or \"draining\"", node.Node)
+		l.faults.Add(v.Line, "state of node %q must be \"ready\" or \"draining\", got %v", node.Node, v.Data)
 	}
 }
--- a/config/reader.go
+++ b/config/reader.go
@@ -53,15 +53,15 @@
 	for _, n := range nodes {
 		switch {
 		case n.Name != name:
-			r.faults.Add(n.Line, "%q has no place here, only %q", n.Name, name)
+			r.faults.Add(n.Line, "unexpected node %q, want %q", n.Name, name)
 		case found != nil:
-			r.faults.Add(n.Line, "a second %q, the first is in line %d", name, found.Line)
+			r.faults.Add(n.Line, "duplicate node %q, first in line %d", name, found.Line)
 		default:
 			found = n
 		}
 	}
 	if found == nil {
-		r.faults.Add(1, "there is no %q", name)
+		r.faults.Add(1, "node %q is missing", name)
 	}
 	return found
 }
@@ -78,9 +78,9 @@
 		readChild, known := once[n.Name]
 		switch {
 		case !known:
-			r.faults.Add(n.Line, "%q is not known in %q", n.Name, parent.Name)
+			r.faults.Add(n.Line, "unknown key %q in %q", n.Name, parent.Name)
 		case firstLine[n.Name] > 0:
-			r.faults.Add(n.Line, "%q is there twice, first in line %d", n.Name, firstLine[n.Name])
+			r.faults.Add(n.Line, "duplicate key %q, first in line %d", n.Name, firstLine[n.Name])
 		default:
 			firstLine[n.Name] = n.Line
 			readChild(n)
@@ -91,7 +91,7 @@
 // checkShape checks that a node has the given number of arguments and only the given properties.
 func (r *reader) checkShape(n *kdl.Node, arguments int, properties ...string) {
 	if len(n.Arguments) != arguments {
-		r.faults.Add(n.Line, "%q takes %d values, not %d", n.Name, arguments, len(n.Arguments))
+		r.faults.Add(n.Line, "number of arguments of %q must be %d, got %d", n.Name, arguments, len(n.Arguments))
 	}
 	for name, v := range n.Properties {
 		if !slices.Contains(properties, name) {
@@ -110,7 +110,7 @@
 func (r *reader) checkRequired(n *kdl.Node, requirements ...requirement) {
 	for _, required := range requirements {
 		if required.missing {
-			r.faults.Add(n.Line, "%q lacks %q", n.Name, required.name)
+			r.faults.Add(n.Line, "%q requires %q", n.Name, required.name)
 		}
 	}
 }
@@ -139,7 +139,7 @@
 func (r *reader) stringValue(n *kdl.Node, v kdl.Value) string {
 	text, ok := v.Data.(string)
 	if !ok || text == "" || len(text) > maxNameBytes || strings.ContainsAny(text, "\r\n\x00") {
-		r.faults.Add(v.Line, "%q takes a name of 1 to %d bytes on one line, not %v", n.Name, maxNameBytes, v.Data)
+		r.faults.Add(v.Line, "value in %q must be a name of 1 to %d bytes on one line, got %v", n.Name, maxNameBytes, v.Data)
 		return ""
 	}
 	return text
@@ -150,7 +150,7 @@
 func (r *reader) numberValue(n *kdl.Node, v kdl.Value, lowest, highest float64) float64 {
 	number, ok := v.Data.(float64)
 	if !ok || !(number >= lowest && number <= highest) {
-		r.faults.Add(v.Line, "%q takes a number from %v to %v, not %v", n.Name, lowest, highest, v.Data)
+		r.faults.Add(v.Line, "value in %q must be a number from %v to %v, got %v", n.Name, lowest, highest, v.Data)
 		return lowest
 	}
 	return number
@@ -180,7 +180,7 @@
 	host, port, err := net.SplitHostPort(text)
 	number, portErr := strconv.Atoi(port)
 	if err != nil || portErr != nil || host == "" || number < 0 || number > maxPort {
-		r.faults.Add(v.Line, "%q takes an address of host and port, not %q", n.Name, text)
+		r.faults.Add(v.Line, "value in %q must be an address of the form host:port with a port of at most %d, got %q", n.Name, maxPort, text)
 		return ""
 	}
 	return text
@@ -217,7 +217,7 @@
 	}{{"certificate", &files.Certificate}, {"key", &files.Key}, {"roots", &files.Roots}} {
 		v, present := n.Properties[property.name]
 		if !present {
-			r.faults.Add(n.Line, "%q lacks %q", n.Name, property.name)
+			r.faults.Add(n.Line, "%q requires %q", n.Name, property.name)
 			continue
 		}
 		*property.path = r.resolvePath(r.stringValue(n, v))
--- a/config/record_writes.go
+++ b/config/record_writes.go
@@ -30,7 +30,7 @@
 		writes = append(writes, r.readWrite(n))
 	}
 	if len(nodes) == 0 {
-		r.faults.Add(1, "it has no record")
+		r.faults.Add(1, "at least one record is required")
 	}
 	return writes, r.faults.Err()
 }
@@ -52,7 +52,7 @@
 	case "remove":
 		write.Key = r.readRemoval(n)
 	default:
-		r.faults.Add(n.Line, "%q is not known: a file of records has route, service, tenant, override and remove", n.Name)
+		r.faults.Add(n.Line, "unknown key %q: a file of records has route, service, tenant, override and remove", n.Name)
 	}
 	if len(r.records) > recordsBefore {
 		record := r.records[recordsBefore]
@@ -72,7 +72,7 @@
 	delete(n.Properties, "revision")
 	number := r.numberValue(n, value, 0, maxRevision)
 	if number != math.Trunc(number) {
-		r.faults.Add(n.Line, "a revision is a whole number")
+		r.faults.Add(n.Line, "revision must be a whole number, got %v", number)
 	}
 	return uint64(number), true
 }
@@ -89,7 +89,7 @@
 		return key
 	}
 	if _, twice := r.lineOf[key]; twice {
-		r.faults.Add(n.Line, "%s is there twice", key)
+		r.faults.Add(n.Line, "duplicate record %s", key)
 	}
 	r.lineOf[key] = n.Line
 	return key
--- a/config/route.go
+++ b/config/route.go
@@ -31,7 +31,8 @@
 		"home-only": func(n *kdl.Node, _ *xds.Route) { settings.LocalZoneOnly = r.flag(n) },
 	})
 	if route.TimeLimit > 0 && route.TimeLimit.Seconds() < settings.LatencyObjective {
-		r.faults.Add(n.Line, "route %q has a time limit under its SLO time", route.Name)
+		r.faults.Add(n.Line, "limit-ms of route %q must be at least its slo-ms, %.6g, got %.6g", route.Name,
+			settings.LatencyObjective*1000, milliseconds(route.TimeLimit))
 	}
 	c.Routes = append(c.Routes, route)
 	c.Deployment.Routes = append(c.Deployment.Routes, route.Name)
@@ -44,7 +45,7 @@
 	route := xds.Route{Name: r.onlyString(n)}
 	if len(before) >= xds.MaxRoutes {
 		if len(before) == xds.MaxRoutes { // only the first excess route is a fault
-			r.faults.Add(n.Line, "route %q is one too many: a sidecar takes %d at most", route.Name, xds.MaxRoutes)
+			r.faults.Add(n.Line, "route %q exceeds the limit: a sidecar accepts at most %d routes", route.Name, xds.MaxRoutes)
 		}
 		return route
 	}
@@ -65,16 +66,16 @@
 // that begins with the prefix of an earlier route, which makes the route unreachable.
 func (r *reader) checkRoute(n *kdl.Node, route xds.Route, before []xds.Route) {
 	if !strings.HasPrefix(route.Prefix, "/") {
-		r.faults.Add(n.Line, "route %q has no prefix of a path, such as \"/quote\"", route.Name)
+		r.faults.Add(n.Line, "prefix of route %q must begin with \"/\", got %q", route.Name, route.Prefix)
 	}
 	if route.TimeLimit == 0 {
 		r.faults.Add(n.Line, "route %q has no time limit (limit-ms)", route.Name)
 	}
 	for _, earlier := range before {
 		if earlier.Name == route.Name {
-			r.faults.Add(n.Line, "route %q is there twice", route.Name)
+			r.faults.Add(n.Line, "duplicate route %q", route.Name)
 		} else if earlier.Prefix != "" && strings.HasPrefix(route.Prefix, earlier.Prefix) {
-			r.faults.Add(n.Line, "route %q is never reached: %q takes all of %q before it", route.Name, earlier.Name, route.Prefix)
+			r.faults.Add(n.Line, "route %q is unreachable: route %q before it matches all of %q", route.Name, earlier.Name, route.Prefix)
 		}
 	}
 }
--- a/config/sidecar.go
+++ b/config/sidecar.go
@@ -68,7 +68,7 @@
 	case "delta", "state":
 		s.Delta = v == "delta"
 	default:
-		r.faults.Add(n.Line, "the variant is \"delta\" or \"state\"")
+		r.faults.Add(n.Line, "variant must be \"delta\" or \"state\", got %q", v)
 	}
 }
 
--- a/config/validate.go
+++ b/config/validate.go
@@ -9,7 +9,7 @@
 	"harehook.dev/harehook/xds"
 )
 
-const noReadyNode = "it leaves no node that takes calls"
+const noReadyNode = "no ready node would remain"
 
 // UnusableError is returned when a controller cannot use an agreed configuration.
 type UnusableError struct{ Reasons []string }
@@ -73,12 +73,12 @@
 		case !known:
 			faults = append(faults, fmt.Sprintf("route %q is not configured at conductor %q", route.Name, c.Name))
 		case configured.Mutating && !route.Mutating:
-			faults = append(faults, fmt.Sprintf("route %q is configured as mutating: its calls would lose their protection from repeats", route.Name))
+			faults = append(faults, fmt.Sprintf("route %q is configured as mutating and must stay mutating: its calls must not be repeated", route.Name))
 		}
 		delete(missing, route.Name)
 	}
 	for name := range missing {
-		faults = append(faults, fmt.Sprintf("route %q is missing: its calls would find no route", name))
+		faults = append(faults, fmt.Sprintf("route %q is missing: its calls would match no route", name))
 	}
 	return faults
 }
--- a/internal/daemon/check_test.go
+++ b/internal/daemon/check_test.go
@@ -11,8 +11,8 @@
 	in := newInstallation(t, "n-1")
 	path := in.write("bad.kdl", "conductor \"c\" {\n listen \"nowhere\"\n zone \"north\"\n zone \"north\"\n nodes \"nodes.kdl\"\n route \"a\" { prefix \"/a\"; limit-ms 10; }\n route \"b\" { prefix \"/a/b\"; limit-ms 2000; mutatin; }\n}\n")
 	out, code := in.runCtl("check", path)
-	for _, want := range []string{"line 2: \"listen\" takes an address", "line 4: zone \"north\" is there twice", "line 6: route \"a\" has a time limit under its SLO time",
-		"line 7: \"mutatin\" is not known", "line 7: route \"b\" is never reached"} {
+	for _, want := range []string{"line 2: value in \"listen\" must be an address", "line 4: duplicate zone \"north\"", "line 6: limit-ms of route \"a\" must be at least its slo-ms, 1000, got 10",
+		"line 7: unknown key \"mutatin\"", "line 7: route \"b\" is unreachable"} {
 		if !strings.Contains(out, want) {
 			t.Errorf("%q is not in:\n%s", want, out)
 		}
--- a/internal/daemon/operators_test.go
+++ b/internal/daemon/operators_test.go
@@ -15,11 +15,11 @@
 	g.leader()
 	first, _ := g.agree(0)
 	for name, c := range map[string]struct{ text, want string }{
-		"mutating lost": {`agreed { route "quote" { prefix "/q"; limit-ms 9; }; route "issue" { prefix "/issue"; limit-ms 9; }; }`, "would lose their protection"},
-		"no node":       {`agreed { route "quote" { prefix "/q"; limit-ms 9; }; route "issue" { prefix "/i"; limit-ms 9; mutating; }; override "n-1" state="gone"; override "n-2" state="draining"; override "s-1" state="gone"; }`, "no node that takes calls"},
+		"mutating lost": {`agreed { route "quote" { prefix "/q"; limit-ms 9; }; route "issue" { prefix "/issue"; limit-ms 9; }; }`, "its calls must not be repeated"},
+		"no node":       {`agreed { route "quote" { prefix "/q"; limit-ms 9; }; route "issue" { prefix "/i"; limit-ms 9; mutating; }; override "n-1" state="gone"; override "n-2" state="draining"; override "s-1" state="gone"; }`, "no ready node would remain"},
 		"unknown node":  {`agreed { route "quote" { prefix "/q"; limit-ms 9; }; route "issue" { prefix "/i"; limit-ms 9; mutating; }; override "n-9" state="gone"; }`, `"n-9" of an override is not listed`},
 		"missing route": {`agreed { route "issue" { prefix "/i"; limit-ms 9; mutating; }; }`, `route "quote" is missing`},
-		"its line":      {"agreed {\n route \"quote\" { prefix \"q\"; limit-ms 9; }\n}", "line 2: route \"quote\" has no prefix"},
+		"its line":      {"agreed {\n route \"quote\" { prefix \"q\"; limit-ms 9; }\n}", "line 2: prefix of route \"quote\" must begin with \"/\""},
 	} {
 		t.Run(name, func(t *testing.T) {
 			out, code := g.runCtlAt(1, "propose", g.write("bad.kdl", c.text))
@@ -95,12 +95,12 @@
 	for name, c := range map[string]struct{ text, want string }{
 		"changed since":    {`route "quote" revision=1 { prefix "/other"; limit-ms 2000; }`, fmt.Sprintf("route/quote has revision %d, 1 was expected", revision)},
 		"what to do":       {`service "pay" revision=0`, `look at them with "records get"`},
-		"mutating lost":    {`route "issue" { prefix "/issue"; limit-ms 2000; }`, "would lose their protection"},
+		"mutating lost":    {`route "issue" { prefix "/issue"; limit-ms 2000; }`, "its calls must not be repeated"},
 		"route missing":    {`remove "route/quote"`, `route "quote" is missing`},
 		"shares":           {`tenant "two" service="pay" share=0.5`, `the shares of service "pay" sum to 1.25`},
 		"referred to":      {`remove "service/pay"`, "2 records refer to this service"},
 		"nothing there":    {`remove "tenant/none"`, "it does not exist"},
-		"its line":         {"service \"a\"\nroute \"b\" { prefix \"b\"; }", "line 2: route \"b\" has no prefix"},
+		"its line":         {"service \"a\"\nroute \"b\" { prefix \"b\"; }", "line 2: prefix of route \"b\" must begin with \"/\""},
 		"node not listed":  {`override "n-9" state="gone"`, `"n-9" of an override is not listed`},
 		"service not held": {`tenant "two" service="none" share=0.5`, `service "none" does not exist`},
 	} {
--- a/internal/daemon/routes_test.go
+++ b/internal/daemon/routes_test.go
@@ -21,7 +21,7 @@
 		t.Errorf("as many routes as may be: exit %d: %s", code, out)
 	}
 	in.configure(more.String() + "\n  route \"last\" { prefix \"/last\"; limit-ms 2000; }")
-	const want = `line 1027: route "last" is one too many: a sidecar takes 1024 at most`
+	const want = `line 1027: route "last" exceeds the limit: a sidecar accepts at most 1024 routes`
 	if out, code := in.runCtl("check", in.folder+"/conductor.kdl"); code != 1 || !strings.Contains(out, want) {
 		t.Errorf("check: exit %d: %s", code, out)
 	}
--- a/internal/kdl/convert.go
+++ b/internal/kdl/convert.go
@@ -55,7 +55,7 @@
 	goQuoted = strings.ReplaceAll(goQuoted, "\n", `\n`)
 	text, err := strconv.Unquote(goQuoted)
 	if err != nil {
-		faults.Add(line, "the string %s has an escape that is not known", quoted)
+		faults.Add(line, "string %s has an unknown escape sequence", quoted)
 	}
 	return text
 }
@@ -68,7 +68,7 @@
 	case v.Number != nil:
 		number, ok := parseNumber(*v.Number)
 		if !ok {
-			faults.Add(v.Pos.Line, "%s is no number", *v.Number)
+			faults.Add(v.Pos.Line, "%s is not a valid number", *v.Number)
 			break
 		}
 		converted.Data = number
--- a/internal/kdl/kdl_test.go
+++ b/internal/kdl/kdl_test.go
@@ -42,7 +42,7 @@
 		"no value":            {"n\nm a=\n", "line 2"},
 		"no name":             {"n\n\n12 x\n", "line 3"},
 		"unterminated string": {"n \"x\n", "line"},
-		"unknown escape":      {"\nn \"\\q\"\n", "line 2: the string \"\\q\" has an escape that is not known"},
+		"unknown escape":      {"\nn \"\\q\"\n", "line 2: string \"\\q\" has an unknown escape sequence"},
 	} {
 		t.Run(name, func(t *testing.T) {
 			var out strings.Builder
