--- a/config/agreed.go
+++ b/config/agreed.go
@@ -126,10 +126,10 @@
 // be sorted by prefix, so that equal prefixes are adjacent.
 func checkPrefixes(routes []xds.Route) error {
 	for index := 1; index < len(routes); index++ {
-		before := routes[index-1]
+		previous := routes[index-1]
 		route := routes[index]
-		if before.Prefix == route.Prefix {
-			return fmt.Errorf("route %q is unreachable: route %q has the same prefix %q", route.Name, before.Name, route.Prefix)
+		if previous.Prefix == route.Prefix {
+			return fmt.Errorf("route %q is unreachable: route %q has the same prefix %q", route.Name, previous.Name, route.Prefix)
 		}
 	}
 	return nil
@@ -138,7 +138,7 @@
 // ApplyOverrides returns the nodes with the states that the overrides assign. Removed nodes are left out.
 func (a *Agreed) ApplyOverrides(nodes []Node) (overridden []Node) {
 	for _, n := range nodes {
-		if state, overrides := a.Overrides[n.Node]; overrides {
+		if state, found := a.Overrides[n.Node]; found {
 			if state == planner.Removed {
 				continue
 			}
--- a/config/agreed_reader.go
+++ b/config/agreed_reader.go
@@ -25,7 +25,7 @@
 	if key.Name == "" {
 		return // the fault of the name has already been added
 	}
-	if _, twice := r.lineOf[key]; twice {
+	if _, duplicate := r.lineOf[key]; duplicate {
 		r.faults.Add(n.Line, "duplicate %s %q", key.Kind, key.Name)
 		return
 	}
@@ -38,15 +38,15 @@
 	r.records = append(r.records, record)
 }
 
-// readRouteRecord reads a route. The routes before it must not have a prefix that includes the prefix of this route.
-func (r *recordReader) readRouteRecord(n *kdl.Node, before []xds.Route) xds.Route {
+// readRouteRecord reads a route. No preceding route may have a prefix that includes the prefix of this one.
+func (r *recordReader) readRouteRecord(n *kdl.Node, preceding []xds.Route) xds.Route {
 	service := r.extractName(n, "service")
-	faults := len(r.faults)
-	route := r.readRoute(n, before, routeReaders{
+	faultsBefore := len(r.faults)
+	route := r.readRoute(n, preceding, routeReaders{
 		"most": func(n *kdl.Node, route *xds.Route) { route.MaxAdmitted = r.onlyNumber(n, minAdmitted, 1) },
 	})
-	tooMany := len(before) >= xds.MaxRoutes // readRoute adds a fault for the first excess route only
-	if len(r.faults) > faults || tooMany {
+	tooMany := len(preceding) >= xds.MaxRoutes // readRoute adds a fault for the first excess route only
+	if len(r.faults) > faultsBefore || tooMany {
 		return route
 	}
 	r.add(n, records.Key{Kind: records.KindRoute, Name: route.Name}, records.RouteSpec{
--- a/config/agreed_reader_test.go
+++ b/config/agreed_reader_test.go
@@ -104,8 +104,8 @@
 		t.Fatal(err)
 	}
 	var got []string
-	for _, one := range writes {
-		got = append(got, fmt.Sprint(one.Key, " ", string(one.Body), " ", one.ExpectedRevision, " ", one.HasRevision))
+	for _, write := range writes {
+		got = append(got, fmt.Sprint(write.Key, " ", string(write.Body), " ", write.ExpectedRevision, " ", write.HasRevision))
 	}
 	want := []string{`route/a {"service":"s","prefix":"/a","time_limit_ms":9} 12 true`, `service/s {} 0 true`, `tenant/x  7 true`, `override/n  0 false`}
 	if !slices.Equal(got, want) {
@@ -123,7 +123,7 @@
 }
 
 // A text with many more routes than allowed must have a single fault, at the first excess route.
-func TestTooManyAgreedRoutesAreOneFault(t *testing.T) {
+func TestTooManyAgreedRoutesCauseSingleFault(t *testing.T) {
 	var text strings.Builder
 	text.WriteString("agreed {\n")
 	for route := range xds.MaxRoutes + 10 {
--- a/config/faults_test.go
+++ b/config/faults_test.go
@@ -11,15 +11,15 @@
 )
 
 // Each invalid configuration of a controller must be rejected with a fault that states its line.
-func TestBrokenConfigurationsNameFaultyLines(t *testing.T) {
+func TestInvalidControllerConfigurationsStateLines(t *testing.T) {
 	conductor := func(lines ...string) string { return "conductor \"c\" {\n" + strings.Join(lines, "\n") + "\n}\n" }
-	good := []string{`listen "127.0.0.1:1"`, `nodes "n"`, `zone "north"`, `route "a" { prefix "/a"; limit-ms 1000; slo-ms 900; }`}
-	with := func(line string) string { return conductor(append(append([]string(nil), good...), line)...) }
+	valid := []string{`listen "127.0.0.1:1"`, `nodes "n"`, `zone "north"`, `route "a" { prefix "/a"; limit-ms 1000; slo-ms 900; }`}
+	with := func(line string) string { return conductor(append(append([]string(nil), valid...), line)...) }
 	for text, want := range map[string]string{
-		conductor(good...):           "",
+		conductor(valid...):          "",
 		"":                           `line 1: node "conductor" is missing`,
 		"sidecar \"x\" {\n}":         `line 1: node "conductor" is missing`,
-		conductor(good[:3]...):       `line 1: "conductor" requires "route"`,
+		conductor(valid[:3]...):      `line 1: "conductor" requires "route"`,
 		with(`speed 9`):              `line 6: unknown key "speed" in "conductor"`,
 		with(`listen "127.0.0.1:2"`): `line 6: duplicate key "listen", first in line 2`,
 		with(`sidecars 0`):           `line 6: value in "sidecars" must be a number from 1 to 65000, got 0`,
@@ -47,7 +47,7 @@
 }
 
 // Each invalid agreed configuration must be rejected with a fault that states its line.
-func TestBrokenAgreedConfigurationsNameFaultyLines(t *testing.T) {
+func TestInvalidAgreedConfigurationsStateLines(t *testing.T) {
 	for text, want := range map[string]string{
 		`agreed { route "a" { prefix "/a"; limit-ms 9; mutating; most 0.5; }; override "n" state="draining"; }`: "",
 		`agreed { }`: "line 1: at least one route is required",
@@ -62,10 +62,10 @@
 
 // A configuration can have at most as many routes as a sidecar accepts. With more, the configuration must be rejected
 // with a single fault, at the first excess route. The same holds for an agreed configuration.
-func TestTooManyRoutesAreOneFault(t *testing.T) {
-	routes := func(count int, more string) (lines string) {
+func TestTooManyRoutesCauseSingleFault(t *testing.T) {
+	routes := func(count int, settings string) (lines string) {
 		for r := range count {
-			lines += fmt.Sprintf("route \"r-%04d\" { prefix \"/%04d\"; limit-ms 1000; %s}\n", r, r, more)
+			lines += fmt.Sprintf("route \"r-%04d\" { prefix \"/%04d\"; limit-ms 1000; %s}\n", r, r, settings)
 		}
 		return lines
 	}
@@ -91,10 +91,10 @@
 }
 
 // checkFault checks that err contains the wanted text, or is nil if want is empty.
-func checkFault(t *testing.T, what string, err error, want string) {
+func checkFault(t *testing.T, input string, err error, want string) {
 	t.Helper()
 	if want == "" && err != nil || want != "" && (err == nil || !strings.Contains(err.Error(), want)) {
-		t.Errorf("%s: got error %v, want %q", what, err, want)
+		t.Errorf("%s: got error %v, want %q", input, err, want)
 	}
 }
 
--- a/config/follower.go
+++ b/config/follower.go
@@ -30,7 +30,7 @@
 	services := map[string]bool{}
 	zones := map[string]bool{}
 	r.readChildren(n, nodeReaders{
-		"everything": func(n *kdl.Node) { f.Scope.All = r.flag(n) },
+		"everything": func(n *kdl.Node) { f.Scope.All = r.readFlag(n) },
 		"lease-ms": func(n *kdl.Node) {
 			f.Lease = r.onlyMilliseconds(n, milliseconds(minFollowerLease), milliseconds(maxLease))
 		},
--- a/config/follower_test.go
+++ b/config/follower_test.go
@@ -16,8 +16,8 @@
 	"harehook.dev/harehook/xds"
 )
 
-// readFollowerLines reads the configuration of a controller that has the given lines after five common lines.
-func readFollowerLines(t *testing.T, lines string) (*Controller, error) {
+// readControllerWithLines reads the configuration of a controller that has the given lines after five common lines.
+func readControllerWithLines(t *testing.T, lines string) (*Controller, error) {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), "c.kdl")
 	text := "conductor \"c\" {\nlisten \"127.0.0.1:1\"; nodes \"n\"\nzone \"north\"; zone \"south\"\nroute \"a\" { prefix \"/a\"; limit-ms 1000; }\n" +
@@ -31,7 +31,7 @@
 // The settings of a follower must be read, with defaults for those that are not stated, and faults must state their
 // lines.
 func TestReadFollowerSettings(t *testing.T) {
-	c, err := readFollowerLines(t, `follow { member "127.0.0.1:2"; member "127.0.0.1:3"; service "quotes"; service "issues"; zone "north"; lease-ms 1500; }`)
+	c, err := readControllerWithLines(t, `follow { member "127.0.0.1:2"; member "127.0.0.1:3"; service "quotes"; service "issues"; zone "north"; lease-ms 1500; }`)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -40,11 +40,11 @@
 		!slices.Equal(f.Scope.Zones, []string{"north"}) || f.Scope.All || f.Lease != 1500*time.Millisecond {
 		t.Errorf("got %+v, want the settings of the file", f)
 	}
-	if c, err = readFollowerLines(t, `follow { member "127.0.0.1:2"; }`); err != nil || c.Follower.Lease != 3*time.Second ||
+	if c, err = readControllerWithLines(t, `follow { member "127.0.0.1:2"; }`); err != nil || c.Follower.Lease != 3*time.Second ||
 		!slices.Equal(c.Follower.Scope.Zones, []string{"north", "south"}) {
 		t.Errorf("without settings: got %+v and error %v, want a lease of 3s and the zones of the controller", c.Follower, err)
 	}
-	if c, err = readFollowerLines(t, `follow { member "127.0.0.1:2"; everything; }`); err != nil || !c.Follower.Scope.All || len(c.Follower.Scope.Zones) > 0 {
+	if c, err = readControllerWithLines(t, `follow { member "127.0.0.1:2"; everything; }`); err != nil || !c.Follower.Scope.All || len(c.Follower.Scope.Zones) > 0 {
 		t.Errorf("with everything: got %+v and error %v, want the full scope without zones", c.Follower, err)
 	}
 	for lines, want := range map[string]string{
@@ -58,7 +58,7 @@
 		"follow { member \"127.0.0.1:2\"; }\nfollow { member \"x:2\"; }": `line 7: duplicate key "follow"`,
 		"group { id 1; listen \"127.0.0.1:3\"; data \"d\"; member 1 \"127.0.0.1:3\"; }\nfollow { member \"127.0.0.1:2\"; }": `line 7: a conductor must be either a member of a group`,
 	} {
-		if _, err := readFollowerLines(t, lines); err == nil || !strings.Contains(err.Error(), want) {
+		if _, err := readControllerWithLines(t, lines); err == nil || !strings.Contains(err.Error(), want) {
 			t.Errorf("%s: got error %v, want %q", lines, err, want)
 		}
 	}
@@ -70,16 +70,16 @@
 // newRecords returns a record for each spec, by key.
 func newRecords(t *testing.T, specs map[records.Key]any) map[records.Key]*records.Record {
 	t.Helper()
-	out := map[records.Key]*records.Record{}
+	recordsByKey := map[records.Key]*records.Record{}
 	for key, spec := range specs {
 		record, err := records.New(key, spec)
 		if err != nil {
 			t.Fatal(err)
 		}
 		record.Revision = revisions[key.Name]
-		out[key] = record
+		recordsByKey[key] = record
 	}
-	return out
+	return recordsByKey
 }
 
 func routeKey(name string) records.Key    { return records.Key{Kind: records.KindRoute, Name: name} }
@@ -119,7 +119,7 @@
 
 // A follower must reject agreed records that contradict its configuration or leave no ready node.
 func TestValidateUpdate(t *testing.T) {
-	c, err := readFollowerLines(t, `follow { member "127.0.0.1:2"; }`)
+	c, err := readControllerWithLines(t, `follow { member "127.0.0.1:2"; }`)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -127,18 +127,18 @@
 	a, b := records.RouteSpec{Prefix: "/a", TimeLimitMS: 100}, records.RouteSpec{Prefix: "/b", TimeLimitMS: 100, Mutating: true}
 	unprotected := records.RouteSpec{Prefix: "/b", TimeLimitMS: 100}
 	gone := records.OverrideSpec{State: records.StateGone}
-	both := map[records.Key]any{routeKey("a"): a, routeKey("b"): b}
+	configured := map[records.Key]any{routeKey("a"): a, routeKey("b"): b}
 	with := func(key records.Key, spec any) map[records.Key]any {
 		return map[records.Key]any{routeKey("a"): a, routeKey("b"): b, key: spec}
 	}
-	for name, one := range map[string]struct {
+	for name, test := range map[string]struct {
 		specs, previous map[records.Key]any
 		nodes           []Node
 		want            string
 	}{
-		"as configured":             {specs: both, nodes: nodes},
+		"as configured":             {specs: configured, nodes: nodes},
 		"no routes agreed on yet":   {nodes: nodes},
-		"all routes removed":        {previous: both, nodes: nodes, want: `route "a" is missing: its calls would match no route; route "b" is missing`},
+		"all routes removed":        {previous: configured, nodes: nodes, want: `route "a" is missing: its calls would match no route; route "b" is missing`},
 		"route missing":             {specs: map[records.Key]any{routeKey("a"): a}, nodes: nodes, want: `route "b" is missing`},
 		"unknown route":             {specs: with(routeKey("c"), records.RouteSpec{Prefix: "/c", TimeLimitMS: 100}), nodes: nodes, want: `route "c" is not configured at conductor "c"`},
 		"route no longer mutating":  {specs: with(routeKey("b"), unprotected), nodes: nodes, want: `route "b" is configured as mutating`},
@@ -148,16 +148,16 @@
 		"override of draining node": {specs: with(overrideKey("n-2"), gone), nodes: nodes},
 	} {
 		t.Run(name, func(t *testing.T) {
-			agreed, err := AgreedFromFollower(newRecords(t, one.specs))
+			agreed, err := AgreedFromFollower(newRecords(t, test.specs))
 			if err != nil {
 				t.Fatal(err)
 			}
-			previous, err := AgreedFromFollower(newRecords(t, one.previous))
+			previous, err := AgreedFromFollower(newRecords(t, test.previous))
 			if err != nil {
 				t.Fatal(err)
 			}
-			err = c.ValidateUpdate(agreed, previous, one.nodes)
-			checkFault(t, name, err, one.want)
+			err = c.ValidateUpdate(agreed, previous, test.nodes)
+			checkFault(t, name, err, test.want)
 			var unusable *UnusableError
 			if err != nil && !errors.As(err, &unusable) {
 				t.Errorf("%s: got error of type %T, want *UnusableError", name, err)
@@ -171,8 +171,8 @@
 func TestAgreedFromFollowerSkipsTenants(t *testing.T) {
 	allocations := func(tenants int) float64 {
 		specs := map[records.Key]any{routeKey("a"): records.RouteSpec{Prefix: "/a", TimeLimitMS: 100}}
-		for k := range tenants {
-			specs[records.Key{Kind: records.KindTenant, Name: strconv.Itoa(k)}] = records.TenantSpec{Service: "s", Share: 0.1}
+		for index := range tenants {
+			specs[records.Key{Kind: records.KindTenant, Name: strconv.Itoa(index)}] = records.TenantSpec{Service: "s", Share: 0.1}
 		}
 		all := newRecords(t, specs)
 		return testing.AllocsPerRun(10, func() { AgreedFromFollower(all) })
--- a/config/group.go
+++ b/config/group.go
@@ -22,7 +22,7 @@
 		"id":          func(n *kdl.Node) { g.ID = uint64(r.onlyNumber(n, 1, maxMemberID)) },
 		"listen":      func(n *kdl.Node) { r.onlyAddress(n, &g.Listen) },
 		"data":        func(n *kdl.Node) { g.DataFolder = r.onlyPath(n) },
-		"added-later": func(n *kdl.Node) { g.AddedLater = r.flag(n) },
+		"added-later": func(n *kdl.Node) { g.AddedLater = r.readFlag(n) },
 	}, nodeReaders{
 		"member": func(n *kdl.Node) { r.readGroupMember(n, g) },
 	})
--- a/config/nodes.go
+++ b/config/nodes.go
@@ -32,9 +32,9 @@
 		return nil, nil
 	}
 	var nodes []Node
-	err := read(c.NodesFile, func(r *reader, tops []*kdl.Node) {
+	err := read(c.NodesFile, func(r *reader, topNodes []*kdl.Node) {
 		list := endpointListReader{reader: r, controller: c, nameLine: map[string]int{}, addressLine: map[xds.Address]int{}}
-		for _, n := range tops {
+		for _, n := range topNodes {
 			list.readNode(n)
 		}
 		nodes = list.nodes
--- a/config/reader.go
+++ b/config/reader.go
@@ -66,16 +66,16 @@
 	return found
 }
 
-// readChildren passes every child of parent to its reader. A key in many may occur more than once, a key in once at
-// most once.
-func (r *reader) readChildren(parent *kdl.Node, once, many nodeReaders) {
+// readChildren passes every child of parent to its reader. A key in repeatable may occur more than once, a key in
+// single at most once.
+func (r *reader) readChildren(parent *kdl.Node, single, repeatable nodeReaders) {
 	firstLine := map[string]int{}
 	for _, n := range parent.Children {
-		if readChild, known := many[n.Name]; known {
+		if readChild, known := repeatable[n.Name]; known {
 			readChild(n)
 			continue
 		}
-		readChild, known := once[n.Name]
+		readChild, known := single[n.Name]
 		switch {
 		case !known:
 			r.faults.Add(n.Line, "unknown key %q in %q", n.Name, parent.Name)
@@ -115,8 +115,8 @@
 	}
 }
 
-// flag returns true. It reads a node that enables a setting by its presence and must not have arguments.
-func (r *reader) flag(n *kdl.Node) bool {
+// readFlag returns true. It reads a node that enables a setting by its presence and must not have arguments.
+func (r *reader) readFlag(n *kdl.Node) bool {
 	r.checkShape(n, 0)
 	return true
 }
--- a/config/record_writes.go
+++ b/config/record_writes.go
@@ -88,7 +88,7 @@
 		r.faults.Add(n.Line, "%v", err)
 		return key
 	}
-	if _, twice := r.lineOf[key]; twice {
+	if _, duplicate := r.lineOf[key]; duplicate {
 		r.faults.Add(n.Line, "duplicate record %s", key)
 	}
 	r.lineOf[key] = n.Line
--- a/config/route.go
+++ b/config/route.go
@@ -28,7 +28,7 @@
 		"importance": func(n *kdl.Node, _ *xds.Route) {
 			settings.PriorityWeight = r.onlyNumber(n, minPriorityWeight, maxPriorityWeight)
 		},
-		"home-only": func(n *kdl.Node, _ *xds.Route) { settings.LocalZoneOnly = r.flag(n) },
+		"home-only": func(n *kdl.Node, _ *xds.Route) { settings.LocalZoneOnly = r.readFlag(n) },
 	})
 	if route.TimeLimit > 0 && route.TimeLimit.Seconds() < settings.LatencyObjective {
 		r.faults.Add(n.Line, "limit-ms of route %q must be at least its slo-ms, %.6g, got %.6g", route.Name,
@@ -39,39 +39,39 @@
 	c.Deployment.Planner.Routes = append(c.Deployment.Planner.Routes, settings)
 }
 
-// readRoute reads a route. before holds the routes that precede it in the document, extra the readers of the settings
+// readRoute reads a route. preceding holds the routes before it in the document, extra the readers of the settings
 // that only one kind of configuration has. A route that exceeds the limit is not read; the first of them is a fault.
-func (r *reader) readRoute(n *kdl.Node, before []xds.Route, extra routeReaders) xds.Route {
+func (r *reader) readRoute(n *kdl.Node, preceding []xds.Route, extra routeReaders) xds.Route {
 	route := xds.Route{Name: r.onlyString(n)}
-	if len(before) >= xds.MaxRoutes {
-		if len(before) == xds.MaxRoutes { // only the first excess route is a fault
+	if len(preceding) >= xds.MaxRoutes {
+		if len(preceding) == xds.MaxRoutes { // only the first excess route is a fault
 			r.faults.Add(n.Line, "route %q exceeds the limit: a sidecar accepts at most %d routes", route.Name, xds.MaxRoutes)
 		}
 		return route
 	}
-	once := nodeReaders{
+	single := nodeReaders{
 		"prefix":   func(n *kdl.Node) { route.Prefix = r.onlyString(n) },
 		"limit-ms": func(n *kdl.Node) { route.TimeLimit = r.onlyMilliseconds(n, 1, maxRouteMilliseconds) },
-		"mutating": func(n *kdl.Node) { route.Mutating = r.flag(n) },
+		"mutating": func(n *kdl.Node) { route.Mutating = r.readFlag(n) },
 	}
 	for name, readChild := range extra {
-		once[name] = func(n *kdl.Node) { readChild(n, &route) }
+		single[name] = func(n *kdl.Node) { readChild(n, &route) }
 	}
-	r.readChildren(n, once, nil)
-	r.checkRoute(n, route, before)
+	r.readChildren(n, single, nil)
+	r.checkRoute(n, route, preceding)
 	return route
 }
 
 // checkRoute adds a fault for each required setting that a route does not have, for a duplicate name, and for a prefix
 // that begins with the prefix of an earlier route, which makes the route unreachable.
-func (r *reader) checkRoute(n *kdl.Node, route xds.Route, before []xds.Route) {
+func (r *reader) checkRoute(n *kdl.Node, route xds.Route, preceding []xds.Route) {
 	if !strings.HasPrefix(route.Prefix, "/") {
 		r.faults.Add(n.Line, "prefix of route %q must begin with \"/\", got %q", route.Name, route.Prefix)
 	}
 	if route.TimeLimit == 0 {
 		r.faults.Add(n.Line, "route %q has no time limit (limit-ms)", route.Name)
 	}
-	for _, earlier := range before {
+	for _, earlier := range preceding {
 		if earlier.Name == route.Name {
 			r.faults.Add(n.Line, "duplicate route %q", route.Name)
 		} else if earlier.Prefix != "" && strings.HasPrefix(route.Prefix, earlier.Prefix) {
--- a/internal/kdl/kdl_test.go
+++ b/internal/kdl/kdl_test.go
@@ -9,8 +9,8 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-// show writes the nodes to out, one on each line, with their line numbers.
-func show(nodes []*Node, indent string, out *strings.Builder) {
+// writeNodes writes the nodes to out, one on each line, with their line numbers.
+func writeNodes(nodes []*Node, indent string, out *strings.Builder) {
 	for _, n := range nodes {
 		fmt.Fprintf(out, "%s%d %s", indent, n.Line, n.Name)
 		for _, a := range n.Arguments {
@@ -22,7 +22,7 @@
 			}
 		}
 		fmt.Fprintln(out)
-		show(n.Children, indent+"  ", out)
+		writeNodes(n.Children, indent+"  ", out)
 	}
 }
 
@@ -56,7 +56,7 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			show(nodes, "", &out)
+			writeNodes(nodes, "", &out)
 			if diff := cmp.Diff(c.want, out.String()); diff != "" {
 				t.Errorf("%q: -want +got:\n%s", c.in, diff)
 			}
@@ -103,7 +103,7 @@
 				t.Fatal(err)
 			}
 			var out strings.Builder
-			show(nodes, "", &out)
+			writeNodes(nodes, "", &out)
 			if diff := cmp.Diff(c.want, out.String()); diff != "" {
 				t.Errorf("%q: -want +got:\n%s", c.in, diff)
 			}
