--- a/xds/transport/bench_test.go
+++ b/xds/transport/bench_test.go
@@ -23,7 +23,7 @@
 	"harehook.dev/harehook/xds"
 )
 
-// startServer starts a server on loopback whose controller decides nothing by itself.
+// startServer starts a server on loopback. Its controller makes no decisions of its own.
 func startServer(tb testing.TB, maxSidecars int) (server *Server, address string) {
 	compiler := xds.NewCompiler([]xds.Route{{Name: "quote", Prefix: "/quote", TimeLimit: time.Second}}, time.Second)
 	server = NewServer(compiler, maxSidecars, zap.NewNop())
@@ -41,7 +41,7 @@
 	return server, l.Addr().String()
 }
 
-// sidecarClients are sidecars without a proxy, each with a stream of its own.
+// sidecarClients runs sidecars without proxies, each on its own stream, and counts the responses and their bytes.
 type sidecarClients struct {
 	answers, bytes atomic.Int64
 }
@@ -72,8 +72,8 @@
 	}, func() {})
 }
 
-// BenchmarkPush measures the time from a changed weight in a table of 200 nodes until all sidecars that are bound to it have
-// accepted it, over loopback, and its cost.
+// BenchmarkPush measures the time over loopback from a change of a weight in a table of 200 nodes until all bound
+// sidecars have accepted it, and the bytes and memory per sidecar.
 func BenchmarkPush(b *testing.B) {
 	const nodes = 200
 	for _, sidecars := range []int{100, 1000, 4000} {
@@ -139,7 +139,8 @@
 					}
 				}
 				b.ReportMetric(float64(c.bytes.Load())/float64(pushes)/float64(sidecars), "wire-B/sidecar")
-				// Both ends are in this process: a stream's memory is that of the controller and of the sidecar.
+				// Both ends run in this process: the memory of a stream is that of the controller and the sidecar
+				// together.
 				b.ReportMetric(float64(after.HeapAlloc-min(before.HeapAlloc, after.HeapAlloc))/float64(sidecars)/1024, "KiB/stream")
 			})
 		}
--- a/xds/transport/cancellation_test.go
+++ b/xds/transport/cancellation_test.go
@@ -6,10 +6,10 @@
 	"testing"
 )
 
-// heldConn is a stream whose first request was received and is passed on only when it is released.
+// heldConn is a stream whose first receive returns a request only after release is closed. The second one fails.
 type heldConn struct {
 	release  chan struct{}
-	taken    chan struct{} // closed when the first request was taken and the second is awaited
+	taken    chan struct{} // closed when receive is called for the second time, after the first request was posted
 	requests int
 }
 
@@ -26,9 +26,9 @@
 
 func (c *heldConn) send(any) error { return nil }
 
-// A stream ended in the instant in which its first request had been received and not yet been handled: it was opened after
-// its end, and its sidecar counted as connected for good, with commands for it waiting. A stream that has ended must not be
-// opened.
+// A stream ended after its first request had been received and before the hub handled it. The hub then opened a stream
+// that had ended, so its sidecar counted as connected forever, with commands for it pending. An ended stream must not
+// be opened.
 func TestStreamCancelledBeforeItsFirstRequest(t *testing.T) {
 	server, _ := startServer(t, 4)
 	ctx, cancel := context.WithCancel(t.Context())
@@ -43,11 +43,11 @@
 	close(conn.release)
 	<-conn.taken
 	if connected := connectedSidecars(server); connected != 0 {
-		t.Errorf("%d sidecars count as connected by a stream that has ended", connected)
+		t.Errorf("after the stream ended: got %d connected sidecars, want 0", connected)
 	}
 	server.call(func() {
 		if open := len(server.streams); open != 0 {
-			t.Errorf("%d streams are open", open)
+			t.Errorf("after the stream ended: got %d open streams, want 0", open)
 		}
 	})
 }
--- a/xds/transport/endpoint_list.go
+++ b/xds/transport/endpoint_list.go
@@ -18,17 +18,17 @@
 	maxPort      = 65535
 )
 
-// errNoReadyNode rejects an endpoint list by which no request could be forwarded.
-var errNoReadyNode = errors.New("it names no node that takes calls")
+// errNoReadyNode is returned for an endpoint list without a ready node: no request could be forwarded.
+var errNoReadyNode = errors.New("endpoint list has no ready node")
 
-// Endpoint is a node of a list that another service keeps.
+// Endpoint is a node of an endpoint list.
 type Endpoint struct {
 	Node
 	State  planner.EndpointState
-	Weight float64 // 1 if the list states none
+	Weight float64 // 1 if the list has none
 }
 
-// endpointList is a list that is being read.
+// endpointList collects the nodes of an endpoint list while it is parsed.
 type endpointList struct {
 	nodes     []Endpoint
 	names     map[string]bool
@@ -36,15 +36,16 @@
 	ready     int
 }
 
-// parseEndpoints reads a version as a whole, or not at all: a part of a list would remove nodes that are there.
+// parseEndpoints parses an endpoint list. It returns either all nodes or an error: with a partial list, existing nodes
+// would be removed.
 func (w *EndpointWatcher) parseEndpoints(r *discoveryv3.DiscoveryResponse) ([]Endpoint, error) {
 	if r.GetTypeUrl() != xds.Endpoints.TypeURL() || len(r.GetResources()) != 1 {
-		return nil, fmt.Errorf("%d resources of type %q, requested was one cluster's endpoints", len(r.GetResources()), r.GetTypeUrl())
+		return nil, fmt.Errorf("got %d resources of type %q, want the endpoints of one cluster", len(r.GetResources()), r.GetTypeUrl())
 	}
 	var assignment endpointv3.ClusterLoadAssignment
 	err := proto.Unmarshal(r.GetResources()[0].GetValue(), &assignment)
 	if err != nil || assignment.GetClusterName() != w.Cluster {
-		return nil, fmt.Errorf("not the endpoints of %q", w.Cluster)
+		return nil, fmt.Errorf("resource is not the ClusterLoadAssignment of %q", w.Cluster)
 	}
 	list := endpointList{names: map[string]bool{}, addresses: map[xds.Address]bool{}}
 	for _, locality := range assignment.GetEndpoints() {
@@ -64,18 +65,18 @@
 	return list.nodes, nil
 }
 
-// add adds an endpoint, or returns why the list is faulty. One that the service knows to be down is left out as though it
-// were not listed.
+// add adds an endpoint to the list. The error is the reason why the list is invalid. An unhealthy endpoint is omitted,
+// as if it were not on the list.
 func (l *endpointList) add(endpoint *endpointv3.LbEndpoint, zone string) error {
 	added := parseEndpoint(endpoint, zone)
 	address := added.Address
 	switch {
 	case address.Host == "" || address.Port == 0 || address.Port > maxPort:
-		return fmt.Errorf("node %q has no address of host and port", added.Name)
+		return fmt.Errorf("node %q must have a host and a port from 1 to %d, got %q and %d", added.Name, maxPort, address.Host, address.Port)
 	case l.names[added.Name] || l.addresses[address]:
-		return fmt.Errorf("node %q is there twice", added.Name)
+		return fmt.Errorf("name or address of node %q is listed twice", added.Name)
 	case len(l.nodes) >= maxListNodes:
-		return fmt.Errorf("over %d nodes", maxListNodes)
+		return fmt.Errorf("endpoint list has more than %d nodes", maxListNodes)
 	}
 	l.names[added.Name] = true
 	l.addresses[address] = true
@@ -91,7 +92,7 @@
 	return nil
 }
 
-// parseEndpoint reads an endpoint, which is named by its address if it has no name.
+// parseEndpoint parses an endpoint. An endpoint without a hostname is named after its address.
 func parseEndpoint(endpoint *endpointv3.LbEndpoint, zone string) Endpoint {
 	address := xds.AddressOf(endpoint.GetEndpoint().GetAddress())
 	name := endpoint.GetEndpoint().GetHostname()
--- a/xds/transport/endpoint_watcher.go
+++ b/xds/transport/endpoint_watcher.go
@@ -25,29 +25,30 @@
 	watcherUserAgent = "harehookd"
 )
 
-// EndpointWatcher watches the endpoints of a cluster that another xDS service keeps: they are the installation's nodes. A
-// version with a fault is rejected (NACK) and the last good one stays in use; so does it while the service can't be reached.
+// EndpointWatcher watches the endpoints of a cluster on another xDS service; they are the nodes of the installation. An
+// invalid version is rejected (NACK). The last accepted version stays in use then, and also while the service is
+// unreachable.
 type EndpointWatcher struct {
-	Address, Cluster string // of the service; Cluster: whose endpoints are watched
-	Name             string // the node id that the service is told
+	Address, Cluster string // address of the service, and name of the cluster whose endpoints are watched
+	Name             string // node id in the requests
 	KnowsZone        func(name string) bool
-	Credentials      credentials.TransportCredentials // nil: plain text
-	// Accepted is called with each version that is accepted, by Run's goroutine.
+	Credentials      credentials.TransportCredentials // nil: plaintext
+	// Accepted is called with each accepted version, on the goroutine that runs Run.
 	Accepted func(version string, nodes []Endpoint)
 	Log      *zap.Logger
 }
 
-// Run watches until ctx ends.
+// Run watches the endpoints until ctx is done. It retries with exponential backoff.
 func (w *EndpointWatcher) Run(ctx context.Context) {
 	backoff := initialBackoff
-	version := "" // the last good one
+	version := "" // the last accepted version
 	for ctx.Err() == nil {
 		began := time.Now()
 		err := w.watch(ctx, &version)
 		if ctx.Err() != nil {
 			return
 		}
-		w.Log.Warn("endpoint watch ended, the last list stays", zap.String("service", w.Address), zap.Error(err))
+		w.Log.Warn("endpoint watch failed, keeping the last accepted endpoint list", zap.String("service", w.Address), zap.Error(err))
 		if time.Since(began) > maxBackoff {
 			backoff = initialBackoff
 		}
@@ -59,7 +60,7 @@
 	}
 }
 
-// watch runs one stream until it ends, which it returns the reason of. It sets version to each that is accepted.
+// watch runs one stream until it ends, and returns the reason. It sets version to each accepted version.
 func (w *EndpointWatcher) watch(ctx context.Context, version *string) error {
 	conn, err := w.dial()
 	if err != nil {
@@ -103,14 +104,14 @@
 	}
 }
 
-// handle accepts or rejects a response, and returns the ACK or NACK.
+// handle accepts or rejects a response and returns the ACK or NACK.
 func (w *EndpointWatcher) handle(response *discoveryv3.DiscoveryResponse, version *string) *discoveryv3.DiscoveryRequest {
 	nodes, fault := w.parseEndpoints(response)
 	if fault == nil {
 		*version = response.GetVersionInfo()
 		w.Accepted(*version, nodes)
 	} else {
-		w.Log.Error("endpoint list rejected, the last one stays",
+		w.Log.Error("endpoint list rejected, keeping the last accepted one",
 			zap.String("version", response.GetVersionInfo()), zap.Error(fault))
 	}
 	answer := w.request(*version)
--- a/xds/transport/endpoint_watcher_test.go
+++ b/xds/transport/endpoint_watcher_test.go
@@ -19,10 +19,10 @@
 	"harehook.dev/harehook/xds"
 )
 
-// listService is a service with an endpoint list; it sends scripted versions and records the answers.
+// listService is an xDS service that sends the queued versions of an endpoint list and records the requests.
 type listService struct {
 	discoveryv3.UnimplementedAggregatedDiscoveryServiceServer
-	send chan *discoveryv3.DiscoveryResponse // nil: the stream ends there
+	send chan *discoveryv3.DiscoveryResponse // nil ends the stream
 	lock sync.Mutex
 	said []string
 }
@@ -38,7 +38,7 @@
 		l.lock.Unlock()
 		next := <-l.send
 		if next == nil {
-			return fmt.Errorf("gone")
+			return fmt.Errorf("stream ended by the test")
 		}
 		if err := s.Send(next); err != nil {
 			return err
@@ -64,8 +64,9 @@
 		Resources: []*anypb.Any{body}}
 }
 
-// A service sends good, faulty and undecodable versions in a row, and vanishes: each faulty one has to be rejected with its
-// reason, the last good list stays, and its version is stated when the service is back.
+// The service sends valid, invalid and undecodable versions in a row, ends the stream and accepts a new one. Each
+// invalid version must be rejected with the reason, the last accepted list must stay in use, and the first request on
+// the new stream must have its version.
 func TestEndpointWatcherKeepsLastGoodList(t *testing.T) {
 	l := &listService{send: make(chan *discoveryv3.DiscoveryResponse, 16)}
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -107,20 +108,20 @@
 	} {
 		l.send <- r
 	}
-	waitFor(t, "all are answered", func() bool {
+	waitFor(t, "all responses are answered", func() bool {
 		l.lock.Lock()
 		defer l.lock.Unlock()
 		return len(l.said) >= 9
 	})
 	l.lock.Lock()
 	if diff := cmp.Diff([]string{fmt.Sprintf("v1 a%d b%d", planner.Ready, planner.Draining), fmt.Sprintf("v7 127.0.0.1:9%d", planner.Ready)}, accepted); diff != "" {
-		t.Errorf("accepted:\n%s", diff)
+		t.Errorf("accepted versions (-want +got):\n%s", diff)
 	}
 	if diff := cmp.Diff([]string{`[tickets] has "": `, `[tickets] has "v1": `, `[tickets] has "v1": zone "moon" is not known`,
-		`[tickets] has "v1": node "a" is there twice`, `[tickets] has "v1": it names no node that takes calls`,
-		`[tickets] has "v1": not the endpoints of "tickets"`, `[tickets] has "v1": not the endpoints of "tickets"`, `[tickets] has "v1": `,
+		`[tickets] has "v1": name or address of node "a" is listed twice`, `[tickets] has "v1": endpoint list has no ready node`,
+		`[tickets] has "v1": resource is not the ClusterLoadAssignment of "tickets"`, `[tickets] has "v1": resource is not the ClusterLoadAssignment of "tickets"`, `[tickets] has "v1": `,
 		`[tickets] has "v7": `}, l.said); diff != "" {
-		t.Errorf("said:\n%s", diff)
+		t.Errorf("requests (-want +got):\n%s", diff)
 	}
 	l.lock.Unlock()
 	stop()
--- a/xds/transport/hub.go
+++ b/xds/transport/hub.go
@@ -12,16 +12,17 @@
 	"harehook.dev/harehook/xds"
 )
 
-// baselineRate is the requests a second of a sidecar that joins: a rough figure, since it tells none.
+// baselineRate is the baseline rate of a sidecar that joins, in requests per second. It is a rough estimate, because a
+// sidecar does not report its rate when it joins.
 const baselineRate = 1.0
 
-// Node is a node and where it takes requests.
+// Node holds the name, zone and address of a node.
 type Node struct {
 	Name, Zone string
 	Address    xds.Address
 }
 
-// runHub runs tasks and applies commands until ctx ends. It owns the state machines.
+// runHub runs the hub, which owns the state machines: it runs tasks and applies commands until ctx is done.
 func (s *Server) runHub(ctx context.Context) {
 	defer close(s.done)
 	for {
@@ -38,10 +39,10 @@
 	}
 }
 
-// applyBatch applies commands and reports to the controller that they were accepted.
+// applyBatch applies commands and notifies the controller that they were accepted.
 func (s *Server) applyBatch(batch []controller.Command) {
 	if err := s.Streams.ApplyCommands(s.now(), batch); err != nil {
-		s.Log.Error("commands make no resources", zap.Error(err))
+		s.Log.Error("cannot compile commands into resources", zap.Error(err))
 	}
 	for _, command := range batch {
 		if command.Kind == controller.RequestAck {
@@ -50,7 +51,7 @@
 	}
 }
 
-// post has the hub run a task; it returns false if the hub has ended.
+// post queues a task to run on the hub and blocks while the queue is full. It returns false if the hub has stopped.
 func (s *Server) post(task func()) bool {
 	select {
 	case s.tasks <- task:
@@ -60,7 +61,7 @@
 	}
 }
 
-// call has the hub run a task and waits for its end; it returns false if the hub has ended.
+// call runs a task on the hub and waits until it has finished. It returns false if the hub has stopped.
 func (s *Server) call(task func()) bool {
 	finished := make(chan struct{})
 	posted := s.post(func() {
@@ -78,8 +79,8 @@
 	}
 }
 
-// AddAddresses sets where nodes take requests, and keeps those of all other nodes. It has to be called before the controller
-// is told of them.
+// AddAddresses sets the addresses of the given nodes; those of all other nodes stay. It must be called before the nodes
+// are reported to the controller.
 func (s *Server) AddAddresses(nodes []Node) {
 	s.call(func() {
 		for _, node := range nodes {
@@ -92,22 +93,22 @@
 func (s *Server) SetAgreedRoutes(routingRevision uint64, routes []xds.Route) {
 	s.call(func() {
 		if err := s.Streams.SetAgreedRoutes(s.now(), routingRevision, routes); err != nil {
-			s.Log.Error("agreed routes make no resources", zap.Error(err))
+			s.Log.Error("cannot compile agreed routes into resources", zap.Error(err))
 		}
 	})
 }
 
-// hubSink implements xds.Sink; the hub calls it.
+// hubSink implements xds.Sink. Its methods run on the hub.
 type hubSink struct{ server *Server }
 
-// Send passes a response to its stream.
+// Send queues a response for its stream.
 func (h hubSink) Send(id uint64, r *discoveryv3.DiscoveryResponse) { h.send(id, r) }
 
-// SendDelta passes a response to its stream.
+// SendDelta queues a response for its stream.
 func (h hubSink) SendDelta(id uint64, r *discoveryv3.DeltaDiscoveryResponse) { h.send(id, r) }
 
-// send passes a response to the stream's sender. A sidecar that does not read its responses is disconnected, since the hub
-// must not wait for it.
+// send queues a response for the goroutine that sends on the stream. If the queue is full because the sidecar does not
+// read its responses, the stream is cancelled, because the hub must not block.
 func (h hubSink) send(id uint64, response any) {
 	to := h.server.streams[id]
 	if to == nil {
@@ -116,26 +117,26 @@
 	select {
 	case to.responses <- response:
 	default:
-		to.cancel(status.Error(codes.ResourceExhausted, "responses were not read"))
+		to.cancel(status.Error(codes.ResourceExhausted, "response queue is full: the sidecar does not read its responses"))
 	}
 }
 
-// CloseStream ends a stream.
+// CloseStream cancels a stream with the given reason.
 func (h hubSink) CloseStream(id uint64, why string) {
 	if closing := h.server.streams[id]; closing != nil {
 		closing.cancel(status.Error(codes.Aborted, why))
 	}
 }
 
-// Joined tells the controller of a proxy.
+// Joined notifies the controller that a proxy has joined.
 func (h hubSink) Joined(proxy int, zone string) {
 	h.server.Controller.ProxyJoined(proxy, zone, baselineRate)
 }
 
-// Left tells the controller that a proxy has left.
+// Left notifies the controller that a proxy has left.
 func (h hubSink) Left(proxy int) { h.server.Controller.ProxyLeft(proxy) }
 
-// Acknowledged tells the controller of a proxy's acknowledgement.
+// Acknowledged notifies the controller that a proxy has acknowledged a nonce.
 func (h hubSink) Acknowledged(proxy, nonce int) { h.server.Controller.Acknowledged(proxy, nonce) }
 
 // Rejected logs a NACK.
--- a/xds/transport/load_reports.go
+++ b/xds/transport/load_reports.go
@@ -15,29 +15,31 @@
 )
 
 const (
-	maxReportEndpoints = 4096    // of one report
-	maxReportSeconds   = 600.0   // that one report may cover
-	maxReportCount     = 1 << 30 // no count of a report is as large
+	maxReportEndpoints = 4096    // in one report
+	maxReportSeconds   = 600.0   // interval that one report covers
+	maxReportCount     = 1 << 30 // upper limit of a count in a report; valid counts are lower
 )
 
-// errTooManyEndpoints rejects a load report as a whole.
-var errTooManyEndpoints = errors.New("a load report has too many endpoints")
+// errTooManyEndpoints is returned for a load report with more than maxReportEndpoints endpoints. The report is rejected
+// as a whole.
+var errTooManyEndpoints = errors.New("load report has too many endpoints")
 
-// loadReport is what a sidecar tells of its attempts and of the requests that came to it.
+// loadReport is the parsed load report of a sidecar: its attempts by endpoint, and the requests it received by route.
 type loadReport struct {
 	endpoints     []endpointLoad
 	demand        []routeDemand
-	endpointCount int    // also of those that were left out
-	malformed     uint64 // entries that were left out
+	endpointCount int    // including omitted ones
+	malformed     uint64 // number of omitted entries
 }
 
-// endpointLoad are the attempts at one endpoint; the report's node is found by the address.
+// endpointLoad describes the attempts at one endpoint. The node of the report is set when it is delivered, from the
+// address.
 type endpointLoad struct {
 	address xds.Address
 	report  controller.LoadReport
 }
 
-// routeDemand are the requests of one route.
+// routeDemand is the number of requests of one route in an interval.
 type routeDemand struct {
 	route    string
 	requests int
@@ -77,7 +79,7 @@
 	}
 }
 
-// handleLoadReport passes a sidecar's report on to the controller.
+// handleLoadReport parses the load report of a sidecar and delivers it to the controller.
 func (s *Server) handleLoadReport(id string, r *loadv3.LoadStatsRequest) {
 	report, err := parseLoadReport(r)
 	s.MalformedRequests.Add(report.malformed)
@@ -88,7 +90,7 @@
 	s.post(func() { s.deliverLoadReport(id, report) })
 }
 
-// deliverLoadReport tells the controller what a report says; the hub calls it.
+// deliverLoadReport adds a load report to the controller. It must run on the hub.
 func (s *Server) deliverLoadReport(id string, report loadReport) {
 	proxy, known := s.Streams.Number(id)
 	if !known {
@@ -109,7 +111,7 @@
 	}
 }
 
-// parseLoadReport reads a report. An entry with an impossible figure is left out; errTooManyEndpoints rejects the report.
+// parseLoadReport parses a load report. Entries with impossible values are omitted. The error is errTooManyEndpoints.
 func parseLoadReport(r *loadv3.LoadStatsRequest) (report loadReport, err error) {
 	for _, cluster := range r.GetClusterStats() {
 		interval := cluster.GetLoadReportInterval().AsDuration().Seconds()
@@ -126,7 +128,7 @@
 	return report, nil
 }
 
-// addLocality adds the endpoints and the routes' metrics of a locality.
+// addLocality adds the endpoint stats and the route metrics of a locality.
 func (report *loadReport) addLocality(locality *endpointv3.UpstreamLocalityStats, interval float64) error {
 	for _, stats := range locality.GetUpstreamEndpointStats() {
 		report.endpointCount++
@@ -166,7 +168,7 @@
 	return load
 }
 
-// isPlausible tells whether a report's figures can be. A latency that is no number is not.
+// isPlausible reports whether the values of a report are possible. A latency that is NaN or infinite is not.
 func isPlausible(report controller.LoadReport) bool {
 	if report.Completed < report.Failed || report.Completed == 0 || report.Completed == maxReportCount {
 		return false
--- a/xds/transport/rejection_test.go
+++ b/xds/transport/rejection_test.go
@@ -19,7 +19,7 @@
 	"harehook.dev/harehook/xds"
 )
 
-// rejectingSidecar is a sidecar that rejects some contents and whose routing is checked after each response.
+// rejectingSidecar is a sidecar that rejects some resources. Its routing table is checked after each response.
 type rejectingSidecar struct {
 	*sidecar.ResourceCache
 	stateMutex sync.Mutex
@@ -33,13 +33,14 @@
 	for resourceType, versions := range p.Table().Versions {
 		for name, version := range versions {
 			if p.rejected[fmt.Sprint(xds.ResourceType(resourceType), name, version)] {
-				p.violations = append(p.violations, fmt.Sprintf("%s routes by %s of %s, which it rejected", p.ID, version, name))
+				p.violations = append(p.violations, fmt.Sprintf("%s: got rejected version %s of %s in the routing table", p.ID, version, name))
 			}
 		}
 	}
 }
 
-// runStreams runs one stream after the other until ctx ends. One that was cut may still be read when the next one begins.
+// runStreams runs one stream until it ends or ctx is done. A cancelled stream may still be read when the next one
+// starts.
 func (p *rejectingSidecar) runStreams(ctx context.Context, conn *grpc.ClientConn) {
 	client := discoveryv3.NewAggregatedDiscoveryServiceClient(conn)
 	if p.Delta {
@@ -64,8 +65,9 @@
 	}, func() {})
 }
 
-// Tables change, sidecars reject some contents, and streams are cut at any time: no sidecar must route by a version that it
-// rejected, and once the cuts end all have to converge but for what they rejected.
+// Tables change, sidecars reject some resources, and streams are cancelled at random times. No sidecar may route by a
+// version that it has rejected. When no more streams are cancelled, all sidecars must converge, except for the
+// resources that they rejected.
 func TestRejectionsAndCutsOverLoopback(t *testing.T) {
 	const sidecars, pushes = 40, 300
 	server, address := startServer(t, sidecars)
@@ -87,7 +89,7 @@
 				sum.Write(body.GetValue())
 				fmt.Fprint(sum, k)
 				if sum.Sum32()%8 == 0 {
-					return errors.New("rejected by this test")
+					return errors.New("rejected by the test")
 				}
 				return nil
 			},
@@ -95,13 +97,14 @@
 		all[k] = p
 		begin(k)
 	}
-	waitFor(t, "all joined", func() bool { return knownSidecars(server) == sidecars })
+	waitFor(t, "all sidecars are known", func() bool { return knownSidecars(server) == sidecars })
 	publishTable(server, sidecars, 20)
 	for n := range pushes {
 		server.Enqueue([]controller.Command{{Kind: controller.SetWeight, Node: fmt.Sprint("node-", random.IntN(20)), Value: random.Float64()},
 			{Kind: controller.RequestAck, Nonce: n + 2}})
 		server.call(func() {})
-		time.Sleep(4 * time.Millisecond) // only a delay: streams bring the newest state
+		// The delay only paces the changes. Nothing depends on it, because a stream sends the newest state.
+		time.Sleep(4 * time.Millisecond)
 		if k := random.IntN(sidecars); n%3 == 0 {
 			stops[k]()
 			begin(k)
@@ -110,14 +113,17 @@
 			bindAll(server, sidecars, n+2)
 		}
 	}
-	waitFor(t, "all are back", func() bool { return connectedSidecars(server) == sidecars })
+	waitFor(t, "all sidecars are connected again", func() bool { return connectedSidecars(server) == sidecars })
 	bindAll(server, sidecars, pushes+10)
-	waitFor(t, "all converge but for what they reject", func() bool {
+	waitFor(t, "all sidecars converge except for rejected resources", func() bool {
 		n := 0
-		var joins []controller.Command // a stream that was cut may count for a while: its successor then joins after that
+		// A cancelled stream may count as connected for a while; the next stream of the sidecar then joins only
+		// afterwards.
+		var joins []controller.Command
 		defer func() {
 			if len(joins) > 0 {
-				server.Enqueue(append(joins, controller.Command{Kind: controller.RequestAck, Nonce: pushes + 10})) // as the planner binds those that join
+				// The planner also binds sidecars that join.
+				server.Enqueue(append(joins, controller.Command{Kind: controller.RequestAck, Nonce: pushes + 10}))
 			}
 		}()
 		server.call(func() {
@@ -149,7 +155,7 @@
 		}
 	}
 	if got < 300 || refused < 30 {
-		t.Errorf("%d responses and %d rejections only", got, refused)
+		t.Errorf("got %d responses and %d rejections, want at least 300 and 30", got, refused)
 	}
 	t.Logf("%d responses, %d rejections", got, refused)
 }
--- a/xds/transport/server.go
+++ b/xds/transport/server.go
@@ -20,47 +20,49 @@
 )
 
 const (
-	firstRequestTimeout = 2 * time.Second // of a stream; its first request names its node
-	// A sidecar that fell silent is noticed after keepaliveTime and keepaliveTimeout.
+	// firstRequestTimeout limits the time until the first request of a stream, which identifies its node, and the
+	// handshake of a connection.
+	firstRequestTimeout = 2 * time.Second
+	// A connection on which nothing is received is closed after keepaliveTime plus keepaliveTimeout.
 	keepaliveTime           = 10 * time.Second
 	keepaliveTimeout        = 2 * time.Second
-	maxConnectionIdle       = 5 * time.Minute // of a connection without a stream
+	maxConnectionIdle       = 5 * time.Minute // of a connection without streams
 	maxRequestBytes         = 1 << 20
 	maxStreamsPerConnection = 16
 
 	defaultReportInterval = time.Second
-	taskQueueSize         = 1024                            // then streams wait
-	responseQueueSize     = 2*int(xds.NumResourceTypes) + 2 // more are never out for a stream
+	taskQueueSize         = 1024                            // streams block when the queue is full
+	responseQueueSize     = 2*int(xds.NumResourceTypes) + 2 // a stream has fewer unanswered responses: one of each type
 )
 
-// Server serves sidecars. It is the controller's command sink.
+// Server serves xDS to sidecars. It implements controller.CommandSink.
 type Server struct {
-	// Controller has to be set before Run.
+	// Controller must be set before Run is called.
 	Controller *controller.Controller
-	// Streams has the sidecars' state. The hub owns it once Run is called.
+	// Streams manages the sidecars and their streams. The hub owns it once Run is called.
 	Streams        *xds.Server
-	Credentials    credentials.TransportCredentials // nil: plain text
-	ReportInterval time.Duration                    // between two load reports of a sidecar
+	Credentials    credentials.TransportCredentials // nil: plaintext
+	ReportInterval time.Duration                    // interval between load reports of a sidecar
 
-	RegisterServices func(grpc.ServiceRegistrar) // registers further services for operators; nil: none
+	RegisterServices func(grpc.ServiceRegistrar) // registers additional services for operators; nil: none
 	Log              *zap.Logger
 
-	// MalformedRequests counts requests and entries of load reports that were invalid, UnknownReports reports of a sidecar
-	// or node that is not known.
+	// MalformedRequests counts invalid requests, and invalid entries of load reports. UnknownReports counts load
+	// reports of unknown sidecars, and entries for unknown nodes.
 	MalformedRequests, UnknownReports atomic.Uint64
 
 	startedAt    time.Time
 	lastStreamID atomic.Uint64
 	streams      map[uint64]*stream // by id; owned by the hub
-	tasks        chan func()        // run by the hub
-	done         chan struct{}      // closed at the hub's end
+	tasks        chan func()        // to run on the hub
+	done         chan struct{}      // closed when the hub stops
 
 	batchesMutex sync.Mutex
-	batches      [][]controller.Command // that the hub has not taken yet
-	batchesReady chan struct{}          // with room for one
+	batches      [][]controller.Command // enqueued and not yet applied by the hub
+	batchesReady chan struct{}          // signals the hub that batches were enqueued; capacity 1
 }
 
-// NewServer returns a server for at most maxSidecars.
+// NewServer returns a server for at most maxSidecars sidecars.
 func NewServer(compiler *xds.Compiler, maxSidecars int, log *zap.Logger) *Server {
 	s := &Server{
 		Log:            log,
@@ -75,22 +77,22 @@
 	return s
 }
 
-// now is the time for the state machines: seconds since the server was made.
+// now returns the time for the state machines: seconds since the server was created.
 func (s *Server) now() float64 { return time.Since(s.startedAt).Seconds() }
 
-// Enqueue implements controller.CommandSink. Commands are retained until sidecars have accepted them, so the hub reports
-// them as accepted at once.
+// Enqueue implements controller.CommandSink. The state machines retain the commands until the sidecars have accepted
+// them, so the hub reports them to the controller as accepted immediately.
 func (s *Server) Enqueue(batch []controller.Command) {
 	s.batchesMutex.Lock()
 	s.batches = append(s.batches, batch)
 	s.batchesMutex.Unlock()
 	select {
 	case s.batchesReady <- struct{}{}:
-	default: // the hub is to take them already
+	default: // the hub is already notified
 	}
 }
 
-// takeBatches returns the batches that were enqueued since the last time.
+// takeBatches removes and returns the batches that were enqueued since the previous call.
 func (s *Server) takeBatches() [][]controller.Command {
 	s.batchesMutex.Lock()
 	defer s.batchesMutex.Unlock()
@@ -99,7 +101,7 @@
 	return batches
 }
 
-// Run serves on a listener until ctx ends. It returns the listener's error if that fails before.
+// Run serves on a listener until ctx is done, and then returns nil. If serving fails earlier, it returns the error.
 func (s *Server) Run(ctx context.Context, listener net.Listener) error {
 	server := grpc.NewServer(s.options()...)
 	discoveryv3.RegisterAggregatedDiscoveryServiceServer(server, adsService{server: s})
--- a/xds/transport/server_test.go
+++ b/xds/transport/server_test.go
@@ -26,13 +26,13 @@
 	"harehook.dev/harehook/xds"
 )
 
-const testTimeout = 20 * time.Second // of what takes milliseconds on an idle machine
+const testTimeout = 20 * time.Second // for conditions that are met within milliseconds on an idle machine
 
 func waitFor(t *testing.T, what string, ok func() bool) {
 	t.Helper()
 	for end := time.Now().Add(testTimeout); !ok(); time.Sleep(5 * time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatalf("not within %s: %s", testTimeout, what)
+			t.Fatalf("condition not met within %s: %s", testTimeout, what)
 		}
 	}
 }
@@ -46,7 +46,7 @@
 	return conn
 }
 
-// convergedSidecars is the number of sidecars that have accepted all of their targets.
+// convergedSidecars returns the number of sidecars that have accepted the target versions of all resources.
 func convergedSidecars(server *Server) (n int) {
 	server.call(func() {
 		for _, s := range server.Streams.Sidecars(server.now()) {
@@ -62,12 +62,13 @@
 	return n
 }
 
-// knownSidecars is the number of sidecars that ever joined, connectedSidecars that of those with a stream.
+// knownSidecars returns the number of sidecars that have ever joined.
 func knownSidecars(server *Server) (n int) {
 	server.call(func() { n = len(server.Streams.Sidecars(server.now())) })
 	return n
 }
 
+// connectedSidecars returns the number of sidecars with an open stream.
 func connectedSidecars(server *Server) (n int) {
 	server.call(func() {
 		for _, s := range server.Streams.Sidecars(server.now()) {
@@ -79,7 +80,7 @@
 	return n
 }
 
-// publishTable binds all sidecars to a table with some nodes.
+// publishTable publishes a routing table with the given number of nodes and binds all sidecars to it.
 func publishTable(server *Server, sidecars, nodes int) {
 	batch := []controller.Command{{Kind: controller.SetAdmission, Table: planner.AllTables, Route: "quote", Value: 1}}
 	for n := range nodes {
@@ -100,8 +101,8 @@
 	server.Enqueue(append(batch, controller.Command{Kind: controller.RequestAck, Nonce: nonce}))
 }
 
-// Hundreds of sidecars of both variants lose their streams at once, again and again, while tables change: all have to
-// converge to the newest versions, and those that have them already are sent nothing.
+// Hundreds of sidecars of both variants lose their streams at the same time, repeatedly, while tables change. All must
+// converge to the newest versions, and a sidecar that already has them must not receive a response.
 func TestReconnectStormsConverge(t *testing.T) {
 	const sidecars = 300
 	server, address := startServer(t, sidecars)
@@ -121,7 +122,7 @@
 			on := conn
 			streams.Go(func() { c.join(ctx, on, h) })
 		}
-		waitFor(t, "all joined", func() bool { return connectedSidecars(server) == sidecars })
+		waitFor(t, "all sidecars are connected", func() bool { return connectedSidecars(server) == sidecars })
 		if round == 0 {
 			publishTable(server, sidecars, 20)
 		} else {
@@ -130,27 +131,27 @@
 			}
 			bindAll(server, sidecars, round+1)
 		}
-		waitFor(t, fmt.Sprintf("all settled in round %d", round), func() bool { return convergedSidecars(server) == sidecars })
+		waitFor(t, fmt.Sprintf("all sidecars converged in round %d", round), func() bool { return convergedSidecars(server) == sidecars })
 		if answers := c.answers.Load(); round%2 == 1 && answers != 0 {
-			t.Errorf("round %d: %d responses to sidecars that hold all", round, answers)
+			t.Errorf("round %d without changes: got %d responses, want 0", round, answers)
 		}
 		stop()
 		streams.Wait()
-		waitFor(t, "all left", func() bool { return connectedSidecars(server) == 0 })
+		waitFor(t, "all sidecars are disconnected", func() bool { return connectedSidecars(server) == 0 })
 	}
 }
 
-// Requests that violate the protocol end their stream with a status and a reason and are counted; other sidecars are served
-// as before.
+// Requests that violate the protocol must end their stream with a status and a reason, and must be counted. Other
+// sidecars must not be affected.
 func TestMisbehavingClientsAreDisconnected(t *testing.T) {
 	server, address := startServer(t, 3)
 	good := &sidecar.ResourceCache{ID: "till", Zone: "north", Delta: true}
 	ctx, stop := context.WithCancel(context.Background())
 	defer stop()
 	go (&sidecarClients{}).join(ctx, dial(t, address), good)
-	waitFor(t, "it joined", func() bool { return knownSidecars(server) == 1 })
+	waitFor(t, "the sidecar is known", func() bool { return knownSidecars(server) == 1 })
 	publishTable(server, 1, 3)
-	waitFor(t, "it has accepted its table", func() bool { return convergedSidecars(server) == 1 })
+	waitFor(t, "the sidecar has accepted its table", func() bool { return convergedSidecars(server) == 1 })
 
 	client := discoveryv3.NewAggregatedDiscoveryServiceClient(dial(t, address))
 	node := func(id, zone string) *corev3.Node {
@@ -167,7 +168,7 @@
 		"too many names": {[]*discoveryv3.DiscoveryRequest{{Node: node("x", "north"), TypeUrl: xds.Endpoints.TypeURL(),
 			ResourceNames: make([]string, 5000)}}, codes.InvalidArgument, "4096 at most"},
 		"too large": {[]*discoveryv3.DiscoveryRequest{{Node: node("x", "north"), TypeUrl: strings.Repeat("x", maxRequestBytes+1)}}, codes.ResourceExhausted, "larger than max"},
-		"silent":    {nil, codes.DeadlineExceeded, "no first request"},
+		"silent":    {nil, codes.DeadlineExceeded, "no first request within 2s"},
 	} {
 		t.Run(name, func(t *testing.T) {
 			s, err := client.StreamAggregatedResources(ctx)
@@ -178,7 +179,7 @@
 				s.Send(r)
 			}
 			if _, err = s.Recv(); status.Code(err) != c.code || !strings.Contains(status.Convert(err).Message(), c.why) {
-				t.Errorf("%s: %v, want %s %q", name, err, c.code, c.why)
+				t.Errorf("%s: got error %v, want code %s with message %q", name, err, c.code, c.why)
 			}
 		})
 	}
@@ -186,21 +187,21 @@
 		s, _ := client.StreamAggregatedResources(ctx)
 		s.Send(&discoveryv3.DiscoveryRequest{Node: node(id, "north"), TypeUrl: xds.Clusters.TypeURL()})
 	}
-	waitFor(t, "three are known", func() bool { return knownSidecars(server) == 3 })
+	waitFor(t, "three sidecars are known", func() bool { return knownSidecars(server) == 3 })
 	s, _ := client.StreamAggregatedResources(ctx)
 	s.Send(&discoveryv3.DiscoveryRequest{Node: node("one too many", "north"), TypeUrl: xds.Clusters.TypeURL()})
 	if _, err := s.Recv(); status.Code(err) != codes.InvalidArgument || !strings.Contains(err.Error(), "no more may join") {
-		t.Errorf("too many: %v", err)
+		t.Errorf("one sidecar too many: got error %v, want code %s with message %q", err, codes.InvalidArgument, "no more may join")
 	}
 	if server.MalformedRequests.Load() < 5 {
-		t.Errorf("%d counted", server.MalformedRequests.Load())
+		t.Errorf("got %d malformed requests, want at least 5", server.MalformedRequests.Load())
 	}
 	if convergedSidecars(server) < 1 {
-		t.Error("the good one lost its table")
+		t.Error("got no converged sidecar, want the valid one to keep its table")
 	}
 }
 
-// A second stream of a node id replaces the first, whose messages are ignored from then on.
+// A second stream with the same node id replaces the first one, which is aborted and whose messages are then ignored.
 func TestSecondStreamReplacesFirst(t *testing.T) {
 	server, address := startServer(t, 3)
 	client := discoveryv3.NewAggregatedDiscoveryServiceClient(dial(t, address))
@@ -213,25 +214,25 @@
 		return s
 	}
 	first := open()
-	waitFor(t, "it joined", func() bool { return knownSidecars(server) == 1 })
+	waitFor(t, "the sidecar is known", func() bool { return knownSidecars(server) == 1 })
 	second := open()
 	if _, err := first.Recv(); status.Code(err) != codes.Aborted {
-		t.Errorf("the first: %v", err)
+		t.Errorf("first stream: got error %v, want code %s", err, codes.Aborted)
 	}
 	publishTable(server, 1, 2)
 	if r, err := second.Recv(); err != nil || len(r.GetResources()) != 1 {
-		t.Errorf("the second: %v, %v", r, err)
+		t.Errorf("second stream: got response %v and error %v, want 1 resource", r, err)
 	}
 }
 
-// Load reports reach the controller; an impossible entry is left out alone.
+// Load reports must reach the controller. Of a report with an impossible entry only that entry is omitted.
 func TestLoadReportsReachController(t *testing.T) {
 	server, address := startServer(t, 3)
 	ctx, stop := context.WithCancel(t.Context())
 	defer stop()
 	conn := dial(t, address)
 	go (&sidecarClients{}).join(ctx, conn, &sidecar.ResourceCache{ID: "till", Zone: "north", Delta: true})
-	waitFor(t, "it joined", func() bool { return knownSidecars(server) == 1 })
+	waitFor(t, "the sidecar is known", func() bool { return knownSidecars(server) == 1 })
 	publishTable(server, 1, 1)
 	s, err := loadv3.NewLoadReportingServiceClient(conn).StreamLoadStats(ctx)
 	if err != nil {
@@ -239,7 +240,7 @@
 	}
 	s.Send(&loadv3.LoadStatsRequest{Node: &corev3.Node{Id: "till"}})
 	if r, err := s.Recv(); err != nil || r.GetLoadReportingInterval().AsDuration() != server.ReportInterval {
-		t.Fatalf("%v %v", r, err)
+		t.Fatalf("got response %v and error %v, want reporting interval %s", r, err, server.ReportInterval)
 	}
 	endpoint := func(port uint32, issued, errors uint64) *endpointv3.UpstreamEndpointStats {
 		return &endpointv3.UpstreamEndpointStats{TotalIssuedRequests: issued, TotalErrorRequests: errors,
@@ -250,12 +251,12 @@
 			UpstreamLocalityStats: []*endpointv3.UpstreamLocalityStats{{UpstreamEndpointStats: endpoints}}}}})
 	}
 	report(time.Second, endpoint(1000, 10, 2), endpoint(1000, 1, 2), endpoint(9999, 5, 0))
-	waitFor(t, "the bad line and the unknown node are counted", func() bool { return server.MalformedRequests.Load() == 1 && server.UnknownReports.Load() == 1 })
+	waitFor(t, "the invalid entry and the unknown node are counted", func() bool { return server.MalformedRequests.Load() == 1 && server.UnknownReports.Load() == 1 })
 	report(0, endpoint(1000, 10, 2))
 	report(-time.Second, endpoint(1000, 10, 2))
-	waitFor(t, "spans that can't be are counted", func() bool { return server.MalformedRequests.Load() == 3 })
+	waitFor(t, "impossible intervals are counted", func() bool { return server.MalformedRequests.Load() == 3 })
 	s.CloseSend()
 	if _, err := s.Recv(); !errors.Is(err, io.EOF) {
-		t.Errorf("after its end: %v", err)
+		t.Errorf("after the end of the stream: got error %v, want %v", err, io.EOF)
 	}
 }
--- a/xds/transport/status.go
+++ b/xds/transport/status.go
@@ -16,7 +16,7 @@
 	"harehook.dev/harehook/xds"
 )
 
-// Keys of a node's metadata in the status service's responses.
+// Keys of the node metadata in the responses of the client status discovery service.
 const (
 	StatusJoined              = "joined"
 	StatusTable               = "table"
@@ -34,8 +34,8 @@
 	variantStateOfTheWorld = "state"
 )
 
-// statusService implements client status discovery: it tells operators what each sidecar has accepted, is to have and has
-// rejected.
+// statusService implements the client status discovery service. It shows operators the accepted, target and rejected
+// version of each resource of each sidecar.
 type statusService struct {
 	statusv3.UnimplementedClientStatusDiscoveryServiceServer
 	server *Server
@@ -63,7 +63,7 @@
 	}
 }
 
-// response has the sidecars that the request names, all if it names none.
+// response returns the status of the sidecars that the request matches, or of all sidecars if it has no matchers.
 func (c statusService) response(r *statusv3.ClientStatusRequest) (*statusv3.ClientStatusResponse, error) {
 	response := &statusv3.ClientStatusResponse{}
 	named := map[string]bool{}
@@ -79,7 +79,7 @@
 		}
 	})
 	if !answered {
-		return nil, status.Error(codes.Unavailable, "the controller stops")
+		return nil, status.Error(codes.Unavailable, "the controller is shutting down")
 	}
 	return response, nil
 }
@@ -106,7 +106,7 @@
 	if sidecar.Delta {
 		variant = variantDelta
 	}
-	metadata, _ := structpb.NewStruct(map[string]any{ // fails for other types of values only
+	metadata, _ := structpb.NewStruct(map[string]any{ // fails only for other types of values
 		StatusJoined:              sidecar.Connected,
 		StatusTable:               table,
 		StatusDisconnectedSeconds: sidecar.DisconnectedSeconds,
--- a/xds/transport/stream.go
+++ b/xds/transport/stream.go
@@ -11,25 +11,25 @@
 	"harehook.dev/harehook/xds"
 )
 
-// stream is a sidecar's aggregated stream. Its goroutines end with its context.
+// stream is the aggregated stream of a sidecar. Its goroutines return when its context is done.
 type stream struct {
 	id        uint64
 	responses chan any
 	cancel    context.CancelCauseFunc
 
-	closed bool // owned by the hub: what was received before and is handled after is void
+	closed bool // owned by the hub; if set, requests received earlier and handled later have no effect
 }
 
-// streamNode is the node that a stream's first request names.
+// streamNode holds the node id and zone in the first request of a stream.
 type streamNode struct{ id, zone string }
 
-// streamRequest is a request of either variant.
+// streamRequest is a request of either variant, state of the world or delta.
 type streamRequest struct {
 	node   streamNode
-	handle func(stream uint64) error // by the state machines; the hub calls it
+	handle func(stream uint64) error // passes the request to the state machines; must run on the hub
 }
 
-// streamConn is the gRPC stream of either variant. One goroutine at a time calls each method.
+// streamConn is a gRPC stream of either variant. Calls of the same method must not be concurrent.
 type streamConn interface {
 	receive() (streamRequest, error)
 	send(response any) error
@@ -91,29 +91,30 @@
 	return c.grpcStream.Send(response.(*discoveryv3.DeltaDiscoveryResponse))
 }
 
-// serveStream runs a stream until it ends: this goroutine sends, another one receives.
+// serveStream serves a stream until it ends. The calling goroutine sends responses, another one receives requests.
 func (s *Server) serveStream(ctx context.Context, delta bool, conn streamConn) error {
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
 	served := &stream{id: s.lastStreamID.Add(1), responses: make(chan any, responseQueueSize), cancel: cancel}
 	firstRequest := time.AfterFunc(firstRequestTimeout, func() {
-		cancel(status.Error(codes.DeadlineExceeded, "no first request"))
+		cancel(status.Errorf(codes.DeadlineExceeded, "no first request within %s", firstRequestTimeout))
 	})
 	defer firstRequest.Stop()
-	// It can't be waited for: its receive fails only once this method has returned, which ends the gRPC stream.
+	// This goroutine cannot be waited for: receive returns an error only after this method has returned, because that
+	// ends the gRPC stream.
 	go s.receiveRequests(served, delta, conn, firstRequest)
 	defer s.post(func() { s.closeStream(served) })
 	return s.sendResponses(ctx, served, conn)
 }
 
-// sendResponses sends responses until the stream or the hub ends.
+// sendResponses sends queued responses until the stream ends or the hub stops.
 func (s *Server) sendResponses(ctx context.Context, to *stream, conn streamConn) error {
 	for {
 		select {
 		case <-ctx.Done():
 			return streamStatus(ctx)
 		case <-s.done:
-			return status.Error(codes.Unavailable, "the controller stops")
+			return status.Error(codes.Unavailable, "the controller is shutting down")
 		case response := <-to.responses:
 			if err := conn.send(response); err != nil {
 				return err
@@ -122,7 +123,7 @@
 	}
 }
 
-// receiveRequests posts requests to the hub until the stream or the hub ends. The first one opens the stream.
+// receiveRequests posts requests to the hub until the stream ends or the hub stops. The first request opens the stream.
 func (s *Server) receiveRequests(from *stream, delta bool, conn streamConn, firstRequest *time.Timer) {
 	opened := false
 	for {
@@ -149,7 +150,7 @@
 	}
 }
 
-// openStream has the hub open a stream; it returns false if that is not to be.
+// openStream opens a stream on the hub. It returns false if the zone is unknown or the hub has stopped.
 func (s *Server) openStream(opening *stream, delta bool, node streamNode) bool {
 	if !s.Controller.KnowsZone(node.zone) {
 		s.MalformedRequests.Add(1)
@@ -157,8 +158,8 @@
 		return false
 	}
 	return s.post(func() {
-		// A stream may end in the instant in which its first request was received: opened after its end, its sidecar would
-		// count as connected for good.
+		// A stream may end after its first request was received and before the hub opens it. If the hub opened it then,
+		// its sidecar would count as connected forever.
 		if opening.closed {
 			return
 		}
@@ -169,20 +170,20 @@
 	})
 }
 
-// rejectStream ends a stream whose request was invalid.
+// rejectStream cancels a stream because of an invalid request.
 func (s *Server) rejectStream(rejected *stream, reason error) {
 	s.MalformedRequests.Add(1)
 	rejected.cancel(status.Error(codes.InvalidArgument, reason.Error()))
 }
 
-// closeStream forgets a stream; the hub calls it.
+// closeStream removes a stream. It must run on the hub.
 func (s *Server) closeStream(closing *stream) {
 	closing.closed = true
 	delete(s.streams, closing.id)
 	s.Streams.Close(s.now(), closing.id)
 }
 
-// streamStatus returns why a stream's context ended as a gRPC status.
+// streamStatus returns the cause for which the context of a stream was cancelled, as a gRPC status.
 func streamStatus(ctx context.Context) error {
 	err := context.Cause(ctx)
 	if _, isStatus := status.FromError(err); isStatus {
