--- a/cmd/harehookctl/sidecars.go
+++ b/cmd/harehookctl/sidecars.go
@@ -54,7 +54,7 @@
 func sidecarOutputOf(c *statusv3.ClientConfig) sidecarOutput {
 	about := c.GetNode().GetMetadata().GetFields()
 	r := sidecarOutput{ID: c.GetNode().GetId(), Zone: c.GetNode().GetLocality().GetZone(), Table: about[front.StatusTable].GetStringValue(),
-		Joined: about[front.StatusJoined].GetBoolValue(), DisconnectedS: about[front.StatusDisconnectedSeconds].GetNumberValue(),
+		Joined: about[front.StatusConnected].GetBoolValue(), DisconnectedS: about[front.StatusDisconnectedSeconds].GetNumberValue(),
 		Unconfirmed: int(about[front.StatusUnconfirmed].GetNumberValue())}
 	for _, g := range c.GetGenericXdsConfigs() {
 		kind, _ := xds.ParseTypeURL(g.GetTypeUrl())
--- a/xds/transport/bench_test.go
+++ b/xds/transport/bench_test.go
@@ -29,46 +29,46 @@
 	server = NewServer(compiler, maxSidecars, zap.NewNop())
 	server.Controller = controller.New(settings.Deployment{Planner: planner.Config{Zones: 1, MachineTypes: 1, Proxies: maxSidecars, Sharded: true, Routes: []planner.Route{{}}},
 		Zones: []string{"north"}, MachineTypes: []string{"node"}, Routes: []string{"quote"}, EventInterval: 0.004}, nil, server, zap.NewNop())
-	l, err := net.Listen("tcp", "127.0.0.1:0")
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		tb.Fatal(err)
 	}
 	ctx, stop := context.WithCancel(context.Background())
-	var parts sync.WaitGroup
-	parts.Go(func() { server.Controller.Run(ctx) })
-	parts.Go(func() { server.Run(ctx, l) })
-	tb.Cleanup(func() { stop(); parts.Wait() })
-	return server, l.Addr().String()
+	var tasks sync.WaitGroup
+	tasks.Go(func() { server.Controller.Run(ctx) })
+	tasks.Go(func() { server.Run(ctx, listener) })
+	tb.Cleanup(func() { stop(); tasks.Wait() })
+	return server, listener.Addr().String()
 }
 
 // sidecarClients runs sidecars without proxies, each on its own stream, and counts the responses and their bytes.
 type sidecarClients struct {
-	answers, bytes atomic.Int64
+	responses, bytes atomic.Int64
 }
 
-func (c *sidecarClients) join(ctx context.Context, conn *grpc.ClientConn, h *sidecar.ResourceCache) error {
+func (c *sidecarClients) runStream(ctx context.Context, conn *grpc.ClientConn, cache *sidecar.ResourceCache) error {
 	client := discoveryv3.NewAggregatedDiscoveryServiceClient(conn)
-	counted := func(size int) {
+	countResponse := func(size int) {
 		c.bytes.Add(int64(size))
-		c.answers.Add(1)
+		c.responses.Add(1)
 	}
-	if h.Delta {
+	if cache.Delta {
 		s, err := client.DeltaAggregatedResources(ctx)
 		if err != nil {
 			return err
 		}
-		return sidecar.Exchange(s, h.BeginDelta(), nil, func(r *discoveryv3.DeltaDiscoveryResponse) ([]*discoveryv3.DeltaDiscoveryRequest, error) {
-			defer counted(proto.Size(r))
-			return h.HandleDelta(r)
+		return sidecar.Exchange(s, cache.BeginDelta(), nil, func(r *discoveryv3.DeltaDiscoveryResponse) ([]*discoveryv3.DeltaDiscoveryRequest, error) {
+			defer countResponse(proto.Size(r))
+			return cache.HandleDelta(r)
 		}, func() {})
 	}
 	s, err := client.StreamAggregatedResources(ctx)
 	if err != nil {
 		return err
 	}
-	return sidecar.Exchange(s, h.BeginStateOfTheWorld(), nil, func(r *discoveryv3.DiscoveryResponse) ([]*discoveryv3.DiscoveryRequest, error) {
-		defer counted(proto.Size(r))
-		return h.HandleStateOfTheWorld(r)
+	return sidecar.Exchange(s, cache.BeginStateOfTheWorld(), nil, func(r *discoveryv3.DiscoveryResponse) ([]*discoveryv3.DiscoveryRequest, error) {
+		defer countResponse(proto.Size(r))
+		return cache.HandleStateOfTheWorld(r)
 	}, func() {})
 }
 
@@ -85,7 +85,7 @@
 				defer stop()
 				runtime.GC()
 				runtime.ReadMemStats(&before)
-				c := &sidecarClients{}
+				clients := &sidecarClients{}
 				var conn *grpc.ClientConn
 				for k := range sidecars {
 					if k%maxStreamsPerConnection == 0 {
@@ -95,8 +95,8 @@
 						}
 						defer conn.Close()
 					}
-					on := conn
-					go c.join(ctx, on, &sidecar.ResourceCache{ID: fmt.Sprint("till-", k), Zone: "north", Delta: delta})
+					clientConn := conn
+					go clients.runStream(ctx, clientConn, &sidecar.ResourceCache{ID: fmt.Sprint("till-", k), Zone: "north", Delta: delta})
 				}
 				batch := []controller.Command{{Kind: controller.SetAdmission, Table: planner.AllTables, Route: "quote", Value: 1}}
 				for n := range nodes {
@@ -104,7 +104,7 @@
 					server.AddAddresses([]Node{{Name: name, Zone: "north", Address: xds.Address{Host: "10.0.0.1", Port: uint32(1000 + n)}}})
 					batch = append(batch, controller.Command{Kind: controller.SetWeight, Node: name, Value: 1})
 				}
-				accepted := func() (n int) {
+				acceptedSidecars := func() (n int) {
 					server.call(func() {
 						for _, s := range server.Streams.Sidecars(server.now()) {
 							if s.Connected && s.Bound && s.Unacknowledged == 0 {
@@ -121,24 +121,24 @@
 					batch = append(batch, controller.Command{Kind: controller.BindProxy, Proxy: proxy})
 				}
 				server.Enqueue(append(batch, controller.Command{Kind: controller.RequestAck, Nonce: 1}))
-				for accepted() < sidecars {
+				for acceptedSidecars() < sidecars {
 					time.Sleep(10 * time.Millisecond)
 				}
 				runtime.GC()
 				runtime.ReadMemStats(&after)
-				c.bytes.Store(0)
+				clients.bytes.Store(0)
 				pushes := 0
 				b.ReportAllocs()
 				for b.Loop() {
 					pushes++
-					want := c.answers.Load() + int64(sidecars)
+					want := clients.responses.Load() + int64(sidecars)
 					server.Enqueue([]controller.Command{{Kind: controller.SetWeight, Node: "node-7", Value: 1 + float64(pushes%2)},
 						{Kind: controller.RequestAck, Nonce: 1 + pushes%60000}})
-					for c.answers.Load() < want {
+					for clients.responses.Load() < want {
 						time.Sleep(100 * time.Microsecond)
 					}
 				}
-				b.ReportMetric(float64(c.bytes.Load())/float64(pushes)/float64(sidecars), "wire-B/sidecar")
+				b.ReportMetric(float64(clients.bytes.Load())/float64(pushes)/float64(sidecars), "wire-B/sidecar")
 				// Both ends run in this process: the memory of a stream is that of the controller and the sidecar
 				// together.
 				b.ReportMetric(float64(after.HeapAlloc-min(before.HeapAlloc, after.HeapAlloc))/float64(sidecars)/1024, "KiB/stream")
--- a/xds/transport/cancellation_test.go
+++ b/xds/transport/cancellation_test.go
@@ -6,17 +6,17 @@
 	"testing"
 )
 
-// heldConn is a stream whose first receive returns a request only after release is closed. The second one fails.
-type heldConn struct {
-	release  chan struct{}
-	taken    chan struct{} // closed when receive is called for the second time, after the first request was posted
-	requests int
+// blockedConn is a stream whose first receive returns a request only after release is closed. The second one fails.
+type blockedConn struct {
+	release       chan struct{}
+	secondReceive chan struct{} // closed when receive is called for the second time, after the first request was posted
+	requests      int
 }
 
-func (c *heldConn) receive() (streamRequest, error) {
+func (c *blockedConn) receive() (streamRequest, error) {
 	c.requests++
 	if c.requests > 1 {
-		close(c.taken)
+		close(c.secondReceive)
 		return streamRequest{}, errors.New("the stream has ended")
 	}
 	<-c.release
@@ -24,15 +24,15 @@
 	return streamRequest{node: node, handle: func(uint64) error { return nil }}, nil
 }
 
-func (c *heldConn) send(any) error { return nil }
+func (c *blockedConn) send(any) error { return nil }
 
 // A stream ended after its first request had been received and before the hub handled it. The hub then opened a stream
 // that had ended, so its sidecar counted as connected forever, with commands for it pending. An ended stream must not
 // be opened.
-func TestStreamCancelledBeforeItsFirstRequest(t *testing.T) {
+func TestStreamCancelledBeforeFirstRequestIsHandled(t *testing.T) {
 	server, _ := startServer(t, 4)
 	ctx, cancel := context.WithCancel(t.Context())
-	conn := &heldConn{release: make(chan struct{}), taken: make(chan struct{})}
+	conn := &blockedConn{release: make(chan struct{}), secondReceive: make(chan struct{})}
 	ended := make(chan struct{})
 	go func() {
 		defer close(ended)
@@ -41,7 +41,7 @@
 	cancel()
 	<-ended
 	close(conn.release)
-	<-conn.taken
+	<-conn.secondReceive
 	if connected := connectedSidecars(server); connected != 0 {
 		t.Errorf("after the stream ended: got %d connected sidecars, want 0", connected)
 	}
--- a/xds/transport/endpoint_list.go
+++ b/xds/transport/endpoint_list.go
@@ -30,10 +30,10 @@
 
 // endpointList collects the nodes of an endpoint list while it is parsed.
 type endpointList struct {
-	nodes     []Endpoint
-	names     map[string]bool
-	addresses map[xds.Address]bool
-	ready     int
+	nodes      []Endpoint
+	names      map[string]bool
+	addresses  map[xds.Address]bool
+	readyCount int
 }
 
 // parseEndpoints parses an endpoint list. It returns either all nodes or an error: with a partial list, existing nodes
@@ -59,7 +59,7 @@
 			}
 		}
 	}
-	if list.ready == 0 {
+	if list.readyCount == 0 {
 		return nil, errNoReadyNode
 	}
 	return list.nodes, nil
@@ -86,7 +86,7 @@
 	case corev3.HealthStatus_UNHEALTHY, corev3.HealthStatus_TIMEOUT:
 		return nil
 	default:
-		l.ready++
+		l.readyCount++
 	}
 	l.nodes = append(l.nodes, added)
 	return nil
--- a/xds/transport/endpoint_watcher.go
+++ b/xds/transport/endpoint_watcher.go
@@ -43,13 +43,13 @@
 	backoff := initialBackoff
 	version := "" // the last accepted version
 	for ctx.Err() == nil {
-		began := time.Now()
+		start := time.Now()
 		err := w.watch(ctx, &version)
 		if ctx.Err() != nil {
 			return
 		}
 		w.Log.Warn("endpoint watch failed, keeping the last accepted endpoint list", zap.String("service", w.Address), zap.Error(err))
-		if time.Since(began) > maxBackoff {
+		if time.Since(start) > maxBackoff {
 			backoff = initialBackoff
 		}
 		select {
@@ -86,12 +86,12 @@
 }
 
 func (w *EndpointWatcher) dial() (*grpc.ClientConn, error) {
-	secure := w.Credentials
-	if secure == nil {
-		secure = insecure.NewCredentials()
+	transportCredentials := w.Credentials
+	if transportCredentials == nil {
+		transportCredentials = insecure.NewCredentials()
 	}
 	return grpc.NewClient("passthrough:///"+w.Address,
-		grpc.WithTransportCredentials(secure),
+		grpc.WithTransportCredentials(transportCredentials),
 		grpc.WithKeepaliveParams(keepalive.ClientParameters{Time: keepaliveTime, Timeout: keepaliveTimeout}),
 		grpc.WithDefaultCallOptions(grpc.MaxCallRecvMsgSize(maxListBytes)))
 }
@@ -106,18 +106,18 @@
 
 // handle accepts or rejects a response and returns the ACK or NACK.
 func (w *EndpointWatcher) handle(response *discoveryv3.DiscoveryResponse, version *string) *discoveryv3.DiscoveryRequest {
-	nodes, fault := w.parseEndpoints(response)
-	if fault == nil {
+	nodes, err := w.parseEndpoints(response)
+	if err == nil {
 		*version = response.GetVersionInfo()
 		w.Accepted(*version, nodes)
 	} else {
 		w.Log.Error("endpoint list rejected, keeping the last accepted one",
-			zap.String("version", response.GetVersionInfo()), zap.Error(fault))
+			zap.String("version", response.GetVersionInfo()), zap.Error(err))
 	}
 	answer := w.request(*version)
 	answer.ResponseNonce = response.GetNonce()
-	if fault != nil {
-		answer.ErrorDetail = &rpc.Status{Code: int32(codes.InvalidArgument), Message: fault.Error()}
+	if err != nil {
+		answer.ErrorDetail = &rpc.Status{Code: int32(codes.InvalidArgument), Message: err.Error()}
 	}
 	return answer
 }
--- a/xds/transport/endpoint_watcher_test.go
+++ b/xds/transport/endpoint_watcher_test.go
@@ -19,24 +19,24 @@
 	"harehook.dev/harehook/xds"
 )
 
-// listService is an xDS service that sends the queued versions of an endpoint list and records the requests.
-type listService struct {
+// endpointListService is an xDS service that sends the queued versions of an endpoint list and records the requests.
+type endpointListService struct {
 	discoveryv3.UnimplementedAggregatedDiscoveryServiceServer
-	send chan *discoveryv3.DiscoveryResponse // nil ends the stream
-	lock sync.Mutex
-	said []string
+	responses chan *discoveryv3.DiscoveryResponse // nil ends the stream
+	mutex     sync.Mutex
+	requests  []string
 }
 
-func (l *listService) StreamAggregatedResources(s discoveryv3.AggregatedDiscoveryService_StreamAggregatedResourcesServer) error {
+func (service *endpointListService) StreamAggregatedResources(s discoveryv3.AggregatedDiscoveryService_StreamAggregatedResourcesServer) error {
 	for {
 		r, err := s.Recv()
 		if err != nil {
 			return err
 		}
-		l.lock.Lock()
-		l.said = append(l.said, fmt.Sprintf("%v has %q: %s", r.GetResourceNames(), r.GetVersionInfo(), r.GetErrorDetail().GetMessage()))
-		l.lock.Unlock()
-		next := <-l.send
+		service.mutex.Lock()
+		service.requests = append(service.requests, fmt.Sprintf("%v has %q: %s", r.GetResourceNames(), r.GetVersionInfo(), r.GetErrorDetail().GetMessage()))
+		service.mutex.Unlock()
+		next := <-service.responses
 		if next == nil {
 			return fmt.Errorf("stream ended by the test")
 		}
@@ -68,62 +68,62 @@
 // invalid version must be rejected with the reason, the last accepted list must stay in use, and the first request on
 // the new stream must have its version.
 func TestEndpointWatcherKeepsLastGoodList(t *testing.T) {
-	l := &listService{send: make(chan *discoveryv3.DiscoveryResponse, 16)}
+	service := &endpointListService{responses: make(chan *discoveryv3.DiscoveryResponse, 16)}
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	server := grpc.NewServer()
-	discoveryv3.RegisterAggregatedDiscoveryServiceServer(server, l)
+	discoveryv3.RegisterAggregatedDiscoveryServiceServer(server, service)
 	go server.Serve(listener)
 	defer server.Stop()
 	var accepted []string
 	ctx, stop := context.WithCancel(context.Background())
-	m := &EndpointWatcher{Address: listener.Addr().String(), Cluster: "tickets", Name: "c", Log: zap.NewNop(), KnowsZone: func(zone string) bool { return zone == "north" },
+	watcher := &EndpointWatcher{Address: listener.Addr().String(), Cluster: "tickets", Name: "c", Log: zap.NewNop(), KnowsZone: func(zone string) bool { return zone == "north" },
 		Accepted: func(version string, nodes []Endpoint) {
-			answer := version
+			summary := version
 			for _, n := range nodes {
-				answer += fmt.Sprint(" ", n.Name, n.State)
+				summary += fmt.Sprint(" ", n.Name, n.State)
 			}
-			l.lock.Lock()
-			defer l.lock.Unlock()
-			accepted = append(accepted, answer)
+			service.mutex.Lock()
+			defer service.mutex.Unlock()
+			accepted = append(accepted, summary)
 		}}
 	var run sync.WaitGroup
-	run.Go(func() { m.Run(ctx) })
+	run.Go(func() { watcher.Run(ctx) })
 	defer run.Wait()
 	defer stop()
-	up, drains, down := corev3.HealthStatus_HEALTHY, corev3.HealthStatus_DRAINING, corev3.HealthStatus_UNHEALTHY
-	broken := endpointsVersion(6, "tickets")
-	broken.Resources[0].Value = []byte{0xff}
+	healthy, draining, unhealthy := corev3.HealthStatus_HEALTHY, corev3.HealthStatus_DRAINING, corev3.HealthStatus_UNHEALTHY
+	undecodable := endpointsVersion(6, "tickets")
+	undecodable.Resources[0].Value = []byte{0xff}
 	for _, r := range []*discoveryv3.DiscoveryResponse{
-		endpointsVersion(1, "tickets", testEndpoint{"a", "north", 1, up}, testEndpoint{"b", "north", 2, drains}, testEndpoint{"c", "north", 3, down}),
-		endpointsVersion(2, "tickets", testEndpoint{"a", "moon", 1, up}),
-		endpointsVersion(3, "tickets", testEndpoint{"a", "north", 1, up}, testEndpoint{"a", "north", 2, up}),
+		endpointsVersion(1, "tickets", testEndpoint{"a", "north", 1, healthy}, testEndpoint{"b", "north", 2, draining}, testEndpoint{"c", "north", 3, unhealthy}),
+		endpointsVersion(2, "tickets", testEndpoint{"a", "moon", 1, healthy}),
+		endpointsVersion(3, "tickets", testEndpoint{"a", "north", 1, healthy}, testEndpoint{"a", "north", 2, healthy}),
 		endpointsVersion(4, "tickets"),
-		endpointsVersion(5, "other", testEndpoint{"a", "north", 1, up}),
-		broken,
+		endpointsVersion(5, "other", testEndpoint{"a", "north", 1, healthy}),
+		undecodable,
 		nil,
-		endpointsVersion(7, "tickets", testEndpoint{"", "north", 9, up}),
+		endpointsVersion(7, "tickets", testEndpoint{"", "north", 9, healthy}),
 	} {
-		l.send <- r
+		service.responses <- r
 	}
 	waitFor(t, "all responses are answered", func() bool {
-		l.lock.Lock()
-		defer l.lock.Unlock()
-		return len(l.said) >= 9
+		service.mutex.Lock()
+		defer service.mutex.Unlock()
+		return len(service.requests) >= 9
 	})
-	l.lock.Lock()
+	service.mutex.Lock()
 	if diff := cmp.Diff([]string{fmt.Sprintf("v1 a%d b%d", planner.Ready, planner.Draining), fmt.Sprintf("v7 127.0.0.1:9%d", planner.Ready)}, accepted); diff != "" {
 		t.Errorf("accepted versions (-want +got):\n%s", diff)
 	}
 	if diff := cmp.Diff([]string{`[tickets] has "": `, `[tickets] has "v1": `, `[tickets] has "v1": zone "moon" is not known`,
 		`[tickets] has "v1": name or address of node "a" is listed twice`, `[tickets] has "v1": endpoint list has no ready node`,
 		`[tickets] has "v1": resource is not the ClusterLoadAssignment of "tickets"`, `[tickets] has "v1": resource is not the ClusterLoadAssignment of "tickets"`, `[tickets] has "v1": `,
-		`[tickets] has "v7": `}, l.said); diff != "" {
+		`[tickets] has "v7": `}, service.requests); diff != "" {
 		t.Errorf("requests (-want +got):\n%s", diff)
 	}
-	l.lock.Unlock()
+	service.mutex.Unlock()
 	stop()
-	l.send <- nil
+	service.responses <- nil
 }
--- a/xds/transport/hub.go
+++ b/xds/transport/hub.go
@@ -32,7 +32,7 @@
 		case task := <-s.tasks:
 			task()
 		case <-s.batchesReady:
-			for _, batch := range s.takeBatches() {
+			for _, batch := range s.dequeueBatches() {
 				s.applyBatch(batch)
 			}
 		}
@@ -110,21 +110,21 @@
 // send queues a response for the goroutine that sends on the stream. If the queue is full because the sidecar does not
 // read its responses, the stream is cancelled, because the hub must not block.
 func (h hubSink) send(id uint64, response any) {
-	to := h.server.streams[id]
-	if to == nil {
+	adsStream := h.server.streams[id]
+	if adsStream == nil {
 		return
 	}
 	select {
-	case to.responses <- response:
+	case adsStream.responses <- response:
 	default:
-		to.cancel(status.Error(codes.ResourceExhausted, "response queue is full: the sidecar does not read its responses"))
+		adsStream.cancel(status.Error(codes.ResourceExhausted, "response queue is full: the sidecar does not read its responses"))
 	}
 }
 
 // CloseStream cancels a stream with the given reason.
-func (h hubSink) CloseStream(id uint64, why string) {
-	if closing := h.server.streams[id]; closing != nil {
-		closing.cancel(status.Error(codes.Aborted, why))
+func (h hubSink) CloseStream(id uint64, reason string) {
+	if adsStream := h.server.streams[id]; adsStream != nil {
+		adsStream.cancel(status.Error(codes.Aborted, reason))
 	}
 }
 
@@ -140,6 +140,6 @@
 func (h hubSink) Acknowledged(proxy, nonce int) { h.server.Controller.Acknowledged(proxy, nonce) }
 
 // Rejected logs a NACK.
-func (h hubSink) Rejected(sidecar string, t xds.ResourceType, why string) {
-	h.server.Log.Warn("version refused", zap.String("sidecar", sidecar), zap.Stringer("kind", t), zap.String("why", why))
+func (h hubSink) Rejected(sidecar string, t xds.ResourceType, reason string) {
+	h.server.Log.Warn("version refused", zap.String("sidecar", sidecar), zap.Stringer("kind", t), zap.String("why", reason))
 }
--- a/xds/transport/rejection_test.go
+++ b/xds/transport/rejection_test.go
@@ -39,9 +39,9 @@
 	}
 }
 
-// runStreams runs one stream until it ends or ctx is done. A cancelled stream may still be read when the next one
+// runStream runs one stream until it ends or ctx is done. A cancelled stream may still be read when the next one
 // starts.
-func (p *rejectingSidecar) runStreams(ctx context.Context, conn *grpc.ClientConn) {
+func (p *rejectingSidecar) runStream(ctx context.Context, conn *grpc.ClientConn) {
 	client := discoveryv3.NewAggregatedDiscoveryServiceClient(conn)
 	if p.Delta {
 		if s, err := client.DeltaAggregatedResources(ctx); err == nil {
@@ -52,36 +52,36 @@
 	}
 }
 
-func exchange[Request, Response any](p *rejectingSidecar, s sidecar.Transport[Request, Response], begin func() []Request, take func(Response) ([]Request, error)) {
+func exchange[Request, Response any](p *rejectingSidecar, s sidecar.Transport[Request, Response], begin func() []Request, handle func(Response) ([]Request, error)) {
 	p.stateMutex.Lock()
 	first := begin()
 	p.stateMutex.Unlock()
 	sidecar.Exchange(s, first, nil, func(r Response) ([]Request, error) {
 		p.stateMutex.Lock()
 		defer p.stateMutex.Unlock()
-		out, err := take(r)
+		requests, err := handle(r)
 		p.checkRouting()
-		return out, err
+		return requests, err
 	}, func() {})
 }
 
 // Tables change, sidecars reject some resources, and streams are cancelled at random times. No sidecar may route by a
 // version that it has rejected. When no more streams are cancelled, all sidecars must converge, except for the
 // resources that they rejected.
-func TestRejectionsAndCutsOverLoopback(t *testing.T) {
+func TestRejectionsAndCancelledStreams(t *testing.T) {
 	const sidecars, pushes = 40, 300
 	server, address := startServer(t, sidecars)
 	random := rand.New(rand.NewPCG(4, 2))
-	all := make([]*rejectingSidecar, sidecars)
-	stops := make([]context.CancelFunc, sidecars)
+	clients := make([]*rejectingSidecar, sidecars)
+	cancels := make([]context.CancelFunc, sidecars)
 	var streams sync.WaitGroup
-	begin := func(k int) {
-		ctx, stop := context.WithCancel(context.Background())
-		stops[k] = stop
+	startStream := func(k int) {
+		ctx, cancel := context.WithCancel(context.Background())
+		cancels[k] = cancel
 		conn := dial(t, address)
-		streams.Go(func() { all[k].runStreams(ctx, conn); conn.Close() })
+		streams.Go(func() { clients[k].runStream(ctx, conn); conn.Close() })
 	}
-	for k := range all {
+	for k := range clients {
 		p := &rejectingSidecar{rejected: map[string]bool{}}
 		p.ResourceCache = &sidecar.ResourceCache{ID: fmt.Sprint("till-", k), Zone: "north", Delta: k%2 == 0,
 			ExtraCheck: func(_ xds.ResourceType, _ string, body *anypb.Any) error {
@@ -94,8 +94,8 @@
 				return nil
 			},
 			OnReject: func(r sidecar.RejectedResource) { p.rejected[fmt.Sprint(r.Type, r.Name, r.Version)] = true }}
-		all[k] = p
-		begin(k)
+		clients[k] = p
+		startStream(k)
 	}
 	waitFor(t, "all sidecars are known", func() bool { return knownSidecars(server) == sidecars })
 	publishTable(server, sidecars, 20)
@@ -106,8 +106,8 @@
 		// The delay only paces the changes. Nothing depends on it, because a stream sends the newest state.
 		time.Sleep(4 * time.Millisecond)
 		if k := random.IntN(sidecars); n%3 == 0 {
-			stops[k]()
-			begin(k)
+			cancels[k]()
+			startStream(k)
 		}
 		if n%10 == 0 {
 			bindAll(server, sidecars, n+2)
@@ -119,43 +119,43 @@
 		n := 0
 		// A cancelled stream may count as connected for a while; the next stream of the sidecar then joins only
 		// afterwards.
-		var joins []controller.Command
+		var bindCommands []controller.Command
 		defer func() {
-			if len(joins) > 0 {
+			if len(bindCommands) > 0 {
 				// The planner also binds sidecars that join.
-				server.Enqueue(append(joins, controller.Command{Kind: controller.RequestAck, Nonce: pushes + 10}))
+				server.Enqueue(append(bindCommands, controller.Command{Kind: controller.RequestAck, Nonce: pushes + 10}))
 			}
 		}()
 		server.call(func() {
 			for _, s := range server.Streams.Sidecars(server.now()) {
 				if s.Connected && !s.Bound {
-					joins = append(joins, controller.Command{Kind: controller.BindProxy, Proxy: s.Number})
+					bindCommands = append(bindCommands, controller.Command{Kind: controller.BindProxy, Proxy: s.Number})
 				}
-				accepted, rejects := s.Bound && len(s.Resources) > 0, false
-				for _, st := range s.Resources {
-					accepted = accepted && st.Accepted == st.Target
-					rejects = rejects || st.Rejection != nil
+				accepted, rejected := s.Bound && len(s.Resources) > 0, false
+				for _, resource := range s.Resources {
+					accepted = accepted && resource.Accepted == resource.Target
+					rejected = rejected || resource.Rejection != nil
 				}
-				if accepted || rejects {
+				if accepted || rejected {
 					n++
 				}
 			}
 		})
 		return n == sidecars
 	})
-	for _, stop := range stops {
-		stop()
+	for _, cancel := range cancels {
+		cancel()
 	}
 	streams.Wait()
-	got, refused := 0, 0
-	for _, p := range all {
-		got, refused = got+p.responses, refused+len(p.rejected)
-		for _, fault := range p.violations {
-			t.Error(fault)
+	responses, rejections := 0, 0
+	for _, p := range clients {
+		responses, rejections = responses+p.responses, rejections+len(p.rejected)
+		for _, violation := range p.violations {
+			t.Error(violation)
 		}
 	}
-	if got < 300 || refused < 30 {
-		t.Errorf("got %d responses and %d rejections, want at least 300 and 30", got, refused)
+	if responses < 300 || rejections < 30 {
+		t.Errorf("got %d responses and %d rejections, want at least 300 and 30", responses, rejections)
 	}
-	t.Logf("%d responses, %d rejections", got, refused)
+	t.Logf("%d responses, %d rejections", responses, rejections)
 }
--- a/xds/transport/server.go
+++ b/xds/transport/server.go
@@ -92,8 +92,8 @@
 	}
 }
 
-// takeBatches removes and returns the batches that were enqueued since the previous call.
-func (s *Server) takeBatches() [][]controller.Command {
+// dequeueBatches removes and returns the batches that were enqueued since the previous call.
+func (s *Server) dequeueBatches() [][]controller.Command {
 	s.batchesMutex.Lock()
 	defer s.batchesMutex.Unlock()
 	batches := s.batches
@@ -103,18 +103,18 @@
 
 // Run serves on a listener until ctx is done, and then returns nil. If serving fails earlier, it returns the error.
 func (s *Server) Run(ctx context.Context, listener net.Listener) error {
-	server := grpc.NewServer(s.options()...)
-	discoveryv3.RegisterAggregatedDiscoveryServiceServer(server, adsService{server: s})
-	loadv3.RegisterLoadReportingServiceServer(server, loadService{server: s})
-	statusv3.RegisterClientStatusDiscoveryServiceServer(server, statusService{server: s})
+	grpcServer := grpc.NewServer(s.options()...)
+	discoveryv3.RegisterAggregatedDiscoveryServiceServer(grpcServer, adsService{server: s})
+	loadv3.RegisterLoadReportingServiceServer(grpcServer, loadService{server: s})
+	statusv3.RegisterClientStatusDiscoveryServiceServer(grpcServer, statusService{server: s})
 	if s.RegisterServices != nil {
-		s.RegisterServices(server)
+		s.RegisterServices(grpcServer)
 	}
 	var hub sync.WaitGroup
 	hub.Go(func() { s.runHub(ctx) })
-	stop := context.AfterFunc(ctx, server.Stop)
+	stop := context.AfterFunc(ctx, grpcServer.Stop)
 	defer stop()
-	err := server.Serve(listener)
+	err := grpcServer.Serve(listener)
 	if ctx.Err() != nil {
 		err = nil
 	}
--- a/xds/transport/server_test.go
+++ b/xds/transport/server_test.go
@@ -28,11 +28,11 @@
 
 const testTimeout = 20 * time.Second // for conditions that are met within milliseconds on an idle machine
 
-func waitFor(t *testing.T, what string, ok func() bool) {
+func waitFor(t *testing.T, condition string, isMet func() bool) {
 	t.Helper()
-	for end := time.Now().Add(testTimeout); !ok(); time.Sleep(5 * time.Millisecond) {
-		if time.Now().After(end) {
-			t.Fatalf("condition not met within %s: %s", testTimeout, what)
+	for deadline := time.Now().Add(testTimeout); !isMet(); time.Sleep(5 * time.Millisecond) {
+		if time.Now().After(deadline) {
+			t.Fatalf("condition not met within %s: %s", testTimeout, condition)
 		}
 	}
 }
@@ -50,11 +50,11 @@
 func convergedSidecars(server *Server) (n int) {
 	server.call(func() {
 		for _, s := range server.Streams.Sidecars(server.now()) {
-			all := s.Connected && s.Bound && s.Unacknowledged == 0 && len(s.Resources) >= int(xds.NumResourceTypes)
-			for _, st := range s.Resources {
-				all = all && st.Accepted == st.Target
+			converged := s.Connected && s.Bound && s.Unacknowledged == 0 && len(s.Resources) >= int(xds.NumResourceTypes)
+			for _, resource := range s.Resources {
+				converged = converged && resource.Accepted == resource.Target
 			}
-			if all {
+			if converged {
 				n++
 			}
 		}
@@ -115,12 +115,12 @@
 		var streams sync.WaitGroup
 		c := &sidecarClients{}
 		var conn *grpc.ClientConn
-		for k, h := range caches {
+		for k, cache := range caches {
 			if k%maxStreamsPerConnection == 0 {
 				conn = dial(t, address)
 			}
-			on := conn
-			streams.Go(func() { c.join(ctx, on, h) })
+			clientConn := conn
+			streams.Go(func() { c.runStream(ctx, clientConn, cache) })
 		}
 		waitFor(t, "all sidecars are connected", func() bool { return connectedSidecars(server) == sidecars })
 		if round == 0 {
@@ -132,8 +132,8 @@
 			bindAll(server, sidecars, round+1)
 		}
 		waitFor(t, fmt.Sprintf("all sidecars converged in round %d", round), func() bool { return convergedSidecars(server) == sidecars })
-		if answers := c.answers.Load(); round%2 == 1 && answers != 0 {
-			t.Errorf("round %d without changes: got %d responses, want 0", round, answers)
+		if responses := c.responses.Load(); round%2 == 1 && responses != 0 {
+			t.Errorf("round %d without changes: got %d responses, want 0", round, responses)
 		}
 		stop()
 		streams.Wait()
@@ -145,10 +145,10 @@
 // sidecars must not be affected.
 func TestMisbehavingClientsAreDisconnected(t *testing.T) {
 	server, address := startServer(t, 3)
-	good := &sidecar.ResourceCache{ID: "till", Zone: "north", Delta: true}
+	valid := &sidecar.ResourceCache{ID: "till", Zone: "north", Delta: true}
 	ctx, stop := context.WithCancel(context.Background())
 	defer stop()
-	go (&sidecarClients{}).join(ctx, dial(t, address), good)
+	go (&sidecarClients{}).runStream(ctx, dial(t, address), valid)
 	waitFor(t, "the sidecar is known", func() bool { return knownSidecars(server) == 1 })
 	publishTable(server, 1, 3)
 	waitFor(t, "the sidecar has accepted its table", func() bool { return convergedSidecars(server) == 1 })
@@ -158,9 +158,9 @@
 		return &corev3.Node{Id: id, Locality: &corev3.Locality{Zone: zone}}
 	}
 	for name, c := range map[string]struct {
-		say  []*discoveryv3.DiscoveryRequest
-		code codes.Code
-		why  string
+		requests    []*discoveryv3.DiscoveryRequest
+		wantCode    codes.Code
+		wantMessage string
 	}{
 		"no node id":   {[]*discoveryv3.DiscoveryRequest{{Node: node("", "north"), TypeUrl: xds.Clusters.TypeURL()}}, codes.InvalidArgument, "no node id"},
 		"unknown zone": {[]*discoveryv3.DiscoveryRequest{{Node: node("x", "moon"), TypeUrl: xds.Clusters.TypeURL()}}, codes.InvalidArgument, `zone "moon"`},
@@ -175,11 +175,11 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			for _, r := range c.say {
+			for _, r := range c.requests {
 				s.Send(r)
 			}
-			if _, err = s.Recv(); status.Code(err) != c.code || !strings.Contains(status.Convert(err).Message(), c.why) {
-				t.Errorf("%s: got error %v, want code %s with message %q", name, err, c.code, c.why)
+			if _, err = s.Recv(); status.Code(err) != c.wantCode || !strings.Contains(status.Convert(err).Message(), c.wantMessage) {
+				t.Errorf("%s: got error %v, want code %s with message %q", name, err, c.wantCode, c.wantMessage)
 			}
 		})
 	}
@@ -231,7 +231,7 @@
 	ctx, stop := context.WithCancel(t.Context())
 	defer stop()
 	conn := dial(t, address)
-	go (&sidecarClients{}).join(ctx, conn, &sidecar.ResourceCache{ID: "till", Zone: "north", Delta: true})
+	go (&sidecarClients{}).runStream(ctx, conn, &sidecar.ResourceCache{ID: "till", Zone: "north", Delta: true})
 	waitFor(t, "the sidecar is known", func() bool { return knownSidecars(server) == 1 })
 	publishTable(server, 1, 1)
 	s, err := loadv3.NewLoadReportingServiceClient(conn).StreamLoadStats(ctx)
@@ -242,18 +242,18 @@
 	if r, err := s.Recv(); err != nil || r.GetLoadReportingInterval().AsDuration() != server.ReportInterval {
 		t.Fatalf("got response %v and error %v, want reporting interval %s", r, err, server.ReportInterval)
 	}
-	endpoint := func(port uint32, issued, errors uint64) *endpointv3.UpstreamEndpointStats {
-		return &endpointv3.UpstreamEndpointStats{TotalIssuedRequests: issued, TotalErrorRequests: errors,
+	endpoint := func(port uint32, issued, failed uint64) *endpointv3.UpstreamEndpointStats {
+		return &endpointv3.UpstreamEndpointStats{TotalIssuedRequests: issued, TotalErrorRequests: failed,
 			Address: xds.Address{Host: "127.0.0.1", Port: port}.Message()}
 	}
-	report := func(span time.Duration, endpoints ...*endpointv3.UpstreamEndpointStats) {
-		s.Send(&loadv3.LoadStatsRequest{ClusterStats: []*endpointv3.ClusterStats{{ClusterName: "pool-0", LoadReportInterval: durationpb.New(span),
+	sendReport := func(interval time.Duration, endpoints ...*endpointv3.UpstreamEndpointStats) {
+		s.Send(&loadv3.LoadStatsRequest{ClusterStats: []*endpointv3.ClusterStats{{ClusterName: "pool-0", LoadReportInterval: durationpb.New(interval),
 			UpstreamLocalityStats: []*endpointv3.UpstreamLocalityStats{{UpstreamEndpointStats: endpoints}}}}})
 	}
-	report(time.Second, endpoint(1000, 10, 2), endpoint(1000, 1, 2), endpoint(9999, 5, 0))
+	sendReport(time.Second, endpoint(1000, 10, 2), endpoint(1000, 1, 2), endpoint(9999, 5, 0))
 	waitFor(t, "the invalid entry and the unknown node are counted", func() bool { return server.MalformedRequests.Load() == 1 && server.UnknownReports.Load() == 1 })
-	report(0, endpoint(1000, 10, 2))
-	report(-time.Second, endpoint(1000, 10, 2))
+	sendReport(0, endpoint(1000, 10, 2))
+	sendReport(-time.Second, endpoint(1000, 10, 2))
 	waitFor(t, "impossible intervals are counted", func() bool { return server.MalformedRequests.Load() == 3 })
 	s.CloseSend()
 	if _, err := s.Recv(); !errors.Is(err, io.EOF) {
--- a/xds/transport/status.go
+++ b/xds/transport/status.go
@@ -18,7 +18,7 @@
 
 // Keys of the node metadata in the responses of the client status discovery service.
 const (
-	StatusJoined              = "joined"
+	StatusConnected           = "joined"
 	StatusTable               = "table"
 	StatusDisconnectedSeconds = "away_s"
 	StatusVariant             = "variant"
@@ -66,19 +66,19 @@
 // response returns the status of the sidecars that the request matches, or of all sidecars if it has no matchers.
 func (c statusService) response(r *statusv3.ClientStatusRequest) (*statusv3.ClientStatusResponse, error) {
 	response := &statusv3.ClientStatusResponse{}
-	named := map[string]bool{}
+	requestedIDs := map[string]bool{}
 	for _, matcher := range r.GetNodeMatchers() {
-		named[matcher.GetNodeId().GetExact()] = true
+		requestedIDs[matcher.GetNodeId().GetExact()] = true
 	}
-	answered := c.server.call(func() {
+	completed := c.server.call(func() {
 		now := c.server.now()
 		for _, sidecar := range c.server.Streams.Sidecars(now) {
-			if len(named) == 0 || named[sidecar.ID] {
+			if len(requestedIDs) == 0 || requestedIDs[sidecar.ID] {
 				response.Config = append(response.Config, clientConfig(sidecar, now, !r.GetExcludeResourceContents()))
 			}
 		}
 	})
-	if !answered {
+	if !completed {
 		return nil, status.Error(codes.Unavailable, "the controller is shutting down")
 	}
 	return response, nil
@@ -107,7 +107,7 @@
 		variant = variantDelta
 	}
 	metadata, _ := structpb.NewStruct(map[string]any{ // fails only for other types of values
-		StatusJoined:              sidecar.Connected,
+		StatusConnected:           sidecar.Connected,
 		StatusTable:               table,
 		StatusDisconnectedSeconds: sidecar.DisconnectedSeconds,
 		StatusVariant:             variant,
--- a/xds/transport/stream.go
+++ b/xds/transport/stream.go
@@ -43,7 +43,7 @@
 
 // StreamAggregatedResources serves a stream of the state-of-the-world variant.
 func (a adsService) StreamAggregatedResources(grpcStream discoveryv3.AggregatedDiscoveryService_StreamAggregatedResourcesServer) error {
-	return a.server.serveStream(grpcStream.Context(), false, stateConn{server: a.server, grpcStream: grpcStream})
+	return a.server.serveStream(grpcStream.Context(), false, stateOfTheWorldConn{server: a.server, grpcStream: grpcStream})
 }
 
 // DeltaAggregatedResources serves a stream of the delta variant.
@@ -51,13 +51,13 @@
 	return a.server.serveStream(grpcStream.Context(), true, deltaConn{server: a.server, grpcStream: grpcStream})
 }
 
-// stateConn is a streamConn of the state-of-the-world variant.
-type stateConn struct {
+// stateOfTheWorldConn is a streamConn of the state-of-the-world variant.
+type stateOfTheWorldConn struct {
 	server     *Server
 	grpcStream discoveryv3.AggregatedDiscoveryService_StreamAggregatedResourcesServer
 }
 
-func (c stateConn) receive() (streamRequest, error) {
+func (c stateOfTheWorldConn) receive() (streamRequest, error) {
 	r, err := c.grpcStream.Recv()
 	if err != nil {
 		return streamRequest{}, err
@@ -67,7 +67,7 @@
 	return streamRequest{node: streamNode{id: id, zone: zone}, handle: handle}, nil
 }
 
-func (c stateConn) send(response any) error {
+func (c stateOfTheWorldConn) send(response any) error {
 	return c.grpcStream.Send(response.(*discoveryv3.DiscoveryResponse))
 }
 
@@ -95,27 +95,27 @@
 func (s *Server) serveStream(ctx context.Context, delta bool, conn streamConn) error {
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
-	served := &stream{id: s.lastStreamID.Add(1), responses: make(chan any, responseQueueSize), cancel: cancel}
-	firstRequest := time.AfterFunc(firstRequestTimeout, func() {
+	adsStream := &stream{id: s.lastStreamID.Add(1), responses: make(chan any, responseQueueSize), cancel: cancel}
+	firstRequestTimer := time.AfterFunc(firstRequestTimeout, func() {
 		cancel(status.Errorf(codes.DeadlineExceeded, "no first request within %s", firstRequestTimeout))
 	})
-	defer firstRequest.Stop()
+	defer firstRequestTimer.Stop()
 	// This goroutine cannot be waited for: receive returns an error only after this method has returned, because that
 	// ends the gRPC stream.
-	go s.receiveRequests(served, delta, conn, firstRequest)
-	defer s.post(func() { s.closeStream(served) })
-	return s.sendResponses(ctx, served, conn)
+	go s.receiveRequests(adsStream, delta, conn, firstRequestTimer)
+	defer s.post(func() { s.closeStream(adsStream) })
+	return s.sendResponses(ctx, adsStream, conn)
 }
 
 // sendResponses sends queued responses until the stream ends or the hub stops.
-func (s *Server) sendResponses(ctx context.Context, to *stream, conn streamConn) error {
+func (s *Server) sendResponses(ctx context.Context, adsStream *stream, conn streamConn) error {
 	for {
 		select {
 		case <-ctx.Done():
 			return streamStatus(ctx)
 		case <-s.done:
 			return status.Error(codes.Unavailable, "the controller is shutting down")
-		case response := <-to.responses:
+		case response := <-adsStream.responses:
 			if err := conn.send(response); err != nil {
 				return err
 			}
@@ -124,24 +124,24 @@
 }
 
 // receiveRequests posts requests to the hub until the stream ends or the hub stops. The first request opens the stream.
-func (s *Server) receiveRequests(from *stream, delta bool, conn streamConn, firstRequest *time.Timer) {
+func (s *Server) receiveRequests(adsStream *stream, delta bool, conn streamConn, firstRequestTimer *time.Timer) {
 	opened := false
 	for {
 		request, err := conn.receive()
 		if err != nil {
-			from.cancel(err)
+			adsStream.cancel(err)
 			return
 		}
 		if !opened {
-			firstRequest.Stop()
+			firstRequestTimer.Stop()
 			opened = true
-			if !s.openStream(from, delta, request.node) {
+			if !s.openStream(adsStream, delta, request.node) {
 				return
 			}
 		}
 		posted := s.post(func() {
-			if err := request.handle(from.id); err != nil {
-				s.rejectStream(from, err)
+			if err := request.handle(adsStream.id); err != nil {
+				s.rejectStream(adsStream, err)
 			}
 		})
 		if !posted {
@@ -151,36 +151,36 @@
 }
 
 // openStream opens a stream on the hub. It returns false if the zone is unknown or the hub has stopped.
-func (s *Server) openStream(opening *stream, delta bool, node streamNode) bool {
+func (s *Server) openStream(adsStream *stream, delta bool, node streamNode) bool {
 	if !s.Controller.KnowsZone(node.zone) {
 		s.MalformedRequests.Add(1)
-		opening.cancel(status.Errorf(codes.InvalidArgument, "zone %q is not known", node.zone))
+		adsStream.cancel(status.Errorf(codes.InvalidArgument, "zone %q is not known", node.zone))
 		return false
 	}
 	return s.post(func() {
 		// A stream may end after its first request was received and before the hub opens it. If the hub opened it then,
 		// its sidecar would count as connected forever.
-		if opening.closed {
+		if adsStream.closed {
 			return
 		}
-		s.streams[opening.id] = opening
-		if err := s.Streams.Open(s.now(), opening.id, delta, node.id, node.zone); err != nil {
-			s.rejectStream(opening, err)
+		s.streams[adsStream.id] = adsStream
+		if err := s.Streams.Open(s.now(), adsStream.id, delta, node.id, node.zone); err != nil {
+			s.rejectStream(adsStream, err)
 		}
 	})
 }
 
 // rejectStream cancels a stream because of an invalid request.
-func (s *Server) rejectStream(rejected *stream, reason error) {
+func (s *Server) rejectStream(adsStream *stream, reason error) {
 	s.MalformedRequests.Add(1)
-	rejected.cancel(status.Error(codes.InvalidArgument, reason.Error()))
+	adsStream.cancel(status.Error(codes.InvalidArgument, reason.Error()))
 }
 
 // closeStream removes a stream. It must run on the hub.
-func (s *Server) closeStream(closing *stream) {
-	closing.closed = true
-	delete(s.streams, closing.id)
-	s.Streams.Close(s.now(), closing.id)
+func (s *Server) closeStream(adsStream *stream) {
+	adsStream.closed = true
+	delete(s.streams, adsStream.id)
+	s.Streams.Close(s.now(), adsStream.id)
 }
 
 // streamStatus returns the cause for which the context of a stream was cancelled, as a gRPC status.
