--- a/simulation/charts.go
+++ b/simulation/charts.go
@@ -15,22 +15,22 @@
 	chartHeight = 9 * vg.Centimeter
 )
 
-// Charts draws a chart for each metric into a folder, NAME-METRIC.png: the median over the first swept figure, a line for
-// each value of the second, with bars from the 10th to the 90th percentile. Without a swept figure it draws nothing.
-// There has to be at least one row.
+// Charts writes a chart of each metric to NAME-METRIC.png in a folder. A chart plots the median against the first swept
+// figure, with one line for each value of the second and error bars from the 10th to the 90th percentile. Charts draws
+// nothing if no figure is swept. There must be at least one row.
 func Charts(folder string, rows []Row) error {
 	if rows[0].X == "" {
 		return nil
 	}
 	for _, metric := range Metrics {
 		if err := drawChart(folder, metric, rows); err != nil {
-			return fmt.Errorf("chart of %q: %w", metric.Name, err)
+			return fmt.Errorf("draw chart of metric %q: %w", metric.Name, err)
 		}
 	}
 	return nil
 }
 
-// drawChart draws the chart of a metric, unless no run has a value of it.
+// drawChart draws the chart of a metric, unless no run has a value for it.
 func drawChart(folder string, metric Metric, rows []Row) error {
 	lines := chartLines(metric.spreads(rows))
 	if len(lines) == 0 {
@@ -53,14 +53,15 @@
 	return chart.Save(chartWidth, chartHeight, filepath.Join(folder, file))
 }
 
-// chartLine is the line of one value of the second swept figure. It implements the interfaces of plotter.NewYErrorBars.
+// chartLine is the line for one value of the second swept figure. It implements the interfaces of
+// plotter.NewYErrorBars.
 type chartLine struct {
 	plotter.XYs
 	plotter.YErrors
 	y float64
 }
 
-// chartLines makes the lines from the points that have values, in the order in which the points name them first.
+// chartLines builds the lines from the points that have values, in the order of their first points.
 func chartLines(spreads []pointSpread) (lines []*chartLine) {
 	lineOf := map[float64]*chartLine{}
 	for _, at := range spreads {
@@ -88,7 +89,7 @@
 	l.YErrors = append(l.YErrors, bar)
 }
 
-// addTo draws the line in the color of its index; it has a legend if a second figure is swept.
+// addTo adds the line to a chart in the color of its index, with a legend entry if a second figure is swept.
 func (l *chartLine) addTo(chart *plot.Plot, index int, figure string) error {
 	line, err := plotter.NewLine(l.XYs)
 	if err != nil {
--- a/simulation/checks.go
+++ b/simulation/checks.go
@@ -6,11 +6,11 @@
 	"harehook.dev/harehook/cluster"
 )
 
-// checks is what the checkers have seen so far, of all members and sidecars.
+// checks holds what the checkers have observed so far at all members and sidecars.
 type checks struct {
 	leaderOfTerm  map[uint64]uint64 // member id by term
 	entryAt       map[uint64]string // command and result by index
-	textOfVersion map[uint64]string // by version number, of all that a sidecar saw
+	textOfVersion map[uint64]string // by version number, of each version that a sidecar received
 }
 
 func newChecks() checks {
@@ -21,17 +21,18 @@
 	}
 }
 
-// addViolation adds a violation, which ends the run.
+// addViolation records a violation. The run ends with the current tick.
 func (w *world) addViolation(kind ViolationKind, format string, args ...any) {
 	violation := Violation{Kind: kind, Tick: w.now, Detail: fmt.Sprintf(format, args...)}
 	w.outcome.Violations = append(w.outcome.Violations, violation)
 }
 
-// checkEntry checks that an entry is applied alike at all members.
+// checkEntry checks that all members apply the same command with the same result at an index.
 func (w *world) checkEntry(m *member, applied cluster.AppliedCommand) {
 	entry := fmt.Sprint(applied.Command, applied.Result)
 	if first, known := w.checks.entryAt[applied.Index]; known && first != entry {
-		w.addViolation(SameEntries, "entry %d is applied as %s at member %d, as %s elsewhere", applied.Index, entry, m.id, first)
+		w.addViolation(SameEntries, "entry %d is applied as %s at member %d, but as %s elsewhere",
+			applied.Index, entry, m.id, first)
 	}
 	w.checks.entryAt[applied.Index] = entry
 }
@@ -43,24 +44,25 @@
 	}
 	term := m.Status().Term
 	if other, known := w.checks.leaderOfTerm[term]; known && other != m.id {
-		w.addViolation(OneLeader, "members %d and %d lead in term %d", other, m.id, term)
+		w.addViolation(OneLeader, "members %d and %d are both leaders in term %d", other, m.id, term)
 	}
 	w.checks.leaderOfTerm[term] = m.id
 }
 
-// checkPublished checks that a version that a member publishes has the text that it has elsewhere.
+// checkPublished checks that a published version has the same text at each member.
 func (w *world) checkPublished(m *member, version cluster.Version) {
 	if first, known := w.checks.textOfVersion[version.Number]; known && first != version.Text {
-		w.addViolation(SameVersions, "version %d is %q at member %d and %q elsewhere", version.Number, version.Text, m.id, first)
+		w.addViolation(SameVersions, "version %d has text %q at member %d, but %q elsewhere",
+			version.Number, version.Text, m.id, first)
 	}
 	w.checks.textOfVersion[version.Number] = version.Text
 }
 
-// checkSidecars checks that sidecars hold agreed versions only.
+// checkSidecars checks that sidecars hold only versions that the group has agreed on.
 func (w *world) checkSidecars() {
 	for _, version := range w.sidecars {
 		if version > 0 && !w.measurements.isAgreed(version) {
-			w.addViolation(AgreedVersions, "a sidecar holds version %d, which was never agreed", version)
+			w.addViolation(AgreedVersions, "a sidecar holds version %d, which the group never agreed on", version)
 			return
 		}
 	}
--- a/simulation/disk.go
+++ b/simulation/disk.go
@@ -11,17 +11,18 @@
 	"harehook.dev/harehook/raftlog"
 )
 
-// crashAtSaveFactor sets the chance that a save crashes its member: one in this many times FaultEvery.
+// crashAtSaveFactor determines the probability that a member crashes during a save: 1 / (crashAtSaveFactor *
+// FaultEvery).
 const crashAtSaveFactor = 20
 
-// errCrashedAtSave is what a save returns that crashes its member.
-var errCrashedAtSave = errors.New("the member crashed at its disk")
+// errCrashedAtSave is returned by a save during which the member crashes.
+var errCrashedAtSave = errors.New("member crashed while saving to disk")
 
-// disk is what of a member survives a crash.
+// disk holds the persistent state of a member. All but the unsynced batches survives a crash.
 type disk struct {
 	identity string
 	synced   raftlog.SavedState
-	unsynced []raftlog.Batch // not synced yet: lost in a crash
+	unsynced []raftlog.Batch // in order of saving; lost in a crash
 }
 
 // newDisk returns the empty disk of a member.
@@ -32,7 +33,7 @@
 	}
 }
 
-// load returns a copy of what the disk holds.
+// load returns a copy of the synced state.
 func (d *disk) load() *raftlog.SavedState {
 	saved := &raftlog.SavedState{
 		Identity:  d.identity,
@@ -45,7 +46,7 @@
 	return saved
 }
 
-// write has the disk hold a batch.
+// write adds a batch to the synced state.
 func (d *disk) write(batch raftlog.Batch) {
 	if batch.HardState != nil {
 		d.synced.HardState = proto.CloneOf(batch.HardState)
@@ -58,14 +59,15 @@
 	}
 }
 
-// writeSnapshot replaces the entries that a snapshot covers.
+// writeSnapshot stores a snapshot and deletes the entries that it covers.
 func (d *disk) writeSnapshot(snapshot *raftpb.Snapshot) {
 	covered := snapshot.GetMetadata().GetIndex()
 	d.synced.Entries = slices.DeleteFunc(d.synced.Entries, func(e *raftpb.Entry) bool { return e.GetIndex() <= covered })
 	d.synced.Snapshot = proto.CloneOf(snapshot)
 }
 
-// writeEntries replaces the end of the log, from the index of the first entry on.
+// writeEntries replaces the log from the index of the first entry onwards. Entries that the snapshot covers are
+// skipped.
 func (d *disk) writeEntries(entries []*raftpb.Entry) {
 	from := entries[0].GetIndex()
 	covered := d.synced.Snapshot.GetMetadata().GetIndex()
@@ -77,7 +79,7 @@
 	}
 }
 
-// saveToDisk has a member's disk take a batch. That costs time and may end in a crash, before the sync or after it.
+// saveToDisk saves a batch to a member's disk. A save takes time, and the member may crash before or after the sync.
 func (w *world) saveToDisk(m *member, batch raftlog.Batch) error {
 	w.delaySave(m)
 	if w.drawCrashAtSave() {
@@ -95,7 +97,7 @@
 	return nil
 }
 
-// delaySave has a member do nothing while its disk saves.
+// delaySave blocks a member for the time that a save takes.
 func (w *world) delaySave(m *member) {
 	if w.setup.MaxSyncDelay <= 0 {
 		return
@@ -106,7 +108,7 @@
 	}
 }
 
-// drawCrashAtSave tells whether a save crashes its member.
+// drawCrashAtSave randomly decides whether a member crashes during a save.
 func (w *world) drawCrashAtSave() bool {
 	if w.now >= w.faultFreeFrom || w.setup.FaultEvery <= 0 {
 		return false
@@ -114,7 +116,7 @@
 	return w.rng.IntN(crashAtSaveFactor*w.setup.FaultEvery) == 0
 }
 
-// syncFirst has the disk hold the first batch that is not synced yet, if a crash has left one.
+// syncFirst syncs the oldest unsynced batch. It does nothing if a crash has discarded the unsynced batches.
 func (d *disk) syncFirst() {
 	if len(d.unsynced) > 0 {
 		d.write(d.unsynced[0])
--- a/simulation/eventqueue/eventqueue.go
+++ b/simulation/eventqueue/eventqueue.go
@@ -1,6 +1,6 @@
-// Package eventqueue holds what is still to happen in a simulation. A simulation has no clock but the times of its
-// events: it takes the next event, sets its clock to the event's time and runs it. The simulations of packages simulation
-// (ticks) and simulation/followers (durations) use it.
+// Package eventqueue provides the queue of pending events of a discrete-event simulation. Such a simulation has a
+// virtual clock: it removes the next event from the queue, sets the clock to the event's time and runs the event.
+// Packages simulation (times in ticks) and simulation/followers (times as durations) use it.
 package eventqueue
 
 import (
@@ -8,28 +8,28 @@
 	"container/heap"
 )
 
-// Event is something that happens at a time of a simulation.
+// Event is a function that runs at a point in simulated time.
 type Event[Time cmp.Ordered] struct {
 	At  Time
 	Run func()
 
-	sequence int // counts the events as they were scheduled
+	sequence int // number of the event in the order of scheduling
 }
 
-// Queue gives events in the order of their times. Events of one time come in the order in which they were scheduled, so
-// that a run depends on nothing but its seed. The zero value is an empty queue.
+// Queue returns events in the order of their times. Events with the same time are returned in the order in which they
+// were scheduled, so that a run depends only on its seed. The zero value is an empty queue.
 type Queue[Time cmp.Ordered] struct {
 	events    eventHeap[Time]
 	scheduled int
 }
 
-// Schedule adds an event.
+// Schedule adds an event that calls run at a time.
 func (q *Queue[Time]) Schedule(at Time, run func()) {
 	q.scheduled++
 	heap.Push(&q.events, Event[Time]{At: at, Run: run, sequence: q.scheduled})
 }
 
-// PopDue removes the next event if its time is no later than now.
+// PopDue removes and returns the next event if its time is not after now. Otherwise due is false.
 func (q *Queue[Time]) PopDue(now Time) (next Event[Time], due bool) {
 	if len(q.events) == 0 || q.events[0].At > now {
 		return next, false
@@ -37,7 +37,7 @@
 	return heap.Pop(&q.events).(Event[Time]), true
 }
 
-// eventHeap implements heap.Interface, the next event first.
+// eventHeap implements heap.Interface with the next event as the minimum.
 type eventHeap[Time cmp.Ordered] []Event[Time]
 
 func (h eventHeap[Time]) Len() int { return len(h) }
--- a/simulation/eventqueue/eventqueue_test.go
+++ b/simulation/eventqueue/eventqueue_test.go
@@ -38,7 +38,7 @@
 		event.Run()
 	}
 	if !slices.Equal(got, want) {
-		t.Errorf("order %v", got)
+		t.Errorf("got order %v, want %v", got, want)
 	}
 }
 
@@ -52,6 +52,6 @@
 		event.Run()
 	}
 	if ran != 1 {
-		t.Errorf("the second event ran %d times", ran)
+		t.Errorf("second event: got %d runs, want 1", ran)
 	}
 }
--- a/simulation/experiment.go
+++ b/simulation/experiment.go
@@ -8,27 +8,28 @@
 	"harehook.dev/harehook/simulation/parallel"
 )
 
-// Experiment plays one setup with many seeds, and again for each value of the figures that it sweeps.
+// Experiment describes runs of one setup: at each combination of values of the swept figures, one run for each seed.
 type Experiment struct {
 	Name   string
-	Seeds  int // each point is played with the seeds from 0 to Seeds-1
+	Seeds  int // runs at each point, with the seeds from 0 to Seeds-1
 	Base   Setup
-	Sweeps []Sweep // maxSweeps at most
+	Sweeps []Sweep // at most maxSweeps
 }
 
-// Sweep is a figure of a setup that takes several values in turn.
+// Sweep lists the values of a swept figure of the setup.
 type Sweep struct {
-	Figure string // a key of the experiment's KDL, such as "members"
+	Figure string // key in the experiment's KDL, such as "members"
 	Values []float64
 }
 
-// maxSweeps is how many figures an experiment can sweep: one is the abscissa of the charts, one tells their lines apart.
+// maxSweeps is the maximum number of swept figures: the first is the x axis of the charts, the second has a line for
+// each value.
 const maxSweeps = 2
 
-// point is one combination of values of the swept figures; a figure that is not swept has the value 0.
+// point is one combination of values of the swept figures. With fewer than two of them, the missing values are 0.
 type point struct{ x, y float64 }
 
-// points lists the points of the experiment. The first swept figure varies fastest.
+// points returns the points of the experiment. The first swept figure varies fastest.
 func (e *Experiment) points() (points []point) {
 	for _, y := range e.sweep(1).Values {
 		for _, x := range e.sweep(0).Values {
@@ -38,7 +39,7 @@
 	return points
 }
 
-// sweep returns one of the sweeps, or one without a figure and with a single value.
+// sweep returns the sweep at an index, or a sweep with an empty figure and the single value 0 if there is none.
 func (e *Experiment) sweep(index int) Sweep {
 	if index < len(e.Sweeps) {
 		return e.Sweeps[index]
@@ -46,7 +47,7 @@
 	return Sweep{Values: []float64{0}}
 }
 
-// setup is what one run is played with.
+// setup returns the setup of one run.
 func (e *Experiment) setup(at point, seed uint64) Setup {
 	setup := e.Base
 	setup.Seed = seed
@@ -55,8 +56,8 @@
 	return setup
 }
 
-// Run plays all runs of the experiment, as many at once as there are cores. The order of the rows does not depend on
-// that: by the second figure, the first figure, the seed.
+// Run executes all runs of the experiment, on all cores in parallel. The order of the rows is always the same: by the
+// second figure, the first figure and the seed.
 func (e *Experiment) Run() []Row {
 	var setups []Setup
 	var rows []Row
@@ -73,8 +74,8 @@
 }
 
 // Write runs the experiment, prints its table to out and writes its results (NAME.parquet) and charts
-// (NAME-METRIC.png) into a folder, which it creates. The rows are valid also where an error says that some of this could
-// not be written.
+// (NAME-METRIC.png) to a folder, which it creates. If it fails after the runs, it returns the rows together with the
+// error.
 func (e *Experiment) Write(folder string, out io.Writer) ([]Row, error) {
 	if err := os.MkdirAll(folder, 0o755); err != nil {
 		return nil, err
--- a/simulation/experiment_file.go
+++ b/simulation/experiment_file.go
@@ -13,7 +13,7 @@
 	maxFigureValue = 1e6
 )
 
-// defaultSetup is what an experiment plays where its file does not say otherwise.
+// defaultSetup returns the setup for the figures that an experiment's file does not set.
 func defaultSetup() Setup {
 	return Setup{
 		Members:        3,
@@ -26,7 +26,7 @@
 	}
 }
 
-// figures are what an experiment can set or sweep, by their keys in KDL.
+// figures maps the KDL keys of the figures that an experiment can set or sweep to their setters.
 var figures = map[string]func(setup *Setup, value float64){
 	"members":       func(s *Setup, v float64) { s.Members = int(v) },
 	"ticks":         func(s *Setup, v float64) { s.Ticks = int(v) },
@@ -42,22 +42,22 @@
 	"sidecars":      func(s *Setup, v float64) { s.Sidecars = int(v) },
 }
 
-// setElectionTicks sets the election timeout, and the heartbeat interval in proportion.
+// setElectionTicks sets the election timeout, and the heartbeat interval to a fifth of it.
 func setElectionTicks(setup *Setup, ticks float64) {
 	setup.Timing.ElectionTicks = int(ticks)
 	setup.Timing.HeartbeatTicks = max(1, int(ticks)/5)
 }
 
-// setFigure sets a figure by its key; the empty key sets nothing.
+// setFigure sets a figure by its key. An empty key has no effect.
 func setFigure(setup *Setup, figure string, value float64) {
 	if figure != "" {
 		figures[figure](setup, value)
 	}
 }
 
-// ReadExperiment reads an experiment from KDL: one node "experiment" with a name, whose children set the number of seeds
-// and the figures of a setup. A figure with several values is swept. The error is a kdl.Faults, which names the line of
-// each mistake.
+// ReadExperiment reads an experiment from KDL: one node "experiment" with a name, whose children set the number of
+// seeds and the figures of a setup. A figure with several values is swept. The error is a kdl.Faults, which lists each
+// mistake with its line.
 func ReadExperiment(text string) (*Experiment, error) {
 	nodes, err := kdl.Parse(text)
 	if err != nil {
@@ -65,7 +65,7 @@
 	}
 	reader := experimentReader{experiment: &Experiment{Seeds: defaultSeeds, Base: defaultSetup()}}
 	if len(nodes) != 1 || nodes[0].Name != "experiment" || len(nodes[0].Arguments) != 1 {
-		reader.faults.Add(1, "the document is one \"experiment\" with a name")
+		reader.faults.Add(1, "the document must be a single node \"experiment\" with a name")
 		return nil, reader.faults.Err()
 	}
 	reader.experiment.Name = fmt.Sprint(nodes[0].Arguments[0].Data)
@@ -82,7 +82,7 @@
 	faults     kdl.Faults
 }
 
-// readFigure reads the line of one figure.
+// readFigure reads the node of one figure, or of the number of seeds.
 func (r *experimentReader) readFigure(node *kdl.Node) {
 	values := r.readValues(node)
 	set, known := figures[node.Name]
@@ -92,7 +92,7 @@
 	case node.Name == "seeds":
 		r.experiment.Seeds = int(values[0])
 	case !known:
-		r.faults.Add(node.Line, "%q is no figure of a run", node.Name)
+		r.faults.Add(node.Line, "unknown figure %q", node.Name)
 	case len(values) == 1:
 		set(&r.experiment.Base, values[0])
 	default:
@@ -100,25 +100,29 @@
 	}
 }
 
-// readValues reads the numbers of a line.
+// readValues returns the values of a node and reports those that are not numbers in the allowed range.
 func (r *experimentReader) readValues(node *kdl.Node) (values []float64) {
 	for _, argument := range node.Arguments {
 		value, isNumber := argument.Data.(float64)
 		if !isNumber || value < 0 || value > maxFigureValue {
-			r.faults.Add(argument.Line, "%q takes numbers from 0 to %d, not %v", node.Name, int(maxFigureValue), argument.Data)
+			r.faults.Add(argument.Line, "%q must be a number from 0 to %d, got %v",
+				node.Name, int(maxFigureValue), argument.Data)
 		}
 		values = append(values, value)
 	}
 	return values
 }
 
-// validate checks what no line says alone; such a mistake is told with the line of the experiment.
+// validate checks the constraints on the experiment as a whole. It reports mistakes at the line of the experiment's
+// node.
 func (r *experimentReader) validate(line int) {
 	base := r.experiment.Base
 	if len(r.experiment.Sweeps) > maxSweeps {
-		r.faults.Add(line, "two figures are swept at most, not %d", len(r.experiment.Sweeps))
+		r.faults.Add(line, "at most %d figures can be swept, got %d", maxSweeps, len(r.experiment.Sweeps))
 	}
 	if base.Members < 1 || base.Members > maxMembers || base.FaultFreeTicks >= base.Ticks || r.experiment.Seeds < 1 {
-		r.faults.Add(line, "members are 1 to %d, calm is under ticks, seeds are at least 1", maxMembers)
+		r.faults.Add(line,
+			"members must be 1 to %d, calm less than ticks, seeds at least 1; got members %d, calm %d, ticks %d, seeds %d",
+			maxMembers, base.Members, base.FaultFreeTicks, base.Ticks, r.experiment.Seeds)
 	}
 }
--- a/simulation/faults.go
+++ b/simulation/faults.go
@@ -7,42 +7,42 @@
 	"harehook.dev/harehook/cluster"
 )
 
-// FaultKind says what goes wrong.
+// FaultKind describes a kind of fault.
 type FaultKind string
 
 // The kinds of fault.
 const (
-	Crash          FaultKind = "crash"     // a member's process ends, and starts again after For
-	Cut            FaultKind = "cut"       // no message passes between Side and the others
-	CutOne         FaultKind = "cut one"   // none leaves Side; what comes to it does
+	Crash          FaultKind = "crash"     // a member's process crashes and restarts after For
+	Cut            FaultKind = "cut"       // no messages between Side and the other members
+	CutOne         FaultKind = "cut one"   // no messages from Side to the other members; the opposite direction works
 	Stall          FaultKind = "stall"     // a member's clock and process stop
-	SlowIO         FaultKind = "slow disk" // each save takes half an election timeout more
-	Replace        FaultKind = "replace"   // a member is removed and comes back with its old log
-	TransferLeader FaultKind = "transfer"  // the member hands leadership over, if it leads
+	SlowIO         FaultKind = "slow disk" // each save takes half an election timeout longer
+	Replace        FaultKind = "replace"   // a member is removed, and added again with its old log after For
+	TransferLeader FaultKind = "transfer"  // the member transfers leadership if it is the leader
 )
 
-// How a change of members is tried.
+// Limits on the attempts at a membership change.
 const (
-	removeTicks = 40  // for so long a removal is tried
-	addTicks    = 400 // for so long an addition is tried
+	removeTicks = 40  // limit for a removal, which is attempted only once
+	addTicks    = 400 // time during which an addition is retried
 	retryTicks  = 5   // between two attempts
 )
 
-// faultStream selects the random numbers that draw a run's faults.
+// faultStream selects the stream of random numbers from which the faults of a run are drawn.
 const faultStream = 12
 
-// Fault is one thing that goes wrong, for a while.
+// Fault describes one fault: its kind, when it starts and how long it lasts.
 type Fault struct {
-	At, For int // ticks
+	At, For int // start and duration, in ticks
 	Kind    FaultKind
-	Member  uint64   // that it concerns; Cut and CutOne concern Side
-	Side    []uint64 // members on one side of a Cut or CutOne
+	Member  uint64   // affected member; Cut and CutOne affect Side instead
+	Side    []uint64 // members on one side of the partition, for Cut and CutOne
 }
 
-// faultKinds are what faults are drawn from: some are more frequent.
+// faultKinds lists the kinds that faults are drawn from. Those listed twice are drawn more often.
 var faultKinds = []FaultKind{Crash, Crash, Cut, Cut, CutOne, Stall, SlowIO, TransferLeader, Replace}
 
-// Draw draws the faults of a run from its seed. It returns an empty list, not nil, if the setup has none.
+// Draw returns the faults of a run, drawn at random from its seed. The list is empty, not nil, if FaultEvery is 0.
 func Draw(setup Setup) []Fault {
 	faults := []Fault{}
 	if setup.FaultEvery == 0 {
@@ -56,7 +56,7 @@
 	return faults
 }
 
-// drawFault draws a fault that begins at a tick and ends before the ticks without faults.
+// drawFault returns a random fault that starts at a tick and ends before the fault-free ticks.
 func drawFault(rng *rand.Rand, setup Setup, at int) Fault {
 	length := 1 + rng.IntN(8*setup.Timing.ElectionTicks)
 	fault := Fault{
@@ -73,7 +73,7 @@
 	return fault
 }
 
-// startFault has a fault begin, and schedules its end.
+// startFault starts a fault and schedules its end.
 func (w *world) startFault(f Fault) {
 	m := w.members[f.Member-1]
 	w.trace("%s %d %v", f.Kind, f.Member, f.Side)
@@ -98,7 +98,8 @@
 	}
 }
 
-// cutGroupOf cuts the links that leave a side, and those that come to it unless only one way is cut.
+// cutGroupOf cuts the links from the fault's side to the other members and, for Cut, the links in the opposite
+// direction.
 func (w *world) cutGroupOf(f Fault) {
 	for _, inside := range w.members {
 		if !slices.Contains(f.Side, inside.id) {
@@ -116,8 +117,8 @@
 	}
 }
 
-// changeMembers has whoever leads change the members. An addition is tried again until it is in effect or
-// ticks have passed. A member that was removed goes on with its old log.
+// changeMembers proposes a membership change through a leader. An addition is retried until it is in effect or
+// the given number of ticks has passed. A removed member continues to run with its old log.
 func (w *world) changeMembers(change cluster.MembershipChange, ticks int) {
 	for _, m := range w.members {
 		if m.up && m.IsLeader() && w.mayChange(m, change) {
@@ -131,12 +132,13 @@
 	}
 }
 
-// mayChange tells whether a leader may change the members so: it removes one only while all vote.
+// mayChange reports whether a leader may propose a membership change: a removal is allowed only while all members are
+// voters.
 func (w *world) mayChange(leader *member, change cluster.MembershipChange) bool {
 	return len(change.Remove) == 0 || len(leader.Status().Voters) == w.setup.Members
 }
 
-// retryAddition tries an addition again if some leader does not have it.
+// retryAddition retries an addition if there is a leader whose voters do not include the added member.
 func (w *world) retryAddition(change cluster.MembershipChange, ticks int) {
 	for _, m := range w.members {
 		if m.up && m.IsLeader() && !slices.Contains(m.Status().Voters, change.Add[0]) {
@@ -146,7 +148,7 @@
 	}
 }
 
-// plannedFaults are the faults of a run: those that the setup names, or else those that its seed draws.
+// plannedFaults returns the faults of a run: Faults, or those drawn from the seed if Faults is nil.
 func (s Setup) plannedFaults() []Fault {
 	if s.Faults != nil {
 		return s.Faults
--- a/simulation/format.go
+++ b/simulation/format.go
@@ -6,7 +6,8 @@
 	"harehook.dev/harehook/records"
 )
 
-// plainText has every text be a configuration of one route: the simulated operators write texts that tell versions apart.
+// plainText is a text format in which each text is a configuration of one route, with the text as its prefix. The texts
+// of the simulated operators only have to differ between versions.
 type plainText struct{}
 
 // Parse implements cluster.TextFormat.
--- a/simulation/golden_test.go
+++ b/simulation/golden_test.go
@@ -7,7 +7,7 @@
 	"harehook.dev/harehook/internal/goldentest"
 )
 
-// TestGoldenExperiment reads an experiment that sets each figure, and compares it with what commit 3968cf4 read.
+// TestGoldenExperiment reads an experiment that sets each figure and compares the result with that of commit 3968cf4.
 func TestGoldenExperiment(t *testing.T) {
 	text, err := os.ReadFile("testdata/experiment.kdl")
 	if err != nil {
--- a/simulation/history.go
+++ b/simulation/history.go
@@ -9,52 +9,53 @@
 	"harehook.dev/harehook/cluster"
 )
 
-// maxSearchTime bounds the search for an order that explains a history. A history whose search takes longer counts as
-// explained.
+// maxSearchTime limits the search for a linearization of a history. A history whose search takes longer is accepted as
+// linearizable.
 const maxSearchTime = 20 * time.Second
 
-// history is what operators asked of the group and were answered. Each operation is by a client of its own, since an
-// operator who got no answer may not assume anything of the operation before.
+// history records the operations of the operators and their results. Each operation has its own client, because an
+// operator that received no response cannot make any assumptions about the previous operation.
 type history struct {
 	operations  []porcupine.Operation
-	firstResult map[string]cluster.Result // by client: of its proposal, when it was first applied
+	firstResult map[string]cluster.Result // by client: result of its proposal when first applied
 }
 
-// operationInput is what an operation asks of the register that the configuration is: to read its version, or to set it
-// by who knows the last one.
+// operationInput is the input of an operation on the configuration, which is modeled as a register: a read of its
+// version, or a write that is conditional on the version that it is based on.
 type operationInput struct {
 	isWrite bool
 	base    uint64 // version that the write is based on
 }
 
-// operationOutput is what an operation was answered.
+// operationOutput is the result of an operation.
 type operationOutput struct {
 	version  uint64
-	ok       bool // the read has a version, or the write was accepted
+	ok       bool // the read returned a version, or the write was accepted
 	answered bool // the group has decided on the write
 }
 
-// clientName is the name by which a client of the history proposes.
+// clientName returns the client name in the proposals of a client of the history.
 func clientName(client int) string { return fmt.Sprint("operator-", client) }
 
-// begin adds an operation of a new client at a tick. It returns the client and the index of the operation.
+// begin records the call of an operation by a new client at a tick. It returns the client and the index of the
+// operation.
 func (h *history) begin(tick int, input operationInput) (client, index int) {
 	client = len(h.operations) + 1
 	h.operations = append(h.operations, porcupine.Operation{ClientId: client, Input: input, Call: callTime(tick), Return: noTick})
 	return client, len(h.operations) - 1
 }
 
-// end notes at a tick what an operation was answered.
+// end records the return of an operation at a tick, with its output.
 func (h *history) end(tick, index int, output operationOutput) {
 	h.operations[index].Return = returnTime(tick)
 	h.operations[index].Output = output
 }
 
-// callTime and returnTime have all calls of a tick come before its returns: operations of one tick are concurrent.
+// callTime and returnTime order all calls of a tick before its returns: operations of one tick are concurrent.
 func callTime(tick int) int64   { return int64(2 * tick) }
 func returnTime(tick int) int64 { return int64(2*tick + 1) }
 
-// recordApplied notes the result of a client's proposal. A repeated proposal has the result of the first one.
+// recordApplied records the result of a client's proposal when it is first applied; repetitions are ignored.
 func (h *history) recordApplied(applied cluster.AppliedCommand) {
 	if h.firstResult == nil {
 		h.firstResult = map[string]cluster.Result{}
@@ -65,14 +66,14 @@
 	}
 }
 
-// writeOutput is the answer to a proposal.
+// writeOutput returns the output of a write from the result of its proposal.
 func writeOutput(result cluster.Result) operationOutput {
 	return operationOutput{version: result.Version, ok: result.Rejected == "", answered: true}
 }
 
-// decided returns the operations that say something of the group. A proposal whose answer never came was agreed, or not:
-// the log says which, and it may have been at any time until the end. What had no effect and no answer is left out: it
-// would only make the search for an order long.
+// decided returns the operations to check. Whether the group agreed on a proposal without a response is known from the
+// log; if it did, the proposal may have taken effect at any time until the end of the run. Operations without effect
+// and without response are omitted: they would only lengthen the search for a linearization.
 func (h *history) decided(lastTick int) (operations []porcupine.Operation) {
 	for _, operation := range h.operations {
 		isWrite := operation.Input.(operationInput).isWrite
@@ -91,18 +92,19 @@
 	return operations
 }
 
-// checkHistory checks that some order of the operations explains what operators were answered.
+// checkHistory checks that the history of the operators' operations is linearizable.
 func (w *world) checkHistory() {
 	if len(w.outcome.Violations) > 0 {
 		return
 	}
 	operations := w.history.decided(w.setup.Ticks)
 	if porcupine.CheckOperationsTimeout(registerModel, operations, maxSearchTime) == porcupine.Illegal {
-		w.addViolation(Linearizable, "the configuration's history is not linearizable")
+		w.addViolation(Linearizable, "the history of the configuration is not linearizable")
 	}
 }
 
-// registerModel is what a history must be explained by: a version that is read, and set by who knows the last one.
+// registerModel is the sequential specification of the configuration: a register with a version, in which a write
+// succeeds only if it is based on the current version.
 var registerModel = porcupine.Model{
 	Init: func() any { return uint64(0) },
 	Step: func(state, input, output any) (legal bool, next any) {
@@ -111,10 +113,11 @@
 	Equal: func(a, b any) bool { return a == b },
 }
 
-// stepRegister tells whether a register with a version may answer an operation so, and which version it then has.
+// stepRegister reports whether an operation on a register with a version may have an output, and returns the version
+// after the operation.
 func stepRegister(version uint64, input operationInput, output operationOutput) (legal bool, next uint64) {
 	switch {
-	case !input.isWrite && !output.ok: // no answer
+	case !input.isWrite && !output.ok: // no response
 		return true, version
 	case !input.isWrite:
 		return output.version == version, version
--- a/simulation/measurements.go
+++ b/simulation/measurements.go
@@ -1,8 +1,8 @@
 package simulation
 
-// measurements is what the measurements of a run need to remember.
+// measurements holds the state between ticks that the measurements of a run need.
 type measurements struct {
-	commitTick   map[uint64]int // by number of the agreed version; convergenceMeasured once all sidecars have held it
+	commitTick   map[uint64]int // by number of the agreed version; convergenceMeasured after all sidecars have held it
 	leaderLostAt int            // tick, or noTick while there is a leader
 	lastLeader   uint64         // member id; 0 before the first election
 }
@@ -16,13 +16,13 @@
 	return measurements{commitTick: map[uint64]int{}, leaderLostAt: noTick}
 }
 
-// isAgreed tells whether the group has agreed on a version.
+// isAgreed reports whether the group has agreed on a version.
 func (m *measurements) isAgreed(version uint64) bool {
 	_, agreed := m.commitTick[version]
 	return agreed
 }
 
-// newestAgreed is the newest version that the group has agreed on; 0 if there is none.
+// newestAgreed returns the newest version that the group has agreed on, or 0 if there is none.
 func (m *measurements) newestAgreed() (newest uint64) {
 	for version := range m.commitTick {
 		newest = max(newest, version)
@@ -30,7 +30,8 @@
 	return newest
 }
 
-// measureCommit notes when a version was agreed, and how long none was since a leader was lost.
+// measureCommit records the tick at which the group agreed on a version. For the first new version after the loss of a
+// leader, it also records the time since the loss.
 func (w *world) measureCommit(version uint64) {
 	m := &w.measurements
 	if m.isAgreed(version) {
@@ -43,7 +44,7 @@
 	}
 }
 
-// measureLeader notes when the process of the leader is lost.
+// measureLeader records the tick at which the process of the last known leader goes down.
 func (w *world) measureLeader() {
 	m := &w.measurements
 	leader := uint64(0)
@@ -60,7 +61,7 @@
 	}
 }
 
-// measureConvergence notes when all sidecars hold the newest version.
+// measureConvergence records how long it took until all sidecars held the newest version.
 func (w *world) measureConvergence() {
 	newest := w.measurements.newestAgreed()
 	if newest == 0 || !w.allSidecarsHold(newest) {
@@ -77,7 +78,7 @@
 	}
 }
 
-// allSidecarsHold tells whether no sidecar lacks a version.
+// allSidecarsHold reports whether all sidecars hold a version or a newer one.
 func (w *world) allSidecarsHold(version uint64) bool {
 	for _, held := range w.sidecars {
 		if held < version {
@@ -87,7 +88,7 @@
 	return true
 }
 
-// measureLogs notes the longest log.
+// measureLogs records the length of the longest log of the members that are up.
 func (w *world) measureLogs() {
 	for _, m := range w.members {
 		if m.up {
--- a/simulation/member.go
+++ b/simulation/member.go
@@ -5,31 +5,31 @@
 	"harehook.dev/harehook/raftlog"
 )
 
-// registerEvery is the ticks between two attempts of a member to register with the group.
+// registerEvery is the number of ticks between two attempts of a member to register with the group.
 const registerEvery = 20
 
-// member is a member of the group with its process and its disk.
+// member is a simulated member of the group: its process and its disk.
 type member struct {
-	*cluster.Member // of the process that runs, or ran last
+	*cluster.Member // state machine of the current or the last process
 	id              uint64
 	disk            *disk
-	up              bool // its process runs
-	busyUntil       int  // tick: until then the disk or a stall holds it
+	up              bool // the process is running
+	busyUntil       int  // tick until which a save or a stall blocks the process
 	slowDisk        bool
-	incarnation     uint64 // counts its processes
+	incarnation     uint64 // number of processes started so far
 
 	pendingReads     map[uint64]readAnswer // by id of the read
 	pendingProposals map[string]*proposal  // by client
-	uncommitted      cluster.Version       // planted: published before it is agreed
+	uncommitted      cluster.Version       // published before commit; only with BeforeCommit
 }
 
-// readAnswer takes the answer to a read: the version, or that there is none.
+// readAnswer is called with the result of a read. If ok is false, the read returned no version.
 type readAnswer func(version uint64, ok bool)
 
-// isResponsive tells whether a member's process is up and not held by its disk or a stall.
+// isResponsive reports whether a member's process is running and not blocked by its disk or a stall.
 func (w *world) isResponsive(m *member) bool { return m.up && w.now >= m.busyUntil }
 
-// startMember begins a member's process with what its disk has.
+// startMember starts a member's process from the state on its disk.
 func (w *world) startMember(m *member) {
 	m.incarnation++
 	var voters []uint64
@@ -39,7 +39,7 @@
 	seed := w.setup.Seed*1000 + m.id*100 + m.incarnation
 	started, first, err := cluster.Start(m.id, m.disk.load(), voters, cluster.NewState(plainText{}), w.setup.Timing, seed)
 	if err != nil {
-		w.addViolation(MembersStart, "member %d does not start: %v", m.id, err)
+		w.addViolation(MembersStart, "member %d failed to start: %v", m.id, err)
 		return
 	}
 	m.disk.write(first)
@@ -51,7 +51,7 @@
 	w.trace("start %d", m.id)
 }
 
-// crashMember ends a member's process. What was not synced is lost, and so are the answers to its reads.
+// crashMember terminates a member's process. Unsynced batches are lost, and pending reads end without a version.
 func (w *world) crashMember(m *member) {
 	if !m.up {
 		return
@@ -66,7 +66,7 @@
 	m.pendingReads = nil
 }
 
-// restartAfter starts a member that has crashed some ticks from now, unless it is up by then.
+// restartAfter starts a crashed member after a number of ticks, unless it is up by then.
 func (w *world) restartAfter(ticks int, m *member) {
 	w.schedule(ticks, func() {
 		if !m.up {
@@ -75,7 +75,8 @@
 	})
 }
 
-// advance has a member do what its machine is ready for: save, send, apply, answer reads.
+// advance performs the pending work of a member's state machine: it saves, sends messages, applies commands and
+// completes reads.
 func (w *world) advance(m *member) {
 	messages, applied, reads, err := m.Advance(func(batch raftlog.Batch) error { return w.saveToDisk(m, batch) })
 	if err != nil {
@@ -101,7 +102,8 @@
 	}
 }
 
-// recordApplied notes that a member has applied an entry, and answers the operator who proposed it through this member.
+// recordApplied records that a member has applied an entry, and returns the result to the operator if the proposal was
+// submitted through this member.
 func (w *world) recordApplied(m *member, applied cluster.AppliedCommand) {
 	w.checkEntry(m, applied)
 	w.history.recordApplied(applied)
@@ -116,7 +118,7 @@
 	}
 }
 
-// makesVersion tells whether an entry has made a new version of the configuration.
+// makesVersion reports whether an entry creates a new version of the configuration.
 func makesVersion(applied cluster.AppliedCommand) bool {
 	kind := applied.Command.Kind
 	return applied.Result.Rejected == "" && (kind == cluster.CommandPut || kind == cluster.CommandRollBack)
--- a/simulation/metrics.go
+++ b/simulation/metrics.go
@@ -2,13 +2,14 @@
 
 import "slices"
 
-// Metric is what tables and charts show of runs.
+// Metric is a measurement of runs that tables and charts show.
 type Metric struct {
-	Name   string                // in tables and in the names of charts
-	Values func(row Row) []int64 // what one run adds to the metric
+	Name   string                // in tables and in the file names of charts
+	Values func(row Row) []int64 // returns the values of one run
 }
 
-// Metrics are all metrics, in the order of the tables. All but the entries of the log are ticks.
+// Metrics lists all metrics, in the order of the tables. All values are in ticks, except those of "entries", which
+// count log entries.
 var Metrics = []Metric{
 	{Name: "commit", Values: func(r Row) []int64 { return r.Commit }},
 	{Name: "gap", Values: func(r Row) []int64 { return r.Gap }},
@@ -23,7 +24,7 @@
 	spread Spread
 }
 
-// spreads returns the spread of a metric at each point, in the order in which the rows name the points first.
+// spreads returns the spread of a metric at each point, in the order in which the points first appear in the rows.
 func (m Metric) spreads(rows []Row) (spreads []pointSpread) {
 	values := map[point][]int64{}
 	var points []point
@@ -40,17 +41,17 @@
 	return spreads
 }
 
-// Spread says how values are distributed.
+// Spread describes the distribution of values.
 type Spread struct {
 	Count      int
 	Percentile Percentiles // zero if there are no values
 	Max        float64
 }
 
-// Percentiles are those that tables and charts show.
+// Percentiles holds the percentiles that tables and charts show.
 type Percentiles struct{ P10, P50, P90 float64 }
 
-// newSpread returns the spread of values, which it sorts.
+// newSpread returns the spread of values. It sorts values in place.
 func newSpread(values []int64) Spread {
 	if len(values) == 0 {
 		return Spread{}
--- a/simulation/network.go
+++ b/simulation/network.go
@@ -5,19 +5,20 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// link is the way from one member to another.
+// link is the directed connection from one member to another.
 type link struct{ from, to uint64 }
 
-// cutLink has no message pass over a link for some ticks.
+// cutLink blocks the messages on a link for a number of ticks.
 func (w *world) cutLink(from, to uint64, ticks int) {
 	l := link{from, to}
 	w.cutUntil[l] = max(w.cutUntil[l], w.now+ticks)
 }
 
-// isCut tells whether no message passes over a link now.
+// isCut reports whether a link is currently cut.
 func (w *world) isCut(from, to uint64) bool { return w.now < w.cutUntil[link{from, to}] }
 
-// send puts a message on its way: it is lost, or arrives once or twice after a delay.
+// send sends a message over the simulated network: it is lost, or delivered once or twice, each time after a random
+// delay.
 func (w *world) send(from *member, message *raftpb.Message) {
 	to := message.GetTo()
 	if to == 0 || to > uint64(len(w.members)) || w.isCut(from.id, to) {
@@ -42,15 +43,15 @@
 	}
 }
 
-// delivery is a message on its way.
+// delivery is a message in transit.
 type delivery struct {
 	to       *member
 	identity string // of the sender's disk
-	known    string // the identity that the sender knows the receiver by
+	known    string // the receiver's identity as known to the sender
 	message  *raftpb.Message
 }
 
-// deliver has a message arrive: a member that is held takes it later, one that is down never.
+// deliver delivers a message. A member that is blocked receives it later; if the member is down, the message is lost.
 func (w *world) deliver(d delivery) {
 	if !d.to.up {
 		return
@@ -62,7 +63,7 @@
 	w.receive(d)
 }
 
-// receive has a member take a message and act on it.
+// receive passes a message to a member, which processes it, unless the member is down.
 func (w *world) receive(d delivery) {
 	if !d.to.up {
 		return
--- a/simulation/operator.go
+++ b/simulation/operator.go
@@ -7,24 +7,24 @@
 )
 
 const (
-	maxProposeAttempts = 6 // after which an operator gives up
-	staleBaseEvery     = 5 // one in so many proposals is by an operator who did not see the last change
+	maxProposeAttempts = 6 // repetitions of a proposal after which the operator gives up
+	staleBaseEvery     = 5 // on average, one in this many proposals is based on the previous version
 )
 
 // operator proposes changes, one at a time.
 type operator struct {
-	pending *proposal // nil: none
+	pending *proposal // nil if there is none
 }
 
-// proposal is a change of configuration that the operator waits for.
+// proposal is a configuration change whose result the operator waits for.
 type proposal struct {
 	command    cluster.Command
 	proposedAt int // tick
-	operation  int // its index in the history
-	attempts   int // after the first
+	operation  int // index in the history
+	attempts   int // not counting the first
 }
 
-// runOperator has the operator propose changes and read, through any member.
+// runOperator lets the operator propose changes and read, each through a random member.
 func (w *world) runOperator() {
 	every := w.setup.ProposeEvery
 	if every == 0 || w.now < 2*w.setup.Timing.ElectionTicks {
@@ -41,7 +41,7 @@
 	}
 }
 
-// propose begins a proposal on the newest version, or on the one before.
+// propose submits a new proposal that is based on the newest version or, for some proposals, on the previous one.
 func (w *world) propose() {
 	base := w.newestVersion()
 	if w.rng.IntN(staleBaseEvery) == 0 && base > 0 {
@@ -60,7 +60,7 @@
 	w.submit(w.operator.pending)
 }
 
-// isProposalOverdue tells whether the pending proposal is to be tried again.
+// isProposalOverdue reports whether the pending proposal must be repeated in this tick.
 func (w *world) isProposalOverdue() bool {
 	pending := w.operator.pending
 	if pending == nil || w.now == pending.proposedAt {
@@ -70,8 +70,8 @@
 	return (w.now-pending.proposedAt)%retryEvery == 0
 }
 
-// repeatProposal submits the same proposal again, through any member, since its answer may be lost. After some attempts
-// the operator gives up and does not know the outcome.
+// repeatProposal submits the pending proposal again, through a random member, because its response may be lost. After
+// maxProposeAttempts repetitions the operator gives up and counts the proposal as one with an unknown outcome.
 func (w *world) repeatProposal() (repeated bool) {
 	pending := w.operator.pending
 	pending.attempts++
@@ -84,7 +84,7 @@
 	return true
 }
 
-// submit has any member take a proposal.
+// submit submits a proposal to a random member, if that is responsive.
 func (w *world) submit(p *proposal) {
 	m := w.drawMember()
 	if !w.isResponsive(m) {
@@ -99,7 +99,7 @@
 	w.advance(m)
 }
 
-// recordResult ends the proposal that the operator waits for with its result.
+// recordResult completes a proposal with its result, unless the operator no longer waits for it.
 func (w *world) recordResult(p *proposal, result cluster.Result) {
 	if w.operator.pending != p {
 		return
@@ -114,7 +114,7 @@
 	w.outcome.Commit = append(w.outcome.Commit, w.now-p.proposedAt)
 }
 
-// readVersion has an operator read the newest version through any member.
+// readVersion performs a linearizable read of the version through a random member.
 func (w *world) readVersion() {
 	m := w.drawMember()
 	if !w.isResponsive(m) {
@@ -137,7 +137,8 @@
 	w.advance(m)
 }
 
-// newestVersion is the newest version that any member that is up knows: what an operator sees who looks around.
+// newestVersion returns the newest version at the members that are up: the one that an operator finds by asking them
+// all.
 func (w *world) newestVersion() (number uint64) {
 	for _, m := range w.members {
 		if m.up {
--- a/simulation/outcome.go
+++ b/simulation/outcome.go
@@ -2,44 +2,44 @@
 
 import "fmt"
 
-// Outcome is what a run showed. Times are in ticks.
+// Outcome holds the results of a run. Times are in ticks.
 type Outcome struct {
 	Violations  []Violation // the run ends with the tick of the first one
-	Fingerprint uint64      // of all that happened: equal for equal runs
+	Fingerprint uint64      // digest of the trace; equal for identical runs
 
 	Agreed    int   // proposals that the group accepted
 	Rejected  int   // proposals that the group rejected
-	Unknown   int   // proposals that the operator gave up without an answer
-	Commit    []int // from each proposal to its answer
+	Unknown   int   // proposals that the operator gave up without a response
+	Commit    []int // from each accepted proposal to its response
 	Gap       []int // from each loss of a leader to the next agreed version
 	Converged []int // from a version's commit until all sidecars hold it
-	Settled   int   // from the last fault until a version was agreed and held by all; -1: never
+	Settled   int   // from the start of the fault-free ticks until all sidecars hold a version committed since; -1: never
 	Entries   int   // of the longest log at the end
 }
 
-// ViolationKind is a property that has to hold in each run.
+// ViolationKind names a property that must hold in each run.
 type ViolationKind int
 
 // The properties that are checked.
 const (
-	// NoPanic: neither the raft library nor the member panics. The library panics at what can't be, such as a commit
-	// index behind the end of a log that has lost entries.
+	// NoPanic: neither the raft library nor the member panics. The library panics in impossible states, such as a commit
+	// index beyond the end of a log that has lost entries.
 	NoPanic ViolationKind = iota
-	// MembersStart: a member starts with what its disk has after a crash.
+	// MembersStart: a member starts from the state that its disk has after a crash.
 	MembersStart
 	// SameEntries: all members apply the same command with the same result at an index.
 	SameEntries
 	// OneLeader: no term has two leaders.
 	OneLeader
-	// SameVersions: a version has the same text wherever a sidecar sees it.
+	// SameVersions: a version has the same text at each member from which a sidecar receives it.
 	SameVersions
-	// AgreedVersions: a sidecar holds only what the group has agreed on.
+	// AgreedVersions: a sidecar holds only versions that the group has agreed on.
 	AgreedVersions
-	// Linearizable: some order of the operators' reads and proposals explains all answers.
+	// Linearizable: the history of the operators' reads and proposals is linearizable.
 	Linearizable
 )
 
-// String names the property.
+// String returns the name of the property.
 func (k ViolationKind) String() string {
 	switch k {
 	case NoPanic:
@@ -61,12 +61,12 @@
 	}
 }
 
-// Violation is a property that a run broke.
+// Violation describes a property that a run violated.
 type Violation struct {
 	Kind   ViolationKind
 	Tick   int
 	Detail string
 }
 
-// String says when the property broke and what was seen.
+// String returns the tick of the violation and its detail.
 func (v Violation) String() string { return fmt.Sprintf("tick %d: %s", v.Tick, v.Detail) }
--- a/simulation/parallel/parallel.go
+++ b/simulation/parallel/parallel.go
@@ -1,4 +1,4 @@
-// Package parallel plays independent runs on all cores. The command harehook-testbed and the experiments of package
+// Package parallel executes independent runs on all cores. The command harehook-testbed and the experiments of package
 // simulation use it.
 package parallel
 
@@ -7,8 +7,8 @@
 	"sync"
 )
 
-// Map calls run for each input, as many at once as there are cores, and returns the results in the order of the inputs.
-// It returns when all calls have.
+// Map calls run for each input, with up to runtime.GOMAXPROCS(0) calls in parallel, and returns the results in the
+// order of the inputs. It returns when all calls have returned.
 func Map[Input, Result any](inputs []Input, run func(Input) Result) []Result {
 	results := make([]Result, len(inputs))
 	indices := make(chan int)
--- a/simulation/parallel/parallel_test.go
+++ b/simulation/parallel/parallel_test.go
@@ -13,13 +13,13 @@
 	}
 	got := Map(inputs, func(n int) int { return n * n })
 	if !slices.Equal(got, want) {
-		t.Errorf("got %v", got)
+		t.Errorf("got %v, want %v", got, want)
 	}
 }
 
 func TestNoInputsGiveNoResults(t *testing.T) {
 	got := Map(nil, func(n int) int { return n })
 	if len(got) != 0 {
-		t.Errorf("got %v", got)
+		t.Errorf("got %v, want no results", got)
 	}
 }
--- a/simulation/results.go
+++ b/simulation/results.go
@@ -2,7 +2,7 @@
 
 import "github.com/parquet-go/parquet-go"
 
-// Row is one run of an experiment as the results hold it. The columns of the Parquet file keep the names of the first
+// Row is the stored result of one run of an experiment. The columns of the Parquet file keep the names of the first
 // release. Times are in ticks.
 type Row struct {
 	Experiment  string  `parquet:"experiment,dict"`
@@ -12,7 +12,7 @@
 	YValue      float64 `parquet:"y_value"`
 	Seed        uint64  `parquet:"seed"`
 	Fingerprint uint64  `parquet:"print"`
-	Violations  string  `parquet:"violations"` // a line each
+	Violations  string  `parquet:"violations"` // one per line
 	Agreed      int64   `parquet:"agreed"`
 	Rejected    int64   `parquet:"refused"`
 	Unknown     int64   `parquet:"unknown"`
@@ -23,7 +23,7 @@
 	Entries     int64   `parquet:"entries"`
 }
 
-// newRow returns the row of a run that has not been played.
+// newRow returns the row of a run, without its outcome.
 func (e *Experiment) newRow(at point, seed uint64) Row {
 	return Row{
 		Experiment: e.Name,
@@ -35,7 +35,7 @@
 	}
 }
 
-// setOutcome notes what the run showed.
+// setOutcome copies the outcome of the run to the row.
 func (r *Row) setOutcome(outcome Outcome) {
 	r.Fingerprint = outcome.Fingerprint
 	r.Agreed = int64(outcome.Agreed)
@@ -58,11 +58,11 @@
 	return converted
 }
 
-// point is the point of the experiment at which the run was played.
+// point returns the point of the experiment that the run belongs to.
 func (r Row) point() point { return point{x: r.XValue, y: r.YValue} }
 
-// Save writes rows as Parquet.
+// Save writes rows to a Parquet file.
 func Save(path string, rows []Row) error { return parquet.WriteFile(path, rows) }
 
-// Load reads the rows that Save wrote.
+// Load reads rows that Save has written.
 func Load(path string) ([]Row, error) { return parquet.ReadFile[Row](path) }
--- a/simulation/shrink.go
+++ b/simulation/shrink.go
@@ -2,8 +2,8 @@
 
 import "slices"
 
-// Shrink drops faults from a run with a violation as long as there still is one, and returns those that are left. The
-// setup's own faults are shrunk, or those that Draw draws from its seed.
+// Shrink removes faults from a run with a violation, as long as the run still has a violation, and returns the
+// remaining faults. It starts from the setup's Faults or, if these are nil, from those that Draw returns.
 func Shrink(setup Setup) []Fault {
 	faults := setup.plannedFaults()
 	violates := func(faults []Fault) bool {
--- a/simulation/sidecars.go
+++ b/simulation/sidecars.go
@@ -2,11 +2,11 @@
 
 const (
 	pollTicks = 7  // between two polls of a sidecar
-	moveTicks = 50 // after which a sidecar polls another member
+	moveTicks = 50 // after which a sidecar switches to another member
 )
 
-// updateSidecars has each sidecar poll one member now and then and take what that has published, unless it is older than
-// what it holds.
+// updateSidecars lets each sidecar poll a member every pollTicks ticks. A sidecar keeps the published version if it is
+// newer than its own.
 func (w *world) updateSidecars() {
 	for sidecar := range w.sidecars {
 		if (w.now+sidecar)%pollTicks == 0 {
@@ -15,7 +15,7 @@
 	}
 }
 
-// updateSidecar has a sidecar poll a member.
+// updateSidecar lets a sidecar poll its current member, if that is responsive.
 func (w *world) updateSidecar(sidecar int) {
 	m := w.members[(sidecar+w.now/moveTicks)%len(w.members)]
 	if !w.isResponsive(m) {
--- a/simulation/simulation_test.go
+++ b/simulation/simulation_test.go
@@ -8,7 +8,7 @@
 	"harehook.dev/harehook/cluster"
 )
 
-// testSetup is a run with all kinds of fault.
+// testSetup returns the setup of a run with all kinds of fault.
 func testSetup(seed uint64, members int) Setup {
 	return Setup{
 		Seed:           seed,
@@ -27,8 +27,8 @@
 	}
 }
 
-// Members crash, are cut off, stall, have slow disks and are replaced, over many seeds. No run may have a violation, and
-// once faults end, a change has to be agreed and held by all sidecars within a bound.
+// Over many seeds, members crash, are cut off, stall, have slow disks and are replaced. No run may have a violation.
+// After the last fault, the group must agree on a change, and all sidecars must hold it, within a limit.
 func TestGroupRecoversFromFaultsWithoutViolation(t *testing.T) {
 	const seeds, maxSettledTicks = 60, 500
 	agreed := 0
@@ -36,26 +36,26 @@
 		setup := testSetup(seed, 3+2*int(seed%2))
 		outcome := Play(setup)
 		for _, violation := range outcome.Violations {
-			t.Errorf("seed %d: %s; least faults: %v", seed, violation, Shrink(setup))
+			t.Errorf("seed %d: got violation %s, want none; faults after shrinking: %v", seed, violation, Shrink(setup))
 		}
 		if outcome.Settled < 0 || outcome.Settled > maxSettledTicks {
-			t.Errorf("seed %d: settled after %d ticks", seed, outcome.Settled)
+			t.Errorf("seed %d: got Settled %d, want from 0 to %d ticks", seed, outcome.Settled, maxSettledTicks)
 		}
 		agreed += outcome.Agreed
 		if t.Failed() {
 			return
 		}
 	}
-	t.Logf("%d versions agreed", agreed)
+	t.Logf("versions agreed on: %d", agreed)
 }
 
-// A run is played again by its seed: that is how a failure is searched. Equal seeds have to give equal runs.
+// A failed run is replayed from its seed for debugging, which works only if equal seeds give identical runs.
 func TestOneSeedIsOneRun(t *testing.T) {
 	for seed := range uint64(5) {
 		first := Play(testSetup(seed, 5))
 		second := Play(testSetup(seed, 5))
 		if first.Fingerprint != second.Fingerprint || fmt.Sprint(first) != fmt.Sprint(second) {
-			t.Errorf("seed %d: %x and %x", seed, first.Fingerprint, second.Fingerprint)
+			t.Errorf("seed %d: got different outcomes %+v and %+v, want equal ones", seed, first, second)
 		}
 	}
 }
@@ -64,18 +64,18 @@
 	first := Play(testSetup(1, 5))
 	second := Play(testSetup(2, 5))
 	if first.Fingerprint == second.Fingerprint {
-		t.Errorf("both have the fingerprint %x", first.Fingerprint)
+		t.Errorf("seeds 1 and 2: got fingerprint %x for both, want different ones", first.Fingerprint)
 	}
 }
 
-// The program is broken on purpose. A checker that is there for the fault has to see it within some seeds.
+// Each planted fault breaks the program on purpose. The checker for that fault must detect it within a number of seeds.
 func TestCheckersSeePlantedFaults(t *testing.T) {
 	const seeds = 60
 	for _, test := range []struct {
 		planted Planted
 		seenAs  []ViolationKind
 	}{
-		{VoteNotSynced, []ViolationKind{NoPanic}}, // the raft library panics at a log that has lost what was committed
+		{VoteNotSynced, []ViolationKind{NoPanic}}, // the raft library panics when committed entries are missing from a log
 		{BeforeCommit, []ViolationKind{SameVersions, AgreedVersions}},
 		{StaleRead, []ViolationKind{Linearizable}},
 	} {
@@ -89,18 +89,18 @@
 				}
 				first := violations[0]
 				if !slices.Contains(test.seenAs, first.Kind) {
-					t.Errorf("seed %d: seen as %q, want one of %v: %s", seed, first.Kind, test.seenAs, first)
+					t.Errorf("seed %d: got violation of %q, want one of %v: %s", seed, first.Kind, test.seenAs, first)
 				}
 				t.Logf("seed %d: %s", seed, first)
 				return
 			}
-			t.Errorf("not seen in %d seeds", seeds)
+			t.Errorf("planted fault %q: got no violation in %d seeds, want one", test.planted, seeds)
 		})
 	}
 }
 
-// A run that fails has dozens of faults, most of which have no part in the failure. Shrink has to leave fewer, with which
-// the run still fails.
+// A failed run has dozens of faults, most of which do not contribute to the failure. Shrink must return fewer faults
+// with which the run still fails.
 func TestShrinkLeavesFewerFaultsThatStillFail(t *testing.T) {
 	setup := testSetup(1, 3)
 	setup.Planted = VoteNotSynced
@@ -112,7 +112,8 @@
 	setup.Faults = least
 	violations := Play(setup).Violations
 	if len(violations) == 0 || len(least) >= len(drawn) {
-		t.Errorf("%d faults of %d, violations %v", len(least), len(drawn), violations)
+		t.Errorf("seed %d: got %d of %d faults, violations %v, want fewer faults and a violation",
+			setup.Seed, len(least), len(drawn), violations)
 	}
 	t.Logf("%d faults shrunk to %d", len(drawn), len(least))
 }
--- a/simulation/table.go
+++ b/simulation/table.go
@@ -7,7 +7,7 @@
 	"text/tabwriter"
 )
 
-// Table prints the spread of each metric at each point of an experiment. There has to be at least one row.
+// Table prints the spread of each metric at each point of an experiment. There must be at least one row.
 func Table(out io.Writer, rows []Row) error {
 	w := tabwriter.NewWriter(out, 0, 4, 2, ' ', 0)
 	fmt.Fprintf(w, "METRIC\t%s\t%s\tN\t10%%\tMEDIAN\t90%%\tMOST\n", cmp.Or(rows[0].X, "-"), cmp.Or(rows[0].Y, "-"))
--- a/simulation/trace.go
+++ b/simulation/trace.go
@@ -5,7 +5,7 @@
 	"hash/fnv"
 )
 
-// trace adds what happens to the digest of the run. Two runs with the same digest did the same things at the same ticks.
+// trace adds an event to the digest of the run. Runs with the same digest have the same events at the same ticks.
 func (w *world) trace(format string, args ...any) {
 	h := fnv.New64a()
 	fmt.Fprintf(h, "%d %d ", w.digest, w.now)
--- a/simulation/world.go
+++ b/simulation/world.go
@@ -6,11 +6,11 @@
 	"harehook.dev/harehook/simulation/eventqueue"
 )
 
-// runStream selects the random numbers that a run draws. Those of its faults are others, so that a run with fewer faults
-// (see Shrink) draws the same network.
+// runStream selects the stream of random numbers of a run. Faults are drawn from another stream (faultStream), so a run
+// with fewer faults (see Shrink) still has the same network randomness.
 const runStream = 11
 
-// world is a run under way.
+// world is the state of a run in progress.
 type world struct {
 	setup   Setup
 	now     int                   // tick
@@ -20,17 +20,17 @@
 	digest  uint64 // see trace
 
 	members  []*member
-	cutUntil map[link]int // tick from which messages pass again
-	sidecars []uint64     // version that each holds
+	cutUntil map[link]int // tick at which the link works again
+	sidecars []uint64     // version that each sidecar holds
 	operator operator
 	history  history
 
 	checks        checks
 	measurements  measurements
-	faultFreeFrom int // tick
+	faultFreeFrom int // first of the fault-free ticks
 }
 
-// Play plays a run to its end, or to the tick of its first violations.
+// Play simulates a run to its end, or to the tick of its first violations.
 func Play(setup Setup) Outcome {
 	w := newWorld(setup)
 	for _, m := range w.members {
@@ -46,7 +46,7 @@
 	return w.outcome
 }
 
-// newWorld returns a run in which no member has started.
+// newWorld returns the state of a run in which no member has started.
 func newWorld(setup Setup) *world {
 	w := &world{
 		setup:         setup,
@@ -64,8 +64,8 @@
 	return w
 }
 
-// step lets one tick pass. The raft library panics at what can't be, such as an entry that was committed and is gone: the
-// panic is a violation of the run.
+// step advances the run by one tick. The raft library panics in impossible states, such as the loss of a committed
+// entry: step records a panic as a violation.
 func (w *world) step() {
 	defer func() {
 		if reason := recover(); reason != nil {
@@ -85,7 +85,7 @@
 	w.measureConvergence()
 }
 
-// finish checks and measures what only the whole run shows.
+// finish performs the checks and measurements that need the complete run.
 func (w *world) finish() {
 	w.checkHistory()
 	w.checkSidecars()
@@ -93,5 +93,5 @@
 	w.outcome.Fingerprint = w.digest
 }
 
-// drawMember returns any member.
+// drawMember returns a random member.
 func (w *world) drawMember() *member { return w.members[w.rng.IntN(len(w.members))] }
