--- a/simulation/charts.go
+++ b/simulation/charts.go
@@ -63,18 +63,18 @@
 
 // chartLines builds the lines from the points that have values, in the order of their first points.
 func chartLines(spreads []pointSpread) (lines []*chartLine) {
-	lineOf := map[float64]*chartLine{}
-	for _, at := range spreads {
-		if at.spread.Count == 0 {
+	lineByY := map[float64]*chartLine{}
+	for _, entry := range spreads {
+		if entry.spread.Count == 0 {
 			continue
 		}
-		line := lineOf[at.point.y]
+		line := lineByY[entry.point.y]
 		if line == nil {
-			line = &chartLine{y: at.point.y}
-			lineOf[at.point.y] = line
+			line = &chartLine{y: entry.point.y}
+			lineByY[entry.point.y] = line
 			lines = append(lines, line)
 		}
-		line.addPoint(at.point.x, at.spread.Percentile)
+		line.addPoint(entry.point.x, entry.spread.Percentile)
 	}
 	return lines
 }
--- a/simulation/disk.go
+++ b/simulation/disk.go
@@ -90,7 +90,7 @@
 	}
 	if w.setup.Planted == VoteNotSynced {
 		m.disk.unsynced = append(m.disk.unsynced, batch)
-		w.schedule(w.setup.Timing.ElectionTicks, m.disk.syncFirst)
+		w.schedule(w.setup.Timing.ElectionTicks, m.disk.syncOldest)
 		return nil
 	}
 	m.disk.write(batch)
@@ -116,8 +116,8 @@
 	return w.rng.IntN(crashAtSaveFactor*w.setup.FaultEvery) == 0
 }
 
-// syncFirst syncs the oldest unsynced batch. It does nothing if a crash has discarded the unsynced batches.
-func (d *disk) syncFirst() {
+// syncOldest syncs the oldest unsynced batch. It does nothing if a crash has discarded the unsynced batches.
+func (d *disk) syncOldest() {
 	if len(d.unsynced) > 0 {
 		d.write(d.unsynced[0])
 		d.unsynced = d.unsynced[1:]
--- a/simulation/eventqueue/eventqueue_test.go
+++ b/simulation/eventqueue/eventqueue_test.go
@@ -26,7 +26,7 @@
 	// tick 5: message arrives
 }
 
-func TestEventsOfOneTimeComeInTheOrderOfTheirScheduling(t *testing.T) {
+func TestEventsOfSameTimeKeepSchedulingOrder(t *testing.T) {
 	const events = 100
 	var queue eventqueue.Queue[int]
 	var got, want []int
@@ -42,7 +42,7 @@
 	}
 }
 
-func TestAnEventThatRunsMayScheduleAnother(t *testing.T) {
+func TestRunningEventCanScheduleAnother(t *testing.T) {
 	var queue eventqueue.Queue[int]
 	ran := 0
 	queue.Schedule(1, func() {
--- a/simulation/experiment_test.go
+++ b/simulation/experiment_test.go
@@ -25,7 +25,7 @@
 
 // An experiment writes a table, a Parquet file and charts. Its runs execute on all cores in parallel, which must not
 // affect the rows: those read back from the file must equal those of a second execution.
-func TestExperimentWritesTheSameRowsAgain(t *testing.T) {
+func TestExperimentRunsAreReproducible(t *testing.T) {
 	const runs = 12
 	experiment := mustReadExperiment(t, smallExperiment)
 	folder := t.TempDir()
@@ -56,7 +56,7 @@
 	}
 }
 
-func TestMistakesInExperimentsAreNamedWithTheirLine(t *testing.T) {
+func TestReadExperimentReportsMistakesWithLine(t *testing.T) {
 	for _, test := range []struct{ name, text, want string }{
 		{"unknown figure", "experiment \"x\" {\n speed 3\n}", "line 2: unknown figure \"speed\""},
 		{"no number", "experiment \"x\" {\n loss \"much\"\n}", "line 2: \"loss\" must be a number"},
@@ -74,7 +74,7 @@
 	}
 }
 
-func TestSpreadTakesTheNearestRank(t *testing.T) {
+func TestSpreadUsesNearestRank(t *testing.T) {
 	got := newSpread([]int64{50, 10, 40, 20, 30})
 	want := Spread{Count: 5, Percentile: Percentiles{P10: 10, P50: 30, P90: 50}, Max: 50}
 	if got != want {
--- a/simulation/faults.go
+++ b/simulation/faults.go
@@ -23,9 +23,9 @@
 
 // Limits on the attempts at a membership change.
 const (
-	removeTicks = 40  // limit for a removal, which is attempted only once
-	addTicks    = 400 // time during which an addition is retried
-	retryTicks  = 5   // between two attempts
+	removeTimeoutTicks = 40  // has no effect: a removal is attempted only once
+	addTimeoutTicks    = 400 // time during which an addition is retried
+	retryIntervalTicks = 5   // between two attempts
 )
 
 // faultStream selects the stream of random numbers from which the faults of a run are drawn.
@@ -58,10 +58,10 @@
 
 // drawFault returns a random fault that starts at a tick and ends before the fault-free ticks.
 func drawFault(rng *rand.Rand, setup Setup, at int) Fault {
-	length := 1 + rng.IntN(8*setup.Timing.ElectionTicks)
+	duration := 1 + rng.IntN(8*setup.Timing.ElectionTicks)
 	fault := Fault{
 		At:     at,
-		For:    min(length, setup.Ticks-setup.FaultFreeTicks-at),
+		For:    min(duration, setup.Ticks-setup.FaultFreeTicks-at),
 		Kind:   faultKinds[rng.IntN(len(faultKinds))],
 		Member: 1 + uint64(rng.IntN(setup.Members)),
 	}
@@ -82,7 +82,7 @@
 		w.crashMember(m)
 		w.restartAfter(f.For, m)
 	case Cut, CutOne:
-		w.cutGroupOf(f)
+		w.cutSide(f)
 	case Stall:
 		m.busyUntil = w.now + f.For
 	case SlowIO:
@@ -93,14 +93,14 @@
 			m.TransferLeadership(1 + uint64(w.rng.IntN(w.setup.Members)))
 		}
 	case Replace:
-		w.changeMembers(cluster.MembershipChange{Remove: []uint64{f.Member}}, removeTicks)
-		w.schedule(f.For, func() { w.changeMembers(cluster.MembershipChange{Add: []uint64{f.Member}}, addTicks) })
+		w.changeMembers(cluster.MembershipChange{Remove: []uint64{f.Member}}, removeTimeoutTicks)
+		w.schedule(f.For, func() { w.changeMembers(cluster.MembershipChange{Add: []uint64{f.Member}}, addTimeoutTicks) })
 	}
 }
 
-// cutGroupOf cuts the links from the fault's side to the other members and, for Cut, the links in the opposite
+// cutSide cuts the links from the fault's side to the other members and, for Cut, the links in the opposite
 // direction.
-func (w *world) cutGroupOf(f Fault) {
+func (w *world) cutSide(f Fault) {
 	for _, inside := range w.members {
 		if !slices.Contains(f.Side, inside.id) {
 			continue
@@ -121,20 +121,20 @@
 // the given number of ticks has passed. A removed member continues to run with its old log.
 func (w *world) changeMembers(change cluster.MembershipChange, ticks int) {
 	for _, m := range w.members {
-		if m.up && m.IsLeader() && w.mayChange(m, change) {
+		if m.up && m.IsLeader() && w.canChangeMembers(m, change) {
 			m.ChangeMembers(change)
 			w.advance(m)
 			break
 		}
 	}
 	if len(change.Add) > 0 && ticks > 0 {
-		w.schedule(retryTicks, func() { w.retryAddition(change, ticks-retryTicks) })
+		w.schedule(retryIntervalTicks, func() { w.retryAddition(change, ticks-retryIntervalTicks) })
 	}
 }
 
-// mayChange reports whether a leader may propose a membership change: a removal is allowed only while all members are
-// voters.
-func (w *world) mayChange(leader *member, change cluster.MembershipChange) bool {
+// canChangeMembers reports whether a leader may propose a membership change: a removal is allowed only while all
+// members are voters.
+func (w *world) canChangeMembers(leader *member, change cluster.MembershipChange) bool {
 	return len(change.Remove) == 0 || len(leader.Status().Voters) == w.setup.Members
 }
 
--- a/simulation/history.go
+++ b/simulation/history.go
@@ -29,24 +29,24 @@
 
 // operationOutput is the result of an operation.
 type operationOutput struct {
-	version  uint64
-	ok       bool // the read returned a version, or the write was accepted
-	answered bool // the group has decided on the write
+	version uint64
+	ok      bool // the read returned a version, or the write was accepted
+	decided bool // the group has decided on the write
 }
 
 // clientName returns the client name in the proposals of a client of the history.
 func clientName(client int) string { return fmt.Sprint("operator-", client) }
 
-// begin records the call of an operation by a new client at a tick. It returns the client and the index of the
+// recordCall records the call of an operation by a new client at a tick. It returns the client and the index of the
 // operation.
-func (h *history) begin(tick int, input operationInput) (client, index int) {
+func (h *history) recordCall(tick int, input operationInput) (client, index int) {
 	client = len(h.operations) + 1
 	h.operations = append(h.operations, porcupine.Operation{ClientId: client, Input: input, Call: callTime(tick), Return: noTick})
 	return client, len(h.operations) - 1
 }
 
-// end records the return of an operation at a tick, with its output.
-func (h *history) end(tick, index int, output operationOutput) {
+// recordReturn records the return of an operation at a tick, with its output.
+func (h *history) recordReturn(tick, index int, output operationOutput) {
 	h.operations[index].Return = returnTime(tick)
 	h.operations[index].Output = output
 }
@@ -68,13 +68,13 @@
 
 // writeOutput returns the output of a write from the result of its proposal.
 func writeOutput(result cluster.Result) operationOutput {
-	return operationOutput{version: result.Version, ok: result.Rejected == "", answered: true}
+	return operationOutput{version: result.Version, ok: result.Rejected == "", decided: true}
 }
 
-// decided returns the operations to check. Whether the group agreed on a proposal without a response is known from the
-// log; if it did, the proposal may have taken effect at any time until the end of the run. Operations without effect
-// and without response are omitted: they would only lengthen the search for a linearization.
-func (h *history) decided(lastTick int) (operations []porcupine.Operation) {
+// operationsToCheck returns the operations to check. Whether the group agreed on a proposal without a response is known
+// from the log; if it did, the proposal may have taken effect at any time until the end of the run. Operations without
+// effect and without response are omitted: they would only lengthen the search for a linearization.
+func (h *history) operationsToCheck(lastTick int) (operations []porcupine.Operation) {
 	for _, operation := range h.operations {
 		isWrite := operation.Input.(operationInput).isWrite
 		if operation.Return == noTick {
@@ -97,7 +97,7 @@
 	if len(w.outcome.Violations) > 0 {
 		return
 	}
-	operations := w.history.decided(w.setup.Ticks)
+	operations := w.history.operationsToCheck(w.setup.Ticks)
 	if porcupine.CheckOperationsTimeout(registerModel, operations, maxSearchTime) == porcupine.Illegal {
 		w.addViolation(Linearizable, "the history of the configuration is not linearizable")
 	}
@@ -123,7 +123,7 @@
 		return output.version == version, version
 	case output.ok:
 		return input.base == version && output.version > version, output.version
-	case output.answered: // rejected
+	case output.decided: // rejected
 		return input.base != version, version
 	default: // unknown outcome
 		return true, version
--- a/simulation/measurements.go
+++ b/simulation/measurements.go
@@ -64,7 +64,7 @@
 // measureConvergence records how long it took until all sidecars held the newest version.
 func (w *world) measureConvergence() {
 	newest := w.measurements.newestAgreed()
-	if newest == 0 || !w.allSidecarsHold(newest) {
+	if newest == 0 || !w.allSidecarsHaveVersion(newest) {
 		return
 	}
 	committedAt := w.measurements.commitTick[newest]
@@ -78,10 +78,10 @@
 	}
 }
 
-// allSidecarsHold reports whether all sidecars hold a version or a newer one.
-func (w *world) allSidecarsHold(version uint64) bool {
-	for _, held := range w.sidecars {
-		if held < version {
+// allSidecarsHaveVersion reports whether all sidecars hold a version or a newer one.
+func (w *world) allSidecarsHaveVersion(version uint64) bool {
+	for _, sidecarVersion := range w.sidecars {
+		if sidecarVersion < version {
 			return false
 		}
 	}
--- a/simulation/member.go
+++ b/simulation/member.go
@@ -5,8 +5,8 @@
 	"harehook.dev/harehook/raftlog"
 )
 
-// registerEvery is the number of ticks between two attempts of a member to register with the group.
-const registerEvery = 20
+// registerIntervalTicks is the number of ticks between two attempts of a member to register with the group.
+const registerIntervalTicks = 20
 
 // member is a simulated member of the group: its process and its disk.
 type member struct {
@@ -18,13 +18,13 @@
 	slowDisk        bool
 	incarnation     uint64 // number of processes started so far
 
-	pendingReads     map[uint64]readAnswer // by id of the read
-	pendingProposals map[string]*proposal  // by client
-	uncommitted      cluster.Version       // published before commit; only with BeforeCommit
+	pendingReads     map[uint64]readCallback // by id of the read
+	pendingProposals map[string]*proposal    // by client
+	uncommitted      cluster.Version         // published before commit; only with BeforeCommit
 }
 
-// readAnswer is called with the result of a read. If ok is false, the read returned no version.
-type readAnswer func(version uint64, ok bool)
+// readCallback is called with the result of a read. If ok is false, the read returned no version.
+type readCallback func(version uint64, ok bool)
 
 // isResponsive reports whether a member's process is running and not blocked by its disk or a stall.
 func (w *world) isResponsive(m *member) bool { return m.up && w.now >= m.busyUntil }
@@ -46,7 +46,7 @@
 	m.Member = started
 	m.up = true
 	m.busyUntil = 0
-	m.pendingReads = map[uint64]readAnswer{}
+	m.pendingReads = map[uint64]readCallback{}
 	m.pendingProposals = map[string]*proposal{}
 	w.trace("start %d", m.id)
 }
@@ -60,8 +60,8 @@
 	m.up = false
 	m.disk.unsynced = nil
 	m.uncommitted = cluster.Version{}
-	for _, answer := range m.pendingReads {
-		answer(0, false)
+	for _, respond := range m.pendingReads {
+		respond(0, false)
 	}
 	m.pendingReads = nil
 }
@@ -91,13 +91,13 @@
 		w.recordApplied(m, command)
 	}
 	for _, read := range reads {
-		if answer := m.pendingReads[read.ID]; answer != nil {
+		if respond := m.pendingReads[read.ID]; respond != nil {
 			delete(m.pendingReads, read.ID)
-			answer(m.State.Current().Number, true)
+			respond(m.State.Current().Number, true)
 		}
 	}
 	w.checkOneLeaderPerTerm(m)
-	if !m.Registered() && m.Leader() != 0 && w.now%registerEvery == int(m.id) {
+	if !m.Registered() && m.Leader() != 0 && w.now%registerIntervalTicks == int(m.id) {
 		m.Propose(m.RegisterCommand())
 	}
 }
@@ -108,7 +108,7 @@
 	w.checkEntry(m, applied)
 	w.history.recordApplied(applied)
 	w.trace("apply %d %d", m.id, applied.Index)
-	if makesVersion(applied) {
+	if createsVersion(applied) {
 		w.measureCommit(applied.Result.Version)
 	}
 	pending := m.pendingProposals[applied.Command.Client]
@@ -118,8 +118,8 @@
 	}
 }
 
-// makesVersion reports whether an entry creates a new version of the configuration.
-func makesVersion(applied cluster.AppliedCommand) bool {
+// createsVersion reports whether an entry creates a new version of the configuration.
+func createsVersion(applied cluster.AppliedCommand) bool {
 	kind := applied.Command.Kind
 	return applied.Result.Rejected == "" && (kind == cluster.CommandPut || kind == cluster.CommandRollBack)
 }
--- a/simulation/operator.go
+++ b/simulation/operator.go
@@ -47,7 +47,7 @@
 	if w.rng.IntN(staleBaseEvery) == 0 && base > 0 {
 		base--
 	}
-	client, operation := w.history.begin(w.now, operationInput{isWrite: true, base: base})
+	client, operation := w.history.recordCall(w.now, operationInput{isWrite: true, base: base})
 	command := cluster.Command{
 		Kind:   cluster.CommandPut,
 		Client: clientName(client),
@@ -105,7 +105,7 @@
 		return
 	}
 	w.operator.pending = nil
-	w.history.end(w.now, p.operation, writeOutput(result))
+	w.history.recordReturn(w.now, p.operation, writeOutput(result))
 	if result.Rejected != "" {
 		w.outcome.Rejected++
 		return
@@ -120,20 +120,20 @@
 	if !w.isResponsive(m) {
 		return
 	}
-	_, operation := w.history.begin(w.now, operationInput{})
-	answer := func(version uint64, ok bool) {
-		w.history.end(w.now, operation, operationOutput{version: version, ok: ok})
+	_, operation := w.history.recordCall(w.now, operationInput{})
+	respond := func(version uint64, ok bool) {
+		w.history.recordReturn(w.now, operation, operationOutput{version: version, ok: ok})
 	}
 	if w.setup.Planted == StaleRead {
-		answer(m.State.Current().Number, true)
+		respond(m.State.Current().Number, true)
 		return
 	}
 	id, err := m.RequestReadIndex()
 	if err != nil {
-		answer(0, false)
+		respond(0, false)
 		return
 	}
-	m.pendingReads[id] = answer
+	m.pendingReads[id] = respond
 	w.advance(m)
 }
 
--- a/simulation/parallel/parallel_test.go
+++ b/simulation/parallel/parallel_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-func TestResultsComeInTheOrderOfTheInputs(t *testing.T) {
+func TestMapReturnsResultsInInputOrder(t *testing.T) {
 	var inputs, want []int
 	for n := range 1000 {
 		inputs = append(inputs, n)
@@ -17,7 +17,7 @@
 	}
 }
 
-func TestNoInputsGiveNoResults(t *testing.T) {
+func TestMapWithoutInputs(t *testing.T) {
 	got := Map(nil, func(n int) int { return n })
 	if len(got) != 0 {
 		t.Errorf("got %v, want no results", got)
--- a/simulation/sidecars.go
+++ b/simulation/sidecars.go
@@ -1,15 +1,15 @@
 package simulation
 
 const (
-	pollTicks = 7  // between two polls of a sidecar
-	moveTicks = 50 // after which a sidecar switches to another member
+	pollIntervalTicks   = 7  // between two polls of a sidecar
+	switchIntervalTicks = 50 // after which a sidecar switches to another member
 )
 
-// updateSidecars lets each sidecar poll a member every pollTicks ticks. A sidecar keeps the published version if it is
-// newer than its own.
+// updateSidecars lets each sidecar poll a member every pollIntervalTicks ticks. A sidecar keeps the published version
+// if it is newer than its own.
 func (w *world) updateSidecars() {
 	for sidecar := range w.sidecars {
-		if (w.now+sidecar)%pollTicks == 0 {
+		if (w.now+sidecar)%pollIntervalTicks == 0 {
 			w.updateSidecar(sidecar)
 		}
 	}
@@ -17,7 +17,7 @@
 
 // updateSidecar lets a sidecar poll its current member, if that is responsive.
 func (w *world) updateSidecar(sidecar int) {
-	m := w.members[(sidecar+w.now/moveTicks)%len(w.members)]
+	m := w.members[(sidecar+w.now/switchIntervalTicks)%len(w.members)]
 	if !w.isResponsive(m) {
 		return
 	}
--- a/simulation/simulation_test.go
+++ b/simulation/simulation_test.go
@@ -50,7 +50,7 @@
 }
 
 // A failed run is replayed from its seed for debugging, which works only if equal seeds give identical runs.
-func TestOneSeedIsOneRun(t *testing.T) {
+func TestEqualSeedsGiveEqualRuns(t *testing.T) {
 	for seed := range uint64(5) {
 		first := Play(testSetup(seed, 5))
 		second := Play(testSetup(seed, 5))
@@ -60,7 +60,7 @@
 	}
 }
 
-func TestAnotherSeedIsAnotherRun(t *testing.T) {
+func TestDifferentSeedsGiveDifferentRuns(t *testing.T) {
 	first := Play(testSetup(1, 5))
 	second := Play(testSetup(2, 5))
 	if first.Fingerprint == second.Fingerprint {
@@ -69,11 +69,11 @@
 }
 
 // Each planted fault breaks the program on purpose. The checker for that fault must detect it within a number of seeds.
-func TestCheckersSeePlantedFaults(t *testing.T) {
+func TestCheckersDetectPlantedFaults(t *testing.T) {
 	const seeds = 60
 	for _, test := range []struct {
-		planted Planted
-		seenAs  []ViolationKind
+		planted   Planted
+		wantKinds []ViolationKind
 	}{
 		{VoteNotSynced, []ViolationKind{NoPanic}}, // the raft library panics when committed entries are missing from a log
 		{BeforeCommit, []ViolationKind{SameVersions, AgreedVersions}},
@@ -88,8 +88,8 @@
 					continue
 				}
 				first := violations[0]
-				if !slices.Contains(test.seenAs, first.Kind) {
-					t.Errorf("seed %d: got violation of %q, want one of %v: %s", seed, first.Kind, test.seenAs, first)
+				if !slices.Contains(test.wantKinds, first.Kind) {
+					t.Errorf("seed %d: got violation of %q, want one of %v: %s", seed, first.Kind, test.wantKinds, first)
 				}
 				t.Logf("seed %d: %s", seed, first)
 				return
@@ -101,21 +101,21 @@
 
 // A failed run has dozens of faults, most of which do not contribute to the failure. Shrink must return fewer faults
 // with which the run still fails.
-func TestShrinkLeavesFewerFaultsThatStillFail(t *testing.T) {
+func TestShrinkReturnsFewerFaultsThatStillFail(t *testing.T) {
 	setup := testSetup(1, 3)
 	setup.Planted = VoteNotSynced
 	for len(Play(setup).Violations) == 0 {
 		setup.Seed++
 	}
 	drawn := Draw(setup)
-	least := Shrink(setup)
-	setup.Faults = least
+	shrunk := Shrink(setup)
+	setup.Faults = shrunk
 	violations := Play(setup).Violations
-	if len(violations) == 0 || len(least) >= len(drawn) {
+	if len(violations) == 0 || len(shrunk) >= len(drawn) {
 		t.Errorf("seed %d: got %d of %d faults, violations %v, want fewer faults and a violation",
-			setup.Seed, len(least), len(drawn), violations)
+			setup.Seed, len(shrunk), len(drawn), violations)
 	}
-	t.Logf("%d faults shrunk to %d", len(drawn), len(least))
+	t.Logf("%d faults shrunk to %d", len(drawn), len(shrunk))
 }
 
 func BenchmarkPlay(b *testing.B) {
