--- a/internal/daemon/agreed.go
+++ b/internal/daemon/agreed.go
@@ -10,7 +10,7 @@
 	"harehook.dev/harehook/records"
 )
 
-// checkProposal returns why proposed records cannot be used by this controller.
+// checkProposal returns an error if this controller cannot use the proposed records.
 func (w *watcher) checkProposal(proposed []*records.Record) error {
 	agreed, err := config.AgreedFromRecords(proposed)
 	if err != nil {
@@ -21,38 +21,40 @@
 	return w.settings.ValidateProposal(agreed, w.listed)
 }
 
-// checkChange returns why agreed configuration cannot replace the one in effect at this controller.
+// checkChange returns an error if this controller cannot replace the agreed configuration in effect by the given one.
 func (w *watcher) checkChange(agreed *config.Agreed) error {
 	w.stateLock.Lock()
 	defer w.stateLock.Unlock()
 	return w.settings.ValidateUpdate(agreed, w.agreed, w.listed)
 }
 
-// applyAgreed puts agreed records into effect. Records that were agreed on take effect also where this controller's own
-// list has changed since, so that they no longer fit: it logs that and goes on.
+// applyAgreed puts agreed records into effect. If this controller's list of nodes has changed since the records were
+// checked as a proposal, they may be invalid here: applyAgreed logs the error and still puts them into effect.
 func (w *watcher) applyAgreed(view records.View) {
 	agreed, err := config.AgreedFromRecords(view.Records)
 	if err != nil {
-		w.log.Error("agreed version can't be read", zap.Uint64("number", view.Revision), zap.Error(err))
+		w.log.Error("cannot decode the agreed configuration", zap.Uint64("number", view.Revision), zap.Error(err))
 		return
 	}
 	if err := w.checkFits(agreed); err != nil {
-		w.log.Error("agreed version does not fit this controller", zap.Uint64("number", view.Revision), zap.Error(err))
+		w.log.Error("agreed configuration is invalid at this controller", zap.Uint64("number", view.Revision), zap.Error(err))
 	}
 	w.publish(view.RoutingRevision, agreed)
 }
 
+// checkFits returns an error if agreed configuration is invalid with the settings and the current list of nodes.
 func (w *watcher) checkFits(agreed *config.Agreed) error {
 	w.stateLock.Lock()
 	defer w.stateLock.Unlock()
 	return w.settings.ValidateProposal(agreed, w.listed)
 }
 
-// publish puts routes and overrides into effect if they differ from those in effect, and reports whether they did. Most
-// revisions change neither. Without an agreed route the controller's own routes stay.
+// publish puts routes and overrides into effect if they differ from those in effect, and reports whether any of them
+// changed. Most revisions change neither. If no route has been agreed on, the controller's own routes stay in effect.
 //
-// revision is the routing revision, which is the same at all controllers of the same scope whatever else each has
-// received. Sidecars reject routes of a lower one than they have accepted, also from another controller.
+// revision is the routing revision, which is the same at all controllers of a scope even if they have received
+// different revisions. Sidecars reject routes whose revision is lower than one they have accepted, even from another
+// controller.
 func (w *watcher) publish(revision uint64, agreed *config.Agreed) (changed bool) {
 	former, formerRevision := w.setAgreed(revision, agreed)
 	routesChanged := len(agreed.Routes) > 0 && (revision != formerRevision || !slices.Equal(agreed.Routes, former.Routes))
@@ -63,13 +65,13 @@
 	if overridesChanged {
 		select {
 		case w.agreedChanged <- struct{}{}:
-		default: // run is to apply them already
+		default: // a notification is already pending
 		}
 	}
 	return routesChanged || overridesChanged
 }
 
-// setAgreed replaces the agreed configuration and returns the former one, which is empty if there was none.
+// setAgreed replaces the agreed configuration and returns the previous one, which is empty if there was none.
 func (w *watcher) setAgreed(revision uint64, agreed *config.Agreed) (former *config.Agreed, formerRevision uint64) {
 	w.stateLock.Lock()
 	defer w.stateLock.Unlock()
--- a/internal/daemon/certificates_test.go
+++ b/internal/daemon/certificates_test.go
@@ -9,8 +9,8 @@
 	"harehook.dev/harehook/internal/fakeplatform"
 )
 
-// A sidecar without a certificate of the installation's roots must get nothing. Certificates are replaced while streams are
-// connected: these go on, and new sidecars join by the new ones.
+// A sidecar without a certificate that the installation's roots have signed must not be served. When certificates are
+// replaced, connected streams continue and new sidecars connect with the new certificates.
 func TestSidecarsNeedCertificatesOfTheRoots(t *testing.T) {
 	in := newInstallation(t, "n-1", "s-1")
 	authority := fakeplatform.NewAuthority(t)
@@ -30,13 +30,13 @@
 	stranger, _ := in.startSidecar("stranger", "north", "delta")
 	in.certificatesText = keys("till")
 	address, _ := in.startSidecar("till", "north", "delta")
-	in.waitUntil("answers", isAnswering(address))
+	in.waitUntil("the sidecar answers", isAnswering(address))
 	if _, status := call(stranger, "/quote", ""); status == http.StatusOK {
-		t.Error("a sidecar without keys was served")
+		t.Errorf("call through a sidecar without a certificate: got status %d, want an error", status)
 	}
 	put("conductor")
 	put("till")
-	in.waitUntil("a sidecar joins by the new keys", func() bool {
+	in.waitUntil("a sidecar connects with the new certificates", func() bool {
 		other, stop := in.startSidecar("other", "south", "state")
 		defer stop()
 		for range 50 {
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -1,8 +1,8 @@
-// Package daemon is the program harehook-xds: a controller for installations without the platform. It serves sidecars
-// over xDS and is alone, a member of a group that agrees on configuration, or a follower of one.
+// Package daemon implements the program harehook-xds, a controller for installations without the platform. It serves
+// sidecars over xDS. It runs alone, as a member of a group that agrees on configuration, or as a follower of a group.
 //
-// Main reads the configuration, wires the controller to the xDS server and runs both with a watcher, which takes over
-// changed endpoint lists, certificates and agreed configuration, until the program is told to end.
+// [Main] reads the configuration, connects the controller to the xDS server and runs both until the program is
+// terminated. A watcher applies changed lists of nodes, changed certificates and agreed configuration.
 package daemon
 
 import (
@@ -24,12 +24,12 @@
 	"harehook.dev/harehook/internal/program"
 )
 
-// Main runs the program under a name, which is also that of its default configuration.
+// Main runs the program under the given name. The default configuration file is the name with the suffix .kdl.
 func Main(name string) {
-	program.Main(name, "A controller that serves sidecars over xDS", name+".kdl", run)
+	program.Main(name, "Run a controller that serves sidecars over xDS", name+".kdl", run)
 }
 
-// run serves by the configuration at a path until ctx ends.
+// run runs the controller with the configuration file at path until ctx is canceled.
 func run(ctx context.Context, path string) error {
 	reload := make(chan os.Signal, 1)
 	signal.Notify(reload, syscall.SIGHUP)
@@ -64,7 +64,8 @@
 	return serve(ctx, w, groupRole, listener, reload)
 }
 
-// serve runs all parts until ctx ends or one of them cannot go on.
+// serve runs all parts until ctx is canceled, or until the role or the xDS server returns. It returns the errors of
+// both.
 func serve(ctx context.Context, w *watcher, groupRole role, listener net.Listener, reload <-chan os.Signal) error {
 	ctx, stop := context.WithCancel(ctx)
 	defer stop()
@@ -78,7 +79,7 @@
 	var roleFault error
 	parts.Go(func() {
 		roleFault = groupRole.run(ctx)
-		stop() // a member without its log must not go on
+		stop() // a member must not continue without its log
 	})
 	serverFault := w.server.Run(ctx, listener)
 	stop()
--- a/internal/daemon/followerrole.go
+++ b/internal/daemon/followerrole.go
@@ -20,11 +20,11 @@
 	watcher *watcher
 	log     *zap.Logger
 
-	candidate *config.Agreed // of the records that were checked last; accepted puts it into effect
-	revision  atomic.Uint64  // in effect
+	candidate *config.Agreed // decoded by the last check; accepted puts it into effect
+	revision  atomic.Uint64  // the last accepted revision
 }
 
-// newFollowerRole prepares the follower; run drives it.
+// newFollowerRole creates the role of a follower. Call run to follow the group.
 func newFollowerRole(settings *config.Controller, w *watcher, certificates *certs.Reloader, log *zap.Logger) (*followerRole, error) {
 	f := &followerRole{watcher: w, log: log.Named("follow")}
 	clientConfig := transport.Config{
@@ -49,8 +49,8 @@
 	return f, nil
 }
 
-// followSeed differs between controllers also where their files state the same seed, so that they do not poll the same
-// member at the same time.
+// followSeed returns a seed that differs between controllers even if their configuration files contain the same seed,
+// so that they do not poll the same member at the same time.
 func followSeed(settings *config.Controller) uint64 {
 	hash := fnv.New64a()
 	hash.Write([]byte(settings.Name + " " + settings.Listen))
@@ -58,44 +58,45 @@
 }
 
 func (f *followerRole) run(ctx context.Context) error {
-	f.log.Info("follows a group", zap.Strings("members", f.watcher.settings.Follower.Members))
+	f.log.Info("following a group", zap.Strings("members", f.watcher.settings.Follower.Members))
 	f.client.Run(ctx)
 	return nil
 }
 
-// check returns why records cannot be used here. It runs on the client's goroutine, as accepted does.
+// check returns an error if this controller cannot use the received records. Like accepted, it is called by the
+// goroutine of client.Run.
 func (f *followerRole) check(revision uint64, received map[records.Key]*records.Record) error {
 	agreed, err := config.AgreedFromFollower(received)
 	if err == nil {
 		err = f.watcher.checkChange(agreed)
 	}
 	if err != nil {
-		f.log.Error("revision refused, what was in use stays", zap.Uint64("revision", revision), zap.Error(err))
+		f.log.Error("revision rejected, keeping the previous one", zap.Uint64("revision", revision), zap.Error(err))
 		return err
 	}
 	f.candidate = agreed
 	return nil
 }
 
-// accepted puts an accepted revision into effect. Sidecars are updated only where routes or overrides differ: most
-// revisions change nothing that this controller needs.
+// accepted puts an accepted revision into effect. Sidecars are updated only if routes or overrides differ, which most
+// revisions do not change.
 func (f *followerRole) accepted(revision uint64, _ map[records.Key]*records.Record) {
 	f.revision.Store(revision)
 	if f.candidate == nil || !f.watcher.publish(f.client.RoutingRevision(), f.candidate) {
 		return
 	}
-	f.log.Info("revision in use",
+	f.log.Info("revision applied",
 		zap.Uint64("revision", revision),
 		zap.Int("routes", len(f.candidate.Routes)),
 		zap.Int("overrides", len(f.candidate.Overrides)))
 }
 
-// setStale logs that the lease has run out, or that there is one again.
+// setStale logs that the lease has expired, or that a member has granted one again.
 func (f *followerRole) setStale(stale bool) {
 	if stale {
-		f.log.Warn("stale: no member was heard for a lease's time, what was accepted last stays in use",
+		f.log.Warn("lease expired, keeping the last accepted revision",
 			zap.Uint64("revision", f.revision.Load()))
 		return
 	}
-	f.log.Info("not stale: a member is followed")
+	f.log.Info("lease granted again")
 }
--- a/internal/daemon/followerrole_test.go
+++ b/internal/daemon/followerrole_test.go
@@ -27,25 +27,26 @@
 	"harehook.dev/harehook/sidecar"
 )
 
-// testMember serves followers as a member does, of records that a test sets. It keeps no history.
+// testMember serves followers as a member does, with records that a test sets. It keeps no history.
 type testMember struct {
 	t       *testing.T
 	address string
 	service *transport.Service
 	server  *grpc.Server
-	secure  *tls.Config // nil: plain
+	secure  *tls.Config // nil if connections are not encrypted
 
-	mutex    sync.Mutex // guards all below
+	mutex    sync.Mutex // guards the fields below
 	revision uint64
-	routing  uint64 // of all scopes: the followers of these tests have one
+	routing  uint64 // of all scopes: the followers in these tests have the same scope
 	held     map[records.Key]*records.Record
 }
 
-// listenTimeout is how long an address may still be held by what listened there before.
+// listenTimeout is the maximum time for which an address may still be in use by its previous listener.
 const listenTimeout = 10 * time.Second
 
-// listenAt listens at an address that was free when it was chosen. A process that another test starts just then holds
-// the listener of that choice open between its fork and its exec.
+// listenAt listens on an address that was free when it was chosen. It retries while the address is in use: a process
+// that another test starts at the time of the choice keeps the listener of the choice open between its fork and its
+// exec.
 func listenAt(t *testing.T, address string) net.Listener {
 	t.Helper()
 	for end := time.Now().Add(listenTimeout); ; time.Sleep(10 * time.Millisecond) {
@@ -76,14 +77,14 @@
 	m.t.Cleanup(func() { server.Stop(); <-ended })
 }
 
-// Revision is that of the last change.
+// Revision returns the revision of the last change.
 func (m *testMember) Revision() uint64 {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	return m.revision
 }
 
-// InScope gives a scope whole.
+// InScope returns all records of a scope.
 func (m *testMember) InScope(scope records.Scope) records.View {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
@@ -96,10 +97,10 @@
 	return view
 }
 
-// Since knows of no change.
+// Since reports that no delta is available.
 func (m *testMember) Since(uint64, records.Scope) records.Delta { return records.Delta{} }
 
-// set sets records as the next revision, and removes those without a spec.
+// set creates the next revision, which sets the given records and removes those whose spec is nil.
 func (m *testMember) set(specs map[records.Key]any) uint64 {
 	m.t.Helper()
 	m.mutex.Lock()
@@ -125,7 +126,7 @@
 	return revision
 }
 
-// twoRoutes are the installation's two, with a prefix of the first that tells versions apart.
+// twoRoutes returns the two routes of the installation. The prefix of the first one identifies the version.
 func twoRoutes(prefix string) map[records.Key]any {
 	return map[records.Key]any{
 		{Kind: records.KindRoute, Name: "quote"}: records.RouteSpec{Prefix: prefix, TimeLimitMS: 2000},
@@ -137,8 +138,8 @@
 	return map[records.Key]any{{Kind: records.KindOverride, Name: node}: records.OverrideSpec{State: state}}
 }
 
-// A controller that follows goes by its own file until something was agreed on, then by that. It has to reject what it can't
-// use and go on with what it has, and to say so when it is stale.
+// A follower uses the routes of its own file until routes are agreed on, and the agreed ones from then on. It must
+// reject a revision that it cannot use and keep the previous one, and must report when it is stale.
 func TestFollowerGoesByWhatWasAgreed(t *testing.T) {
 	in := newInstallation(t, "n-1", "n-2", "s-1")
 	m := newTestMember(t, nil)
@@ -146,7 +147,7 @@
 	in.start("harehook-xds", "conductor.kdl")
 	log := in.logs["conductor.kdl"]
 	address, _ := in.startSidecar("till", "north", "delta")
-	in.waitUntil("its own routes count", isAnswering(address))
+	in.waitUntil("its own routes are in effect", isAnswering(address))
 	serves := func(prefix string) func() bool {
 		return func() bool {
 			_, status := call(address, prefix, "")
@@ -155,10 +156,10 @@
 	}
 	m.set(overrideRecord("n-9", records.StateGone)) // no route is agreed on yet, and the node is not listed
 	m.set(twoRoutes("/v1"))
-	in.waitUntil("the agreed routes count", serves("/v1"))
+	in.waitUntil("the agreed routes are in effect", serves("/v1"))
 
 	m.set(overrideRecord("n-1", records.StateGone))
-	in.waitUntil("the node gets no calls", func() bool {
+	in.waitUntil("the node receives no calls", func() bool {
 		for range 20 {
 			if who, status := call(address, "/v1", ""); status != http.StatusOK || who == "n-1" {
 				return false
@@ -168,39 +169,40 @@
 	})
 
 	refused := m.set(map[records.Key]any{{Kind: records.KindRoute, Name: "third"}: records.RouteSpec{Prefix: "/third", TimeLimitMS: 9}})
-	in.waitUntil("the refusal is known", func() bool {
+	in.waitUntil("the member knows the rejected revision", func() bool {
 		leases := m.service.Status().Leases
 		return len(leases) == 1 && leases[0].RejectedRevision == refused && leases[0].Accepted == refused-1 &&
 			strings.Contains(leases[0].Reason, `route "third" is not configured at conductor "c"`)
 	})
-	in.waitUntil("its log says so", func() bool { return strings.Contains(log.String(), "revision refused") })
+	in.waitUntil("the follower logs the rejection", func() bool { return strings.Contains(log.String(), "revision rejected") })
 	if !serves("/v1")() {
-		t.Error("what was in use before does not count any more")
+		t.Error("after a rejected revision: the call on the previous route failed, want it answered")
 	}
 
 	report := func() (report transport.FollowerReport, code int) {
 		out, code := in.runCtl("--conductor", in.listen, "-o", "json", "following")
 		if err := json.NewDecoder(strings.NewReader(out)).Decode(&report); err != nil { // a reason may follow
-			t.Fatalf("exit %d: %s", code, out)
+			t.Fatalf("following: got exit code %d and %q, want JSON: %v", code, out, err)
 		}
 		return report, code
 	}
 	if told, code := report(); code != 0 || told.Stale || told.Revision != refused-1 || told.Rejected == 0 || told.Member != m.address {
-		t.Errorf("exit %d: %+v", code, told)
+		t.Errorf("following: got exit code %d and %+v, want 0 and a rejection by a fresh follower of %s at revision %d",
+			code, told, m.address, refused-1)
 	}
 	m.server.Stop()
-	in.waitUntil("it says that it is stale", func() bool { return strings.Contains(log.String(), "stale: no member was heard") })
+	in.waitUntil("the follower logs that its lease expired", func() bool { return strings.Contains(log.String(), "lease expired, keeping") })
 	if told, code := report(); code != 1 || !told.Stale || told.Revision != refused-1 {
-		t.Errorf("exit %d: %+v", code, told)
+		t.Errorf("following: got exit code %d and %+v, want 1 and a stale follower at revision %d", code, told, refused-1)
 	}
 	if !serves("/v1")() {
-		t.Error("the last good revision is not in use while it is stale")
+		t.Error("stale follower: the call on the last accepted route failed, want it answered")
 	}
 	m.start()
-	in.waitUntil("it is not stale any more", func() bool { _, code := report(); return code == 0 })
+	in.waitUntil("the follower is no longer stale", func() bool { _, code := report(); return code == 0 })
 }
 
-// heldRouteVersion is the number of the routes that a sidecar holds, 0 if none.
+// heldRouteVersion returns the routing revision in the resource cache of a sidecar, 0 if there is none.
 func (in *installation) heldRouteVersion(name string) uint64 {
 	holder := &sidecar.ResourceCache{ID: name}
 	if (&sidecar.Store{Path: filepath.Join(in.folder, name+".held")}).Load(holder) != nil {
@@ -209,8 +211,9 @@
 	return holder.RoutingRevision()
 }
 
-// Sidecars refuse routes of a lower version than they hold, also from another controller. Two controllers that have received
-// different revisions since must have the same version for the same routes: the revision at which one of them last changed.
+// Sidecars reject routes of a lower version than they have accepted, even from another controller. Controllers that
+// have received different revisions must therefore give the same routes the same version: the revision at which one of
+// them last changed.
 func TestFollowersNumberRoutesAlike(t *testing.T) {
 	in := newInstallation(t, "n-1", "n-2")
 	m := newTestMember(t, nil)
@@ -224,20 +227,20 @@
 	stop := in.start("harehook-xds", "conductor.kdl")
 	address, _ := in.startSidecar("till", "north", "delta")
 	held := func() uint64 { return in.heldRouteVersion("till") }
-	in.waitUntil("the agreed routes are held", func() bool { _, status := call(address, "/v1", ""); return status == http.StatusOK && held() > 0 })
+	in.waitUntil("the sidecar has accepted the agreed routes", func() bool { _, status := call(address, "/v1", ""); return status == http.StatusOK && held() > 0 })
 	if got := held(); got != number {
-		t.Errorf("routes held under number %d, agreed on as revision %d", got, number)
+		t.Errorf("version of the routes at the sidecar: got %d, want %d", got, number)
 	}
 	stop()
 	tenant(0.3)
 	in.start("harehook-xds", "conductor.kdl")
-	in.waitUntil("all is held from the one that was started anew", func() bool { return in.isSynced(1) })
+	in.waitUntil("the sidecar is synced with the restarted controller", func() bool { return in.isSynced(1) })
 	if got := held(); got != number {
-		t.Errorf("routes held under number %d after a restart, agreed on as revision %d", got, number)
+		t.Errorf("version of the routes after a restart: got %d, want %d", got, number)
 	}
 }
 
-// Most revisions change nothing that sidecars need. These must get revisions that change routes, and no others.
+// Most revisions change nothing that sidecars need. Sidecars must receive only the revisions that change routes.
 func TestFollowerSendsSidecarsOnlyWhatDiffers(t *testing.T) {
 	in := newInstallation(t, "n-1", "n-2")
 	m := newTestMember(t, nil)
@@ -245,24 +248,25 @@
 	in.configure(fmt.Sprintf("follow { member %q; }", m.address))
 	in.start("harehook-xds", "conductor.kdl")
 	address, _ := in.startSidecar("till", "north", "delta")
-	in.waitUntil("the agreed routes count", func() bool { _, status := call(address, "/v1", ""); return status == http.StatusOK })
+	in.waitUntil("the agreed routes are in effect", func() bool { _, status := call(address, "/v1", ""); return status == http.StatusOK })
 	for share := range 5 {
 		m.set(map[records.Key]any{{Kind: records.KindTenant, Name: "tenant"}: records.TenantSpec{Service: "other", Share: 0.1 + float64(share)/100}})
 	}
 	last := m.set(twoRoutes("/v2"))
-	in.waitUntil("the next routes count", func() bool { _, status := call(address, "/v2", ""); return status == http.StatusOK })
+	in.waitUntil("the next routes are in effect", func() bool { _, status := call(address, "/v2", ""); return status == http.StatusOK })
 	var used []string
 	for line := range strings.SplitSeq(in.logs["conductor.kdl"].String(), "\n") {
-		if strings.Contains(line, "revision in use") {
+		if strings.Contains(line, "revision applied") {
 			used = append(used, line)
 		}
 	}
 	if len(used) != 2 || !slices.ContainsFunc(used, func(line string) bool { return strings.Contains(line, fmt.Sprint(last)) }) {
-		t.Errorf("told of:\n%s", strings.Join(used, "\n"))
+		t.Errorf("got %d applied revisions, want 2 with revision %d:\n%s", len(used), last, strings.Join(used, "\n"))
 	}
 }
 
-// Followers and members show each other certificates of the installation's roots. One without must not be served.
+// Followers and members authenticate each other by certificates that the installation's roots have signed. A follower
+// without a certificate must not be served.
 func TestFollowersNeedCertificatesOfTheRoots(t *testing.T) {
 	in := newInstallation(t, "n-1", "n-2")
 	authority := fakeplatform.NewAuthority(t)
@@ -278,16 +282,16 @@
 	settings := fmt.Sprintf("follow { member %q; }", m.address)
 	in.configure(settings)
 	stop := in.start("harehook-xds", "conductor.kdl")
-	in.waitUntil("one without keys is told why", func() bool {
+	in.waitUntil("the follower without a certificate logs a failed connection", func() bool {
 		return strings.Contains(in.logs["conductor.kdl"].String(), "stream to member failed")
 	})
 	if live := m.service.Status().Live; live != 0 {
-		t.Errorf("%d followers without keys have a lease", live)
+		t.Errorf("leases of followers without a certificate: got %d, want 0", live)
 	}
 	stop()
 	in.configure(settings + `; keys certificate="c.crt" key="c.key" roots="roots.pem"`)
 	in.start("harehook-xds", "conductor.kdl")
-	in.waitUntil("one with keys follows", func() bool {
+	in.waitUntil("the follower with a certificate has a lease", func() bool {
 		status := m.service.Status()
 		return status.Live == 1 && status.ConvergedRevision == 1
 	})
--- a/internal/daemon/followerservice.go
+++ b/internal/daemon/followerservice.go
@@ -11,20 +11,20 @@
 	"harehook.dev/harehook/records"
 )
 
-// followedGroup is what serving followers needs of this controller's member of the group.
+// followedGroup contains the methods of the group's member ([cluster.Node]) that the service for followers needs.
 type followedGroup interface {
 	Records() records.Source
 	Status(ctx context.Context) (cluster.StatusReport, error)
 }
 
-// followerService is the part of a member that serves the controllers that follow the group.
+// followerService is the service by which a member serves the controllers that follow the group.
 type followerService struct {
 	service *transport.Service
 	guard   transport.LeaderGuard
 }
 
-// newFollowerService prepares the service. The caller registers it on the member's server and has the member's node notify it
-// of commits.
+// newFollowerService creates the service. The caller must register it with the member's gRPC server and make the
+// member's node notify it of commits.
 func newFollowerService(group followedGroup, address string, limits configsync.Limits, log *zap.Logger) *followerService {
 	service := transport.NewService(address, group.Records(), limits, log)
 	hasLeader := func(ctx context.Context) bool {
@@ -35,5 +35,5 @@
 	return &followerService{service: service, guard: guard}
 }
 
-// run pauses the service while the member knows no leader, until ctx ends.
+// run pauses the service while the member knows no leader. It returns when ctx is canceled.
 func (f *followerService) run(ctx context.Context) { f.guard.Run(ctx) }
--- a/internal/daemon/followerservice_test.go
+++ b/internal/daemon/followerservice_test.go
@@ -15,7 +15,7 @@
 	"harehook.dev/harehook/records"
 )
 
-// fakeGroup is a member that has agreed on nothing and has a leader as a test tells it.
+// fakeGroup is a member of a group that has agreed on nothing. The test sets its leader; 0 is none.
 type fakeGroup struct{ leader atomic.Uint64 }
 
 func (g *fakeGroup) Records() records.Source { return noRecords{} }
@@ -25,14 +25,15 @@
 	return report, nil
 }
 
-// noRecords is a source without any.
+// noRecords is a source without records.
 type noRecords struct{}
 
 func (noRecords) Revision() uint64                          { return 0 }
 func (noRecords) InScope(records.Scope) records.View        { return records.View{} }
 func (noRecords) Since(uint64, records.Scope) records.Delta { return records.Delta{Available: true} }
 
-// A member that has known no leader for a lease's time extends no lease, and does again once there is one.
+// A member that has known no leader for the duration of a lease must not extend leases, because its records may be
+// outdated. It extends leases again once it knows a leader.
 func TestFollowersAreSentAwayWithoutALeader(t *testing.T) {
 	t.Parallel()
 	limits := configsync.DefaultLimits
@@ -65,13 +66,13 @@
 		t.Helper()
 		for end := time.Now().Add(3 * testTimeout); client.Status().Stale != stale; time.Sleep(10 * time.Millisecond) {
 			if time.Now().After(end) {
-				t.Fatal(what)
+				t.Fatalf("%s: got stale %t, want %t", what, !stale, stale)
 			}
 		}
 	}
-	until("no lease with a leader", false)
+	until("with a leader", false)
 	group.leader.Store(0)
-	until("a lease without a leader", true)
+	until("without a leader", true)
 	group.leader.Store(2)
-	until("no lease with another leader", false)
+	until("with another leader", false)
 }
--- a/internal/daemon/group_followers_test.go
+++ b/internal/daemon/group_followers_test.go
@@ -12,13 +12,13 @@
 	"harehook.dev/harehook/internal/fakeplatform"
 )
 
-// followingControllers are controllers that follow a group, each way to a member through a gate.
+// followingControllers are controllers that follow a group. Each connects to each member through a forwarder.
 type followingControllers struct {
 	*testGroup
 	files []string
-	gates [][]*fakeplatform.Forwarder // by follower and member
+	gates [][]*fakeplatform.Forwarder // by follower, then by member
 	stop  []func()
-	tills []string // address of each one's sidecar
+	tills []string // addresses of their sidecars, by follower
 }
 
 func newFollowingControllers(g *testGroup, count int) *followingControllers {
@@ -46,7 +46,8 @@
 	return f
 }
 
-// rename gives a follower's file a name of its own: followers are told apart by it.
+// rename replaces the name in a follower's configuration file by a unique one, which identifies the follower at the
+// members.
 func (f *followingControllers) rename(k int) (file string) {
 	file = fmt.Sprintf("c-%d.kdl", k+1)
 	text, err := os.ReadFile(filepath.Join(f.folder, file))
@@ -57,17 +58,17 @@
 	return file
 }
 
-// report asks a follower how it is doing.
+// report returns the output of harehookctl following at a follower.
 func (f *followingControllers) report(k int) (report transport.FollowerReport) {
 	f.t.Helper()
 	out, _ := f.runCtl("--conductor", f.sidecarAddresses[f.members+k], "-o", "json", "following")
 	if err := json.NewDecoder(strings.NewReader(out)).Decode(&report); err != nil {
-		f.t.Fatal(out)
+		f.t.Fatalf("following at follower %d: got %q, want JSON: %v", k, out, err)
 	}
 	return report
 }
 
-// followedMember is the member that a follower follows, -1 if none.
+// followedMember returns the member that a follower follows, -1 if none.
 func (f *followingControllers) followedMember(k int) int {
 	report := f.report(k)
 	for member, gate := range f.gates[k] {
@@ -78,13 +79,14 @@
 	return -1
 }
 
+// cut disconnects a follower from all members, or reconnects it.
 func (f *followingControllers) cut(k int, yes bool) {
 	for _, gate := range f.gates[k] {
 		gate.Cut(yes)
 	}
 }
 
-// waitAllHold waits until the sidecars of all followers hold a version.
+// waitAllHold waits until the sidecars of all followers have the agreed version with the given prefix.
 func (f *followingControllers) waitAllHold(what, prefix string) {
 	f.t.Helper()
 	f.waitUntil(what, func() bool {
@@ -97,18 +99,19 @@
 	})
 }
 
-// Two controllers follow a group of three. The leader dies with a proposal on its way; a member is cut off from the
-// others and its follower moves; a follower is cut off from all and comes back; both are started anew at once. What was
-// agreed on reaches the sidecars of both each time, and none goes back to an older version.
+// Two controllers follow a group of three while faults occur one after the other: the leader stops during a proposal, a
+// member is disconnected from the others so that its follower moves, a follower is disconnected from all members, and
+// both followers restart at the same time. After each fault the next agreed version must reach the sidecars of both
+// followers, and no sidecar may return to an older version.
 func TestFollowersReceiveWhatAGroupAgreesOnThroughFaults(t *testing.T) {
 	g := newTestGroup(t, 3)
 	lead := g.leader()
 	f := newFollowingControllers(g, 2)
 	prefix, _ := g.agree(lead)
-	f.waitAllHold("what was agreed on", prefix)
+	f.waitAllHold("all sidecars have the agreed version", prefix)
 
 	proposed := make(chan struct{})
-	go func() { // its outcome is open: the leader dies
+	go func() { // the outcome is unknown because the leader stops
 		defer close(proposed)
 		g.runCtlAt(lead, "propose", filepath.Join(g.folder, "agreed-1.kdl"), "--why", "open")
 	}()
@@ -116,36 +119,36 @@
 	<-proposed
 	other := (lead + 1) % 3
 	prefix, _ = g.agree(other)
-	f.waitAllHold("what was agreed on without the leader", prefix)
+	f.waitAllHold("all sidecars have the version that was agreed on without the leader", prefix)
 	g.stops[lead] = g.start("harehook-xds", fmt.Sprintf("c-%d.kdl", lead+1))
-	g.waitUntil("it is back and has all", func() bool {
+	g.waitUntil("the restarted member has the agreed version", func() bool {
 		out, code := g.runCtlAt(lead, "config")
 		return code == 0 && strings.Contains(out, prefix+"\"")
 	})
 
-	f.waitUntil("a member is followed", func() bool { return f.followedMember(0) >= 0 })
+	f.waitUntil("the first follower follows a member", func() bool { return f.followedMember(0) >= 0 })
 	cut := f.followedMember(0)
 	g.cut(cut, true)
-	f.waitUntil("the follower of a member that is cut off moves", func() bool {
+	f.waitUntil("the follower of the disconnected member moves to another one", func() bool {
 		member := f.followedMember(0)
 		return member >= 0 && member != cut
 	})
 	prefix, _ = g.agree((cut + 1) % 3)
-	f.waitAllHold("what was agreed on without the member that is cut off", prefix)
+	f.waitAllHold("all sidecars have the version that was agreed on without the disconnected member", prefix)
 	g.cut(cut, false)
 
 	f.cut(1, true)
-	f.waitUntil("the other follower is stale", func() bool { return f.report(1).Stale })
+	f.waitUntil("the disconnected follower is stale", func() bool { return f.report(1).Stale })
 	last := prefix
 	for range 3 {
 		prefix, _ = g.agree(other)
 	}
-	f.waitUntil("the first holds it", f.holdsPrefix(f.tills[0], prefix))
+	f.waitUntil("the sidecar of the connected follower has the last version", f.holdsPrefix(f.tills[0], prefix))
 	if !f.holdsPrefix(f.tills[1], last)() {
-		t.Error("the follower that is cut off does not go on with what it held")
+		t.Errorf("sidecar of the disconnected follower: the call on %s failed, want it answered", last)
 	}
 	f.cut(1, false)
-	f.waitAllHold("what was agreed on meanwhile", prefix)
+	f.waitAllHold("all sidecars have the version that was agreed on during the disconnection", prefix)
 
 	for _, stop := range f.stop {
 		stop()
@@ -154,6 +157,6 @@
 	for k := range f.stop {
 		f.stop[k] = g.start("harehook-xds", f.files[k])
 	}
-	f.waitAllHold("what was agreed on while both were down", prefix)
-	f.waitUntil("neither is stale", func() bool { return !f.report(0).Stale && !f.report(1).Stale })
+	f.waitAllHold("all sidecars have the version that was agreed on while both followers were stopped", prefix)
+	f.waitUntil("no follower is stale", func() bool { return !f.report(0).Stale && !f.report(1).Stale })
 }
--- a/internal/daemon/installation_test.go
+++ b/internal/daemon/installation_test.go
@@ -23,7 +23,7 @@
 	"harehook.dev/harehook/internal/fakeplatform"
 )
 
-// programs is the folder of the programs, which TestMain builds: tests start them and speak to them over loopback.
+// programs is the folder of the programs that TestMain builds. Tests start them and connect to them over loopback.
 var programs string
 
 func TestMain(m *testing.M) {
@@ -45,21 +45,22 @@
 	os.Exit(code)
 }
 
-// installation is a controller, sidecars and nodes, with their files in a folder.
+// installation is a controller, sidecars and nodes, whose files are in one folder.
 type installation struct {
 	t                *testing.T
 	folder           string
-	listen           string                              // where the controller takes sidecars
-	certificatesText string                              // of sidecars, in KDL; empty: none
+	listen           string                              // address at which the controller serves sidecars
+	certificatesText string                              // certificate settings of sidecars in KDL, empty if none
 	nodes            map[string]*fakeplatform.NodeServer // by name
-	nodeStates       map[string]string                   // as listed, by name; empty: not listed
+	nodeStates       map[string]string                   // state in the list of nodes, by name; empty if not listed
 	logs             map[string]*safeBuffer              // by the program's configuration file
 }
 
-// testTimeout is for what takes a second at most on an idle machine.
+// testTimeout is the timeout of operations that take at most one second on an idle machine.
 const testTimeout = 20 * time.Second
 
-// newInstallation prepares the files of a controller and starts nodes; the first letter of a node's name is its zone's.
+// newInstallation writes the files of a controller and starts nodes. The first letter of a node's name is that of its
+// zone.
 func newInstallation(t *testing.T, nodes ...string) *installation {
 	t.Helper()
 	t.Parallel()
@@ -85,8 +86,8 @@
 	return in
 }
 
-// portCount counts the ports that were chosen. They are below those that the system gives to connections: one of these
-// could take a port between its choice and its use.
+// portCount counts the ports that were chosen. They are below the range from which the system assigns ports to
+// connections: a connection could otherwise be assigned a chosen port before it is used.
 var portCount atomic.Int32
 
 const (
@@ -94,7 +95,7 @@
 	maxPorts  = 12000
 )
 
-// freeAddress returns one on loopback that nothing listens on.
+// freeAddress returns a loopback address on which no process listens.
 func freeAddress(t *testing.T) string {
 	t.Helper()
 	for range maxPorts {
@@ -104,11 +105,11 @@
 			return l.Addr().String()
 		}
 	}
-	t.Fatal("no port is free")
+	t.Fatalf("got no free port from %d to %d", firstPort, firstPort+maxPorts-1)
 	return ""
 }
 
-// write replaces a file at once and returns its path.
+// write replaces a file atomically and returns its path.
 func (in *installation) write(name, text string) string {
 	in.t.Helper()
 	path := filepath.Join(in.folder, name)
@@ -121,7 +122,7 @@
 	return path
 }
 
-// writeNodes writes the nodes' list.
+// writeNodes writes the list of nodes.
 func (in *installation) writeNodes() {
 	var text strings.Builder
 	for name, n := range in.nodes {
@@ -132,10 +133,10 @@
 	in.write("nodes.kdl", text.String())
 }
 
-// zoneOfNode is "north" for names with n, "south" for those with s.
+// zoneOfNode returns "north" for names that begin with n and "south" for names that begin with s.
 func zoneOfNode(name string) string { return map[byte]string{'n': "north", 's': "south"}[name[0]] }
 
-// configure writes the controller's file, with further lines.
+// configure writes the controller's configuration file, including the lines in more.
 func (in *installation) configure(more string) {
 	in.write("conductor.kdl", fmt.Sprintf(`conductor "c" { listen %q; seed 3; zone "north"; zone "south"; nodes "nodes.kdl"; report-ms 100
   route "quote" { prefix "/quote"; limit-ms 2000; }
@@ -144,7 +145,8 @@
 }`, in.listen, more))
 }
 
-// start runs a program until stop is called, or the test ends. The log of a test that fails has the program's.
+// start runs a program until stop is called or the test ends. If the test has failed by then, the log of the program is
+// added to that of the test.
 func (in *installation) start(program, config string) (stop func()) {
 	in.t.Helper()
 	cmd := exec.Command(filepath.Join(programs, program), "--config", filepath.Join(in.folder, config))
@@ -169,7 +171,7 @@
 	return stop
 }
 
-// safeBuffer is a program's log, which tests read while it is written.
+// safeBuffer is a buffer for the log of a program, which tests read while it is written.
 type safeBuffer struct {
 	textMutex sync.Mutex
 	text      bytes.Buffer
@@ -182,14 +184,14 @@
 	return b.text.Write(p)
 }
 
-// String is the log until now.
+// String returns the log written so far.
 func (b *safeBuffer) String() string {
 	b.textMutex.Lock()
 	defer b.textMutex.Unlock()
 	return b.text.String()
 }
 
-// startSidecar starts a sidecar and returns where it takes calls.
+// startSidecar starts a sidecar and returns the address at which it accepts calls.
 func (in *installation) startSidecar(name, zone, variant string) (address string, stop func()) {
 	address = freeAddress(in.t)
 	in.write(name+".kdl", fmt.Sprintf("sidecar %q { zone %q; listen %q; conductor %q; variant %q; keep %q; mutating \"issue\"; connect-ms 500; %s; }\n",
@@ -197,7 +199,8 @@
 	return address, in.start("harehook-sidecar", name+".kdl")
 }
 
-// call makes a call and returns who answered, or why nobody did, and the status, which is 0 without an answer.
+// call makes a call and returns the status and the name of the node that answered. If there is no response, it returns
+// the status 0 and the text of the error.
 func call(address, path, body string) (who string, status int) {
 	conn, err := net.DialTimeout("tcp", address, time.Second)
 	if err != nil {
@@ -215,13 +218,13 @@
 	return string(text), answer.StatusCode
 }
 
-// waitUntil waits until something holds, and fails the test if it does not in time.
+// waitUntil polls a condition until it is true, and fails the test if it is still false after testTimeout.
 func (in *installation) waitUntil(what string, ok func() bool) {
 	in.t.Helper()
 	for end := time.Now().Add(testTimeout); !ok(); time.Sleep(20 * time.Millisecond) {
 		if time.Now().After(end) {
 			out, _ := in.runCtl("sidecars")
-			in.t.Fatalf("not within %s: %s\n%s", testTimeout, what, out)
+			in.t.Fatalf("got no success within %s, want: %s\nsidecars:\n%s", testTimeout, what, out)
 		}
 	}
 }
@@ -235,21 +238,22 @@
 	return string(text), cmd.ProcessState.ExitCode()
 }
 
-// callAll makes calls and counts them by who answered; all have to be answered.
+// callAll makes calls and returns their numbers by answering node. It fails the test if a call is not answered with
+// status 200.
 func (in *installation) callAll(address, path string, calls int) map[string]int {
 	in.t.Helper()
 	got := map[string]int{}
 	for range calls {
 		who, status := call(address, path, "seat")
 		if status != http.StatusOK {
-			in.t.Fatalf("%s: %d %s", path, status, who)
+			in.t.Fatalf("call on %s: got status %d and %q, want status %d", path, status, who, http.StatusOK)
 		}
 		got[who]++
 	}
 	return got
 }
 
-// isAnswering tells, when it is called, whether a sidecar has a call answered.
+// isAnswering returns a condition that reports whether a call at a sidecar succeeds.
 func isAnswering(address string) func() bool {
 	return func() bool {
 		_, status := call(address, "/quote", "")
@@ -257,10 +261,10 @@
 	}
 }
 
-// exitUnavailable is the exit code of harehookctl where a controller is away, or has no majority of its group.
+// exitUnavailable is the exit code of harehookctl if the controller does not answer or has no majority of its group.
 const exitUnavailable = 3
 
-// isSynced tells whether so many sidecars have joined, and all hold what they are to hold.
+// isSynced reports whether exactly want sidecars have joined and all versions of all sidecars are synced.
 func (in *installation) isSynced(want int) bool {
 	out, code := in.runCtl("sidecars", "-o", "json")
 	var rows []struct {
--- a/internal/daemon/memberrole.go
+++ b/internal/daemon/memberrole.go
@@ -29,7 +29,8 @@
 	watcher         *watcher
 }
 
-// newMemberRole opens the log and prepares the member. A log that cannot be used ends the start with an error of raftlog.
+// newMemberRole opens the Raft log and creates the member. If the log cannot be used, it returns an error of package
+// raftlog.
 func newMemberRole(group *config.Group, w *watcher, certificates *certs.Reloader, log *zap.Logger) (*memberRole, error) {
 	disk, saved, err := raftlog.Open(group.DataFolder)
 	if err != nil {
@@ -57,12 +58,12 @@
 	m.followerService = newFollowerService(node, strconv.FormatUint(group.ID, 10), configsync.DefaultLimits, log.Named("followers"))
 	m.followerService.service.Register(m.server)
 	node.OnCommit = m.followerService.service.Committed
-	log.Info("member of a group", zap.Uint64("id", group.ID), zap.Stringer("listen", listener.Addr()), zap.String("disk", saved.Identity))
+	log.Info("starting as a member of a group", zap.Uint64("id", group.ID), zap.Stringer("listen", listener.Addr()), zap.String("disk", saved.Identity))
 	return m, nil
 }
 
-// run serves the group until ctx ends, and puts what is agreed into effect here. Its error is that of the node, such as a
-// disk that failed.
+// run serves the group until ctx is canceled and puts agreed configuration into effect at this controller. It returns
+// the error of the node, such as a disk failure.
 func (m *memberRole) run(ctx context.Context) error {
 	var parts sync.WaitGroup
 	parts.Go(func() { m.server.Serve(m.listener) })
@@ -73,7 +74,7 @@
 	parts.Go(func() { m.followerService.run(guardContext) })
 	stopped := make(chan error, 1)
 	parts.Go(func() { stopped <- m.node.Run(ctx) })
-	applied := uint64(0) // the revision as of which routes and overrides are in effect here
+	applied := uint64(0) // revision as of which routes and overrides are in effect at this controller
 	for {
 		select {
 		case err := <-stopped:
@@ -88,8 +89,8 @@
 	}
 }
 
-// apply puts routes and overrides into effect if they have changed since a revision. It returns the revision as of which
-// they are in effect. Changes of other records do not show in this controller's tables.
+// apply puts routes and overrides into effect if they have changed since the revision applied. It returns the revision
+// as of which they are in effect. Changes to other kinds of records do not affect this controller's routing tables.
 func (m *memberRole) apply(applied uint64) uint64 {
 	if m.agreed.LastChange(records.KindRoute, records.KindOverride) <= applied {
 		return applied
--- a/internal/daemon/memberrole_test.go
+++ b/internal/daemon/memberrole_test.go
@@ -9,8 +9,8 @@
 	"harehook.dev/harehook/config"
 )
 
-// A member's node tells the followers' service of commits: without that they would hear of them only as they are heard
-// themselves.
+// The node of a member must notify the service for followers of commits. Without this, followers would receive a change
+// only when they next send a message themselves.
 func TestMemberNotifiesFollowersOfCommits(t *testing.T) {
 	address := freeAddress(t)
 	group := &config.Group{ID: 1, Listen: address, DataFolder: filepath.Join(t.TempDir(), "data"), Addresses: map[uint64]string{1: address}, Voters: []uint64{1}}
@@ -23,11 +23,11 @@
 		m.disk.Close()
 	})
 	if m.node.OnCommit == nil {
-		t.Error("the node tells nobody of commits")
+		t.Error("OnCommit of the node: got nil, want the service for followers")
 	}
 	for _, service := range []string{"envoy.service.discovery.v3.AggregatedDiscoveryService", "harehook.follow.v1.Followers"} {
 		if _, served := m.server.GetServiceInfo()[service]; !served {
-			t.Errorf("%s is not served", service)
+			t.Errorf("services of the member's server: got no %s, want it registered", service)
 		}
 	}
 }
--- a/internal/daemon/names_test.go
+++ b/internal/daemon/names_test.go
@@ -7,8 +7,8 @@
 	"testing"
 )
 
-// TestBothNamesStart guards installations that start the program by its former name: both names run it, and its messages
-// begin with the name that was used.
+// Installations may start the program by its former name. Both names must run it, and its messages must begin with the
+// name that was used.
 func TestBothNamesStart(t *testing.T) {
 	t.Parallel()
 	for _, name := range []string{"harehook-xds", "harehookd"} {
@@ -18,7 +18,7 @@
 			out, err := command.CombinedOutput()
 			want := name + ": open " + name + ".kdl: no such file or directory"
 			if err == nil || !strings.Contains(string(out), want) {
-				t.Errorf("%v: %s, want %q", err, out, want)
+				t.Errorf("got error %v and output %q, want an error and %q", err, out, want)
 			}
 		})
 	}
--- a/internal/daemon/operators_test.go
+++ b/internal/daemon/operators_test.go
@@ -7,9 +7,10 @@
 	"testing"
 )
 
-// An operator proposes what would lose protection, leave no node, or name what is not there: it has to be rejected before it
-// is proposed, with the reason. Two operators change the same version: the second must not overwrite the first unseen. A
-// proposal whose answer was lost is repeated: it counts once. Roll-back and restore go forward under new numbers.
+// A proposal must be rejected with the reason if it removes the protection of a mutating route, leaves no ready node,
+// refers to a node that is not listed, or lacks a route. If two operators change the same version, the second must not
+// overwrite the change of the first unnoticed. A proposal that is repeated because its response was lost must take
+// effect only once. Rollback and restore create versions with new numbers.
 func TestProposalsOfOperatorsAreCheckedAndDoNotOverwriteOneAnother(t *testing.T) {
 	g := newTestGroup(t, 3)
 	g.leader()
@@ -24,7 +25,7 @@
 		t.Run(name, func(t *testing.T) {
 			out, code := g.runCtlAt(1, "propose", g.write("bad.kdl", c.text))
 			if code != 1 || !strings.Contains(out, c.want) {
-				t.Errorf("exit %d, %s, want %q", code, out, c.want)
+				t.Errorf("propose of %q: got exit code %d and %q, want 1 and %q", c.text, code, out, c.want)
 			}
 		})
 	}
@@ -33,40 +34,40 @@
 	base, _, _ = strings.Cut(base, ",")
 	file := filepath.Join(g.folder, "agreed-1.kdl")
 	if out, code := g.runCtlAt(1, "propose", file, "--base", base, "--id", "once", "--why", "one"); code != 0 {
-		t.Fatalf("exit %d: %s", code, out)
+		t.Fatalf("first proposal with the base %s: got exit code %d and %q, want 0", base, code, out)
 	}
-	again, code := g.runCtlAt(2, "propose", file, "--base", base, "--id", "once", "--why", "one") // its answer was lost
+	again, code := g.runCtlAt(2, "propose", file, "--base", base, "--id", "once", "--why", "one") // as after a lost response
 	if code != 0 {
-		t.Errorf("a repeat: exit %d, %s", code, again)
+		t.Errorf("repeated proposal: got exit code %d and %q, want 0", code, again)
 	}
 	if out, code := g.runCtlAt(2, "propose", file, "--base", base, "--why", "another"); code != 1 || !strings.Contains(out, "look at what came between") {
-		t.Errorf("over another's change: exit %d, %s", code, out)
+		t.Errorf("proposal on a replaced version: got exit code %d and %q, want 1 and the reason", code, out)
 	}
 	second, _ := g.agree(2)
 	saved := filepath.Join(g.folder, "saved.json")
 	if out, code := g.runCtlAt(0, "snapshot", "save", saved); code != 0 || out != "3 versions\n" {
-		t.Errorf("exit %d: %s", code, out)
+		t.Errorf("snapshot save: got exit code %d and %q, want 0 and 3 versions", code, out)
 	}
 	if out, code := g.runCtlAt(1, "rollback", base); code != 0 {
-		t.Errorf("exit %d: %s", code, out)
+		t.Errorf("rollback %s: got exit code %d and %q, want 0", base, code, out)
 	}
 	if out, _ := g.runCtlAt(2, "config"); !strings.Contains(out, first+"\"") {
-		t.Errorf("after the roll-back: %s", out)
+		t.Errorf("config after the rollback: got %q, want %s", out, first)
 	}
 	if out, code := g.runCtlAt(1, "snapshot", "restore", saved); code != 0 {
-		t.Errorf("exit %d: %s", code, out)
+		t.Errorf("snapshot restore: got exit code %d and %q, want 0", code, out)
 	}
 	if out, _ := g.runCtlAt(2, "config"); !strings.Contains(out, second+"\"") {
-		t.Errorf("after the restore: %s", out)
+		t.Errorf("config after the restore: got %q, want %s", out, second)
 	}
 	if out, code := g.runCtlAt(0, "diff", base, "0"); code != 0 || !strings.Contains(out, "-  route \"quote\"") {
-		t.Errorf("exit %d: %s", code, out)
+		t.Errorf("diff %s 0: got exit code %d and %q, want 0 and a removed route quote", base, code, out)
 	}
 }
 
-// Operators change records one by one beside full texts. What was changed since it was read has to be rejected with its
-// revision, what does not fit a controller or breaks a rule with the reason; a sidecar holds what was agreed, and a text
-// that names no services or tenants leaves them as they are.
+// Operators change single records in addition to full texts. A change of a record that was changed since it was read
+// must be rejected with the current revision, and a change that is invalid at a controller or breaks a rule with the
+// reason. A sidecar must receive the agreed records, and a full text without services or tenants must not remove them.
 func TestRecordsAreChangedOneByOneBesideFullTexts(t *testing.T) {
 	g := newTestGroup(t, 3)
 	g.leader()
@@ -81,16 +82,16 @@
 route "quote" service="pay" { prefix "/records"; limit-ms 2000; }
 `)
 	if code != 0 {
-		t.Fatalf("exit %d: %s", code, out)
+		t.Fatalf("records apply: got exit code %d and %q, want 0", code, out)
 	}
-	g.waitUntil("the sidecar holds it", g.holdsPrefix(address, "/records"))
+	g.waitUntil("the sidecar has the applied route", g.holdsPrefix(address, "/records"))
 	var revision int
 	if n, err := fmt.Sscanf(out, "version %d is in force", &revision); n != 1 {
-		t.Fatalf("%s: %v", out, err)
+		t.Fatalf("records apply: got %q, want a version in force: %v", out, err)
 	}
 	list, code := g.runCtlAt(2, "records", "list", "--service", "pay")
 	if code != 0 || !strings.Contains(list, `tenant "one" service="pay" share=0.75`) || !strings.Contains(list, fmt.Sprintf("3 records as of revision %d", revision)) {
-		t.Errorf("exit %d: %s", code, list)
+		t.Errorf("records list: got exit code %d and %q, want 0, the tenant and 3 records as of revision %d", code, list, revision)
 	}
 	for name, c := range map[string]struct{ text, want string }{
 		"changed since":    {`route "quote" revision=1 { prefix "/other"; limit-ms 2000; }`, fmt.Sprintf("route/quote has revision %d, 1 was expected", revision)},
@@ -107,24 +108,24 @@
 		t.Run(name, func(t *testing.T) {
 			out, code := apply(0, c.text)
 			if code != 1 || !strings.Contains(out, c.want) {
-				t.Errorf("exit %d, %s, want %q", code, out, c.want)
+				t.Errorf("records apply of %q: got exit code %d and %q, want 1 and %q", c.text, code, out, c.want)
 			}
 		})
 	}
 	if out, code := apply(2, `remove "tenant/one"`); code != 0 {
-		t.Errorf("exit %d: %s", code, out)
+		t.Errorf("records apply that removes tenant/one: got exit code %d and %q, want 0", code, out)
 	}
 	if out, code := g.runCtlAt(0, "records", "get", "tenant/one"); code != 1 || !strings.Contains(out, "tenant/one does not exist") {
-		t.Errorf("exit %d: %s", code, out)
+		t.Errorf("records get of the removed tenant/one: got exit code %d and %q, want 1", code, out)
 	}
 	if out, code := g.runCtlAt(1, "rollback", fmt.Sprint(revision)); code != 0 {
-		t.Errorf("exit %d: %s", code, out)
+		t.Errorf("rollback %d: got exit code %d and %q, want 0", revision, code, out)
 	}
 	if out, code := g.runCtlAt(0, "records", "get", "tenant/one"); code != 0 || !strings.Contains(out, `tenant "one" service="pay" share=0.75`) {
-		t.Errorf("exit %d: %s", code, out)
+		t.Errorf("records get after the rollback: got exit code %d and %q, want 0 and tenant/one", code, out)
 	}
-	g.agree(1) // a text of routes alone
+	g.agree(1) // a full text that contains only routes
 	if out, code := g.runCtlAt(2, "config"); code != 0 || !strings.Contains(out, `tenant "one"`) || !strings.Contains(out, `service "pay"`) {
-		t.Errorf("services and tenants after a text that names none: exit %d: %s", code, out)
+		t.Errorf("config after a full text without services and tenants: got exit code %d and %q, want 0 and both kept", code, out)
 	}
 }
--- a/internal/daemon/role.go
+++ b/internal/daemon/role.go
@@ -9,13 +9,13 @@
 	"harehook.dev/harehook/internal/certs"
 )
 
-// role is the controller's part in a group that agrees on configuration.
+// role is the role of the controller in a group that agrees on configuration.
 type role interface {
-	// run plays the part until ctx ends. After an error the controller must not go on.
+	// run fulfills the role until ctx is canceled. If it returns an error, the controller must stop.
 	run(ctx context.Context) error
 }
 
-// aloneRole is the role of a controller without a group.
+// aloneRole is the role of a controller that neither is a member of a group nor follows one.
 type aloneRole struct{}
 
 func (aloneRole) run(ctx context.Context) error {
@@ -23,7 +23,7 @@
 	return nil
 }
 
-// newRole prepares the role that the configuration states: member of a group, follower of one, or alone.
+// newRole creates the role that the configuration specifies: member of a group, follower of a group, or alone.
 func newRole(settings *config.Controller, w *watcher, certificates *certs.Reloader, log *zap.Logger) (role, error) {
 	switch {
 	case settings.Group != nil:
--- a/internal/daemon/routing_test.go
+++ b/internal/daemon/routing_test.go
@@ -15,8 +15,8 @@
 
 const thirdConfigured = `; route "third" { prefix "/third"; limit-ms 2000; }`
 
-// The newest route is removed while its controller is away. The controller's routes are then of a higher number than the
-// sidecar holds, which takes them; so it does when another route changes.
+// The newest route is removed while the controller is stopped. If the routes then got a lower version than the sidecar
+// has accepted, it would reject them: it must accept the remaining routes and the next change of a route.
 func TestSidecarAcceptsTheRemovalOfTheNewestRoute(t *testing.T) {
 	in := newInstallation(t, "n-1", "n-2")
 	m := newTestMember(t, nil)
@@ -26,27 +26,27 @@
 	in.configure(follow + thirdConfigured)
 	stop := in.start("harehook-xds", "conductor.kdl")
 	address, _ := in.startSidecar("till", "north", "delta")
-	in.waitUntil("the newest route is held", func() bool { return in.heldRouteVersion("till") == created && in.isSynced(1) })
+	in.waitUntil("the sidecar has accepted the newest route", func() bool { return in.heldRouteVersion("till") == created && in.isSynced(1) })
 
 	stop()
 	removed := m.set(withThirdRoute(nil))
 	in.configure(follow)
 	in.start("harehook-xds", "conductor.kdl")
-	in.waitUntil("the routes that are left are held", func() bool { return in.heldRouteVersion("till") == removed })
+	in.waitUntil("the sidecar has accepted the remaining routes", func() bool { return in.heldRouteVersion("till") == removed })
 	if _, status := call(address, "/third", ""); status != http.StatusNotFound {
-		t.Errorf("the removed route: status %d", status)
+		t.Errorf("call on the removed route: got status %d, want %d", status, http.StatusNotFound)
 	}
 	changed := m.set(twoRoutes("/v2"))
-	in.waitUntil("the next change is held", func() bool {
+	in.waitUntil("the sidecar has accepted the next change", func() bool {
 		_, status := call(address, "/v2", "")
 		return status == http.StatusOK && in.heldRouteVersion("till") == changed && in.isSynced(1)
 	})
 	if log := in.logs["conductor.kdl"].String(); strings.Contains(log, "version refused") {
-		t.Errorf("a sidecar refused:\n%s", log)
+		t.Errorf("got a version refused by a sidecar, want none:\n%s", log)
 	}
 }
 
-// A controller of a scope without a route goes by its own routes, also where routes were there once.
+// A controller uses its own routes while its scope has no agreed route, even if all agreed routes were removed.
 func TestOwnRoutesStayWhereAgreedOnesWent(t *testing.T) {
 	in := newInstallation(t, "n-1", "n-2")
 	m := newTestMember(t, nil)
@@ -55,29 +55,29 @@
 	in.configure(fmt.Sprintf("follow { member %q; }", m.address))
 	in.start("harehook-xds", "conductor.kdl")
 	address, _ := in.startSidecar("till", "north", "delta")
-	in.waitUntil("the revision is accepted", func() bool {
+	in.waitUntil("the controller has accepted the revision", func() bool {
 		leases := m.service.Status().Leases
 		return len(leases) == 1 && leases[0].Accepted == m.Revision()
 	})
 	last := m.set(overrideRecord("n-1", records.StateGone))
-	in.waitUntil("the override counts", func() bool {
+	in.waitUntil("the override is in effect", func() bool {
 		return strings.Contains(in.logs["conductor.kdl"].String(), fmt.Sprintf(`"revision": %d`, last)) ||
 			strings.Contains(in.logs["conductor.kdl"].String(), fmt.Sprintf(`"revision":%d`, last))
 	})
-	in.waitUntil("its own routes count", func() bool { return isAnswering(address)() && in.isSynced(1) })
+	in.waitUntil("its own routes are in effect", func() bool { return isAnswering(address)() && in.isSynced(1) })
 	if held := in.heldRouteVersion("till"); held != 0 {
-		t.Errorf("its own routes are numbered %d", held)
+		t.Errorf("version of its own routes: got %d, want 0", held)
 	}
 }
 
-// The newest route is removed while a member runs that no longer configures it. Its sidecar takes the routes that are
-// left, and the next change.
+// The newest route is removed while a member runs whose configuration no longer contains it. The sidecar must accept
+// the remaining routes and the next change.
 func TestSidecarAcceptsTheRemovalOfTheNewestRouteAtAMember(t *testing.T) {
 	g := newTestGroup(t, 1)
 	g.leader()
 	address := g.startGroupSidecar("till", 0)
 	prefix, _ := g.agree(0)
-	g.waitUntil("what was agreed on is held", g.holdsPrefix(address, prefix))
+	g.waitUntil("the sidecar has the agreed version", g.holdsPrefix(address, prefix))
 	restart := func(more string) {
 		g.stops[0]()
 		g.configureController(0, g.memberText(0, "data-1", false)+more)
@@ -87,16 +87,16 @@
 	apply := func(text string) (revision uint64) {
 		out, code := g.runCtlAt(0, "records", "apply", g.write("records.kdl", text), "--why", "a test")
 		if n, err := fmt.Sscanf(out, "version %d is in force", &revision); code != 0 || n != 1 {
-			t.Fatalf("exit %d: %s, %v", code, out, err)
+			t.Fatalf("records apply: got exit code %d and %q, want 0 and a version in force: %v", code, out, err)
 		}
 		return revision
 	}
 	restart(thirdConfigured)
 	created := apply(`route "third" { prefix "/third"; limit-ms 2000; }`)
-	g.waitUntil("the newest route is held", func() bool { return g.heldRouteVersion("till") == created })
+	g.waitUntil("the sidecar has accepted the newest route", func() bool { return g.heldRouteVersion("till") == created })
 	restart("")
 	removed := apply(`remove "route/third"`)
-	g.waitUntil("the routes that are left are held", func() bool { return g.heldRouteVersion("till") == removed })
+	g.waitUntil("the sidecar has accepted the remaining routes", func() bool { return g.heldRouteVersion("till") == removed })
 	prefix, _ = g.agree(0)
-	g.waitUntil("the next change is held", g.holdsPrefix(address, prefix))
+	g.waitUntil("the sidecar has accepted the next change", g.holdsPrefix(address, prefix))
 }
--- a/internal/daemon/server.go
+++ b/internal/daemon/server.go
@@ -11,7 +11,7 @@
 	"harehook.dev/harehook/xds/transport"
 )
 
-// newServer prepares the xDS server, which knows the addresses of nodes. The caller sets its controller.
+// newServer creates the xDS server with the addresses of the nodes. The caller must set its Controller.
 func newServer(settings *config.Controller, nodes []config.Node, certificates *certs.Reloader, log *zap.Logger) *transport.Server {
 	server := transport.NewServer(xds.NewCompiler(settings.Routes, settings.ConnectTimeout), settings.MaxSidecars, log)
 	server.ReportInterval = settings.ReportInterval
@@ -24,7 +24,7 @@
 	return server
 }
 
-// newEndpointWatcher prepares the watch of the service that lists the nodes.
+// newEndpointWatcher creates the watcher of the service that provides the list of nodes.
 func newEndpointWatcher(w *watcher) *transport.EndpointWatcher {
 	var clientCredentials credentials.TransportCredentials
 	if w.certificates != nil {
@@ -41,7 +41,7 @@
 	}
 }
 
-// controllerName is the name that certificates of controllers have to state.
+// controllerName is the name that the certificate of a controller must contain.
 const controllerName = "conductor"
 
 func endpointsOf(nodes []config.Node) (endpoints []controller.Endpoint) {
--- a/internal/daemon/sidecars_test.go
+++ b/internal/daemon/sidecars_test.go
@@ -6,22 +6,23 @@
 	"testing"
 )
 
-// Calls go where the controller decided. A node that drains must get none once sidecars hold that. The controller dies:
-// sidecars go on, also one that starts anew with what it has on disk. The controller comes back: sidecars hold its versions.
+// Sidecars send calls to the nodes that the controller selects. A draining node must receive no calls after sidecars
+// have accepted the update. While the controller is stopped, sidecars must continue, including one that restarts with
+// the resources it stored on disk. After the controller has restarted, all sidecars must be synced with it.
 func TestSidecarsFollowTheirControllerAndOutliveIt(t *testing.T) {
 	in := newInstallation(t, "n-1", "n-2", "s-1")
 	stop := in.start("harehook-xds", "conductor.kdl")
 	first, _ := in.startSidecar("till-1", "north", "delta")
 	second, stopSecond := in.startSidecar("till-2", "south", "state")
-	in.waitUntil("both answer", func() bool { return isAnswering(first)() && isAnswering(second)() })
+	in.waitUntil("both sidecars answer", func() bool { return isAnswering(first)() && isAnswering(second)() })
 	if got := in.callAll(first, "/quote/7", 60); got["n-1"] == 0 || got["n-2"] == 0 {
-		t.Errorf("the north's calls went to %v", got)
+		t.Errorf("calls by node in zone north: got %v, want some at n-1 and n-2", got)
 	}
 	if got := in.callAll(second, "/issue", 10); got["s-1"] == 0 {
-		t.Errorf("the south's calls went to %v", got)
+		t.Errorf("calls by node in zone south: got %v, want some at s-1", got)
 	}
 	if who, status := call(first, "/nothing", ""); status != http.StatusNotFound {
-		t.Errorf("no route: %d %s", status, who)
+		t.Errorf("call without a route: got status %d and %q, want status %d", status, who, http.StatusNotFound)
 	}
 
 	in.nodeStates["n-1"] = "draining"
@@ -32,36 +33,36 @@
 			return code == 0 && strings.Contains(out, "n-2") && !strings.Contains(out, without) && in.isSynced(2)
 		}
 	}
-	in.waitUntil("the drain is held", synced("n-1"))
+	in.waitUntil("the sidecars have accepted the update without the draining node", synced("n-1"))
 	before := in.nodes["n-1"].Calls("/quote")
 	in.callAll(first, "/quote", 20)
 	if in.nodes["n-1"].Calls("/quote") != before {
-		t.Error("a draining node got calls")
+		t.Errorf("calls at the draining node: got %d, want %d", in.nodes["n-1"].Calls("/quote"), before)
 	}
 
 	stop()
 	in.callAll(first, "/quote", 10)
 	stopSecond()
-	second, _ = in.startSidecar("till-2", "south", "state") // its controller is away: it goes by what it kept
-	in.waitUntil("answers by what it kept", isAnswering(second))
+	second, _ = in.startSidecar("till-2", "south", "state") // the controller is stopped: the sidecar uses the resources on disk
+	in.waitUntil("the sidecar answers with the resources on disk", isAnswering(second))
 	if out, code := in.runCtl("sidecars"); code != exitUnavailable {
-		t.Errorf("a conductor that is away: exit %d, %s", code, out)
+		t.Errorf("sidecars at a stopped controller: got exit code %d and %q, want %d", code, out, exitUnavailable)
 	}
 	in.start("harehook-xds", "conductor.kdl")
-	in.waitUntil("all are back", func() bool { return in.isSynced(2) })
+	in.waitUntil("both sidecars are synced", func() bool { return in.isSynced(2) })
 	in.callAll(second, "/quote", 10)
 }
 
-// A call on a mutating route must not run twice. An attempt that never reached its node is retried at another one, on
-// mutating routes as well; one that may have run is not.
+// A call on a mutating route must not run twice. An attempt that did not reach its node is retried at another node,
+// also on mutating routes; an attempt that may have run is not retried.
 func TestOnlyAttemptsThatNeverRanAreRetriedOnMutatingRoutes(t *testing.T) {
 	in := newInstallation(t, "n-1", "n-2", "s-1")
 	in.start("harehook-xds", "conductor.kdl")
 	address, _ := in.startSidecar("till", "north", "delta")
-	in.waitUntil("answers", isAnswering(address))
-	in.waitUntil("further tries are let", func() bool {
+	in.waitUntil("the sidecar answers", isAnswering(address))
+	in.waitUntil("retries are enabled", func() bool {
 		for range 20 {
-			call(address, "/quote", "") // until calls tell of a calm fleet there are none
+			call(address, "/quote", "") // retries stay disabled until reports show that the fleet is not saturated
 		}
 		out, _ := in.runCtl("tables")
 		return strings.Count(out, "connect-failure") >= 2
@@ -69,7 +70,7 @@
 	in.nodes["n-1"].Close()
 	for range 20 {
 		if who, status := call(address, "/issue", "seat"); status != http.StatusOK {
-			t.Fatalf("a node refuses connections: %d %s", status, who)
+			t.Fatalf("call while n-1 refuses connections: got status %d and %q, want status %d", status, who, http.StatusOK)
 		}
 	}
 	ran := func() int { return in.nodes["n-2"].Calls("/issue/one") + in.nodes["s-1"].Calls("/issue/one") }
@@ -78,10 +79,10 @@
 	}
 	for k := range 10 {
 		if _, status := call(address, "/issue/one", "seat"); status == http.StatusOK {
-			t.Error("an answer from a node that gives none")
+			t.Errorf("call while no node answers: got status %d, want an error", status)
 		}
 		if ran() > k+1 {
-			t.Fatalf("%d calls ran %d times", k+1, ran())
+			t.Fatalf("attempts that reached a node after %d calls: got %d, want at most %d", k+1, ran(), k+1)
 		}
 	}
 }
--- a/internal/daemon/testgroup_test.go
+++ b/internal/daemon/testgroup_test.go
@@ -13,29 +13,30 @@
 	"harehook.dev/harehook/sidecar"
 )
 
-// maxRecovery is the time within which a group has a leader again and takes proposals, as docs/raft.md states it.
+// maxRecovery is the maximum time after which a group must have a leader again and accept proposals, as stated in
+// docs/raft.md.
 const maxRecovery = 5 * time.Second
 
-// testGroup is an installation with several controllers that are members of a group. They are counted from 0 here; the
-// group has them under the numbers from 1 on.
+// testGroup is an installation with several controllers that are members of a group. Tests number the members from 0;
+// their IDs in the group start at 1.
 type testGroup struct {
 	*installation
 	members          int
-	sidecarAddresses []string // where members take sidecars
-	groupAddresses   []string // where members and operators reach members
+	sidecarAddresses []string // addresses at which members serve sidecars
+	groupAddresses   []string // addresses at which members serve members and operators
 	gates            map[direction]*fakeplatform.Forwarder
-	stops            []func() // of the members' programs
+	stops            []func() // stop the programs of the members
 
 	sidecars         []string          // names
-	textOfVersion    map[uint64]string // of each agreed version that any sidecar held
+	textOfVersion    map[uint64]string // of each agreed version that a sidecar has accepted
 	newestVersion    map[string]uint64 // by sidecar
 	proposedVersions int
 }
 
-// direction is the way from one member to another, which a gate can cut.
+// direction is the direction from one member to another, in which a forwarder can cut connections.
 type direction struct{ from, to int }
 
-// newTestGroup starts a group.
+// newTestGroup starts a group with the given number of members.
 func newTestGroup(t *testing.T, members int) *testGroup {
 	t.Helper()
 	g := &testGroup{
@@ -64,7 +65,7 @@
 	return g
 }
 
-// newGate returns a gate to an address, which the end of the test closes.
+// newGate returns a forwarder to an address. The end of the test closes it.
 func newGate(t *testing.T, address string) *fakeplatform.Forwarder {
 	t.Helper()
 	gate, err := fakeplatform.NewForwarder(address)
@@ -75,10 +76,10 @@
 	return gate
 }
 
-// configFile is the name of a member's configuration.
+// configFile returns the name of a member's configuration file.
 func configFile(member int) string { return fmt.Sprintf("c-%d.kdl", member+1) }
 
-// memberText is a controller's part in the group, as it is configured.
+// memberText returns the group section of a member's configuration.
 func (g *testGroup) memberText(k int, data string, later bool) string {
 	var text strings.Builder
 	fmt.Fprintf(&text, "group { id %d; listen %q; data %q; ", k+1, g.groupAddresses[k], data)
@@ -95,7 +96,7 @@
 	return text.String() + "}"
 }
 
-// configureController writes the file of a member, with its part in the group.
+// configureController writes a controller's configuration file with the given group or follow section.
 func (g *testGroup) configureController(k int, group string) {
 	listen := g.listen
 	g.listen = g.sidecarAddresses[k]
@@ -109,12 +110,12 @@
 	g.write(configFile(k), string(text))
 }
 
-// runCtlAt runs harehookctl against one member.
+// runCtlAt runs harehookctl at one member and returns its output and exit code.
 func (g *testGroup) runCtlAt(k int, args ...string) (string, int) {
 	return g.runCtl(append([]string{"--conductor", g.groupAddresses[k]}, args...)...)
 }
 
-// startGroupSidecar starts a sidecar that asks the controllers in an order of its own.
+// startGroupSidecar starts a sidecar that tries the controllers in the given order, and returns its address.
 func (g *testGroup) startGroupSidecar(name string, conductors ...int) string {
 	address := freeAddress(g.t)
 	var asks strings.Builder
@@ -127,7 +128,7 @@
 	return address
 }
 
-// propose proposes a version that is known by its prefix at a member.
+// propose proposes a version at a member. The version is identified by its prefix.
 func (g *testGroup) propose(k int) (prefix, out string, code int) {
 	g.proposedVersions++
 	prefix = fmt.Sprintf("/v%d", g.proposedVersions)
@@ -140,7 +141,7 @@
 	return prefix, out, code
 }
 
-// agree proposes versions until one is agreed. It returns that one's prefix, and how long it took.
+// agree proposes versions at a member until one is agreed on. It returns the prefix of that version and the duration.
 func (g *testGroup) agree(k int) (prefix string, took time.Duration) {
 	g.t.Helper()
 	began := time.Now()
@@ -150,13 +151,13 @@
 			return prefix, time.Since(began)
 		}
 		if time.Since(began) > testTimeout {
-			g.t.Fatalf("not agreed at member %d: exit %d, %s", k+1, code, out)
+			g.t.Fatalf("propose at member %d: got exit code %d and %q, want 0 within %s", k+1, code, out, testTimeout)
 		}
 	}
 }
 
-// checkSidecars reads what the sidecars hold and checks it: a version has one text at all of them, and none goes back to an
-// older one.
+// checkSidecars reads the resources that the sidecars have stored and checks that a version has the same text at all of
+// them and that no sidecar returns to an older version.
 func (g *testGroup) checkSidecars() {
 	g.t.Helper()
 	for _, name := range g.sidecars {
@@ -174,17 +175,17 @@
 			continue
 		}
 		if was, known := g.textOfVersion[revision]; known && was != text {
-			g.t.Errorf("version %d is %q at %s, %q elsewhere", revision, text, name, was)
+			g.t.Errorf("version %d at %s: got %q, want %q as at another sidecar", revision, name, text, was)
 		}
 		g.textOfVersion[revision] = text
 		if revision < g.newestVersion[name] {
-			g.t.Errorf("%s went back from version %d to %d", name, g.newestVersion[name], revision)
+			g.t.Errorf("version at %s: got %d, want at least %d", name, revision, g.newestVersion[name])
 		}
 		g.newestVersion[name] = revision
 	}
 }
 
-// cut cuts a member off from all others, or ends that.
+// cut disconnects a member from all others, or reconnects it.
 func (g *testGroup) cut(k int, yes bool) {
 	for way, gate := range g.gates {
 		if way.from == k || way.to == k {
@@ -193,26 +194,26 @@
 	}
 }
 
-// atLeader has the leader take a command, which has to succeed. Only a refusal because another member leads by now is
-// followed to that one: on a busy machine the lead changes hands.
+// atLeader runs a command at the leader. The command must succeed; only if it is rejected because another member is the
+// leader now is it repeated at that one, as the leader may change on a busy machine.
 func (g *testGroup) atLeader(args ...string) (out string) {
 	g.t.Helper()
-	g.waitUntil(strings.Join(args, " ")+" is taken by the leader", func() bool {
+	g.waitUntil(strings.Join(args, " ")+" is accepted by the leader", func() bool {
 		code := 0
 		out, code = g.runCtlAt(g.leader(), args...)
 		if code != 0 && !strings.Contains(out, "the leader, which is") {
-			g.t.Fatalf("exit %d: %s", code, out)
+			g.t.Fatalf("%v at the leader: got exit code %d and %q, want 0", args, code, out)
 		}
 		return code == 0
 	})
 	return out
 }
 
-// leader waits until a member that leads says so, and returns it.
+// leader waits until a member reports itself as the leader, and returns its number.
 func (g *testGroup) leader() int {
 	g.t.Helper()
 	lead := -1
-	g.waitUntil("a leader", func() bool {
+	g.waitUntil("a member is the leader", func() bool {
 		for k := range g.members {
 			out, code := g.runCtlAt(k, "status")
 			var id, leader int
@@ -228,7 +229,7 @@
 	return lead
 }
 
-// holdsPrefix tells, when it is called, whether a sidecar has the agreed version with a prefix.
+// holdsPrefix returns a condition that reports whether a sidecar has the agreed version with the given prefix.
 func (g *testGroup) holdsPrefix(address, prefix string) func() bool {
 	return func() bool {
 		g.checkSidecars()
--- a/internal/daemon/watcher.go
+++ b/internal/daemon/watcher.go
@@ -16,32 +16,32 @@
 	"harehook.dev/harehook/xds/transport"
 )
 
-// reloadInterval is the time between two looks at the file of nodes and at the certificates.
+// reloadInterval is the interval at which the file of nodes and the certificates are checked for changes.
 const reloadInterval = time.Second
 
-// errNoNodes is why a list of nodes is not used.
-var errNoNodes = errors.New("it names no node")
+// errNoNodes is the error of a file of nodes that lists none; the previous list stays in effect.
+var errNoNodes = errors.New("the list contains no nodes")
 
-// watcher takes over changed lists of nodes, changed certificates and agreed configuration while the program runs. What
-// cannot be used leaves the former in place.
+// watcher applies changed lists of nodes, changed certificates and agreed configuration while the program runs. If a
+// new version cannot be used, the previous one stays in effect.
 type watcher struct {
 	settings     *config.Controller
 	server       *transport.Server
 	certificates *certs.Reloader
 	log          *zap.Logger
-	// agreedChanged has one element while agreed overrides wait to be applied by run.
+	// agreedChanged contains one element while changed overrides are waiting for run to apply them.
 	agreedChanged chan struct{}
-	// setNodesInEffect hands the nodes in effect to the server and the controller; tests replace it.
+	// setNodesInEffect sets the nodes of the server and the controller; tests replace it.
 	setNodesInEffect func([]config.Node)
 
-	// applyLock is held from reading the nodes in effect until they are applied: an older list must not overtake a newer
-	// one.
+	// applyLock is locked from reading the nodes in effect until they are applied, so that an older list cannot
+	// replace a newer one.
 	applyLock sync.Mutex
 
-	stateLock       sync.Mutex     // guards what follows
-	listed          []config.Node  // the list as read or received
-	agreed          *config.Agreed // nil: nothing was agreed
-	routingRevision uint64         // under which sidecars get the agreed routes
+	stateLock       sync.Mutex     // guards the fields below
+	listed          []config.Node  // the list as read or received, without overrides
+	agreed          *config.Agreed // nil if nothing has been agreed on
+	routingRevision uint64         // revision with which sidecars receive the agreed routes
 }
 
 func newWatcher(settings *config.Controller, nodes []config.Node, server *transport.Server, certificates *certs.Reloader, log *zap.Logger) *watcher {
@@ -57,7 +57,8 @@
 	return w
 }
 
-// run reloads files at each interval and at each signal, until ctx ends.
+// run reloads changed files at each interval and on each signal, and applies changed overrides, until ctx is
+// canceled.
 func (w *watcher) run(ctx context.Context, reload <-chan os.Signal) {
 	ticker := time.NewTicker(reloadInterval)
 	defer ticker.Stop()
@@ -79,8 +80,8 @@
 	}
 }
 
-// reloadNodes reads the file of nodes and applies it if it has changed. It returns the text of the fault that the file
-// has, empty if none; one that equals the last is not logged again.
+// reloadNodes reads the file of nodes and applies the list if it has changed. It returns the text of the error, or an
+// empty string if there is none. An error that equals lastFault is not logged again.
 func (w *watcher) reloadNodes(lastFault string) string {
 	nodes, err := w.settings.ReadNodes()
 	if err == nil && len(nodes) == 0 {
@@ -88,7 +89,7 @@
 	}
 	if err != nil {
 		if err.Error() != lastFault {
-			w.log.Error("list of nodes kept, the new one can't be used", zap.Error(err))
+			w.log.Error("cannot use the new list of nodes, keeping the previous one", zap.Error(err))
 		}
 		return err.Error()
 	}
@@ -99,7 +100,7 @@
 	return ""
 }
 
-// setListed replaces the list and reports whether it differs from the former.
+// setListed replaces the list and reports whether it has changed.
 func (w *watcher) setListed(nodes []config.Node) (changed bool) {
 	w.stateLock.Lock()
 	defer w.stateLock.Unlock()
@@ -110,7 +111,7 @@
 	return true
 }
 
-// acceptList takes a list that the service of nodes has sent.
+// acceptList applies a list received from the service that provides the list of nodes.
 func (w *watcher) acceptList(revision string, endpoints []transport.Endpoint) {
 	var nodes []config.Node
 	for _, endpoint := range endpoints {
@@ -130,13 +131,14 @@
 	w.applyNodes()
 }
 
-// applyNodes applies the list with the agreed overrides.
+// applyNodes puts the list with the agreed overrides into effect.
 func (w *watcher) applyNodes() {
 	w.applyLock.Lock()
 	defer w.applyLock.Unlock()
 	w.setNodesInEffect(w.nodesInEffect())
 }
 
+// nodesInEffect returns the list with the agreed overrides.
 func (w *watcher) nodesInEffect() []config.Node {
 	w.stateLock.Lock()
 	defer w.stateLock.Unlock()
@@ -146,7 +148,7 @@
 	return w.agreed.ApplyOverrides(w.listed)
 }
 
-// setNodes sets the server's addresses and the controller's endpoints.
+// setNodes sets the addresses of the server and the endpoints of the controller.
 func (w *watcher) setNodes(nodes []config.Node) {
 	var addresses []transport.Node
 	for _, node := range nodes {
--- a/internal/daemon/watcher_test.go
+++ b/internal/daemon/watcher_test.go
@@ -13,7 +13,8 @@
 	"harehook.dev/harehook/xds/transport"
 )
 
-// A list of a service comes while an older one is just being told: the newer one is told last.
+// A list is received from the service while an older list is being applied. The newer list must be applied last.
+// Otherwise the controller would keep the older list until the next change.
 func TestListsAreAppliedInOrder(t *testing.T) {
 	holds, release := make(chan struct{}), make(chan struct{})
 	var told [][]config.Node
@@ -36,13 +37,13 @@
 		w.acceptList("2", []transport.Endpoint{{Node: transport.Node{Name: "new"}, State: planner.Ready}})
 	}()
 	select {
-	case <-newer: // told in the midst of the older one
+	case <-newer: // applied before the older one
 	case <-time.After(200 * time.Millisecond):
 	}
 	close(release)
 	<-older
 	<-newer
 	if last := told[len(told)-1]; len(last) != 1 || last[0].Node != "new" {
-		t.Errorf("told last: %v", last)
+		t.Errorf("last applied list: got %v, want the single node new", last)
 	}
 }
