--- a/internal/daemon/agreed.go
+++ b/internal/daemon/agreed.go
@@ -18,14 +18,14 @@
 	}
 	w.stateLock.Lock()
 	defer w.stateLock.Unlock()
-	return w.settings.ValidateProposal(agreed, w.listed)
+	return w.settings.ValidateProposal(agreed, w.listedNodes)
 }
 
-// checkChange returns an error if this controller cannot replace the agreed configuration in effect by the given one.
-func (w *watcher) checkChange(agreed *config.Agreed) error {
+// checkUpdate returns an error if this controller cannot replace the agreed configuration in effect by the given one.
+func (w *watcher) checkUpdate(agreed *config.Agreed) error {
 	w.stateLock.Lock()
 	defer w.stateLock.Unlock()
-	return w.settings.ValidateUpdate(agreed, w.agreed, w.listed)
+	return w.settings.ValidateUpdate(agreed, w.agreed, w.listedNodes)
 }
 
 // applyAgreed puts agreed records into effect. If this controller's list of nodes has changed since the records were
@@ -36,17 +36,17 @@
 		w.log.Error("cannot decode the agreed configuration", zap.Uint64("number", view.Revision), zap.Error(err))
 		return
 	}
-	if err := w.checkFits(agreed); err != nil {
+	if err := w.validateAgreed(agreed); err != nil {
 		w.log.Error("agreed configuration is invalid at this controller", zap.Uint64("number", view.Revision), zap.Error(err))
 	}
 	w.publish(view.RoutingRevision, agreed)
 }
 
-// checkFits returns an error if agreed configuration is invalid with the settings and the current list of nodes.
-func (w *watcher) checkFits(agreed *config.Agreed) error {
+// validateAgreed returns an error if agreed configuration is invalid with the settings and the current list of nodes.
+func (w *watcher) validateAgreed(agreed *config.Agreed) error {
 	w.stateLock.Lock()
 	defer w.stateLock.Unlock()
-	return w.settings.ValidateProposal(agreed, w.listed)
+	return w.settings.ValidateProposal(agreed, w.listedNodes)
 }
 
 // publish puts routes and overrides into effect if they differ from those in effect, and reports whether any of them
@@ -56,15 +56,15 @@
 // different revisions. Sidecars reject routes whose revision is lower than one they have accepted, even from another
 // controller.
 func (w *watcher) publish(revision uint64, agreed *config.Agreed) (changed bool) {
-	former, formerRevision := w.setAgreed(revision, agreed)
-	routesChanged := len(agreed.Routes) > 0 && (revision != formerRevision || !slices.Equal(agreed.Routes, former.Routes))
-	overridesChanged := !maps.Equal(agreed.Overrides, former.Overrides)
+	previous, previousRevision := w.setAgreed(revision, agreed)
+	routesChanged := len(agreed.Routes) > 0 && (revision != previousRevision || !slices.Equal(agreed.Routes, previous.Routes))
+	overridesChanged := !maps.Equal(agreed.Overrides, previous.Overrides)
 	if routesChanged {
 		w.server.SetAgreedRoutes(revision, agreed.Routes)
 	}
 	if overridesChanged {
 		select {
-		case w.agreedChanged <- struct{}{}:
+		case w.pendingOverrides <- struct{}{}:
 		default: // a notification is already pending
 		}
 	}
@@ -72,15 +72,15 @@
 }
 
 // setAgreed replaces the agreed configuration and returns the previous one, which is empty if there was none.
-func (w *watcher) setAgreed(revision uint64, agreed *config.Agreed) (former *config.Agreed, formerRevision uint64) {
+func (w *watcher) setAgreed(revision uint64, agreed *config.Agreed) (previous *config.Agreed, previousRevision uint64) {
 	w.stateLock.Lock()
 	defer w.stateLock.Unlock()
-	former = w.agreed
-	formerRevision = w.routingRevision
+	previous = w.agreed
+	previousRevision = w.routingRevision
 	w.agreed = agreed
 	w.routingRevision = revision
-	if former == nil {
-		former = &config.Agreed{}
+	if previous == nil {
+		previous = &config.Agreed{}
 	}
-	return former, formerRevision
+	return previous, previousRevision
 }
--- a/internal/daemon/certificates_test.go
+++ b/internal/daemon/certificates_test.go
@@ -11,31 +11,31 @@
 
 // A sidecar without a certificate that the installation's roots have signed must not be served. When certificates are
 // replaced, connected streams continue and new sidecars connect with the new certificates.
-func TestSidecarsNeedCertificatesOfTheRoots(t *testing.T) {
+func TestSidecarsNeedTrustedCertificates(t *testing.T) {
 	in := newInstallation(t, "n-1", "s-1")
 	authority := fakeplatform.NewAuthority(t)
-	put := func(who string) string {
-		cert, key := authority.Issue(who, time.Now().Add(-time.Hour), time.Now().Add(time.Hour))
-		in.write(who+".key", string(key))
+	issue := func(name string) string {
+		certificate, key := authority.Issue(name, time.Now().Add(-time.Hour), time.Now().Add(time.Hour))
+		in.write(name+".key", string(key))
 		in.write("roots.pem", string(authority.Roots()))
-		return in.write(who+".crt", string(cert))
+		return in.write(name+".crt", string(certificate))
 	}
-	put("conductor")
-	put("till")
-	keys := func(who string) string {
-		return fmt.Sprintf("keys certificate=%q key=%q roots=\"roots.pem\"", who+".crt", who+".key")
+	issue("conductor")
+	issue("sidecar")
+	certificateSettings := func(name string) string {
+		return fmt.Sprintf("keys certificate=%q key=%q roots=\"roots.pem\"", name+".crt", name+".key")
 	}
-	in.configure(keys("conductor"))
+	in.configure(certificateSettings("conductor"))
 	in.start("harehook-xds", "conductor.kdl")
-	stranger, _ := in.startSidecar("stranger", "north", "delta")
-	in.certificatesText = keys("till")
-	address, _ := in.startSidecar("till", "north", "delta")
+	untrusted, _ := in.startSidecar("untrusted", "north", "delta")
+	in.certificatesText = certificateSettings("sidecar")
+	address, _ := in.startSidecar("sidecar", "north", "delta")
 	in.waitUntil("the sidecar answers", isAnswering(address))
-	if _, status := call(stranger, "/quote", ""); status == http.StatusOK {
+	if _, status := call(untrusted, "/quote", ""); status == http.StatusOK {
 		t.Errorf("call through a sidecar without a certificate: got status %d, want an error", status)
 	}
-	put("conductor")
-	put("till")
+	issue("conductor")
+	issue("sidecar")
 	in.waitUntil("a sidecar connects with the new certificates", func() bool {
 		other, stop := in.startSidecar("other", "south", "state")
 		defer stop()
--- a/internal/daemon/check_test.go
+++ b/internal/daemon/check_test.go
@@ -7,7 +7,7 @@
 )
 
 // The command check reports the line of each mistake in a configuration and exits with code 1.
-func TestCheckNamesTheLineOfEachMistake(t *testing.T) {
+func TestCheckReportsLineOfEachMistake(t *testing.T) {
 	in := newInstallation(t, "n-1")
 	path := in.write("bad.kdl", "conductor \"c\" {\n listen \"nowhere\"\n zone \"north\"\n zone \"north\"\n nodes \"nodes.kdl\"\n route \"a\" { prefix \"/a\"; limit-ms 10; }\n route \"b\" { prefix \"/a/b\"; limit-ms 2000; mutatin; }\n}\n")
 	out, code := in.runCtl("check", path)
@@ -23,8 +23,8 @@
 	if out, code := in.runCtl("check", filepath.Join(in.folder, "conductor.kdl")); code != 1 || !strings.Contains(out, `zone "south" has no node`) {
 		t.Errorf("check with a zone without nodes: got exit code %d and %q, want 1 and the zone", code, out)
 	}
-	told := in.write("told.kdl", "conductor \"c\" { listen \"127.0.0.1:1\"; zone \"north\"; nodes-from \"127.0.0.1:2\" cluster=\"x\"; route \"a\" { prefix \"/a\"; limit-ms 1000; }; }\n")
-	if out, code := in.runCtl("check", told); code != 0 {
+	servicePath := in.write("service.kdl", "conductor \"c\" { listen \"127.0.0.1:1\"; zone \"north\"; nodes-from \"127.0.0.1:2\" cluster=\"x\"; route \"a\" { prefix \"/a\"; limit-ms 1000; }; }\n")
+	if out, code := in.runCtl("check", servicePath); code != 0 {
 		t.Errorf("check with nodes from a service: got exit code %d and %q, want 0", code, out)
 	}
 	if _, code := in.runCtl("chek"); code != 2 {
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -43,7 +43,7 @@
 	}
 	log := logging.New(settings.Name, os.Stderr)
 	defer log.Sync()
-	invariant.Watch(func(what string) { log.Error("invariant broken", zap.String("what", what)) })
+	invariant.Watch(func(description string) { log.Error("invariant broken", zap.String("what", description)) })
 	certificates, err := certs.Load(settings.Certificates)
 	if err != nil {
 		return err
@@ -73,17 +73,17 @@
 	parts.Go(func() { w.server.Controller.Run(ctx) })
 	parts.Go(func() { w.run(ctx, reload) })
 	if w.settings.NodeService != "" {
-		service := newEndpointWatcher(w)
-		parts.Go(func() { service.Run(ctx) })
+		endpointWatcher := newEndpointWatcher(w)
+		parts.Go(func() { endpointWatcher.Run(ctx) })
 	}
-	var roleFault error
+	var roleErr error
 	parts.Go(func() {
-		roleFault = groupRole.run(ctx)
+		roleErr = groupRole.run(ctx)
 		stop() // a member must not continue without its log
 	})
-	serverFault := w.server.Run(ctx, listener)
+	serverErr := w.server.Run(ctx, listener)
 	stop()
 	parts.Wait()
 	w.log.Info("stopped")
-	return errors.Join(serverFault, roleFault)
+	return errors.Join(serverErr, roleErr)
 }
--- a/internal/daemon/followerrole.go
+++ b/internal/daemon/followerrole.go
@@ -20,7 +20,7 @@
 	watcher *watcher
 	log     *zap.Logger
 
-	candidate *config.Agreed // decoded by the last check; accepted puts it into effect
+	candidate *config.Agreed // decoded by the last check; apply puts it into effect
 	revision  atomic.Uint64  // the last accepted revision
 }
 
@@ -34,8 +34,8 @@
 		Lease:        settings.Follower.Lease,
 		Seed:         followSeed(settings),
 		Validate:     f.check,
-		Accepted:     f.accepted,
-		StaleChanged: f.setStale,
+		Accepted:     f.apply,
+		StaleChanged: f.logStale,
 		Log:          f.log,
 	}
 	if certificates != nil {
@@ -63,12 +63,12 @@
 	return nil
 }
 
-// check returns an error if this controller cannot use the received records. Like accepted, it is called by the
+// check returns an error if this controller cannot use the received records. Like apply, it is called by the
 // goroutine of client.Run.
 func (f *followerRole) check(revision uint64, received map[records.Key]*records.Record) error {
 	agreed, err := config.AgreedFromFollower(received)
 	if err == nil {
-		err = f.watcher.checkChange(agreed)
+		err = f.watcher.checkUpdate(agreed)
 	}
 	if err != nil {
 		f.log.Error("revision rejected, keeping the previous one", zap.Uint64("revision", revision), zap.Error(err))
@@ -78,9 +78,9 @@
 	return nil
 }
 
-// accepted puts an accepted revision into effect. Sidecars are updated only if routes or overrides differ, which most
+// apply puts an accepted revision into effect. Sidecars are updated only if routes or overrides differ, which most
 // revisions do not change.
-func (f *followerRole) accepted(revision uint64, _ map[records.Key]*records.Record) {
+func (f *followerRole) apply(revision uint64, _ map[records.Key]*records.Record) {
 	f.revision.Store(revision)
 	if f.candidate == nil || !f.watcher.publish(f.client.RoutingRevision(), f.candidate) {
 		return
@@ -91,8 +91,8 @@
 		zap.Int("overrides", len(f.candidate.Overrides)))
 }
 
-// setStale logs that the lease has expired, or that a member has granted one again.
-func (f *followerRole) setStale(stale bool) {
+// logStale logs that the lease has expired, or that a member has granted one again.
+func (f *followerRole) logStale(stale bool) {
 	if stale {
 		f.log.Warn("lease expired, keeping the last accepted revision",
 			zap.Uint64("revision", f.revision.Load()))
--- a/internal/daemon/followerrole_test.go
+++ b/internal/daemon/followerrole_test.go
@@ -29,16 +29,16 @@
 
 // testMember serves followers as a member does, with records that a test sets. It keeps no history.
 type testMember struct {
-	t       *testing.T
-	address string
-	service *transport.Service
-	server  *grpc.Server
-	secure  *tls.Config // nil if connections are not encrypted
+	t         *testing.T
+	address   string
+	service   *transport.Service
+	server    *grpc.Server
+	tlsConfig *tls.Config // nil if connections are not encrypted
 
-	mutex    sync.Mutex // guards the fields below
-	revision uint64
-	routing  uint64 // of all scopes: the followers in these tests have the same scope
-	held     map[records.Key]*records.Record
+	mutex           sync.Mutex // guards the fields below
+	revision        uint64
+	routingRevision uint64 // of all scopes: the followers in these tests have the same scope
+	byKey           map[records.Key]*records.Record
 }
 
 // listenTimeout is the maximum time for which an address may still be in use by its previous listener.
@@ -49,19 +49,19 @@
 // exec.
 func listenAt(t *testing.T, address string) net.Listener {
 	t.Helper()
-	for end := time.Now().Add(listenTimeout); ; time.Sleep(10 * time.Millisecond) {
+	for deadline := time.Now().Add(listenTimeout); ; time.Sleep(10 * time.Millisecond) {
 		listener, err := net.Listen("tcp", address)
 		if err == nil {
 			return listener
 		}
-		if !errors.Is(err, syscall.EADDRINUSE) || time.Now().After(end) {
+		if !errors.Is(err, syscall.EADDRINUSE) || time.Now().After(deadline) {
 			t.Fatal(err)
 		}
 	}
 }
 
-func newTestMember(t *testing.T, secure *tls.Config) *testMember {
-	m := &testMember{t: t, address: freeAddress(t), secure: secure, held: map[records.Key]*records.Record{}}
+func newTestMember(t *testing.T, tlsConfig *tls.Config) *testMember {
+	m := &testMember{t: t, address: freeAddress(t), tlsConfig: tlsConfig, byKey: map[records.Key]*records.Record{}}
 	m.service = transport.NewService("1", m, configsync.DefaultLimits, zap.NewNop())
 	m.start()
 	return m
@@ -70,11 +70,11 @@
 func (m *testMember) start() {
 	m.t.Helper()
 	listener := listenAt(m.t, m.address)
-	server, ended := cluster.NewServer(m.secure), make(chan struct{})
+	server, stopped := cluster.NewServer(m.tlsConfig), make(chan struct{})
 	m.server = server
 	m.service.Register(server)
-	go func() { defer close(ended); server.Serve(listener) }()
-	m.t.Cleanup(func() { server.Stop(); <-ended })
+	go func() { defer close(stopped); server.Serve(listener) }()
+	m.t.Cleanup(func() { server.Stop(); <-stopped })
 }
 
 // Revision returns the revision of the last change.
@@ -88,8 +88,8 @@
 func (m *testMember) InScope(scope records.Scope) records.View {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
-	view := records.View{Revision: m.revision, RoutingRevision: m.routing}
-	for _, record := range m.held {
+	view := records.View{Revision: m.revision, RoutingRevision: m.routingRevision}
+	for _, record := range m.byKey {
 		if scope.Contains(record) {
 			view.Records = append(view.Records, record)
 		}
@@ -108,10 +108,10 @@
 	revision := m.revision
 	for key, spec := range specs {
 		if key.Kind == records.KindRoute {
-			m.routing = revision
+			m.routingRevision = revision
 		}
 		if spec == nil {
-			delete(m.held, key)
+			delete(m.byKey, key)
 			continue
 		}
 		record, err := records.New(key, spec)
@@ -119,7 +119,7 @@
 			m.t.Fatal(err)
 		}
 		record.Revision = revision
-		m.held[key] = record
+		m.byKey[key] = record
 	}
 	m.mutex.Unlock()
 	m.service.Committed(records.Change{Revision: revision})
@@ -140,13 +140,13 @@
 
 // A follower uses the routes of its own file until routes are agreed on, and the agreed ones from then on. It must
 // reject a revision that it cannot use and keep the previous one, and must report when it is stale.
-func TestFollowerGoesByWhatWasAgreed(t *testing.T) {
+func TestFollowerUsesAgreedRoutes(t *testing.T) {
 	in := newInstallation(t, "n-1", "n-2", "s-1")
 	m := newTestMember(t, nil)
 	in.configure(fmt.Sprintf("follow { member %q; }", m.address))
 	in.start("harehook-xds", "conductor.kdl")
 	log := in.logs["conductor.kdl"]
-	address, _ := in.startSidecar("till", "north", "delta")
+	address, _ := in.startSidecar("sidecar", "north", "delta")
 	in.waitUntil("its own routes are in effect", isAnswering(address))
 	serves := func(prefix string) func() bool {
 		return func() bool {
@@ -161,17 +161,17 @@
 	m.set(overrideRecord("n-1", records.StateGone))
 	in.waitUntil("the node receives no calls", func() bool {
 		for range 20 {
-			if who, status := call(address, "/v1", ""); status != http.StatusOK || who == "n-1" {
+			if node, status := call(address, "/v1", ""); status != http.StatusOK || node == "n-1" {
 				return false
 			}
 		}
 		return true
 	})
 
-	refused := m.set(map[records.Key]any{{Kind: records.KindRoute, Name: "third"}: records.RouteSpec{Prefix: "/third", TimeLimitMS: 9}})
+	rejectedRevision := m.set(map[records.Key]any{{Kind: records.KindRoute, Name: "third"}: records.RouteSpec{Prefix: "/third", TimeLimitMS: 9}})
 	in.waitUntil("the member knows the rejected revision", func() bool {
 		leases := m.service.Status().Leases
-		return len(leases) == 1 && leases[0].RejectedRevision == refused && leases[0].Accepted == refused-1 &&
+		return len(leases) == 1 && leases[0].RejectedRevision == rejectedRevision && leases[0].Accepted == rejectedRevision-1 &&
 			strings.Contains(leases[0].Reason, `route "third" is not configured at conductor "c"`)
 	})
 	in.waitUntil("the follower logs the rejection", func() bool { return strings.Contains(log.String(), "revision rejected") })
@@ -186,14 +186,14 @@
 		}
 		return report, code
 	}
-	if told, code := report(); code != 0 || told.Stale || told.Revision != refused-1 || told.Rejected == 0 || told.Member != m.address {
+	if got, code := report(); code != 0 || got.Stale || got.Revision != rejectedRevision-1 || got.Rejected == 0 || got.Member != m.address {
 		t.Errorf("following: got exit code %d and %+v, want 0 and a rejection by a fresh follower of %s at revision %d",
-			code, told, m.address, refused-1)
+			code, got, m.address, rejectedRevision-1)
 	}
 	m.server.Stop()
 	in.waitUntil("the follower logs that its lease expired", func() bool { return strings.Contains(log.String(), "lease expired, keeping") })
-	if told, code := report(); code != 1 || !told.Stale || told.Revision != refused-1 {
-		t.Errorf("following: got exit code %d and %+v, want 1 and a stale follower at revision %d", code, told, refused-1)
+	if got, code := report(); code != 1 || !got.Stale || got.Revision != rejectedRevision-1 {
+		t.Errorf("following: got exit code %d and %+v, want 1 and a stale follower at revision %d", code, got, rejectedRevision-1)
 	}
 	if !serves("/v1")() {
 		t.Error("stale follower: the call on the last accepted route failed, want it answered")
@@ -202,85 +202,88 @@
 	in.waitUntil("the follower is no longer stale", func() bool { _, code := report(); return code == 0 })
 }
 
-// heldRouteVersion returns the routing revision in the resource cache of a sidecar, 0 if there is none.
-func (in *installation) heldRouteVersion(name string) uint64 {
-	holder := &sidecar.ResourceCache{ID: name}
-	if (&sidecar.Store{Path: filepath.Join(in.folder, name+".held")}).Load(holder) != nil {
+// acceptedRoutingRevision returns the routing revision in the resource cache of a sidecar, 0 if there is none.
+func (in *installation) acceptedRoutingRevision(name string) uint64 {
+	cache := &sidecar.ResourceCache{ID: name}
+	if (&sidecar.Store{Path: filepath.Join(in.folder, name+".held")}).Load(cache) != nil {
 		return 0
 	}
-	return holder.RoutingRevision()
+	return cache.RoutingRevision()
 }
 
 // Sidecars reject routes of a lower version than they have accepted, even from another controller. Controllers that
 // have received different revisions must therefore give the same routes the same version: the revision at which one of
 // them last changed.
-func TestFollowersNumberRoutesAlike(t *testing.T) {
+func TestFollowersGiveRoutesTheSameVersion(t *testing.T) {
 	in := newInstallation(t, "n-1", "n-2")
 	m := newTestMember(t, nil)
-	tenant := func(share float64) uint64 {
+	setTenant := func(share float64) uint64 {
 		return m.set(map[records.Key]any{{Kind: records.KindTenant, Name: "tenant"}: records.TenantSpec{Service: "other", Share: share}})
 	}
-	tenant(0.1)
-	number := m.set(twoRoutes("/v1"))
-	tenant(0.2)
+	setTenant(0.1)
+	want := m.set(twoRoutes("/v1"))
+	setTenant(0.2)
 	in.configure(fmt.Sprintf("follow { member %q; }", m.address))
 	stop := in.start("harehook-xds", "conductor.kdl")
-	address, _ := in.startSidecar("till", "north", "delta")
-	held := func() uint64 { return in.heldRouteVersion("till") }
-	in.waitUntil("the sidecar has accepted the agreed routes", func() bool { _, status := call(address, "/v1", ""); return status == http.StatusOK && held() > 0 })
-	if got := held(); got != number {
-		t.Errorf("version of the routes at the sidecar: got %d, want %d", got, number)
+	address, _ := in.startSidecar("sidecar", "north", "delta")
+	acceptedRevision := func() uint64 { return in.acceptedRoutingRevision("sidecar") }
+	in.waitUntil("the sidecar has accepted the agreed routes", func() bool {
+		_, status := call(address, "/v1", "")
+		return status == http.StatusOK && acceptedRevision() > 0
+	})
+	if got := acceptedRevision(); got != want {
+		t.Errorf("version of the routes at the sidecar: got %d, want %d", got, want)
 	}
 	stop()
-	tenant(0.3)
+	setTenant(0.3)
 	in.start("harehook-xds", "conductor.kdl")
 	in.waitUntil("the sidecar is synced with the restarted controller", func() bool { return in.isSynced(1) })
-	if got := held(); got != number {
-		t.Errorf("version of the routes after a restart: got %d, want %d", got, number)
+	if got := acceptedRevision(); got != want {
+		t.Errorf("version of the routes after a restart: got %d, want %d", got, want)
 	}
 }
 
 // Most revisions change nothing that sidecars need. Sidecars must receive only the revisions that change routes.
-func TestFollowerSendsSidecarsOnlyWhatDiffers(t *testing.T) {
+func TestFollowerSendsOnlyChangedRoutes(t *testing.T) {
 	in := newInstallation(t, "n-1", "n-2")
 	m := newTestMember(t, nil)
 	m.set(twoRoutes("/v1"))
 	in.configure(fmt.Sprintf("follow { member %q; }", m.address))
 	in.start("harehook-xds", "conductor.kdl")
-	address, _ := in.startSidecar("till", "north", "delta")
+	address, _ := in.startSidecar("sidecar", "north", "delta")
 	in.waitUntil("the agreed routes are in effect", func() bool { _, status := call(address, "/v1", ""); return status == http.StatusOK })
 	for share := range 5 {
 		m.set(map[records.Key]any{{Kind: records.KindTenant, Name: "tenant"}: records.TenantSpec{Service: "other", Share: 0.1 + float64(share)/100}})
 	}
-	last := m.set(twoRoutes("/v2"))
+	lastRevision := m.set(twoRoutes("/v2"))
 	in.waitUntil("the next routes are in effect", func() bool { _, status := call(address, "/v2", ""); return status == http.StatusOK })
-	var used []string
+	var appliedLines []string
 	for line := range strings.SplitSeq(in.logs["conductor.kdl"].String(), "\n") {
 		if strings.Contains(line, "revision applied") {
-			used = append(used, line)
+			appliedLines = append(appliedLines, line)
 		}
 	}
-	if len(used) != 2 || !slices.ContainsFunc(used, func(line string) bool { return strings.Contains(line, fmt.Sprint(last)) }) {
-		t.Errorf("got %d applied revisions, want 2 with revision %d:\n%s", len(used), last, strings.Join(used, "\n"))
+	if len(appliedLines) != 2 || !slices.ContainsFunc(appliedLines, func(line string) bool { return strings.Contains(line, fmt.Sprint(lastRevision)) }) {
+		t.Errorf("got %d applied revisions, want 2 with revision %d:\n%s", len(appliedLines), lastRevision, strings.Join(appliedLines, "\n"))
 	}
 }
 
 // Followers and members authenticate each other by certificates that the installation's roots have signed. A follower
 // without a certificate must not be served.
-func TestFollowersNeedCertificatesOfTheRoots(t *testing.T) {
+func TestFollowersNeedTrustedCertificates(t *testing.T) {
 	in := newInstallation(t, "n-1", "n-2")
 	authority := fakeplatform.NewAuthority(t)
-	certificate, private := authority.Issue("conductor", time.Now().Add(-time.Hour), time.Now().Add(time.Hour))
-	files := certs.Files{Certificate: in.write("c.crt", string(certificate)), Key: in.write("c.key", string(private)),
+	certificate, key := authority.Issue("conductor", time.Now().Add(-time.Hour), time.Now().Add(time.Hour))
+	files := certs.Files{Certificate: in.write("c.crt", string(certificate)), Key: in.write("c.key", string(key)),
 		Roots: in.write("roots.pem", string(authority.Roots()))}
-	held, err := certs.Load(files)
+	reloader, err := certs.Load(files)
 	if err != nil {
 		t.Fatal(err)
 	}
-	m := newTestMember(t, held.ServerConfig())
+	m := newTestMember(t, reloader.ServerConfig())
 	m.set(twoRoutes("/v1"))
-	settings := fmt.Sprintf("follow { member %q; }", m.address)
-	in.configure(settings)
+	followSettings := fmt.Sprintf("follow { member %q; }", m.address)
+	in.configure(followSettings)
 	stop := in.start("harehook-xds", "conductor.kdl")
 	in.waitUntil("the follower without a certificate logs a failed connection", func() bool {
 		return strings.Contains(in.logs["conductor.kdl"].String(), "stream to member failed")
@@ -289,7 +292,7 @@
 		t.Errorf("leases of followers without a certificate: got %d, want 0", live)
 	}
 	stop()
-	in.configure(settings + `; keys certificate="c.crt" key="c.key" roots="roots.pem"`)
+	in.configure(followSettings + `; keys certificate="c.crt" key="c.key" roots="roots.pem"`)
 	in.start("harehook-xds", "conductor.kdl")
 	in.waitUntil("the follower with a certificate has a lease", func() bool {
 		status := m.service.Status()
--- a/internal/daemon/followerservice_test.go
+++ b/internal/daemon/followerservice_test.go
@@ -34,7 +34,7 @@
 
 // A member that has known no leader for the duration of a lease must not extend leases, because its records may be
 // outdated. It extends leases again once it knows a leader.
-func TestFollowersAreSentAwayWithoutALeader(t *testing.T) {
+func TestMemberWithoutLeaderExtendsNoLease(t *testing.T) {
 	t.Parallel()
 	limits := configsync.DefaultLimits
 	group := &fakeGroup{}
@@ -43,36 +43,36 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	served := newFollowerService(group, listener.Addr().String(), limits, zap.NewNop())
+	followers := newFollowerService(group, listener.Addr().String(), limits, zap.NewNop())
 	server := cluster.NewServer(nil)
-	served.service.Register(server)
+	followers.service.Register(server)
 	client, err := transport.NewClient(transport.Config{Name: "c", Members: []string{listener.Addr().String()}, Lease: limits.Lease})
 	if err != nil {
 		t.Fatal(err)
 	}
 	ctx, cancel := context.WithCancel(context.Background())
-	ended := make(chan struct{}, 3)
-	for _, run := range []func(){func() { server.Serve(listener) }, func() { served.run(ctx) }, func() { client.Run(ctx) }} {
-		go func() { run(); ended <- struct{}{} }()
+	done := make(chan struct{}, 3)
+	for _, run := range []func(){func() { server.Serve(listener) }, func() { followers.run(ctx) }, func() { client.Run(ctx) }} {
+		go func() { run(); done <- struct{}{} }()
 	}
 	t.Cleanup(func() {
 		cancel()
 		server.Stop()
 		for range 3 {
-			<-ended
+			<-done
 		}
 	})
-	until := func(what string, stale bool) {
+	waitForStale := func(condition string, stale bool) {
 		t.Helper()
-		for end := time.Now().Add(3 * testTimeout); client.Status().Stale != stale; time.Sleep(10 * time.Millisecond) {
-			if time.Now().After(end) {
-				t.Fatalf("%s: got stale %t, want %t", what, !stale, stale)
+		for deadline := time.Now().Add(3 * testTimeout); client.Status().Stale != stale; time.Sleep(10 * time.Millisecond) {
+			if time.Now().After(deadline) {
+				t.Fatalf("%s: got stale %t, want %t", condition, !stale, stale)
 			}
 		}
 	}
-	until("with a leader", false)
+	waitForStale("with a leader", false)
 	group.leader.Store(0)
-	until("without a leader", true)
+	waitForStale("without a leader", true)
 	group.leader.Store(2)
-	until("with another leader", false)
+	waitForStale("with another leader", false)
 }
--- a/internal/daemon/group_followers_test.go
+++ b/internal/daemon/group_followers_test.go
@@ -15,10 +15,10 @@
 // followingControllers are controllers that follow a group. Each connects to each member through a forwarder.
 type followingControllers struct {
 	*testGroup
-	files []string
-	gates [][]*fakeplatform.Forwarder // by follower, then by member
-	stop  []func()
-	tills []string // addresses of their sidecars, by follower
+	configFiles      []string
+	forwarders       [][]*fakeplatform.Forwarder // by follower, then by member
+	stops            []func()
+	followerSidecars []string // addresses of their sidecars, by follower
 }
 
 func newFollowingControllers(g *testGroup, count int) *followingControllers {
@@ -26,29 +26,29 @@
 	for range count {
 		k := len(g.sidecarAddresses)
 		g.sidecarAddresses = append(g.sidecarAddresses, freeAddress(g.t))
-		var gates []*fakeplatform.Forwarder
+		var forwarders []*fakeplatform.Forwarder
 		var members strings.Builder
 		for member := range g.members {
-			gate, err := fakeplatform.NewForwarder(g.groupAddresses[member])
+			forwarder, err := fakeplatform.NewForwarder(g.groupAddresses[member])
 			if err != nil {
 				g.t.Fatal(err)
 			}
-			g.t.Cleanup(gate.Close)
-			gates = append(gates, gate)
-			fmt.Fprintf(&members, "member %q; ", gate.Address())
+			g.t.Cleanup(forwarder.Close)
+			forwarders = append(forwarders, forwarder)
+			fmt.Fprintf(&members, "member %q; ", forwarder.Address())
 		}
 		g.configureController(k, "follow { "+members.String()+"}")
-		f.files = append(f.files, f.rename(k))
-		f.gates = append(f.gates, gates)
-		f.stop = append(f.stop, g.start("harehook-xds", f.files[len(f.files)-1]))
-		f.tills = append(f.tills, g.startGroupSidecar(fmt.Sprintf("till-of-%d", k+1), k))
+		f.configFiles = append(f.configFiles, f.setUniqueName(k))
+		f.forwarders = append(f.forwarders, forwarders)
+		f.stops = append(f.stops, g.start("harehook-xds", f.configFiles[len(f.configFiles)-1]))
+		f.followerSidecars = append(f.followerSidecars, g.startGroupSidecar(fmt.Sprintf("sidecar-of-%d", k+1), k))
 	}
 	return f
 }
 
-// rename replaces the name in a follower's configuration file by a unique one, which identifies the follower at the
-// members.
-func (f *followingControllers) rename(k int) (file string) {
+// setUniqueName replaces the name in a follower's configuration file by a unique one, which identifies the follower at
+// the members. It returns the name of the file.
+func (f *followingControllers) setUniqueName(k int) (file string) {
 	file = fmt.Sprintf("c-%d.kdl", k+1)
 	text, err := os.ReadFile(filepath.Join(f.folder, file))
 	if err != nil {
@@ -71,8 +71,8 @@
 // followedMember returns the member that a follower follows, -1 if none.
 func (f *followingControllers) followedMember(k int) int {
 	report := f.report(k)
-	for member, gate := range f.gates[k] {
-		if gate.Address() == report.Member {
+	for member, forwarder := range f.forwarders[k] {
+		if forwarder.Address() == report.Member {
 			return member
 		}
 	}
@@ -80,18 +80,18 @@
 }
 
 // cut disconnects a follower from all members, or reconnects it.
-func (f *followingControllers) cut(k int, yes bool) {
-	for _, gate := range f.gates[k] {
-		gate.Cut(yes)
+func (f *followingControllers) cut(k int, disconnected bool) {
+	for _, forwarder := range f.forwarders[k] {
+		forwarder.Cut(disconnected)
 	}
 }
 
-// waitAllHold waits until the sidecars of all followers have the agreed version with the given prefix.
-func (f *followingControllers) waitAllHold(what, prefix string) {
+// waitForVersion waits until the sidecars of all followers have the agreed version with the given prefix.
+func (f *followingControllers) waitForVersion(condition, prefix string) {
 	f.t.Helper()
-	f.waitUntil(what, func() bool {
-		for _, address := range f.tills {
-			if !f.holdsPrefix(address, prefix)() {
+	f.waitUntil(condition, func() bool {
+		for _, address := range f.followerSidecars {
+			if !f.servesPrefix(address, prefix)() {
 				return false
 			}
 		}
@@ -103,23 +103,23 @@
 // member is disconnected from the others so that its follower moves, a follower is disconnected from all members, and
 // both followers restart at the same time. After each fault the next agreed version must reach the sidecars of both
 // followers, and no sidecar may return to an older version.
-func TestFollowersReceiveWhatAGroupAgreesOnThroughFaults(t *testing.T) {
+func TestFollowersReceiveAgreedVersionsDespiteFaults(t *testing.T) {
 	g := newTestGroup(t, 3)
 	lead := g.leader()
 	f := newFollowingControllers(g, 2)
 	prefix, _ := g.agree(lead)
-	f.waitAllHold("all sidecars have the agreed version", prefix)
+	f.waitForVersion("all sidecars have the agreed version", prefix)
 
-	proposed := make(chan struct{})
+	proposeReturned := make(chan struct{})
 	go func() { // the outcome is unknown because the leader stops
-		defer close(proposed)
+		defer close(proposeReturned)
 		g.runCtlAt(lead, "propose", filepath.Join(g.folder, "agreed-1.kdl"), "--why", "open")
 	}()
 	g.stops[lead]()
-	<-proposed
+	<-proposeReturned
 	other := (lead + 1) % 3
 	prefix, _ = g.agree(other)
-	f.waitAllHold("all sidecars have the version that was agreed on without the leader", prefix)
+	f.waitForVersion("all sidecars have the version that was agreed on without the leader", prefix)
 	g.stops[lead] = g.start("harehook-xds", fmt.Sprintf("c-%d.kdl", lead+1))
 	g.waitUntil("the restarted member has the agreed version", func() bool {
 		out, code := g.runCtlAt(lead, "config")
@@ -127,36 +127,36 @@
 	})
 
 	f.waitUntil("the first follower follows a member", func() bool { return f.followedMember(0) >= 0 })
-	cut := f.followedMember(0)
-	g.cut(cut, true)
+	disconnected := f.followedMember(0)
+	g.cut(disconnected, true)
 	f.waitUntil("the follower of the disconnected member moves to another one", func() bool {
 		member := f.followedMember(0)
-		return member >= 0 && member != cut
+		return member >= 0 && member != disconnected
 	})
-	prefix, _ = g.agree((cut + 1) % 3)
-	f.waitAllHold("all sidecars have the version that was agreed on without the disconnected member", prefix)
-	g.cut(cut, false)
+	prefix, _ = g.agree((disconnected + 1) % 3)
+	f.waitForVersion("all sidecars have the version that was agreed on without the disconnected member", prefix)
+	g.cut(disconnected, false)
 
 	f.cut(1, true)
 	f.waitUntil("the disconnected follower is stale", func() bool { return f.report(1).Stale })
-	last := prefix
+	lastPrefix := prefix
 	for range 3 {
 		prefix, _ = g.agree(other)
 	}
-	f.waitUntil("the sidecar of the connected follower has the last version", f.holdsPrefix(f.tills[0], prefix))
-	if !f.holdsPrefix(f.tills[1], last)() {
-		t.Errorf("sidecar of the disconnected follower: the call on %s failed, want it answered", last)
+	f.waitUntil("the sidecar of the connected follower has the last version", f.servesPrefix(f.followerSidecars[0], prefix))
+	if !f.servesPrefix(f.followerSidecars[1], lastPrefix)() {
+		t.Errorf("sidecar of the disconnected follower: the call on %s failed, want it answered", lastPrefix)
 	}
 	f.cut(1, false)
-	f.waitAllHold("all sidecars have the version that was agreed on during the disconnection", prefix)
+	f.waitForVersion("all sidecars have the version that was agreed on during the disconnection", prefix)
 
-	for _, stop := range f.stop {
+	for _, stop := range f.stops {
 		stop()
 	}
 	prefix, _ = g.agree(other)
-	for k := range f.stop {
-		f.stop[k] = g.start("harehook-xds", f.files[k])
+	for k := range f.stops {
+		f.stops[k] = g.start("harehook-xds", f.configFiles[k])
 	}
-	f.waitAllHold("all sidecars have the version that was agreed on while both followers were stopped", prefix)
+	f.waitForVersion("all sidecars have the version that was agreed on while both followers were stopped", prefix)
 	f.waitUntil("no follower is stale", func() bool { return !f.report(0).Stale && !f.report(1).Stale })
 }
--- a/internal/daemon/group_test.go
+++ b/internal/daemon/group_test.go
@@ -13,24 +13,24 @@
 // members must agree on the next one within the time stated in docs/raft.md. Then a minority is disconnected: it must
 // keep serving the last agreed version, report that it may be stale, and agree on nothing. After the partition all
 // sidecars must have the version that the majority agreed on.
-func TestGroupRecoversFromALostLeaderAndAPartition(t *testing.T) {
+func TestGroupRecoversFromLeaderLossAndPartition(t *testing.T) {
 	g := newTestGroup(t, 3)
 	lead := g.leader()
 	others := slices.DeleteFunc([]int{0, 1, 2}, func(k int) bool { return k == lead })
-	atLeader := g.startGroupSidecar("till-1", lead, others[0], others[1])
-	atOther := g.startGroupSidecar("till-2", others[0], others[1])
-	g.waitUntil("the sidecars answer", func() bool { return isAnswering(atLeader)() && isAnswering(atOther)() })
+	leaderSidecar := g.startGroupSidecar("sidecar-1", lead, others[0], others[1])
+	otherSidecar := g.startGroupSidecar("sidecar-2", others[0], others[1])
+	g.waitUntil("the sidecars answer", func() bool { return isAnswering(leaderSidecar)() && isAnswering(otherSidecar)() })
 
 	prefix, _ := g.agree(others[1])
 	g.stops[lead]()
-	began := time.Now()
-	g.waitUntil("both sidecars have the agreed version", func() bool { return g.holdsPrefix(atLeader, prefix)() && g.holdsPrefix(atOther, prefix)() })
-	prefix, took := g.agree(others[0])
-	if since := time.Since(began); took > maxRecovery {
+	start := time.Now()
+	g.waitUntil("both sidecars have the agreed version", func() bool { return g.servesPrefix(leaderSidecar, prefix)() && g.servesPrefix(otherSidecar, prefix)() })
+	prefix, duration := g.agree(others[0])
+	if elapsed := time.Since(start); duration > maxRecovery {
 		t.Errorf("time from the loss of the leader to the next agreed version: got %s (agreement took %s), want at most %s",
-			since, took, maxRecovery)
+			elapsed, duration, maxRecovery)
 	}
-	g.waitUntil("both sidecars have the next version", func() bool { return g.holdsPrefix(atLeader, prefix)() && g.holdsPrefix(atOther, prefix)() })
+	g.waitUntil("both sidecars have the next version", func() bool { return g.servesPrefix(leaderSidecar, prefix)() && g.servesPrefix(otherSidecar, prefix)() })
 	g.stops[lead] = g.start("harehook-xds", configFile(lead))
 	g.waitUntil("the restarted member has the agreed version", func() bool {
 		out, code := g.runCtlAt(lead, "config")
@@ -43,10 +43,10 @@
 	if code != 0 || !strings.Contains(out, "may be stale") || !strings.Contains(out, prefix) {
 		t.Errorf("config --stale at the minority: got exit code %d and %q, want 0 and a version that may be stale with %s", code, out, prefix)
 	}
-	if _, status := call(atOther, prefix, ""); status != http.StatusOK {
+	if _, status := call(otherSidecar, prefix, ""); status != http.StatusOK {
 		t.Errorf("call at the sidecar of the minority: got status %d, want %d", status, http.StatusOK)
 	}
-	newer, _ := g.agree(others[1])
+	newerPrefix, _ := g.agree(others[1])
 	if _, out, code := g.propose(others[0]); code != exitUnavailable {
 		t.Errorf("propose at the minority: got exit code %d and %q, want %d", code, out, exitUnavailable)
 	}
@@ -55,10 +55,12 @@
 	}
 	g.checkSidecars()
 	g.cut(others[0], false)
-	began = time.Now()
-	g.waitUntil("both sidecars have the version of the majority", func() bool { return g.holdsPrefix(atOther, newer)() && g.holdsPrefix(atLeader, newer)() })
-	if since := time.Since(began); since > 2*maxRecovery {
-		t.Errorf("time from the end of the partition until both sidecars have the version: got %s, want at most %s", since, 2*maxRecovery)
+	start = time.Now()
+	g.waitUntil("both sidecars have the version of the majority", func() bool {
+		return g.servesPrefix(otherSidecar, newerPrefix)() && g.servesPrefix(leaderSidecar, newerPrefix)()
+	})
+	if elapsed := time.Since(start); elapsed > 2*maxRecovery {
+		t.Errorf("time from the end of the partition until both sidecars have the version: got %s, want at most %s", elapsed, 2*maxRecovery)
 	}
 }
 
@@ -69,25 +71,25 @@
 	g := newTestGroup(t, 3)
 	lead := g.leader()
 	g.agree(lead)
-	lost := (lead + 1) % 3
+	lostMember := (lead + 1) % 3
 	g.waitUntil("the leader knows the disk identities of all members", func() bool {
 		out, _ := g.runCtlAt(lead, "status", "-o", "json")
 		return strings.Count(out[max(0, strings.Index(out, "identities")):], "\": \"") >= 3
 	})
-	g.stops[lost]()
-	g.configureController(lost, g.memberText(lost, "data-lost", false))
-	stop := g.start("harehook-xds", configFile(lost))
+	g.stops[lostMember]()
+	g.configureController(lostMember, g.groupSection(lostMember, "data-lost", false))
+	stop := g.start("harehook-xds", configFile(lostMember))
 	g.waitUntil("the member exits and logs how to replace it", func() bool {
-		return strings.Contains(g.logs[configFile(lost)].String(), "remove it and add this one under a new number")
+		return strings.Contains(g.logs[configFile(lostMember)].String(), "remove it and add this one under a new number")
 	})
 	g.agree(lead)
 	stop()
-	g.atLeader("members", "remove", fmt.Sprint(lost+1))
+	g.atLeader("members", "remove", fmt.Sprint(lostMember+1))
 	// The successor is member 4, with an address of its own.
 	g.members = 4
 	g.sidecarAddresses = append(g.sidecarAddresses, freeAddress(t))
 	g.groupAddresses = append(g.groupAddresses, freeAddress(t))
-	g.configureController(3, g.memberText(3, "data-4", true))
+	g.configureController(3, g.groupSection(3, "data-4", true))
 	g.start("harehook-xds", configFile(3))
 	g.atLeader("members", "add", "4", g.groupAddresses[3])
 	prefix, _ := g.agree(lead)
@@ -108,19 +110,19 @@
 func TestFiveMembersRecoverFromAPartitionWithoutMajority(t *testing.T) {
 	g := newTestGroup(t, 5)
 	g.leader()
-	address := g.startGroupSidecar("till", 4, 0)
+	address := g.startGroupSidecar("sidecar", 4, 0)
 	g.waitUntil("the sidecar answers", isAnswering(address))
 	prefix, _ := g.agree(0)
-	g.waitUntil("the sidecar has the agreed version", g.holdsPrefix(address, prefix))
-	part := []int{0, 0, 1, 1, 2}
-	between := func(yes bool) {
-		for way, gate := range g.gates {
-			if part[way.from] != part[way.to] {
-				gate.Cut(yes)
+	g.waitUntil("the sidecar has the agreed version", g.servesPrefix(address, prefix))
+	partOf := []int{0, 0, 1, 1, 2}
+	setPartitioned := func(partitioned bool) {
+		for d, forwarder := range g.forwarders {
+			if partOf[d.from] != partOf[d.to] {
+				forwarder.Cut(partitioned)
 			}
 		}
 	}
-	between(true)
+	setPartitioned(true)
 	for k := range g.members {
 		g.waitUntil("the disconnected member reports that it has no majority", func() bool { _, code := g.runCtlAt(k, "status"); return code == 1 })
 	}
@@ -130,11 +132,11 @@
 	if _, status := call(address, prefix, ""); status != http.StatusOK {
 		t.Errorf("call at the sidecar of the single member: got status %d, want %d", status, http.StatusOK)
 	}
-	between(false)
-	began := time.Now()
+	setPartitioned(false)
+	start := time.Now()
 	prefix, _ = g.agree(4)
-	if since := time.Since(began); since > 2*maxRecovery {
-		t.Errorf("time from the end of the partition to the next agreed version: got %s, want at most %s", since, 2*maxRecovery)
+	if elapsed := time.Since(start); elapsed > 2*maxRecovery {
+		t.Errorf("time from the end of the partition to the next agreed version: got %s, want at most %s", elapsed, 2*maxRecovery)
 	}
-	g.waitUntil("the sidecar has the next version", g.holdsPrefix(address, prefix))
+	g.waitUntil("the sidecar has the next version", g.servesPrefix(address, prefix))
 }
--- a/internal/daemon/installation_test.go
+++ b/internal/daemon/installation_test.go
@@ -23,15 +23,15 @@
 	"harehook.dev/harehook/internal/fakeplatform"
 )
 
-// programs is the folder of the programs that TestMain builds. Tests start them and connect to them over loopback.
-var programs string
+// programFolder is the folder of the programs that TestMain builds. Tests start them and connect to them over loopback.
+var programFolder string
 
 func TestMain(m *testing.M) {
 	dir, err := os.MkdirTemp("", "harehook-xds")
 	if err != nil {
 		panic(err)
 	}
-	programs = dir
+	programFolder = dir
 	build := []string{"build", "-tags", "debug", "-o", dir}
 	if info, ok := debug.ReadBuildInfo(); ok && slices.Contains(info.Settings, debug.BuildSetting{Key: "-race", Value: "true"}) {
 		build = append(build, "-race")
@@ -136,20 +136,20 @@
 // zoneOfNode returns "north" for names that begin with n and "south" for names that begin with s.
 func zoneOfNode(name string) string { return map[byte]string{'n': "north", 's': "south"}[name[0]] }
 
-// configure writes the controller's configuration file, including the lines in more.
-func (in *installation) configure(more string) {
+// configure writes the controller's configuration file, including extraLines.
+func (in *installation) configure(extraLines string) {
 	in.write("conductor.kdl", fmt.Sprintf(`conductor "c" { listen %q; seed 3; zone "north"; zone "south"; nodes "nodes.kdl"; report-ms 100
   route "quote" { prefix "/quote"; limit-ms 2000; }
   route "issue" { prefix "/issue"; limit-ms 2000; mutating; }
   %s
-}`, in.listen, more))
+}`, in.listen, extraLines))
 }
 
 // start runs a program until stop is called or the test ends. If the test has failed by then, the log of the program is
 // added to that of the test.
 func (in *installation) start(program, config string) (stop func()) {
 	in.t.Helper()
-	cmd := exec.Command(filepath.Join(programs, program), "--config", filepath.Join(in.folder, config))
+	cmd := exec.Command(filepath.Join(programFolder, program), "--config", filepath.Join(in.folder, config))
 	log := &safeBuffer{}
 	in.logs[config] = log
 	cmd.Stdout = log
@@ -201,7 +201,7 @@
 
 // call makes a call and returns the status and the name of the node that answered. If there is no response, it returns
 // the status 0 and the text of the error.
-func call(address, path, body string) (who string, status int) {
+func call(address, path, body string) (node string, status int) {
 	conn, err := net.DialTimeout("tcp", address, time.Second)
 	if err != nil {
 		return err.Error(), 0
@@ -209,22 +209,22 @@
 	defer conn.Close()
 	conn.SetDeadline(time.Now().Add(5 * time.Second))
 	fmt.Fprintf(conn, "POST %s HTTP/1.1\r\nHost: x\r\nContent-Length: %d\r\nConnection: close\r\n\r\n%s", path, len(body), body)
-	answer, err := http.ReadResponse(bufio.NewReader(conn), nil)
+	response, err := http.ReadResponse(bufio.NewReader(conn), nil)
 	if err != nil {
 		return err.Error(), 0
 	}
-	defer answer.Body.Close()
-	text, _ := io.ReadAll(answer.Body)
-	return string(text), answer.StatusCode
+	defer response.Body.Close()
+	text, _ := io.ReadAll(response.Body)
+	return string(text), response.StatusCode
 }
 
 // waitUntil polls a condition until it is true, and fails the test if it is still false after testTimeout.
-func (in *installation) waitUntil(what string, ok func() bool) {
+func (in *installation) waitUntil(condition string, ok func() bool) {
 	in.t.Helper()
-	for end := time.Now().Add(testTimeout); !ok(); time.Sleep(20 * time.Millisecond) {
-		if time.Now().After(end) {
+	for deadline := time.Now().Add(testTimeout); !ok(); time.Sleep(20 * time.Millisecond) {
+		if time.Now().After(deadline) {
 			out, _ := in.runCtl("sidecars")
-			in.t.Fatalf("got no success within %s, want: %s\nsidecars:\n%s", testTimeout, what, out)
+			in.t.Fatalf("got no success within %s, want: %s\nsidecars:\n%s", testTimeout, condition, out)
 		}
 	}
 }
@@ -233,7 +233,7 @@
 func (in *installation) runCtl(args ...string) (out string, code int) {
 	ctx, stop := context.WithTimeout(context.Background(), testTimeout)
 	defer stop()
-	cmd := exec.CommandContext(ctx, filepath.Join(programs, "harehookctl"), append([]string{"--conductor", in.listen}, args...)...)
+	cmd := exec.CommandContext(ctx, filepath.Join(programFolder, "harehookctl"), append([]string{"--conductor", in.listen}, args...)...)
 	text, _ := cmd.CombinedOutput()
 	return string(text), cmd.ProcessState.ExitCode()
 }
@@ -242,15 +242,15 @@
 // status 200.
 func (in *installation) callAll(address, path string, calls int) map[string]int {
 	in.t.Helper()
-	got := map[string]int{}
+	callsByNode := map[string]int{}
 	for range calls {
-		who, status := call(address, path, "seat")
+		node, status := call(address, path, "body")
 		if status != http.StatusOK {
-			in.t.Fatalf("call on %s: got status %d and %q, want status %d", path, status, who, http.StatusOK)
+			in.t.Fatalf("call on %s: got status %d and %q, want status %d", path, status, node, http.StatusOK)
 		}
-		got[who]++
+		callsByNode[node]++
 	}
-	return got
+	return callsByNode
 }
 
 // isAnswering returns a condition that reports whether a call at a sidecar succeeds.
--- a/internal/daemon/memberrole.go
+++ b/internal/daemon/memberrole.go
@@ -23,7 +23,7 @@
 	node            *cluster.Node
 	agreed          *records.Store
 	followerService *followerService
-	disk            *raftlog.Log
+	raftLog         *raftlog.Log
 	server          *grpc.Server
 	listener        net.Listener
 	watcher         *watcher
@@ -32,14 +32,14 @@
 // newMemberRole opens the Raft log and creates the member. If the log cannot be used, it returns an error of package
 // raftlog.
 func newMemberRole(group *config.Group, w *watcher, certificates *certs.Reloader, log *zap.Logger) (*memberRole, error) {
-	disk, saved, err := raftlog.Open(group.DataFolder)
+	raftLog, saved, err := raftlog.Open(group.DataFolder)
 	if err != nil {
 		return nil, err
 	}
 	state := cluster.NewState(config.TextFormat{})
-	node, err := cluster.NewNode(group.ID, disk, saved, group.Voters, group.Addresses, state, log.Named("group"))
+	node, err := cluster.NewNode(group.ID, raftLog, saved, group.Voters, group.Addresses, state, log.Named("group"))
 	if err != nil {
-		disk.Close()
+		raftLog.Close()
 		return nil, err
 	}
 	node.CheckProposal = w.checkProposal
@@ -50,10 +50,10 @@
 	}
 	listener, err := net.Listen("tcp", group.Listen)
 	if err != nil {
-		disk.Close()
+		raftLog.Close()
 		return nil, err
 	}
-	m := &memberRole{node: node, agreed: state.Store(), disk: disk, server: cluster.NewServer(serverTLS), listener: listener, watcher: w}
+	m := &memberRole{node: node, agreed: state.Store(), raftLog: raftLog, server: cluster.NewServer(serverTLS), listener: listener, watcher: w}
 	node.Register(m.server)
 	m.followerService = newFollowerService(node, strconv.FormatUint(group.ID, 10), configsync.DefaultLimits, log.Named("followers"))
 	m.followerService.service.Register(m.server)
@@ -72,28 +72,28 @@
 	guardContext, stopGuard := context.WithCancel(ctx)
 	defer stopGuard()
 	parts.Go(func() { m.followerService.run(guardContext) })
-	stopped := make(chan error, 1)
-	parts.Go(func() { stopped <- m.node.Run(ctx) })
-	applied := uint64(0) // revision as of which routes and overrides are in effect at this controller
+	nodeStopped := make(chan error, 1)
+	parts.Go(func() { nodeStopped <- m.node.Run(ctx) })
+	appliedRevision := uint64(0) // revision as of which routes and overrides are in effect at this controller
 	for {
 		select {
-		case err := <-stopped:
+		case err := <-nodeStopped:
 			stopGuard()
 			m.server.Stop()
 			parts.Wait()
-			m.disk.Close()
+			m.raftLog.Close()
 			return err
 		case <-m.node.Changed:
-			applied = m.apply(applied)
+			appliedRevision = m.apply(appliedRevision)
 		}
 	}
 }
 
-// apply puts routes and overrides into effect if they have changed since the revision applied. It returns the revision
+// apply puts routes and overrides into effect if they have changed since appliedRevision. It returns the revision
 // as of which they are in effect. Changes to other kinds of records do not affect this controller's routing tables.
-func (m *memberRole) apply(applied uint64) uint64 {
-	if m.agreed.LastChange(records.KindRoute, records.KindOverride) <= applied {
-		return applied
+func (m *memberRole) apply(appliedRevision uint64) uint64 {
+	if m.agreed.LastChange(records.KindRoute, records.KindOverride) <= appliedRevision {
+		return appliedRevision
 	}
 	view := m.agreed.OfKinds(records.KindRoute, records.KindOverride)
 	m.watcher.applyAgreed(view)
--- a/internal/daemon/memberrole_test.go
+++ b/internal/daemon/memberrole_test.go
@@ -20,7 +20,7 @@
 	}
 	t.Cleanup(func() {
 		m.listener.Close()
-		m.disk.Close()
+		m.raftLog.Close()
 	})
 	if m.node.OnCommit == nil {
 		t.Error("OnCommit of the node: got nil, want the service for followers")
--- a/internal/daemon/role.go
+++ b/internal/daemon/role.go
@@ -15,10 +15,10 @@
 	run(ctx context.Context) error
 }
 
-// aloneRole is the role of a controller that neither is a member of a group nor follows one.
-type aloneRole struct{}
+// standaloneRole is the role of a controller that neither is a member of a group nor follows one.
+type standaloneRole struct{}
 
-func (aloneRole) run(ctx context.Context) error {
+func (standaloneRole) run(ctx context.Context) error {
 	<-ctx.Done()
 	return nil
 }
@@ -36,6 +36,6 @@
 		w.server.RegisterServices = f.client.Register
 		return f, nil
 	default:
-		return aloneRole{}, nil
+		return standaloneRole{}, nil
 	}
 }
--- a/internal/daemon/routing_test.go
+++ b/internal/daemon/routing_test.go
@@ -25,21 +25,21 @@
 	created := m.set(withThirdRoute(records.RouteSpec{Prefix: "/third", TimeLimitMS: 2000}))
 	in.configure(follow + thirdConfigured)
 	stop := in.start("harehook-xds", "conductor.kdl")
-	address, _ := in.startSidecar("till", "north", "delta")
-	in.waitUntil("the sidecar has accepted the newest route", func() bool { return in.heldRouteVersion("till") == created && in.isSynced(1) })
+	address, _ := in.startSidecar("sidecar", "north", "delta")
+	in.waitUntil("the sidecar has accepted the newest route", func() bool { return in.acceptedRoutingRevision("sidecar") == created && in.isSynced(1) })
 
 	stop()
 	removed := m.set(withThirdRoute(nil))
 	in.configure(follow)
 	in.start("harehook-xds", "conductor.kdl")
-	in.waitUntil("the sidecar has accepted the remaining routes", func() bool { return in.heldRouteVersion("till") == removed })
+	in.waitUntil("the sidecar has accepted the remaining routes", func() bool { return in.acceptedRoutingRevision("sidecar") == removed })
 	if _, status := call(address, "/third", ""); status != http.StatusNotFound {
 		t.Errorf("call on the removed route: got status %d, want %d", status, http.StatusNotFound)
 	}
 	changed := m.set(twoRoutes("/v2"))
 	in.waitUntil("the sidecar has accepted the next change", func() bool {
 		_, status := call(address, "/v2", "")
-		return status == http.StatusOK && in.heldRouteVersion("till") == changed && in.isSynced(1)
+		return status == http.StatusOK && in.acceptedRoutingRevision("sidecar") == changed && in.isSynced(1)
 	})
 	if log := in.logs["conductor.kdl"].String(); strings.Contains(log, "version refused") {
 		t.Errorf("got a version refused by a sidecar, want none:\n%s", log)
@@ -47,14 +47,14 @@
 }
 
 // A controller uses its own routes while its scope has no agreed route, even if all agreed routes were removed.
-func TestOwnRoutesStayWhereAgreedOnesWent(t *testing.T) {
+func TestOwnRoutesApplyAfterAgreedRoutesAreRemoved(t *testing.T) {
 	in := newInstallation(t, "n-1", "n-2")
 	m := newTestMember(t, nil)
 	m.set(withThirdRoute(records.RouteSpec{Prefix: "/third", TimeLimitMS: 2000}))
 	m.set(withThirdRoute(nil))
 	in.configure(fmt.Sprintf("follow { member %q; }", m.address))
 	in.start("harehook-xds", "conductor.kdl")
-	address, _ := in.startSidecar("till", "north", "delta")
+	address, _ := in.startSidecar("sidecar", "north", "delta")
 	in.waitUntil("the controller has accepted the revision", func() bool {
 		leases := m.service.Status().Leases
 		return len(leases) == 1 && leases[0].Accepted == m.Revision()
@@ -65,8 +65,8 @@
 			strings.Contains(in.logs["conductor.kdl"].String(), fmt.Sprintf(`"revision":%d`, last))
 	})
 	in.waitUntil("its own routes are in effect", func() bool { return isAnswering(address)() && in.isSynced(1) })
-	if held := in.heldRouteVersion("till"); held != 0 {
-		t.Errorf("version of its own routes: got %d, want 0", held)
+	if revision := in.acceptedRoutingRevision("sidecar"); revision != 0 {
+		t.Errorf("version of its own routes: got %d, want 0", revision)
 	}
 }
 
@@ -75,12 +75,12 @@
 func TestSidecarAcceptsTheRemovalOfTheNewestRouteAtAMember(t *testing.T) {
 	g := newTestGroup(t, 1)
 	g.leader()
-	address := g.startGroupSidecar("till", 0)
+	address := g.startGroupSidecar("sidecar", 0)
 	prefix, _ := g.agree(0)
-	g.waitUntil("the sidecar has the agreed version", g.holdsPrefix(address, prefix))
-	restart := func(more string) {
+	g.waitUntil("the sidecar has the agreed version", g.servesPrefix(address, prefix))
+	restart := func(extraLines string) {
 		g.stops[0]()
-		g.configureController(0, g.memberText(0, "data-1", false)+more)
+		g.configureController(0, g.groupSection(0, "data-1", false)+extraLines)
 		g.stops[0] = g.start("harehook-xds", "c-1.kdl")
 		g.leader()
 	}
@@ -93,10 +93,10 @@
 	}
 	restart(thirdConfigured)
 	created := apply(`route "third" { prefix "/third"; limit-ms 2000; }`)
-	g.waitUntil("the sidecar has accepted the newest route", func() bool { return g.heldRouteVersion("till") == created })
+	g.waitUntil("the sidecar has accepted the newest route", func() bool { return g.acceptedRoutingRevision("sidecar") == created })
 	restart("")
 	removed := apply(`remove "route/third"`)
-	g.waitUntil("the sidecar has accepted the remaining routes", func() bool { return g.heldRouteVersion("till") == removed })
+	g.waitUntil("the sidecar has accepted the remaining routes", func() bool { return g.acceptedRoutingRevision("sidecar") == removed })
 	prefix, _ = g.agree(0)
-	g.waitUntil("the sidecar has accepted the next change", g.holdsPrefix(address, prefix))
+	g.waitUntil("the sidecar has accepted the next change", g.servesPrefix(address, prefix))
 }
--- a/internal/daemon/server.go
+++ b/internal/daemon/server.go
@@ -35,7 +35,7 @@
 		Cluster:     w.settings.Cluster,
 		Name:        w.settings.Name,
 		KnowsZone:   w.server.Controller.KnowsZone,
-		Accepted:    w.acceptList,
+		Accepted:    w.applyReceivedList,
 		Credentials: clientCredentials,
 		Log:         w.log,
 	}
--- a/internal/daemon/testgroup_test.go
+++ b/internal/daemon/testgroup_test.go
@@ -24,10 +24,10 @@
 	members          int
 	sidecarAddresses []string // addresses at which members serve sidecars
 	groupAddresses   []string // addresses at which members serve members and operators
-	gates            map[direction]*fakeplatform.Forwarder
+	forwarders       map[direction]*fakeplatform.Forwarder
 	stops            []func() // stop the programs of the members
 
-	sidecars         []string          // names
+	sidecarNames     []string
 	textOfVersion    map[uint64]string // of each agreed version that a sidecar has accepted
 	newestVersion    map[string]uint64 // by sidecar
 	proposedVersions int
@@ -42,7 +42,7 @@
 	g := &testGroup{
 		installation:  newInstallation(t, "n-1", "n-2", "s-1"),
 		members:       members,
-		gates:         map[direction]*fakeplatform.Forwarder{},
+		forwarders:    map[direction]*fakeplatform.Forwarder{},
 		stops:         make([]func(), members),
 		textOfVersion: map[uint64]string{},
 		newestVersion: map[string]uint64{},
@@ -54,43 +54,43 @@
 	for from := range members {
 		for to := range members {
 			if from != to {
-				g.gates[direction{from, to}] = newGate(t, g.groupAddresses[to])
+				g.forwarders[direction{from, to}] = newForwarder(t, g.groupAddresses[to])
 			}
 		}
 	}
 	for member := range members {
-		g.configureController(member, g.memberText(member, fmt.Sprintf("data-%d", member+1), false))
+		g.configureController(member, g.groupSection(member, fmt.Sprintf("data-%d", member+1), false))
 		g.stops[member] = g.start("harehook-xds", configFile(member))
 	}
 	return g
 }
 
-// newGate returns a forwarder to an address. The end of the test closes it.
-func newGate(t *testing.T, address string) *fakeplatform.Forwarder {
+// newForwarder returns a forwarder to an address. The end of the test closes it.
+func newForwarder(t *testing.T, address string) *fakeplatform.Forwarder {
 	t.Helper()
-	gate, err := fakeplatform.NewForwarder(address)
+	forwarder, err := fakeplatform.NewForwarder(address)
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(gate.Close)
-	return gate
+	t.Cleanup(forwarder.Close)
+	return forwarder
 }
 
 // configFile returns the name of a member's configuration file.
 func configFile(member int) string { return fmt.Sprintf("c-%d.kdl", member+1) }
 
-// memberText returns the group section of a member's configuration.
-func (g *testGroup) memberText(k int, data string, later bool) string {
+// groupSection returns the group section of a member's configuration.
+func (g *testGroup) groupSection(k int, dataFolder string, addedLater bool) string {
 	var text strings.Builder
-	fmt.Fprintf(&text, "group { id %d; listen %q; data %q; ", k+1, g.groupAddresses[k], data)
+	fmt.Fprintf(&text, "group { id %d; listen %q; data %q; ", k+1, g.groupAddresses[k], dataFolder)
 	for other := range g.members {
 		address := g.groupAddresses[other]
-		if gate := g.gates[direction{k, other}]; gate != nil {
-			address = gate.Address()
+		if forwarder := g.forwarders[direction{k, other}]; forwarder != nil {
+			address = forwarder.Address()
 		}
 		fmt.Fprintf(&text, "member %d %q; ", other+1, address)
 	}
-	if later {
+	if addedLater {
 		text.WriteString("added-later; ")
 	}
 	return text.String() + "}"
@@ -116,15 +116,15 @@
 }
 
 // startGroupSidecar starts a sidecar that tries the controllers in the given order, and returns its address.
-func (g *testGroup) startGroupSidecar(name string, conductors ...int) string {
+func (g *testGroup) startGroupSidecar(name string, members ...int) string {
 	address := freeAddress(g.t)
-	var asks strings.Builder
-	for _, k := range conductors {
-		fmt.Fprintf(&asks, "conductor %q; ", g.sidecarAddresses[k])
+	var controllers strings.Builder
+	for _, k := range members {
+		fmt.Fprintf(&controllers, "conductor %q; ", g.sidecarAddresses[k])
 	}
-	g.write(name+".kdl", fmt.Sprintf("sidecar %q { zone \"north\"; listen %q; %s keep %q; }\n", name, address, asks.String(), name+".held"))
+	g.write(name+".kdl", fmt.Sprintf("sidecar %q { zone \"north\"; listen %q; %s keep %q; }\n", name, address, controllers.String(), name+".held"))
 	g.start("harehook-sidecar", name+".kdl")
-	g.sidecars = append(g.sidecars, name)
+	g.sidecarNames = append(g.sidecarNames, name)
 	return address
 }
 
@@ -142,15 +142,15 @@
 }
 
 // agree proposes versions at a member until one is agreed on. It returns the prefix of that version and the duration.
-func (g *testGroup) agree(k int) (prefix string, took time.Duration) {
+func (g *testGroup) agree(k int) (prefix string, duration time.Duration) {
 	g.t.Helper()
-	began := time.Now()
+	start := time.Now()
 	for {
 		prefix, out, code := g.propose(k)
 		if code == 0 {
-			return prefix, time.Since(began)
+			return prefix, time.Since(start)
 		}
-		if time.Since(began) > testTimeout {
+		if time.Since(start) > testTimeout {
 			g.t.Fatalf("propose at member %d: got exit code %d and %q, want 0 within %s", k+1, code, out, testTimeout)
 		}
 	}
@@ -160,22 +160,22 @@
 // them and that no sidecar returns to an older version.
 func (g *testGroup) checkSidecars() {
 	g.t.Helper()
-	for _, name := range g.sidecars {
-		h := &sidecar.ResourceCache{ID: name}
-		if (&sidecar.Store{Path: filepath.Join(g.folder, name+".held")}).Load(h) != nil {
+	for _, name := range g.sidecarNames {
+		cache := &sidecar.ResourceCache{ID: name}
+		if (&sidecar.Store{Path: filepath.Join(g.folder, name+".held")}).Load(cache) != nil {
 			continue
 		}
-		revision, text := h.RoutingRevision(), ""
-		for _, e := range h.Table().Routes {
-			if e.Status == 0 {
-				text += fmt.Sprint(e.Name, e.Prefix, e.Mutating, e.RoutingRevision, " ")
+		revision, text := cache.RoutingRevision(), ""
+		for _, route := range cache.Table().Routes {
+			if route.Status == 0 {
+				text += fmt.Sprint(route.Name, route.Prefix, route.Mutating, route.RoutingRevision, " ")
 			}
 		}
 		if revision == 0 {
 			continue
 		}
-		if was, known := g.textOfVersion[revision]; known && was != text {
-			g.t.Errorf("version %d at %s: got %q, want %q as at another sidecar", revision, name, text, was)
+		if want, known := g.textOfVersion[revision]; known && want != text {
+			g.t.Errorf("version %d at %s: got %q, want %q as at another sidecar", revision, name, text, want)
 		}
 		g.textOfVersion[revision] = text
 		if revision < g.newestVersion[name] {
@@ -186,10 +186,10 @@
 }
 
 // cut disconnects a member from all others, or reconnects it.
-func (g *testGroup) cut(k int, yes bool) {
-	for way, gate := range g.gates {
-		if way.from == k || way.to == k {
-			gate.Cut(yes)
+func (g *testGroup) cut(k int, disconnected bool) {
+	for d, forwarder := range g.forwarders {
+		if d.from == k || d.to == k {
+			forwarder.Cut(disconnected)
 		}
 	}
 }
@@ -218,7 +218,7 @@
 			out, code := g.runCtlAt(k, "status")
 			var id, leader int
 			if n, _ := fmt.Sscanf(out, "member %d, leader %d,", &id, &leader); code == 0 && n == 2 && leader > 0 {
-				if again, _ := g.runCtlAt(leader-1, "status"); strings.HasPrefix(again, fmt.Sprintf("member %d, leader %d,", leader, leader)) {
+				if confirmation, _ := g.runCtlAt(leader-1, "status"); strings.HasPrefix(confirmation, fmt.Sprintf("member %d, leader %d,", leader, leader)) {
 					lead = leader - 1
 					return true
 				}
@@ -229,8 +229,8 @@
 	return lead
 }
 
-// holdsPrefix returns a condition that reports whether a sidecar has the agreed version with the given prefix.
-func (g *testGroup) holdsPrefix(address, prefix string) func() bool {
+// servesPrefix returns a condition that reports whether a sidecar has the agreed version with the given prefix.
+func (g *testGroup) servesPrefix(address, prefix string) func() bool {
 	return func() bool {
 		g.checkSidecars()
 		_, status := call(address, prefix, "")
--- a/internal/daemon/watcher.go
+++ b/internal/daemon/watcher.go
@@ -29,31 +29,31 @@
 	server       *transport.Server
 	certificates *certs.Reloader
 	log          *zap.Logger
-	// agreedChanged contains one element while changed overrides are waiting for run to apply them.
-	agreedChanged chan struct{}
-	// setNodesInEffect sets the nodes of the server and the controller; tests replace it.
-	setNodesInEffect func([]config.Node)
+	// pendingOverrides contains one element while changed overrides are waiting for run to apply them.
+	pendingOverrides chan struct{}
+	// setEffectiveNodes sets the nodes of the server and the controller; tests replace it.
+	setEffectiveNodes func([]config.Node)
 
 	// applyLock is locked from reading the nodes in effect until they are applied, so that an older list cannot
 	// replace a newer one.
 	applyLock sync.Mutex
 
 	stateLock       sync.Mutex     // guards the fields below
-	listed          []config.Node  // the list as read or received, without overrides
+	listedNodes     []config.Node  // the list as read or received, without overrides
 	agreed          *config.Agreed // nil if nothing has been agreed on
 	routingRevision uint64         // revision with which sidecars receive the agreed routes
 }
 
 func newWatcher(settings *config.Controller, nodes []config.Node, server *transport.Server, certificates *certs.Reloader, log *zap.Logger) *watcher {
 	w := &watcher{
-		settings:      settings,
-		server:        server,
-		certificates:  certificates,
-		log:           log,
-		agreedChanged: make(chan struct{}, 1),
-		listed:        nodes,
+		settings:         settings,
+		server:           server,
+		certificates:     certificates,
+		log:              log,
+		pendingOverrides: make(chan struct{}, 1),
+		listedNodes:      nodes,
 	}
-	w.setNodesInEffect = w.setNodes
+	w.setEffectiveNodes = w.setNodes
 	return w
 }
 
@@ -62,12 +62,12 @@
 func (w *watcher) run(ctx context.Context, reload <-chan os.Signal) {
 	ticker := time.NewTicker(reloadInterval)
 	defer ticker.Stop()
-	var lastFault string
+	var lastError string
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case <-w.agreedChanged:
+		case <-w.pendingOverrides:
 			w.applyNodes()
 			continue
 		case <-reload:
@@ -75,44 +75,44 @@
 		}
 		w.certificates.ReloadIfChanged(w.log)
 		if w.settings.NodeService == "" {
-			lastFault = w.reloadNodes(lastFault)
+			lastError = w.reloadNodes(lastError)
 		}
 	}
 }
 
 // reloadNodes reads the file of nodes and applies the list if it has changed. It returns the text of the error, or an
-// empty string if there is none. An error that equals lastFault is not logged again.
-func (w *watcher) reloadNodes(lastFault string) string {
+// empty string if there is none. An error that equals lastError is not logged again.
+func (w *watcher) reloadNodes(lastError string) string {
 	nodes, err := w.settings.ReadNodes()
 	if err == nil && len(nodes) == 0 {
 		err = errNoNodes
 	}
 	if err != nil {
-		if err.Error() != lastFault {
+		if err.Error() != lastError {
 			w.log.Error("cannot use the new list of nodes, keeping the previous one", zap.Error(err))
 		}
 		return err.Error()
 	}
-	if w.setListed(nodes) {
+	if w.setListedNodes(nodes) {
 		w.log.Info("list of nodes read", zap.Int("nodes", len(nodes)))
 		w.applyNodes()
 	}
 	return ""
 }
 
-// setListed replaces the list and reports whether it has changed.
-func (w *watcher) setListed(nodes []config.Node) (changed bool) {
+// setListedNodes replaces the list and reports whether it has changed.
+func (w *watcher) setListedNodes(nodes []config.Node) (changed bool) {
 	w.stateLock.Lock()
 	defer w.stateLock.Unlock()
-	if slices.Equal(nodes, w.listed) {
+	if slices.Equal(nodes, w.listedNodes) {
 		return false
 	}
-	w.listed = nodes
+	w.listedNodes = nodes
 	return true
 }
 
-// acceptList applies a list received from the service that provides the list of nodes.
-func (w *watcher) acceptList(revision string, endpoints []transport.Endpoint) {
+// applyReceivedList applies a list received from the service that provides the list of nodes.
+func (w *watcher) applyReceivedList(revision string, endpoints []transport.Endpoint) {
 	var nodes []config.Node
 	for _, endpoint := range endpoints {
 		nodes = append(nodes, config.Node{
@@ -126,7 +126,7 @@
 			},
 		})
 	}
-	w.setListed(nodes)
+	w.setListedNodes(nodes)
 	w.log.Info("list of nodes received", zap.String("version", revision), zap.Int("nodes", len(nodes)))
 	w.applyNodes()
 }
@@ -135,17 +135,17 @@
 func (w *watcher) applyNodes() {
 	w.applyLock.Lock()
 	defer w.applyLock.Unlock()
-	w.setNodesInEffect(w.nodesInEffect())
+	w.setEffectiveNodes(w.effectiveNodes())
 }
 
-// nodesInEffect returns the list with the agreed overrides.
-func (w *watcher) nodesInEffect() []config.Node {
+// effectiveNodes returns the list with the agreed overrides.
+func (w *watcher) effectiveNodes() []config.Node {
 	w.stateLock.Lock()
 	defer w.stateLock.Unlock()
 	if w.agreed == nil {
-		return w.listed
+		return w.listedNodes
 	}
-	return w.agreed.ApplyOverrides(w.listed)
+	return w.agreed.ApplyOverrides(w.listedNodes)
 }
 
 // setNodes sets the addresses of the server and the endpoints of the controller.
--- a/internal/daemon/watcher_test.go
+++ b/internal/daemon/watcher_test.go
@@ -16,25 +16,25 @@
 // A list is received from the service while an older list is being applied. The newer list must be applied last.
 // Otherwise the controller would keep the older list until the next change.
 func TestListsAreAppliedInOrder(t *testing.T) {
-	holds, release := make(chan struct{}), make(chan struct{})
-	var told [][]config.Node
+	applying, release := make(chan struct{}), make(chan struct{})
+	var applied [][]config.Node
 	first := true
 	w := &watcher{settings: &config.Controller{Deployment: settings.Deployment{MachineTypes: []string{"any"}}}, log: zap.NewNop(),
-		listed: []config.Node{{Endpoint: controller.Endpoint{Node: "old"}}}}
-	w.setNodesInEffect = func(nodes []config.Node) {
+		listedNodes: []config.Node{{Endpoint: controller.Endpoint{Node: "old"}}}}
+	w.setEffectiveNodes = func(nodes []config.Node) {
 		if first {
 			first = false
-			close(holds)
+			close(applying)
 			<-release
 		}
-		told = append(told, nodes)
+		applied = append(applied, nodes)
 	}
 	older, newer := make(chan struct{}), make(chan struct{})
 	go func() { defer close(older); w.applyNodes() }()
-	<-holds
+	<-applying
 	go func() {
 		defer close(newer)
-		w.acceptList("2", []transport.Endpoint{{Node: transport.Node{Name: "new"}, State: planner.Ready}})
+		w.applyReceivedList("2", []transport.Endpoint{{Node: transport.Node{Name: "new"}, State: planner.Ready}})
 	}()
 	select {
 	case <-newer: // applied before the older one
@@ -43,7 +43,7 @@
 	close(release)
 	<-older
 	<-newer
-	if last := told[len(told)-1]; len(last) != 1 || last[0].Node != "new" {
+	if last := applied[len(applied)-1]; len(last) != 1 || last[0].Node != "new" {
 		t.Errorf("last applied list: got %v, want the single node new", last)
 	}
 }
