--- a/cmd/harehookctl/changes.go
+++ b/cmd/harehookctl/changes.go
@@ -14,14 +14,14 @@
 // follow polls the controller and prints each change of the versions that sidecars have accepted or rejected, until it
 // is interrupted or the given number of polls is reached.
 func (o *options) follow() *cobra.Command {
-	every, times := time.Second, 0
+	interval, polls := time.Second, 0
 	c := &cobra.Command{Use: "follow", Short: "Print changes of the versions that sidecars accept or reject", Args: cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
-			if every <= 0 {
-				return fmt.Errorf("--every must be greater than 0, got %s", every)
+			if interval <= 0 {
+				return fmt.Errorf("--every must be greater than 0, got %s", interval)
 			}
 			last := map[string]string{}
-			for n := 0; times == 0 || n < times; n++ {
+			for n := 0; polls == 0 || n < polls; n++ {
 				configs, err := o.fetch(c.Context(), true)
 				if c.Context().Err() != nil {
 					return nil
@@ -29,44 +29,44 @@
 				if err != nil {
 					return err
 				}
-				if err := o.changes(c.OutOrStdout(), configs, last); err != nil {
+				if err := o.printChanges(c.OutOrStdout(), configs, last); err != nil {
 					return err
 				}
 				select {
 				case <-c.Context().Done():
 					return nil
-				case <-time.After(every):
+				case <-time.After(interval):
 				}
 			}
 			return nil
 		}}
-	c.Flags().DurationVar(&every, "every", every, "interval between polls")
-	c.Flags().IntVar(&times, "times", 0, "number of polls; 0 means until interrupted")
+	c.Flags().DurationVar(&interval, "every", interval, "interval between polls")
+	c.Flags().IntVar(&polls, "times", 0, "number of polls; 0 means until interrupted")
 	return c
 }
 
-// changes prints one line for each value that differs from last, and updates last.
-func (o *options) changes(out io.Writer, configs []*statusv3.ClientConfig, last map[string]string) error {
-	tell := func(key, what string, about any) error {
-		if last[key] == what {
+// printChanges prints one line for each value that differs from last, and updates last.
+func (o *options) printChanges(out io.Writer, configs []*statusv3.ClientConfig, last map[string]string) error {
+	printChange := func(key, value string, event any) error {
+		if last[key] == value {
 			return nil
 		}
-		last[key] = what
+		last[key] = value
 		if o.output == "json" {
-			return json.NewEncoder(out).Encode(about)
+			return json.NewEncoder(out).Encode(event)
 		}
-		_, err := fmt.Fprintf(out, "%s %s\n", key, what)
+		_, err := fmt.Fprintf(out, "%s %s\n", key, value)
 		return err
 	}
-	for _, c := range configs {
-		r := sidecarOutputOf(c)
-		stream := map[bool]string{true: "joined, table " + r.Table, false: "gone"}[r.Joined]
-		if err := tell(r.ID, stream, map[string]any{"sidecar": r.ID, "stream": stream}); err != nil {
+	for _, config := range configs {
+		sidecar := newSidecarOutput(config)
+		stream := map[bool]string{true: "joined, table " + sidecar.Table, false: "gone"}[sidecar.Connected]
+		if err := printChange(sidecar.ID, stream, map[string]any{"sidecar": sidecar.ID, "stream": stream}); err != nil {
 			return err
 		}
-		for _, v := range r.Versions {
-			what := strings.TrimSpace(v.Status + " " + v.Accepted + " " + v.Rejected + " " + v.Reason)
-			if err := tell(r.ID+" "+v.Kind+" "+v.Name, what, map[string]any{"sidecar": r.ID, "version": v}); err != nil {
+		for _, version := range sidecar.Versions {
+			value := strings.TrimSpace(version.Status + " " + version.Accepted + " " + version.Rejected + " " + version.Reason)
+			if err := printChange(sidecar.ID+" "+version.Kind+" "+version.Name, value, map[string]any{"sidecar": sidecar.ID, "version": version}); err != nil {
 				return err
 			}
 		}
--- a/cmd/harehookctl/check.go
+++ b/cmd/harehookctl/check.go
@@ -13,7 +13,7 @@
 func (o *options) check() *cobra.Command {
 	return &cobra.Command{Use: "check FILE ...", Short: "Validate configuration files of controllers and sidecars",
 		Args: cobra.MinimumNArgs(1), RunE: func(c *cobra.Command, files []string) error {
-			if err := o.valid(); err != nil {
+			if err := o.validate(); err != nil {
 				return err
 			}
 			type result struct {
@@ -22,18 +22,18 @@
 				Fault string `json:"fault,omitempty"`
 			}
 			var results []result
-			bad := 0
+			invalid := 0
 			for _, file := range files {
 				kind, err := checkFile(file)
-				one := result{File: file, Kind: kind}
+				entry := result{File: file, Kind: kind}
 				if err != nil {
-					one.Fault = err.Error()
-					bad++
+					entry.Fault = err.Error()
+					invalid++
 				}
-				results = append(results, one)
+				results = append(results, entry)
 			}
 			if o.output == "json" {
-				if err := write(c.OutOrStdout(), results); err != nil {
+				if err := writeJSON(c.OutOrStdout(), results); err != nil {
 					return err
 				}
 			} else {
@@ -45,8 +45,8 @@
 					}
 				}
 			}
-			if bad > 0 {
-				return fault(fmt.Errorf("%d of %d files are invalid", bad, len(files)))
+			if invalid > 0 {
+				return fault(fmt.Errorf("%d of %d files are invalid", invalid, len(files)))
 			}
 			return nil
 		}}
--- a/cmd/harehookctl/difference.go
+++ b/cmd/harehookctl/difference.go
@@ -1,8 +1,8 @@
 package main
 
-// maxCommonRun bounds the table of the longest common subsequence of lines, in pairs of lines. At 8 bytes a pair, the
-// table takes at most 80 MB.
-const maxCommonRun = 10_000_000
+// maxSubsequencePairs bounds the table of the longest common subsequence of lines, in pairs of lines. At 8 bytes a
+// pair, the table takes at most 80 MB.
+const maxSubsequencePairs = 10_000_000
 
 // difference returns the removed lines with the prefix "-" and the added lines with the prefix "+". It skips the common
 // prefix and the common suffix of the texts.
@@ -13,10 +13,10 @@
 	for len(from) > 0 && len(to) > 0 && from[len(from)-1] == to[len(to)-1] {
 		from, to = from[:len(from)-1], to[:len(to)-1]
 	}
-	if len(from)*len(to) > maxCommonRun {
+	if len(from)*len(to) > maxSubsequencePairs {
 		return differenceBySet(from, to)
 	}
-	return differenceByRun(from, to)
+	return differenceBySubsequence(from, to)
 }
 
 // differenceBySet compares the texts as sets of lines: it returns the lines that only from has, then those that only to
@@ -38,8 +38,8 @@
 	return lines
 }
 
-// differenceByRun returns the lines outside the longest common subsequence, in the order of the texts.
-func differenceByRun(from, to []string) (lines []string) {
+// differenceBySubsequence returns the lines outside the longest common subsequence, in the order of the texts.
+func differenceBySubsequence(from, to []string) (lines []string) {
 	common := make([][]int, len(from)+1)
 	for k := range common {
 		common[k] = make([]int, len(to)+1)
--- a/cmd/harehookctl/followers.go
+++ b/cmd/harehookctl/followers.go
@@ -37,7 +37,7 @@
 			}
 			convergence := o.fetchStatuses(c.Context(), report)
 			if o.output == "json" {
-				err = write(c.OutOrStdout(), convergence)
+				err = writeJSON(c.OutOrStdout(), convergence)
 			} else {
 				err = showConvergence(c.OutOrStdout(), convergence)
 			}
@@ -56,13 +56,13 @@
 	ids := slices.Concat(report.Status.Voters, report.Status.Learners)
 	names := make([]string, len(ids))
 	var (
-		asking   sync.WaitGroup
+		calls    sync.WaitGroup
 		mutex    sync.Mutex
 		statuses []configsync.MemberStatus
 	)
-	for at, id := range ids {
-		names[at] = strconv.FormatUint(id, 10)
-		asking.Go(func() {
+	for index, id := range ids {
+		names[index] = strconv.FormatUint(id, 10)
+		calls.Go(func() {
 			status, err := o.fetchStatus(ctx, report.Addresses[id])
 			if err != nil {
 				return // Merge reports a member without a status as one that did not answer
@@ -72,7 +72,7 @@
 			statuses = append(statuses, status)
 		})
 	}
-	asking.Wait()
+	calls.Wait()
 	return configsync.Merge(statuses, names)
 }
 
@@ -89,8 +89,8 @@
 func convergenceFault(convergence configsync.Convergence) error {
 	var faults []string
 	late := 0
-	for _, one := range convergence.Behind {
-		if one.Behind > maxBehind {
+	for _, follower := range convergence.Behind {
+		if follower.Behind > maxBehind {
 			late++
 		}
 	}
@@ -107,12 +107,12 @@
 }
 
 func showConvergence(out io.Writer, convergence configsync.Convergence) error {
-	inForce := strconv.FormatUint(convergence.ConvergedRevision, 10)
+	converged := strconv.FormatUint(convergence.ConvergedRevision, 10)
 	if !convergence.Known {
-		inForce = "unknown"
+		converged = "unknown"
 	}
 	fmt.Fprintf(out, "in force everywhere: %s, newest revision: %d, followers: %d live, %d behind, %d stale\n",
-		inForce, convergence.Revision, convergence.Live, len(convergence.Behind), len(convergence.Stale))
+		converged, convergence.Revision, convergence.Live, len(convergence.Behind), len(convergence.Stale))
 	for _, unknown := range convergence.UnknownMembers {
 		fmt.Fprintf(out, "member %s %s\n", unknown.Member, unknown.Reason)
 	}
@@ -124,19 +124,19 @@
 	if len(convergence.Behind)+len(convergence.Stale) > 0 {
 		fmt.Fprintln(w, "\nFOLLOWER\tSTATE\tACCEPTED\tBEHIND\tMEMBER\tREFUSED")
 	}
-	for _, one := range convergence.Behind {
-		showFollower(w, "behind", one)
+	for _, follower := range convergence.Behind {
+		showFollower(w, "behind", follower)
 	}
-	for _, one := range convergence.Stale {
-		showFollower(w, "stale", one)
+	for _, follower := range convergence.Stale {
+		showFollower(w, "stale", follower)
 	}
 	return w.Flush()
 }
 
-func showFollower(w io.Writer, state string, one configsync.FollowerStatus) {
-	refused := ""
-	if one.RejectedRevision > 0 {
-		refused = fmt.Sprintf("%d: %s", one.RejectedRevision, one.Reason)
+func showFollower(w io.Writer, state string, follower configsync.FollowerStatus) {
+	rejection := ""
+	if follower.RejectedRevision > 0 {
+		rejection = fmt.Sprintf("%d: %s", follower.RejectedRevision, follower.Reason)
 	}
-	fmt.Fprintf(w, "%s\t%s\t%d\t%s\t%s\t%s\n", one.Name, state, one.Accepted, one.Behind.Round(time.Millisecond), one.Member, refused)
+	fmt.Fprintf(w, "%s\t%s\t%d\t%s\t%s\t%s\n", follower.Name, state, follower.Accepted, follower.Behind.Round(time.Millisecond), follower.Member, rejection)
 }
--- a/cmd/harehookctl/following.go
+++ b/cmd/harehookctl/following.go
@@ -34,7 +34,7 @@
 				return unavailable(fmt.Errorf("controller %s: %s", o.address, status.Convert(err).Message()))
 			}
 			if o.output == "json" {
-				err = write(c.OutOrStdout(), report)
+				err = writeJSON(c.OutOrStdout(), report)
 			} else {
 				showFollowing(c, report)
 			}
--- a/cmd/harehookctl/group_test.go
+++ b/cmd/harehookctl/group_test.go
@@ -22,8 +22,8 @@
 	}
 }
 
-// Long texts that differ in a few places far apart would need a table beyond maxCommonRun, so they are compared as sets
-// of lines. Without repeated or moved lines this must give the same lines as the longest common subsequence.
+// Long texts that differ in a few places far apart would need a table beyond maxSubsequencePairs, so they are compared
+// as sets of lines. Without repeated or moved lines this must give the same lines as the longest common subsequence.
 func TestDifferenceOfLongTexts(t *testing.T) {
 	random := rand.New(rand.NewPCG(1, 1))
 	var from, to []string
@@ -43,7 +43,7 @@
 	if len(lines) != 2*want {
 		t.Errorf("got %d lines, want %d", len(lines), 2*want)
 	}
-	small := differenceByRun([]string{"a", "b", "c"}, []string{"c", "d"})
+	small := differenceBySubsequence([]string{"a", "b", "c"}, []string{"c", "d"})
 	if bySet := differenceBySet([]string{"a", "b", "c"}, []string{"c", "d"}); !slices.Equal(small, bySet) {
 		t.Errorf("got %q by set, want %q as by the longest common subsequence", bySet, small)
 	}
--- a/cmd/harehookctl/history.go
+++ b/cmd/harehookctl/history.go
@@ -28,7 +28,7 @@
 			return err
 		}
 		if o.output == "json" {
-			return write(c.OutOrStdout(), r)
+			return writeJSON(c.OutOrStdout(), r)
 		}
 		v := r.Versions[0]
 		if !r.Linearizable {
@@ -57,7 +57,7 @@
 			return err
 		}
 		if o.output == "json" {
-			return write(c.OutOrStdout(), r.Versions)
+			return writeJSON(c.OutOrStdout(), r.Versions)
 		}
 		w := tabwriter.NewWriter(c.OutOrStdout(), 0, 4, 2, ' ', 0)
 		fmt.Fprintln(w, "VERSION\tTERM\tAT\tBY\tWHY")
@@ -84,8 +84,8 @@
 			return err
 		}
 		var texts [2]string
-		for k, number := range in.Texts {
-			if texts[k], err = textOf(r.Versions, number); err != nil {
+		for index, number := range in.Texts {
+			if texts[index], err = versionText(r.Versions, number); err != nil {
 				return err
 			}
 		}
@@ -96,8 +96,8 @@
 	}}
 }
 
-// textOf returns the text of the version with a number. Version 0 has an empty text.
-func textOf(versions []cluster.Version, number uint64) (string, error) {
+// versionText returns the text of the version with a number. Version 0 has an empty text.
+func versionText(versions []cluster.Version, number uint64) (string, error) {
 	if number == 0 {
 		return "", nil
 	}
--- a/cmd/harehookctl/main.go
+++ b/cmd/harehookctl/main.go
@@ -79,15 +79,15 @@
 		return 0
 	}
 	fmt.Fprintln(os.Stderr, "harehookctl:", err)
-	var w exitError
-	if errors.As(err, &w) {
-		return w.code
+	var exit exitError
+	if errors.As(err, &exit) {
+		return exit.code
 	}
 	return exitUsage
 }
 
-// valid validates the flags beyond their types.
-func (o *options) valid() error {
+// validate checks the flags beyond their types.
+func (o *options) validate() error {
 	if o.output != "text" && o.output != "json" {
 		return fmt.Errorf("output must be text or json, got %q", o.output)
 	}
@@ -102,7 +102,7 @@
 
 // dialTo creates a client connection to a controller or a group member at an address.
 func (o *options) dialTo(address string) (*grpc.ClientConn, error) {
-	if err := o.valid(); err != nil {
+	if err := o.validate(); err != nil {
 		return nil, err
 	}
 	transportCredentials := insecure.NewCredentials()
--- a/cmd/harehookctl/members.go
+++ b/cmd/harehookctl/members.go
@@ -12,22 +12,22 @@
 // members changes the membership of the group.
 func (o *options) members() *cobra.Command {
 	c := &cobra.Command{Use: "members", Short: "Change the members of a group (--controller is the group address of the leader)"}
-	change := func(use, short string, args int, request func(id uint64, address string) cluster.MembershipRequest) {
-		c.AddCommand(&cobra.Command{Use: use, Short: short, Args: cobra.ExactArgs(args), RunE: func(c *cobra.Command, given []string) error {
-			id, err := strconv.ParseUint(given[0], 10, 64)
+	change := func(use, short string, argumentCount int, request func(id uint64, address string) cluster.MembershipRequest) {
+		c.AddCommand(&cobra.Command{Use: use, Short: short, Args: cobra.ExactArgs(argumentCount), RunE: func(c *cobra.Command, args []string) error {
+			id, err := strconv.ParseUint(args[0], 10, 64)
 			if err != nil || id == 0 {
-				return fmt.Errorf("number of a member must be an integer greater than 0, got %q", given[0])
+				return fmt.Errorf("number of a member must be an integer greater than 0, got %q", args[0])
 			}
 			address := ""
-			if args > 1 {
-				address = given[1]
+			if argumentCount > 1 {
+				address = args[1]
 			}
 			r, err := callGroup[cluster.StatusReport](c.Context(), o, "Members", request(id, address))
 			if err != nil {
 				return err
 			}
 			if o.output == "json" {
-				return write(c.OutOrStdout(), r)
+				return writeJSON(c.OutOrStdout(), r)
 			}
 			return showStatus(c.OutOrStdout(), r)
 		}})
--- a/cmd/harehookctl/output.go
+++ b/cmd/harehookctl/output.go
@@ -5,8 +5,8 @@
 	"io"
 )
 
-// write prints a value as indented JSON.
-func write(out io.Writer, v any) error {
+// writeJSON prints a value as indented JSON.
+func writeJSON(out io.Writer, v any) error {
 	e := json.NewEncoder(out)
 	e.SetIndent("", "  ")
 	return e.Encode(v)
--- a/cmd/harehookctl/propose.go
+++ b/cmd/harehookctl/propose.go
@@ -20,18 +20,18 @@
 		return err
 	}
 	if r.Rejected != "" {
-		return rejection(r.Rejected)
+		return rejectionError(r.Rejected)
 	}
 	if o.output == "json" {
-		return write(c.OutOrStdout(), r)
+		return writeJSON(c.OutOrStdout(), r)
 	}
 	fmt.Fprintf(c.OutOrStdout(), "version %d is in force\n", r.Version)
 	return nil
 }
 
-// command creates a command for a proposal. A repeated proposal with the same ID is applied only once. Without an ID,
-// command generates one that is unique to this call.
-func command(kind cluster.CommandKind, base uint64, id, why string) cluster.Command {
+// newCommand creates a command for a proposal. A repeated proposal with the same ID is applied only once. Without an
+// ID, newCommand generates one that is unique to this call.
+func newCommand(kind cluster.CommandKind, base uint64, id, why string) cluster.Command {
 	by := "unknown"
 	if u, err := user.Current(); err == nil {
 		by = u.Username
@@ -60,7 +60,7 @@
 			}
 			base = int64(r.Versions[0].Number)
 		}
-		put := command(cluster.CommandPut, uint64(base), id, why)
+		put := newCommand(cluster.CommandPut, uint64(base), id, why)
 		put.Text = string(text)
 		return o.propose(c, put)
 	}}
@@ -82,11 +82,11 @@
 		if err != nil {
 			return err
 		}
-		back := command(cluster.CommandRollBack, r.Versions[0].Number, "", why)
-		if back.To = to; why == "" {
-			back.Why = fmt.Sprint("back to version ", to)
+		rollback := newCommand(cluster.CommandRollBack, r.Versions[0].Number, "", why)
+		if rollback.To = to; why == "" {
+			rollback.Why = fmt.Sprint("back to version ", to)
 		}
-		return o.propose(c, back)
+		return o.propose(c, rollback)
 	}}
 	c.Flags().StringVar(&why, "why", "", "the reason, for the history")
 	return c
--- a/cmd/harehookctl/records.go
+++ b/cmd/harehookctl/records.go
@@ -40,43 +40,43 @@
 			}
 			in.Kind = key.Kind
 		}
-		reading, err := o.readRecords(c.Context(), in)
+		response, err := o.readRecords(c.Context(), in)
 		if err != nil {
 			return err
 		}
 		if o.output == "json" {
-			return write(c.OutOrStdout(), reading)
+			return writeJSON(c.OutOrStdout(), response)
 		}
-		return showRecords(c.OutOrStdout(), reading)
+		return showRecords(c.OutOrStdout(), response)
 	}}
 	c.Flags().StringVar(&kind, "kind", "", "list only records of this kind: route, service, tenant or override")
 	c.Flags().StringVar(&service, "service", "", "list only records of this service")
 	return c
 }
 
-func showRecords(out io.Writer, reading cluster.RecordsResponse) error {
+func showRecords(out io.Writer, response cluster.RecordsResponse) error {
 	w := tabwriter.NewWriter(out, 0, 4, 2, ' ', 0)
 	fmt.Fprintln(w, "REVISION\tRECORD")
-	for _, one := range reading.Records {
-		line, err := recordLine(one)
+	for _, record := range response.Records {
+		line, err := formatRecord(record)
 		if err != nil {
 			return err
 		}
-		fmt.Fprintf(w, "%d\t%s\n", one.Revision, line)
+		fmt.Fprintf(w, "%d\t%s\n", record.Revision, line)
 	}
 	if err := w.Flush(); err != nil {
 		return err
 	}
-	if reading.More {
+	if response.More {
 		fmt.Fprintln(out, "not all records are shown: narrow the list with --kind or --service")
 	}
-	_, err := fmt.Fprintf(out, "%d records as of revision %d\n", len(reading.Records), reading.Revision)
+	_, err := fmt.Fprintf(out, "%d records as of revision %d\n", len(response.Records), response.Revision)
 	return err
 }
 
-// recordLine formats a record as in a file of records.
-func recordLine(one cluster.ReadRecord) (string, error) {
-	record, err := records.Parse(one.Key, one.Body)
+// formatRecord formats a record as in a file of records.
+func formatRecord(read cluster.ReadRecord) (string, error) {
+	record, err := records.Parse(read.Key, read.Body)
 	if err != nil {
 		return "", fault(err)
 	}
@@ -90,21 +90,21 @@
 		if err != nil {
 			return err
 		}
-		reading, err := o.readRecords(c.Context(), cluster.RecordsRequest{Keys: []records.Key{key}})
+		response, err := o.readRecords(c.Context(), cluster.RecordsRequest{Keys: []records.Key{key}})
 		if err != nil {
 			return err
 		}
-		if len(reading.Records) == 0 {
-			return fault(fmt.Errorf("%s does not exist as of revision %d; \"records list\" shows the existing records", key, reading.Revision))
+		if len(response.Records) == 0 {
+			return fault(fmt.Errorf("%s does not exist as of revision %d; \"records list\" shows the existing records", key, response.Revision))
 		}
 		if o.output == "json" {
-			return write(c.OutOrStdout(), reading.Records[0])
+			return writeJSON(c.OutOrStdout(), response.Records[0])
 		}
-		line, err := recordLine(reading.Records[0])
+		line, err := formatRecord(response.Records[0])
 		if err != nil {
 			return err
 		}
-		_, err = fmt.Fprintf(c.OutOrStdout(), "// %s, revision %d\n%s\n", key, reading.Records[0].Revision, line)
+		_, err = fmt.Fprintf(c.OutOrStdout(), "// %s, revision %d\n%s\n", key, response.Records[0].Revision, line)
 		return err
 	}}
 }
@@ -119,11 +119,11 @@
 to remove. Set revision= to the revision that the record must have for the transaction to be applied (0: the record must
 not exist). For records without it, the current revision is read immediately before the proposal.`,
 		RunE: func(c *cobra.Command, files []string) error {
-			transaction, err := o.transactionOf(c.Context(), files[0])
+			transaction, err := o.readTransaction(c.Context(), files[0])
 			if err != nil {
 				return err
 			}
-			proposal := command(cluster.CommandRecords, 0, id, why)
+			proposal := newCommand(cluster.CommandRecords, 0, id, why)
 			proposal.Writes = transaction.Writes
 			return o.propose(c, proposal)
 		}}
@@ -132,8 +132,8 @@
 	return c
 }
 
-// transactionOf reads a transaction from a file, and the revisions that the file does not state from the group.
-func (o *options) transactionOf(ctx context.Context, file string) (transaction records.Transaction, err error) {
+// readTransaction reads a transaction from a file, and the revisions that the file does not state from the group.
+func (o *options) readTransaction(ctx context.Context, file string) (transaction records.Transaction, err error) {
 	text, err := os.ReadFile(file)
 	if err != nil {
 		return transaction, fault(err)
@@ -142,8 +142,8 @@
 	if err != nil {
 		return transaction, fault(fmt.Errorf("%s: %w", file, err))
 	}
-	for _, one := range writes {
-		transaction.Writes = append(transaction.Writes, one.Write)
+	for _, write := range writes {
+		transaction.Writes = append(transaction.Writes, write.Write)
 	}
 	if err := transaction.Validate(); err != nil {
 		return transaction, fault(fmt.Errorf("%s: %w", file, err))
@@ -152,12 +152,12 @@
 	if err != nil {
 		return transaction, err
 	}
-	for at, one := range writes {
-		if one.HasRevision {
+	for index, write := range writes {
+		if write.HasRevision {
 			continue
 		}
-		if transaction.Writes[at].ExpectedRevision = revisions[one.Key]; revisions[one.Key] == 0 && len(one.Body) == 0 {
-			return transaction, fault(fmt.Errorf("cannot remove %s: it does not exist", one.Key))
+		if transaction.Writes[index].ExpectedRevision = revisions[write.Key]; revisions[write.Key] == 0 && len(write.Body) == 0 {
+			return transaction, fault(fmt.Errorf("cannot remove %s: it does not exist", write.Key))
 		}
 	}
 	return transaction, nil
@@ -166,27 +166,27 @@
 // revisions reads the current revisions of the records whose writes state none.
 func (o *options) revisions(ctx context.Context, writes []config.RecordWrite) (map[records.Key]uint64, error) {
 	var in cluster.RecordsRequest
-	for _, one := range writes {
-		if !one.HasRevision {
-			in.Keys = append(in.Keys, one.Key)
+	for _, write := range writes {
+		if !write.HasRevision {
+			in.Keys = append(in.Keys, write.Key)
 		}
 	}
 	if len(in.Keys) == 0 {
 		return nil, nil
 	}
-	reading, err := o.readRecords(ctx, in)
+	response, err := o.readRecords(ctx, in)
 	if err != nil {
 		return nil, err
 	}
 	revisions := map[records.Key]uint64{}
-	for _, one := range reading.Records {
-		revisions[one.Key] = one.Revision
+	for _, record := range response.Records {
+		revisions[record.Key] = record.Revision
 	}
 	return revisions, nil
 }
 
-// rejection returns the error for a rejected proposal. A conflict with a newer revision also names the next step.
-func rejection(reason string) error {
+// rejectionError returns the error for a rejected proposal. A conflict with a newer revision also names the next step.
+func rejectionError(reason string) error {
 	if strings.HasPrefix(reason, "changed since it was read") {
 		reason += "\nno record was changed; look at them with \"records get\", and apply the file again with the changes you still want"
 	}
--- a/cmd/harehookctl/sidecars.go
+++ b/cmd/harehookctl/sidecars.go
@@ -12,11 +12,12 @@
 	"github.com/spf13/cobra"
 
 	"harehook.dev/harehook/xds"
-	front "harehook.dev/harehook/xds/transport"
+	xdstransport "harehook.dev/harehook/xds/transport"
 )
 
-// fetch fetches the status of the sidecars from a controller. If bare is set, resources are sent without contents.
-func (o *options) fetch(ctx context.Context, bare bool) ([]*statusv3.ClientConfig, error) {
+// fetch fetches the status of the sidecars from a controller. If withoutContents is set, the
+// response omits the contents of resources.
+func (o *options) fetch(ctx context.Context, withoutContents bool) ([]*statusv3.ClientConfig, error) {
 	conn, err := o.dial()
 	if err != nil {
 		return nil, err
@@ -24,11 +25,11 @@
 	defer conn.Close()
 	ctx, stop := context.WithTimeout(ctx, callTimeout)
 	defer stop()
-	got, err := statusv3.NewClientStatusDiscoveryServiceClient(conn).FetchClientStatus(ctx, &statusv3.ClientStatusRequest{ExcludeResourceContents: bare})
+	response, err := statusv3.NewClientStatusDiscoveryServiceClient(conn).FetchClientStatus(ctx, &statusv3.ClientStatusRequest{ExcludeResourceContents: withoutContents})
 	if err != nil {
 		return nil, unavailable(fmt.Errorf("controller %s: %w", o.address, err))
 	}
-	return got.GetConfig(), nil
+	return response.GetConfig(), nil
 }
 
 // sidecarOutput is the state of a sidecar as it is printed.
@@ -36,7 +37,7 @@
 	ID            string          `json:"id"`
 	Zone          string          `json:"zone"`
 	Table         string          `json:"table"`
-	Joined        bool            `json:"joined"`
+	Connected     bool            `json:"joined"`
 	DisconnectedS float64         `json:"away_s,omitempty"`
 	Unconfirmed   int             `json:"unconfirmed"`
 	Versions      []versionOutput `json:"versions"`
@@ -52,11 +53,11 @@
 	Reason   string `json:"why,omitempty"`
 }
 
-func sidecarOutputOf(c *statusv3.ClientConfig) sidecarOutput {
-	about := c.GetNode().GetMetadata().GetFields()
-	r := sidecarOutput{ID: c.GetNode().GetId(), Zone: c.GetNode().GetLocality().GetZone(), Table: about[front.StatusTable].GetStringValue(),
-		Joined: about[front.StatusConnected].GetBoolValue(), DisconnectedS: about[front.StatusDisconnectedSeconds].GetNumberValue(),
-		Unconfirmed: int(about[front.StatusUnconfirmed].GetNumberValue())}
+func newSidecarOutput(c *statusv3.ClientConfig) sidecarOutput {
+	metadata := c.GetNode().GetMetadata().GetFields()
+	r := sidecarOutput{ID: c.GetNode().GetId(), Zone: c.GetNode().GetLocality().GetZone(), Table: metadata[xdstransport.StatusTable].GetStringValue(),
+		Connected: metadata[xdstransport.StatusConnected].GetBoolValue(), DisconnectedS: metadata[xdstransport.StatusDisconnectedSeconds].GetNumberValue(),
+		Unconfirmed: int(metadata[xdstransport.StatusUnconfirmed].GetNumberValue())}
 	for _, g := range c.GetGenericXdsConfigs() {
 		kind, _ := xds.ParseTypeURL(g.GetTypeUrl())
 		r.Versions = append(r.Versions, versionOutput{kind.String(), g.GetName(), g.GetVersionInfo(), strings.ToLower(g.GetConfigStatus().String()),
@@ -71,7 +72,7 @@
 
 // sidecars lists what each sidecar has accepted and rejected.
 func (o *options) sidecars() *cobra.Command {
-	refusing := false
+	onlyRejecting := false
 	c := &cobra.Command{Use: "sidecars", Short: "Show the versions that each sidecar has accepted and rejected", Args: cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
 			configs, err := o.fetch(c.Context(), true)
@@ -79,27 +80,27 @@
 				return err
 			}
 			var rows []sidecarOutput
-			refused := 0
+			rejecting := 0
 			for _, config := range configs {
-				r := sidecarOutputOf(config)
+				r := newSidecarOutput(config)
 				if r.rejects() {
-					refused++
-				} else if refusing {
+					rejecting++
+				} else if onlyRejecting {
 					continue
 				}
 				rows = append(rows, r)
 			}
 			if o.output == "json" {
-				err = write(c.OutOrStdout(), rows)
+				err = writeJSON(c.OutOrStdout(), rows)
 			} else {
 				err = showSidecars(c.OutOrStdout(), rows)
 			}
-			if err == nil && refused > 0 {
-				return fault(fmt.Errorf("%d of %d sidecars reject a version", refused, len(configs)))
+			if err == nil && rejecting > 0 {
+				return fault(fmt.Errorf("%d of %d sidecars reject a version", rejecting, len(configs)))
 			}
 			return err
 		}}
-	c.Flags().BoolVar(&refusing, "refusing", false, "show only sidecars that reject a version")
+	c.Flags().BoolVar(&onlyRejecting, "refusing", false, "show only sidecars that reject a version")
 	return c
 }
 
@@ -108,18 +109,18 @@
 	fmt.Fprintln(w, "SIDECAR\tZONE\tTABLE\tSTREAM\tKIND\tNAME\tHELD\tSTATUS\tREFUSED")
 	for _, r := range rows {
 		stream := "connected"
-		if !r.Joined {
+		if !r.Connected {
 			stream = fmt.Sprintf("gone %.0f s", r.DisconnectedS)
 		}
 		if len(r.Versions) == 0 {
 			fmt.Fprintf(w, "%s\t%s\t%s\t%s\t-\t-\t-\t-\t\n", r.ID, r.Zone, r.Table, stream)
 		}
 		for _, v := range r.Versions {
-			refused := ""
+			rejected := ""
 			if v.Rejected != "" {
-				refused = v.Rejected + ": " + v.Reason
+				rejected = v.Rejected + ": " + v.Reason
 			}
-			fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%s\t%s\t%s\t%s\t%s\n", r.ID, r.Zone, r.Table, stream, v.Kind, v.Name, v.Accepted, v.Status, refused)
+			fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%s\t%s\t%s\t%s\t%s\n", r.ID, r.Zone, r.Table, stream, v.Kind, v.Name, v.Accepted, v.Status, rejected)
 		}
 	}
 	return w.Flush()
--- a/cmd/harehookctl/snapshot.go
+++ b/cmd/harehookctl/snapshot.go
@@ -40,21 +40,21 @@
 		if err != nil {
 			return fault(err)
 		}
-		var k savedHistory
-		if err := json.Unmarshal(text, &k); err != nil || k.Format != savedHistoryFormat || len(k.Versions) == 0 {
+		var history savedHistory
+		if err := json.Unmarshal(text, &history); err != nil || history.Format != savedHistoryFormat || len(history.Versions) == 0 {
 			return fault(fmt.Errorf("%s is not a saved history of format %d", args[0], savedHistoryFormat))
 		}
 		r, err := o.read(c.Context(), cluster.ReadRequest{Linearizable: true})
 		if err != nil {
 			return err
 		}
-		last := k.Versions[len(k.Versions)-1]
+		last := history.Versions[len(history.Versions)-1]
 		if last.Text == "" {
 			return fault(fmt.Errorf("%s does not contain the text of its last version", args[0]))
 		}
-		put := command(cluster.CommandPut, r.Versions[0].Number, "", fmt.Sprintf("restored: version %d of another history, by %s: %s", last.Number, last.By, last.Why))
-		put.Text = last.Text
-		return o.propose(c, put)
+		restore := newCommand(cluster.CommandPut, r.Versions[0].Number, "", fmt.Sprintf("restored: version %d of another history, by %s: %s", last.Number, last.By, last.Why))
+		restore.Text = last.Text
+		return o.propose(c, restore)
 	}})
 	return c
 }
--- a/cmd/harehookctl/status.go
+++ b/cmd/harehookctl/status.go
@@ -22,7 +22,7 @@
 				return err
 			}
 			if o.output == "json" {
-				err = write(c.OutOrStdout(), r)
+				err = writeJSON(c.OutOrStdout(), r)
 			} else {
 				err = showStatus(c.OutOrStdout(), r)
 			}
--- a/cmd/harehookctl/tables.go
+++ b/cmd/harehookctl/tables.go
@@ -40,7 +40,7 @@
 				return err
 			}
 			if o.output == "json" {
-				return write(c.OutOrStdout(), rows)
+				return writeJSON(c.OutOrStdout(), rows)
 			}
 			w := tabwriter.NewWriter(c.OutOrStdout(), 0, 4, 2, ' ', 0)
 			fmt.Fprintln(w, "TABLE\tSIDECARS\tZONE\tNODE\tFRACTION\tROUTE\tADMITTED\tRETRIES")
@@ -60,12 +60,12 @@
 	sidecars := sidecarsByTable(configs)
 	seen := map[string]bool{}
 	for _, config := range configs {
-		table := sidecarOutputOf(config).Table
+		table := newSidecarOutput(config).Table
 		if seen[table] || sidecars[table] == 0 || table == "" {
 			continue
 		}
 		seen[table] = true
-		outputs, err := outputsOfSidecar(config, table, sidecars[table])
+		outputs, err := decodeTable(config, table, sidecars[table])
 		if err != nil {
 			return nil, err
 		}
@@ -79,15 +79,15 @@
 func sidecarsByTable(configs []*statusv3.ClientConfig) map[string]int {
 	counts := map[string]int{}
 	for _, config := range configs {
-		if output := sidecarOutputOf(config); output.Joined {
+		if output := newSidecarOutput(config); output.Connected {
 			counts[output.Table]++
 		}
 	}
 	return counts
 }
 
-// outputsOfSidecar decodes the table of a sidecar. sidecars is the number of connected sidecars with the same table.
-func outputsOfSidecar(config *statusv3.ClientConfig, table string, sidecars int) (rows []tableOutput, err error) {
+// decodeTable decodes the table of a sidecar. sidecars is the number of connected sidecars with the same table.
+func decodeTable(config *statusv3.ClientConfig, table string, sidecars int) (rows []tableOutput, err error) {
 	for _, resource := range config.GetGenericXdsConfigs() {
 		if resource.GetXdsConfig() == nil {
 			continue
@@ -133,24 +133,24 @@
 }
 
 // routeOutputs lists the routes of a table with the admitted fraction of the requests and the retry conditions.
-func routeOutputs(m *routev3.RouteConfiguration, table string, number int) (rows []tableOutput) {
-	for _, host := range m.GetVirtualHosts() {
+func routeOutputs(config *routev3.RouteConfiguration, table string, sidecars int) (rows []tableOutput) {
+	for _, host := range config.GetVirtualHosts() {
 		for _, r := range host.GetRoutes() {
 			if r.GetRoute() == nil {
-				if slices.ContainsFunc(rows, func(before tableOutput) bool { return before.Route == r.GetName() }) {
+				if slices.ContainsFunc(rows, func(row tableOutput) bool { return row.Route == r.GetName() }) {
 					continue // entry for the rejected fraction of a route that is already listed
 				}
-				rows = append(rows, tableOutput{Table: table, Route: r.GetName(), Retries: "none", Sidecars: number})
+				rows = append(rows, tableOutput{Table: table, Route: r.GetName(), Retries: "none", Sidecars: sidecars})
 				continue
 			}
-			one := tableOutput{Table: table, Route: r.GetName(), Admitted: 1, Retries: "none", Sidecars: number}
+			row := tableOutput{Table: table, Route: r.GetName(), Admitted: 1, Retries: "none", Sidecars: sidecars}
 			if f := r.GetMatch().GetRuntimeFraction().GetDefaultValue(); f != nil {
-				one.Admitted = float64(f.GetNumerator()) / 1e6
+				row.Admitted = float64(f.GetNumerator()) / 1e6
 			}
 			if on := r.GetRoute().GetRetryPolicy().GetRetryOn(); on != "" {
-				one.Retries = on
+				row.Retries = on
 			}
-			rows = append(rows, one)
+			rows = append(rows, row)
 		}
 	}
 	return rows
--- a/internal/testbed/fleet.go
+++ b/internal/testbed/fleet.go
@@ -94,18 +94,18 @@
 	if len(experiment.Values) > 0 {
 		return o.sweep(ctx, command.OutOrStdout(), experiment, options)
 	}
-	return o.play(ctx, command.OutOrStdout(), experiment.Plan, options)
+	return o.runPlan(ctx, command.OutOrStdout(), experiment.Plan, options)
 }
 
 // experiment reads the experiment file, if an argument names one, and applies the flags to its plan.
 func (o *fleetOptions) experiment(flags *pflag.FlagSet, arguments []string) (*loadtest.Experiment, error) {
 	experiment := &loadtest.Experiment{Name: "fleet", Plan: loadtest.OperatorsPlan()}
 	if len(arguments) > 0 {
-		read, err := readFleetExperiment(arguments[0])
+		fromFile, err := readFleetExperiment(arguments[0])
 		if err != nil {
 			return nil, err
 		}
-		experiment = read
+		experiment = fromFile
 	}
 	if err := o.applyFlags(&experiment.Plan, flags); err != nil {
 		return nil, err
@@ -149,8 +149,8 @@
 	return nil
 }
 
-// play runs a single plan and prints its report.
-func (o *fleetOptions) play(ctx context.Context, out io.Writer, plan loadtest.Plan, options loadtest.Options) error {
+// runPlan runs a single plan and prints its report.
+func (o *fleetOptions) runPlan(ctx context.Context, out io.Writer, plan loadtest.Plan, options loadtest.Options) error {
 	report, err := loadtest.Play(ctx, plan, options)
 	if err != nil {
 		return err
@@ -158,7 +158,7 @@
 	if err := o.write(out, report); err != nil {
 		return err
 	}
-	return brokenBoundsError(report.Broken)
+	return violatedBoundsError(report.Broken)
 }
 
 // results is the report of a run or of a sweep.
@@ -187,16 +187,16 @@
 	if err := o.write(out, sweep); err != nil {
 		return err
 	}
-	return brokenBoundsError(sweep.BrokenBounds())
+	return violatedBoundsError(sweep.BrokenBounds())
 }
 
-// errBoundsBroke is returned when a run violates bounds. The wrapping error has a line for each violated bound.
-var errBoundsBroke = errors.New("bounds violated")
+// errBoundsViolated is returned when a run violates bounds. The wrapping error has a line for each violated bound.
+var errBoundsViolated = errors.New("bounds violated")
 
-// brokenBoundsError returns an error with the lines of the violated bounds, or nil if there are none.
-func brokenBoundsError(lines []string) error {
+// violatedBoundsError returns an error with the lines of the violated bounds, or nil if there are none.
+func violatedBoundsError(lines []string) error {
 	if len(lines) == 0 {
 		return nil
 	}
-	return fmt.Errorf("%w:\n%s", errBoundsBroke, strings.Join(lines, "\n"))
+	return fmt.Errorf("%w:\n%s", errBoundsViolated, strings.Join(lines, "\n"))
 }
--- a/internal/testbed/fleet_test.go
+++ b/internal/testbed/fleet_test.go
@@ -17,12 +17,12 @@
 	"harehook.dev/harehook/loadtest"
 )
 
-// asProgram names the environment variable that makes the test binary run as harehook-testbed. Child processes inherit
-// it.
-const asProgram = "HAREHOOK_LAB_TEST"
+// runAsProgram names the environment variable that makes the test binary run as harehook-testbed. Child processes
+// inherit it.
+const runAsProgram = "HAREHOOK_LAB_TEST"
 
 func TestMain(m *testing.M) {
-	if os.Getenv(asProgram) != "" {
+	if os.Getenv(runAsProgram) != "" {
 		Main("harehook-testbed")
 		os.Exit(0)
 	}
@@ -41,16 +41,16 @@
 	}
 	folder = t.TempDir()
 	command = exec.Command(program, arguments...)
-	command.Env = append(os.Environ(), asProgram+"=1", "TMPDIR="+folder)
+	command.Env = append(os.Environ(), runAsProgram+"=1", "TMPDIR="+folder)
 	return command, folder
 }
 
 // smallFleet returns the flags of a load test that takes seconds. Bounds on times and on the load of this machine are
 // off.
-func smallFleet(further ...string) []string {
+func smallFleet(additional ...string) []string {
 	flags := "fleet --conductors 8 --nodes 50 --services 8 --routes 24 --tenants 100 --regions 2 --zones 2 --members 3 --changes 10 --seconds 2 " +
 		"--bound-in-force-s 0 --bound-conductor-cpu 0 --bound-conductor-mb 0 --bound-conductor-kbs 0"
-	return append(strings.Fields(flags), further...)
+	return append(strings.Fields(flags), additional...)
 }
 
 // Members and controllers run as processes of the program. Its output must be one JSON object, and its temporary files
@@ -83,11 +83,11 @@
 	if len(report.Broken) != 0 {
 		t.Errorf("got violated bounds %q, want none", report.Broken)
 	}
-	checkNothingLeft(t, folder)
+	checkFolderEmpty(t, folder)
 }
 
 // Members, including the leader, are killed with SIGKILL while changes are proposed. All bounds must still hold.
-func TestFleetKeepsItsBoundsWhileMembersAreKilled(t *testing.T) {
+func TestFleetMeetsBoundsWhileMembersAreKilled(t *testing.T) {
 	t.Parallel()
 	command, folder := testbedCommand(t, smallFleet("--seconds", "6", "--faults", "member-killed,reconnect", "--json")...)
 	var out, progress bytes.Buffer
@@ -103,11 +103,11 @@
 		t.Errorf("got %d changes, affected %v, violated bounds %q; want 60 changes, some affected by killed members, no violated bounds",
 			m.Changes, m.Affected, report.Broken)
 	}
-	checkNothingLeft(t, folder)
+	checkFolderEmpty(t, folder)
 }
 
 // A script must notice a violated bound: the program exits with code 1 and names the bound.
-func TestFleetNamesTheBoundThatBroke(t *testing.T) {
+func TestFleetNamesViolatedBound(t *testing.T) {
 	t.Parallel()
 	command, _ := testbedCommand(t, smallFleet("--bound-bytes-beside", "1")...)
 	output, err := command.CombinedOutput()
@@ -122,7 +122,7 @@
 
 // A load test is interrupted or killed while it runs. Worker processes that outlive it would load the machine
 // unnoticed, so all must exit with it. Unless it is killed with SIGKILL, its temporary files must be gone as well.
-func TestNothingIsLeftOfAFleetThatIsEnded(t *testing.T) {
+func TestFleetCleansUpAfterSignal(t *testing.T) {
 	t.Parallel()
 	for _, signal := range []syscall.Signal{syscall.SIGINT, syscall.SIGTERM, syscall.SIGKILL} {
 		t.Run(signal.String(), func(t *testing.T) {
@@ -145,10 +145,10 @@
 			}
 			command.Wait()
 			for _, worker := range workers {
-				waitUntilEnded(t, worker)
+				waitUntilExited(t, worker)
 			}
 			if signal != syscall.SIGKILL {
-				checkNothingLeft(t, folder)
+				checkFolderEmpty(t, folder)
 			}
 		})
 	}
@@ -158,22 +158,22 @@
 // output in the background, so that the program does not block on a full pipe.
 func waitUntilInStep(t *testing.T, progress io.Reader) {
 	t.Helper()
-	played := make(chan struct{})
+	inStep := make(chan struct{})
 	go func() {
 		defer io.Copy(io.Discard, progress)
 		var seen []byte
-		one := make([]byte, 1<<10)
+		buffer := make([]byte, 1<<10)
 		for !bytes.Contains(seen, []byte("in step")) {
-			n, err := progress.Read(one)
+			n, err := progress.Read(buffer)
 			if err != nil {
 				return
 			}
-			seen = append(seen, one[:n]...)
+			seen = append(seen, buffer[:n]...)
 		}
-		close(played)
+		close(inStep)
 	}()
 	select {
-	case <-played:
+	case <-inStep:
 	case <-time.After(testTimeout):
 		t.Fatalf("controllers are not in step after %v", testTimeout)
 	}
@@ -196,8 +196,8 @@
 	return pids
 }
 
-// waitUntilEnded waits until a process has exited. A process whose parent does not wait for it may remain as a zombie.
-func waitUntilEnded(t *testing.T, pid string) {
+// waitUntilExited waits until a process has exited. A process whose parent does not wait for it may remain as a zombie.
+func waitUntilExited(t *testing.T, pid string) {
 	t.Helper()
 	deadline := time.Now().Add(testTimeout)
 	for time.Now().Before(deadline) {
@@ -210,11 +210,11 @@
 	t.Errorf("process %s still runs after %v", pid, testTimeout)
 }
 
-// checkNothingLeft checks that a temporary folder is empty.
-func checkNothingLeft(t *testing.T, folder string) {
+// checkFolderEmpty checks that a temporary folder is empty.
+func checkFolderEmpty(t *testing.T, folder string) {
 	t.Helper()
-	left, err := os.ReadDir(folder)
-	if err != nil || len(left) > 0 {
-		t.Errorf("temporary folder: got %v, error %v, want no entries", left, err)
+	entries, err := os.ReadDir(folder)
+	if err != nil || len(entries) > 0 {
+		t.Errorf("temporary folder: got %v, error %v, want no entries", entries, err)
 	}
 }
--- a/internal/testbed/follow.go
+++ b/internal/testbed/follow.go
@@ -13,9 +13,9 @@
 
 // followOptions holds the flags of the simulation of followers.
 type followOptions struct {
-	setup followers.Setup
-	first uint64 // first seed
-	seeds uint64
+	setup     followers.Setup
+	firstSeed uint64
+	seeds     uint64
 }
 
 // followCommand returns the command that simulates the followers of a group for a range of seeds.
@@ -28,7 +28,7 @@
 		Args:  cobra.NoArgs,
 	}
 	flags := command.Flags()
-	flags.Uint64Var(&options.first, "from", options.first, "first seed")
+	flags.Uint64Var(&options.firstSeed, "from", options.firstSeed, "first seed")
 	flags.Uint64Var(&options.seeds, "seeds", options.seeds, "number of seeds; 1 replays the first seed and prints its fingerprint")
 	flags.IntVar(&setup.Members, "members", setup.Members, "number of members of the group")
 	flags.IntVar(&setup.Followers, "followers", setup.Followers, "number of followers")
@@ -60,31 +60,31 @@
 	if err := o.validate(); err != nil {
 		return err
 	}
-	began := time.Now()
-	outcomes := followers.PlayAll(o.setup, o.first, o.seeds)
+	start := time.Now()
+	outcomes := followers.PlayAll(o.setup, o.firstSeed, o.seeds)
 	var sum followers.Outcome
 	violating := 0
 	for index, outcome := range outcomes {
 		if len(outcome.Violations) > 0 {
 			violating++
-			fmt.Fprintf(out, "seed %d: %s\n", o.first+uint64(index), outcome.Violations[0])
+			fmt.Fprintf(out, "seed %d: %s\n", o.firstSeed+uint64(index), outcome.Violations[0])
 		}
 		sum = sum.Add(outcome)
 	}
-	elapsed := time.Since(began).Round(time.Millisecond)
+	elapsed := time.Since(start).Round(time.Millisecond)
 	fmt.Fprintf(out, "simulated: %d seeds, %d with a violation, in %v\n", o.seeds, violating, elapsed)
 	if o.seeds == 1 {
 		fmt.Fprintf(out, "print %x\n", outcomes[0].Fingerprint)
 	}
-	printFollowers(out, sum)
+	printOutcome(out, sum)
 	if violating > 0 {
 		return errViolation
 	}
 	return nil
 }
 
-// printFollowers prints the counts of a sum of outcomes.
-func printFollowers(out io.Writer, sum followers.Outcome) {
+// printOutcome prints the counts of a sum of outcomes.
+func printOutcome(out io.Writer, sum followers.Outcome) {
 	fmt.Fprintf(out, "commits %d, faults %d, accepted %d, refused %d\n", sum.Commits, sum.Faults, sum.Accepted, sum.Rejected)
 	fmt.Fprintf(out, "messages: %d whole scopes, %d changes, %d of progress only\n", sum.FullScopes, sum.Changes, sum.Progress)
 	fmt.Fprintf(out, "in force: %d claims compared with %d live followers; %d times a follower was stale\n", sum.Claims, sum.LiveAtClaims, sum.Stale)
