--- a/cmd/harehookctl/check.go
+++ b/cmd/harehookctl/check.go
@@ -65,7 +65,7 @@
 		return "list of nodes, checked with its conductor", nil
 	case "conductor":
 	default:
-		return "", fmt.Errorf("%s: kind of the file must be a conductor, a sidecar or a list of nodes, got %q", file, kind)
+		return "", fmt.Errorf("%s: file must be the configuration of a conductor, that of a sidecar, or a list of nodes", file)
 	}
 	settings, err := config.ReadController(file)
 	if err != nil {
