--- a/simulation/followers/agreed_log.go
+++ b/simulation/followers/agreed_log.go
@@ -8,7 +8,8 @@
 	"harehook.dev/harehook/records"
 )
 
-// maxRevisionStep is how far a revision may be from the one before: not each entry of a group's log is a transaction.
+// maxRevisionStep is the largest difference between successive revisions. It is greater than 1 because not every entry
+// of a group's log is a transaction.
 const maxRevisionStep = 3
 
 // entry is one agreed transaction.
@@ -17,14 +18,14 @@
 	transaction records.Transaction
 }
 
-// agreedLog is the group's log, and the states that it leads to as a naive model computes them: a copy of all records
-// at each revision.
+// agreedLog holds the group's log and the state at each revision. The states are computed by a naive model, which keeps
+// a copy of all records for each revision.
 type agreedLog struct {
 	rng     *rand.Rand
-	leader  *records.Store // rejects what the group rejects
+	leader  *records.Store // rejects the transactions that the group rejects
 	entries []entry
 	states  map[uint64]map[records.Key]*records.Record // by revision
-	last    uint64                                     // revision
+	last    uint64                                     // last revision
 }
 
 func newAgreedLog(rng *rand.Rand) *agreedLog {
@@ -37,7 +38,7 @@
 	return log
 }
 
-// commit adds a transaction to the log, at a revision after the last one. It is not committed if the group rejects it.
+// commit appends a transaction at a revision after the last one. It reports false if the group rejects the transaction.
 func (l *agreedLog) commit(transaction records.Transaction) (committed bool) {
 	revision := l.last + 1 + uint64(l.rng.IntN(maxRevisionStep))
 	if _, err := l.leader.Apply(revision, transaction); err != nil {
@@ -58,8 +59,8 @@
 	l.last = revision
 }
 
-// applyWrite changes a state by a write that the group has accepted. A record that is written as it was keeps its
-// revision.
+// applyWrite applies a write that the group has accepted to a state. A write that does not change the content of a
+// record does not change its revision.
 func applyWrite(state map[records.Key]*records.Record, revision uint64, write records.Write) {
 	if len(write.Body) == 0 {
 		delete(state, write.Key)
@@ -67,7 +68,7 @@
 	}
 	record, err := records.Parse(write.Key, write.Body)
 	if err != nil {
-		panic(fmt.Sprintf("%s, which the store has accepted, is invalid: %v", write.Key, err))
+		panic(fmt.Sprintf("the store accepted %s, but it is invalid: %v", write.Key, err))
 	}
 	record.Revision = revision
 	before := state[write.Key]
@@ -76,7 +77,7 @@
 	}
 }
 
-// scopeAt is what a scope holds at a revision, by the model.
+// scopeAt returns the records of a scope at a revision, according to the model.
 func (l *agreedLog) scopeAt(revision uint64, scope records.Scope) map[records.Key]*records.Record {
 	received := map[records.Key]*records.Record{}
 	for key, record := range l.states[revision] {
@@ -87,8 +88,8 @@
 	return received
 }
 
-// changedRecords are the records that a scope holds differently at two revisions: as they are later, or were before they
-// were removed.
+// changedRecords returns the records of a scope that differ between two revisions: the later version of a changed
+// record, the earlier version of a removed one.
 func changedRecords(before, after map[records.Key]*records.Record) (changed []*records.Record) {
 	for key, record := range after {
 		if before[key] != record {
--- a/simulation/followers/checker.go
+++ b/simulation/followers/checker.go
@@ -12,27 +12,29 @@
 	"harehook.dev/harehook/records"
 )
 
-// maxViolations is after how many of them a run ends.
+// maxViolations is the number of violations after which a run ends.
 const maxViolations = 5
 
-// The bounds that the checks hold the machines to.
+// The bounds that the checks apply to the state machines.
 const (
-	// maxInStepDelay bounds a change to a follower in step: replication, an answer under way, the offer.
+	// maxInStepDelay bounds the time from a commit until a follower in step has the change. It covers replication, the
+	// reply to an earlier response that is still pending, and the response with the change.
 	maxInStepDelay = 500 * time.Millisecond
-	// maxProgressBytes bounds a message that tells of a revision only.
+	// maxProgressBytes bounds the size of a message that has a revision but no records.
 	maxProgressBytes = 128
-	// maxRecordOverheadBytes bounds a changed record beside its name and body.
+	// maxRecordOverheadBytes bounds the bytes of a changed record in addition to its name and body.
 	maxRecordOverheadBytes = 1 << 10
 )
 
-// checker compares what the machines do with the model in the agreedLog. It stands outside of the machines.
+// checker compares the behavior of the state machines with the model in the agreedLog. It is independent of the state
+// machines.
 type checker struct {
 	world         *world
-	firstContents map[scopedRevision]uint64 // fingerprint of what was accepted first
-	digest        hash.Hash64               // of all that was accepted
+	firstContents map[scopedRevision]uint64 // fingerprint of the contents that were accepted first
+	digest        hash.Hash64               // of all accepted revisions
 }
 
-// scopedRevision is a revision of a scope.
+// scopedRevision identifies a revision of a scope.
 type scopedRevision struct {
 	scope    string
 	revision uint64
@@ -48,7 +50,7 @@
 	c.world.outcome.Violations = append(c.world.outcome.Violations, violation)
 }
 
-// checkAccepted checks what a follower holds after it accepted a revision.
+// checkAccepted checks the records of a follower after it has accepted a revision.
 func (c *checker) checkAccepted(f *follower) {
 	c.world.outcome.Accepted++
 	revision := f.machine.Revision()
@@ -59,18 +61,18 @@
 	fmt.Fprintln(c.digest, c.world.clock.elapsed, f.name, revision, contents)
 }
 
-// checkOrder checks that a process accepts each revision once, and no older one after it.
+// checkOrder checks that a process accepts each revision only once, and no older one after it.
 func (c *checker) checkOrder(f *follower, revision uint64) {
 	switch {
 	case revision < f.highestRevision:
-		c.report(BrokenOrder, "%s accepted %d after %d", f, revision, f.highestRevision)
+		c.report(BrokenOrder, "%s accepted revision %d after revision %d", f, revision, f.highestRevision)
 	case revision == f.highestRevision:
-		c.report(BrokenAgain, "%s accepted %d again", f, revision)
+		c.report(BrokenAgain, "%s accepted revision %d again", f, revision)
 	}
 	f.highestRevision = max(f.highestRevision, revision)
 }
 
-// checkSameContents checks that all followers with one scope hold the same at a revision.
+// checkSameContents checks that all followers with the same scope have the same contents at a revision.
 func (c *checker) checkSameContents(f *follower, revision, contents uint64) {
 	at := scopedRevision{scope: fmt.Sprint(f.scope), revision: revision}
 	first, seen := c.firstContents[at]
@@ -79,16 +81,16 @@
 		return
 	}
 	if first != contents {
-		c.report(BrokenTwice, "%s accepted revision %d with other contents than another follower", f, revision)
+		c.report(BrokenTwice, "%s accepted revision %d with contents that differ from those of another follower", f, revision)
 	}
 }
 
-// checkContents checks that a follower holds what the log has in its scope.
+// checkContents checks that the records of a follower are those that the log has in its scope.
 func (c *checker) checkContents(f *follower, revision uint64) {
 	received := f.machine.Records()
 	want := c.world.log.scopeAt(revision, f.scope)
 	if !sameRecords(want, received) {
-		c.report(BrokenContents, "%s at revision %d holds %d records, %d in the log", f, revision, len(received), len(want))
+		c.report(BrokenContents, "%s at revision %d holds %d records that differ from the %d records in the log", f, revision, len(received), len(want))
 	}
 }
 
@@ -98,7 +100,7 @@
 	})
 }
 
-// fingerprint is equal for equal records under one routing revision.
+// fingerprint returns a hash of the records and their routing revision.
 func fingerprint(routingRevision uint64, received map[records.Key]*records.Record) uint64 {
 	sum := fnv.New64a()
 	writeRevision := func(revision uint64) {
--- a/simulation/followers/convergence.go
+++ b/simulation/followers/convergence.go
@@ -2,8 +2,8 @@
 
 import "harehook.dev/harehook/configsync"
 
-// checkConvergence asks all members at one moment, as an operator does, and compares the converged revision that they
-// claim with what followers hold.
+// checkConvergence reads the status of all members at the same time, as an operator does, and compares the converged
+// revision that they claim with the revisions of the followers.
 func (c *checker) checkConvergence() {
 	statuses := c.memberStatuses()
 	for index, status := range statuses {
@@ -21,7 +21,7 @@
 	}
 }
 
-// checkClaim checks that a follower with a live lease has the revision that is claimed to be converged.
+// checkClaim checks that a follower with a live lease holds at least the revision that is claimed to be converged.
 func (c *checker) checkClaim(f *follower, converged uint64) {
 	if f.machine.Stale(c.world.clock.now()) {
 		c.world.outcome.Stale++
@@ -29,11 +29,11 @@
 	}
 	c.world.outcome.LiveAtClaims++
 	if f.machine.Revision() < converged {
-		c.report(BrokenConvergence, "%s holds %d with a live lease, %d is told to be in force", f, f.machine.Revision(), converged)
+		c.report(BrokenConvergence, "%s holds revision %d with a live lease, but the claimed converged revision is %d", f, f.machine.Revision(), converged)
 	}
 }
 
-// memberStatuses is what the members that are up report of their followers.
+// memberStatuses returns the statuses of the members that are up, with the state of their followers.
 func (c *checker) memberStatuses() (statuses []configsync.MemberStatus) {
 	for _, m := range c.world.members {
 		if m.server != nil {
@@ -43,12 +43,12 @@
 	return statuses
 }
 
-// checkRecovered checks that all followers are in step at the end of a run, and that the members know it.
+// checkRecovered checks that all followers are in step at the end of a run, and that the members report it.
 func (c *checker) checkRecovered() {
 	last := c.world.log.last
 	for _, f := range c.world.followers {
 		if !f.inStep(last) {
-			c.report(BrokenRecovery, "%s holds %d of %d, connected %v", f, f.machine.Revision(), last, f.session != nil)
+			c.report(BrokenRecovery, "%s holds revision %d, want %d; connected: %v", f, f.machine.Revision(), last, f.session != nil)
 		}
 	}
 	if len(c.world.outcome.Violations) > 0 {
@@ -56,6 +56,6 @@
 	}
 	claim := configsync.Merge(c.memberStatuses(), c.world.memberNames())
 	if !claim.Known || claim.ConvergedRevision != last || claim.Live != len(c.world.followers) {
-		c.report(BrokenRecovery, "in force %d of %d, known %v, live %d of %d", claim.ConvergedRevision, last, claim.Known, claim.Live, len(c.world.followers))
+		c.report(BrokenRecovery, "the converged revision is %d, want %d; known: %v; %d live followers, want %d", claim.ConvergedRevision, last, claim.Known, claim.Live, len(c.world.followers))
 	}
 }
--- a/simulation/followers/cost.go
+++ b/simulation/followers/cost.go
@@ -9,7 +9,8 @@
 	"harehook.dev/harehook/configsync"
 )
 
-// checkSent checks what a message to a follower costs, by what the log says of the scope between the two revisions.
+// checkSent checks the size of a message to a follower against the changes that the log has in the follower's scope
+// between the two revisions.
 func (c *checker) checkSent(s *session, response *discoveryv3.DeltaDiscoveryResponse) {
 	content := configsync.ContentOf(response)
 	if content.Records == 0 && !content.FullScope {
@@ -17,7 +18,7 @@
 		return
 	}
 	if s.follower.session != s {
-		return // the follower has left, and may hold something else by now
+		return // the follower has left this session, and its revision may have changed since
 	}
 	accepted := s.follower.machine.Revision()
 	revision, err := strconv.ParseUint(response.GetSystemVersionInfo(), 10, 64)
@@ -31,23 +32,25 @@
 	c.checkChangesSent(s.follower, accepted, revision, response)
 }
 
-// checkProgressSent checks a message that tells of a revision only.
+// checkProgressSent checks the size of a message that has a revision but no records.
 func (c *checker) checkProgressSent(size int) {
 	c.world.outcome.Progress++
 	if size > maxProgressBytes {
-		c.report(BrokenCost, "%d bytes of progress", size)
+		c.report(BrokenCost, "a progress message has %d bytes, want at most %d", size, maxProgressBytes)
 	}
 }
 
-// checkFullScopeSent checks that the member no longer knew the changes since the accepted revision.
+// checkFullScopeSent checks that a full scope is sent only if the member no longer has the changes since the accepted
+// revision.
 func (c *checker) checkFullScopeSent(s *session, accepted uint64) {
 	c.world.outcome.FullScopes++
 	if accepted > 0 && accepted >= s.member.historyFrom {
-		c.report(BrokenCost, "%s at %d got its scope whole, the member knows the changes since %d", s.follower, accepted, s.member.historyFrom)
+		c.report(BrokenCost, "%s at revision %d received its full scope, but the member has the changes since revision %d", s.follower, accepted, s.member.historyFrom)
 	}
 }
 
-// checkChangesSent checks that a message has only what changed in the follower's scope.
+// checkChangesSent checks that a message has at most as many records and bytes as the changes in the follower's scope
+// require.
 func (c *checker) checkChangesSent(f *follower, accepted, revision uint64, response *discoveryv3.DeltaDiscoveryResponse) {
 	c.world.outcome.Changes++
 	changed := changedRecords(c.world.log.scopeAt(accepted, f.scope), c.world.log.scopeAt(revision, f.scope))
@@ -58,6 +61,6 @@
 	sent := configsync.ContentOf(response).Records
 	size := proto.Size(response)
 	if sent > len(changed) || size > maxBytes {
-		c.report(BrokenCost, "%s from %d to %d: %d records in %d bytes, %d changed in the scope", f, accepted, revision, sent, size, len(changed))
+		c.report(BrokenCost, "%s from revision %d to %d received %d records in %d bytes, want at most %d records in %d bytes", f, accepted, revision, sent, size, len(changed), maxBytes)
 	}
 }
--- a/simulation/followers/delay.go
+++ b/simulation/followers/delay.go
@@ -2,10 +2,10 @@
 
 import "time"
 
-// crowdSize is how many followers that wait for their full scope are called a crowd.
+// crowdSize is the minimum number of followers waiting for their full scope that counts as a crowd.
 const crowdSize = 5
 
-// delayCheck is a change to a follower in step, which has to arrive within maxInStepDelay.
+// delayCheck describes a change to a follower in step, which must arrive within maxInStepDelay.
 type delayCheck struct {
 	follower     *follower
 	incarnation  int
@@ -15,7 +15,8 @@
 	besidesCrowd bool
 }
 
-// scheduleDelayChecks looks, some time after a commit, whether those that were in step before have it.
+// scheduleDelayChecks checks, maxInStepDelay after a commit, that the followers that were in step before the commit
+// have received it.
 func (c *checker) scheduleDelayChecks(before, revision uint64) {
 	besidesCrowd := c.crowd() >= crowdSize
 	for _, f := range c.world.followers {
@@ -34,7 +35,7 @@
 	}
 }
 
-// crowd is the number of connected followers that hold nothing yet.
+// crowd returns the number of connected followers that have not accepted a revision yet.
 func (c *checker) crowd() (waiting int) {
 	for _, f := range c.world.followers {
 		if f.session != nil && f.machine.Revision() == 0 {
@@ -44,7 +45,7 @@
 	return waiting
 }
 
-// checkDelay checks that the change has arrived, unless the follower or its member was disturbed meanwhile.
+// checkDelay checks that the change has arrived, unless the follower or its member has been disturbed since the commit.
 func (c *checker) checkDelay(check delayCheck) {
 	if check.disturbed() {
 		return
@@ -55,11 +56,12 @@
 	}
 	f := check.follower
 	if f.machine.Revision() < check.revision {
-		c.report(BrokenDelay, "%s holds %d, %v after the commit of %d", f, f.machine.Revision(), c.world.clock.elapsed-check.committedAt, check.revision)
+		c.report(BrokenDelay, "%s holds revision %d, %v after the commit of revision %d", f, f.machine.Revision(), c.world.clock.elapsed-check.committedAt, check.revision)
 	}
 }
 
-// disturbed tells whether something has happened to the follower, its member or their session since the commit.
+// disturbed reports whether the follower, its member or their session has been affected by a fault since the commit, or
+// the follower has restarted, changed its connection or rejected a revision.
 func (d delayCheck) disturbed() bool {
 	f := d.follower
 	if f.incarnation != d.incarnation || f.session != d.session {
--- a/simulation/followers/example_test.go
+++ b/simulation/followers/example_test.go
@@ -6,14 +6,14 @@
 	"harehook.dev/harehook/simulation/followers"
 )
 
-// A run of moderate size, with faults, in which all followers come in step again.
+// This example simulates a run of moderate size with faults, after which all followers are in step again.
 func ExamplePlay() {
 	outcome := followers.Play(followers.DefaultSetup(1))
 	fmt.Println("violations:", len(outcome.Violations))
-	fmt.Println("faults were played:", outcome.Faults > 0)
+	fmt.Println("faults were injected:", outcome.Faults > 0)
 	fmt.Println("changes were received:", outcome.Changes > 0)
 	// Output:
 	// violations: 0
-	// faults were played: true
+	// faults were injected: true
 	// changes were received: true
 }
--- a/simulation/followers/faults.go
+++ b/simulation/followers/faults.go
@@ -7,27 +7,27 @@
 	"harehook.dev/harehook/records"
 )
 
-// faultKind says what goes wrong.
+// faultKind describes a fault.
 type faultKind int
 
 // The kinds of fault, in the order in which they are drawn.
 const (
 	faultCutStream    faultKind = iota // a connection is lost without notice, in both directions
-	faultCutOneWay                     // nothing passes in one direction
-	faultCutMember                     // no message passes between a member and any follower
-	faultCrashMember                   // a member's process ends and starts again
-	faultLag                           // a member gets no entries for a while
+	faultCutOneWay                     // no messages pass in one direction of a connection
+	faultCutMember                     // no messages pass between a member and any follower
+	faultCrashMember                   // a member's process crashes and restarts
+	faultLag                           // a member receives no entries for some time
 	faultDropHistory                   // a member's history is dropped
-	faultRestart                       // a follower's process ends and starts again, with another scope at times
-	faultAbsent                        // a follower is offline until all members have dropped their histories
-	faultReject                        // a follower rejects some of what it receives
-	faultChangeMember                  // a follower leaves its member
-	faultCrowd                         // all followers but a few restart at once
-	faultAll                           // all followers restart at once
-	faultKinds                         // how many there are
+	faultRestart                       // a follower's process restarts, sometimes with another scope
+	faultAbsent                        // a follower is offline while all members drop their histories
+	faultReject                        // a follower rejects some of the revisions that it receives
+	faultChangeMember                  // a follower disconnects from its member and connects to another one
+	faultCrowd                         // most followers restart at the same time
+	faultAll                           // all followers restart at the same time
+	faultKinds                         // number of kinds
 )
 
-// String names the kind.
+// String returns the name of the kind.
 func (k faultKind) String() string {
 	names := [faultKinds]string{"cut stream", "cut one way", "cut member", "crash member", "lag", "drop history",
 		"restart", "absent", "reject", "change member", "crowd", "all"}
@@ -40,13 +40,13 @@
 const (
 	minFaultDuration = time.Second
 	maxFaultDuration = 10 * time.Second
-	// maxCrowdDelay is the longest that a follower of a crowd takes to start again.
+	// maxCrowdDelay bounds the time until a follower of a crowd starts again.
 	maxCrowdDelay = time.Second
-	// spared is the part of the followers that a crowd leaves alone: one in so many.
+	// spared determines how many followers do not restart with a crowd: one in spared.
 	spared = 4
 )
 
-// injectFault draws a fault and brings it about. What it does ends by itself.
+// injectFault injects a random fault, which ends without further action.
 func (w *world) injectFault() {
 	w.outcome.Faults++
 	kind := faultKind(w.rng.IntN(int(faultKinds)))
@@ -65,14 +65,14 @@
 	}
 }
 
-// restartAll restarts followers at nearly the same time.
+// restartAll restarts followers within maxCrowdDelay of each other.
 func (w *world) restartAll(followers []*follower) {
 	for _, f := range followers {
 		f.restart(w.drawUpTo(maxCrowdDelay))
 	}
 }
 
-// disturbFollower brings about a fault of one follower, unless no process of it runs.
+// disturbFollower injects a fault of one follower, if its process is running.
 func (w *world) disturbFollower(kind faultKind, f *follower, duration time.Duration) {
 	if f.absent {
 		return
@@ -99,7 +99,7 @@
 	}
 }
 
-// cutStream loses a connection, if there is one, without notice to either end.
+// cutStream breaks a connection in both directions, if there is one. Neither end is notified.
 func (w *world) cutStream(s *session) {
 	if s == nil {
 		return
@@ -108,7 +108,7 @@
 	s.toFollower.broken = true
 }
 
-// cutOneWay loses one direction of a connection, if there is one.
+// cutOneWay breaks one direction of a connection, if there is one.
 func (w *world) cutOneWay(s *session) {
 	if s == nil {
 		return
@@ -120,14 +120,14 @@
 	s.toFollower.broken = true
 }
 
-// dropHistories has all members drop their histories: a follower that is back then needs its full scope.
+// dropHistories drops the histories of all members, so that a follower that returns later needs its full scope.
 func (w *world) dropHistories() {
 	for _, m := range w.members {
 		m.dropHistory()
 	}
 }
 
-// disturbMember brings about a fault of a member. A fault under way is not begun again.
+// disturbMember injects a fault of a member. A fault that is still active is not injected again.
 func (w *world) disturbMember(kind faultKind, m *member, duration time.Duration) {
 	m.markDisturbed()
 	switch {
@@ -146,13 +146,14 @@
 	}
 }
 
-// endPartition lets messages pass again. Streams that had one to send meanwhile stay broken.
+// endPartition ends the partition of a member. Streams on which a message was sent during the partition remain
+// broken.
 func (w *world) endPartition(m *member) {
 	m.partitioned = false
 	m.markDisturbed()
 }
 
-// endLag lets a member catch up: by the log's entries, or by another member's snapshot.
+// endLag ends the lag of a member, which catches up from the log's entries or from another member's snapshot.
 func (w *world) endLag(m *member) {
 	m.lagging = false
 	m.markDisturbed()
@@ -163,12 +164,12 @@
 }
 
 const (
-	allScopeEvery = 12 // one scope in so many has everything
-	maxServices   = 3  // of a scope
-	maxZones      = 2  // of a scope
+	allScopeEvery = 12 // one scope in allScopeEvery contains all records
+	maxServices   = 3  // in a scope
+	maxZones      = 2  // in a scope
 )
 
-// drawScope is what a follower needs: some services and zones, seldom all.
+// drawScope returns a random scope of a follower: some services and zones, rarely all records.
 func (w *world) drawScope() records.Scope {
 	if w.rng.IntN(allScopeEvery) == 0 {
 		return records.Scope{All: true}
--- a/simulation/followers/follower.go
+++ b/simulation/followers/follower.go
@@ -12,27 +12,27 @@
 	"harehook.dev/harehook/records"
 )
 
-// follower is a controller that receives the configuration. Its name and scope outlast its process.
+// follower is a controller that receives the configuration. Its name and scope survive a restart of its process.
 type follower struct {
 	world       *world
 	name        string
 	scope       records.Scope
-	incarnation int  // changes when a process ends and when one begins
-	absent      bool // no process runs
+	incarnation int  // incremented when a process starts and when it ends
+	absent      bool // no process is running
 
-	machine         *configsync.Follower // of the process
+	machine         *configsync.Follower // of the running process
 	backoff         *configsync.Backoff
-	session         *session      // nil while it is not connected
-	lastMessageAt   time.Duration // when a member was last heard
-	rejecting       bool          // it rejects some of what it receives
-	highestRevision uint64        // that the process has accepted
-	disturbedAt     time.Duration // when a fault last concerned it, or its connection changed
+	session         *session      // nil while the follower is not connected
+	lastMessageAt   time.Duration // time of the last message from a member
+	rejecting       bool          // it rejects some of the revisions that it receives
+	highestRevision uint64        // highest revision that the process has accepted
+	disturbedAt     time.Duration // time of the last fault, change of connection or rejected revision
 }
 
-// errRejectedAtRandom is why a follower rejects a revision without a mistake in it.
+// errRejectedAtRandom is the error with which a follower rejects a valid revision.
 var errRejectedAtRandom = errors.New("rejected at random")
 
-// start begins a process, which holds nothing.
+// start starts a process, which has no records.
 func (f *follower) start() {
 	f.incarnation++
 	f.highestRevision = 0
@@ -43,7 +43,7 @@
 	f.connectAfter(f.world.drawUpTo(maxStartDelay))
 }
 
-// newMachine makes the machine, which holds nothing.
+// newMachine replaces the state machine with a new one, which has no records.
 func (f *follower) newMachine() {
 	rng := rand.New(rand.NewPCG(f.world.rng.Uint64(), 0))
 	lease := plantedLease(f.world.setup.Planted)
@@ -63,7 +63,7 @@
 	f.absent = true
 }
 
-// restart ends the process and starts another one after a while.
+// restart ends the process and starts another one after a delay.
 func (f *follower) restart(after time.Duration) {
 	if f.absent {
 		return
@@ -74,7 +74,7 @@
 
 func (f *follower) markDisturbed() { f.disturbedAt = f.world.clock.elapsed }
 
-// connectAfter connects after a while, unless the process has ended or is connected by then.
+// connectAfter connects after a delay, unless the process has ended or is connected by then.
 func (f *follower) connectAfter(delay time.Duration) {
 	incarnation := f.incarnation
 	f.world.clock.after(delay, func() {
@@ -84,7 +84,7 @@
 	})
 }
 
-// connect opens a session to the member whose turn it is.
+// connect opens a session to the member that the backoff selects.
 func (f *follower) connect() {
 	s := newSession(f, f.world.memberNamed(f.backoff.Member()))
 	f.session = s
@@ -104,7 +104,7 @@
 	})
 }
 
-// disconnect ends the session; the member learns of it if the network lets it.
+// disconnect ends the session. The member is notified if the network delivers the message.
 func (f *follower) disconnect() {
 	s := f.session
 	if s == nil {
@@ -115,14 +115,14 @@
 	s.toMember.send(s.endAtMember)
 }
 
-// connectionLost is called when the member has ended a session.
+// connectionLost handles the end of a session by the member.
 func (f *follower) connectionLost(s *session) {
 	if f.session == s {
 		f.changeMember()
 	}
 }
 
-// changeMember leaves the member and tries another one after a backoff.
+// changeMember disconnects from the member and connects to another one after a backoff.
 func (f *follower) changeMember() {
 	f.disconnect()
 	f.markDisturbed()
@@ -132,12 +132,13 @@
 	f.connectAfter(f.backoff.Failed())
 }
 
-// goOffline keeps the process without a network for a while, after which it goes on with what it holds.
+// goOffline cuts the process off from the network for a duration. The process keeps its records and reconnects
+// afterwards.
 func (f *follower) goOffline(duration time.Duration) {
 	incarnation := f.incarnation
 	f.disconnect()
 	f.session = newBrokenSession(f)
-	f.lastMessageAt = f.world.clock.elapsed + duration // so that it does not look for another member meanwhile
+	f.lastMessageAt = f.world.clock.elapsed + duration // prevents a change of member while it is offline
 	f.world.clock.after(duration, func() {
 		if f.incarnation == incarnation {
 			f.session = nil
@@ -146,7 +147,7 @@
 	})
 }
 
-// receive handles a message of a member.
+// receive handles a message from a member.
 func (f *follower) receive(s *session, response *discoveryv3.DeltaDiscoveryResponse) {
 	if f.session != s {
 		return
@@ -171,7 +172,7 @@
 	}
 }
 
-// scheduleRenewals renews the lease again and again while the process runs.
+// scheduleRenewals renews the lease periodically while the process runs.
 func (f *follower) scheduleRenewals(incarnation int) {
 	f.world.clock.after(f.machine.RenewInterval(), func() {
 		if f.incarnation != incarnation {
@@ -182,7 +183,8 @@
 	})
 }
 
-// renewLease renews the lease at the member, or leaves a member that was not heard for as long as a lease.
+// renewLease renews the lease at the member, or changes the member if no message from it has arrived for the duration
+// of a lease.
 func (f *follower) renewLease() {
 	if f.session == nil {
 		return
@@ -194,10 +196,10 @@
 	f.session.request(f.machine.Renew(f.world.clock.now()))
 }
 
-// inStep tells whether it holds a revision and is connected to a member that serves it.
+// inStep reports whether the follower holds the revision and has a session that is open at its member.
 func (f *follower) inStep(revision uint64) bool {
 	return !f.absent && f.session != nil && f.session.openAtMember && f.machine.Revision() == revision
 }
 
-// String names the follower for reports.
+// String returns the name and the incarnation, for violations.
 func (f *follower) String() string { return fmt.Sprintf("%s (process %d)", f.name, f.incarnation) }
--- a/simulation/followers/followers_test.go
+++ b/simulation/followers/followers_test.go
@@ -7,9 +7,10 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-// Connections are lost, members crash and lag, followers restart in crowds, over some seeds. No run may have a violation,
-// and all followers have to be in step before the time without faults ends. The runs have to have tried each thing that is
-// checked: a check that never had a case shows nothing. The command harehook-testbed plays more seeds.
+// TestFollowersRecoverFromFaultsWithoutViolation simulates runs with several seeds in which connections are lost,
+// members crash and lag, and many followers restart at the same time. No run may have a violation, and all followers
+// must be in step before the fault-free time ends. Each check must have been reached at least once a seed on average: a
+// check without cases would detect nothing. The command harehook-testbed simulates more seeds.
 func TestFollowersRecoverFromFaultsWithoutViolation(t *testing.T) {
 	const seeds = 20
 	var sum Outcome
@@ -42,28 +43,29 @@
 		{"changes to followers in step beside a crowd", sum.InStepBesideCrowd},
 	} {
 		if tried.times < seeds {
-			t.Errorf("%s: %d in %d seeds: too few to show anything", tried.name, tried.times, seeds)
+			t.Errorf("%s: got %d in %d seeds, want at least %d", tried.name, tried.times, seeds, seeds)
 		}
 	}
 }
 
-// A run is played again by its seed: that is how a failure is searched. Equal seeds have to give equal runs, also where
-// many are played at once.
+// TestOneSeedIsOneRun guards against runs that depend on more than their seed. A failed run is debugged by replaying
+// its seed, so equal seeds must give equal runs, also if several runs are simulated in parallel.
 func TestOneSeedIsOneRun(t *testing.T) {
 	const seeds = 3
 	together := PlayAll(DefaultSetup(0), 0, seeds)
 	for seed := range uint64(seeds) {
 		alone := Play(DefaultSetup(seed))
 		if diff := cmp.Diff(alone, together[seed]); diff != "" {
-			t.Errorf("seed %d (-alone +among others):\n%s", seed, diff)
+			t.Errorf("seed %d: outcomes differ (-alone +in parallel):\n%s", seed, diff)
 		}
 	}
 	if together[0].Fingerprint == together[1].Fingerprint {
-		t.Errorf("two seeds have the fingerprint %x", together[0].Fingerprint)
+		t.Errorf("seeds 0 and 1 both have the fingerprint %x, want different ones", together[0].Fingerprint)
 	}
 }
 
-// The program is broken on purpose. The checker that is there for the fault has to see it within some seeds.
+// TestCheckersSeePlantedFaults guards against checkers that detect nothing. Each planted fault breaks the program on
+// purpose, and the checker of the corresponding property must report a violation within a number of seeds.
 func TestCheckersSeePlantedFaults(t *testing.T) {
 	for planted, want := range map[Planted]ViolationKind{
 		PlantedFullScope:      BrokenCost,
@@ -83,7 +85,7 @@
 				setup := DefaultSetup(seed)
 				setup.Planted = planted
 				if planted == PlantedNeverAgain {
-					setup.Active = 20 * time.Second // it shows at the end
+					setup.Active = 20 * time.Second // the violation appears only at the end of a run
 				}
 				for _, violation := range Play(setup).Violations {
 					if violation.Kind == want {
@@ -92,7 +94,7 @@
 					}
 				}
 			}
-			t.Errorf("not seen as %q in %d seeds", want, seeds)
+			t.Errorf("planted fault %q: got no violation %q in %d seeds, want one", planted, want, seeds)
 		})
 	}
 }
--- a/simulation/followers/member.go
+++ b/simulation/followers/member.go
@@ -9,34 +9,35 @@
 	"harehook.dev/harehook/records"
 )
 
-// member is a member of the group: its records, which a crash leaves, and its server, which a crash ends.
+// member is a member of the group. Its records survive a crash, its server does not.
 type member struct {
 	world       *world
 	name        string
 	store       *records.Store
-	applied     int                // entries of the log
-	historyFrom uint64             // revision since which the store knows all changes
+	applied     int                // number of applied log entries
+	historyFrom uint64             // revision since which the store has all changes
 	server      *configsync.Server // nil while the process is down
-	sessions    []*session         // that are open at this end
-	partitioned bool               // no message passes between it and any follower
-	lagging     bool               // it gets no entries
-	disturbedAt time.Duration      // when a fault last concerned it
+	sessions    []*session         // open at the member's end
+	partitioned bool               // no messages pass between the member and any follower
+	lagging     bool               // it receives no entries
+	disturbedAt time.Duration      // time of the last fault that affected it
 }
 
-// start begins a process, as after a crash.
+// start starts a process, which keeps the records of the previous one.
 func (m *member) start() {
 	m.server = configsync.NewServer(m.name, m.source(), limits(m.world.setup.Planted), m.world.clock.now())
 	m.catchUp(len(m.world.log.entries))
 }
 
-// source is what followers receive, with the faults that are planted in it.
+// source returns the records for followers, with the planted fault.
 func (m *member) source() records.Source {
 	return &plantedSource{Store: m.store, planted: m.world.setup.Planted, member: m.name}
 }
 
 func (m *member) markDisturbed() { m.disturbedAt = m.world.clock.elapsed }
 
-// crash ends the process. The followers' connections are reset, or, if the machine is lost with it, go silent.
+// crash ends the process. The followers' connections are reset. If silent is true, the machine fails with the process,
+// and the connections break without notice to the followers.
 func (m *member) crash(silent bool) {
 	m.markDisturbed()
 	m.server = nil
@@ -48,7 +49,7 @@
 	m.sessions = nil
 }
 
-// catchUp applies the first entries of the log, up to a count.
+// catchUp applies log entries until count of them are applied, and sends the changes to followers.
 func (m *member) catchUp(count int) {
 	if m.server == nil || m.lagging {
 		return
@@ -59,23 +60,24 @@
 	m.sendAll()
 }
 
-// apply applies an entry. It panics where the store rejects what the group has agreed on: the records would then no
+// apply applies an entry. It panics if the store rejects an agreed transaction, because the records would then no
 // longer be a function of the log.
 func (m *member) apply(e entry) {
 	change, err := m.store.Apply(e.revision, e.transaction)
 	if err != nil {
-		panic(fmt.Sprintf("%s can't apply the agreed transaction at revision %d: %v", m.name, e.revision, err))
+		panic(fmt.Sprintf("%s cannot apply the agreed transaction at revision %d: %v", m.name, e.revision, err))
 	}
 	m.server.Committed(m.world.clock.now(), change.Revision)
 }
 
-// restoreFrom brings a member that was far behind up to date with another one's records in place of entries.
+// restoreFrom restores a snapshot of another member's records, as for a member that is too far behind to replay
+// entries.
 func (m *member) restoreFrom(other *member) {
 	if m.server == nil || other.applied <= m.applied {
 		return
 	}
 	if err := m.store.Restore(other.store.Snapshot()); err != nil {
-		panic(fmt.Sprintf("%s can't restore a snapshot of %s: %v", m.name, other.name, err))
+		panic(fmt.Sprintf("%s cannot restore a snapshot of %s: %v", m.name, other.name, err))
 	}
 	m.applied = other.applied
 	m.historyFrom = other.historyFrom
@@ -83,21 +85,21 @@
 	m.sendAll()
 }
 
-// dropHistory forgets which records changed when, as hours of changes would.
+// dropHistory discards the store's history of changes, as hours of further changes would.
 func (m *member) dropHistory() {
 	m.markDisturbed()
 	m.store.DropHistory()
 	m.historyFrom = m.store.Revision()
 }
 
-// sendAll sends on each session what its follower lacks.
+// sendAll sends the pending responses of all sessions.
 func (m *member) sendAll() {
-	for _, s := range slices.Clone(m.sessions) { // a session that ends leaves the list
+	for _, s := range slices.Clone(m.sessions) { // a session that ends is removed from the list
 		s.sendPending()
 	}
 }
 
-// accept opens this end of a follower's session.
+// accept opens the member's end of a follower's session. It reports false if the process is down or refuses the stream.
 func (m *member) accept(s *session) (accepted bool) {
 	if m.server == nil {
 		return false
--- a/simulation/followers/outcome.go
+++ b/simulation/followers/outcome.go
@@ -5,10 +5,10 @@
 	"time"
 )
 
-// ViolationKind is a property that was broken.
+// ViolationKind describes the violation of a checked property.
 type ViolationKind string
 
-// The properties that are checked.
+// The kinds of violation, one for each checked property.
 const (
 	BrokenContents    ViolationKind = "held records differ from the log's at that revision"
 	BrokenTwice       ViolationKind = "one revision of one scope was accepted with two contents"
@@ -20,34 +20,35 @@
 	BrokenDelay       ViolationKind = "a follower in step got a change late"
 )
 
-// Violation is a property that a run broke.
+// Violation describes the violation of a property in a run.
 type Violation struct {
 	Kind   ViolationKind
 	At     time.Duration // since the run began
 	Detail string
 }
 
-// String says when the property broke and what was seen.
+// String returns the time of the violation, its kind and its detail.
 func (v Violation) String() string { return fmt.Sprintf("at %v: %s: %s", v.At, v.Kind, v.Detail) }
 
-// Outcome is what a run showed.
+// Outcome holds the results of a run.
 type Outcome struct {
 	Violations  []Violation // the run ends at maxViolations
-	Fingerprint uint64      // of all that was accepted: equal for equal runs
+	Fingerprint uint64      // digest of all accepted revisions; equal for identical runs
 
 	Commits, Faults     int
-	Accepted, Rejected  int           // revisions, by followers
+	Accepted, Rejected  int           // revisions, at followers
 	FullScopes, Changes int           // messages with records
-	Progress            int           // messages that tell of a revision only
-	Claims              int           // times that the converged revision was known, and checked
-	Stale               int           // times that a follower was seen without a lease
+	Progress            int           // messages with a revision but no records
+	Claims              int           // checks at which the converged revision was known
+	Stale               int           // followers without a live lease at claims
 	InStepChecked       int           // changes to followers in step whose delay was checked
-	InStepBesideCrowd   int           // of them while a crowd waited for full scopes
-	Settled             time.Duration // without faults until all were in step
-	LiveAtClaims        int           // followers with a live lease that a claim was compared with
+	InStepBesideCrowd   int           // those of InStepChecked committed while a crowd waited for full scopes
+	Settled             time.Duration // from the start of the fault-free time until all followers were in step
+	LiveAtClaims        int           // followers with a live lease whose revisions were compared with a claim
 }
 
-// Add sums what two runs showed; of Settled it is the longer one. The sum has no fingerprint of its own.
+// Add returns the sum of two outcomes, with the longer of both Settled times. The fingerprint of the sum is that of o
+// and has no meaning.
 func (o Outcome) Add(other Outcome) Outcome {
 	o.Violations = append(o.Violations, other.Violations...)
 	o.Commits += other.Commits
--- a/simulation/followers/planted.go
+++ b/simulation/followers/planted.go
@@ -9,8 +9,8 @@
 	"harehook.dev/harehook/records"
 )
 
-// Planted is a fault in the program itself, by which a checker is shown to see. Its text is what the flag --planted of
-// harehook-testbed takes.
+// Planted is a fault that is planted in the program to verify that a checker detects it. Its text is the value of the
+// flag --planted of harehook-testbed.
 type Planted string
 
 // The faults that can be planted.
@@ -29,15 +29,15 @@
 )
 
 const (
-	// plantedSlowChangeDelay is how long PlantedSlowChanges has a member wait before it sends a change.
+	// plantedSlowChangeDelay is the time that a member waits before it sends a change, with PlantedSlowChanges.
 	plantedSlowChangeDelay = 600 * time.Millisecond
-	// plantedMissingEvery is the calls of Since of which one lacks a change by PlantedMissingChange.
+	// plantedMissingEvery is the number of calls of Since of which one omits a change, with PlantedMissingChange.
 	plantedMissingEvery = 20
-	// plantedContentsMember is the member whose contents differ by PlantedContents.
+	// plantedContentsMember is the member whose contents differ, with PlantedContents.
 	plantedContentsMember = "m1"
 )
 
-// plantedSource is a member's store, whose records differ from the store's by the planted fault.
+// plantedSource is a member's store with a planted fault in the records that it returns.
 type plantedSource struct {
 	*records.Store
 	planted    Planted
@@ -45,7 +45,7 @@
 	sinceCalls int
 }
 
-// Since is that of the store, but for planted faults.
+// Since returns the delta of the store, with the planted fault.
 func (s *plantedSource) Since(revision uint64, scope records.Scope) records.Delta {
 	delta := s.Store.Since(revision, scope)
 	s.sinceCalls++
@@ -59,7 +59,7 @@
 	return delta
 }
 
-// InScope is that of the store, but for planted faults.
+// InScope returns the view of the store, with the planted fault.
 func (s *plantedSource) InScope(scope records.Scope) records.View {
 	view := s.Store.InScope(scope)
 	if s.planted == PlantedContents && s.member == plantedContentsMember && len(view.Records) > 0 {
@@ -68,7 +68,7 @@
 	return view
 }
 
-// plantInResponse adds a record to a message that tells of a revision only, by PlantedOutOfScope.
+// plantInResponse adds a removed record to a message without records, with PlantedOutOfScope.
 func plantInResponse(planted Planted, response *discoveryv3.DeltaDiscoveryResponse) {
 	content := configsync.ContentOf(response)
 	isProgress := response.GetNonce() != "" && !content.FullScope && content.Records == 0
@@ -77,7 +77,7 @@
 	}
 }
 
-// plantInStatus alters what a member reports of its followers, by PlantedLeases and PlantedSettledTooSoon.
+// plantInStatus changes the status that a member reports, with PlantedLeases and PlantedSettledTooSoon.
 func plantInStatus(planted Planted, status configsync.MemberStatus) configsync.MemberStatus {
 	switch planted {
 	case PlantedLeases:
@@ -88,7 +88,7 @@
 	return status
 }
 
-// plantedLease is the lease of a follower, too long by PlantedLongLease.
+// plantedLease returns the lease of a follower, which is too long with PlantedLongLease.
 func plantedLease(planted Planted) time.Duration {
 	lease := limits(planted).Lease
 	if planted == PlantedLongLease {
--- a/simulation/followers/session.go
+++ b/simulation/followers/session.go
@@ -9,19 +9,19 @@
 	"harehook.dev/harehook/configsync"
 )
 
-// minSendDelay is the least time until a member looks again for what to send.
+// minSendDelay is the minimum time until a member checks again for pending responses.
 const minSendDelay = time.Millisecond
 
-// session is a connection of a follower to a member.
+// session is a connection from a follower to a member.
 type session struct {
 	follower     *follower
 	member       *member
 	server       *configsync.Server // of the member's process that accepted it
 	stream       *configsync.Stream
-	openAtMember bool // the member takes it for open
+	openAtMember bool // the member considers it open
 	toMember     direction
 	toFollower   direction
-	nextSendAt   time.Duration // when the member looks for what to send; 0: not scheduled
+	nextSendAt   time.Duration // time of the next check for pending responses; 0: not scheduled
 }
 
 func newSession(f *follower, m *member) *session {
@@ -31,21 +31,22 @@
 	return s
 }
 
-// newBrokenSession returns a session that leads nowhere, as of a follower without a network.
+// newBrokenSession returns a session that delivers no messages to a member, for a follower without a network.
 func newBrokenSession(f *follower) *session {
 	s := newSession(f, f.world.members[0])
 	s.toMember.broken = true
 	return s
 }
 
-// direction carries the messages of a session one way: late and in order. After a loss none passes any more.
+// direction delivers the messages of a session in one direction, with a delay and in order. Once it is broken, it
+// delivers no further messages.
 type direction struct {
 	session     *session
-	lastArrival time.Duration // of the last message that was sent
+	lastArrival time.Duration // arrival time of the last message that was sent
 	broken      bool
 }
 
-// send has a message arrive after a delay, unless the direction is broken by then.
+// send schedules the arrival of a message after a random delay. The message is lost if the direction is broken by then.
 func (d *direction) send(arrive func()) {
 	world := d.session.member.world
 	if d.session.member.partitioned {
@@ -76,7 +77,7 @@
 	})
 }
 
-// sendPending sends what the member has for the follower, and schedules the next look.
+// sendPending sends the pending responses for the follower, and schedules the next check.
 func (s *session) sendPending() {
 	world := s.member.world
 	for s.openAtMember {
@@ -106,7 +107,7 @@
 	s.toFollower.send(deliver)
 }
 
-// sendPendingAfter schedules the next look for what to send, unless an earlier one is scheduled.
+// sendPendingAfter schedules the next check for pending responses, unless an earlier one is scheduled.
 func (s *session) sendPendingAfter(wait time.Duration) {
 	clock := &s.member.world.clock
 	at := clock.elapsed + max(wait, minSendDelay)
@@ -122,7 +123,7 @@
 	})
 }
 
-// endAtMember closes the member's end; the follower learns of it if the network lets it.
+// endAtMember closes the member's end. The follower is notified if the network delivers the message.
 func (s *session) endAtMember() {
 	if !s.openAtMember {
 		return
@@ -133,7 +134,7 @@
 	s.toFollower.send(func() { s.follower.connectionLost(s) })
 }
 
-// healthy tells whether nothing is in the way of a change to the follower.
+// healthy reports whether no fault of the session or its member prevents a change from reaching the follower.
 func (s *session) healthy() bool {
 	return !s.toMember.broken && !s.toFollower.broken && !s.member.partitioned && !s.member.lagging
 }
--- a/simulation/followers/setup.go
+++ b/simulation/followers/setup.go
@@ -6,19 +6,19 @@
 	"harehook.dev/harehook/configsync"
 )
 
-// Setup is what a run is played with.
+// Setup holds the parameters of a run.
 type Setup struct {
 	Seed        uint64
 	Members     int
 	Followers   int
-	Active      time.Duration // with commits and faults
-	FaultFree   time.Duration // without either, at the end: all have to be in step before it ends
-	CommitEvery time.Duration // on average
-	FaultEvery  time.Duration // on average
+	Active      time.Duration // time with commits and faults
+	FaultFree   time.Duration // time without both at the end; all followers must be in step before it ends
+	CommitEvery time.Duration // mean time between two commits
+	FaultEvery  time.Duration // mean time between two faults
 	Planted     Planted
 }
 
-// DefaultSetup is a run of moderate size.
+// DefaultSetup returns the setup of a run of moderate size.
 func DefaultSetup(seed uint64) Setup {
 	return Setup{
 		Seed:        seed,
@@ -31,7 +31,7 @@
 	}
 }
 
-// limits are those of the members: a small allowance for full scopes, so that crowds do wait for it.
+// limits returns the limits of the members. The rate of full scopes is so low that the followers of a crowd must wait.
 func limits(planted Planted) configsync.Limits {
 	limits := configsync.Limits{
 		Lease:                   3 * time.Second,
@@ -46,14 +46,14 @@
 	return limits
 }
 
-// The simulated network.
+// The delays of the simulated network and processes.
 const (
 	minDelay = time.Millisecond
 	maxDelay = 60 * time.Millisecond
-	// maxReplication is the longest that an entry takes to a member that does not lag.
+	// maxReplication bounds the time that an entry takes to reach a member that does not lag.
 	maxReplication = 150 * time.Millisecond
-	// maxStartDelay is the longest that a process takes from its start to its first connection.
+	// maxStartDelay bounds the time from the start of a process to its first connection.
 	maxStartDelay = 500 * time.Millisecond
-	// connectTimeout is when a follower gives up on a member that does not answer.
+	// connectTimeout is the time after which a follower gives up on a member that does not respond.
 	connectTimeout = time.Second
 )
--- a/simulation/followers/transactions.go
+++ b/simulation/followers/transactions.go
@@ -7,7 +7,7 @@
 	"harehook.dev/harehook/records"
 )
 
-// The records that transactions are drawn from.
+// The number of records of each kind that transactions write.
 const (
 	serviceCount  = 6
 	zoneCount     = 3
@@ -16,15 +16,15 @@
 	overrideCount = 8
 )
 
-// How transactions are drawn.
+// The parameters of random transactions.
 const (
-	maxWrites       = 4  // of a transaction
+	maxWrites       = 4  // in a transaction
 	drawnKinds      = 4  // services, routes, tenants, overrides
-	removeEvery     = 4  // one write in so many removes its record
-	anyServiceEvery = 10 // one route in so many is of any service
+	removeEvery     = 4  // one write in removeEvery removes its record
+	anyServiceEvery = 10 // one route in anyServiceEvery applies to any service
 )
 
-// firstTransaction creates all that others change.
+// firstTransaction returns the transaction that creates the services, routes and tenants.
 func (l *agreedLog) firstTransaction() (first records.Transaction) {
 	for n := range serviceCount {
 		first.Writes = append(first.Writes, l.drawServiceWrite(n))
@@ -38,7 +38,7 @@
 	return first
 }
 
-// propose commits a random transaction, unless the group rejects it.
+// propose commits a random transaction. It reports false if the group rejects the transaction.
 func (l *agreedLog) propose() (committed bool) {
 	var drawn records.Transaction
 	seen := map[records.Key]bool{}
@@ -52,7 +52,8 @@
 	return l.commit(drawn)
 }
 
-// drawWrite writes a record of any kind, or removes it. Services are not removed: other records refer to them.
+// drawWrite returns a random write, which sets or removes a record of any kind. Services are not removed, because other
+// records refer to them.
 func (l *agreedLog) drawWrite() (write records.Write) {
 	switch l.rng.IntN(drawnKinds) {
 	case 0:
@@ -97,11 +98,11 @@
 func (l *agreedLog) drawService() string { return fmt.Sprintf("s%d", l.rng.IntN(serviceCount)) }
 func (l *agreedLog) drawZone() string    { return fmt.Sprintf("z%d", l.rng.IntN(zoneCount)) }
 
-// newWrite writes a record whatever its revision.
+// newWrite returns a write that applies at any revision of its record.
 func newWrite(kind records.Kind, name string, spec any) records.Write {
 	body, err := json.Marshal(spec)
 	if err != nil {
-		panic(fmt.Sprintf("spec of %s %s: %v", kind, name, err)) // specs are plain structs
+		panic(fmt.Sprintf("cannot encode the spec of %s %s: %v", kind, name, err)) // specs are plain structs
 	}
 	return records.Write{Key: records.Key{Kind: kind, Name: name}, Body: body, AnyRevision: true}
 }
--- a/simulation/followers/world.go
+++ b/simulation/followers/world.go
@@ -11,15 +11,15 @@
 )
 
 const (
-	// runStream selects the random numbers that a run draws.
+	// runStream is the stream of the random number generator of a run.
 	runStream = 29
-	// convergenceCheckInterval is how often the members are asked for the converged revision.
+	// convergenceCheckInterval is the time between two checks of the converged revision.
 	convergenceCheckInterval = 300 * time.Millisecond
-	// settleCheckInterval is how often it is checked, without faults, whether all are in step.
+	// settleCheckInterval is the time between two checks, in the fault-free time, of whether all followers are in step.
 	settleCheckInterval = 100 * time.Millisecond
 )
 
-// world is a run under way.
+// world holds the state of a run in progress.
 type world struct {
 	setup     Setup
 	rng       *rand.Rand
@@ -31,7 +31,7 @@
 	outcome   Outcome
 }
 
-// Play plays one run to its end, or until it has maxViolations.
+// Play simulates one run, which ends early once it has maxViolations.
 func Play(setup Setup) Outcome {
 	w := newWorld(setup)
 	w.repeat(setup.CommitEvery, w.commit)
@@ -45,8 +45,8 @@
 	return w.outcome
 }
 
-// PlayAll plays a run of the setup for each of some seeds in a row, as many at once as there are cores. The outcomes come
-// in the order of the seeds.
+// PlayAll simulates a run of the setup for each of the given number of consecutive seeds, in parallel on all cores. It
+// returns the outcomes in the order of the seeds.
 func PlayAll(setup Setup, firstSeed, seeds uint64) []Outcome {
 	setups := make([]Setup, seeds)
 	for index := range setups {
@@ -56,7 +56,7 @@
 	return parallel.Map(setups, Play)
 }
 
-// newWorld returns a run whose members and followers have started.
+// newWorld returns a world whose members and followers have started.
 func newWorld(setup Setup) *world {
 	w := &world{setup: setup, rng: rand.New(rand.NewPCG(setup.Seed, runStream))}
 	w.log = newAgreedLog(w.rng)
@@ -74,10 +74,10 @@
 	return w
 }
 
-// violated tells whether enough violations were seen to end the run.
+// violated reports whether the run has enough violations to end.
 func (w *world) violated() bool { return len(w.outcome.Violations) >= maxViolations }
 
-// repeat does something again and again, at random times, while the run is active.
+// repeat calls do at random intervals with the given mean while the run is active.
 func (w *world) repeat(mean time.Duration, do func()) {
 	w.clock.after(w.drawUpTo(2*mean), func() {
 		if w.clock.elapsed < w.setup.Active {
@@ -87,7 +87,7 @@
 	})
 }
 
-// commit has the group agree on a transaction, which the members get one after the other.
+// commit commits a random transaction, which each member receives after a random delay.
 func (w *world) commit() {
 	before := w.log.last
 	if !w.log.propose() {
@@ -101,7 +101,7 @@
 	}
 }
 
-// scheduleConvergenceChecks checks the converged revision again and again.
+// scheduleConvergenceChecks checks the converged revision periodically.
 func (w *world) scheduleConvergenceChecks() {
 	w.clock.after(convergenceCheckInterval, func() {
 		w.checker.checkConvergence()
@@ -109,7 +109,8 @@
 	})
 }
 
-// runFaultFree lets all come in step, without commits. What faults began still ends in it.
+// runFaultFree runs the fault-free time, in which all followers must come in step. There are no commits; faults that
+// are still active end in it.
 func (w *world) runFaultFree() {
 	end := w.setup.Active + w.setup.FaultFree
 	for w.clock.elapsed < end && !w.violated() {
@@ -125,7 +126,7 @@
 	}
 }
 
-// allInStep tells whether all followers hold the newest revision.
+// allInStep reports whether all followers are in step with the last revision.
 func (w *world) allInStep() bool {
 	return !slices.ContainsFunc(w.followers, func(f *follower) bool { return !f.inStep(w.log.last) })
 }
@@ -137,15 +138,15 @@
 	return names
 }
 
-// memberNamed returns the member with a name; there has to be one.
+// memberNamed returns the member with the given name, which must exist.
 func (w *world) memberNamed(name string) *member {
 	return w.members[slices.IndexFunc(w.members, func(m *member) bool { return m.name == name })]
 }
 
-// drawDelay draws how long a message takes.
+// drawDelay returns the random delay of a message.
 func (w *world) drawDelay() time.Duration { return minDelay + w.drawUpTo(maxDelay-minDelay) }
 
-// drawUpTo draws a duration under a limit.
+// drawUpTo returns a random duration that is less than the limit.
 func (w *world) drawUpTo(limit time.Duration) time.Duration {
 	return time.Duration(w.rng.Int64N(int64(limit)))
 }
