--- a/simulation/followers/agreed_log.go
+++ b/simulation/followers/agreed_log.go
@@ -79,13 +79,13 @@
 
 // scopeAt returns the records of a scope at a revision, according to the model.
 func (l *agreedLog) scopeAt(revision uint64, scope records.Scope) map[records.Key]*records.Record {
-	received := map[records.Key]*records.Record{}
+	contents := map[records.Key]*records.Record{}
 	for key, record := range l.states[revision] {
 		if scope.Contains(record) {
-			received[key] = record
+			contents[key] = record
 		}
 	}
-	return received
+	return contents
 }
 
 // changedRecords returns the records of a scope that differ between two revisions: the later version of a changed
--- a/simulation/followers/checker.go
+++ b/simulation/followers/checker.go
@@ -29,9 +29,9 @@
 // checker compares the behavior of the state machines with the model in the agreedLog. It is independent of the state
 // machines.
 type checker struct {
-	world         *world
-	firstContents map[scopedRevision]uint64 // fingerprint of the contents that were accepted first
-	digest        hash.Hash64               // of all accepted revisions
+	world       *world
+	firstHashes map[scopedRevision]uint64 // fingerprints of the contents that were accepted first
+	digest      hash.Hash64               // of all accepted revisions
 }
 
 // scopedRevision identifies a revision of a scope.
@@ -41,7 +41,7 @@
 }
 
 func newChecker(w *world) *checker {
-	return &checker{world: w, firstContents: map[scopedRevision]uint64{}, digest: fnv.New64a()}
+	return &checker{world: w, firstHashes: map[scopedRevision]uint64{}, digest: fnv.New64a()}
 }
 
 // report adds a violation to the outcome.
@@ -55,10 +55,10 @@
 	c.world.outcome.Accepted++
 	revision := f.machine.Revision()
 	c.checkOrder(f, revision)
-	contents := fingerprint(f.machine.RoutingRevision(), f.machine.Records())
-	c.checkSameContents(f, revision, contents)
+	contentsHash := fingerprint(f.machine.RoutingRevision(), f.machine.Records())
+	c.checkSameContents(f, revision, contentsHash)
 	c.checkContents(f, revision)
-	fmt.Fprintln(c.digest, c.world.clock.elapsed, f.name, revision, contents)
+	fmt.Fprintln(c.digest, c.world.clock.elapsed, f.name, revision, contentsHash)
 }
 
 // checkOrder checks that a process accepts each revision only once, and no older one after it.
@@ -67,30 +67,30 @@
 	case revision < f.highestRevision:
 		c.report(BrokenOrder, "%s accepted revision %d after revision %d", f, revision, f.highestRevision)
 	case revision == f.highestRevision:
-		c.report(BrokenAgain, "%s accepted revision %d again", f, revision)
+		c.report(BrokenAcceptOnce, "%s accepted revision %d again", f, revision)
 	}
 	f.highestRevision = max(f.highestRevision, revision)
 }
 
 // checkSameContents checks that all followers with the same scope have the same contents at a revision.
-func (c *checker) checkSameContents(f *follower, revision, contents uint64) {
+func (c *checker) checkSameContents(f *follower, revision, contentsHash uint64) {
 	at := scopedRevision{scope: fmt.Sprint(f.scope), revision: revision}
-	first, seen := c.firstContents[at]
+	first, seen := c.firstHashes[at]
 	if !seen {
-		c.firstContents[at] = contents
+		c.firstHashes[at] = contentsHash
 		return
 	}
-	if first != contents {
-		c.report(BrokenTwice, "%s accepted revision %d with contents that differ from those of another follower", f, revision)
+	if first != contentsHash {
+		c.report(BrokenConsistency, "%s accepted revision %d with contents that differ from those of another follower", f, revision)
 	}
 }
 
 // checkContents checks that the records of a follower are those that the log has in its scope.
 func (c *checker) checkContents(f *follower, revision uint64) {
-	received := f.machine.Records()
+	got := f.machine.Records()
 	want := c.world.log.scopeAt(revision, f.scope)
-	if !sameRecords(want, received) {
-		c.report(BrokenContents, "%s at revision %d holds %d records that differ from the %d records in the log", f, revision, len(received), len(want))
+	if !sameRecords(want, got) {
+		c.report(BrokenContents, "%s at revision %d holds %d records that differ from the %d records in the log", f, revision, len(got), len(want))
 	}
 }
 
@@ -101,7 +101,7 @@
 }
 
 // fingerprint returns a hash of the records and their routing revision.
-func fingerprint(routingRevision uint64, received map[records.Key]*records.Record) uint64 {
+func fingerprint(routingRevision uint64, contents map[records.Key]*records.Record) uint64 {
 	sum := fnv.New64a()
 	writeRevision := func(revision uint64) {
 		var encoded [8]byte
@@ -109,10 +109,10 @@
 		sum.Write(encoded[:])
 	}
 	writeRevision(routingRevision)
-	for _, key := range slices.SortedFunc(maps.Keys(received), records.Key.Compare) {
+	for _, key := range slices.SortedFunc(maps.Keys(contents), records.Key.Compare) {
 		sum.Write([]byte(key.String()))
-		writeRevision(received[key].Revision)
-		sum.Write(received[key].Body)
+		writeRevision(contents[key].Revision)
+		sum.Write(contents[key].Body)
 	}
 	return sum.Sum64()
 }
--- a/simulation/followers/convergence.go
+++ b/simulation/followers/convergence.go
@@ -15,7 +15,7 @@
 	}
 	c.world.outcome.Claims++
 	for _, f := range c.world.followers {
-		if !f.absent {
+		if !f.stopped {
 			c.checkClaim(f, claim.ConvergedRevision)
 		}
 	}
--- a/simulation/followers/delay.go
+++ b/simulation/followers/delay.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// crowdSize is the minimum number of followers waiting for their full scope that counts as a crowd.
-const crowdSize = 5
+// minCrowdSize is the minimum number of followers waiting for their full scope that counts as a crowd.
+const minCrowdSize = 5
 
 // delayCheck describes a change to a follower in step, which must arrive within maxInStepDelay.
 type delayCheck struct {
@@ -18,7 +18,7 @@
 // scheduleDelayChecks checks, maxInStepDelay after a commit, that the followers that were in step before the commit
 // have received it.
 func (c *checker) scheduleDelayChecks(before, revision uint64) {
-	besidesCrowd := c.crowd() >= crowdSize
+	besidesCrowd := c.waitingFollowers() >= minCrowdSize
 	for _, f := range c.world.followers {
 		if !f.inStep(before) || !f.session.healthy() || f.rejecting {
 			continue
@@ -35,14 +35,14 @@
 	}
 }
 
-// crowd returns the number of connected followers that have not accepted a revision yet.
-func (c *checker) crowd() (waiting int) {
+// waitingFollowers returns the number of connected followers that have not accepted a revision yet.
+func (c *checker) waitingFollowers() (count int) {
 	for _, f := range c.world.followers {
 		if f.session != nil && f.machine.Revision() == 0 {
-			waiting++
+			count++
 		}
 	}
-	return waiting
+	return count
 }
 
 // checkDelay checks that the change has arrived, unless the follower or its member has been disturbed since the commit.
--- a/simulation/followers/faults.go
+++ b/simulation/followers/faults.go
@@ -42,8 +42,8 @@
 	maxFaultDuration = 10 * time.Second
 	// maxCrowdDelay bounds the time until a follower of a crowd starts again.
 	maxCrowdDelay = time.Second
-	// spared determines how many followers do not restart with a crowd: one in spared.
-	spared = 4
+	// crowdExcludedEvery: one in crowdExcludedEvery followers does not restart with a crowd.
+	crowdExcludedEvery = 4
 )
 
 // injectFault injects a random fault, which ends without further action.
@@ -55,13 +55,13 @@
 	duration := minFaultDuration + w.drawUpTo(maxFaultDuration-minFaultDuration)
 	switch kind {
 	case faultCutMember, faultCrashMember, faultLag, faultDropHistory:
-		w.disturbMember(kind, m, duration)
+		w.injectMemberFault(kind, m, duration)
 	case faultCrowd:
-		w.restartAll(w.followers[len(w.followers)/spared:])
+		w.restartAll(w.followers[len(w.followers)/crowdExcludedEvery:])
 	case faultAll:
 		w.restartAll(w.followers)
 	default:
-		w.disturbFollower(kind, f, duration)
+		w.injectFollowerFault(kind, f, duration)
 	}
 }
 
@@ -72,9 +72,9 @@
 	}
 }
 
-// disturbFollower injects a fault of one follower, if its process is running.
-func (w *world) disturbFollower(kind faultKind, f *follower, duration time.Duration) {
-	if f.absent {
+// injectFollowerFault injects a fault of one follower, if its process is running.
+func (w *world) injectFollowerFault(kind faultKind, f *follower, duration time.Duration) {
+	if f.stopped {
 		return
 	}
 	f.markDisturbed()
@@ -127,8 +127,8 @@
 	}
 }
 
-// disturbMember injects a fault of a member. A fault that is still active is not injected again.
-func (w *world) disturbMember(kind faultKind, m *member, duration time.Duration) {
+// injectMemberFault injects a fault of a member. A fault that is still active is not injected again.
+func (w *world) injectMemberFault(kind faultKind, m *member, duration time.Duration) {
 	m.markDisturbed()
 	switch {
 	case kind == faultCutMember && !m.partitioned:
--- a/simulation/followers/follower.go
+++ b/simulation/followers/follower.go
@@ -18,7 +18,7 @@
 	name        string
 	scope       records.Scope
 	incarnation int  // incremented when a process starts and when it ends
-	absent      bool // no process is running
+	stopped     bool // no process is running
 
 	machine         *configsync.Follower // of the running process
 	backoff         *configsync.Backoff
@@ -38,7 +38,7 @@
 	f.highestRevision = 0
 	f.newMachine()
 	f.backoff = configsync.NewBackoff(f.world.memberNames(), f.world.rng.Uint64())
-	f.absent = false
+	f.stopped = false
 	f.scheduleRenewals(f.incarnation)
 	f.connectAfter(f.world.drawUpTo(maxStartDelay))
 }
@@ -60,16 +60,16 @@
 	f.markDisturbed()
 	f.disconnect()
 	f.incarnation++
-	f.absent = true
+	f.stopped = true
 }
 
 // restart ends the process and starts another one after a delay.
-func (f *follower) restart(after time.Duration) {
-	if f.absent {
+func (f *follower) restart(delay time.Duration) {
+	if f.stopped {
 		return
 	}
 	f.stop()
-	f.world.clock.after(after, f.start)
+	f.world.clock.after(delay, f.start)
 }
 
 func (f *follower) markDisturbed() { f.disturbedAt = f.world.clock.elapsed }
@@ -198,7 +198,7 @@
 
 // inStep reports whether the follower holds the revision and has a session that is open at its member.
 func (f *follower) inStep(revision uint64) bool {
-	return !f.absent && f.session != nil && f.session.openAtMember && f.machine.Revision() == revision
+	return !f.stopped && f.session != nil && f.session.openAtMember && f.machine.Revision() == revision
 }
 
 // String returns the name and the incarnation, for violations.
--- a/simulation/followers/followers_test.go
+++ b/simulation/followers/followers_test.go
@@ -25,9 +25,9 @@
 		sum = sum.Add(outcome)
 	}
 	t.Logf("%+v", sum)
-	for _, tried := range []struct {
+	for _, covered := range []struct {
 		name  string
-		times int
+		count int
 	}{
 		{"commits", sum.Commits},
 		{"faults", sum.Faults},
@@ -42,41 +42,41 @@
 		{"changes to followers in step", sum.InStepChecked},
 		{"changes to followers in step beside a crowd", sum.InStepBesideCrowd},
 	} {
-		if tried.times < seeds {
-			t.Errorf("%s: got %d in %d seeds, want at least %d", tried.name, tried.times, seeds, seeds)
+		if covered.count < seeds {
+			t.Errorf("%s: got %d in %d seeds, want at least %d", covered.name, covered.count, seeds, seeds)
 		}
 	}
 }
 
-// TestOneSeedIsOneRun guards against runs that depend on more than their seed. A failed run is debugged by replaying
-// its seed, so equal seeds must give equal runs, also if several runs are simulated in parallel.
-func TestOneSeedIsOneRun(t *testing.T) {
+// TestEqualSeedsGiveEqualRuns guards against runs that depend on more than their seed. A failed run is debugged by
+// replaying its seed, so equal seeds must give equal runs, also if several runs are simulated in parallel.
+func TestEqualSeedsGiveEqualRuns(t *testing.T) {
 	const seeds = 3
-	together := PlayAll(DefaultSetup(0), 0, seeds)
+	parallel := PlayAll(DefaultSetup(0), 0, seeds)
 	for seed := range uint64(seeds) {
-		alone := Play(DefaultSetup(seed))
-		if diff := cmp.Diff(alone, together[seed]); diff != "" {
-			t.Errorf("seed %d: outcomes differ (-alone +in parallel):\n%s", seed, diff)
+		single := Play(DefaultSetup(seed))
+		if diff := cmp.Diff(single, parallel[seed]); diff != "" {
+			t.Errorf("seed %d: outcomes differ (-single +parallel):\n%s", seed, diff)
 		}
 	}
-	if together[0].Fingerprint == together[1].Fingerprint {
-		t.Errorf("seeds 0 and 1 both have the fingerprint %x, want different ones", together[0].Fingerprint)
+	if parallel[0].Fingerprint == parallel[1].Fingerprint {
+		t.Errorf("seeds 0 and 1 both have the fingerprint %x, want different ones", parallel[0].Fingerprint)
 	}
 }
 
-// TestCheckersSeePlantedFaults guards against checkers that detect nothing. Each planted fault breaks the program on
+// TestCheckersDetectPlantedFaults guards against checkers that detect nothing. Each planted fault breaks the program on
 // purpose, and the checker of the corresponding property must report a violation within a number of seeds.
-func TestCheckersSeePlantedFaults(t *testing.T) {
+func TestCheckersDetectPlantedFaults(t *testing.T) {
 	for planted, want := range map[Planted]ViolationKind{
 		PlantedFullScope:      BrokenCost,
 		PlantedOutOfScope:     BrokenCost,
 		PlantedMissingChange:  BrokenContents,
-		PlantedContents:       BrokenTwice,
+		PlantedContents:       BrokenConsistency,
 		PlantedOlderRevision:  BrokenOrder,
 		PlantedLeases:         BrokenConvergence,
 		PlantedLongLease:      BrokenConvergence,
 		PlantedSettledTooSoon: BrokenConvergence,
-		PlantedNeverAgain:     BrokenRecovery,
+		PlantedNoRedelivery:   BrokenRecovery,
 		PlantedSlowChanges:    BrokenDelay,
 	} {
 		t.Run(string(planted), func(t *testing.T) {
@@ -84,7 +84,7 @@
 			for seed := range uint64(seeds) {
 				setup := DefaultSetup(seed)
 				setup.Planted = planted
-				if planted == PlantedNeverAgain {
+				if planted == PlantedNoRedelivery {
 					setup.Active = 20 * time.Second // the violation appears only at the end of a run
 				}
 				for _, violation := range Play(setup).Violations {
--- a/simulation/followers/outcome.go
+++ b/simulation/followers/outcome.go
@@ -11,9 +11,9 @@
 // The kinds of violation, one for each checked property.
 const (
 	BrokenContents    ViolationKind = "held records differ from the log's at that revision"
-	BrokenTwice       ViolationKind = "one revision of one scope was accepted with two contents"
+	BrokenConsistency ViolationKind = "one revision of one scope was accepted with two contents"
 	BrokenOrder       ViolationKind = "an older revision after a newer one"
-	BrokenAgain       ViolationKind = "one revision was accepted anew"
+	BrokenAcceptOnce  ViolationKind = "one revision was accepted anew"
 	BrokenConvergence ViolationKind = "a revision is told to be in force that a live follower lacks"
 	BrokenRecovery    ViolationKind = "not in step after the calm"
 	BrokenCost        ViolationKind = "a message is larger than what changed in the scope allows"
--- a/simulation/followers/planted.go
+++ b/simulation/followers/planted.go
@@ -21,7 +21,7 @@
 	PlantedOlderRevision  Planted = "follower goes back to an older revision"
 	PlantedLeases         Planted = "in force ignores leases"
 	PlantedContents       Planted = "a member has other contents"
-	PlantedNeverAgain     Planted = "what was refused is not offered again"
+	PlantedNoRedelivery   Planted = "what was refused is not offered again"
 	PlantedSlowChanges    Planted = "changes wait behind the crowd"
 	PlantedOutOfScope     Planted = "records out of scope are sent"
 	PlantedLongLease      Planted = "a follower's lease runs from the answer"
--- a/simulation/followers/setup.go
+++ b/simulation/followers/setup.go
@@ -40,7 +40,7 @@
 		FullScopeBurstBytes:     5 << 10,
 		RejectedBackoff:         4 * time.Second,
 	}
-	if planted == PlantedNeverAgain {
+	if planted == PlantedNoRedelivery {
 		limits.RejectedBackoff = time.Hour
 	}
 	return limits
@@ -50,8 +50,8 @@
 const (
 	minDelay = time.Millisecond
 	maxDelay = 60 * time.Millisecond
-	// maxReplication bounds the time that an entry takes to reach a member that does not lag.
-	maxReplication = 150 * time.Millisecond
+	// maxReplicationDelay bounds the time that an entry takes to reach a member that does not lag.
+	maxReplicationDelay = 150 * time.Millisecond
 	// maxStartDelay bounds the time from the start of a process to its first connection.
 	maxStartDelay = 500 * time.Millisecond
 	// connectTimeout is the time after which a follower gives up on a member that does not respond.
--- a/simulation/followers/transactions.go
+++ b/simulation/followers/transactions.go
@@ -19,7 +19,7 @@
 // The parameters of random transactions.
 const (
 	maxWrites       = 4  // in a transaction
-	drawnKinds      = 4  // services, routes, tenants, overrides
+	recordKindCount = 4  // services, routes, tenants, overrides
 	removeEvery     = 4  // one write in removeEvery removes its record
 	anyServiceEvery = 10 // one route in anyServiceEvery applies to any service
 )
@@ -40,22 +40,22 @@
 
 // propose commits a random transaction. It reports false if the group rejects the transaction.
 func (l *agreedLog) propose() (committed bool) {
-	var drawn records.Transaction
+	var transaction records.Transaction
 	seen := map[records.Key]bool{}
 	for range 1 + l.rng.IntN(maxWrites) {
 		write := l.drawWrite()
 		if !seen[write.Key] {
 			seen[write.Key] = true
-			drawn.Writes = append(drawn.Writes, write)
+			transaction.Writes = append(transaction.Writes, write)
 		}
 	}
-	return l.commit(drawn)
+	return l.commit(transaction)
 }
 
 // drawWrite returns a random write, which sets or removes a record of any kind. Services are not removed, because other
 // records refer to them.
 func (l *agreedLog) drawWrite() (write records.Write) {
-	switch l.rng.IntN(drawnKinds) {
+	switch l.rng.IntN(recordKindCount) {
 	case 0:
 		return l.drawServiceWrite(l.rng.IntN(serviceCount))
 	case 1:
--- a/simulation/followers/world.go
+++ b/simulation/followers/world.go
@@ -37,8 +37,8 @@
 	w.repeat(setup.CommitEvery, w.commit)
 	w.repeat(setup.FaultEvery, w.injectFault)
 	w.scheduleConvergenceChecks()
-	w.clock.runUntil(setup.Active, w.violated)
-	if !w.violated() {
+	w.clock.runUntil(setup.Active, w.reachedMaxViolations)
+	if !w.reachedMaxViolations() {
 		w.runFaultFree()
 	}
 	w.outcome.Fingerprint = w.checker.digest.Sum64()
@@ -74,8 +74,8 @@
 	return w
 }
 
-// violated reports whether the run has enough violations to end.
-func (w *world) violated() bool { return len(w.outcome.Violations) >= maxViolations }
+// reachedMaxViolations reports whether the run has enough violations to end.
+func (w *world) reachedMaxViolations() bool { return len(w.outcome.Violations) >= maxViolations }
 
 // repeat calls do at random intervals with the given mean while the run is active.
 func (w *world) repeat(mean time.Duration, do func()) {
@@ -97,7 +97,7 @@
 	w.checker.scheduleDelayChecks(before, w.log.last)
 	entries := len(w.log.entries)
 	for _, m := range w.members {
-		w.clock.after(w.drawUpTo(maxReplication), func() { m.catchUp(entries) })
+		w.clock.after(w.drawUpTo(maxReplicationDelay), func() { m.catchUp(entries) })
 	}
 }
 
@@ -113,15 +113,15 @@
 // are still active end in it.
 func (w *world) runFaultFree() {
 	end := w.setup.Active + w.setup.FaultFree
-	for w.clock.elapsed < end && !w.violated() {
-		w.clock.runUntil(w.clock.elapsed+settleCheckInterval, w.violated)
+	for w.clock.elapsed < end && !w.reachedMaxViolations() {
+		w.clock.runUntil(w.clock.elapsed+settleCheckInterval, w.reachedMaxViolations)
 		nextCheck := w.clock.elapsed/settleCheckInterval*settleCheckInterval + settleCheckInterval
 		w.clock.elapsed = min(end, nextCheck)
 		if w.outcome.Settled == 0 && w.allInStep() {
 			w.outcome.Settled = w.clock.elapsed - w.setup.Active
 		}
 	}
-	if !w.violated() {
+	if !w.reachedMaxViolations() {
 		w.checker.checkRecovered()
 	}
 }
