--- a/scaling/agreed.go
+++ b/scaling/agreed.go
@@ -9,14 +9,15 @@
 	"harehook.dev/harehook/config"
 )
 
-// operatorClient makes the proposals.
+// operatorClient is the client ID of all proposals.
 const operatorClient = "operator"
 
-// historyVersions is how many versions a state has before it is metered, so that its history is in the figures.
+// historyVersions is the number of versions that a state holds before it is measured, so that the figures include its
+// history.
 const historyVersions = 64
 
-// agreedText is a configuration of so many routes, 95 bytes each. The time limit of the first one tells the versions
-// 0 and 1 apart.
+// agreedText returns a configuration with the given number of routes, 95 bytes each. Versions 0 and 1 differ in the
+// time limit of the first route.
 func agreedText(routes, version int) string {
 	var b strings.Builder
 	b.WriteString("agreed {\n")
@@ -31,7 +32,7 @@
 	return b.String()
 }
 
-// agreedCommand proposes a text over the version in force.
+// agreedCommand encodes a proposal of text based on the latest version of state.
 func agreedCommand(state *cluster.State, seq uint64, text string) ([]byte, error) {
 	return json.Marshal(cluster.Command{
 		Kind:   cluster.CommandPut,
@@ -44,12 +45,12 @@
 	})
 }
 
-// agreedTexts are two texts that differ in one route.
+// agreedTexts returns two texts that differ in one route.
 func agreedTexts(routes int) [2]string {
 	return [2]string{agreedText(routes, 0), agreedText(routes, 1)}
 }
 
-// agreedChange proposes and applies the text that is not in force, and gives the bytes of its log entry.
+// agreedChange proposes and applies the text that is not in force, and returns the size of its log entry in bytes.
 func agreedChange(state *cluster.State, texts [2]string, index uint64) (entry int, err error) {
 	data, err := agreedCommand(state, index, texts[index%2])
 	if err != nil {
@@ -58,15 +59,15 @@
 	return len(data), applyAccepted(state, index, data)
 }
 
-// applyAccepted applies an entry that has to be taken.
+// applyAccepted applies an entry, and returns an error if the state rejects it.
 func applyAccepted(state *cluster.State, index uint64, data []byte) error {
 	if _, r := state.Apply(index, 1, data); r.Rejected != "" {
-		return fmt.Errorf("refused: %s", r.Rejected)
+		return fmt.Errorf("entry %d was rejected: %s", index, r.Rejected)
 	}
 	return nil
 }
 
-// agreedState is a state with so many versions of a text.
+// agreedState returns a state that holds historyVersions versions of a text with the given number of routes.
 func agreedState(routes int) (*cluster.State, error) {
 	state := cluster.NewState(config.TextFormat{})
 	texts := agreedTexts(routes)
@@ -78,17 +79,17 @@
 	return state, nil
 }
 
-// agreedRejected returns why a text of so many routes is rejected, nil if it is not.
+// agreedRejected returns the error that rejects a text with the given number of routes, nil if the text is accepted.
 func agreedRejected(routes int) error {
 	return cluster.NewState(config.TextFormat{}).Validate(cluster.Command{Kind: cluster.CommandPut, Client: operatorClient, Text: agreedText(routes, 0)})
 }
 
-// agreedSample meters one changed route at a member: log entry, apply with its check, snapshot.
+// agreedSample measures one changed route at a member: the log entry, validation and apply, and the snapshot.
 func agreedSample(routes int, effort Effort) (Sample, error) {
 	s := newSample(routes)
 	if err := agreedRejected(routes); err != nil {
-		why, _, _ := strings.Cut(err.Error(), "\n") // the first of what may be a line for each route
-		s.Note = fmt.Sprintf("%d bytes of text refused: %s", len(agreedText(routes, 0)), why)
+		why, _, _ := strings.Cut(err.Error(), "\n") // the first line: there may be one for each route
+		s.Note = fmt.Sprintf("%d bytes of text rejected: %s", len(agreedText(routes, 0)), why)
 		return s, nil
 	}
 	heap, state, err := measureHeap(func() (*cluster.State, error) { return agreedState(routes) })
@@ -111,7 +112,7 @@
 	})
 }
 
-// MaxAgreedRoutes is the largest number of routes of this form that one agreed text can hold.
+// MaxAgreedRoutes returns the largest number of routes of this form that one agreed text can hold.
 func MaxAgreedRoutes() int {
 	accepted := 1
 	rejected := 2 * OperatorsRoutes
@@ -127,6 +128,6 @@
 }
 
 func agreedSlopes() []Slope {
-	return []Slope{{Name: "agreed-text", Operation: "one changed route, as one text: wire is the log entry, stored a snapshot after 64 versions, heap the state; cpu and allocations are propose, check and apply",
+	return []Slope{{Name: "agreed-text", Operation: "one changed route in one text; wire: log entry, stored: snapshot after 64 versions, heap: state, cpu and allocations: propose, validate and apply",
 		Size: "routes", Method: Isolated, Sizes: []int{34, 110, 340, 1000, OperatorsRoutes}, Run: agreedSample}}
 }
--- a/scaling/agreed_test.go
+++ b/scaling/agreed_test.go
@@ -5,23 +5,23 @@
 	"testing"
 )
 
-// maxTextRoutes is how many routes a sidecar takes, which a whole text may not exceed.
+// maxTextRoutes is the maximum number of routes of a sidecar, which an agreed text must not exceed.
 const maxTextRoutes = 1024
 
-// docs/CAPACITY.md states that a text of the operators' 3,400 routes is rejected, and that one holds as many as a sidecar
-// takes. Where this changes, the page has to change.
+// docs/CAPACITY.md states that a text with the operators' 3,400 routes is rejected, and that a text holds at most as
+// many routes as a sidecar. If this changes, the page must change.
 func TestAgreedTextIsRejectedAtOperatorsSize(t *testing.T) {
 	s, err := agreedSample(OperatorsRoutes, Brief)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if !strings.Contains(s.Note, "refused") {
-		t.Errorf("%d routes were accepted: take CAPACITY.md's line on that out", OperatorsRoutes)
+	if !strings.Contains(s.Note, "rejected") {
+		t.Errorf("%d routes: got note %q, want a rejection; if the text is now accepted, remove the statement from docs/CAPACITY.md", OperatorsRoutes, s.Note)
 	}
 	if err := agreedRejected(maxTextRoutes); err != nil {
-		t.Errorf("%d routes: %v", maxTextRoutes, err)
+		t.Errorf("%d routes: got error %v, want none", maxTextRoutes, err)
 	}
 	if agreedRejected(maxTextRoutes+1) == nil {
-		t.Errorf("%d routes are accepted, one over the most", maxTextRoutes+1)
+		t.Errorf("%d routes: got no error, want a rejection of more than %d", maxTextRoutes+1, maxTextRoutes)
 	}
 }
--- a/scaling/bench_test.go
+++ b/scaling/bench_test.go
@@ -7,7 +7,7 @@
 	"testing"
 )
 
-// BenchmarkSlope runs all slopes: go test ./scaling -bench Slope/NAME.
+// BenchmarkSlope measures all slopes. To measure one: go test ./scaling -bench Slope/NAME.
 func BenchmarkSlope(b *testing.B) {
 	for _, slope := range All() {
 		b.Run(slope.Name, func(b *testing.B) {
--- a/scaling/bounds_test.go
+++ b/scaling/bounds_test.go
@@ -6,20 +6,21 @@
 	"testing"
 )
 
-// bound is what a quantity may come to at each size, and how it may grow over the sizes. Never of times.
+// bound limits the value of a quantity at each size and its growth over the sizes. Times have no bounds, because they
+// differ from run to run.
 type bound struct {
 	quantity   Quantity
-	growth     float64 // exponent at most; infinite for none
-	base, each float64 // at a size: base + each*size at most
+	growth     float64 // maximum exponent; infinite for no limit
+	base, each float64 // maximum at a size: base + each*size
 }
 
-// isMemory tells whether the race detector changes the quantity.
+// isMemory reports whether the race detector changes the quantity.
 func (q Quantity) isMemory() bool { return q == Allocated || q == Allocations || q == Heap }
 
-// anyGrowth is the growth of a bound that has none.
+// anyGrowth is the growth of a bound that does not limit growth.
 var anyGrowth = math.Inf(1)
 
-// brokenBounds names the bounds that samples break. A quantity that is missing breaks its bound.
+// brokenBounds describes the bounds that samples exceed. A missing value exceeds its bound.
 func brokenBounds(samples []Sample, bounds []bound) (broken []string) {
 	for _, b := range bounds {
 		if underRace && b.quantity.isMemory() {
@@ -30,7 +31,7 @@
 			limit := b.base + b.each*float64(s.Size)
 			isWithin := value <= limit // false for NaN
 			if !isWithin {
-				broken = append(broken, fmt.Sprintf("%s at %d: %.4g, %.4g at most", b.quantity, s.Size, value, limit))
+				broken = append(broken, fmt.Sprintf("%s at size %d: got %.4g, want at most %.4g", b.quantity, s.Size, value, limit))
 			}
 		}
 		if math.IsInf(b.growth, 1) {
@@ -38,14 +39,14 @@
 		}
 		fit, known := FitOf(samples, b.quantity)
 		if !known || fit.Exponent > b.growth {
-			broken = append(broken, fmt.Sprintf("%s grows by size^%.2f, ^%.2f at most", b.quantity, fit.Exponent, b.growth))
+			broken = append(broken, fmt.Sprintf("%s: got growth by size^%.2f, want at most size^%.2f", b.quantity, fit.Exponent, b.growth))
 		}
 	}
 	return broken
 }
 
-// slopeBounds are the slopes at small sizes with their bounds. Those marked quadratic are what docs/CAPACITY.md lists as
-// missing: the bound holds them from getting worse, and comes down with the mechanism.
+// slopeBounds maps each slope to small sizes and the bounds there. docs/CAPACITY.md lists those marked quadratic as
+// missing a mechanism: their bounds catch any further growth, and must be lowered when the mechanism is added.
 var slopeBounds = map[string]struct {
 	sizes  []int
 	bounds []bound
@@ -71,33 +72,35 @@
 	"memory-xds-sidecars":   {[]int{30, 100, 300}, []bound{{Heap, 1.1, 100e3, 5e3}}},
 	"memory-xds-nodes":      {[]int{100, 300, 1000}, []bound{{Heap, 1.1, 50e3, 600}}},
 	"memory-xds-routes":     {[]int{10, 30, 100, 300}, []bound{{Heap, 1, 80e3, 300}}},
-	// Records: what one costs must not go by how many there are. ^0.07 is under a fifth more at ten times the size.
+	// Records: the cost of one record must not depend on their number. ^0.07 is less than a fifth more at ten times the
+	// size.
 	"record-change":   {recordSizes, []bound{{Wire, 0.02, 210, 0}, {Stored, 0.01, 165, 0}, {Allocations, 0.07, 60, 0}, {Allocated, 0.07, 4300, 0}}},
 	"record-memory":   {recordSizes, []bound{{Stored, 0.02, 62, 0}, {Heap, 0.05, 350, 0}}},
 	"record-snapshot": {recordSizes, []bound{{Stored, 1.02, 800e3, 65}, {Allocations, anyGrowth, 60, 0}, {Allocated, 1.02, 1.5e6, 130}}},
 	"record-restore":  {recordSizes, []bound{{Stored, 1.02, 3e3, 62}, {Allocations, 1.02, 500, 13}, {Allocated, 1.1, 30e3, 800}}},
 	"record-scope":    {scopeSizes, []bound{{Allocations, 0.05, 30, 0}, {Allocated, 0.05, 40e3, 0}}},
 	"record-since":    {recordSizes, []bound{{Allocations, 0.01, 4, 0}, {Allocated, 0.01, 150, 0}}},
-	// Followers: what one is told must not go by how many there are.
+	// Followers: the cost of an update to one follower must not depend on their number.
 	"follow-change-interested": {[]int{20, 50, 100, 200}, []bound{{Messages, 0, 1, 0}, {Wire, 0.01, 215, 0}, {Allocations, 0.01, 18, 0}, {Allocated, 0.02, 1250, 0}}},
 	"follow-change-other":      {[]int{20, 50, 100, 200}, []bound{{Messages, 0, 1, 0}, {Wire, 0.01, 80, 0}, {Allocations, 0.01, 8, 0}, {Allocated, 0.02, 620, 0}}},
-	// Connections are gRPC's, whose pings and windows come when they come.
+	// The connections are those of gRPC, which sends pings and window updates at varying times.
 	"follow-socket-change": {[]int{3, 6, 12}, []bound{{Wire, 0.1, 400, 0}, {Allocations, 0.1, 150, 0}}},
 	"follow-socket-renew":  {[]int{3, 6, 12}, []bound{{Wire, 0.1, 250, 0}}},
 	"group-idle":           {[]int{3, 5, 9, 17}, []bound{{Messages, 1.3, -20, 20}, {Wire, 1.3, -180, 180}}},
 	"group-proposal":       {[]int{3, 5, 9, 17}, []bound{{Messages, 1.3, -4, 4}, {Wire, 1.3, -100, 145}}},
-	// Its messages depend on when members wake: only the order of its bytes is bound.
+	// The messages depend on when members wake: the bound limits only the order of magnitude of the bytes.
 	"group-loopback": {[]int{3}, []bound{{Wire, anyGrowth, 20e3, 0}}},
 }
 
-// recordSizes are up to a tenth of the operators' tenants. A scope of six services is as large at each of scopeSizes,
-// where services grow with the tenants.
+// recordSizes go up to a tenth of the operators' tenants. At scopeSizes the services grow with the tenants, so that a
+// scope of six services has the same size at each.
 var (
 	recordSizes = []int{1400, 2800, 7000, 14000}
 	scopeSizes  = []int{7000, 14000, 28000, 56000}
 )
 
-// sizesToTake leaves the largest size out under the race detector, which takes ten times as long.
+// sizesToTake returns the sizes to measure: only the first minFitSizes under the race detector, which takes ten times
+// as long.
 func sizesToTake(sizes []int) []int {
 	if underRace {
 		return sizes[:min(len(sizes), minFitSizes)]
@@ -105,12 +108,13 @@
 	return sizes
 }
 
-// Each slope has bounds on counts, bytes and their growth, which are the same on every run.
+// A change may make a part allocate or send more as its size grows. Each slope has bounds on counts, bytes and their
+// growth, which are the same on every run.
 func TestSlopesStayWithinTheirBounds(t *testing.T) {
 	for _, slope := range All() {
 		check, known := slopeBounds[slope.Name]
 		if !known {
-			t.Errorf("slope %s has no bound", slope.Name)
+			t.Errorf("slope %s: got no bounds, want an entry in slopeBounds", slope.Name)
 			continue
 		}
 		t.Run(slope.Name, func(t *testing.T) {
--- a/scaling/budget.go
+++ b/scaling/budget.go
@@ -1,13 +1,13 @@
 package scaling
 
-// What one controller may spend on control at the operators' size.
+// The resources that one controller may use for control at the operators' size.
 const (
 	BudgetCore      = 0.011     // of one core
 	BudgetMemory    = 128 << 20 // bytes
-	BudgetBandwidth = 16 << 10  // bytes a second
+	BudgetBandwidth = 16 << 10  // bytes per second
 )
 
-// The operators' size.
+// The size of the operators' fleet.
 const (
 	OperatorsNodes       = 13000
 	OperatorsControllers = 1700
--- a/scaling/fit_test.go
+++ b/scaling/fit_test.go
@@ -15,16 +15,16 @@
 	}
 	line, known := FitOf(samples, Wire)
 	if !known || math.Abs(line.PerUnit-3) > 1e-9 || math.Abs(line.Base-7) > 1e-6 || math.Abs(line.R2-1) > 1e-9 {
-		t.Errorf("a line of 7 and 3 for each: %+v", line)
+		t.Errorf("fit of 7 + 3*size: got %+v (known: %v), want base 7, 3 per unit, R2 1", line, known)
 	}
 	square, known := FitOf(samples, Heap)
 	if !known || math.Abs(square.Exponent-2) > 1e-9 || math.Abs(square.Tail-2) > 1e-9 {
-		t.Errorf("a square: %+v", square)
+		t.Errorf("fit of 2*size^2: got %+v (known: %v), want exponent and tail 2", square, known)
 	}
 	if at := square.At(samples[3], 600); math.Abs(at-2*600*600) > 1 {
-		t.Errorf("carried on to 600: %v", at)
+		t.Errorf("2*size^2 extrapolated to 600: got %v, want %v", at, 2*600*600)
 	}
 	if _, known := FitOf(samples, CPU); known {
-		t.Error("a fit of what was not measured")
+		t.Error("fit of CPU, which was not measured: got a fit, want none")
 	}
 }
--- a/scaling/follow.go
+++ b/scaling/follow.go
@@ -12,13 +12,13 @@
 )
 
 const (
-	followedTenants         = 1400 // of the state that is followed, ten services
+	followedTenants         = 1400 // tenants of the followed state, which has ten services
 	unlimitedFullScopeBytes = 1 << 40
-	changedService          = 0 // whose tenant changes
-	otherService            = 1
+	changedService          = 0 // the service whose tenants change
+	otherService            = 1 // a service without changes
 )
 
-// changingStore is a member's store, changed one tenant at a time.
+// changingStore is a member's store in which one tenant changes at a time.
 type changingStore struct {
 	store   *records.Store
 	changes int
@@ -32,7 +32,7 @@
 	return &changingStore{store: r.state.Store()}, nil
 }
 
-// change gives a tenant of the changed service another share.
+// change sets another share for a tenant of the changed service.
 func (f *changingStore) change() (records.Change, error) {
 	f.changes++
 	r := recordState{services: minServices}
@@ -40,12 +40,12 @@
 	return f.store.Apply(f.store.Revision()+1, records.Transaction{Writes: []records.Write{r.writeTenant(changedService, share)}})
 }
 
-// scopeOf is a scope of one service.
+// scopeOf returns a scope of one service.
 func scopeOf(service int) records.Scope {
 	return records.Scope{Services: []string{serviceName(service)}, Zones: []string{"zone-0"}}
 }
 
-// followedMember is a member with followers, without sockets, on a virtual clock that stands still.
+// followedMember is a member with followers, without sockets. Its virtual clock does not advance.
 type followedMember struct {
 	*changingStore
 	server    *configsync.Server
@@ -55,13 +55,13 @@
 	scope     records.Scope
 }
 
-// followCost is what changes cost the member, and the messages to the followers.
+// followCost sums the member's cost of changes, and the messages to the followers.
 type followCost struct {
 	member          meter
 	bytes, messages int
 }
 
-// newFollowedMember has so many followers of one scope in step.
+// newFollowedMember returns a member whose followers all have the same scope and are in step.
 func newFollowedMember(followers int, scope records.Scope) (*followedMember, error) {
 	source, err := newChangingStore()
 	if err != nil {
@@ -87,7 +87,7 @@
 	return f, f.settle(&followCost{})
 }
 
-// settle carries responses and answers until the member has nothing to send.
+// settle delivers responses and the followers' requests until the member has nothing to send.
 func (f *followedMember) settle(cost *followCost) error {
 	for {
 		pending, err := f.send(cost)
@@ -109,7 +109,8 @@
 	}
 }
 
-// send returns the next message for each follower, nil for those without one; all of it is nil if there is none.
+// send returns the next response for each follower, nil for a follower without one. It returns a nil slice if no
+// follower has one.
 func (f *followedMember) send(cost *followCost) ([]*discoveryv3.DeltaDiscoveryResponse, error) {
 	pending := make([]*discoveryv3.DeltaDiscoveryResponse, len(f.streams))
 	isSending := false
@@ -138,7 +139,7 @@
 	return pending, nil
 }
 
-// answer hands the followers' answers in.
+// answer passes the followers' requests to the server.
 func (f *followedMember) answer(cost *followCost, answers []*discoveryv3.DeltaDiscoveryRequest) error {
 	cost.member.start()
 	defer cost.member.stop()
@@ -153,7 +154,7 @@
 	return nil
 }
 
-// commit changes a tenant and has all followers accept the revision.
+// commit changes a tenant and delivers the revision until all followers have accepted it.
 func (f *followedMember) commit(cost *followCost) error {
 	change, err := f.change()
 	if err != nil {
@@ -167,13 +168,13 @@
 	}
 	for _, follower := range f.followers {
 		if follower.Revision() != change.Revision {
-			return fmt.Errorf("a follower holds revision %d after %d", follower.Revision(), change.Revision)
+			return fmt.Errorf("a follower has revision %d, want %d", follower.Revision(), change.Revision)
 		}
 	}
 	return nil
 }
 
-// followSample meters commits at a member whose followers all have one scope. Values are for each follower.
+// followSample measures commits at a member whose followers all have the same scope. Values are per follower.
 func followSample(followers int, effort Effort, scope records.Scope) (Sample, error) {
 	s := newSample(followers)
 	f, err := newFollowedMember(followers, scope)
@@ -183,7 +184,7 @@
 	return s, measureFollowedChanges(&s, f, effort, f.commit)
 }
 
-// measureFollowedChanges meters a commit at a member. Values are for each follower.
+// measureFollowedChanges measures commits at a member. Values are per follower.
 func measureFollowedChanges(s *Sample, f *followedMember, effort Effort, commit func(*followCost) error) error {
 	var cost followCost
 	commits := 0
@@ -203,12 +204,12 @@
 func followSlopes() []Slope {
 	sizes := []int{20, 60, 200, 600, 2000}
 	return []Slope{
-		{Name: "follow-change-interested", Operation: "one tenant changed, to a follower that needs it: member's side, without sockets", Size: "followers, all interested",
+		{Name: "follow-change-interested", Operation: "one changed tenant, sent to a follower that needs it; member's side, without sockets", Size: "followers, all interested",
 			Method: Isolated, Sizes: sizes,
 			Run: func(size int, effort Effort) (Sample, error) {
 				return followSample(size, effort, scopeOf(changedService))
 			}},
-		{Name: "follow-change-other", Operation: "one tenant changed, to a follower that does not need it: member's side, without sockets", Size: "followers, none interested",
+		{Name: "follow-change-other", Operation: "one changed tenant, to a follower that does not need it; member's side, without sockets", Size: "followers, none interested",
 			Method: Isolated, Sizes: sizes,
 			Run: func(size int, effort Effort) (Sample, error) {
 				return followSample(size, effort, scopeOf(otherService))
--- a/scaling/group.go
+++ b/scaling/group.go
@@ -12,22 +12,22 @@
 )
 
 const (
-	ticksPerSecond   = 20   // of cluster.Node's clock
-	maxElectionTicks = 2000 // ticks until a group has a leader
+	ticksPerSecond   = 20   // of the clock of cluster.Node
+	maxElectionTicks = 2000 // ticks within which a group must elect a leader
 	neverCompact     = 1 << 40
 )
 
-// memberGroup is members that exchange messages at once and lose none.
+// memberGroup is a group whose members exchange messages without delay or loss.
 type memberGroup struct {
 	members  []*cluster.Member
 	messages int
 	bytes    int
 }
 
-// newGroup is a group of so many voters with a leader, by the timing of nodes in service.
+// newGroup returns a group with the given number of voters and a leader, with the default timing of nodes.
 func newGroup(size int) (*memberGroup, error) { return newTimedGroup(size, cluster.DefaultTiming) }
 
-// newTimedGroup is a group of so many voters with a leader.
+// newTimedGroup returns a group with the given number of voters, a leader and the given timing, without log compaction.
 func newTimedGroup(size int, timing cluster.Timing) (*memberGroup, error) {
 	timing.CompactAfterEntries = neverCompact
 	var voters []uint64
@@ -50,13 +50,13 @@
 	return g, g.elect()
 }
 
-// diskIdentity is by what members know each other.
+// diskIdentity returns the identity by which members know the disk of a member.
 func diskIdentity(id uint64) string { return fmt.Sprint("disk-", id) }
 
-// errNoLeader says that a group elected no leader in time.
+// errNoLeader is returned when a group elects no leader within the time limit.
 var errNoLeader = errors.New("no leader was elected")
 
-// elect lets time pass until the group has a leader.
+// elect advances the clock until the group has a leader.
 func (g *memberGroup) elect() error {
 	for range maxElectionTicks {
 		if err := g.tick(); err != nil {
@@ -69,7 +69,7 @@
 	return errNoLeader
 }
 
-// leader is the member that leads, nil if there is none.
+// leader returns the leader, nil if there is none.
 func (g *memberGroup) leader() *cluster.Member {
 	for _, m := range g.members {
 		if m.IsLeader() {
@@ -79,7 +79,7 @@
 	return nil
 }
 
-// tick lets a tick pass at all members.
+// tick advances the clock of all members by one tick.
 func (g *memberGroup) tick() error {
 	for _, m := range g.members {
 		m.Tick()
@@ -87,7 +87,7 @@
 	return g.deliver()
 }
 
-// deliver has all members act until no message is on its way.
+// deliver advances all members and delivers their messages until none is pending.
 func (g *memberGroup) deliver() error {
 	for {
 		messages, err := g.advance()
@@ -102,7 +102,7 @@
 	}
 }
 
-// advance has all members act, and returns what they send.
+// advance advances all members and returns the messages that they send.
 func (g *memberGroup) advance() (messages []*raftpb.Message, err error) {
 	for _, m := range g.members {
 		sent, _, _, err := m.Advance(func(raftlog.Batch) error { return nil })
@@ -114,7 +114,8 @@
 	return messages, nil
 }
 
-// propose has the leader's command committed and applied by all.
+// propose proposes a command at the leader and delivers all messages. It returns an error if the leader did not apply
+// it.
 func (g *memberGroup) propose(c cluster.Command) error {
 	leader := g.leader()
 	before := leader.Status().Applied
@@ -130,7 +131,7 @@
 	return nil
 }
 
-// idleSample counts what an idle group sends. Values are for each second, of all members.
+// idleSample counts the messages of an idle group. Values are per second, summed over all members.
 func idleSample(size int, effort Effort) (Sample, error) {
 	return groupSample(size, effort, func(g *memberGroup, _ uint64) error {
 		for range ticksPerSecond {
@@ -142,7 +143,7 @@
 	})
 }
 
-// proposalSample counts what one proposal of 100 bytes has the group send.
+// proposalSample counts the messages of all members for one proposal of 100 bytes.
 func proposalSample(size int, effort Effort) (Sample, error) {
 	return groupSample(size, effort, func(g *memberGroup, number uint64) error {
 		return g.propose(cluster.Command{
@@ -155,7 +156,7 @@
 	})
 }
 
-// groupSample meters an operation of a group, the messages that it leads to, and their bytes.
+// groupSample measures an operation of a group, and the messages that it causes with their bytes.
 func groupSample(size int, effort Effort, operation func(g *memberGroup, number uint64) error) (Sample, error) {
 	s := newSample(size)
 	g, err := newGroup(size)
@@ -177,9 +178,9 @@
 func groupSlopes() []Slope {
 	sizes := []int{3, 5, 9, 17, 33}
 	return []Slope{
-		{Name: "group-idle", Operation: "a second of an idle group, all members; wire without gRPC's heads", Size: "voters", Method: Simulated, Sizes: sizes, Run: idleSample},
+		{Name: "group-idle", Operation: "one second of an idle group, all members; wire without gRPC headers", Size: "voters", Method: Simulated, Sizes: sizes, Run: idleSample},
 		{Name: "group-proposal", Operation: "one proposal of 100 bytes, all members", Size: "voters", Method: Simulated, Sizes: sizes, Run: proposalSample},
-		{Name: "group-loopback", Operation: "a second of an idle group of real nodes on loopback, all members, both ends of each connection", Size: "voters",
+		{Name: "group-loopback", Operation: "one second of an idle group of real nodes on loopback, all members, both ends of each connection", Size: "voters",
 			Method: Measured, Sizes: []int{3, 5, 9, 17, 33}, Run: loopbackSample},
 	}
 }
--- a/scaling/list.go
+++ b/scaling/list.go
@@ -29,14 +29,14 @@
 )
 
 const (
-	readBytes    = 64 << 10 // bytes that a socket's read brings
-	maxListBytes = 64 << 20 // bytes that a list may have here, far over what is taken
+	readBytes    = 64 << 10 // bytes of one read from a socket
+	maxListBytes = 64 << 20 // limit on a list's bytes, far above the sizes measured
 	listZones    = OperatorsZones
-	listTimeout  = time.Minute // for one list over a loopback stream; only a fault takes that long
+	listTimeout  = time.Minute // for one list over a loopback stream; reached only in case of a fault
 	clusterName  = "nodes"
 )
 
-// platformList is discovery's response with the whole list, in the platform's form.
+// platformList returns the HTTP response of discovery with the full list, in the platform's format.
 func platformList(nodes int) ([]byte, error) {
 	type endpoint struct {
 		Name    string  `json:"name"`
@@ -71,7 +71,7 @@
 	return append([]byte(head), body...), err
 }
 
-// watchSample meters the platform's whole list as the watch reads it.
+// watchSample measures the platform's watch as it reads the full list.
 func watchSample(nodes int, effort Effort) (Sample, error) {
 	s := newSample(nodes)
 	body, err := platformList(nodes)
@@ -88,20 +88,20 @@
 				return response.List, err
 			}
 		}
-		return wire.EndpointList{}, errors.New("the response was not whole")
+		return wire.EndpointList{}, errors.New("the response is incomplete")
 	}
 	heap, list, err := measureHeap(take)
 	if err != nil {
 		return s, err
 	}
 	if len(list.Endpoints) != nodes {
-		return s, fmt.Errorf("%d of %d nodes were read", len(list.Endpoints), nodes)
+		return s, fmt.Errorf("read %d nodes, want %d", len(list.Endpoints), nodes)
 	}
 	s.Values[Heap] = heap
 	return s, repeat(&s, effort, func() error { _, err := take(); return err })
 }
 
-// fileSample meters harehook-xds's file of nodes.
+// fileSample measures a read of harehook-xds's node file.
 func fileSample(nodes int, effort Effort) (Sample, error) {
 	s := newSample(nodes)
 	folder, err := os.MkdirTemp("", "harehook-list-")
@@ -132,19 +132,19 @@
 		return s, err
 	}
 	if len(list) != nodes {
-		return s, fmt.Errorf("%d of %d nodes were read", len(list), nodes)
+		return s, fmt.Errorf("read %d nodes, want %d", len(list), nodes)
 	}
 	s.Values[Heap] = heap
 	return s, repeat(&s, effort, func() error { _, err := c.ReadNodes(); return err })
 }
 
-// endpointService is a service that lists nodes as the endpoints of a cluster, and a new version of them each time it is told.
+// endpointService lists nodes as the endpoints of a cluster. It sends each version that it receives from versions.
 type endpointService struct {
 	discoveryv3.UnimplementedAggregatedDiscoveryServiceServer
 	versions chan *discoveryv3.DiscoveryResponse
 }
 
-// StreamAggregatedResources implements the service for one client that asks for one cluster.
+// StreamAggregatedResources implements the service for one client that requests one cluster.
 func (l *endpointService) StreamAggregatedResources(s discoveryv3.AggregatedDiscoveryService_StreamAggregatedResourcesServer) error {
 	for {
 		if _, err := s.Recv(); err != nil {
@@ -161,7 +161,7 @@
 	}
 }
 
-// endpointsResponse is the list as endpoints of a cluster.
+// endpointsResponse returns a version of the list as the endpoints of a cluster.
 func endpointsResponse(nodes, version int) (*discoveryv3.DiscoveryResponse, error) {
 	list := &endpointv3.ClusterLoadAssignment{ClusterName: clusterName}
 	for zone := range min(listZones, nodes) {
@@ -179,7 +179,7 @@
 		Resources: []*anypb.Any{{TypeUrl: xds.Endpoints.TypeURL(), Value: body}}}, err
 }
 
-// endpointsSample meters versions of the list over a loopback stream, both ends in this process.
+// endpointsSample measures versions of the list sent over a loopback stream, with both ends in this process.
 func endpointsSample(nodes int, effort Effort) (Sample, error) {
 	s := newSample(nodes)
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -220,16 +220,16 @@
 		select {
 		case n := <-taken:
 			if n != nodes {
-				return fmt.Errorf("%d of %d nodes were read", n, nodes)
+				return fmt.Errorf("read %d nodes, want %d", n, nodes)
 			}
 			return nil
 		case <-time.After(listTimeout):
-			return errors.New("the list did not come")
+			return fmt.Errorf("version %d of the list was not accepted within %s", version, listTimeout)
 		}
 	})
 }
 
-// changeSample meters one node's change of condition told to the module, which plans at once.
+// changeSample measures the planner's update for one node's state change, which makes it plan immediately.
 func changeSample(nodes int, effort Effort) (Sample, error) {
 	s := newSample(nodes)
 	f := newPlannerFleet(nodes, typicalProxies, 2)
@@ -248,14 +248,14 @@
 		m.stop()
 		f.acknowledge()
 		for range stepsPerReport {
-			f.step(nil) // what was ordered is confirmed, and time goes on
+			f.step(nil) // the commands are acknowledged, and the clock advances
 		}
 	}
 	m.recordPerOperation(&s, n)
 	return s, nil
 }
 
-// startSample meters a module that starts with a list: what a start, or a list that comes whole at first, costs.
+// startSample measures the start of a planner with a full list. The first full list costs the same.
 func startSample(nodes int, effort Effort) (Sample, error) {
 	s := newSample(nodes)
 	return s, repeat(&s, effort, func() error {
@@ -267,10 +267,10 @@
 func listSlopes() []Slope {
 	sizes := []int{130, 400, 1300, 4000, OperatorsNodes}
 	return []Slope{
-		{Name: "list-watch", Operation: "a whole list read by the platform's watch", Size: "nodes", Method: Measured, Sizes: sizes, Run: watchSample},
-		{Name: "list-file", Operation: "harehookd's file of nodes read", Size: "nodes", Method: Measured, Sizes: sizes, Run: fileSample},
-		{Name: "list-members", Operation: "a version of the list over a loopback stream, both ends", Size: "nodes", Method: Measured, Sizes: sizes, Run: endpointsSample},
-		{Name: "list-start", Operation: "a module that starts, is told the list and 110 proxies", Size: "nodes", Method: Isolated, Sizes: sizes, Run: startSample},
-		{Name: "list-change", Operation: "one node's change told to the module, 110 proxies", Size: "nodes", Method: Isolated, Sizes: sizes, Run: changeSample},
+		{Name: "list-watch", Operation: "one read of the full list by the platform's watch", Size: "nodes", Method: Measured, Sizes: sizes, Run: watchSample},
+		{Name: "list-file", Operation: "one read of harehookd's node file", Size: "nodes", Method: Measured, Sizes: sizes, Run: fileSample},
+		{Name: "list-members", Operation: "one version of the list over a loopback stream, both ends", Size: "nodes", Method: Measured, Sizes: sizes, Run: endpointsSample},
+		{Name: "list-start", Operation: "start of a planner with the list and 110 proxies", Size: "nodes", Method: Isolated, Sizes: sizes, Run: startSample},
+		{Name: "list-change", Operation: "update of one node at the planner, 110 proxies", Size: "nodes", Method: Isolated, Sizes: sizes, Run: changeSample},
 	}
 }
--- a/scaling/loadreport.go
+++ b/scaling/loadreport.go
@@ -3,7 +3,6 @@
 import (
 	"context"
 	"encoding/json"
-	"errors"
 	"fmt"
 	"net"
 	"sync"
@@ -28,15 +27,15 @@
 	frontxds "harehook.dev/harehook/xds/transport"
 )
 
-// loadReport is a collector's message on one node, with its head.
+// loadReport returns a collector's message on one node, with its frame header.
 func loadReport(node int) ([]byte, error) {
 	body, err := json.Marshal(map[string]any{"@type": "LOAD", "site": fmt.Sprint("zone-", node%listZones), "target": nodeName(node),
 		"count": 12, "fail": 1, "mean": 183.5, "over": 500, "util": map[string]float64{"inflight": 3, "util": 0.61}})
 	return append(wire.FrameHeader(len(body)), body...), err
 }
 
-// reportSample meters half a second of reports, one on each node, from a collector's bytes to the module. Values are for
-// each reported node.
+// reportSample measures half a second of reports, one on each node, from a collector's bytes to the planner. Values are
+// per reported node.
 func reportSample(nodes int, effort Effort) (Sample, error) {
 	s := newSample(nodes)
 	var bytes []byte
@@ -64,7 +63,7 @@
 			}
 		}
 		if taken != nodes {
-			return fmt.Errorf("%d of %d reports were read", taken, nodes)
+			return fmt.Errorf("read %d reports, want %d", taken, nodes)
 		}
 		return nil
 	})
@@ -75,7 +74,7 @@
 	return s, err
 }
 
-// takeReports hands all complete messages to the planner, as the transport and the controller do.
+// takeReports passes all complete messages to the planner, as the transport and the controller do.
 func takeReports(frames *wire.FrameReader, f *plannerFleet, numbers map[string]uint32) (taken int, err error) {
 	for {
 		body, err := frames.Next()
@@ -88,7 +87,7 @@
 		}
 		number, known := numbers[message.Node]
 		if !known {
-			return taken, errors.New("a report on an unknown node")
+			return taken, fmt.Errorf("report on unknown node %q", message.Node)
 		}
 		f.planner.AddLoadReport(f.now, planner.LoadReport{Node: number, Completed: int(*message.Count), Failed: int(*message.Failed),
 			MeanLatency: *message.MeanLatencyMS / wire.MillisecondsPerSecond, Interval: *message.IntervalMS / wire.MillisecondsPerSecond})
@@ -96,7 +95,7 @@
 	}
 }
 
-// reportService is an xDS front on loopback with a core behind it and one sidecar that reports to it.
+// reportService is an xDS server on loopback with a controller, and one sidecar that reports to it.
 type reportService struct {
 	front  *frontxds.Server
 	stream loadv3.LoadReportingService_StreamLoadStatsClient
@@ -105,11 +104,11 @@
 
 const (
 	sidecarID     = "sidecar-0"
-	answerTimeout = time.Minute // for what a loopback connection answers at once; only a fault takes that long
+	answerTimeout = time.Minute // for a response over loopback, which is immediate; reached only in case of a fault
 	pollInterval  = 100 * time.Microsecond
 )
 
-// newReportService starts the front, has it know the nodes, and opens the sidecar's two streams.
+// newReportService starts the server, registers the nodes' addresses, and opens the sidecar's two streams.
 func newReportService(nodes int) (*reportService, error) {
 	front := frontxds.NewServer(xds.NewCompiler(pushRoutes(1), time.Second), 1, zap.NewNop())
 	var known []controller.Endpoint
@@ -118,7 +117,7 @@
 		known = append(known, controller.Endpoint{Node: nodeName(n), Zone: "zone-0", MachineType: "large", Weight: 1, State: planner.Ready})
 		places = append(places, frontxds.Node{Name: nodeName(n), Zone: "zone-0", Address: nodeAddress(n)})
 	}
-	// Sharded: the planner takes reports in and commands nothing by itself.
+	// Sharded: the planner accepts reports, and sends no commands by itself.
 	front.Controller = controller.New(settings.Deployment{Planner: planner.Config{Zones: 1, MachineTypes: 1, Proxies: 1, Sharded: true, Routes: []planner.Route{{}}},
 		Zones: []string{"zone-0"}, MachineTypes: []string{"large"}, Routes: []string{"r0000"}, EventInterval: 0.004}, known, front, zap.NewNop())
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -141,7 +140,7 @@
 	return r, nil
 }
 
-// connect opens the stream by which the sidecar is known, and the one that carries its reports.
+// connect opens the discovery stream, which identifies the sidecar, and the stream that carries its reports.
 func (r *reportService) connect(ctx context.Context, address string) error {
 	connection, err := grpc.NewClient("passthrough:///"+address, grpc.WithTransportCredentials(insecure.NewCredentials()))
 	if err != nil {
@@ -169,8 +168,8 @@
 	return err
 }
 
-// loadStats is a report on so many nodes. Its last line is of an address that no node has: that it was counted shows
-// that all before it were taken.
+// loadStats returns a report on the given number of nodes. Its last line has an address of no node: once the server
+// counts that line as unknown, it has processed all lines before.
 func loadStats(nodes int) *loadv3.LoadStatsRequest {
 	local := &endpointv3.UpstreamLocalityStats{Locality: &corev3.Locality{Zone: "zone-0"}}
 	line := func(address xds.Address) {
@@ -186,7 +185,7 @@
 		LoadReportInterval: durationpb.New(time.Second), UpstreamLocalityStats: []*endpointv3.UpstreamLocalityStats{local}}}}
 }
 
-// sidecarReportSample meters a sidecar's reports over loopback, both ends. Values are for each reported node.
+// sidecarReportSample measures a sidecar's reports over loopback, both ends. Values are per reported node.
 func sidecarReportSample(nodes int, effort Effort) (Sample, error) {
 	s := newSample(nodes)
 	service, err := newReportService(nodes)
@@ -203,7 +202,7 @@
 		taken++
 		for begun := time.Now(); service.front.UnknownReports.Load() < taken; time.Sleep(pollInterval) {
 			if time.Since(begun) > answerTimeout {
-				return errors.New("a report was not taken")
+				return fmt.Errorf("the server did not process a report within %s", answerTimeout)
 			}
 		}
 		return nil
@@ -218,7 +217,7 @@
 }
 
 func reportSlopes() []Slope {
-	return []Slope{{Name: "reports", Operation: "a collector's report on one node, read and told to the module", Size: "nodes reported each half second",
+	return []Slope{{Name: "reports", Operation: "a collector's report on one node, read and passed to the planner", Size: "nodes reported each half second",
 		Method: Isolated, Sizes: []int{130, 400, 1300, 4000, OperatorsNodes}, Run: reportSample},
 		{Name: "reports-sidecar", Operation: "a line on one node of a sidecar's load report, over loopback, both ends", Size: "nodes of a report",
 			Method: Measured, Sizes: []int{10, 40, 130, 400, 1300, 4000}, Run: sidecarReportSample}}
--- a/scaling/log.go
+++ b/scaling/log.go
@@ -11,7 +11,7 @@
 	"harehook.dev/harehook/raftlog"
 )
 
-// retainedEntries is how many entries the memory of the log is taken over.
+// retainedEntries is the number of entries over which the file and the memory of the log are measured.
 const retainedEntries = 64
 
 func logEntry(index uint64, data []byte) *raftpb.Entry {
@@ -19,7 +19,7 @@
 	return &raftpb.Entry{Index: &index, Term: &term, Data: data}
 }
 
-// saveSample meters the save of one entry on disk, and the file after a fixed number of them.
+// saveSample measures the save of one entry to disk, and the file size per entry after retainedEntries of them.
 func saveSample(size int, effort Effort) (Sample, error) {
 	s := newSample(size)
 	folder, err := os.MkdirTemp("", "harehook-log-")
@@ -53,7 +53,7 @@
 	return s, repeat(&s, effort, save)
 }
 
-// entryHeapSample tells the memory that a member holds for each entry of its log that is not cut yet, beside its state.
+// entryHeapSample measures the memory of a member per entry of its log that is not compacted yet, without its state.
 func entryHeapSample(size int, _ Effort) (Sample, error) {
 	s := newSample(size)
 	grow := func() (*cluster.Member, error) {
@@ -62,7 +62,7 @@
 			return nil, err
 		}
 		member := g.members[0]
-		// A roll-back to a version that there is not is refused on apply: the state stays as it is, and the log grows.
+		// A rollback to a version that does not exist is rejected on apply: the state does not change, and the log grows.
 		for n := range retainedEntries {
 			command := cluster.Command{Kind: cluster.CommandRollBack, Client: operatorClient, Seq: uint64(n + 1), To: 1, Text: strings.Repeat("x", size)}
 			if err := g.propose(command); err != nil {
@@ -81,9 +81,9 @@
 
 func logSlopes() []Slope {
 	return []Slope{
-		{Name: "log-save", Operation: "an entry kept on disk; stored is the file for each entry", Size: "bytes of the entry", Method: Measured,
+		{Name: "log-save", Operation: "one entry saved to disk; stored: file size per entry", Size: "bytes of the entry", Method: Measured,
 			Sizes: []int{100, 1000, 10000, 100000, 262144}, Run: saveSample},
-		{Name: "log-memory", Operation: "an entry of the log held in memory", Size: "bytes of the text in it", Method: Isolated,
+		{Name: "log-memory", Operation: "one entry of the log in memory", Size: "bytes of its text", Method: Isolated,
 			Sizes: []int{100, 1000, 10000, 100000, 262144}, Run: entryHeapSample},
 	}
 }
--- a/scaling/loopback.go
+++ b/scaling/loopback.go
@@ -19,14 +19,15 @@
 )
 
 const (
-	idleDuration         = 3 * time.Second  // that an idle group is watched for
+	idleDuration         = 3 * time.Second  // for which an idle group is measured
 	registrationDuration = time.Second      // after the election, until all disks are registered
-	electionTimeout      = 30 * time.Second // only a fault takes that long
+	electionTimeout      = 30 * time.Second // reached only in case of a fault
 	shutdownTimeout      = 30 * time.Second // likewise
 	leaderPollInterval   = 50 * time.Millisecond
 )
 
-// countingListener counts the bytes of all connections that it took, both ways. Each connection has one such end.
+// countingListener counts the bytes of all connections that it accepted, in both directions. Only one end of a
+// connection is counted.
 type countingListener struct {
 	net.Listener
 	bytes *atomic.Int64
@@ -104,7 +105,7 @@
 	return g.waitForLeader(ctx)
 }
 
-// start begins one node.
+// start starts one node and its server.
 func (g *loopbackGroup) start(ctx context.Context, id uint64, listener net.Listener, voters []uint64, addresses map[uint64]string) error {
 	disk, saved, err := raftlog.Open(filepath.Join(g.folder, fmt.Sprint(id)))
 	if err != nil {
@@ -154,7 +155,7 @@
 	return known, nil
 }
 
-// stopAndWait stops all nodes. That one does not end is an error: it is left behind with its log open.
+// stopAndWait stops all nodes. It returns an error if a node does not stop in time; the logs then stay open.
 func (g *loopbackGroup) stopAndWait() error {
 	g.cancel()
 	for _, server := range g.servers {
@@ -168,7 +169,7 @@
 	select {
 	case <-stopped:
 	case <-time.After(shutdownTimeout):
-		return fmt.Errorf("a member did not end within %s", shutdownTimeout)
+		return fmt.Errorf("a member did not stop within %s", shutdownTimeout)
 	}
 	for _, disk := range g.disks {
 		disk.Close()
@@ -176,7 +177,7 @@
 	return os.RemoveAll(g.folder)
 }
 
-// loopbackSample watches an idle group. Values are for each second, of all members.
+// loopbackSample measures an idle group. Values are per second, summed over all members.
 func loopbackSample(size int, _ Effort) (Sample, error) {
 	s := newSample(size)
 	g, err := newLoopbackGroup(size)
--- a/scaling/memory.go
+++ b/scaling/memory.go
@@ -2,7 +2,8 @@
 
 import "math"
 
-// plannerHeapSample is the memory of a planner that has settled. Values are all of its heap: the fit gives it for one more.
+// plannerHeapSample measures the memory of a settled planner. The value is its total heap; the fit yields the heap of
+// one more node, proxy or route.
 func plannerHeapSample(size, nodes, proxies, routes int) (Sample, error) {
 	s := newSample(size)
 	heap, _, err := measureHeap(func() (*plannerFleet, error) {
@@ -14,7 +15,7 @@
 	return s, err
 }
 
-// serverHeapSample is the memory of an xDS server, without that of the sidecars that are played beside it.
+// serverHeapSample measures the memory of an xDS server, without that of its simulated sidecars.
 func serverHeapSample(size, sidecars, nodes, routes int) (Sample, error) {
 	s := newSample(size)
 	p, err := newPushServer(sidecars, nodes, routes)
@@ -31,13 +32,13 @@
 
 func memorySlopes() []Slope {
 	return []Slope{
-		{Name: "memory-module-nodes", Operation: "the module's memory, 110 proxies, 12 routes", Size: "nodes", Method: Isolated,
+		{Name: "memory-module-nodes", Operation: "the planner's memory, 110 proxies, 12 routes", Size: "nodes", Method: Isolated,
 			Sizes: []int{130, 400, 1300, 4000, OperatorsNodes},
 			Run:   func(size int, _ Effort) (Sample, error) { return plannerHeapSample(size, size, typicalProxies, 12) }},
-		{Name: "memory-module-proxies", Operation: "the module's memory, 800 nodes, 12 routes", Size: "proxies", Method: Isolated,
+		{Name: "memory-module-proxies", Operation: "the planner's memory, 800 nodes, 12 routes", Size: "proxies", Method: Isolated,
 			Sizes: []int{110, 300, 800, 2400},
 			Run:   func(size int, _ Effort) (Sample, error) { return plannerHeapSample(size, stepNodes, size, 12) }},
-		{Name: "memory-module-routes", Operation: "the module's memory, 800 nodes, 2,400 proxies", Size: "routes", Method: Isolated,
+		{Name: "memory-module-routes", Operation: "the planner's memory, 800 nodes, 2,400 proxies", Size: "routes", Method: Isolated,
 			Sizes: []int{1, 4, 16, 64},
 			Run:   func(size int, _ Effort) (Sample, error) { return plannerHeapSample(size, stepNodes, 2400, size) }},
 		{Name: "memory-xds-sidecars", Operation: "the xDS server's memory, pool of 200 nodes, 12 routes", Size: "sidecars", Method: Isolated,
--- a/scaling/meter.go
+++ b/scaling/meter.go
@@ -8,17 +8,17 @@
 	"time"
 )
 
-// meter sums what the process spends between start and stop, over several stretches.
+// meter sums the process's costs over the intervals between start and stop.
 type meter struct {
-	cpu         time.Duration // of the stretches that have ended, as the two below
+	cpu         time.Duration // of the completed intervals, as are the two below
 	allocated   uint64        // bytes
 	allocations uint64        // objects
 
-	startCPU    time.Duration // of the present stretch
+	startCPU    time.Duration // of the current interval
 	startMemory runtime.MemStats
 }
 
-// processCPU is the processor time of the process so far, of all its threads and in the system too.
+// processCPU returns the processor time of the process so far, of all its threads, in user and system mode.
 func processCPU() time.Duration {
 	var usage syscall.Rusage
 	if err := syscall.Getrusage(syscall.RUSAGE_SELF, &usage); err != nil {
@@ -27,13 +27,13 @@
 	return time.Duration(usage.Utime.Nano() + usage.Stime.Nano())
 }
 
-// start begins a stretch.
+// start begins an interval.
 func (m *meter) start() {
 	runtime.ReadMemStats(&m.startMemory)
 	m.startCPU = processCPU()
 }
 
-// stop ends a stretch.
+// stop ends an interval and adds its costs.
 func (m *meter) stop() {
 	cpu := processCPU()
 	var now runtime.MemStats
@@ -43,7 +43,7 @@
 	m.allocations += now.Mallocs - m.startMemory.Mallocs
 }
 
-// recordPerOperation sets the values of a sample to what was spent for each of some operations.
+// recordPerOperation sets the values of a sample to the costs per operation.
 func (m *meter) recordPerOperation(s *Sample, operations int) {
 	const nanosecondsPerMicrosecond = 1e3
 	s.Values[CPU] = float64(m.cpu.Nanoseconds()) / nanosecondsPerMicrosecond / float64(operations)
@@ -51,25 +51,25 @@
 	s.Values[Allocations] = float64(m.allocations) / float64(operations)
 }
 
-// Effort says how much goes into a sample.
+// Effort describes how often a sample repeats its operation.
 type Effort int
 
 // The efforts.
 const (
-	// Full repeats an operation until its processor time stands out of the noise of collecting garbage.
+	// Full repeats an operation until its processor time exceeds the noise of garbage collection.
 	Full Effort = iota
-	// Brief repeats it a fixed number of times, the fewest: counts and bytes are the same on every run, times say little.
+	// Brief repeats it the minimum number of times: counts and bytes are the same on every run, times are imprecise.
 	Brief
 )
 
 const (
-	fullMinCPU        = 60 * time.Millisecond // of processor time
-	fullMaxOperations = 20000                 // operations, where one takes next to nothing
-	fullMinOperations = 3                     // operations at the least, however long one takes
-	maxBatch          = 5                     // operations between two looks at the meter
+	fullMinCPU        = 60 * time.Millisecond // processor time that is enough
+	fullMaxOperations = 20000                 // maximum operations, reached where one takes almost no time
+	fullMinOperations = 3                     // minimum operations, however long one takes
+	maxBatch          = 5                     // maximum operations between two readings of the meter
 )
 
-// isEnough tells whether no more operations are needed for a figure.
+// isEnough reports whether a figure needs no more operations.
 func (e Effort) isEnough(m *meter, operations, minOperations int) bool {
 	if operations < minOperations {
 		return false
@@ -77,7 +77,7 @@
 	return e == Brief || operations >= fullMaxOperations || m.cpu >= fullMinCPU
 }
 
-// String names the effort.
+// String returns the name of the effort.
 func (e Effort) String() string {
 	switch e {
 	case Full:
@@ -89,12 +89,12 @@
 	}
 }
 
-// repeat meters an operation until enough has gone into it. The first call, which warms up, is not metered.
+// repeat measures an operation until effort is satisfied. The first call is a warm-up and is not measured.
 func repeat(s *Sample, effort Effort, operation func() error) error {
 	if effort == Brief {
 		defer pauseCollector()()
 	}
-	if err := operation(); err != nil { // warms up also the pools that a collection has emptied
+	if err := operation(); err != nil { // also refills the pools that a garbage collection has emptied
 		return err
 	}
 	var cost meter
@@ -113,16 +113,16 @@
 	return nil
 }
 
-// pauseCollector keeps the garbage collector out of a measurement until the function that it returns is called. The meter
-// counts the whole process, and the collector's workers allocate for themselves now and then: 112 bytes of one that waited
-// for a semaphore showed as bytes of an operation. All that was collected before is finished first.
+// pauseCollector disables the garbage collector for a measurement until resume is called, after one complete
+// collection. The meter counts the whole process, and the collector's workers sometimes allocate themselves: 112 bytes
+// of a worker that waited for a semaphore were counted as bytes of an operation.
 func pauseCollector() (resume func()) {
 	runtime.GC()
 	percent := debug.SetGCPercent(-1)
 	return func() { debug.SetGCPercent(percent) }
 }
 
-// measureHeap returns the bytes that stay in use by what is built, and that.
+// measureHeap returns the retained bytes of the value that build returns, and the value.
 func measureHeap[T any](build func() (T, error)) (bytes float64, built T, err error) {
 	before := liveHeap()
 	built, err = build()
@@ -131,7 +131,7 @@
 	return float64(after) - float64(before), built, err
 }
 
-// liveHeap is the memory in use after collections that leave nothing that waits for a finalizer.
+// liveHeap returns the heap in use after two collections, so that objects with finalizers are freed too.
 func liveHeap() uint64 {
 	var m runtime.MemStats
 	runtime.GC()
--- a/scaling/norace_test.go
+++ b/scaling/norace_test.go
@@ -2,4 +2,5 @@
 
 package scaling
 
+// underRace is false without the race detector.
 const underRace = false
--- a/scaling/plantedfaults_test.go
+++ b/scaling/plantedfaults_test.go
@@ -9,11 +9,11 @@
 	"harehook.dev/harehook/platform/wire"
 )
 
-// plantedFaults are slopes whose part is broken on purpose, in a way that would pass unseen but for its cost.
+// plantedFaults are slopes with a deliberate fault in their part, which only its cost reveals.
 var plantedFaults = []struct {
 	name, slope string
 	run         func(size int) (Sample, error)
-	ofMemory    bool // shows in memory only
+	ofMemory    bool // visible in memory only
 }{
 	{"all is sent anew at each change", "push-sidecars", pushAnew, false},
 	{"an entry with its text twice", "agreed-text", textTwice, false},
@@ -32,8 +32,8 @@
 	{"a service's tenants told for one, over sockets", "follow-socket-change", serviceTold, false},
 }
 
-// A part may do its work twice, or for all where it is for one, and nobody notices until the fleet has grown. The bounds of
-// its slope have to break at small sizes already.
+// A part may do its work twice, or for all peers in place of one, and no one notices until the fleet has grown. The
+// bounds of its slope must catch this at small sizes already.
 func TestBoundsCatchPlantedFaults(t *testing.T) {
 	for _, fault := range plantedFaults {
 		t.Run(fault.name, func(t *testing.T) {
@@ -45,14 +45,14 @@
 			}
 			broken := brokenBounds(samples, check.bounds)
 			if len(broken) == 0 && (!underRace || !fault.ofMemory) {
-				t.Error("no bound of", fault.slope, "is broken")
+				t.Errorf("slope %s with the fault %q: got no bound exceeded, want at least one", fault.slope, fault.name)
 			}
 			t.Log(broken)
 		})
 	}
 }
 
-// pushAnew has each sidecar come back with nothing before a change.
+// pushAnew reconnects each sidecar with an empty cache before a change.
 func pushAnew(size int) (Sample, error) {
 	s := newSample(size)
 	p, err := newPushServer(size, poolNodes, 12)
@@ -84,7 +84,7 @@
 	return s, nil
 }
 
-// textTwice has an entry carry its text twice.
+// textTwice encodes a log entry with its text twice.
 func textTwice(size int) (Sample, error) {
 	s, err := agreedSample(size, Brief)
 	if err != nil {
@@ -95,7 +95,7 @@
 	return s, err
 }
 
-// listReadAnew reads a response from its start at each part of it.
+// listReadAnew parses a response from its start again for each chunk that arrives.
 func listReadAnew(nodes int) (Sample, error) {
 	const part = 4 << 10
 	s := newSample(nodes)
@@ -112,7 +112,7 @@
 				return err
 			}
 			if end >= len(body) {
-				return errors.New("the response was not whole")
+				return errors.New("the response is incomplete")
 			}
 		}
 	})
@@ -136,7 +136,7 @@
 	})
 }
 
-// heartbeatEachTick has the leader send a heartbeat at each tick.
+// heartbeatEachTick configures the leader to send a heartbeat at each tick.
 func heartbeatEachTick(size int) (Sample, error) {
 	s := newSample(size)
 	timing := cluster.DefaultTiming
@@ -157,7 +157,7 @@
 	return s, nil
 }
 
-// listEachStep replaces all endpoints at each step.
+// listEachStep replaces the full endpoint list at each step.
 func listEachStep(nodes int) (Sample, error) {
 	s := newSample(nodes)
 	f := newPlannerFleet(nodes, typicalProxies, 2)
--- a/scaling/plantedrecords_test.go
+++ b/scaling/plantedrecords_test.go
@@ -7,9 +7,9 @@
 	"harehook.dev/harehook/records"
 )
 
-// The faults that are planted in the slopes of records and followers.
+// The planted faults in the slopes of records and followers.
 
-// tenSharesWritten writes ten tenants where one changes.
+// tenSharesWritten writes ten tenants for one changed tenant.
 func tenSharesWritten(tenants int) (Sample, error) {
 	return measureRecordChanges(tenants, Brief, func(r *recordState) (int, error) {
 		var writes []records.Write
@@ -21,7 +21,7 @@
 	})
 }
 
-// snapshotEachChange makes a snapshot of the state before each change.
+// snapshotEachChange takes a snapshot of the state before each change.
 func snapshotEachChange(tenants int) (Sample, error) {
 	return measureRecordChanges(tenants, Brief, func(r *recordState) (int, error) {
 		if _, err := r.state.Snapshot(); err != nil {
@@ -31,7 +31,7 @@
 	})
 }
 
-// historyInSnapshot makes the snapshot with the history of the load in it.
+// historyInSnapshot takes a snapshot that contains the history of the initial writes.
 func historyInSnapshot(tenants int) (Sample, error) {
 	s, err := recordMemorySample(tenants, Brief)
 	if err != nil {
@@ -74,10 +74,10 @@
 	})
 }
 
-// scopeRead reads a full scope for a change.
+// scopeRead reads a full scope for one change.
 func scopeRead(tenants int) (Sample, error) { return recordReadSample(tenants, Brief, readAll) }
 
-// wholeScopeTold has all followers lose what they hold and open another stream before each change.
+// wholeScopeTold discards the state of all followers and opens new streams before each change.
 func wholeScopeTold(followers int) (Sample, error) {
 	s := newSample(followers)
 	f, err := newFollowedMember(followers, scopeOf(changedService))
@@ -104,7 +104,7 @@
 	return followSample(followers, Brief, records.Scope{All: true})
 }
 
-// serviceTold tells of ten tenants where one changes.
+// serviceTold sends ten tenants for one changed tenant.
 func serviceTold(followers int) (Sample, error) {
 	s := newSample(followers)
 	m, err := newSocketMember(followers, quietLease)
--- a/scaling/race_test.go
+++ b/scaling/race_test.go
@@ -2,6 +2,6 @@
 
 package scaling
 
-// Under the race detector pools forget what they hold at random, and memory has shadows: allocations and memory that
-// stays are not the program's then.
+// underRace is true under the race detector, where pools drop objects at random and memory has shadow state:
+// allocations and retained memory are then not those of the program.
 const underRace = true
--- a/scaling/record.go
+++ b/scaling/record.go
@@ -11,19 +11,19 @@
 )
 
 const (
-	servicesPerScope   = 6    // that a controller's sidecars call
-	initialShare       = 2e-4 // of a service's capacity for each of its tenants, so that the sum stays under 1
-	changeShare        = 1e-4 // that a changed tenant has at least, in as many digits as any other
-	shareSteps         = 9000 // different shares of changed tenants, each with the same number of digits
+	servicesPerScope   = 6    // services that a controller's sidecars call
+	initialShare       = 2e-4 // share of each tenant in its service's capacity, so that the sum is less than 1
+	changeShare        = 1e-4 // minimum share of a changed tenant, with as many digits as any other
+	shareSteps         = 9000 // distinct shares of changed tenants, each with the same number of digits
 	shareStep          = 1e-8
-	changeStride       = 7919   // a prime: the tenants changed one after the other are far apart in all orders
+	changeStride       = 7919   // a prime: tenants changed in sequence are far apart in every order
 	changesPerSnapshot = 100    // changes between two snapshots
-	minServices        = 10     // of a small state, so that a scope of six is a part of it
-	historyChanges     = 20     // changes that the history's bytes are taken over
+	minServices        = 10     // of a small state, so that a scope of six is only a part of it
+	historyChanges     = 20     // changes over which the history's bytes are averaged
 	doubleTenants      = 280000 // twice the operators' size
 )
 
-// recordState is a group's state of records, in the operators' proportions of services, routes and tenants.
+// recordState is a group's state with records, in the operators' proportions of services, routes and tenants.
 type recordState struct {
 	state                     *cluster.State
 	services, routes, tenants int
@@ -31,7 +31,8 @@
 	changes                   int
 }
 
-// newRecordState loads so many tenants with the routes and services that go with them, by transactions.
+// newRecordState returns a state with the given number of tenants and a proportional number of routes and services,
+// written by transactions.
 func newRecordState(tenants int) (*recordState, error) {
 	fraction := float64(tenants) / OperatorsTenants
 	r := &recordState{
@@ -75,7 +76,7 @@
 	return newWrite(records.KindTenant, fmt.Sprintf("tenant-%06d", n), records.TenantSpec{Service: serviceName(n % r.services), Share: share})
 }
 
-// write proposes and applies a transaction, and gives the bytes of its log entry.
+// write proposes and applies a transaction, and returns the size of its log entry in bytes.
 func (r *recordState) write(writes []records.Write) (entry int, err error) {
 	r.index++
 	data, err := json.Marshal(cluster.Command{Kind: cluster.CommandRecords, Client: operatorClient, Seq: r.index, Writes: writes,
@@ -86,13 +87,13 @@
 	return len(data), applyAccepted(r.state, r.index, data)
 }
 
-// change gives one tenant another share.
+// change sets another share for one tenant, and returns the size of the log entry in bytes.
 func (r *recordState) change() (entry int, err error) {
 	r.changes++
 	return r.write([]records.Write{r.writeTenant(r.changes*changeStride%r.tenants, changeShare+float64(r.changes%shareSteps)*shareStep)})
 }
 
-// scope is a controller's scope.
+// scope returns a controller's scope.
 func (r *recordState) scope() records.Scope {
 	scope := records.Scope{Zones: []string{"zone-0"}}
 	for n := range servicesPerScope {
@@ -101,12 +102,13 @@
 	return scope.Normalized()
 }
 
-// recordChangeSample meters one changed tenant at a member. Stored is what the change adds to the history as encoded.
+// recordChangeSample measures one changed tenant at a member. Stored is the bytes that the change adds to the encoded
+// history.
 func recordChangeSample(tenants int, effort Effort) (Sample, error) {
 	return measureRecordChanges(tenants, effort, func(r *recordState) (int, error) { return r.change() })
 }
 
-// measureRecordChanges meters a change of a state.
+// measureRecordChanges measures a change of a state.
 func measureRecordChanges(tenants int, effort Effort, change func(*recordState) (entry int, err error)) (Sample, error) {
 	s := newSample(tenants)
 	r, err := newRecordState(tenants)
@@ -123,12 +125,12 @@
 	})
 }
 
-// historyBytes is what the history of the records takes for a change, once it holds nothing of before.
+// historyBytes returns the bytes per change in the history of the records, after earlier history is dropped.
 func historyBytes(r *recordState, change func(*recordState) (int, error)) (float64, error) {
 	r.state.Store().DropHistory()
 	var before int
 	for n := range historyChanges + 1 {
-		if n == 1 { // the first change sets the size of what follows
+		if n == 1 { // the baseline follows the first change, which sets the size of the later ones
 			before = len(r.state.Store().Snapshot())
 		}
 		if _, err := change(r); err != nil {
@@ -138,7 +140,7 @@
 	return float64(len(r.state.Store().Snapshot())-before) / historyChanges, nil
 }
 
-// recordMemorySample tells the memory and the snapshot of a state. Values are for each record.
+// recordMemorySample measures the memory and the snapshot of a state. Values are per record.
 func recordMemorySample(tenants int, _ Effort) (Sample, error) {
 	s := newSample(tenants)
 	heap, r, err := measureHeap(func() (*recordState, error) {
@@ -161,7 +163,7 @@
 	return s, nil
 }
 
-// recordSnapshotSample meters a snapshot 100 changes after the last one. The member does nothing else meanwhile.
+// recordSnapshotSample measures a snapshot 100 changes after the previous one. The snapshot blocks the member.
 func recordSnapshotSample(tenants int, effort Effort) (Sample, error) {
 	s := newSample(tenants)
 	r, err := newRecordState(tenants)
@@ -171,7 +173,7 @@
 	r.state.Store().DropHistory()
 	var m meter
 	taken := 0
-	for ; taken == 0 || !effort.isEnough(&m, taken-1, fullMinOperations); taken++ { // the first one, which sorts all, is not counted
+	for ; taken == 0 || !effort.isEnough(&m, taken-1, fullMinOperations); taken++ { // the first one sorts all records and is not counted
 		for range changesPerSnapshot {
 			if _, err := r.change(); err != nil {
 				return s, err
@@ -192,7 +194,7 @@
 	return s, nil
 }
 
-// recordRestoreSample meters a state that is taken from a snapshot. The member does nothing else meanwhile.
+// recordRestoreSample measures the restore of a state from a snapshot. The restore blocks the member.
 func recordRestoreSample(tenants int, effort Effort) (Sample, error) {
 	s := newSample(tenants)
 	r, err := newRecordState(tenants)
@@ -208,14 +210,15 @@
 	return s, repeat(&s, effort, func() error { return r.state.Restore(snapshot) })
 }
 
-// recordReadSample meters a read of a scope of six services after a change, of all records or of what changed.
+// recordReadSample measures a read of a scope of six services after a change, either of all records or of the changed
+// ones.
 func recordReadSample(tenants int, effort Effort, read func(store *records.Store, scope records.Scope) error) (Sample, error) {
 	s := newSample(tenants)
 	r, err := newRecordState(tenants)
 	if err != nil {
 		return s, err
 	}
-	if _, err := r.write([]records.Write{r.writeTenant(0, changeShare)}); err != nil { // of the first service, which is in the scope
+	if _, err := r.write([]records.Write{r.writeTenant(0, changeShare)}); err != nil { // a tenant of the first service, which is in the scope
 		return s, err
 	}
 	scope := r.scope()
@@ -224,30 +227,30 @@
 
 func readAll(store *records.Store, scope records.Scope) error {
 	if found := store.InScope(scope).Records; len(found) < servicesPerScope {
-		return fmt.Errorf("%d records in scope", len(found))
+		return fmt.Errorf("read %d records in the scope, want at least %d", len(found), servicesPerScope)
 	}
 	return nil
 }
 
 func readChange(store *records.Store, scope records.Scope) error {
 	if delta := store.Since(store.Revision()-1, scope); !delta.Available || len(delta.Updates) != 1 {
-		return fmt.Errorf("%d updates, kept: %v", len(delta.Updates), delta.Available)
+		return fmt.Errorf("read %d updates (history available: %v), want 1 from the history", len(delta.Updates), delta.Available)
 	}
 	return nil
 }
 
 func recordSlopes() []Slope {
 	sizes := []int{OperatorsTenants / 10, 44000, OperatorsTenants, doubleTenants}
-	const size = "tenants, with 570 services and 3,400 routes for each 140,000"
+	const size = "tenants, with 570 services and 3,400 routes per 140,000"
 	return []Slope{
-		{Name: "record-change", Operation: "one tenant changed, as records: wire is the log entry, stored its part of the history; cpu and allocations are propose, check and apply",
+		{Name: "record-change", Operation: "one changed tenant, as records; wire: log entry, stored: its part of the history, cpu and allocations: propose, validate and apply",
 			Size: size, Method: Isolated, Sizes: sizes, Run: recordChangeSample},
-		{Name: "record-memory", Operation: "a record in a member's state: heap, and stored in a snapshot", Size: size, Method: Isolated, Sizes: sizes, Run: recordMemorySample},
-		{Name: "record-snapshot", Operation: "a snapshot of the state, 100 changes after the last one", Size: size, Method: Isolated, Sizes: sizes, Run: recordSnapshotSample},
-		{Name: "record-restore", Operation: "the state taken from a snapshot", Size: size, Method: Isolated, Sizes: sizes, Run: recordRestoreSample},
-		{Name: "record-scope", Operation: "a scope of six services read whole", Size: size, Method: Isolated, Sizes: sizes,
+		{Name: "record-memory", Operation: "one record in a member's state; heap: in memory, stored: in a snapshot", Size: size, Method: Isolated, Sizes: sizes, Run: recordMemorySample},
+		{Name: "record-snapshot", Operation: "one snapshot of the state, 100 changes after the previous one", Size: size, Method: Isolated, Sizes: sizes, Run: recordSnapshotSample},
+		{Name: "record-restore", Operation: "one restore of the state from a snapshot", Size: size, Method: Isolated, Sizes: sizes, Run: recordRestoreSample},
+		{Name: "record-scope", Operation: "one full read of a scope of six services", Size: size, Method: Isolated, Sizes: sizes,
 			Run: func(size int, effort Effort) (Sample, error) { return recordReadSample(size, effort, readAll) }},
-		{Name: "record-since", Operation: "what one change did to a scope of six services", Size: size, Method: Isolated, Sizes: sizes,
+		{Name: "record-since", Operation: "one read of the latest change in a scope of six services", Size: size, Method: Isolated, Sizes: sizes,
 			Run: func(size int, effort Effort) (Sample, error) { return recordReadSample(size, effort, readChange) }},
 	}
 }
--- a/scaling/record_test.go
+++ b/scaling/record_test.go
@@ -2,7 +2,8 @@
 
 import "testing"
 
-// A change costs the same in a tenth of the operators' state as in the whole. Counts and bytes are compared, not times.
+// A change of one tenant must not cost more in the operators' full state than in a tenth of it. The test guards against
+// work per change that grows with the number of records. It compares counts and bytes, not times.
 func TestRecordChangeAtOperatorsSize(t *testing.T) {
 	const most = 1.2
 	tenth, err := recordChangeSample(OperatorsTenants/10, Brief)
@@ -17,9 +18,9 @@
 		if underRace && q.isMemory() {
 			continue
 		}
-		t.Logf("%s: %.4g at a tenth, %.4g at the whole", q, tenth.Values[q], full.Values[q])
+		t.Logf("%s: %.4g at a tenth of the size, %.4g at the full size", q, tenth.Values[q], full.Values[q])
 		if !(full.Values[q] <= most*tenth.Values[q]) {
-			t.Errorf("%s grows from %.4g to %.4g", q, tenth.Values[q], full.Values[q])
+			t.Errorf("%s: got %.4g at the full size, want at most %.4g, %.1f times that at a tenth", q, full.Values[q], most*tenth.Values[q], most)
 		}
 	}
 }
--- a/scaling/sample.go
+++ b/scaling/sample.go
@@ -5,22 +5,22 @@
 	"math"
 )
 
-// Quantity is something that a sample has a value of.
+// Quantity identifies a measured value of a sample.
 type Quantity int
 
-// The quantities. What one operation is, the slope's Operation says.
+// The quantities. Slope.Operation describes one operation.
 const (
-	CPU           Quantity = iota // microseconds of the process per operation
+	CPU           Quantity = iota // microseconds of processor time per operation
 	Allocated                     // bytes per operation
 	Allocations                   // objects per operation
 	Wire                          // bytes on the wire, or of a log entry, per operation
-	Messages                      // sent per operation
+	Messages                      // messages sent per operation
 	Stored                        // bytes of a snapshot or on disk
-	Heap                          // bytes that stay in use
-	quantityCount                 // how many there are
+	Heap                          // retained bytes
+	quantityCount                 // number of quantities
 )
 
-// String names the quantity and its unit.
+// String returns the name of the quantity with its unit.
 func (q Quantity) String() string {
 	names := [quantityCount]string{"cpu us", "alloc B", "allocs", "wire B", "messages", "stored B", "heap B"}
 	if q < 0 || q >= quantityCount {
@@ -29,11 +29,11 @@
 	return names[q]
 }
 
-// Sample is what one size took.
+// Sample holds the values measured at one size.
 type Sample struct {
 	Size   int
 	Values [quantityCount]float64 // by Quantity; NaN where the slope does not measure it
-	Note   string                 // of this size alone, such as why it was rejected
+	Note   string                 // on this size, such as the reason for a rejection
 }
 
 // newSample returns a sample without values.
--- a/scaling/slope.go
+++ b/scaling/slope.go
@@ -7,27 +7,27 @@
 	"strings"
 )
 
-// Slope is a part whose cost is measured by size.
+// Slope describes a part whose cost is measured as a function of its size.
 type Slope struct {
 	Name      string
-	Operation string // what one operation is
-	Size      string // what grows
+	Operation string // description of one operation
+	Size      string // description of the size and its unit
 	Method    Method
-	Sizes     []int // that Take runs by default, ascending
+	Sizes     []int // default sizes of Take, ascending
 	Run       func(size int, effort Effort) (Sample, error)
 }
 
-// Method says how far from the real thing a figure was measured.
+// Method describes how close to production a figure is measured.
 type Method string
 
-// The methods, from the real thing downwards.
+// The methods, from the closest to production to the farthest.
 const (
-	Measured  Method = "measured"  // the real code over real sockets, files or bytes as it runs in service
-	Isolated  Method = "isolated"  // the real machines, without the parts around them
+	Measured  Method = "measured"  // the production code over real sockets, files or encoded bytes
+	Isolated  Method = "isolated"  // the production state machines, without the parts around them
 	Simulated Method = "simulated" // members or planners on a virtual clock
 )
 
-// All lists the slopes in the order of the page.
+// All returns the slopes in the order of docs/CAPACITY.md.
 func All() []Slope {
 	return slices.Concat(
 		stepSlopes(),
@@ -44,11 +44,11 @@
 	)
 }
 
-// ErrUnknownSlope is what Find returns for a name that no slope has.
-var ErrUnknownSlope = errors.New("no slope has the name")
+// ErrUnknownSlope is returned by Find when no slope has the given name.
+var ErrUnknownSlope = errors.New("unknown slope")
 
-// Find returns the slopes of a name, or whose names begin with it and a dash; all for "all". The error is
-// ErrUnknownSlope.
+// Find returns the slopes with the given name, or whose names begin with it and a dash. The name "all" selects all
+// slopes. If there is none, the error is ErrUnknownSlope.
 func Find(name string) (found []Slope, err error) {
 	for _, s := range All() {
 		if name == "all" || s.Name == name || strings.HasPrefix(s.Name, name+"-") {
@@ -61,7 +61,8 @@
 	return found, nil
 }
 
-// Take runs a slope at sizes, or at its own if none are given. After an error it returns the samples before.
+// Take runs a slope at sizes, or at s.Sizes if none are given. On an error it also returns the samples before the
+// error.
 func (s Slope) Take(effort Effort, sizes ...int) (samples []Sample, err error) {
 	if len(sizes) == 0 {
 		sizes = s.Sizes
@@ -69,7 +70,7 @@
 	for _, size := range sizes {
 		sample, err := s.Run(size, effort)
 		if err != nil {
-			return samples, fmt.Errorf("%s at %d: %w", s.Name, size, err)
+			return samples, fmt.Errorf("%s at size %d: %w", s.Name, size, err)
 		}
 		samples = append(samples, sample)
 	}
--- a/scaling/slope_test.go
+++ b/scaling/slope_test.go
@@ -10,11 +10,11 @@
 		t.Run(name, func(t *testing.T) {
 			found, err := Find(name)
 			if err != nil || len(found) != want {
-				t.Errorf("%d slopes, want %d: %v", len(found), want, err)
+				t.Errorf("Find(%q): got %d slopes and error %v, want %d slopes", name, len(found), err, want)
 			}
 		})
 	}
 	if _, err := Find("none-such"); !errors.Is(err, ErrUnknownSlope) {
-		t.Errorf("a name that no slope has: %v", err)
+		t.Errorf("Find(\"none-such\"): got error %v, want %v", err, ErrUnknownSlope)
 	}
 }
--- a/scaling/socket.go
+++ b/scaling/socket.go
@@ -2,7 +2,6 @@
 
 import (
 	"context"
-	"errors"
 	"fmt"
 	"net"
 	"sync"
@@ -17,17 +16,18 @@
 )
 
 const (
-	quietLease          = 10 * time.Minute // no renewal falls into what is metered
-	briefRenewals       = 2                // lease renewals of each follower that are counted
+	quietLease          = 10 * time.Minute // so that no renewal falls into a measurement
+	briefRenewals       = 2                // measured lease renewals of each follower
 	fullRenewals        = 5
-	briefChanges        = 5 // changes that are told
+	briefChanges        = 5 // measured changes
 	fullChanges         = 50
-	socketTimeout       = time.Minute // for all followers; only a fault takes that long
+	socketTimeout       = time.Minute // for all followers; reached only in case of a fault
 	answerPollInterval  = time.Millisecond
-	renewalPollInterval = 50 * time.Millisecond // seldom, so that looking is not what is metered
+	renewalPollInterval = 50 * time.Millisecond // long, so that polling does not dominate the measurement
 )
 
-// socketMember is a member's service on loopback with followers, each a real client with its own connection.
+// socketMember is a member's service on loopback with followers. Each follower is a real client with its own
+// connection.
 type socketMember struct {
 	*changingStore
 	service     *transport.Service
@@ -76,7 +76,7 @@
 	return m, nil
 }
 
-// newSocketClient is a follower of the changed service.
+// newSocketClient returns a follower of the changed service.
 func newSocketClient(n int, member string, lease time.Duration) (*transport.Client, error) {
 	return transport.NewClient(transport.Config{
 		Name:    fmt.Sprint("conductor-", n),
@@ -87,17 +87,17 @@
 	})
 }
 
-// waitInStep waits until the member knows that all followers have accepted its revision.
+// waitInStep waits until all followers have reported to the member that they accepted its revision.
 func (m *socketMember) waitInStep() error {
 	for begun := time.Now(); time.Since(begun) < socketTimeout; time.Sleep(answerPollInterval) {
 		if status := m.service.Status(); status.Live == len(m.clients) && status.ConvergedRevision == m.store.Revision() {
 			return nil
 		}
 	}
-	return errors.New("not all followers are in step")
+	return fmt.Errorf("not all %d followers were in step within %s", len(m.clients), socketTimeout)
 }
 
-// traffic is the bytes of all followers' connections so far, both ways.
+// traffic returns the bytes of all followers' connections so far, in both directions.
 func (m *socketMember) traffic() (bytes uint64) {
 	for _, client := range m.clients {
 		bytes += client.Traffic.In.Load() + client.Traffic.Out.Load()
@@ -105,7 +105,7 @@
 	return bytes
 }
 
-// memberChanges is how often a follower left a member.
+// memberChanges returns the total number of the followers' failovers to another member.
 func (m *socketMember) memberChanges() (moves uint64) {
 	for _, client := range m.clients {
 		moves += client.Status().Failovers
@@ -122,33 +122,33 @@
 	return m.notify(change)
 }
 
-// notify has the followers told of a change and waits for their answers.
+// notify publishes a change to the followers and waits until all have accepted it.
 func (m *socketMember) notify(change records.Change) error {
 	from := m.service.Counts().Accepted
 	m.service.Committed(change)
 	return m.waitForCounts(answerPollInterval, func(now configsync.Counts) bool { return now.Accepted-from >= uint64(len(m.clients)) })
 }
 
-// waitRenewals waits until the followers have renewed their leases once more, all together.
+// waitRenewals waits until the member has counted as many more lease renewals as there are followers.
 func (m *socketMember) waitRenewals() error {
 	from := m.service.Counts().Heartbeats
 	return m.waitForCounts(renewalPollInterval, func(now configsync.Counts) bool { return now.Heartbeats-from >= uint64(len(m.clients)) })
 }
 
-// waitForCounts looks at the member's counts until they are as they should be.
+// waitForCounts polls the member's counts until reached returns true.
 func (m *socketMember) waitForCounts(every time.Duration, reached func(configsync.Counts) bool) error {
 	for begun := time.Now(); time.Since(begun) < socketTimeout; time.Sleep(every) {
 		if reached(m.service.Counts()) {
 			return nil
 		}
 	}
-	return errors.New("not all followers answered")
+	return fmt.Errorf("not all %d followers answered within %s", len(m.clients), socketTimeout)
 }
 
-// answeredCount is how many changes and renewals were told so far.
+// answeredCount returns the number of changes and renewals that followers have answered so far.
 func answeredCount(counts configsync.Counts) uint64 { return counts.Accepted + counts.Heartbeats }
 
-// socketSample meters what is done, and the bytes of it, both ends. Values are for each change or renewal of a follower.
+// socketSample measures an operation and its bytes, both ends. Values are per change or renewal of a follower.
 func socketSample(s *Sample, m *socketMember, times int, operation func() error) error {
 	var cost meter
 	before, from := m.traffic(), answeredCount(m.service.Counts())
@@ -160,7 +160,7 @@
 	}
 	cost.stop()
 	if moves := m.memberChanges(); moves > 0 {
-		return fmt.Errorf("followers left the member %d times", moves)
+		return fmt.Errorf("followers left the member %d times, want 0", moves)
 	}
 	each := answeredCount(m.service.Counts()) - from
 	cost.recordPerOperation(s, int(each))
@@ -168,7 +168,7 @@
 	return nil
 }
 
-// socketChangeSample meters changes that all followers need.
+// socketChangeSample measures changes that all followers need.
 func socketChangeSample(followers int, effort Effort) (Sample, error) {
 	s := newSample(followers)
 	m, err := newSocketMember(followers, quietLease)
@@ -183,7 +183,7 @@
 	return s, socketSample(&s, m, times, m.commit)
 }
 
-// socketRenewSample meters the renewals of leases, of the time that members in service have.
+// socketRenewSample measures lease renewals, with the default lease of members.
 func socketRenewSample(followers int, effort Effort) (Sample, error) {
 	s := newSample(followers)
 	m, err := newSocketMember(followers, configsync.DefaultLimits.Lease)
@@ -201,9 +201,9 @@
 func socketSlopes() []Slope {
 	sizes := []int{10, 30, 100, 300}
 	return []Slope{
-		{Name: "follow-socket-change", Operation: "one tenant changed, told over loopback and accepted, both ends with all framing above TCP", Size: "followers, all interested",
+		{Name: "follow-socket-change", Operation: "one changed tenant, sent over loopback and accepted, both ends with all framing above TCP", Size: "followers, all interested",
 			Method: Measured, Sizes: sizes, Run: socketChangeSample},
-		{Name: "follow-socket-renew", Operation: "a lease renewed over loopback, both ends with all framing above TCP", Size: "followers",
+		{Name: "follow-socket-renew", Operation: "one lease renewal over loopback, both ends with all framing above TCP", Size: "followers",
 			Method: Measured, Sizes: sizes, Run: socketRenewSample},
 	}
 }
--- a/scaling/step.go
+++ b/scaling/step.go
@@ -8,15 +8,15 @@
 
 const (
 	stepInterval   = 0.1   // seconds between two steps of the planner
-	stepsPerReport = 5     // a report on a node comes each half second
-	typicalProxies = 110   // of one controller
-	stepNodes      = 800   // where the proxies grow
-	minSteps       = 30    // that a figure is taken over: 3 s, so that all that is not of every step is in it
-	settleSteps    = 30    // until the first tables and admission levels are out
-	maxNonce       = 60000 // of a push, well under what a command carries
+	stepsPerReport = 5     // each node is reported every half second
+	typicalProxies = 110   // proxies of one controller
+	stepNodes      = 800   // nodes of the slopes over proxies and routes
+	minSteps       = 30    // of a figure: 3 s, so that it includes the work that is not done at every step
+	settleSteps    = 30    // until the first tables and admission levels are sent
+	maxNonce       = 60000 // of a push, well below the maximum of a command
 )
 
-// plannerHost carries no command out. It counts them, and notes the last nonce, so that it can be acknowledged.
+// plannerHost counts commands without executing them. It records the last nonce, so that it can be acknowledged.
 type plannerHost struct {
 	commands     int
 	nonce        int
@@ -50,7 +50,7 @@
 // ThrottlingChanged implements planner.Host.
 func (h *plannerHost) ThrottlingChanged(bool) {}
 
-// plannerConfig is a deployment whose flow control does not hold the planner back.
+// plannerConfig returns a deployment whose flow control does not limit the planner.
 func plannerConfig(proxies, routes, zones int) planner.Config {
 	config := planner.Config{
 		Seed:               1,
@@ -79,7 +79,7 @@
 // fleetZones is the number of zones of a planner's fleet.
 const fleetZones = 2
 
-// plannerFleet is a planner whose proxies have joined, with a clock of its own.
+// plannerFleet is a planner whose proxies have joined, with its own clock.
 type plannerFleet struct {
 	host    *plannerHost
 	planner *planner.Planner
@@ -89,7 +89,7 @@
 	steps   int
 }
 
-// newPlannerFleet has proxies and nodes spread over the zones.
+// newPlannerFleet returns a planner with proxies and nodes spread over the zones.
 func newPlannerFleet(nodes, proxies, routes int) *plannerFleet {
 	f := &plannerFleet{host: &plannerHost{}, now: 100, nodes: nodes, proxies: proxies}
 	f.planner = planner.New(f.host, plannerConfig(proxies, routes, fleetZones), f.now)
@@ -100,7 +100,7 @@
 	return f
 }
 
-// readyEndpoints are nodes spread over the zones.
+// readyEndpoints returns ready endpoints spread over the zones.
 func readyEndpoints(nodes int) []planner.Endpoint {
 	endpoints := make([]planner.Endpoint, nodes)
 	for index := range endpoints {
@@ -109,7 +109,7 @@
 	return endpoints
 }
 
-// addReports reports on each node, and the demand at each proxy.
+// addReports adds a load report on each node and a demand report of each proxy.
 func (f *plannerFleet) addReports() {
 	for index := range f.nodes {
 		f.planner.AddLoadReport(f.now, planner.LoadReport{
@@ -124,7 +124,7 @@
 	}
 }
 
-// acknowledge has all proxies acknowledge what was commanded.
+// acknowledge acknowledges the last nonce for all proxies if the planner has requested it.
 func (f *plannerFleet) acknowledge() {
 	if !f.host.ackRequested {
 		return
@@ -136,7 +136,8 @@
 	}
 }
 
-// step lets a tenth of a second pass. The reports and acknowledgements beside it are not metered. The meter may be nil.
+// step advances the clock by a tenth of a second and runs one planner step. The meter, which may be nil, does not
+// include the reports and acknowledgements.
 func (f *plannerFleet) step(cost *meter) {
 	if f.steps%stepsPerReport == 0 {
 		f.addReports()
@@ -153,17 +154,17 @@
 	f.acknowledge()
 }
 
-// settle lets the first tables and admission levels go out.
+// settle runs steps until the first tables and admission levels are sent.
 func (f *plannerFleet) settle() {
 	for range settleSteps {
 		f.step(nil)
 	}
 }
 
-// errNoCommands says that a planner did not plan for its fleet, so that its steps cost nothing.
-var errNoCommands = errors.New("the planner sent no command: the fleet did not come up")
+// errNoCommands is returned when a planner has not planned for its fleet, so that its steps cost nothing.
+var errNoCommands = errors.New("the planner sent no commands while its fleet settled")
 
-// stepSample meters steps of a fleet that has settled.
+// stepSample measures the steps of a settled fleet.
 func stepSample(size, nodes, proxies int, effort Effort) (Sample, error) {
 	sample := newSample(size)
 	f := newPlannerFleet(nodes, proxies, 2)
@@ -183,10 +184,10 @@
 
 func stepSlopes() []Slope {
 	return []Slope{
-		{Name: "step-nodes", Operation: "one step of the module (10 a second), 110 proxies", Size: "nodes", Method: Isolated,
+		{Name: "step-nodes", Operation: "one step of the planner (10 per second), 110 proxies", Size: "nodes", Method: Isolated,
 			Sizes: []int{23, 130, 800, 3200, 13000},
 			Run:   func(size int, effort Effort) (Sample, error) { return stepSample(size, size, typicalProxies, effort) }},
-		{Name: "step-proxies", Operation: "one step of the module (10 a second), 800 nodes", Size: "proxies", Method: Isolated,
+		{Name: "step-proxies", Operation: "one step of the planner (10 per second), 800 nodes", Size: "proxies", Method: Isolated,
 			Sizes: []int{110, 300, 800, 2400},
 			Run:   func(size int, effort Effort) (Sample, error) { return stepSample(size, stepNodes, size, effort) }},
 	}
--- a/scaling/xdspush.go
+++ b/scaling/xdspush.go
@@ -13,56 +13,56 @@
 )
 
 const (
-	poolNodes    = 200 // nodes of the pool where the sidecars grow
-	poolSidecars = 100 // sidecars where the pool grows
-	maxExchanges = 100 // exchanges of a sidecar until it holds all, far above the dozen that it takes
+	poolNodes    = 200 // nodes of the pool in slopes over sidecars
+	poolSidecars = 100 // sidecars in slopes over the pool
+	maxExchanges = 100 // limit on exchanges until all sidecars are in step, far above the dozen needed
 )
 
-// pendingResponse is a response on its way to a sidecar.
+// pendingResponse is a response that is not delivered to its sidecar yet.
 type pendingResponse struct {
 	stream   uint64
 	response *discoveryv3.DeltaDiscoveryResponse
 }
 
-// pushServer is an xDS server with delta sidecars that hold everything. Sidecars are numbered from 0, and their streams from
-// 1 in the same order. It implements the server's callbacks.
+// pushServer is an xDS server with sidecars that use the delta variant and hold all resources. Sidecars are numbered
+// from 0, and their streams from 1 in the same order. It implements the server's callbacks.
 type pushServer struct {
 	server  *xds.Server
 	caches  []*sidecar.ResourceCache // by sidecar
 	pending []pendingResponse
 	nodes   int
 	changes int
-	failure error // of a sidecar that rejected something, or lost its stream
+	failure error // of a sidecar that rejected a response or whose stream closed
 }
 
-// Send is for sidecars of the other variant, of which there are none.
+// Send does nothing: no sidecar uses the state-of-the-world variant.
 func (p *pushServer) Send(uint64, *discoveryv3.DiscoveryResponse) {}
 
-// SendDelta puts a response on its way.
+// SendDelta queues a response for delivery.
 func (p *pushServer) SendDelta(stream uint64, response *discoveryv3.DeltaDiscoveryResponse) {
 	p.pending = append(p.pending, pendingResponse{stream: stream, response: response})
 }
 
-// CloseStream notes a failure.
+// CloseStream records a failure.
 func (p *pushServer) CloseStream(stream uint64, why string) {
-	p.failure = fmt.Errorf("stream %d ended: %s", stream, why)
+	p.failure = fmt.Errorf("stream %d closed: %s", stream, why)
 }
 
-// Joined is not needed here.
+// Joined does nothing.
 func (p *pushServer) Joined(int, string) {}
 
-// Left is not needed here.
+// Left does nothing.
 func (p *pushServer) Left(int) {}
 
-// Acknowledged is not needed here.
+// Acknowledged does nothing.
 func (p *pushServer) Acknowledged(int, int) {}
 
-// Rejected notes a failure.
+// Rejected records a failure.
 func (p *pushServer) Rejected(id string, kind xds.ResourceType, why string) {
 	p.failure = fmt.Errorf("%s rejected %s: %s", id, kind, why)
 }
 
-// streamOf is the stream of a sidecar.
+// streamOf returns the stream of a sidecar.
 func streamOf(sidecar int) uint64 { return uint64(sidecar + 1) }
 
 func nodeName(n int) string { return fmt.Sprintf("node-%05d", n) }
@@ -82,7 +82,7 @@
 	return routes
 }
 
-// newPushServer has all sidecars joined, bound to one table of all nodes, and in step.
+// newPushServer returns a server whose sidecars have all joined, are bound to one table of all nodes, and are in step.
 func newPushServer(sidecars, nodes, routes int) (*pushServer, error) {
 	p := &pushServer{nodes: nodes}
 	compiler := xds.NewCompiler(pushRoutes(routes), time.Second)
@@ -115,7 +115,7 @@
 	return p.handleRequests(streamOf(index), cache.BeginDelta())
 }
 
-// handleRequests has the server handle what a sidecar sends.
+// handleRequests passes a sidecar's requests to the server.
 func (p *pushServer) handleRequests(stream uint64, requests []*discoveryv3.DeltaDiscoveryRequest) error {
 	for _, request := range requests {
 		if err := p.server.HandleDelta(0, stream, request); err != nil {
@@ -125,13 +125,13 @@
 	return nil
 }
 
-// pushCost is what pushes cost: the server's side with the bytes of its responses written, and the sidecars' side.
+// pushCost sums the cost of pushes: at the server, with the bytes of its encoded responses, and at the sidecars.
 type pushCost struct {
 	server, sidecars meter
 	bytes, messages  int
 }
 
-// settle carries responses and answers until nothing is on its way.
+// settle delivers responses and the sidecars' requests until no response is pending.
 func (p *pushServer) settle(cost *pushCost) error {
 	for range maxExchanges {
 		if p.failure != nil {
@@ -144,10 +144,10 @@
 			return err
 		}
 	}
-	return fmt.Errorf("not settled after %d exchanges", maxExchanges)
+	return fmt.Errorf("responses are still pending after %d exchanges", maxExchanges)
 }
 
-// exchange carries all responses that are on their way, and the answers back.
+// exchange delivers all pending responses, and passes the sidecars' requests back to the server.
 func (p *pushServer) exchange(cost *pushCost) error {
 	arrived := p.pending
 	p.pending = nil
@@ -168,7 +168,7 @@
 	return nil
 }
 
-// writeResponses meters the encoding of responses.
+// writeResponses encodes responses and adds the cost.
 func (c *pushCost) writeResponses(responses []pendingResponse) error {
 	c.server.start()
 	defer c.server.stop()
@@ -183,7 +183,7 @@
 	return nil
 }
 
-// handleResponses meters the sidecars, and returns their answers by response.
+// handleResponses passes responses to the sidecars, adds the cost, and returns the requests for each response.
 func (p *pushServer) handleResponses(cost *pushCost, arrived []pendingResponse) ([][]*discoveryv3.DeltaDiscoveryRequest, error) {
 	answers := make([][]*discoveryv3.DeltaDiscoveryRequest, len(arrived))
 	cost.sidecars.start()
@@ -198,7 +198,7 @@
 	return answers, nil
 }
 
-// change sets one node's weight and has all sidecars accept it.
+// change sets one node's weight and delivers it until all sidecars have accepted it.
 func (p *pushServer) change(cost *pushCost) error {
 	p.changes++
 	commands := []controller.Command{
@@ -214,7 +214,7 @@
 	return p.settle(cost)
 }
 
-// pushSample meters pushes of one changed weight, at the server or at the sidecars. Values are for each sidecar.
+// pushSample measures pushes of one changed weight, at the server or at the sidecars. Values are per sidecar.
 func pushSample(size, sidecars, nodes int, effort Effort, side func(*pushCost) *meter) (Sample, error) {
 	s := newSample(size)
 	p, err := newPushServer(sidecars, nodes, 12)
@@ -239,12 +239,12 @@
 	server := func(c *pushCost) *meter { return &c.server }
 	client := func(c *pushCost) *meter { return &c.sidecars }
 	return []Slope{
-		{Name: "push-sidecars", Operation: "one changed weight to one sidecar, server's side, pool of 200 nodes", Size: "sidecars on the table", Method: Isolated,
+		{Name: "push-sidecars", Operation: "one changed weight sent to one sidecar, server's side, pool of 200 nodes", Size: "sidecars on the table", Method: Isolated,
 			Sizes: []int{10, 30, 100, 300, 1000},
 			Run: func(size int, effort Effort) (Sample, error) {
 				return pushSample(size, size, poolNodes, effort, server)
 			}},
-		{Name: "push-pool", Operation: "one changed weight to one sidecar, server's side, 100 sidecars", Size: "nodes of the pool", Method: Isolated,
+		{Name: "push-pool", Operation: "one changed weight sent to one sidecar, server's side, 100 sidecars", Size: "nodes of the pool", Method: Isolated,
 			Sizes: []int{10, 50, 200, 1000},
 			Run: func(size int, effort Effort) (Sample, error) {
 				return pushSample(size, poolSidecars, size, effort, server)
