--- a/internal/testbed/slopes.go
+++ b/internal/testbed/slopes.go
@@ -47,7 +47,7 @@
 		return err
 	}
 	for _, slope := range slopes {
-		samples, err := slope.Take(scaling.Full, sizes...)
+		samples, err := slope.Measure(scaling.Full, sizes...)
 		if err != nil {
 			return err
 		}
--- a/scaling/agreed.go
+++ b/scaling/agreed.go
@@ -19,21 +19,21 @@
 // agreedText returns a configuration with the given number of routes, 95 bytes each. Versions 0 and 1 differ in the
 // time limit of the first route.
 func agreedText(routes, version int) string {
-	var b strings.Builder
-	b.WriteString("agreed {\n")
-	for r := range routes {
+	var text strings.Builder
+	text.WriteString("agreed {\n")
+	for route := range routes {
 		limit := 2000
-		if r == 0 {
+		if route == 0 {
 			limit += version
 		}
-		fmt.Fprintf(&b, "    route \"r%04d\" { prefix \"/service-%03d/r%04d\"; limit-ms %d; most 0.750000; mutating; }\n", r, r%570, r, limit)
+		fmt.Fprintf(&text, "    route \"r%04d\" { prefix \"/service-%03d/r%04d\"; limit-ms %d; most 0.750000; mutating; }\n", route, route%570, route, limit)
 	}
-	b.WriteString("}\n")
-	return b.String()
+	text.WriteString("}\n")
+	return text.String()
 }
 
-// agreedCommand encodes a proposal of text based on the latest version of state.
-func agreedCommand(state *cluster.State, seq uint64, text string) ([]byte, error) {
+// encodeAgreedCommand encodes a proposal of text based on the latest version of state.
+func encodeAgreedCommand(state *cluster.State, seq uint64, text string) ([]byte, error) {
 	return json.Marshal(cluster.Command{
 		Kind:   cluster.CommandPut,
 		Client: operatorClient,
@@ -50,9 +50,9 @@
 	return [2]string{agreedText(routes, 0), agreedText(routes, 1)}
 }
 
-// agreedChange proposes and applies the text that is not in force, and returns the size of its log entry in bytes.
-func agreedChange(state *cluster.State, texts [2]string, index uint64) (entry int, err error) {
-	data, err := agreedCommand(state, index, texts[index%2])
+// applyAgreedChange proposes and applies the text that is not in force, and returns the size of its log entry in bytes.
+func applyAgreedChange(state *cluster.State, texts [2]string, index uint64) (entry int, err error) {
+	data, err := encodeAgreedCommand(state, index, texts[index%2])
 	if err != nil {
 		return 0, err
 	}
@@ -61,53 +61,58 @@
 
 // applyAccepted applies an entry, and returns an error if the state rejects it.
 func applyAccepted(state *cluster.State, index uint64, data []byte) error {
-	if _, r := state.Apply(index, 1, data); r.Rejected != "" {
-		return fmt.Errorf("entry %d was rejected: %s", index, r.Rejected)
+	if _, result := state.Apply(index, 1, data); result.Rejected != "" {
+		return fmt.Errorf("entry %d was rejected: %s", index, result.Rejected)
 	}
 	return nil
 }
 
-// agreedState returns a state that holds historyVersions versions of a text with the given number of routes.
-func agreedState(routes int) (*cluster.State, error) {
+// newAgreedState returns a state that holds historyVersions versions of a text with the given number of routes.
+func newAgreedState(routes int) (*cluster.State, error) {
 	state := cluster.NewState(config.TextFormat{})
 	texts := agreedTexts(routes)
 	for index := range uint64(historyVersions) {
-		if _, err := agreedChange(state, texts, index+1); err != nil {
+		if _, err := applyAgreedChange(state, texts, index+1); err != nil {
 			return nil, err
 		}
 	}
 	return state, nil
 }
 
-// agreedRejected returns the error that rejects a text with the given number of routes, nil if the text is accepted.
-func agreedRejected(routes int) error {
-	return cluster.NewState(config.TextFormat{}).Validate(cluster.Command{Kind: cluster.CommandPut, Client: operatorClient, Text: agreedText(routes, 0)})
+// validateAgreedText returns the error that rejects a text with the given number of routes, nil if the text is
+// accepted.
+func validateAgreedText(routes int) error {
+	return cluster.NewState(config.TextFormat{}).Validate(cluster.Command{
+		Kind:   cluster.CommandPut,
+		Client: operatorClient,
+		Text:   agreedText(routes, 0),
+	})
 }
 
 // agreedSample measures one changed route at a member: the log entry, validation and apply, and the snapshot.
 func agreedSample(routes int, effort Effort) (Sample, error) {
-	s := newSample(routes)
-	if err := agreedRejected(routes); err != nil {
+	sample := newSample(routes)
+	if err := validateAgreedText(routes); err != nil {
 		why, _, _ := strings.Cut(err.Error(), "\n") // the first line: there may be one for each route
-		s.Note = fmt.Sprintf("%d bytes of text rejected: %s", len(agreedText(routes, 0)), why)
-		return s, nil
+		sample.Note = fmt.Sprintf("%d bytes of text rejected: %s", len(agreedText(routes, 0)), why)
+		return sample, nil
 	}
-	heap, state, err := measureHeap(func() (*cluster.State, error) { return agreedState(routes) })
+	heap, state, err := measureHeap(func() (*cluster.State, error) { return newAgreedState(routes) })
 	if err != nil {
-		return s, err
+		return sample, err
 	}
-	s.Values[Heap] = heap
+	sample.Values[Heap] = heap
 	snapshot, err := state.Snapshot()
 	if err != nil {
-		return s, err
+		return sample, err
 	}
-	s.Values[Stored] = float64(len(snapshot))
+	sample.Values[Stored] = float64(len(snapshot))
 	texts := agreedTexts(routes)
 	index := uint64(historyVersions)
-	return s, repeat(&s, effort, func() error {
+	return sample, repeat(&sample, effort, func() error {
 		index++
-		entry, err := agreedChange(state, texts, index)
-		s.Values[Wire] = float64(entry)
+		entry, err := applyAgreedChange(state, texts, index)
+		sample.Values[Wire] = float64(entry)
 		return err
 	})
 }
@@ -118,7 +123,7 @@
 	rejected := 2 * OperatorsRoutes
 	for accepted+1 < rejected {
 		middle := (accepted + rejected) / 2
-		if agreedRejected(middle) == nil {
+		if validateAgreedText(middle) == nil {
 			accepted = middle
 		} else {
 			rejected = middle
@@ -128,6 +133,12 @@
 }
 
 func agreedSlopes() []Slope {
-	return []Slope{{Name: "agreed-text", Operation: "one changed route in one text; wire: log entry, stored: snapshot after 64 versions, heap: state, cpu and allocations: propose, validate and apply",
-		Size: "routes", Method: Isolated, Sizes: []int{34, 110, 340, 1000, OperatorsRoutes}, Run: agreedSample}}
+	return []Slope{{
+		Name:      "agreed-text",
+		Operation: "one changed route in one text; wire: log entry, stored: snapshot after 64 versions, heap: state, cpu and allocations: propose, validate and apply",
+		Size:      "routes",
+		Method:    Isolated,
+		Sizes:     []int{34, 110, 340, 1000, OperatorsRoutes},
+		Run:       agreedSample,
+	}}
 }
--- a/scaling/bench_test.go
+++ b/scaling/bench_test.go
@@ -13,16 +13,16 @@
 		b.Run(slope.Name, func(b *testing.B) {
 			for _, size := range slope.Sizes {
 				b.Run(fmt.Sprint("size=", size), func(b *testing.B) {
-					s := newSample(size)
+					sample := newSample(size)
 					for b.Loop() {
 						var err error
-						if s, err = slope.Run(size, Brief); err != nil {
+						if sample, err = slope.Run(size, Brief); err != nil {
 							b.Fatal(err)
 						}
 					}
-					for q, v := range s.Values {
-						if !math.IsNaN(v) {
-							b.ReportMetric(v, strings.ReplaceAll(Quantity(q).String(), " ", "-"))
+					for quantity, value := range sample.Values {
+						if !math.IsNaN(value) {
+							b.ReportMetric(value, strings.ReplaceAll(Quantity(quantity).String(), " ", "-"))
 						}
 					}
 				})
--- a/scaling/bounds_test.go
+++ b/scaling/bounds_test.go
@@ -9,9 +9,9 @@
 // bound limits the value of a quantity at each size and its growth over the sizes. Times have no bounds, because they
 // differ from run to run.
 type bound struct {
-	quantity   Quantity
-	growth     float64 // maximum exponent; infinite for no limit
-	base, each float64 // maximum at a size: base + each*size
+	quantity      Quantity
+	growth        float64 // maximum exponent; infinite for no limit
+	base, perUnit float64 // maximum at a size: base + perUnit*size
 }
 
 // isMemory reports whether the race detector changes the quantity.
@@ -20,29 +20,29 @@
 // anyGrowth is the growth of a bound that does not limit growth.
 var anyGrowth = math.Inf(1)
 
-// brokenBounds describes the bounds that samples exceed. A missing value exceeds its bound.
-func brokenBounds(samples []Sample, bounds []bound) (broken []string) {
-	for _, b := range bounds {
-		if underRace && b.quantity.isMemory() {
+// violatedBounds describes the bounds that samples exceed. A missing value exceeds its bound.
+func violatedBounds(samples []Sample, bounds []bound) (violations []string) {
+	for _, limits := range bounds {
+		if underRace && limits.quantity.isMemory() {
 			continue
 		}
-		for _, s := range samples {
-			value := s.Values[b.quantity]
-			limit := b.base + b.each*float64(s.Size)
+		for _, sample := range samples {
+			value := sample.Values[limits.quantity]
+			limit := limits.base + limits.perUnit*float64(sample.Size)
 			isWithin := value <= limit // false for NaN
 			if !isWithin {
-				broken = append(broken, fmt.Sprintf("%s at size %d: got %.4g, want at most %.4g", b.quantity, s.Size, value, limit))
+				violations = append(violations, fmt.Sprintf("%s at size %d: got %.4g, want at most %.4g", limits.quantity, sample.Size, value, limit))
 			}
 		}
-		if math.IsInf(b.growth, 1) {
+		if math.IsInf(limits.growth, 1) {
 			continue
 		}
-		fit, known := FitOf(samples, b.quantity)
-		if !known || fit.Exponent > b.growth {
-			broken = append(broken, fmt.Sprintf("%s: got growth by size^%.2f, want at most size^%.2f", b.quantity, fit.Exponent, b.growth))
+		fit, known := FitOf(samples, limits.quantity)
+		if !known || fit.Exponent > limits.growth {
+			violations = append(violations, fmt.Sprintf("%s: got growth by size^%.2f, want at most size^%.2f", limits.quantity, fit.Exponent, limits.growth))
 		}
 	}
-	return broken
+	return violations
 }
 
 // slopeBounds maps each slope to small sizes and the bounds there. docs/CAPACITY.md lists those marked quadratic as
@@ -99,9 +99,9 @@
 	scopeSizes  = []int{7000, 14000, 28000, 56000}
 )
 
-// sizesToTake returns the sizes to measure: only the first minFitSizes under the race detector, which takes ten times
-// as long.
-func sizesToTake(sizes []int) []int {
+// sizesToMeasure returns the sizes to measure: only the first minFitSizes under the race detector, which takes ten
+// times as long.
+func sizesToMeasure(sizes []int) []int {
 	if underRace {
 		return sizes[:min(len(sizes), minFitSizes)]
 	}
@@ -118,15 +118,15 @@
 			continue
 		}
 		t.Run(slope.Name, func(t *testing.T) {
-			samples, err := slope.Take(Brief, sizesToTake(check.sizes)...)
+			samples, err := slope.Measure(Brief, sizesToMeasure(check.sizes)...)
 			if err != nil {
 				t.Fatal(err)
 			}
-			for _, s := range samples {
-				t.Log(s.Size, s.Values)
+			for _, sample := range samples {
+				t.Log(sample.Size, sample.Values)
 			}
-			for _, broken := range brokenBounds(samples, check.bounds) {
-				t.Error(broken)
+			for _, violation := range violatedBounds(samples, check.bounds) {
+				t.Error(violation)
 			}
 		})
 	}
--- a/scaling/doc.go
+++ b/scaling/doc.go
@@ -2,8 +2,8 @@
 // harehook-testbed slopes prints the measurements; docs/CAPACITY.md compares the results with the operators' budget.
 //
 // A Slope is one part: its Run repeats an operation at one size and returns a Sample of the cost: processor time of the
-// process, bytes and objects allocated, bytes on the wire or on disk, and retained memory. Take runs a slope at several
-// sizes. FitOf fits a growth exponent and a straight line to the samples.
+// process, bytes and objects allocated, bytes on the wire or on disk, and retained memory. Measure runs a slope at
+// several sizes. FitOf fits a growth exponent and a straight line to the samples.
 //
 // Processor time is that of the process (getrusage), not wall time, so that other load on the machine affects it as
 // little as possible. Tests bound only quantities that are the same on every run: counts, bytes and their growth.
--- a/scaling/follow.go
+++ b/scaling/follow.go
@@ -25,19 +25,19 @@
 }
 
 func newChangingStore() (*changingStore, error) {
-	r, err := newRecordState(followedTenants)
+	state, err := newRecordState(followedTenants)
 	if err != nil {
 		return nil, err
 	}
-	return &changingStore{store: r.state.Store()}, nil
+	return &changingStore{store: state.replicated.Store()}, nil
 }
 
 // change sets another share for a tenant of the changed service.
 func (f *changingStore) change() (records.Change, error) {
 	f.changes++
-	r := recordState{services: minServices}
+	proportions := recordState{services: minServices}
 	share := changeShare + float64(f.changes%shareSteps)*shareStep
-	return f.store.Apply(f.store.Revision()+1, records.Transaction{Writes: []records.Write{r.writeTenant(changedService, share)}})
+	return f.store.Apply(f.store.Revision()+1, records.Transaction{Writes: []records.Write{proportions.writeTenant(changedService, share)}})
 }
 
 // scopeOf returns a scope of one service.
@@ -71,20 +71,20 @@
 	limits.MaxStreams = followers
 	limits.FullScopeBytesPerSecond = unlimitedFullScopeBytes
 	limits.FullScopeBurstBytes = unlimitedFullScopeBytes
-	f := &followedMember{changingStore: source, now: time.Unix(1e9, 0), scope: scope}
-	f.server = configsync.NewServer("member", source.store, limits, f.now)
+	member := &followedMember{changingStore: source, now: time.Unix(1e9, 0), scope: scope}
+	member.server = configsync.NewServer("member", source.store, limits, member.now)
 	for n := range followers {
-		f.followers = append(f.followers, configsync.NewFollower(fmt.Sprint("conductor-", n), scope, limits.Lease, nil))
-		stream, err := f.server.Open(f.now)
+		member.followers = append(member.followers, configsync.NewFollower(fmt.Sprint("conductor-", n), scope, limits.Lease, nil))
+		stream, err := member.server.Open(member.now)
 		if err != nil {
 			return nil, err
 		}
-		f.streams = append(f.streams, stream)
-		if err := f.server.Receive(f.now, stream, f.followers[n].Begin(f.now)); err != nil {
+		member.streams = append(member.streams, stream)
+		if err := member.server.Receive(member.now, stream, member.followers[n].Begin(member.now)); err != nil {
 			return nil, err
 		}
 	}
-	return f, f.settle(&followCost{})
+	return member, member.settle(&followCost{})
 }
 
 // settle delivers responses and the followers' requests until the member has nothing to send.
@@ -94,16 +94,16 @@
 		if err != nil || pending == nil {
 			return err
 		}
-		answers := make([]*discoveryv3.DeltaDiscoveryRequest, len(pending))
+		requests := make([]*discoveryv3.DeltaDiscoveryRequest, len(pending))
 		for n, response := range pending {
 			if response == nil {
 				continue
 			}
-			if answers[n], _, err = f.followers[n].Receive(response); err != nil {
+			if requests[n], _, err = f.followers[n].Receive(response); err != nil {
 				return err
 			}
 		}
-		if err := f.answer(cost, answers); err != nil {
+		if err := f.handleRequests(cost, requests); err != nil {
 			return err
 		}
 	}
@@ -139,11 +139,11 @@
 	return pending, nil
 }
 
-// answer passes the followers' requests to the server.
-func (f *followedMember) answer(cost *followCost, answers []*discoveryv3.DeltaDiscoveryRequest) error {
+// handleRequests passes the followers' requests to the server.
+func (f *followedMember) handleRequests(cost *followCost, requests []*discoveryv3.DeltaDiscoveryRequest) error {
 	cost.member.start()
 	defer cost.member.stop()
-	for n, request := range answers {
+	for n, request := range requests {
 		if request == nil {
 			continue
 		}
@@ -176,16 +176,16 @@
 
 // followSample measures commits at a member whose followers all have the same scope. Values are per follower.
 func followSample(followers int, effort Effort, scope records.Scope) (Sample, error) {
-	s := newSample(followers)
-	f, err := newFollowedMember(followers, scope)
+	sample := newSample(followers)
+	member, err := newFollowedMember(followers, scope)
 	if err != nil {
-		return s, err
+		return sample, err
 	}
-	return s, measureFollowedChanges(&s, f, effort, f.commit)
+	return sample, measureFollowedChanges(&sample, member, effort, member.commit)
 }
 
 // measureFollowedChanges measures commits at a member. Values are per follower.
-func measureFollowedChanges(s *Sample, f *followedMember, effort Effort, commit func(*followCost) error) error {
+func measureFollowedChanges(sample *Sample, member *followedMember, effort Effort, commit func(*followCost) error) error {
 	var cost followCost
 	commits := 0
 	for !effort.isEnough(&cost.member, commits, fullMinOperations) {
@@ -194,25 +194,35 @@
 		}
 		commits++
 	}
-	notifications := commits * len(f.followers)
-	cost.member.recordPerOperation(s, notifications)
-	s.Values[Wire] = float64(cost.bytes) / float64(notifications)
-	s.Values[Messages] = float64(cost.messages) / float64(notifications)
+	notifications := commits * len(member.followers)
+	cost.member.recordPerOperation(sample, notifications)
+	sample.Values[Wire] = float64(cost.bytes) / float64(notifications)
+	sample.Values[Messages] = float64(cost.messages) / float64(notifications)
 	return nil
 }
 
 func followSlopes() []Slope {
 	sizes := []int{20, 60, 200, 600, 2000}
 	return []Slope{
-		{Name: "follow-change-interested", Operation: "one changed tenant, sent to a follower that needs it; member's side, without sockets", Size: "followers, all interested",
-			Method: Isolated, Sizes: sizes,
+		{
+			Name:      "follow-change-interested",
+			Operation: "one changed tenant, sent to a follower that needs it; member's side, without sockets",
+			Size:      "followers, all interested",
+			Method:    Isolated,
+			Sizes:     sizes,
 			Run: func(size int, effort Effort) (Sample, error) {
 				return followSample(size, effort, scopeOf(changedService))
-			}},
-		{Name: "follow-change-other", Operation: "one changed tenant, to a follower that does not need it; member's side, without sockets", Size: "followers, none interested",
-			Method: Isolated, Sizes: sizes,
+			},
+		},
+		{
+			Name:      "follow-change-other",
+			Operation: "one changed tenant, to a follower that does not need it; member's side, without sockets",
+			Size:      "followers, none interested",
+			Method:    Isolated,
+			Sizes:     sizes,
 			Run: func(size int, effort Effort) (Sample, error) {
 				return followSample(size, effort, scopeOf(otherService))
-			}},
+			},
+		},
 	}
 }
--- a/scaling/group.go
+++ b/scaling/group.go
@@ -34,20 +34,20 @@
 	for id := range uint64(size) {
 		voters = append(voters, id+1)
 	}
-	g := &memberGroup{}
+	group := &memberGroup{}
 	for _, id := range voters {
 		saved := &raftlog.SavedState{
 			Identity:  diskIdentity(id),
 			HardState: &raftpb.HardState{},
 			Snapshot:  &raftpb.Snapshot{},
 		}
-		m, _, err := cluster.Start(id, saved, voters, cluster.NewState(nil), timing, id)
+		member, _, err := cluster.Start(id, saved, voters, cluster.NewState(nil), timing, id)
 		if err != nil {
 			return nil, fmt.Errorf("member %d of %d: %w", id, size, err)
 		}
-		g.members = append(g.members, m)
+		group.members = append(group.members, member)
 	}
-	return g, g.elect()
+	return group, group.elect()
 }
 
 // diskIdentity returns the identity by which members know the disk of a member.
@@ -71,9 +71,9 @@
 
 // leader returns the leader, nil if there is none.
 func (g *memberGroup) leader() *cluster.Member {
-	for _, m := range g.members {
-		if m.IsLeader() {
-			return m
+	for _, member := range g.members {
+		if member.IsLeader() {
+			return member
 		}
 	}
 	return nil
@@ -81,8 +81,8 @@
 
 // tick advances the clock of all members by one tick.
 func (g *memberGroup) tick() error {
-	for _, m := range g.members {
-		m.Tick()
+	for _, member := range g.members {
+		member.Tick()
 	}
 	return g.deliver()
 }
@@ -104,8 +104,8 @@
 
 // advance advances all members and returns the messages that they send.
 func (g *memberGroup) advance() (messages []*raftpb.Message, err error) {
-	for _, m := range g.members {
-		sent, _, _, err := m.Advance(func(raftlog.Batch) error { return nil })
+	for _, member := range g.members {
+		sent, _, _, err := member.Advance(func(raftlog.Batch) error { return nil })
 		if err != nil {
 			return nil, err
 		}
@@ -116,16 +116,16 @@
 
 // propose proposes a command at the leader and delivers all messages. It returns an error if the leader did not apply
 // it.
-func (g *memberGroup) propose(c cluster.Command) error {
+func (g *memberGroup) propose(command cluster.Command) error {
 	leader := g.leader()
-	before := leader.Status().Applied
-	if err := leader.Propose(c); err != nil {
+	appliedBefore := leader.Status().Applied
+	if err := leader.Propose(command); err != nil {
 		return err
 	}
 	if err := g.deliver(); err != nil {
 		return err
 	}
-	if leader.Status().Applied <= before {
+	if leader.Status().Applied <= appliedBefore {
 		return errors.New("the proposal was not applied")
 	}
 	return nil
@@ -133,9 +133,9 @@
 
 // idleSample counts the messages of an idle group. Values are per second, summed over all members.
 func idleSample(size int, effort Effort) (Sample, error) {
-	return groupSample(size, effort, func(g *memberGroup, _ uint64) error {
+	return groupSample(size, effort, func(group *memberGroup, _ uint64) error {
 		for range ticksPerSecond {
-			if err := g.tick(); err != nil {
+			if err := group.tick(); err != nil {
 				return err
 			}
 		}
@@ -145,8 +145,8 @@
 
 // proposalSample counts the messages of all members for one proposal of 100 bytes.
 func proposalSample(size int, effort Effort) (Sample, error) {
-	return groupSample(size, effort, func(g *memberGroup, number uint64) error {
-		return g.propose(cluster.Command{
+	return groupSample(size, effort, func(group *memberGroup, number uint64) error {
+		return group.propose(cluster.Command{
 			Kind:   cluster.CommandSetAddress,
 			Client: operatorClient,
 			Seq:    number,
@@ -157,30 +157,50 @@
 }
 
 // groupSample measures an operation of a group, and the messages that it causes with their bytes.
-func groupSample(size int, effort Effort, operation func(g *memberGroup, number uint64) error) (Sample, error) {
-	s := newSample(size)
-	g, err := newGroup(size)
+func groupSample(size int, effort Effort, operation func(group *memberGroup, number uint64) error) (Sample, error) {
+	sample := newSample(size)
+	group, err := newGroup(size)
 	if err != nil {
-		return s, err
+		return sample, err
 	}
-	g.messages = 0
-	g.bytes = 0
+	group.messages = 0
+	group.bytes = 0
 	operations := uint64(0)
-	err = repeat(&s, effort, func() error {
+	err = repeat(&sample, effort, func() error {
 		operations++
-		return operation(g, operations)
+		return operation(group, operations)
 	})
-	s.Values[Messages] = float64(g.messages) / float64(operations)
-	s.Values[Wire] = float64(g.bytes) / float64(operations)
-	return s, err
+	sample.Values[Messages] = float64(group.messages) / float64(operations)
+	sample.Values[Wire] = float64(group.bytes) / float64(operations)
+	return sample, err
 }
 
 func groupSlopes() []Slope {
 	sizes := []int{3, 5, 9, 17, 33}
 	return []Slope{
-		{Name: "group-idle", Operation: "one second of an idle group, all members; wire without gRPC headers", Size: "voters", Method: Simulated, Sizes: sizes, Run: idleSample},
-		{Name: "group-proposal", Operation: "one proposal of 100 bytes, all members", Size: "voters", Method: Simulated, Sizes: sizes, Run: proposalSample},
-		{Name: "group-loopback", Operation: "one second of an idle group of real nodes on loopback, all members, both ends of each connection", Size: "voters",
-			Method: Measured, Sizes: []int{3, 5, 9, 17, 33}, Run: loopbackSample},
+		{
+			Name:      "group-idle",
+			Operation: "one second of an idle group, all members; wire without gRPC headers",
+			Size:      "voters",
+			Method:    Simulated,
+			Sizes:     sizes,
+			Run:       idleSample,
+		},
+		{
+			Name:      "group-proposal",
+			Operation: "one proposal of 100 bytes, all members",
+			Size:      "voters",
+			Method:    Simulated,
+			Sizes:     sizes,
+			Run:       proposalSample,
+		},
+		{
+			Name:      "group-loopback",
+			Operation: "one second of an idle group of real nodes on loopback, all members, both ends of each connection",
+			Size:      "voters",
+			Method:    Measured,
+			Sizes:     []int{3, 5, 9, 17, 33},
+			Run:       loopbackSample,
+		},
 	}
 }
--- a/scaling/list.go
+++ b/scaling/list.go
@@ -25,7 +25,7 @@
 	"harehook.dev/harehook/platform/wire"
 	"harehook.dev/harehook/settings"
 	"harehook.dev/harehook/xds"
-	frontxds "harehook.dev/harehook/xds/transport"
+	"harehook.dev/harehook/xds/transport"
 )
 
 const (
@@ -73,16 +73,16 @@
 
 // watchSample measures the platform's watch as it reads the full list.
 func watchSample(nodes int, effort Effort) (Sample, error) {
-	s := newSample(nodes)
+	sample := newSample(nodes)
 	body, err := platformList(nodes)
 	if err != nil {
-		return s, err
+		return sample, err
 	}
-	s.Values[Wire] = float64(len(body))
-	take := func() (wire.EndpointList, error) {
+	sample.Values[Wire] = float64(len(body))
+	readList := func() (wire.EndpointList, error) {
 		responses := wire.PollResponseReader{MaxBytes: maxListBytes}
-		for rest := body; len(rest) > 0; rest = rest[min(len(rest), readBytes):] {
-			responses.Feed(rest[:min(len(rest), readBytes)])
+		for remaining := body; len(remaining) > 0; remaining = remaining[min(len(remaining), readBytes):] {
+			responses.Feed(remaining[:min(len(remaining), readBytes)])
 			response, err := responses.Next(false)
 			if err != nil || response.Complete {
 				return response.List, err
@@ -90,52 +90,52 @@
 		}
 		return wire.EndpointList{}, errors.New("the response is incomplete")
 	}
-	heap, list, err := measureHeap(take)
+	heap, list, err := measureHeap(readList)
 	if err != nil {
-		return s, err
+		return sample, err
 	}
 	if len(list.Endpoints) != nodes {
-		return s, fmt.Errorf("read %d nodes, want %d", len(list.Endpoints), nodes)
+		return sample, fmt.Errorf("read %d nodes, want %d", len(list.Endpoints), nodes)
 	}
-	s.Values[Heap] = heap
-	return s, repeat(&s, effort, func() error { _, err := take(); return err })
+	sample.Values[Heap] = heap
+	return sample, repeat(&sample, effort, func() error { _, err := readList(); return err })
 }
 
 // fileSample measures a read of harehook-xds's node file.
 func fileSample(nodes int, effort Effort) (Sample, error) {
-	s := newSample(nodes)
+	sample := newSample(nodes)
 	folder, err := os.MkdirTemp("", "harehook-list-")
 	if err != nil {
-		return s, err
+		return sample, err
 	}
 	defer os.RemoveAll(folder)
-	var b strings.Builder
+	var text strings.Builder
 	for n := range nodes {
 		address := nodeAddress(n)
-		fmt.Fprintf(&b, "node %q zone=\"zone-%d\" kind=\"large\" address=\"%s:%d\"\n", nodeName(n), n%listZones, address.Host, address.Port)
+		fmt.Fprintf(&text, "node %q zone=\"zone-%d\" kind=\"large\" address=\"%s:%d\"\n", nodeName(n), n%listZones, address.Host, address.Port)
 	}
-	c := &config.Controller{
+	controllerConfig := &config.Controller{
 		NodesFile:    filepath.Join(folder, "nodes.kdl"),
 		Deployment:   settings.Deployment{MachineTypes: []string{"large"}},
 		MachineTypes: map[string]bool{"large": true},
 		Zones:        map[string]bool{},
 	}
 	for z := range listZones {
-		c.Zones[fmt.Sprint("zone-", z)] = true
+		controllerConfig.Zones[fmt.Sprint("zone-", z)] = true
 	}
-	if err := os.WriteFile(c.NodesFile, []byte(b.String()), 0o600); err != nil {
-		return s, err
+	if err := os.WriteFile(controllerConfig.NodesFile, []byte(text.String()), 0o600); err != nil {
+		return sample, err
 	}
-	s.Values[Stored] = float64(b.Len())
-	heap, list, err := measureHeap(c.ReadNodes)
+	sample.Values[Stored] = float64(text.Len())
+	heap, list, err := measureHeap(controllerConfig.ReadNodes)
 	if err != nil {
-		return s, err
+		return sample, err
 	}
 	if len(list) != nodes {
-		return s, fmt.Errorf("read %d nodes, want %d", len(list), nodes)
+		return sample, fmt.Errorf("read %d nodes, want %d", len(list), nodes)
 	}
-	s.Values[Heap] = heap
-	return s, repeat(&s, effort, func() error { _, err := c.ReadNodes(); return err })
+	sample.Values[Heap] = heap
+	return sample, repeat(&sample, effort, func() error { _, err := controllerConfig.ReadNodes(); return err })
 }
 
 // endpointService lists nodes as the endpoints of a cluster. It sends each version that it receives from versions.
@@ -145,16 +145,16 @@
 }
 
 // StreamAggregatedResources implements the service for one client that requests one cluster.
-func (l *endpointService) StreamAggregatedResources(s discoveryv3.AggregatedDiscoveryService_StreamAggregatedResourcesServer) error {
+func (e *endpointService) StreamAggregatedResources(stream discoveryv3.AggregatedDiscoveryService_StreamAggregatedResourcesServer) error {
 	for {
-		if _, err := s.Recv(); err != nil {
+		if _, err := stream.Recv(); err != nil {
 			return err
 		}
 		select {
-		case <-s.Context().Done():
-			return s.Context().Err()
-		case r := <-l.versions:
-			if err := s.Send(r); err != nil {
+		case <-stream.Context().Done():
+			return stream.Context().Err()
+		case response := <-e.versions:
+			if err := stream.Send(response); err != nil {
 				return err
 			}
 		}
@@ -167,60 +167,74 @@
 	for zone := range min(listZones, nodes) {
 		locality := &endpointv3.LocalityLbEndpoints{Locality: &corev3.Locality{Zone: fmt.Sprint("zone-", zone)}}
 		for n := zone; n < nodes; n += listZones {
-			locality.LbEndpoints = append(locality.LbEndpoints, &endpointv3.LbEndpoint{HealthStatus: corev3.HealthStatus_HEALTHY,
+			locality.LbEndpoints = append(locality.LbEndpoints, &endpointv3.LbEndpoint{
+				HealthStatus:        corev3.HealthStatus_HEALTHY,
 				LoadBalancingWeight: wrapperspb.UInt32(uint32(1 + version%2)),
-				HostIdentifier: &endpointv3.LbEndpoint_Endpoint{Endpoint: &endpointv3.Endpoint{Hostname: nodeName(n),
-					Address: nodeAddress(n).Message()}}})
+				HostIdentifier: &endpointv3.LbEndpoint_Endpoint{Endpoint: &endpointv3.Endpoint{
+					Hostname: nodeName(n),
+					Address:  nodeAddress(n).Message(),
+				}},
+			})
 		}
 		list.Endpoints = append(list.Endpoints, locality)
 	}
 	body, err := proto.Marshal(list)
-	return &discoveryv3.DiscoveryResponse{VersionInfo: fmt.Sprint(version), Nonce: fmt.Sprint("n", version), TypeUrl: xds.Endpoints.TypeURL(),
-		Resources: []*anypb.Any{{TypeUrl: xds.Endpoints.TypeURL(), Value: body}}}, err
+	return &discoveryv3.DiscoveryResponse{
+		VersionInfo: fmt.Sprint(version),
+		Nonce:       fmt.Sprint("n", version),
+		TypeUrl:     xds.Endpoints.TypeURL(),
+		Resources:   []*anypb.Any{{TypeUrl: xds.Endpoints.TypeURL(), Value: body}},
+	}, err
 }
 
 // endpointsSample measures versions of the list sent over a loopback stream, with both ends in this process.
 func endpointsSample(nodes int, effort Effort) (Sample, error) {
-	s := newSample(nodes)
+	sample := newSample(nodes)
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
-		return s, err
+		return sample, err
 	}
 	service := &endpointService{versions: make(chan *discoveryv3.DiscoveryResponse, 1)}
 	server := grpc.NewServer()
 	discoveryv3.RegisterAggregatedDiscoveryServiceServer(server, service)
-	served := make(chan error, 1)
-	go func() { served <- server.Serve(listener) }()
-	taken := make(chan int, 1)
-	members := &frontxds.EndpointWatcher{Address: listener.Addr().String(), Cluster: clusterName, Name: "conductor", Log: zap.NewNop(),
-		KnowsZone: func(string) bool { return true }, Accepted: func(_ string, list []frontxds.Endpoint) { taken <- len(list) }}
+	serverDone := make(chan error, 1)
+	go func() { serverDone <- server.Serve(listener) }()
+	accepted := make(chan int, 1)
+	watcher := &transport.EndpointWatcher{
+		Address:   listener.Addr().String(),
+		Cluster:   clusterName,
+		Name:      "conductor",
+		Log:       zap.NewNop(),
+		KnowsZone: func(string) bool { return true },
+		Accepted:  func(_ string, list []transport.Endpoint) { accepted <- len(list) },
+	}
 	ctx, stop := context.WithCancel(context.Background())
-	followed := make(chan struct{})
+	watcherDone := make(chan struct{})
 	go func() {
-		defer close(followed)
-		members.Run(ctx)
+		defer close(watcherDone)
+		watcher.Run(ctx)
 	}()
 	defer func() {
 		stop()
-		<-followed
+		<-watcherDone
 		server.Stop()
-		<-served
+		<-serverDone
 	}()
 	version := 0
-	bodies := [2]*discoveryv3.DiscoveryResponse{}
-	for k := range bodies {
-		if bodies[k], err = endpointsResponse(nodes, k); err != nil {
-			return s, err
+	responses := [2]*discoveryv3.DiscoveryResponse{}
+	for index := range responses {
+		if responses[index], err = endpointsResponse(nodes, index); err != nil {
+			return sample, err
 		}
 	}
-	s.Values[Wire] = float64(proto.Size(bodies[0]))
-	return s, repeat(&s, effort, func() error {
+	sample.Values[Wire] = float64(proto.Size(responses[0]))
+	return sample, repeat(&sample, effort, func() error {
 		version++
-		service.versions <- bodies[version%2]
+		service.versions <- responses[version%2]
 		select {
-		case n := <-taken:
-			if n != nodes {
-				return fmt.Errorf("read %d nodes, want %d", n, nodes)
+		case count := <-accepted:
+			if count != nodes {
+				return fmt.Errorf("read %d nodes, want %d", count, nodes)
 			}
 			return nil
 		case <-time.After(listTimeout):
@@ -231,34 +245,34 @@
 
 // changeSample measures the planner's update for one node's state change, which makes it plan immediately.
 func changeSample(nodes int, effort Effort) (Sample, error) {
-	s := newSample(nodes)
-	f := newPlannerFleet(nodes, typicalProxies, 2)
-	f.settle()
+	sample := newSample(nodes)
+	fleet := newPlannerFleet(nodes, typicalProxies, 2)
+	fleet.settle()
 	draining := false
-	var m meter
-	n := 0
-	for ; !effort.isEnough(&m, n, fullMinOperations); n++ {
+	var cost meter
+	changes := 0
+	for ; !effort.isEnough(&cost, changes, fullMinOperations); changes++ {
 		draining = !draining
 		row := planner.Endpoint{Node: 1, State: planner.Ready}
 		if draining {
 			row.State = planner.Draining
 		}
-		m.start()
-		f.planner.UpdateEndpoints(f.now, []planner.Endpoint{row})
-		m.stop()
-		f.acknowledge()
+		cost.start()
+		fleet.planner.UpdateEndpoints(fleet.now, []planner.Endpoint{row})
+		cost.stop()
+		fleet.acknowledge()
 		for range stepsPerReport {
-			f.step(nil) // the commands are acknowledged, and the clock advances
+			fleet.step(nil) // the commands are acknowledged, and the clock advances
 		}
 	}
-	m.recordPerOperation(&s, n)
-	return s, nil
+	cost.recordPerOperation(&sample, changes)
+	return sample, nil
 }
 
 // startSample measures the start of a planner with a full list. The first full list costs the same.
 func startSample(nodes int, effort Effort) (Sample, error) {
-	s := newSample(nodes)
-	return s, repeat(&s, effort, func() error {
+	sample := newSample(nodes)
+	return sample, repeat(&sample, effort, func() error {
 		newPlannerFleet(nodes, typicalProxies, 2)
 		return nil
 	})
@@ -267,10 +281,45 @@
 func listSlopes() []Slope {
 	sizes := []int{130, 400, 1300, 4000, OperatorsNodes}
 	return []Slope{
-		{Name: "list-watch", Operation: "one read of the full list by the platform's watch", Size: "nodes", Method: Measured, Sizes: sizes, Run: watchSample},
-		{Name: "list-file", Operation: "one read of harehookd's node file", Size: "nodes", Method: Measured, Sizes: sizes, Run: fileSample},
-		{Name: "list-members", Operation: "one version of the list over a loopback stream, both ends", Size: "nodes", Method: Measured, Sizes: sizes, Run: endpointsSample},
-		{Name: "list-start", Operation: "start of a planner with the list and 110 proxies", Size: "nodes", Method: Isolated, Sizes: sizes, Run: startSample},
-		{Name: "list-change", Operation: "update of one node at the planner, 110 proxies", Size: "nodes", Method: Isolated, Sizes: sizes, Run: changeSample},
+		{
+			Name:      "list-watch",
+			Operation: "one read of the full list by the platform's watch",
+			Size:      "nodes",
+			Method:    Measured,
+			Sizes:     sizes,
+			Run:       watchSample,
+		},
+		{
+			Name:      "list-file",
+			Operation: "one read of harehookd's node file",
+			Size:      "nodes",
+			Method:    Measured,
+			Sizes:     sizes,
+			Run:       fileSample,
+		},
+		{
+			Name:      "list-members",
+			Operation: "one version of the list over a loopback stream, both ends",
+			Size:      "nodes",
+			Method:    Measured,
+			Sizes:     sizes,
+			Run:       endpointsSample,
+		},
+		{
+			Name:      "list-start",
+			Operation: "start of a planner with the list and 110 proxies",
+			Size:      "nodes",
+			Method:    Isolated,
+			Sizes:     sizes,
+			Run:       startSample,
+		},
+		{
+			Name:      "list-change",
+			Operation: "update of one node at the planner, 110 proxies",
+			Size:      "nodes",
+			Method:    Isolated,
+			Sizes:     sizes,
+			Run:       changeSample,
+		},
 	}
 }
--- a/scaling/loopback.go
+++ b/scaling/loopback.go
@@ -76,11 +76,11 @@
 		return nil, err
 	}
 	ctx, cancel := context.WithCancel(context.Background())
-	g := &loopbackGroup{cancel: cancel, folder: folder}
-	if err := g.startAll(ctx, size); err != nil {
-		return nil, errors.Join(err, g.stopAndWait())
+	group := &loopbackGroup{cancel: cancel, folder: folder}
+	if err := group.startAll(ctx, size); err != nil {
+		return nil, errors.Join(err, group.stopAndWait())
 	}
-	return g, nil
+	return group, nil
 }
 
 // startAll starts all nodes and waits until they know a leader.
@@ -129,7 +129,7 @@
 func (g *loopbackGroup) waitForLeader(ctx context.Context) error {
 	deadline := time.Now().Add(electionTimeout)
 	for time.Now().Before(deadline) {
-		known, err := g.countInformed(ctx)
+		known, err := g.countReady(ctx)
 		if err != nil {
 			return err
 		}
@@ -141,8 +141,8 @@
 	return errNoLeader
 }
 
-// countInformed counts the members that know a leader and the disks of all members.
-func (g *loopbackGroup) countInformed(ctx context.Context) (known int, err error) {
+// countReady counts the members that know a leader and the disks of all members.
+func (g *loopbackGroup) countReady(ctx context.Context) (known int, err error) {
 	for _, node := range g.nodes {
 		report, err := node.Status(ctx)
 		if err != nil {
@@ -179,23 +179,23 @@
 
 // loopbackSample measures an idle group. Values are per second, summed over all members.
 func loopbackSample(size int, _ Effort) (Sample, error) {
-	s := newSample(size)
-	g, err := newLoopbackGroup(size)
+	sample := newSample(size)
+	group, err := newLoopbackGroup(size)
 	if err != nil {
-		return s, err
+		return sample, err
 	}
 	time.Sleep(registrationDuration)
 	var cost meter
 	cost.start()
-	bytesBefore := g.bytes.Load()
-	began := time.Now()
+	bytesBefore := group.bytes.Load()
+	startTime := time.Now()
 	time.Sleep(idleDuration)
-	seconds := time.Since(began).Seconds()
+	seconds := time.Since(startTime).Seconds()
 	cost.stop()
-	cost.recordPerOperation(&s, 1)
-	for _, q := range []Quantity{CPU, Allocated, Allocations} {
-		s.Values[q] /= seconds
+	cost.recordPerOperation(&sample, 1)
+	for _, quantity := range []Quantity{CPU, Allocated, Allocations} {
+		sample.Values[quantity] /= seconds
 	}
-	s.Values[Wire] = float64(g.bytes.Load()-bytesBefore) / seconds
-	return s, g.stopAndWait()
+	sample.Values[Wire] = float64(group.bytes.Load()-bytesBefore) / seconds
+	return sample, group.stopAndWait()
 }
--- a/scaling/meter.go
+++ b/scaling/meter.go
@@ -44,11 +44,11 @@
 }
 
 // recordPerOperation sets the values of a sample to the costs per operation.
-func (m *meter) recordPerOperation(s *Sample, operations int) {
+func (m *meter) recordPerOperation(sample *Sample, operations int) {
 	const nanosecondsPerMicrosecond = 1e3
-	s.Values[CPU] = float64(m.cpu.Nanoseconds()) / nanosecondsPerMicrosecond / float64(operations)
-	s.Values[Allocated] = float64(m.allocated) / float64(operations)
-	s.Values[Allocations] = float64(m.allocations) / float64(operations)
+	sample.Values[CPU] = float64(m.cpu.Nanoseconds()) / nanosecondsPerMicrosecond / float64(operations)
+	sample.Values[Allocated] = float64(m.allocated) / float64(operations)
+	sample.Values[Allocations] = float64(m.allocations) / float64(operations)
 }
 
 // Effort describes how often a sample repeats its operation.
@@ -90,7 +90,7 @@
 }
 
 // repeat measures an operation until effort is satisfied. The first call is a warm-up and is not measured.
-func repeat(s *Sample, effort Effort, operation func() error) error {
+func repeat(sample *Sample, effort Effort, operation func() error) error {
 	if effort == Brief {
 		defer pauseCollector()()
 	}
@@ -109,12 +109,12 @@
 		cost.stop()
 		operations += batch
 	}
-	cost.recordPerOperation(s, operations)
+	cost.recordPerOperation(sample, operations)
 	return nil
 }
 
 // pauseCollector disables the garbage collector for a measurement until resume is called, after one complete
-// collection. The meter counts the whole process, and the collector's workers sometimes allocate themselves: 112 bytes
+// collection. The meter counts the whole process, and the collector's workers sometimes allocate memory too: 112 bytes
 // of a worker that waited for a semaphore were counted as bytes of an operation.
 func pauseCollector() (resume func()) {
 	runtime.GC()
@@ -123,19 +123,19 @@
 }
 
 // measureHeap returns the retained bytes of the value that build returns, and the value.
-func measureHeap[T any](build func() (T, error)) (bytes float64, built T, err error) {
+func measureHeap[T any](build func() (T, error)) (bytes float64, value T, err error) {
 	before := liveHeap()
-	built, err = build()
+	value, err = build()
 	after := liveHeap()
-	runtime.KeepAlive(built)
-	return float64(after) - float64(before), built, err
+	runtime.KeepAlive(value)
+	return float64(after) - float64(before), value, err
 }
 
 // liveHeap returns the heap in use after two collections, so that objects with finalizers are freed too.
 func liveHeap() uint64 {
-	var m runtime.MemStats
+	var stats runtime.MemStats
 	runtime.GC()
 	runtime.GC()
-	runtime.ReadMemStats(&m)
-	return m.HeapAlloc
+	runtime.ReadMemStats(&stats)
+	return stats.HeapAlloc
 }
--- a/scaling/plantedfaults_test.go
+++ b/scaling/plantedfaults_test.go
@@ -13,23 +13,23 @@
 var plantedFaults = []struct {
 	name, slope string
 	run         func(size int) (Sample, error)
-	ofMemory    bool // visible in memory only
+	memoryOnly  bool // visible in memory only
 }{
-	{"all is sent anew at each change", "push-sidecars", pushAnew, false},
-	{"an entry with its text twice", "agreed-text", textTwice, false},
-	{"a response read from its start at each part", "list-watch", listReadAnew, true},
-	{"a report decoded twice", "reports", reportsTwice, true},
-	{"a heartbeat each tick", "group-idle", heartbeatEachTick, false},
-	{"a list told whole at each step", "step-nodes", listEachStep, true},
-	{"a service's tenants written for one", "record-change", tenSharesWritten, false},
-	{"a snapshot made at each change", "record-change", snapshotEachChange, true},
-	{"the load kept in the history of a snapshot", "record-memory", historyInSnapshot, false},
-	{"a state restored twice", "record-restore", restoredTwice, true},
-	{"all read for a scope", "record-scope", allRead, true},
-	{"a scope read whole for a change", "record-since", scopeRead, true},
-	{"a whole scope told at each change", "follow-change-interested", wholeScopeTold, false},
-	{"a change told to all", "follow-change-other", toldToAll, false},
-	{"a service's tenants told for one, over sockets", "follow-socket-change", serviceTold, false},
+	{"all resources sent at each change", "push-sidecars", pushToEmptyCaches, false},
+	{"log entry with its text twice", "agreed-text", duplicateText, false},
+	{"response parsed from its start at each chunk", "list-watch", reparseList, true},
+	{"report decoded twice", "reports", decodeReportsTwice, true},
+	{"heartbeat at each tick", "group-idle", sendHeartbeatEachTick, false},
+	{"full list passed at each step", "step-nodes", replaceListEachStep, true},
+	{"ten tenants written for one", "record-change", writeTenTenants, false},
+	{"snapshot at each change", "record-change", takeSnapshotEachChange, true},
+	{"initial writes kept in the history of a snapshot", "record-memory", keepHistoryInSnapshot, false},
+	{"state restored twice", "record-restore", restoreTwice, true},
+	{"all records read for a scope", "record-scope", readAllRecords, true},
+	{"full scope read for a change", "record-since", readFullScope, true},
+	{"full scope sent at each change", "follow-change-interested", sendFullScope, false},
+	{"change sent to all followers", "follow-change-other", sendToAll, false},
+	{"ten tenants sent for one, over sockets", "follow-socket-change", sendTenTenants, false},
 }
 
 // A part may do its work twice, or for all peers in place of one, and no one notices until the fleet has grown. The
@@ -39,73 +39,73 @@
 		t.Run(fault.name, func(t *testing.T) {
 			check := slopeBounds[fault.slope]
 			run := func(size int, _ Effort) (Sample, error) { return fault.run(size) }
-			samples, err := Slope{Name: fault.slope, Run: run}.Take(Brief, sizesToTake(check.sizes)...)
+			samples, err := Slope{Name: fault.slope, Run: run}.Measure(Brief, sizesToMeasure(check.sizes)...)
 			if err != nil {
 				t.Fatal(err)
 			}
-			broken := brokenBounds(samples, check.bounds)
-			if len(broken) == 0 && (!underRace || !fault.ofMemory) {
+			violations := violatedBounds(samples, check.bounds)
+			if len(violations) == 0 && (!underRace || !fault.memoryOnly) {
 				t.Errorf("slope %s with the fault %q: got no bound exceeded, want at least one", fault.slope, fault.name)
 			}
-			t.Log(broken)
+			t.Log(violations)
 		})
 	}
 }
 
-// pushAnew reconnects each sidecar with an empty cache before a change.
-func pushAnew(size int) (Sample, error) {
-	s := newSample(size)
-	p, err := newPushServer(size, poolNodes, 12)
+// pushToEmptyCaches reconnects each sidecar with an empty cache before a change.
+func pushToEmptyCaches(size int) (Sample, error) {
+	sample := newSample(size)
+	fleet, err := newPushFleet(size, poolNodes, 12)
 	if err != nil {
-		return s, err
+		return sample, err
 	}
 	var cost pushCost
-	var orders []controller.Command
-	for k, cache := range p.caches {
+	var commands []controller.Command
+	for index, cache := range fleet.caches {
 		cache.Clear()
-		p.server.Close(0, streamOf(k))
-		if err := p.server.Open(0, streamOf(k), true, cache.ID, cache.Zone); err != nil {
-			return s, err
+		fleet.server.Close(0, streamOf(index))
+		if err := fleet.server.Open(0, streamOf(index), true, cache.ID, cache.Zone); err != nil {
+			return sample, err
 		}
-		if err := p.handleRequests(streamOf(k), cache.BeginDelta()); err != nil {
-			return s, err
+		if err := fleet.handleRequests(streamOf(index), cache.BeginDelta()); err != nil {
+			return sample, err
 		}
-		orders = append(orders, controller.Command{Kind: controller.BindProxy, Proxy: k})
+		commands = append(commands, controller.Command{Kind: controller.BindProxy, Proxy: index})
 	}
-	if err := p.server.ApplyCommands(0, orders); err != nil {
-		return s, err
+	if err := fleet.server.ApplyCommands(0, commands); err != nil {
+		return sample, err
 	}
-	if err := p.change(&cost); err != nil {
-		return s, err
+	if err := fleet.change(&cost); err != nil {
+		return sample, err
 	}
-	cost.server.recordPerOperation(&s, size)
-	s.Values[Wire] = float64(cost.bytes) / float64(size)
-	s.Values[Messages] = float64(cost.messages) / float64(size)
-	return s, nil
+	cost.server.recordPerOperation(&sample, size)
+	sample.Values[Wire] = float64(cost.bytes) / float64(size)
+	sample.Values[Messages] = float64(cost.messages) / float64(size)
+	return sample, nil
 }
 
-// textTwice encodes a log entry with its text twice.
-func textTwice(size int) (Sample, error) {
-	s, err := agreedSample(size, Brief)
+// duplicateText encodes a log entry with its text twice.
+func duplicateText(size int) (Sample, error) {
+	sample, err := agreedSample(size, Brief)
 	if err != nil {
-		return s, err
+		return sample, err
 	}
-	data, err := agreedCommand(cluster.NewState(nil), 1, agreedText(size, 0)+agreedText(size, 0))
-	s.Values[Wire] = float64(len(data))
-	return s, err
+	data, err := encodeAgreedCommand(cluster.NewState(nil), 1, agreedText(size, 0)+agreedText(size, 0))
+	sample.Values[Wire] = float64(len(data))
+	return sample, err
 }
 
-// listReadAnew parses a response from its start again for each chunk that arrives.
-func listReadAnew(nodes int) (Sample, error) {
-	const part = 4 << 10
-	s := newSample(nodes)
+// reparseList parses a response from its start again for each chunk that arrives.
+func reparseList(nodes int) (Sample, error) {
+	const chunkBytes = 4 << 10
+	sample := newSample(nodes)
 	body, err := platformList(nodes)
 	if err != nil {
-		return s, err
+		return sample, err
 	}
-	s.Values[Wire], s.Values[Heap] = float64(len(body)), float64(nodes)
-	return s, repeat(&s, Brief, func() error {
-		for end := part; ; end += part {
+	sample.Values[Wire], sample.Values[Heap] = float64(len(body)), float64(nodes)
+	return sample, repeat(&sample, Brief, func() error {
+		for end := chunkBytes; ; end += chunkBytes {
 			responses := wire.PollResponseReader{MaxBytes: maxListBytes}
 			responses.Feed(body[:min(end, len(body))])
 			if response, err := responses.Next(false); response.Complete || err != nil {
@@ -118,15 +118,15 @@
 	})
 }
 
-// reportsTwice decodes each report twice.
-func reportsTwice(nodes int) (Sample, error) {
-	s := newSample(nodes)
+// decodeReportsTwice decodes each report twice.
+func decodeReportsTwice(nodes int) (Sample, error) {
+	sample := newSample(nodes)
 	report, err := loadReport(1)
 	if err != nil {
-		return s, err
+		return sample, err
 	}
-	s.Values[Wire] = float64(len(report))
-	return s, repeat(&s, Brief, func() error {
+	sample.Values[Wire] = float64(len(report))
+	return sample, repeat(&sample, Brief, func() error {
 		for range 2 {
 			if _, err := wire.Decode(report[len(wire.FrameHeader(0)):]); err != nil {
 				return err
@@ -136,34 +136,34 @@
 	})
 }
 
-// heartbeatEachTick configures the leader to send a heartbeat at each tick.
-func heartbeatEachTick(size int) (Sample, error) {
-	s := newSample(size)
+// sendHeartbeatEachTick configures the leader to send a heartbeat at each tick.
+func sendHeartbeatEachTick(size int) (Sample, error) {
+	sample := newSample(size)
 	timing := cluster.DefaultTiming
 	timing.HeartbeatTicks = 1
-	g, err := newTimedGroup(size, timing)
+	group, err := newTimedGroup(size, timing)
 	if err != nil {
-		return s, err
+		return sample, err
 	}
-	g.messages = 0
-	g.bytes = 0
+	group.messages = 0
+	group.bytes = 0
 	for range ticksPerSecond {
-		if err := g.tick(); err != nil {
-			return s, err
+		if err := group.tick(); err != nil {
+			return sample, err
 		}
 	}
-	s.Values[Messages] = float64(g.messages)
-	s.Values[Wire] = float64(g.bytes)
-	return s, nil
+	sample.Values[Messages] = float64(group.messages)
+	sample.Values[Wire] = float64(group.bytes)
+	return sample, nil
 }
 
-// listEachStep replaces the full endpoint list at each step.
-func listEachStep(nodes int) (Sample, error) {
-	s := newSample(nodes)
-	f := newPlannerFleet(nodes, typicalProxies, 2)
-	return s, repeat(&s, Brief, func() error {
-		f.planner.ReplaceEndpoints(f.now, readyEndpoints(nodes))
-		f.step(nil)
+// replaceListEachStep replaces the full endpoint list at each step.
+func replaceListEachStep(nodes int) (Sample, error) {
+	sample := newSample(nodes)
+	fleet := newPlannerFleet(nodes, typicalProxies, 2)
+	return sample, repeat(&sample, Brief, func() error {
+		fleet.planner.ReplaceEndpoints(fleet.now, readyEndpoints(nodes))
+		fleet.step(nil)
 		return nil
 	})
 }
--- a/scaling/plantedrecords_test.go
+++ b/scaling/plantedrecords_test.go
@@ -9,120 +9,120 @@
 
 // The planted faults in the slopes of records and followers.
 
-// tenSharesWritten writes ten tenants for one changed tenant.
-func tenSharesWritten(tenants int) (Sample, error) {
-	return measureRecordChanges(tenants, Brief, func(r *recordState) (int, error) {
+// writeTenTenants writes ten tenants for one changed tenant.
+func writeTenTenants(tenants int) (Sample, error) {
+	return measureRecordChanges(tenants, Brief, func(state *recordState) (int, error) {
 		var writes []records.Write
 		for range 10 {
-			r.changes++
-			writes = append(writes, r.writeTenant(r.changes*changeStride%r.tenants, changeShare+float64(r.changes%shareSteps)*shareStep))
+			state.changes++
+			writes = append(writes, state.writeTenant(state.changes*changeStride%state.tenants, changeShare+float64(state.changes%shareSteps)*shareStep))
 		}
-		return r.write(writes)
+		return state.write(writes)
 	})
 }
 
-// snapshotEachChange takes a snapshot of the state before each change.
-func snapshotEachChange(tenants int) (Sample, error) {
-	return measureRecordChanges(tenants, Brief, func(r *recordState) (int, error) {
-		if _, err := r.state.Snapshot(); err != nil {
+// takeSnapshotEachChange takes a snapshot of the state before each change.
+func takeSnapshotEachChange(tenants int) (Sample, error) {
+	return measureRecordChanges(tenants, Brief, func(state *recordState) (int, error) {
+		if _, err := state.replicated.Snapshot(); err != nil {
 			return 0, err
 		}
-		return r.change()
+		return state.change()
 	})
 }
 
-// historyInSnapshot takes a snapshot that contains the history of the initial writes.
-func historyInSnapshot(tenants int) (Sample, error) {
-	s, err := recordMemorySample(tenants, Brief)
+// keepHistoryInSnapshot takes a snapshot that contains the history of the initial writes.
+func keepHistoryInSnapshot(tenants int) (Sample, error) {
+	sample, err := recordMemorySample(tenants, Brief)
 	if err != nil {
-		return s, err
+		return sample, err
 	}
-	r, err := newRecordState(tenants)
+	state, err := newRecordState(tenants)
 	if err != nil {
-		return s, err
+		return sample, err
 	}
-	snapshot, err := r.state.Snapshot()
-	s.Values[Stored] = float64(len(snapshot)) / float64(r.services+r.routes+r.tenants)
-	return s, err
+	snapshot, err := state.replicated.Snapshot()
+	sample.Values[Stored] = float64(len(snapshot)) / float64(state.services+state.routes+state.tenants)
+	return sample, err
 }
 
-// restoredTwice restores a snapshot twice.
-func restoredTwice(tenants int) (Sample, error) {
-	s := newSample(tenants)
-	r, err := newRecordState(tenants)
+// restoreTwice restores a snapshot twice.
+func restoreTwice(tenants int) (Sample, error) {
+	sample := newSample(tenants)
+	state, err := newRecordState(tenants)
 	if err != nil {
-		return s, err
+		return sample, err
 	}
-	r.state.Store().DropHistory()
-	snapshot, err := r.state.Snapshot()
+	state.replicated.Store().DropHistory()
+	snapshot, err := state.replicated.Snapshot()
 	if err != nil {
-		return s, err
+		return sample, err
 	}
-	s.Values[Stored] = float64(len(snapshot))
-	return s, repeat(&s, Brief, func() error {
-		if err := r.state.Restore(snapshot); err != nil {
+	sample.Values[Stored] = float64(len(snapshot))
+	return sample, repeat(&sample, Brief, func() error {
+		if err := state.replicated.Restore(snapshot); err != nil {
 			return err
 		}
-		return r.state.Restore(snapshot)
+		return state.replicated.Restore(snapshot)
 	})
 }
 
-// allRead reads all records for a scope.
-func allRead(tenants int) (Sample, error) {
+// readAllRecords reads all records for a scope.
+func readAllRecords(tenants int) (Sample, error) {
 	return recordReadSample(tenants, Brief, func(store *records.Store, _ records.Scope) error {
 		return readAll(store, records.Scope{All: true})
 	})
 }
 
-// scopeRead reads a full scope for one change.
-func scopeRead(tenants int) (Sample, error) { return recordReadSample(tenants, Brief, readAll) }
+// readFullScope reads a full scope for one change.
+func readFullScope(tenants int) (Sample, error) { return recordReadSample(tenants, Brief, readAll) }
 
-// wholeScopeTold discards the state of all followers and opens new streams before each change.
-func wholeScopeTold(followers int) (Sample, error) {
-	s := newSample(followers)
-	f, err := newFollowedMember(followers, scopeOf(changedService))
+// sendFullScope discards the state of all followers and opens new streams before each change.
+func sendFullScope(followers int) (Sample, error) {
+	sample := newSample(followers)
+	member, err := newFollowedMember(followers, scopeOf(changedService))
 	if err != nil {
-		return s, err
+		return sample, err
 	}
-	return s, measureFollowedChanges(&s, f, Brief, func(cost *followCost) error {
-		for n := range f.followers {
-			f.followers[n] = configsync.NewFollower(fmt.Sprint("conductor-", n), f.scope, configsync.DefaultLimits.Lease, nil)
-			f.server.Close(f.streams[n])
-			if f.streams[n], err = f.server.Open(f.now); err != nil {
+	return sample, measureFollowedChanges(&sample, member, Brief, func(cost *followCost) error {
+		for n := range member.followers {
+			member.followers[n] = configsync.NewFollower(fmt.Sprint("conductor-", n), member.scope, configsync.DefaultLimits.Lease, nil)
+			member.server.Close(member.streams[n])
+			if member.streams[n], err = member.server.Open(member.now); err != nil {
 				return err
 			}
-			if err := f.server.Receive(f.now, f.streams[n], f.followers[n].Begin(f.now)); err != nil {
+			if err := member.server.Receive(member.now, member.streams[n], member.followers[n].Begin(member.now)); err != nil {
 				return err
 			}
 		}
-		return f.commit(cost)
+		return member.commit(cost)
 	})
 }
 
-// toldToAll sends a change to all followers.
-func toldToAll(followers int) (Sample, error) {
+// sendToAll sends a change to all followers.
+func sendToAll(followers int) (Sample, error) {
 	return followSample(followers, Brief, records.Scope{All: true})
 }
 
-// serviceTold sends ten tenants for one changed tenant.
-func serviceTold(followers int) (Sample, error) {
-	s := newSample(followers)
-	m, err := newSocketMember(followers, quietLease)
+// sendTenTenants sends ten tenants for one changed tenant.
+func sendTenTenants(followers int) (Sample, error) {
+	sample := newSample(followers)
+	member, err := newSocketMember(followers, longLease)
 	if err != nil {
-		return s, err
+		return sample, err
 	}
-	defer m.stopAndWait()
-	r := recordState{services: minServices}
-	return s, socketSample(&s, m, briefChanges, func() error {
-		m.changes++
+	defer member.stopAndWait()
+	proportions := recordState{services: minServices}
+	return sample, socketSample(&sample, member, briefChanges, func() error {
+		member.changes++
 		var writes []records.Write
 		for n := range 10 {
-			writes = append(writes, r.writeTenant(n*minServices, changeShare+float64(m.changes)*shareStep))
+			writes = append(writes, proportions.writeTenant(n*minServices, changeShare+float64(member.changes)*shareStep))
 		}
-		change, err := m.store.Apply(m.store.Revision()+1, records.Transaction{Writes: writes})
+		change, err := member.store.Apply(member.store.Revision()+1, records.Transaction{Writes: writes})
 		if err != nil {
 			return err
 		}
-		return m.notify(change)
+		return member.notify(change)
 	})
 }
--- a/scaling/record.go
+++ b/scaling/record.go
@@ -25,7 +25,7 @@
 
 // recordState is a group's state with records, in the operators' proportions of services, routes and tenants.
 type recordState struct {
-	state                     *cluster.State
+	replicated                *cluster.State
 	services, routes, tenants int
 	index                     uint64
 	changes                   int
@@ -35,31 +35,34 @@
 // written by transactions.
 func newRecordState(tenants int) (*recordState, error) {
 	fraction := float64(tenants) / OperatorsTenants
-	r := &recordState{
-		state:    cluster.NewState(config.TextFormat{}),
-		services: max(minServices, int(math.Round(fraction*OperatorsServices))),
-		routes:   max(1, int(math.Round(fraction*OperatorsRoutes))),
-		tenants:  tenants,
+	state := &recordState{
+		replicated: cluster.NewState(config.TextFormat{}),
+		services:   max(minServices, int(math.Round(fraction*OperatorsServices))),
+		routes:     max(1, int(math.Round(fraction*OperatorsRoutes))),
+		tenants:    tenants,
 	}
 	var writes []records.Write
-	for n := range r.services {
+	for n := range state.services {
 		writes = append(writes, newWrite(records.KindService, serviceName(n), records.ServiceSpec{Zones: []string{fmt.Sprint("zone-", n%OperatorsZones)}}))
 	}
-	for n := range r.routes {
-		writes = append(writes, newWrite(records.KindRoute, fmt.Sprintf("route-%04d", n),
-			records.RouteSpec{Service: serviceName(n % r.services), Prefix: fmt.Sprintf("/route-%04d", n), TimeLimitMS: 2000}))
+	for n := range state.routes {
+		writes = append(writes, newWrite(records.KindRoute, fmt.Sprintf("route-%04d", n), records.RouteSpec{
+			Service:     serviceName(n % state.services),
+			Prefix:      fmt.Sprintf("/route-%04d", n),
+			TimeLimitMS: 2000,
+		}))
 	}
 	for n := range tenants {
-		writes = append(writes, r.writeTenant(n, initialShare))
+		writes = append(writes, state.writeTenant(n, initialShare))
 	}
 	for len(writes) > 0 {
 		n := min(len(writes), records.MaxTransactionWrites)
-		if _, err := r.write(writes[:n]); err != nil {
+		if _, err := state.write(writes[:n]); err != nil {
 			return nil, err
 		}
 		writes = writes[n:]
 	}
-	return r, nil
+	return state, nil
 }
 
 func serviceName(n int) string { return fmt.Sprintf("service-%03d", n) }
@@ -73,18 +76,27 @@
 }
 
 func (r *recordState) writeTenant(n int, share float64) records.Write {
-	return newWrite(records.KindTenant, fmt.Sprintf("tenant-%06d", n), records.TenantSpec{Service: serviceName(n % r.services), Share: share})
+	return newWrite(records.KindTenant, fmt.Sprintf("tenant-%06d", n), records.TenantSpec{
+		Service: serviceName(n % r.services),
+		Share:   share,
+	})
 }
 
 // write proposes and applies a transaction, and returns the size of its log entry in bytes.
 func (r *recordState) write(writes []records.Write) (entry int, err error) {
 	r.index++
-	data, err := json.Marshal(cluster.Command{Kind: cluster.CommandRecords, Client: operatorClient, Seq: r.index, Writes: writes,
-		By: operatorClient, Why: "one share changes"})
+	data, err := json.Marshal(cluster.Command{
+		Kind:   cluster.CommandRecords,
+		Client: operatorClient,
+		Seq:    r.index,
+		Writes: writes,
+		By:     operatorClient,
+		Why:    "one share changes",
+	})
 	if err != nil {
 		return 0, err
 	}
-	return len(data), applyAccepted(r.state, r.index, data)
+	return len(data), applyAccepted(r.replicated, r.index, data)
 }
 
 // change sets another share for one tenant, and returns the size of the log entry in bytes.
@@ -105,124 +117,125 @@
 // recordChangeSample measures one changed tenant at a member. Stored is the bytes that the change adds to the encoded
 // history.
 func recordChangeSample(tenants int, effort Effort) (Sample, error) {
-	return measureRecordChanges(tenants, effort, func(r *recordState) (int, error) { return r.change() })
+	return measureRecordChanges(tenants, effort, func(state *recordState) (int, error) { return state.change() })
 }
 
 // measureRecordChanges measures a change of a state.
 func measureRecordChanges(tenants int, effort Effort, change func(*recordState) (entry int, err error)) (Sample, error) {
-	s := newSample(tenants)
-	r, err := newRecordState(tenants)
+	sample := newSample(tenants)
+	state, err := newRecordState(tenants)
 	if err != nil {
-		return s, err
+		return sample, err
 	}
-	if s.Values[Stored], err = historyBytes(r, change); err != nil {
-		return s, err
+	if sample.Values[Stored], err = historyBytes(state, change); err != nil {
+		return sample, err
 	}
-	return s, repeat(&s, effort, func() error {
-		entry, err := change(r)
-		s.Values[Wire] = float64(entry)
+	return sample, repeat(&sample, effort, func() error {
+		entry, err := change(state)
+		sample.Values[Wire] = float64(entry)
 		return err
 	})
 }
 
 // historyBytes returns the bytes per change in the history of the records, after earlier history is dropped.
-func historyBytes(r *recordState, change func(*recordState) (int, error)) (float64, error) {
-	r.state.Store().DropHistory()
+func historyBytes(state *recordState, change func(*recordState) (int, error)) (float64, error) {
+	state.replicated.Store().DropHistory()
 	var before int
 	for n := range historyChanges + 1 {
 		if n == 1 { // the baseline follows the first change, which sets the size of the later ones
-			before = len(r.state.Store().Snapshot())
+			before = len(state.replicated.Store().Snapshot())
 		}
-		if _, err := change(r); err != nil {
+		if _, err := change(state); err != nil {
 			return 0, err
 		}
 	}
-	return float64(len(r.state.Store().Snapshot())-before) / historyChanges, nil
+	return float64(len(state.replicated.Store().Snapshot())-before) / historyChanges, nil
 }
 
 // recordMemorySample measures the memory and the snapshot of a state. Values are per record.
 func recordMemorySample(tenants int, _ Effort) (Sample, error) {
-	s := newSample(tenants)
-	heap, r, err := measureHeap(func() (*recordState, error) {
-		r, err := newRecordState(tenants)
+	sample := newSample(tenants)
+	heap, state, err := measureHeap(func() (*recordState, error) {
+		state, err := newRecordState(tenants)
 		if err == nil {
-			r.state.Store().DropHistory()
+			state.replicated.Store().DropHistory()
 		}
-		return r, err
+		return state, err
 	})
 	if err != nil {
-		return s, err
+		return sample, err
 	}
-	snapshot, err := r.state.Snapshot()
+	snapshot, err := state.replicated.Snapshot()
 	if err != nil {
-		return s, err
+		return sample, err
 	}
-	count := float64(r.services + r.routes + r.tenants)
-	s.Values[Heap] = heap / count
-	s.Values[Stored] = float64(len(snapshot)) / count
-	return s, nil
+	count := float64(state.services + state.routes + state.tenants)
+	sample.Values[Heap] = heap / count
+	sample.Values[Stored] = float64(len(snapshot)) / count
+	return sample, nil
 }
 
 // recordSnapshotSample measures a snapshot 100 changes after the previous one. The snapshot blocks the member.
 func recordSnapshotSample(tenants int, effort Effort) (Sample, error) {
-	s := newSample(tenants)
-	r, err := newRecordState(tenants)
+	sample := newSample(tenants)
+	state, err := newRecordState(tenants)
 	if err != nil {
-		return s, err
+		return sample, err
 	}
-	r.state.Store().DropHistory()
-	var m meter
-	taken := 0
-	for ; taken == 0 || !effort.isEnough(&m, taken-1, fullMinOperations); taken++ { // the first one sorts all records and is not counted
+	state.replicated.Store().DropHistory()
+	var cost meter
+	snapshots := 0
+	for ; snapshots == 0 || !effort.isEnough(&cost, snapshots-1, fullMinOperations); snapshots++ {
+		// The first snapshot sorts all records and is not counted.
 		for range changesPerSnapshot {
-			if _, err := r.change(); err != nil {
-				return s, err
+			if _, err := state.change(); err != nil {
+				return sample, err
 			}
 		}
-		if taken == 1 {
-			m = meter{}
+		if snapshots == 1 {
+			cost = meter{}
 		}
-		m.start()
-		snapshot, err := r.state.Snapshot()
-		m.stop()
+		cost.start()
+		snapshot, err := state.replicated.Snapshot()
+		cost.stop()
 		if err != nil {
-			return s, err
+			return sample, err
 		}
-		s.Values[Stored] = float64(len(snapshot))
+		sample.Values[Stored] = float64(len(snapshot))
 	}
-	m.recordPerOperation(&s, taken-1)
-	return s, nil
+	cost.recordPerOperation(&sample, snapshots-1)
+	return sample, nil
 }
 
 // recordRestoreSample measures the restore of a state from a snapshot. The restore blocks the member.
 func recordRestoreSample(tenants int, effort Effort) (Sample, error) {
-	s := newSample(tenants)
-	r, err := newRecordState(tenants)
+	sample := newSample(tenants)
+	state, err := newRecordState(tenants)
 	if err != nil {
-		return s, err
+		return sample, err
 	}
-	r.state.Store().DropHistory()
-	snapshot, err := r.state.Snapshot()
+	state.replicated.Store().DropHistory()
+	snapshot, err := state.replicated.Snapshot()
 	if err != nil {
-		return s, err
+		return sample, err
 	}
-	s.Values[Stored] = float64(len(snapshot))
-	return s, repeat(&s, effort, func() error { return r.state.Restore(snapshot) })
+	sample.Values[Stored] = float64(len(snapshot))
+	return sample, repeat(&sample, effort, func() error { return state.replicated.Restore(snapshot) })
 }
 
 // recordReadSample measures a read of a scope of six services after a change, either of all records or of the changed
 // ones.
 func recordReadSample(tenants int, effort Effort, read func(store *records.Store, scope records.Scope) error) (Sample, error) {
-	s := newSample(tenants)
-	r, err := newRecordState(tenants)
+	sample := newSample(tenants)
+	state, err := newRecordState(tenants)
 	if err != nil {
-		return s, err
+		return sample, err
 	}
-	if _, err := r.write([]records.Write{r.writeTenant(0, changeShare)}); err != nil { // a tenant of the first service, which is in the scope
-		return s, err
+	if _, err := state.write([]records.Write{state.writeTenant(0, changeShare)}); err != nil { // a tenant of the first service, which is in the scope
+		return sample, err
 	}
-	scope := r.scope()
-	return s, repeat(&s, effort, func() error { return read(r.state.Store(), scope) })
+	scope := state.scope()
+	return sample, repeat(&sample, effort, func() error { return read(state.replicated.Store(), scope) })
 }
 
 func readAll(store *records.Store, scope records.Scope) error {
@@ -241,16 +254,55 @@
 
 func recordSlopes() []Slope {
 	sizes := []int{OperatorsTenants / 10, 44000, OperatorsTenants, doubleTenants}
-	const size = "tenants, with 570 services and 3,400 routes per 140,000"
+	const size = "tenants, with 570 services and 3,400 routes for each 140,000"
 	return []Slope{
-		{Name: "record-change", Operation: "one changed tenant, as records; wire: log entry, stored: its part of the history, cpu and allocations: propose, validate and apply",
-			Size: size, Method: Isolated, Sizes: sizes, Run: recordChangeSample},
-		{Name: "record-memory", Operation: "one record in a member's state; heap: in memory, stored: in a snapshot", Size: size, Method: Isolated, Sizes: sizes, Run: recordMemorySample},
-		{Name: "record-snapshot", Operation: "one snapshot of the state, 100 changes after the previous one", Size: size, Method: Isolated, Sizes: sizes, Run: recordSnapshotSample},
-		{Name: "record-restore", Operation: "one restore of the state from a snapshot", Size: size, Method: Isolated, Sizes: sizes, Run: recordRestoreSample},
-		{Name: "record-scope", Operation: "one full read of a scope of six services", Size: size, Method: Isolated, Sizes: sizes,
-			Run: func(size int, effort Effort) (Sample, error) { return recordReadSample(size, effort, readAll) }},
-		{Name: "record-since", Operation: "one read of the latest change in a scope of six services", Size: size, Method: Isolated, Sizes: sizes,
-			Run: func(size int, effort Effort) (Sample, error) { return recordReadSample(size, effort, readChange) }},
+		{
+			Name:      "record-change",
+			Operation: "one changed tenant, as records; wire: log entry, stored: its part of the history, cpu and allocations: propose, validate and apply",
+			Size:      size,
+			Method:    Isolated,
+			Sizes:     sizes,
+			Run:       recordChangeSample,
+		},
+		{
+			Name:      "record-memory",
+			Operation: "one record in a member's state; heap: in memory, stored: in a snapshot",
+			Size:      size,
+			Method:    Isolated,
+			Sizes:     sizes,
+			Run:       recordMemorySample,
+		},
+		{
+			Name:      "record-snapshot",
+			Operation: "one snapshot of the state, 100 changes after the previous one",
+			Size:      size,
+			Method:    Isolated,
+			Sizes:     sizes,
+			Run:       recordSnapshotSample,
+		},
+		{
+			Name:      "record-restore",
+			Operation: "one restore of the state from a snapshot",
+			Size:      size,
+			Method:    Isolated,
+			Sizes:     sizes,
+			Run:       recordRestoreSample,
+		},
+		{
+			Name:      "record-scope",
+			Operation: "one full read of a scope of six services",
+			Size:      size,
+			Method:    Isolated,
+			Sizes:     sizes,
+			Run:       func(size int, effort Effort) (Sample, error) { return recordReadSample(size, effort, readAll) },
+		},
+		{
+			Name:      "record-since",
+			Operation: "one read of the latest change in a scope of six services",
+			Size:      size,
+			Method:    Isolated,
+			Sizes:     sizes,
+			Run:       func(size int, effort Effort) (Sample, error) { return recordReadSample(size, effort, readChange) },
+		},
 	}
 }
--- a/scaling/slope.go
+++ b/scaling/slope.go
@@ -13,7 +13,7 @@
 	Operation string // description of one operation
 	Size      string // description of the size and its unit
 	Method    Method
-	Sizes     []int // default sizes of Take, ascending
+	Sizes     []int // default sizes of Measure, ascending
 	Run       func(size int, effort Effort) (Sample, error)
 }
 
@@ -50,9 +50,9 @@
 // Find returns the slopes with the given name, or whose names begin with it and a dash. The name "all" selects all
 // slopes. If there is none, the error is ErrUnknownSlope.
 func Find(name string) (found []Slope, err error) {
-	for _, s := range All() {
-		if name == "all" || s.Name == name || strings.HasPrefix(s.Name, name+"-") {
-			found = append(found, s)
+	for _, slope := range All() {
+		if name == "all" || slope.Name == name || strings.HasPrefix(slope.Name, name+"-") {
+			found = append(found, slope)
 		}
 	}
 	if len(found) == 0 {
@@ -61,9 +61,9 @@
 	return found, nil
 }
 
-// Take runs a slope at sizes, or at s.Sizes if none are given. On an error it also returns the samples before the
-// error.
-func (s Slope) Take(effort Effort, sizes ...int) (samples []Sample, err error) {
+// Measure runs a slope at sizes, or at s.Sizes if none are given. On an error it also returns the samples before
+// the error.
+func (s Slope) Measure(effort Effort, sizes ...int) (samples []Sample, err error) {
 	if len(sizes) == 0 {
 		sizes = s.Sizes
 	}
--- a/scaling/socket.go
+++ b/scaling/socket.go
@@ -16,7 +16,7 @@
 )
 
 const (
-	quietLease          = 10 * time.Minute // so that no renewal falls into a measurement
+	longLease           = 10 * time.Minute // so that no renewal falls into a measurement
 	briefRenewals       = 2                // measured lease renewals of each follower
 	fullRenewals        = 5
 	briefChanges        = 5 // measured changes
@@ -49,13 +49,16 @@
 	limits.MaxStreams = followers
 	limits.FullScopeBytesPerSecond = unlimitedFullScopeBytes
 	limits.FullScopeBurstBytes = unlimitedFullScopeBytes
-	m := &socketMember{changingStore: source, service: transport.NewService("member", source.store, limits, zap.NewNop())}
+	member := &socketMember{
+		changingStore: source,
+		service:       transport.NewService("member", source.store, limits, zap.NewNop()),
+	}
 	server := cluster.NewServer(nil)
-	m.service.Register(server)
+	member.service.Register(server)
 	ctx, stop := context.WithCancel(context.Background())
 	var tasks sync.WaitGroup
 	tasks.Go(func() { server.Serve(listener) })
-	m.stopAndWait = func() {
+	member.stopAndWait = func() {
 		stop()
 		server.Stop()
 		tasks.Wait()
@@ -63,17 +66,17 @@
 	for n := range followers {
 		client, err := newSocketClient(n, listener.Addr().String(), lease)
 		if err != nil {
-			m.stopAndWait()
+			member.stopAndWait()
 			return nil, err
 		}
-		m.clients = append(m.clients, client)
+		member.clients = append(member.clients, client)
 		tasks.Go(func() { client.Run(ctx) })
 	}
-	if err := m.waitInStep(); err != nil {
-		m.stopAndWait()
+	if err := member.waitUntilInStep(); err != nil {
+		member.stopAndWait()
 		return nil, err
 	}
-	return m, nil
+	return member, nil
 }
 
 // newSocketClient returns a follower of the changed service.
@@ -87,9 +90,9 @@
 	})
 }
 
-// waitInStep waits until all followers have reported to the member that they accepted its revision.
-func (m *socketMember) waitInStep() error {
-	for begun := time.Now(); time.Since(begun) < socketTimeout; time.Sleep(answerPollInterval) {
+// waitUntilInStep waits until all followers have reported to the member that they accepted its revision.
+func (m *socketMember) waitUntilInStep() error {
+	for startTime := time.Now(); time.Since(startTime) < socketTimeout; time.Sleep(answerPollInterval) {
 		if status := m.service.Status(); status.Live == len(m.clients) && status.ConvergedRevision == m.store.Revision() {
 			return nil
 		}
@@ -105,12 +108,12 @@
 	return bytes
 }
 
-// memberChanges returns the total number of the followers' failovers to another member.
-func (m *socketMember) memberChanges() (moves uint64) {
+// countFailovers returns the total number of the followers' failovers to another member.
+func (m *socketMember) countFailovers() (failovers uint64) {
 	for _, client := range m.clients {
-		moves += client.Status().Failovers
+		failovers += client.Status().Failovers
 	}
-	return moves
+	return failovers
 }
 
 // commit changes a tenant and waits until all followers have accepted the revision.
@@ -124,20 +127,20 @@
 
 // notify publishes a change to the followers and waits until all have accepted it.
 func (m *socketMember) notify(change records.Change) error {
-	from := m.service.Counts().Accepted
+	before := m.service.Counts().Accepted
 	m.service.Committed(change)
-	return m.waitForCounts(answerPollInterval, func(now configsync.Counts) bool { return now.Accepted-from >= uint64(len(m.clients)) })
+	return m.waitForCounts(answerPollInterval, func(counts configsync.Counts) bool { return counts.Accepted-before >= uint64(len(m.clients)) })
 }
 
-// waitRenewals waits until the member has counted as many more lease renewals as there are followers.
-func (m *socketMember) waitRenewals() error {
-	from := m.service.Counts().Heartbeats
-	return m.waitForCounts(renewalPollInterval, func(now configsync.Counts) bool { return now.Heartbeats-from >= uint64(len(m.clients)) })
+// waitForRenewals waits until the member has counted as many more lease renewals as there are followers.
+func (m *socketMember) waitForRenewals() error {
+	before := m.service.Counts().Heartbeats
+	return m.waitForCounts(renewalPollInterval, func(counts configsync.Counts) bool { return counts.Heartbeats-before >= uint64(len(m.clients)) })
 }
 
 // waitForCounts polls the member's counts until reached returns true.
-func (m *socketMember) waitForCounts(every time.Duration, reached func(configsync.Counts) bool) error {
-	for begun := time.Now(); time.Since(begun) < socketTimeout; time.Sleep(every) {
+func (m *socketMember) waitForCounts(interval time.Duration, reached func(configsync.Counts) bool) error {
+	for startTime := time.Now(); time.Since(startTime) < socketTimeout; time.Sleep(interval) {
 		if reached(m.service.Counts()) {
 			return nil
 		}
@@ -149,61 +152,73 @@
 func answeredCount(counts configsync.Counts) uint64 { return counts.Accepted + counts.Heartbeats }
 
 // socketSample measures an operation and its bytes, both ends. Values are per change or renewal of a follower.
-func socketSample(s *Sample, m *socketMember, times int, operation func() error) error {
+func socketSample(sample *Sample, member *socketMember, repetitions int, operation func() error) error {
 	var cost meter
-	before, from := m.traffic(), answeredCount(m.service.Counts())
+	bytesBefore, answeredBefore := member.traffic(), answeredCount(member.service.Counts())
 	cost.start()
-	for range times {
+	for range repetitions {
 		if err := operation(); err != nil {
 			return err
 		}
 	}
 	cost.stop()
-	if moves := m.memberChanges(); moves > 0 {
-		return fmt.Errorf("followers left the member %d times, want 0", moves)
+	if failovers := member.countFailovers(); failovers > 0 {
+		return fmt.Errorf("followers left the member %d times, want 0", failovers)
 	}
-	each := answeredCount(m.service.Counts()) - from
-	cost.recordPerOperation(s, int(each))
-	s.Values[Wire] = float64(m.traffic()-before) / float64(each)
+	answered := answeredCount(member.service.Counts()) - answeredBefore
+	cost.recordPerOperation(sample, int(answered))
+	sample.Values[Wire] = float64(member.traffic()-bytesBefore) / float64(answered)
 	return nil
 }
 
 // socketChangeSample measures changes that all followers need.
 func socketChangeSample(followers int, effort Effort) (Sample, error) {
-	s := newSample(followers)
-	m, err := newSocketMember(followers, quietLease)
+	sample := newSample(followers)
+	member, err := newSocketMember(followers, longLease)
 	if err != nil {
-		return s, err
+		return sample, err
 	}
-	defer m.stopAndWait()
-	times := briefChanges
+	defer member.stopAndWait()
+	repetitions := briefChanges
 	if effort == Full {
-		times = fullChanges
+		repetitions = fullChanges
 	}
-	return s, socketSample(&s, m, times, m.commit)
+	return sample, socketSample(&sample, member, repetitions, member.commit)
 }
 
 // socketRenewSample measures lease renewals, with the default lease of members.
 func socketRenewSample(followers int, effort Effort) (Sample, error) {
-	s := newSample(followers)
-	m, err := newSocketMember(followers, configsync.DefaultLimits.Lease)
+	sample := newSample(followers)
+	member, err := newSocketMember(followers, configsync.DefaultLimits.Lease)
 	if err != nil {
-		return s, err
+		return sample, err
 	}
-	defer m.stopAndWait()
-	times := briefRenewals
+	defer member.stopAndWait()
+	repetitions := briefRenewals
 	if effort == Full {
-		times = fullRenewals
+		repetitions = fullRenewals
 	}
-	return s, socketSample(&s, m, times, m.waitRenewals)
+	return sample, socketSample(&sample, member, repetitions, member.waitForRenewals)
 }
 
 func socketSlopes() []Slope {
 	sizes := []int{10, 30, 100, 300}
 	return []Slope{
-		{Name: "follow-socket-change", Operation: "one changed tenant, sent over loopback and accepted, both ends with all framing above TCP", Size: "followers, all interested",
-			Method: Measured, Sizes: sizes, Run: socketChangeSample},
-		{Name: "follow-socket-renew", Operation: "one lease renewal over loopback, both ends with all framing above TCP", Size: "followers",
-			Method: Measured, Sizes: sizes, Run: socketRenewSample},
+		{
+			Name:      "follow-socket-change",
+			Operation: "one changed tenant, sent over loopback and accepted, both ends with all framing above TCP",
+			Size:      "followers, all interested",
+			Method:    Measured,
+			Sizes:     sizes,
+			Run:       socketChangeSample,
+		},
+		{
+			Name:      "follow-socket-renew",
+			Operation: "one lease renewal over loopback, both ends with all framing above TCP",
+			Size:      "followers",
+			Method:    Measured,
+			Sizes:     sizes,
+			Run:       socketRenewSample,
+		},
 	}
 }
--- a/scaling/step.go
+++ b/scaling/step.go
@@ -91,13 +91,13 @@
 
 // newPlannerFleet returns a planner with proxies and nodes spread over the zones.
 func newPlannerFleet(nodes, proxies, routes int) *plannerFleet {
-	f := &plannerFleet{host: &plannerHost{}, now: 100, nodes: nodes, proxies: proxies}
-	f.planner = planner.New(f.host, plannerConfig(proxies, routes, fleetZones), f.now)
-	f.planner.ReplaceEndpoints(f.now, readyEndpoints(nodes))
+	fleet := &plannerFleet{host: &plannerHost{}, now: 100, nodes: nodes, proxies: proxies}
+	fleet.planner = planner.New(fleet.host, plannerConfig(proxies, routes, fleetZones), fleet.now)
+	fleet.planner.ReplaceEndpoints(fleet.now, readyEndpoints(nodes))
 	for proxy := range proxies {
-		f.planner.ProxyJoined(f.now, proxy, proxy%fleetZones, 1)
+		fleet.planner.ProxyJoined(fleet.now, proxy, proxy%fleetZones, 1)
 	}
-	return f
+	return fleet
 }
 
 // readyEndpoints returns ready endpoints spread over the zones.
@@ -167,15 +167,15 @@
 // stepSample measures the steps of a settled fleet.
 func stepSample(size, nodes, proxies int, effort Effort) (Sample, error) {
 	sample := newSample(size)
-	f := newPlannerFleet(nodes, proxies, 2)
-	f.settle()
-	if f.host.commands == 0 {
+	fleet := newPlannerFleet(nodes, proxies, 2)
+	fleet.settle()
+	if fleet.host.commands == 0 {
 		return sample, errNoCommands
 	}
 	var cost meter
 	steps := 0
 	for !effort.isEnough(&cost, steps, minSteps) {
-		f.step(&cost)
+		fleet.step(&cost)
 		steps++
 	}
 	cost.recordPerOperation(&sample, steps)
@@ -184,11 +184,21 @@
 
 func stepSlopes() []Slope {
 	return []Slope{
-		{Name: "step-nodes", Operation: "one step of the planner (10 per second), 110 proxies", Size: "nodes", Method: Isolated,
-			Sizes: []int{23, 130, 800, 3200, 13000},
-			Run:   func(size int, effort Effort) (Sample, error) { return stepSample(size, size, typicalProxies, effort) }},
-		{Name: "step-proxies", Operation: "one step of the planner (10 per second), 800 nodes", Size: "proxies", Method: Isolated,
-			Sizes: []int{110, 300, 800, 2400},
-			Run:   func(size int, effort Effort) (Sample, error) { return stepSample(size, stepNodes, size, effort) }},
+		{
+			Name:      "step-nodes",
+			Operation: "one step of the planner (10 per second), 110 proxies",
+			Size:      "nodes",
+			Method:    Isolated,
+			Sizes:     []int{23, 130, 800, 3200, 13000},
+			Run:       func(size int, effort Effort) (Sample, error) { return stepSample(size, size, typicalProxies, effort) },
+		},
+		{
+			Name:      "step-proxies",
+			Operation: "one step of the planner (10 per second), 800 nodes",
+			Size:      "proxies",
+			Method:    Isolated,
+			Sizes:     []int{110, 300, 800, 2400},
+			Run:       func(size int, effort Effort) (Sample, error) { return stepSample(size, stepNodes, size, effort) },
+		},
 	}
 }
--- a/scaling/xdspush.go
+++ b/scaling/xdspush.go
@@ -24,9 +24,9 @@
 	response *discoveryv3.DeltaDiscoveryResponse
 }
 
-// pushServer is an xDS server with sidecars that use the delta variant and hold all resources. Sidecars are numbered
+// pushFleet is an xDS server with sidecars that use the delta variant and hold all resources. Sidecars are numbered
 // from 0, and their streams from 1 in the same order. It implements the server's callbacks.
-type pushServer struct {
+type pushFleet struct {
 	server  *xds.Server
 	caches  []*sidecar.ResourceCache // by sidecar
 	pending []pendingResponse
@@ -36,29 +36,29 @@
 }
 
 // Send does nothing: no sidecar uses the state-of-the-world variant.
-func (p *pushServer) Send(uint64, *discoveryv3.DiscoveryResponse) {}
+func (p *pushFleet) Send(uint64, *discoveryv3.DiscoveryResponse) {}
 
 // SendDelta queues a response for delivery.
-func (p *pushServer) SendDelta(stream uint64, response *discoveryv3.DeltaDiscoveryResponse) {
+func (p *pushFleet) SendDelta(stream uint64, response *discoveryv3.DeltaDiscoveryResponse) {
 	p.pending = append(p.pending, pendingResponse{stream: stream, response: response})
 }
 
 // CloseStream records a failure.
-func (p *pushServer) CloseStream(stream uint64, why string) {
+func (p *pushFleet) CloseStream(stream uint64, why string) {
 	p.failure = fmt.Errorf("stream %d closed: %s", stream, why)
 }
 
 // Joined does nothing.
-func (p *pushServer) Joined(int, string) {}
+func (p *pushFleet) Joined(int, string) {}
 
 // Left does nothing.
-func (p *pushServer) Left(int) {}
+func (p *pushFleet) Left(int) {}
 
 // Acknowledged does nothing.
-func (p *pushServer) Acknowledged(int, int) {}
+func (p *pushFleet) Acknowledged(int, int) {}
 
 // Rejected records a failure.
-func (p *pushServer) Rejected(id string, kind xds.ResourceType, why string) {
+func (p *pushFleet) Rejected(id string, kind xds.ResourceType, why string) {
 	p.failure = fmt.Errorf("%s rejected %s: %s", id, kind, why)
 }
 
@@ -71,42 +71,42 @@
 	return xds.Address{Host: fmt.Sprintf("10.%d.%d.%d", n>>16, n>>8&255, n&255), Port: 8080}
 }
 
-func pushRoutes(n int) (routes []xds.Route) {
-	for r := range n {
+func pushRoutes(count int) (routes []xds.Route) {
+	for index := range count {
 		routes = append(routes, xds.Route{
-			Name:      fmt.Sprintf("r%04d", r),
-			Prefix:    fmt.Sprintf("/service-%03d/r%04d", r%OperatorsServices, r),
+			Name:      fmt.Sprintf("r%04d", index),
+			Prefix:    fmt.Sprintf("/service-%03d/r%04d", index%OperatorsServices, index),
 			TimeLimit: 2 * time.Second,
 		})
 	}
 	return routes
 }
 
-// newPushServer returns a server whose sidecars have all joined, are bound to one table of all nodes, and are in step.
-func newPushServer(sidecars, nodes, routes int) (*pushServer, error) {
-	p := &pushServer{nodes: nodes}
+// newPushFleet returns a server whose sidecars have all joined, are bound to one table of all nodes, and are in step.
+func newPushFleet(sidecars, nodes, routes int) (*pushFleet, error) {
+	fleet := &pushFleet{nodes: nodes}
 	compiler := xds.NewCompiler(pushRoutes(routes), time.Second)
-	p.server = xds.NewServer(compiler, p, sidecars)
+	fleet.server = xds.NewServer(compiler, fleet, sidecars)
 	var commands []controller.Command
 	for n := range nodes {
 		compiler.SetAddress(nodeName(n), fmt.Sprint("zone-", n%OperatorsZones), nodeAddress(n))
 		commands = append(commands, controller.Command{Kind: controller.SetWeight, Node: nodeName(n), Value: 1})
 	}
 	for index := range sidecars {
-		if err := p.join(index); err != nil {
+		if err := fleet.join(index); err != nil {
 			return nil, fmt.Errorf("sidecar %d: %w", index, err)
 		}
 		commands = append(commands, controller.Command{Kind: controller.BindProxy, Proxy: index})
 	}
 	commands = append(commands, controller.Command{Kind: controller.RequestAck, Nonce: 1})
-	if err := p.server.ApplyCommands(0, commands); err != nil {
+	if err := fleet.server.ApplyCommands(0, commands); err != nil {
 		return nil, err
 	}
-	return p, p.settle(&pushCost{})
+	return fleet, fleet.settle(&pushCost{})
 }
 
 // join opens the stream of a sidecar.
-func (p *pushServer) join(index int) error {
+func (p *pushFleet) join(index int) error {
 	cache := &sidecar.ResourceCache{ID: fmt.Sprint("sidecar-", index), Zone: "zone-0", Delta: true}
 	p.caches = append(p.caches, cache)
 	if err := p.server.Open(0, streamOf(index), true, cache.ID, cache.Zone); err != nil {
@@ -116,7 +116,7 @@
 }
 
 // handleRequests passes a sidecar's requests to the server.
-func (p *pushServer) handleRequests(stream uint64, requests []*discoveryv3.DeltaDiscoveryRequest) error {
+func (p *pushFleet) handleRequests(stream uint64, requests []*discoveryv3.DeltaDiscoveryRequest) error {
 	for _, request := range requests {
 		if err := p.server.HandleDelta(0, stream, request); err != nil {
 			return err
@@ -132,7 +132,7 @@
 }
 
 // settle delivers responses and the sidecars' requests until no response is pending.
-func (p *pushServer) settle(cost *pushCost) error {
+func (p *pushFleet) settle(cost *pushCost) error {
 	for range maxExchanges {
 		if p.failure != nil {
 			return p.failure
@@ -148,7 +148,7 @@
 }
 
 // exchange delivers all pending responses, and passes the sidecars' requests back to the server.
-func (p *pushServer) exchange(cost *pushCost) error {
+func (p *pushFleet) exchange(cost *pushCost) error {
 	arrived := p.pending
 	p.pending = nil
 	if err := cost.writeResponses(arrived); err != nil {
@@ -184,7 +184,7 @@
 }
 
 // handleResponses passes responses to the sidecars, adds the cost, and returns the requests for each response.
-func (p *pushServer) handleResponses(cost *pushCost, arrived []pendingResponse) ([][]*discoveryv3.DeltaDiscoveryRequest, error) {
+func (p *pushFleet) handleResponses(cost *pushCost, arrived []pendingResponse) ([][]*discoveryv3.DeltaDiscoveryRequest, error) {
 	answers := make([][]*discoveryv3.DeltaDiscoveryRequest, len(arrived))
 	cost.sidecars.start()
 	defer cost.sidecars.stop()
@@ -199,7 +199,7 @@
 }
 
 // change sets one node's weight and delivers it until all sidecars have accepted it.
-func (p *pushServer) change(cost *pushCost) error {
+func (p *pushFleet) change(cost *pushCost) error {
 	p.changes++
 	commands := []controller.Command{
 		{Kind: controller.SetWeight, Table: 0, Node: nodeName(p.nodes / 2), Value: 1 + float64(p.changes%2)},
@@ -216,43 +216,58 @@
 
 // pushSample measures pushes of one changed weight, at the server or at the sidecars. Values are per sidecar.
 func pushSample(size, sidecars, nodes int, effort Effort, side func(*pushCost) *meter) (Sample, error) {
-	s := newSample(size)
-	p, err := newPushServer(sidecars, nodes, 12)
+	sample := newSample(size)
+	fleet, err := newPushFleet(sidecars, nodes, 12)
 	if err != nil {
-		return s, err
+		return sample, err
 	}
 	var cost pushCost
 	pushes := 0
 	for !effort.isEnough(side(&cost), pushes, fullMinOperations) {
-		if err := p.change(&cost); err != nil {
-			return s, err
+		if err := fleet.change(&cost); err != nil {
+			return sample, err
 		}
 		pushes++
 	}
-	side(&cost).recordPerOperation(&s, pushes*sidecars)
-	s.Values[Wire] = float64(cost.bytes) / float64(pushes*sidecars)
-	s.Values[Messages] = float64(cost.messages) / float64(pushes*sidecars)
-	return s, nil
+	side(&cost).recordPerOperation(&sample, pushes*sidecars)
+	sample.Values[Wire] = float64(cost.bytes) / float64(pushes*sidecars)
+	sample.Values[Messages] = float64(cost.messages) / float64(pushes*sidecars)
+	return sample, nil
 }
 
 func pushSlopes() []Slope {
-	server := func(c *pushCost) *meter { return &c.server }
-	client := func(c *pushCost) *meter { return &c.sidecars }
+	server := func(cost *pushCost) *meter { return &cost.server }
+	client := func(cost *pushCost) *meter { return &cost.sidecars }
 	return []Slope{
-		{Name: "push-sidecars", Operation: "one changed weight sent to one sidecar, server's side, pool of 200 nodes", Size: "sidecars on the table", Method: Isolated,
-			Sizes: []int{10, 30, 100, 300, 1000},
+		{
+			Name:      "push-sidecars",
+			Operation: "one changed weight sent to one sidecar, server's side, pool of 200 nodes",
+			Size:      "sidecars on the table",
+			Method:    Isolated,
+			Sizes:     []int{10, 30, 100, 300, 1000},
 			Run: func(size int, effort Effort) (Sample, error) {
 				return pushSample(size, size, poolNodes, effort, server)
-			}},
-		{Name: "push-pool", Operation: "one changed weight sent to one sidecar, server's side, 100 sidecars", Size: "nodes of the pool", Method: Isolated,
-			Sizes: []int{10, 50, 200, 1000},
+			},
+		},
+		{
+			Name:      "push-pool",
+			Operation: "one changed weight sent to one sidecar, server's side, 100 sidecars",
+			Size:      "nodes of the pool",
+			Method:    Isolated,
+			Sizes:     []int{10, 50, 200, 1000},
 			Run: func(size int, effort Effort) (Sample, error) {
 				return pushSample(size, poolSidecars, size, effort, server)
-			}},
-		{Name: "push-accept", Operation: "one changed weight accepted by one sidecar, its side", Size: "nodes of the pool", Method: Isolated,
-			Sizes: []int{10, 50, 200, 1000},
+			},
+		},
+		{
+			Name:      "push-accept",
+			Operation: "one changed weight accepted by one sidecar, its side",
+			Size:      "nodes of the pool",
+			Method:    Isolated,
+			Sizes:     []int{10, 50, 200, 1000},
 			Run: func(size int, effort Effort) (Sample, error) {
 				return pushSample(size, poolSidecars, size, effort, client)
-			}},
+			},
+		},
 	}
 }
