--- a/internal/testbed/names_test.go
+++ b/internal/testbed/names_test.go
@@ -16,7 +16,7 @@
 				t.Errorf("%s slopes: got error %v, output %s, want list-file in it", name, err, out)
 			}
 			out, err = exec.Command("go", "run", "../../cmd/"+name, "fleet", "--conductor", "x", "--seconds", "0").CombinedOutput()
-			if err == nil || !strings.HasPrefix(string(out), name+": seconds have to be") {
+			if err == nil || !strings.HasPrefix(string(out), name+": seconds must be") {
 				t.Errorf("%s fleet --conductor x --seconds 0: got error %v, output %s, want a rejection of seconds", name, err, out)
 			}
 		})
--- a/loadtest/bounds.go
+++ b/loadtest/bounds.go
@@ -2,19 +2,20 @@
 
 import "fmt"
 
-// Bounds are what a run is held to; one of 0 is not checked. That no controller loses a change, holds other contents or
-// goes back to an older revision is always checked. The names in JSON are those of the first release.
+// Bounds holds upper limits for the measurements of a run; a bound of 0 is not checked. Each run also checks that no
+// controller loses a change, accepts contents that differ from the agreed ones or goes back to an older revision. The
+// names in JSON are those of the first release.
 type Bounds struct {
-	ConvergenceS  float64 `json:"in_force_s"`     // from a change's answer until it has converged, the worst
-	OverheadBytes float64 `json:"bytes_beside"`   // of one record changed, to an interested controller, beside the record
-	RestartP90S   float64 `json:"restart_nine_s"` // until nine in ten restarted controllers are in step
-	RestartAllS   float64 `json:"restart_all_s"`
-	ControllerCPU float64 `json:"conductor_cpu"` // part of a core, busiest 10 s of steady running
-	ControllerMB  float64 `json:"conductor_mb"`  // resident
-	ControllerKBS float64 `json:"conductor_kbs"` // kilobytes a second in and out, busiest 10 s of steady running
+	ConvergenceS  float64 `json:"in_force_s"`     // maximum time from the answer to a proposal until the change has converged
+	OverheadBytes float64 `json:"bytes_beside"`   // of a message to an interested controller, per changed record and without its body
+	RestartP90S   float64 `json:"restart_nine_s"` // until 90% of the restarted controllers are in step
+	RestartAllS   float64 `json:"restart_all_s"`  // until all restarted controllers are in step
+	ControllerCPU float64 `json:"conductor_cpu"`  // fraction of a core, busiest 10 s of steady operation
+	ControllerMB  float64 `json:"conductor_mb"`   // resident
+	ControllerKBS float64 `json:"conductor_kbs"`  // kilobytes per second received and sent, busiest 10 s of steady operation
 }
 
-// DefaultBounds are the operators'.
+// DefaultBounds returns the bounds that operators require.
 func DefaultBounds() Bounds {
 	return Bounds{
 		ConvergenceS:  7,
@@ -27,7 +28,7 @@
 	}
 }
 
-// BrokenBounds names the bounds that a run broke, one line each; violations are among them.
+// BrokenBounds returns one line for each broken bound and for each violation.
 func (m *Measured) BrokenBounds(b Bounds) (lines []string) {
 	check := func(name string, limit, measured float64, unit string) {
 		if limit > 0 && measured > limit {
--- a/loadtest/changes.go
+++ b/loadtest/changes.go
@@ -6,15 +6,15 @@
 	"harehook.dev/harehook/records"
 )
 
-// Changes by kind, in percent.
+// Percentage of changes by kind of record.
 const (
 	routeChanges   = 50
 	tenantChanges  = 30
-	serviceChanges = 5 // the rest are overrides
+	serviceChanges = 5 // the remaining changes are overrides
 )
 
-// NextChange draws a change of one record that gives it other contents. The error is of a record that package records
-// rejects.
+// NextChange generates a change of one record, whose contents differ from the present ones. It returns an error if
+// package records rejects the record.
 func (c *Configuration) NextChange() (records.Transaction, error) {
 	for {
 		key, spec := c.drawChange()
@@ -30,7 +30,7 @@
 	}
 }
 
-// encodeBody is the body of a record in its canonical form; nil where there is no spec, which removes the record.
+// encodeBody returns the canonical body of a record. A nil spec yields a nil body, which removes the record.
 func encodeBody(key records.Key, spec any) (json.RawMessage, error) {
 	if spec == nil {
 		return nil, nil
@@ -42,7 +42,7 @@
 	return record.Body, nil
 }
 
-// drawChange draws a record and its new spec; nil removes it.
+// drawChange chooses a record and generates its new spec; a nil spec removes the record.
 func (c *Configuration) drawChange() (records.Key, any) {
 	percent := c.rng.IntN(100)
 	switch {
--- a/loadtest/checkers_test.go
+++ b/loadtest/checkers_test.go
@@ -10,33 +10,35 @@
 	"harehook.dev/harehook/records"
 )
 
-// These tests break the program on purpose: the checks of a run have to see it.
+// These tests plant faults in the program, which the checks of a run must detect.
 
-// checkBroken checks that a report has a broken bound whose line has a text.
+// checkBroken checks that a report has a broken bound whose line contains a text.
 func checkBroken(t *testing.T, report *Report, text string) {
 	t.Helper()
 	if !slices.ContainsFunc(report.Broken, func(line string) bool { return strings.Contains(line, text) }) {
-		t.Errorf("no bound with %q broke: %q", text, report.Broken)
+		t.Errorf("got broken bounds %q, want one with %q", report.Broken, text)
 	}
 }
 
-// forgetfulSource keeps no history, so that a member sends full scopes.
+// forgetfulSource never returns a delta, so that a member sends full scopes.
 type forgetfulSource struct{ records.Source }
 
 func (forgetfulSource) Since(uint64, records.Scope) records.Delta { return records.Delta{} }
 
-// A member sends full scopes in place of what changed: the fleet works, at a cost that grows with its configuration.
+// A member sends full scopes instead of changes. All controllers stay correct, but the cost of a change grows with the
+// size of the configuration.
 func TestFullScopeAtEachChangeBreaksTheOverheadBound(t *testing.T) {
 	t.Parallel()
 	plant := memberHooks{source: func(s records.Source) records.Source { return forgetfulSource{s} }}
 	report := playInProcess(t, smallPlan(), hooks{member: plant})
 	checkBroken(t, report, "bytes to an interested conductor beside the record")
 	if report.Measured.Messages.FullScopeInStep == 0 || report.Measured.Messages.FullScopeAgain == 0 {
-		t.Error("no full scope was counted as sent in place of a change")
+		t.Errorf("got %d full scopes to controllers in step and %d repeated ones, want more than 0 of both",
+			report.Measured.Messages.FullScopeInStep, report.Measured.Messages.FullScopeAgain)
 	}
 }
 
-// losingSource leaves the updates of one answer in some out.
+// losingSource drops the updates of one delta in loseOneIn.
 type losingSource struct {
 	records.Source
 	answers *atomic.Int64
@@ -52,7 +54,7 @@
 	return delta
 }
 
-// A member forgets a change now and then: the revision goes on, the contents are old.
+// A member occasionally loses a change: it sends the new revision without the updates.
 func TestLostChangeIsAViolation(t *testing.T) {
 	t.Parallel()
 	answers := &atomic.Int64{}
@@ -60,12 +62,12 @@
 	checkBroken(t, playInProcess(t, smallPlan(), hooks{member: plant}), "has other contents than agreed")
 }
 
-// plantedController is the controller whose events are changed as they would be if it went wrong.
+// plantedController is the index of the controller whose events are altered to simulate a defect.
 const plantedController = 3
 
-// plantEvents changes the events of the planted controller; they are counted from 1.
+// plantEvents returns hooks that call change for each accepted event of the planted controller, numbered from 1.
 func plantEvents(change func(accepted int, e *event)) hooks {
-	accepted := 0 // only the planted controller's goroutine counts
+	accepted := 0 // only accessed by the planted controller's goroutine
 	return hooks{controller: controllerHooks{event: func(e *event) {
 		if e.Controller == plantedController && e.Kind == eventAccepted {
 			accepted++
@@ -74,7 +76,7 @@
 	}}}
 }
 
-// A controller goes back to what it accepted first.
+// A controller goes back to the revision that it accepted first.
 func TestOlderRevisionIsAViolation(t *testing.T) {
 	t.Parallel()
 	var first event
@@ -90,8 +92,8 @@
 	checkBroken(t, report, "it went back to revision")
 }
 
-// A controller holds records that are none of its business. The real follower rejects such records, so one that does not
-// is planted.
+// A controller holds records outside its scope. The real follower rejects such records, so the test plants a controller
+// that reports them.
 func TestRecordsOutsideTheScopeAreAViolation(t *testing.T) {
 	t.Parallel()
 	report := playInProcess(t, smallPlan(), plantEvents(func(accepted int, e *event) {
@@ -115,11 +117,11 @@
 		received[key] = record
 	}
 	if count := countOutside(records.Scope{Services: []string{"b"}}, received); count != 2 {
-		t.Errorf("%d records outside the scope, want 2", count)
+		t.Errorf("got %d records outside the scope, want 2", count)
 	}
 }
 
-// A controller holds other contents than its revision has.
+// A controller has contents that differ from those agreed for its revision.
 func TestOtherContentsAreAViolation(t *testing.T) {
 	t.Parallel()
 	report := playInProcess(t, smallPlan(), plantEvents(func(accepted int, e *event) {
@@ -155,7 +157,7 @@
 		}
 	}
 	if m := within(); len(m.BrokenBounds(bounds)) != 0 {
-		t.Errorf("at the bounds: %q", m.BrokenBounds(bounds))
+		t.Errorf("got broken bounds %q for measurements equal to the bounds, want none", m.BrokenBounds(bounds))
 	}
 	for name, over := range map[string]func(m *Measured){
 		"in force at the worst":         func(m *Measured) { m.Convergence.WorstMS++ },
@@ -172,7 +174,7 @@
 			m := within()
 			over(&m)
 			if lines := m.BrokenBounds(bounds); len(lines) != 1 || !strings.Contains(lines[0], name) {
-				t.Errorf("%q", lines)
+				t.Errorf("got lines %q, want one with %q", lines, name)
 			}
 		})
 	}
@@ -182,6 +184,6 @@
 	t.Parallel()
 	m := Measured{Convergence: DurationSummary{WorstMS: 7001}}
 	if lines := m.BrokenBounds(Bounds{}); len(lines) != 0 {
-		t.Errorf("%q", lines)
+		t.Errorf("got lines %q, want none", lines)
 	}
 }
--- a/loadtest/configuration.go
+++ b/loadtest/configuration.go
@@ -8,32 +8,33 @@
 	"harehook.dev/harehook/records"
 )
 
-// loadBatch is the number of records that are written by one transaction as the group is loaded.
+// loadBatch is the number of records per transaction of the initial load.
 const loadBatch = records.MaxTransactionWrites
 
-// Configuration is what a group agrees on, drawn from a seed, and the changes that are made to it.
+// Configuration generates the configuration of a group and the changes to it from a seed.
 type Configuration struct {
 	plan     Plan
 	rng      *rand.Rand
-	services []string // names, as all below
+	services []string // names, like the next three fields
 	zones    []string
 	routes   []string
 	tenants  []string
 
 	serviceOf   map[records.Key]string // of routes and tenants
-	tenantShare map[string]float64     // of each tenant of a service at the beginning, by service
-	bodies      map[records.Key][]byte // as last written
-	revision    map[records.Key]uint64 // as last agreed
+	tenantShare map[string]float64     // maximum share of each initial tenant, by service
+	bodies      map[records.Key][]byte // most recently written
+	revision    map[records.Key]uint64 // most recently agreed
 }
 
-// The random numbers that are drawn from the seed, by their stream.
+// Streams of the random number generators, which all use the seed of the plan.
 const (
 	configurationStream = 1
 	scopeStream         = 2
 	faultStream         = 3
 )
 
-// Generate draws a configuration by the seed of a plan. The error is of a record that package records rejects.
+// Generate generates a configuration from the seed of a plan. It returns an error if package records rejects a
+// generated record.
 func Generate(plan Plan) (*Configuration, error) {
 	c := &Configuration{
 		plan:        plan,
@@ -55,7 +56,7 @@
 	return c, nil
 }
 
-// setBody notes the body of a record in its canonical form.
+// setBody stores the canonical form of a record.
 func (c *Configuration) setBody(key records.Key, spec any) error {
 	record, err := records.New(key, spec)
 	if err != nil {
@@ -65,8 +66,8 @@
 	return nil
 }
 
-// LoadTransactions returns the transactions that write the full configuration; records come after those that they refer
-// to.
+// LoadTransactions returns the transactions that write the full configuration. A record comes after the records that it
+// refers to.
 func (c *Configuration) LoadTransactions() (transactions []records.Transaction) {
 	keys := make([]records.Key, 0, len(c.bodies))
 	for key := range c.bodies {
@@ -83,7 +84,7 @@
 	return transactions
 }
 
-// compareForLoad puts services first, since other records refer to them, and then orders by key.
+// compareForLoad orders services first, since other records refer to them, then by key.
 func compareForLoad(a, b records.Key) int {
 	if a.Kind != b.Kind && (a.Kind == records.KindService || b.Kind == records.KindService) {
 		return rankToLoad(a.Kind) - rankToLoad(b.Kind)
@@ -98,7 +99,7 @@
 	return int(kind) + 1
 }
 
-// RecordAgreed notes the revision that set the records of a transaction.
+// RecordAgreed stores the records of an agreed transaction and its revision.
 func (c *Configuration) RecordAgreed(transaction records.Transaction, revision uint64) {
 	for _, write := range transaction.Writes {
 		if len(write.Body) == 0 {
--- a/loadtest/doc.go
+++ b/loadtest/doc.go
@@ -1,25 +1,25 @@
-// Package loadtest runs a fleet of controllers that follow a group of members on one machine, and measures how fast and
-// at what cost changes of configuration reach all of them. The command harehook-testbed (fleet) is its user;
-// docs/fleet.md is its manual.
+// Package loadtest runs a fleet of controllers that follow a group of members on one machine. It measures the latency
+// and the cost of propagating configuration changes to all controllers. The command harehook-testbed (fleet) uses it;
+// docs/fleet.md is the manual.
 //
-// The members are real: each is a cluster.Node with its log on disk and the service that followers connect to, in a
-// process of its own unless a test asks for one process. Most controllers are simulated: the real client and follower,
-// many in a process, without a data plane. One controller has a process of its own, whose processor time, memory and
-// bytes are measured. All traffic stays on loopback.
+// The members are real: each is a cluster.Node with its log on disk and the service that followers connect to. Each has
+// its own process unless a test runs everything in one process. Most controllers are simulated: each is the real client
+// and follower without a data plane, and many share a process. One controller has its own process, whose CPU time,
+// memory and network traffic are measured. All traffic stays on loopback.
 //
 // # Use
 //
-// Play carries out a Plan and returns a Report, which says what was measured and which Bounds broke. ReadExperiment reads
-// plans from KDL; an Experiment whose figure takes several values gives a Sweep.
+// Play executes a Plan and returns a Report with the measurements and the broken Bounds. ReadExperiment reads plans
+// from KDL. Experiment.Sweep runs an Experiment whose figure has several values and returns a Sweep.
 //
 // # Design
 //
-// A run (run.go) owns workers, which are processes of the same program: Work is their body, protocol.go the messages
-// between them and the run. A memberProcess or controllerProcess is a worker as the run sees it; memberWorker,
-// controllersWorker and programWorker are what runs in it.
+// A run (run.go) owns workers, which are processes of the same program. Work is the worker's main function, and
+// protocol.go defines the messages between workers and the run. memberProcess and controllerProcess represent workers
+// in the run; memberWorker, controllersWorker and programWorker implement them in the worker process.
 //
-//   - A Configuration, drawn from the seed, is loaded into the group and then changed, one record at a time.
-//   - The recorder collects what controllers report, as a history each, and the changes that the group agreed on.
-//   - At the end, timings.go computes from these how long changes took, and violations.go compares what controllers held
-//     with a Model of what was agreed.
+//   - A Configuration is generated from the seed, loaded into the group and then changed one record at a time.
+//   - The recorder collects the events of each controller in a history, and the changes that the group agreed on.
+//   - After the run, timings.go computes the latency of changes, and violations.go compares the records that
+//     controllers had accepted with a Model of the agreed configuration.
 package loadtest
--- a/loadtest/draw.go
+++ b/loadtest/draw.go
@@ -9,14 +9,14 @@
 )
 
 const (
-	tenantTail       = 0.8  // exponent by which a service's part of the tenants falls with its rank
-	serviceMaxZones  = 6    // zones that a service runs in at most
-	allottedQuota    = 0.9  // part of a service's capacity that its tenants are given together
-	quotaStep        = 1e-6 // shares are integral multiples of it
-	overriddenNodes  = 0.01 // part of the nodes that are overridden at the beginning
+	tenantTail       = 0.8  // exponent of the power law by which the number of tenants falls with the rank of a service
+	serviceMaxZones  = 6    // maximum number of zones per service
+	allottedQuota    = 0.9  // fraction of a service's capacity that all its tenants share
+	quotaStep        = 1e-6 // shares are integral multiples of this step
+	overriddenNodes  = 0.01 // fraction of the nodes that have an override initially
 	minTimeLimitMS   = 50   // of a route
-	timeLimitRangeMS = 5000 // of a route, above the least
-	mutatingOneIn    = 3    // of the routes
+	timeLimitRangeMS = 5000 // of a route, above minTimeLimitMS
+	mutatingOneIn    = 3    // one route in three is mutating
 )
 
 func (c *Configuration) drawServices() error {
@@ -31,7 +31,7 @@
 	return nil
 }
 
-// drawZones draws the zones of a service.
+// drawZones chooses the zones of a service.
 func (c *Configuration) drawZones() (zones []string) {
 	count := 1 + c.rng.IntN(min(serviceMaxZones, len(c.zones)))
 	for _, zone := range c.rng.Perm(len(c.zones))[:count] {
@@ -53,7 +53,7 @@
 	return nil
 }
 
-// drawRoute draws the spec of a route; its prefix stays the same.
+// drawRoute generates a spec for a route; the prefix is always the same.
 func (c *Configuration) drawRoute(key records.Key) records.RouteSpec {
 	return records.RouteSpec{
 		Service:     c.serviceOf[key],
@@ -64,12 +64,12 @@
 	}
 }
 
-// prefix is that of a route, whose name is unique.
+// prefix returns the prefix of a route, which is unique because it contains the name of the route.
 func (c *Configuration) prefix(route records.Key) string {
 	return "/" + c.serviceOf[route] + "/" + route.Name
 }
 
-// drawTenants divides the tenants among the services: a few services have many, most have few.
+// drawTenants distributes the tenants over the services: a few services have many tenants, most have few.
 func (c *Configuration) drawTenants() error {
 	tenantsOf := map[string]int{}
 	cumulated := cumulatedWeights(len(c.services))
@@ -94,7 +94,7 @@
 	return nil
 }
 
-// cumulatedWeights are the weights of services in the division of tenants, each with those before it.
+// cumulatedWeights returns the cumulative weights by which tenants are distributed over services.
 func cumulatedWeights(services int) []float64 {
 	cumulated := make([]float64, services)
 	sum := 0.0
@@ -105,7 +105,7 @@
 	return cumulated
 }
 
-// drawTenant draws the spec of a tenant. However often that is done, the shares of a service sum to under its capacity.
+// drawTenant generates a spec for a tenant. The shares of a service always sum to less than its capacity.
 func (c *Configuration) drawTenant(key records.Key) records.TenantSpec {
 	service := c.serviceOf[key]
 	share := c.tenantShare[service] * (0.2 + 0.8*c.rng.Float64())
@@ -122,12 +122,12 @@
 	return nil
 }
 
-// drawOverrideKey draws the node of an override.
+// drawOverrideKey chooses the node of an override.
 func (c *Configuration) drawOverrideKey() records.Key {
 	return records.Key{Kind: records.KindOverride, Name: fmt.Sprintf("node-%05d", c.rng.IntN(c.plan.Nodes))}
 }
 
-// drawOverride draws the spec of an override.
+// drawOverride generates the spec of an override.
 func (c *Configuration) drawOverride() records.OverrideSpec {
 	spec := records.OverrideSpec{State: records.StateDraining}
 	spec.Service = c.services[c.rng.IntN(len(c.services))]
--- a/loadtest/example_test.go
+++ b/loadtest/example_test.go
@@ -6,7 +6,7 @@
 	"harehook.dev/harehook/loadtest"
 )
 
-// What an experiment does not set is as at the operators' size; a figure with several values is swept.
+// Settings that an experiment omits have the values of OperatorsPlan. A figure with several values is swept.
 func ExampleReadExperiment() {
 	experiment, err := loadtest.ReadExperiment(`experiment "small" { conductors 20 40 80; members 3; faults "reconnect"; }`)
 	if err != nil {
--- a/loadtest/experiment.go
+++ b/loadtest/experiment.go
@@ -7,19 +7,20 @@
 	"harehook.dev/harehook/internal/kdl"
 )
 
-// Experiment is a plan, and a figure of it that takes several values in turn.
+// Experiment is a plan and, optionally, a figure of the plan that takes several values in turn.
 type Experiment struct {
 	Name   string
 	Plan   Plan
-	Figure string    // name of the Setting that is swept, empty if none
-	Values []float64 // that the figure takes
+	Figure string    // name of the swept Setting, empty if there is none
+	Values []float64 // of the figure, in the order of the runs
 }
 
-// maxValue is the largest that an experiment may set a figure to.
+// maxValue is the largest value that an experiment may give a figure.
 const maxValue = 1e9
 
 // ReadExperiment reads an experiment in KDL: one node "experiment" with a name, whose children are settings and faults.
-// What it does not set is as in OperatorsPlan. The error is a kdl.Faults, which names the line of each mistake.
+// Settings that it omits have the values of OperatorsPlan. The error is a kdl.Faults, which names the line of each
+// mistake.
 func ReadExperiment(text string) (*Experiment, error) {
 	nodes, err := kdl.Parse(text)
 	if err != nil {
@@ -27,7 +28,7 @@
 	}
 	var faults kdl.Faults
 	if len(nodes) != 1 || nodes[0].Name != "experiment" || len(nodes[0].Arguments) != 1 {
-		faults.Add(1, "the document is one \"experiment\" with a name")
+		faults.Add(1, "the document must be one \"experiment\" node with a name")
 		return nil, faults.Err()
 	}
 	e := &Experiment{Name: fmt.Sprint(nodes[0].Arguments[0].Data), Plan: OperatorsPlan()}
@@ -50,23 +51,23 @@
 	return e, faults.Err()
 }
 
-// readFaults reads the line of the faults.
+// readFaults reads the node that lists the faults.
 func (e *Experiment) readFaults(node *kdl.Node, faults *kdl.Faults) {
 	for _, argument := range node.Arguments {
 		name := Fault(fmt.Sprint(argument.Data))
 		if !slices.Contains(AllFaults, name) {
-			faults.Add(argument.Line, "fault %q is not known: there are %v", name, AllFaults)
+			faults.Add(argument.Line, "unknown fault %q, known faults are %v", name, AllFaults)
 			continue
 		}
 		e.Plan.Faults = append(e.Plan.Faults, name)
 	}
 }
 
-// readFigure reads the line of a figure; one with several values is swept.
+// readFigure reads the node of a figure; a figure with several values is swept.
 func (e *Experiment) readFigure(node *kdl.Node, faults *kdl.Faults) {
 	setting, known := findSetting(node.Name)
 	if !known {
-		faults.Add(node.Line, "%q is no figure of a fleet", node.Name)
+		faults.Add(node.Line, "unknown setting %q", node.Name)
 		return
 	}
 	values := readValues(node, faults)
@@ -76,20 +77,20 @@
 	case len(values) == 1:
 		setting.Set(&e.Plan, values[0])
 	case e.Figure != "":
-		faults.Add(node.Line, "one figure is swept at most: %q is already", e.Figure)
+		faults.Add(node.Line, "at most one figure may have several values, %q already has", e.Figure)
 	default:
 		e.Figure = node.Name
 		e.Values = values
 	}
 }
 
-// readValues reads the numbers of a line.
+// readValues reads the numeric arguments of a node.
 func readValues(node *kdl.Node, faults *kdl.Faults) (values []float64) {
 	for _, argument := range node.Arguments {
 		value, isNumber := argument.Data.(float64)
-		inRange := value >= 0 && value <= maxValue // NaN is not
+		inRange := value >= 0 && value <= maxValue // false for NaN
 		if !isNumber || !inRange {
-			faults.Add(argument.Line, "%q takes numbers from 0 to %.0f, not %v", node.Name, maxValue, argument.Data)
+			faults.Add(argument.Line, "%q must be a number from 0 to %.0f, got %v", node.Name, maxValue, argument.Data)
 			continue
 		}
 		values = append(values, value)
@@ -97,7 +98,7 @@
 	return values
 }
 
-// plans returns one plan for each value of the figure that is swept.
+// plans returns one plan for each value of the swept figure, or the only plan if no figure is swept.
 func (e *Experiment) plans() (plans []Plan) {
 	if e.Figure == "" {
 		return []Plan{e.Plan}
--- a/loadtest/experiment_test.go
+++ b/loadtest/experiment_test.go
@@ -12,7 +12,7 @@
 	t.Parallel()
 	paths, err := filepath.Glob("../example/experiments/fleet*.kdl")
 	if err != nil || len(paths) < 4 {
-		t.Fatalf("%d examples: %v", len(paths), err)
+		t.Fatalf("got %d examples, want at least 4: %v", len(paths), err)
 	}
 	for _, path := range paths {
 		text, err := os.ReadFile(path)
@@ -31,7 +31,7 @@
 		got := experiment.Plan
 		got.Seconds, got.Faults = want.Seconds, want.Faults
 		if !reflect.DeepEqual(got, want) {
-			t.Errorf("%s is not the operators' size: %+v", path, got)
+			t.Errorf("%s: got plan %+v, want the operators' plan %+v", path, got, want)
 		}
 	}
 }
@@ -50,10 +50,10 @@
 	}
 	plans := experiment.plans()
 	if len(plans) != 4 || plans[2].Controllers != 30 || plans[2].Members != 3 || plans[2].Bounds.ConvergenceS != 2.5 {
-		t.Errorf("%+v", plans)
+		t.Errorf("got plans %+v, want 4, the third with 30 controllers, 3 members and a convergence bound of 2.5 s", plans)
 	}
 	if !reflect.DeepEqual(plans[0].Faults, []Fault{FaultReconnect, FaultRegionCut}) {
-		t.Errorf("faults %v", plans[0].Faults)
+		t.Errorf("got faults %v, want reconnect and region-cut", plans[0].Faults)
 	}
 }
 
@@ -61,19 +61,19 @@
 	t.Parallel()
 	for text, want := range map[string]string{
 		"fleet":                                                          "one \"experiment\"",
-		"experiment \"x\" {\n  cats 3\n}":                                "line 2: \"cats\"",
+		"experiment \"x\" {\n  cats 3\n}":                                "line 2: unknown setting \"cats\"",
 		"experiment \"x\" {\n  members \"a\"\n}":                         "line 2",
 		"experiment \"x\" {\n  members -1\n}":                            "line 2",
 		"experiment \"x\" {\n  members\n}":                               "line 2: \"members\" has no value",
-		"experiment \"x\" {\n  faults \"fire\"\n}":                       "line 2: fault \"fire\"",
-		"experiment \"x\" {\n  members 1 3\n  zones 20 30\n}":            "line 3: one figure",
-		"experiment \"x\" {\n  members 1\n  faults \"member-killed\"\n}": "needs three members",
-		"experiment \"x\" {\n  conductors 10 100000\n}":                  "conductors have to be",
+		"experiment \"x\" {\n  faults \"fire\"\n}":                       "line 2: unknown fault \"fire\"",
+		"experiment \"x\" {\n  members 1 3\n  zones 20 30\n}":            "line 3: at most one figure",
+		"experiment \"x\" {\n  members 1\n  faults \"member-killed\"\n}": "needs at least 3 members",
+		"experiment \"x\" {\n  conductors 10 100000\n}":                  "conductors must be",
 	} {
 		t.Run(want, func(t *testing.T) {
 			_, err := ReadExperiment(text)
 			if err == nil || !strings.Contains(err.Error(), want) {
-				t.Errorf("%q: %v, want %q", text, err, want)
+				t.Errorf("%q: got error %v, want one with %q", text, err, want)
 			}
 		})
 	}
--- a/loadtest/fault.go
+++ b/loadtest/fault.go
@@ -6,22 +6,22 @@
 	"strings"
 )
 
-// Fault is something that is done to the fleet while changes are played.
+// Fault is the name of a fault that is injected into the fleet while changes are made.
 type Fault string
 
-// The faults, by the names that operators give them.
+// The names of the faults in flags and experiment files.
 const (
-	FaultMemberKilled Fault = "member-killed" // a member is killed and started again, then the leader
-	FaultReconnect    Fault = "reconnect"     // one controller in ten loses its connection
-	FaultRegionCut    Fault = "region-cut"    // the controllers of one region are cut off for a while
-	FaultRejecting    Fault = "refusing"      // some controllers refuse some changes
-	FaultAllRestarted Fault = "all-restarted" // all controllers are restarted within a minute, holding nothing
+	FaultMemberKilled Fault = "member-killed" // a member other than the leader is killed and restarted, then the leader
+	FaultReconnect    Fault = "reconnect"     // one controller in ten loses its connections
+	FaultRegionCut    Fault = "region-cut"    // the controllers of one region are disconnected for part of the slot
+	FaultRejecting    Fault = "refusing"      // some controllers reject some changes
+	FaultAllRestarted Fault = "all-restarted" // all controllers are restarted within a minute, without any records
 )
 
-// AllFaults lists the faults in the order in which they are played.
+// AllFaults lists the faults in the order in which they are injected.
 var AllFaults = []Fault{FaultReconnect, FaultMemberKilled, FaultRejecting, FaultRegionCut, FaultAllRestarted}
 
-// ParseFaults reads names separated by commas.
+// ParseFaults parses a comma-separated list of faults and drops repetitions.
 func ParseFaults(text string) (faults []Fault, err error) {
 	for name := range strings.SplitSeq(text, ",") {
 		fault := Fault(strings.TrimSpace(name))
@@ -29,7 +29,7 @@
 			continue
 		}
 		if !slices.Contains(AllFaults, fault) {
-			return nil, fmt.Errorf("fault %q is not known: there are %v", fault, AllFaults)
+			return nil, fmt.Errorf("unknown fault %q, known faults are %v", fault, AllFaults)
 		}
 		if !slices.Contains(faults, fault) {
 			faults = append(faults, fault)
--- a/loadtest/faults.go
+++ b/loadtest/faults.go
@@ -10,7 +10,7 @@
 	"harehook.dev/harehook/configsync"
 )
 
-// slotWeights are the parts of the time that faults are played for, beside one another.
+// slotWeights are the relative lengths of the slots of faults.
 var slotWeights = map[Fault]float64{
 	FaultReconnect:    1,
 	FaultMemberKilled: 3,
@@ -20,18 +20,18 @@
 }
 
 const (
-	faultFreeFraction  = 0.25 // of the time, before the first fault
-	reconnectOneIn     = 10   // of the controllers
-	rejectingOneIn     = 5    // of the controllers
-	restartFraction    = 0.6  // of the fault's slot in which all are restarted
-	cutFraction        = 0.6  // of the fault's slot for which a region is cut off
-	rejectFraction     = 0.6  // of the fault's slot in which changes are rejected
-	memberDownFraction = 1.0 / 6
+	faultFreeFraction  = 0.25    // of the duration of the run, before the first fault
+	reconnectOneIn     = 10      // one controller in ten reconnects
+	rejectingOneIn     = 5       // one controller in five rejects changes
+	restartFraction    = 0.6     // of the fault's slot, in which all controllers are restarted
+	cutFraction        = 0.6     // of the fault's slot, for which a region is disconnected
+	rejectFraction     = 0.6     // of the fault's slot, in which changes are rejected
+	memberDownFraction = 1.0 / 6 // of the fault's slot, for which a killed member stays down
 	maxRestartSpread   = time.Minute
 	maxDowntime        = 5 * time.Second // of a member
 )
 
-// playFaults plays one fault after the other until the plan's time is over.
+// playFaults injects one fault after the other until the duration of the plan has passed.
 func (r *run) playFaults(ctx context.Context) error {
 	duration := time.Duration(r.plan.Seconds) * time.Second
 	faults := slices.DeleteFunc(slices.Clone(AllFaults), func(f Fault) bool { return !slices.Contains(r.plan.Faults, f) })
@@ -55,7 +55,7 @@
 	return nil
 }
 
-// faultSlots divides a time among faults.
+// faultSlots divides a duration into slots for the faults, in proportion to slotWeights.
 func faultSlots(faults []Fault, duration time.Duration) map[Fault]time.Duration {
 	sum := 0.0
 	for _, fault := range faults {
@@ -69,7 +69,7 @@
 	return slots
 }
 
-// playSlot plays a fault and waits for the end of its slot.
+// playSlot injects a fault and waits for the end of its slot.
 func (r *run) playSlot(ctx context.Context, fault Fault, slot time.Duration, rng *rand.Rand) error {
 	r.logProgress("%s, %.0f s", fault, slot.Seconds())
 	r.recorder.setPhase(fault)
@@ -80,7 +80,7 @@
 	return sleep(ctx, time.Until(end))
 }
 
-// playFault brings a fault about, and ends it within its slot.
+// playFault injects a fault and ends it within its slot.
 func (r *run) playFault(ctx context.Context, fault Fault, slot time.Duration, rng *rand.Rand) error {
 	switch fault {
 	case FaultReconnect:
@@ -94,7 +94,7 @@
 	case FaultAllRestarted:
 		return r.restartAll(ctx, min(maxRestartSpread, scaleDuration(slot, restartFraction)))
 	default:
-		return fmt.Errorf("no fault of that name")
+		return fmt.Errorf("unknown fault")
 	}
 }
 
@@ -102,8 +102,8 @@
 	return time.Duration(fraction * float64(d))
 }
 
-// chooseControllers returns the controllers that are chosen, and whether one is among them. The one with a process of its
-// own is left alone: its steady running is measured.
+// chooseControllers returns the indices of the chosen controllers and a function that reports whether a controller is
+// among them. It never chooses the controller that has its own process, because its steady operation is measured.
 func (r *run) chooseControllers(choose func(controller int) bool) (indexes []int, isChosen func(int) bool) {
 	chosen := map[int]bool{}
 	for index := range r.controllers {
@@ -115,12 +115,12 @@
 	return indexes, func(controller int) bool { return chosen[controller] }
 }
 
-// oneIn chooses a controller with the chance of one in a count.
+// oneIn returns a function that chooses a controller with a probability of 1/count.
 func oneIn(rng *rand.Rand, count int) func(int) bool {
 	return func(int) bool { return rng.IntN(count) == 0 }
 }
 
-// reconnect closes the connections of some controllers.
+// reconnect closes the connections of randomly chosen controllers.
 func (r *run) reconnect(rng *rand.Rand) error {
 	indexes, isChosen := r.chooseControllers(oneIn(rng, reconnectOneIn))
 	now := time.Now()
@@ -128,7 +128,7 @@
 	return r.commandControllers(actionReconnect, 0, isChosen)
 }
 
-// killMembers kills a member that follows, and the leader in the second half of the slot.
+// killMembers kills a member that is not the leader, and the leader in the second half of the slot.
 func (r *run) killMembers(ctx context.Context, slot time.Duration) error {
 	secondHalf := time.Now().Add(slot / 2)
 	downtime := min(maxDowntime, scaleDuration(slot, memberDownFraction))
@@ -150,7 +150,7 @@
 	return r.killMember(ctx, leader, downtime)
 }
 
-// killMember kills a member and starts it again after some time. The fault concerns the controllers that it served.
+// killMember kills a member and restarts it after downtime. The fault affects the controllers that the member served.
 func (r *run) killMember(ctx context.Context, id uint64, downtime time.Duration) error {
 	member := r.memberProcesses[id-1]
 	now := time.Now()
@@ -164,7 +164,7 @@
 	return r.startMember(ctx, member)
 }
 
-// rejectChanges has some controllers reject some changes for a while.
+// rejectChanges makes some controllers reject some changes for a duration.
 func (r *run) rejectChanges(ctx context.Context, duration time.Duration, rng *rand.Rand) error {
 	indexes, isChosen := r.chooseControllers(oneIn(rng, rejectingOneIn))
 	now := time.Now()
@@ -178,7 +178,7 @@
 	return r.commandControllers(actionAccept, 0, isChosen)
 }
 
-// cutRegion cuts the controllers of one region off.
+// cutRegion disconnects the controllers of one region for a duration.
 func (r *run) cutRegion(ctx context.Context, duration time.Duration, rng *rand.Rand) error {
 	region := rng.IntN(r.plan.Regions)
 	indexes, isChosen := r.chooseControllers(func(index int) bool { return r.controllers[index].Region == region })
@@ -193,7 +193,7 @@
 	return r.commandControllers(actionHeal, 0, isChosen)
 }
 
-// restartAll restarts all controllers evenly over a time.
+// restartAll restarts all controllers, evenly distributed over spread.
 func (r *run) restartAll(ctx context.Context, spread time.Duration) error {
 	_, isChosen := r.chooseControllers(func(int) bool { return true })
 	if err := r.commandControllers(actionRestart, spread, isChosen); err != nil {
--- a/loadtest/faultwindow.go
+++ b/loadtest/faultwindow.go
@@ -5,14 +5,14 @@
 	"time"
 )
 
-// faultWindow is a time in which a fault concerns a controller. It ends when the controller has accepted something on a
-// stream that it opened after the fault, or else after the fault's end.
+// faultWindow is the time in which a fault affects a controller. It ends when the controller first accepts a revision
+// after the end of the fault, on a stream that was opened after the fault began if there is one.
 type faultWindow struct {
 	fault    Fault
 	from, to time.Time
 }
 
-// faultWindows returns the times in which faults concerned the controller, each until it was back.
+// faultWindows returns the fault windows of the controller, each extended until the controller recovered.
 func (h *history) faultWindows() (windows []faultWindow) {
 	for _, w := range h.windows {
 		windows = append(windows, h.extendUntilBack(w))
@@ -27,8 +27,8 @@
 	return windows
 }
 
-// extendUntilBack has a window last until the controller has accepted something on a stream of after the fault. A
-// controller that rejects keeps its stream.
+// extendUntilBack extends a window until the controller has accepted a revision on a stream opened after the fault
+// began. A controller that rejects changes keeps its stream.
 func (h *history) extendUntilBack(w faultWindow) faultWindow {
 	back := w.to
 	if w.fault != FaultRejecting {
@@ -47,7 +47,7 @@
 	return w
 }
 
-// excuseRank orders faults by how much they excuse.
+// excuseRank is the severity of faults: a delay is attributed to the most severe fault during it.
 var excuseRank = map[Fault]int{
 	FaultReconnect:    1,
 	FaultMemberKilled: 2,
@@ -56,7 +56,7 @@
 	FaultAllRestarted: 5,
 }
 
-// strongestFault returns the window that excuses most between two times; its fault is empty if there is none.
+// strongestFault returns the window of the most severe fault between two times; its fault is empty if there is none.
 func strongestFault(windows []faultWindow, from, to time.Time) (strongest faultWindow) {
 	for _, w := range windows {
 		overlaps := !w.from.After(to) && !w.to.Before(from)
--- a/loadtest/fleet_test.go
+++ b/loadtest/fleet_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// smallPlan is played in a few seconds. Its bounds are those that don't depend on the machine.
+// smallPlan returns a plan that takes a few seconds, with only those bounds that do not depend on the machine.
 func smallPlan() Plan {
 	plan := OperatorsPlan()
 	plan.Controllers = 20
@@ -23,7 +23,7 @@
 	return plan
 }
 
-// playInProcess carries out a plan in this process.
+// playInProcess executes a plan with workers that are goroutines of this process.
 func playInProcess(t *testing.T, plan Plan, planted hooks) *Report {
 	t.Helper()
 	ctx, cancel := context.WithTimeout(t.Context(), 3*time.Minute)
@@ -35,7 +35,7 @@
 	return report
 }
 
-// testLog writes progress to the log of a test.
+// testLog writes progress lines to the log of a test.
 type testLog struct{ t *testing.T }
 
 func (l testLog) Write(line []byte) (int, error) {
@@ -43,7 +43,7 @@
 	return len(line), nil
 }
 
-// changesDuringFaults counts the pairs of a controller and a change that a fault concerned.
+// changesDuringFaults returns the number of pairs of a controller and a change that a fault affected.
 func changesDuringFaults(m Measured) (count int64) {
 	for fault, times := range m.Followers {
 		if fault != "none" {
@@ -53,9 +53,9 @@
 	return count
 }
 
-// Controllers reject changes one at a time, so that no two of them share a message, and get each rejected one again after a
-// backoff: 273 messages for 266 pairs of an interested controller and a change, on an idle machine. That is in order, and
-// everything else has to be as without faults.
+// Controllers reject single changes, so that changes do not share a message, and members send a rejected change again
+// after a backoff: an idle machine had 273 messages for 266 pairs of an interested controller and a change. The bound
+// on the number of messages must allow for that, and everything else must be as without faults.
 func TestRejectedChangesAreSentAgain(t *testing.T) {
 	t.Parallel()
 	plan := smallPlan()
@@ -67,7 +67,7 @@
 	checkInOrder(t, report, int64(plan.Controllers))
 }
 
-// checkInOrder checks that a report has all bounds kept and the counts that follow from its plan.
+// checkInOrder checks that a report has no broken bounds and that its counts are consistent with the plan.
 func checkInOrder(t *testing.T, report *Report, minFullScopes int64) {
 	t.Helper()
 	for _, line := range report.Broken {
@@ -75,44 +75,45 @@
 	}
 	plan, m := report.Plan, report.Measured
 	if want := int(float64(plan.Seconds) * plan.Changes); m.Changes != want {
-		t.Errorf("%d changes, want %d", m.Changes, want)
+		t.Errorf("got %d changes, want %d", m.Changes, want)
 	}
 	var counted int64
 	for _, times := range m.Followers {
 		counted += times.Count
 	}
 	if want := int64(m.Changes * plan.Controllers); counted != want {
-		t.Errorf("%d times of controllers for changes, want %d", counted, want)
+		t.Errorf("got %d durations of followers, want %d: one for each controller and change", counted, want)
 	}
-	// On a slow machine a controller may give a member up, and ask another one, before it has accepted its scope.
+	// On a slow machine a controller may switch to another member before it has accepted its scope.
 	if m.Messages.FullScope.Count < minFullScopes || m.Messages.FullScopeAgain != 0 {
-		t.Errorf("%d full scopes, %d of them to controllers that held something; want %d or more, none of them so",
+		t.Errorf("got %d full scopes, %d of them to controllers that already had records; want at least %d, and 0 such ones",
 			m.Messages.FullScope.Count, m.Messages.FullScopeAgain, minFullScopes)
 	}
-	// A message tells one change or more, so there is at most one for each interested controller and change. Where a fault
-	// concerned the controller meanwhile it may be sent once more: a change that was rejected after a backoff, and one
-	// whose stream broke on the next stream.
+	// A message contains one change or more, so there is at most one for each interested controller and change. A
+	// change may be sent once more to a controller that a fault affected in that time: after a backoff if the
+	// controller rejected the change, and on the next stream if the stream broke.
 	most := int64(m.Messages.InterestedPerChange*float64(m.Changes)+0.5) + changesDuringFaults(m)
 	if m.Messages.Change.Count == 0 || m.Messages.Change.Count > most {
-		t.Errorf("%d messages with changes, want 1 to %d", m.Messages.Change.Count, most)
+		t.Errorf("got %d messages with changes, want 1 to %d", m.Messages.Change.Count, most)
 	}
 	if m.Messages.Progress.Worst > maxProgressBytes {
-		t.Errorf("a message of progress has %d bytes, %d at most", m.Messages.Progress.Worst, maxProgressBytes)
+		t.Errorf("got a progress message of %d bytes, want at most %d", m.Messages.Progress.Worst, maxProgressBytes)
 	}
 }
 
-// maxProgressBytes is the most that a message with a revision alone takes.
+// maxProgressBytes is the maximum size of a message that contains only a revision.
 const maxProgressBytes = 100
 
-// A fleet without faults: all changes reach all controllers, and messages have only what changed.
+// Without faults all changes reach all controllers, and messages contain only changed records.
 func TestSmallFleetKeepsAllBounds(t *testing.T) {
 	t.Parallel()
 	plan := smallPlan()
 	checkInOrder(t, playInProcess(t, plan, hooks{}), int64(plan.Controllers))
 }
 
-// Connections are lost, members killed, changes rejected, a region cut off, all controllers restarted. All changes reach
-// all controllers nevertheless, each fault concerns somebody, and no controller gets a full scope without need.
+// Connections are closed, members are killed, changes are rejected, a region is disconnected and all controllers are
+// restarted. All changes must still reach all controllers, each fault must affect some controller, and no controller
+// may receive an unnecessary full scope.
 func TestSmallFleetKeepsAllBoundsThroughFaults(t *testing.T) {
 	t.Parallel()
 	plan := smallPlan()
@@ -120,23 +121,23 @@
 	plan.Seconds = 8
 	plan.Faults = AllFaults
 	report := playInProcess(t, plan, hooks{})
-	restarted := int64(plan.Controllers - 1) // all but the one with a process of its own
+	restarted := int64(plan.Controllers - 1) // all but the measured controller
 	checkInOrder(t, report, int64(plan.Controllers)+restarted)
 	if report.Measured.Restarted.Count != restarted {
-		t.Errorf("%d controllers were in step after their restart, want %d", report.Measured.Restarted.Count, restarted)
+		t.Errorf("got %d controllers in step after their restart, want %d", report.Measured.Restarted.Count, restarted)
 	}
 	affected := report.Measured.Affected
 	for _, fault := range AllFaults {
 		if affected[fault] == 0 {
-			t.Errorf("%s concerned nobody", fault)
+			t.Errorf("got 0 controllers affected by %s, want at least 1", fault)
 		}
 	}
 	if affected[FaultAllRestarted] != int(restarted) {
-		t.Errorf("%d controllers were restarted, want %d", affected[FaultAllRestarted], restarted)
+		t.Errorf("got %d restarted controllers, want %d", affected[FaultAllRestarted], restarted)
 	}
 }
 
-// What a change costs on the wire does not grow with the fleet or with what it agrees on.
+// The size of a message with a change must not grow with the fleet or with the configuration.
 func TestBytesOfAChangeDoNotGrowWithTheFleet(t *testing.T) {
 	t.Parallel()
 	small, large := smallPlan(), smallPlan()
@@ -148,12 +149,14 @@
 	checkInOrder(t, few, int64(small.Controllers))
 	checkInOrder(t, many, int64(large.Controllers))
 	if before, after := few.Measured.Messages.RecordOverhead, many.Measured.Messages.RecordOverhead; after.Worst > before.Worst+revisionDigitBytes {
-		t.Errorf("beside a record: %d bytes in the small fleet, %d in the large one", before.Worst, after.Worst)
+		t.Errorf("got a maximum overhead per record of %d bytes in the large fleet, want at most %d more than the %d in the small one",
+			after.Worst, revisionDigitBytes, before.Worst)
 	}
 	if before, after := few.Measured.Messages.Progress, many.Measured.Messages.Progress; after.Worst > before.Worst+revisionDigitBytes {
-		t.Errorf("progress: %d bytes in the small fleet, %d in the large one", before.Worst, after.Worst)
+		t.Errorf("got a progress message of %d bytes in the large fleet, want at most %d more than the %d in the small one",
+			after.Worst, revisionDigitBytes, before.Worst)
 	}
 }
 
-// revisionDigitBytes is by how much a message may grow because it names revisions and nonces with more digits.
+// revisionDigitBytes is the allowed growth of a message due to revisions and nonces with more digits.
 const revisionDigitBytes = 8
--- a/loadtest/golden_test.go
+++ b/loadtest/golden_test.go
@@ -12,7 +12,7 @@
 	goldentest.CompareJSON(t, "report.json", &Sweep{})
 }
 
-// TestGoldenExperiment reads an experiment that sets each figure, and compares the plan with that of commit 3968cf4.
+// TestGoldenExperiment compares the plan of an experiment that sets each figure with that of commit 3968cf4.
 func TestGoldenExperiment(t *testing.T) {
 	text, err := os.ReadFile("testdata/experiment.kdl")
 	if err != nil {
--- a/loadtest/histogram.go
+++ b/loadtest/histogram.go
@@ -9,7 +9,7 @@
 const (
 	maxRecordedDuration = time.Hour
 	maxMessageBytes     = 64 << 20
-	significantDigits   = 3 // that histograms keep
+	significantDigits   = 3 // precision of histograms, in decimal digits
 )
 
 // durationHistogram is a histogram of durations.
@@ -19,13 +19,13 @@
 	return &durationHistogram{hdrhistogram.New(1, maxRecordedDuration.Microseconds(), significantDigits)}
 }
 
-// record adds a duration, clamped to what the histogram can hold.
+// record adds a duration, clamped to the range of the histogram.
 func (h *durationHistogram) record(d time.Duration) {
 	clamped := min(max(d.Microseconds(), 1), maxRecordedDuration.Microseconds())
 	h.microseconds.RecordValue(clamped)
 }
 
-// DurationSummary is a distribution of durations as reports have it. It is zero if there are none.
+// DurationSummary summarizes a distribution of durations for reports. It is the zero value if there are no durations.
 type DurationSummary struct {
 	Count    int64   `json:"count"`
 	MedianMS float64 `json:"median_ms"`
@@ -51,12 +51,12 @@
 	}
 }
 
-// newSizeHistogram returns a histogram of bytes.
+// newSizeHistogram returns a histogram of sizes in bytes.
 func newSizeHistogram() *hdrhistogram.Histogram {
 	return hdrhistogram.New(1, maxMessageBytes, significantDigits)
 }
 
-// SizeSummary is a distribution of sizes in bytes as reports have it. It is zero if there are none.
+// SizeSummary summarizes a distribution of sizes in bytes for reports. It is the zero value if there are no sizes.
 type SizeSummary struct {
 	Count  int64 `json:"count"`
 	Median int64 `json:"median"`
--- a/loadtest/history.go
+++ b/loadtest/history.go
@@ -2,27 +2,27 @@
 
 import "time"
 
-// history is what one controller reported.
+// history holds the events that one controller reported.
 type history struct {
-	external          bool        // it is harehook-xds, which reports nothing
-	incarnationStarts []time.Time // when each incarnation began; incarnations count from 1
-	joined            []time.Time // when a member answered on a new stream
-	member            string      // address of the member that answered last
+	external          bool        // the controller is harehook-xds, which reports no events
+	incarnationStarts []time.Time // by incarnation; incarnations are numbered from 1
+	joined            []time.Time // times of the first answer on a new stream
+	member            string      // address of the member that most recently answered on a new stream
 	accepted          []acceptance
-	final             *acceptance // what it held at the end; nil if it did not report that
+	final             *acceptance // final state; nil if the controller did not report it
 	windows           []faultWindow
 }
 
-// acceptance is a revision that a controller held from a time on.
+// acceptance is the acceptance of a revision by a controller.
 type acceptance struct {
 	at          time.Time
 	incarnation int
 	revision    uint64
 	digest      Digest
-	outside     int // records held that are not of the controller's scope
+	outside     int // number of its records outside the controller's scope
 }
 
-// recordEvent adds what the controller reported.
+// recordEvent adds an event that the controller reported.
 func (h *history) recordEvent(e event) {
 	at := time.Unix(0, e.At)
 	accepted := acceptance{at: at, incarnation: e.Incarnation, revision: e.Revision, digest: e.Digest, outside: e.Outside}
@@ -39,7 +39,7 @@
 	}
 }
 
-// heldRevision is the revision that the present incarnation holds; 0 if it has accepted none.
+// heldRevision returns the revision that the current incarnation last accepted, or 0 if there is none.
 func (h *history) heldRevision() uint64 {
 	if len(h.accepted) == 0 {
 		return 0
@@ -51,11 +51,11 @@
 	return last.revision
 }
 
-// acceptTimes returns, for each change, when the controller first held its revision or a later one; zero if it never did.
-// Changes are in the order of their revisions.
+// acceptTimes returns, for each change, when the controller first accepted its revision or a later one, or the zero
+// time if it never did. Changes must be in the order of their revisions.
 func (h *history) acceptTimes(changes []change) []time.Time {
 	acceptTimes := make([]time.Time, len(changes))
-	next := 0 // the first acceptance that may have the change
+	next := 0 // the first acceptance that may include the change
 	for index, c := range changes {
 		for next < len(h.accepted) && h.accepted[next].revision < c.revision {
 			next++
@@ -68,7 +68,7 @@
 	return acceptTimes
 }
 
-// inStepAt is when an incarnation first held a revision or a later one; zero if it never did.
+// inStepAt returns when an incarnation first accepted a revision or a later one, or the zero time if it never did.
 func (h *history) inStepAt(incarnation int, revision uint64) time.Time {
 	for _, accepted := range h.accepted {
 		if accepted.incarnation == incarnation && accepted.revision >= revision {
--- a/loadtest/measure.go
+++ b/loadtest/measure.go
@@ -8,13 +8,13 @@
 	"harehook.dev/harehook/configsync"
 )
 
-// noFault is the key in reports of what no fault concerned.
+// noFault is the key in reports for measurements that no fault affected.
 const noFault Fault = "none"
 
-// maxIncarnations bounds those of a controller in a run.
+// maxIncarnations is an upper limit for the incarnations of a controller in a run.
 const maxIncarnations = 1 << 10
 
-// report computes what was measured. All workers have ended.
+// report computes the report of the run. It must be called only after all workers have ended.
 func (r *run) report() (*Report, error) {
 	measured := Measured{
 		Separate:   r.separateProcesses,
@@ -34,7 +34,7 @@
 	return &Report{Plan: r.plan, Measured: measured, Broken: measured.BrokenBounds(r.plan.Bounds)}, nil
 }
 
-// violations is what must never be and was seen.
+// violations returns the invariants that were violated.
 func (r *run) violations() []Violation {
 	violations := checkHistories(r.model, r.recorder.histories, r.recorder.newestRevision())
 	if r.programViolation != "" {
@@ -44,7 +44,7 @@
 	return violations
 }
 
-// reportTimes reports how long changes, starts and restarts took.
+// reportTimes fills in the durations of changes, starts and restarts.
 func (r *run) reportTimes(measured *Measured) {
 	rec := r.recorder
 	t := newTimings(rec.changes, rec.histories, configsync.DefaultLimits.Lease)
@@ -68,7 +68,7 @@
 	return summaries
 }
 
-// reportMessages reports the messages that simulated controllers received.
+// reportMessages fills in the messages that simulated controllers received.
 func (r *run) reportMessages(measured *Measured) error {
 	all := newMessageMeter()
 	for _, p := range r.controllerProcesses {
@@ -93,7 +93,8 @@
 	return nil
 }
 
-// uninterestedRecords is how many records controllers held that are not of their scope, summed over what they accepted.
+// uninterestedRecords returns the number of records outside a controller's scope, summed over all accepted revisions of
+// all controllers.
 func (r *recorder) uninterestedRecords() (count int64) {
 	for _, h := range r.histories {
 		for _, accepted := range h.accepted {
@@ -103,7 +104,7 @@
 	return count
 }
 
-// interestedPerChange is how many controllers a change concerned, on average.
+// interestedPerChange returns the mean number of controllers whose scope a change affected.
 func (r *recorder) interestedPerChange() float64 {
 	interested := 0
 	for _, c := range r.changes {
@@ -112,20 +113,20 @@
 	return float64(interested) / float64(max(1, len(r.changes)))
 }
 
-// notes say what is measured and what is simulated.
+// notes describe which parts of the fleet were measured and which were simulated.
 func (r *run) notes() []string {
 	if !r.separateProcesses {
-		return []string{"all members and conductors shared one process: no processor time or memory is told of them"}
+		return []string{"all members and controllers shared one process, so their CPU time and memory were not measured"}
 	}
-	measuredNote := "measured: one conductor in a process of its own, which is the real client and follower alone: no data plane, serves no sidecars"
+	measuredNote := "measured: one controller in its own process, which is only the real client and follower, without a data plane or sidecars"
 	if r.controllerProgram != "" {
-		measuredNote = "measured: one conductor in a process of its own, which is harehookd that follows the group; it serves no sidecars"
+		measuredNote = "measured: one controller in its own process, which is harehook-xds as a follower of the group, without sidecars"
 	}
 	return []string{
-		fmt.Sprintf("measured: %d members, each a process with its log on disk, on loopback", r.plan.Members),
+		fmt.Sprintf("measured: %d members, each in its own process with its log on disk, on loopback", r.plan.Members),
 		measuredNote,
-		fmt.Sprintf("hollow: %d conductors in %d processes, the real client and follower each with its own stream, no data plane",
+		fmt.Sprintf("simulated: %d controllers in %d processes, each the real client and follower with its own stream, without a data plane",
 			len(r.controllers)-1, len(r.controllerProcesses)-1),
-		"all ran on one machine, so delays of the network are those of loopback",
+		"all processes ran on one machine, so network delays are those of loopback",
 	}
 }
--- a/loadtest/model.go
+++ b/loadtest/model.go
@@ -10,11 +10,11 @@
 	"harehook.dev/harehook/records"
 )
 
-// Digest is a sum over the contents and revisions of records: their order does not matter, and a record can be added or
-// taken away.
+// Digest is the sum of the hashes of records, each over its contents and revision. It does not depend on the order of
+// the records, and a single record can be added to or subtracted from it.
 type Digest uint64
 
-// digestOf is the part of one record.
+// digestOf returns the digest of one record.
 func digestOf(record *records.Record) Digest {
 	hash := fnv.New64a()
 	hash.Write([]byte{byte(record.Kind)})
@@ -25,7 +25,7 @@
 	return Digest(hash.Sum64())
 }
 
-// DigestOfAll is the digest of all records held.
+// DigestOfAll returns the digest of all records that a controller has received.
 func DigestOfAll(received map[records.Key]*records.Record) (sum Digest) {
 	for _, record := range received {
 		sum += digestOf(record)
@@ -33,22 +33,22 @@
 	return sum
 }
 
-// version is the digest of a scope from a revision on.
+// version is the digest of a scope from its revision until the next version.
 type version struct {
 	revision uint64
 	digest   Digest
 }
 
-// Model is what the group has agreed on, by the answers to proposals. It knows what each controller has to hold at each
-// revision, without the store that the members use.
+// Model holds the configuration that the group has agreed on, according to the answers to proposals. It computes the
+// expected records of each controller at each revision, independently of the store that the members use.
 type Model struct {
 	controllers []Controller
 	records     map[records.Key]*records.Record
-	versions    [][]version // by controller, ascending
-	loaded      uint64      // revision of the last transaction of the load
+	versions    [][]version // by controller index, in ascending order of revisions
+	loaded      uint64      // revision of the last transaction of the initial load
 }
 
-// NewModel returns the model of a group that has agreed on nothing.
+// NewModel returns the model of a group without records.
 func NewModel(controllers []Controller) *Model {
 	return &Model{
 		controllers: controllers,
@@ -57,11 +57,12 @@
 	}
 }
 
-// scopeKey is what a scope selects records by; an empty name is of a record that concerns all.
+// scopeKey holds the attributes by which a scope selects records. Records with an empty service or zone apply to all
+// services or zones.
 type scopeKey struct{ service, zone string }
 
-// Load adds a transaction that was agreed on before the first controller was started. The error is of a record that
-// cannot be read.
+// Load applies a transaction that was agreed on before the first controller was started. It returns an error if a
+// record cannot be parsed.
 func (m *Model) Load(transaction records.Transaction, revision uint64) error {
 	if _, err := m.apply(transaction, revision); err != nil {
 		return err
@@ -70,7 +71,8 @@
 	return nil
 }
 
-// FinishLoad ends the load: it computes what each controller holds first. After it, each change has a version of its own.
+// FinishLoad ends the initial load: it computes the first version of each controller's scope. Each later change adds a
+// version.
 func (m *Model) FinishLoad() {
 	sums := map[scopeKey]Digest{}
 	for _, record := range m.records {
@@ -82,7 +84,7 @@
 	}
 }
 
-// scopeDigest sums the digests of the records in a scope.
+// scopeDigest returns the digest of the records in a scope.
 func scopeDigest(scope records.Scope, sums map[scopeKey]Digest) (sum Digest) {
 	for _, service := range append(slices.Clone(scope.Services), "") {
 		for _, zone := range append(slices.Clone(scope.Zones), "") {
@@ -92,8 +94,8 @@
 	return sum
 }
 
-// ApplyChange adds a transaction that was agreed on after the load. It returns the controllers whose scope it touches, by
-// index. The error is of a record that cannot be read.
+// ApplyChange applies a transaction that was agreed on after the initial load. It returns the indices of the
+// controllers whose scope it affects, and an error if a record cannot be parsed.
 func (m *Model) ApplyChange(transaction records.Transaction, revision uint64) (interested []int, err error) {
 	updates, err := m.apply(transaction, revision)
 	if err != nil {
@@ -112,7 +114,7 @@
 	return interested, nil
 }
 
-// scopeDifference is by how much updates change the digest of a scope, and whether they touch it.
+// scopeDifference returns the change of a scope's digest by updates, and whether the updates affect the scope.
 func scopeDifference(scope records.Scope, updates []records.Update) (difference Digest, touched bool) {
 	for _, update := range updates {
 		if scope.Contains(update.Before) {
@@ -127,7 +129,7 @@
 	return difference, touched
 }
 
-// apply changes the records by a transaction.
+// apply applies a transaction to the records and returns the updates.
 func (m *Model) apply(transaction records.Transaction, revision uint64) (updates []records.Update, err error) {
 	for _, write := range transaction.Writes {
 		before := m.records[write.Key]
@@ -147,8 +149,8 @@
 	return updates, nil
 }
 
-// DigestAt is the digest that a controller has to hold at a revision; it is not known for revisions before the end of the
-// load.
+// DigestAt returns the expected digest of a controller's records at a revision. It is not known for revisions before
+// the end of the initial load.
 func (m *Model) DigestAt(controller int, revision uint64) (digest Digest, known bool) {
 	versions := m.versions[controller]
 	later, _ := slices.BinarySearchFunc(versions, revision+1, func(v version, target uint64) int {
--- a/loadtest/model_test.go
+++ b/loadtest/model_test.go
@@ -7,8 +7,8 @@
 	"harehook.dev/harehook/records"
 )
 
-// The model checks the fleet, so it has to be right itself. It is compared with the records' own store, after each change
-// and for each scope; the store also has to accept all drawn changes.
+// A wrong model would report violations that do not exist, or miss real ones. The test compares it with the store of
+// package records for each scope after each change; the store must also accept all generated changes.
 func TestModelAgreesWithTheStore(t *testing.T) {
 	t.Parallel()
 	for seed := range uint64(5) {
@@ -55,7 +55,8 @@
 					received[record.Key] = record
 				}
 				if digest, known := model.DigestAt(index, revision); !known || digest != DigestOfAll(received) {
-					t.Fatalf("seed %d, revision %d, %s: the model says otherwise than the store", seed, revision, controller.Name)
+					t.Fatalf("seed %d, revision %d, %s: got digest %x (known %t) from the model, want %x from the store",
+						seed, revision, controller.Name, digest, known, DigestOfAll(received))
 				}
 			}
 		}
@@ -78,13 +79,13 @@
 		t.Fatal(err)
 	}
 	if _, known := model.DigestAt(0, 3); known {
-		t.Error("a revision before the load is known")
+		t.Error("the digest at revision 3, before the load, is known")
 	}
 	before, _ := model.DigestAt(0, 6)
 	loaded, _ := model.DigestAt(0, 4)
 	after, _ := model.DigestAt(0, 9)
 	if before != loaded || after == before {
-		t.Errorf("digests %x at 4, %x at 6, %x at 9", loaded, before, after)
+		t.Errorf("got digests %x at revision 4, %x at 6, %x at 9; want the first two equal and the third different", loaded, before, after)
 	}
 }
 
@@ -108,10 +109,10 @@
 		return transactions
 	}
 	if !reflect.DeepEqual(draw(1), draw(1)) {
-		t.Error("one seed draws two configurations")
+		t.Error("seed 1 generates two different configurations")
 	}
 	if reflect.DeepEqual(draw(1), draw(2)) {
-		t.Error("two seeds draw the same configuration")
+		t.Error("seeds 1 and 2 generate the same configuration")
 	}
 }
 
@@ -129,6 +130,6 @@
 	}
 	first, middle := count[configuration.services[0]], count[configuration.services[plan.Services/2]]
 	if first < 20*max(1, middle) {
-		t.Errorf("the first service has %d tenants, the middle one %d", first, middle)
+		t.Errorf("the first service has %d tenants and the middle one %d, want at least 20 times as many", first, middle)
 	}
 }
--- a/loadtest/recorder.go
+++ b/loadtest/recorder.go
@@ -5,17 +5,17 @@
 	"time"
 )
 
-// recorder collects what workers report, and what was agreed, until the run is over.
+// recorder collects the reports of workers and the agreed revisions during a run.
 type recorder struct {
-	mutex     sync.Mutex // guards all below
-	histories []*history // by index of the controller
-	changes   []change   // by revision, ascending
-	agreed    []agreement
-	phase     Fault // that is played; empty: none
-	failure   error // of a worker that should have gone on
+	mutex     sync.Mutex  // guards all fields below
+	histories []*history  // by controller index
+	changes   []change    // in ascending order of revisions
+	agreed    []agreement // in ascending order of revisions
+	phase     Fault       // that is being injected; empty if there is none
+	failure   error       // first unexpected failure of a worker
 }
 
-// agreement is a revision that was agreed on and when that was answered. Agreements are in ascending order.
+// agreement is a revision that the group agreed on, and the time of the answer to its proposal.
 type agreement struct {
 	revision uint64
 	at       time.Time
@@ -29,7 +29,7 @@
 	return r
 }
 
-// recordEvents adds what controllers reported.
+// recordEvents adds events that controllers reported.
 func (r *recorder) recordEvents(events []event) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
@@ -40,7 +40,7 @@
 	}
 }
 
-// recordFailure notes the failure of a worker; only the first one counts.
+// recordFailure records the failure of a worker; only the first failure is kept.
 func (r *recorder) recordFailure(err error) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
@@ -49,21 +49,21 @@
 	}
 }
 
-// firstFailure is the failure of a worker, nil if there is none.
+// firstFailure returns the first failure of a worker, or nil if there is none.
 func (r *recorder) firstFailure() error {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	return r.failure
 }
 
-// recordAgreed adds a revision that was agreed on as the group was loaded.
+// recordAgreed adds a revision of the initial load.
 func (r *recorder) recordAgreed(revision uint64, at time.Time) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	r.agreed = append(r.agreed, agreement{revision: revision, at: at})
 }
 
-// recordChange adds a change that was played, with the controllers whose scope it touches.
+// recordChange adds an agreed change and the indices of the controllers whose scope it affects.
 func (r *recorder) recordChange(revision uint64, at time.Time, interested []int) {
 	c := change{revision: revision, answered: at, interested: map[int]bool{}}
 	for _, controller := range interested {
@@ -76,14 +76,14 @@
 	r.agreed = append(r.agreed, agreement{revision: revision, at: at})
 }
 
-// setPhase notes which fault is played from now on; an empty one: none.
+// setPhase sets the fault that is being injected; empty if there is none.
 func (r *recorder) setPhase(fault Fault) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	r.phase = fault
 }
 
-// recordFault notes that a fault concerns controllers between two times, at least.
+// recordFault records that a fault affects controllers at least between two times.
 func (r *recorder) recordFault(fault Fault, controllers []int, from, to time.Time) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
@@ -93,7 +93,8 @@
 	}
 }
 
-// controllersOf returns the controllers that a member, by its address, answered last.
+// controllersOf returns the indices of the controllers whose most recent stream was answered by the member at an
+// address.
 func (r *recorder) controllersOf(member string) (controllers []int) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
@@ -105,7 +106,7 @@
 	return controllers
 }
 
-// newestRevision is the revision agreed on last; 0 if there is none.
+// newestRevision returns the most recently agreed revision, or 0 if there is none.
 func (r *recorder) newestRevision() uint64 {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
@@ -115,7 +116,8 @@
 	return r.agreed[len(r.agreed)-1].revision
 }
 
-// newestRevisionAt is the revision that was agreed on last at a time. Workers have ended when it is asked.
+// newestRevisionAt returns the newest revision that was agreed on at a time. It must be called only after all workers
+// have ended.
 func (r *recorder) newestRevisionAt(at time.Time) (revision uint64) {
 	for _, a := range r.agreed {
 		if a.at.After(at) {
@@ -126,7 +128,7 @@
 	return revision
 }
 
-// countBehind counts the controllers that don't hold a revision yet.
+// countBehind returns the number of controllers that have not accepted a revision yet.
 func (r *recorder) countBehind(revision uint64) (count int) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
--- a/loadtest/reporttable.go
+++ b/loadtest/reporttable.go
@@ -8,7 +8,7 @@
 	"text/tabwriter"
 )
 
-// WriteTable writes the report as tables for people.
+// WriteTable writes the report as human-readable tables.
 func (r *Report) WriteTable(out io.Writer) error {
 	r.writeHeading(out)
 	w := tabwriter.NewWriter(out, 0, 4, 2, ' ', tabwriter.AlignRight)
@@ -31,7 +31,7 @@
 	return nil
 }
 
-// writeHeading says what was played.
+// writeHeading writes the parameters of the run.
 func (r *Report) writeHeading(out io.Writer) {
 	plan := r.Plan
 	fmt.Fprintf(out, "%d conductors, %d members, %d records (%d services, %d routes, %d tenants), %d regions, %d zones; ",
@@ -40,24 +40,24 @@
 		r.Measured.Changes, plan.Changes, plan.Faults, plan.Seed)
 }
 
-// writeTimes writes how long changes, starts and restarts took.
+// writeTimes writes the durations of changes, starts and restarts.
 func (m *Measured) writeTimes(w io.Writer) {
 	fmt.Fprint(w, "TIME\tCOUNT\tMEDIAN\t9 IN 10\t99 IN 100\tWORST\t\n")
 	row := func(name string, d DurationSummary) {
 		fmt.Fprintf(w, "%s\t%d\t%s\t%s\t%s\t%s\t\n", name, d.Count, inMS(d.MedianMS), inMS(d.P90MS), inMS(d.P99MS), inMS(d.WorstMS))
 	}
-	row("from answer to in force", m.Convergence)
+	row("from answer to convergence", m.Convergence)
 	for _, fault := range slices.Sorted(maps.Keys(m.ConvergenceByFault)) {
-		row("  while played: "+string(fault), m.ConvergenceByFault[fault])
+		row("  during fault: "+string(fault), m.ConvergenceByFault[fault])
 	}
 	for _, fault := range slices.Sorted(maps.Keys(m.Followers)) {
-		name := "follower, concerned by: " + string(fault)
+		name := "follower, affected by: " + string(fault)
 		if count := m.Affected[fault]; count > 0 {
 			name += fmt.Sprintf(" (%d times)", count)
 		}
 		row(name, m.Followers[fault])
 	}
-	row("  interested, concerned by: none", m.Interested)
+	row("  interested, affected by: none", m.Interested)
 	row("start until in step", m.Start)
 	if m.Restarted != nil {
 		row("restart until in step", *m.Restarted)
@@ -65,7 +65,7 @@
 	fmt.Fprintln(w, "\t\t\t\t\t\t")
 }
 
-// inMS writes milliseconds with four digits.
+// inMS formats milliseconds with four significant digits.
 func inMS(value float64) string { return fmt.Sprintf("%.4g ms", value) }
 
 // writeMessages writes the sizes of messages.
@@ -75,15 +75,15 @@
 		fmt.Fprintf(w, "%s\t%d\t%d\t\t%d\t%d\t\n", name, size.Count, size.Median, size.P99, size.Worst)
 	}
 	row("change, to interested", m.Messages.Change)
-	row("  beside each record", m.Messages.RecordOverhead)
+	row("  overhead per record", m.Messages.RecordOverhead)
 	row("progress, to uninterested", m.Messages.Progress)
-	row("whole scope", m.Messages.FullScope)
+	row("full scope", m.Messages.FullScope)
 	fmt.Fprintf(w, "heartbeats\t%d\t\t\t\t\t\n", m.Messages.Heartbeats)
-	fmt.Fprintf(w, "interested conductors a change\t%.1f\t\t\t\t\t\n", m.Messages.InterestedPerChange)
+	fmt.Fprintf(w, "interested controllers per change\t%.1f\t\t\t\t\t\n", m.Messages.InterestedPerChange)
 	fmt.Fprintln(w, "\t\t\t\t\t\t")
 }
 
-// writeUsage writes what the processes used, if they were measured.
+// writeUsage writes the resource usage of the processes, if it was measured.
 func (m *Measured) writeUsage(w io.Writer) {
 	if m.Controller == nil {
 		return
@@ -92,9 +92,9 @@
 	row := func(name string, u ProcessUsage, kbs, busiestKBS string) {
 		fmt.Fprintf(w, "%s\t%.2f%%\t%.2f%%\t%.1f\t%s\t%s\t\n", name, 100*u.CPU, 100*u.BusiestCPU, u.WorstMB, kbs, busiestKBS)
 	}
-	name := "client alone, own process"
+	name := "client only, own process"
 	if m.Controller.IsProgram {
-		name = "harehookd, own process"
+		name = "harehook-xds, own process"
 	}
 	controller := m.Controller
 	row(name, controller.ProcessUsage, fmt.Sprintf("%.2f", controller.KBS), fmt.Sprintf("%.2f", controller.BusiestKBS))
@@ -103,7 +103,7 @@
 		row(fmt.Sprintf("member %d", member.ID), member.ProcessUsage, "", "")
 	}
 	for _, usage := range m.SimulatedProcesses {
-		row("hollow conductors", usage, "", "")
+		row("simulated controllers", usage, "", "")
 	}
-	fmt.Fprintf(w, "hollow conductor, on average\t\t\t\t%.2f\t\t\n", m.SimulatedKBS)
+	fmt.Fprintf(w, "simulated controller, mean\t\t\t\t%.2f\t\t\n", m.SimulatedKBS)
 }
--- a/loadtest/run.go
+++ b/loadtest/run.go
@@ -11,8 +11,8 @@
 )
 
 const (
-	controllersPerWorker = 450              // simulated ones in a process
-	startTimeout         = 30 * time.Second // of a worker
+	controllersPerWorker = 450              // simulated controllers per process
+	startTimeout         = 30 * time.Second // until a worker is ready
 	leaderTimeout        = 30 * time.Second // until the group has a leader
 	stepTimeout          = 2 * time.Minute  // until all controllers are in step at the start
 	drainTimeout         = 30 * time.Second // until all controllers are in step at the end
@@ -24,23 +24,23 @@
 // measuredController is the index of the controller that has a process of its own.
 const measuredController = 0
 
-// Options say how a run is carried out.
+// Options configures the execution of a run.
 type Options struct {
-	// WorkerProgram is the path of the program whose processes the workers are. It has to call Work. Empty: the workers are
-	// goroutines of this process.
+	// WorkerProgram is the path of the program that runs as worker processes; it must call Work. If it is empty,
+	// workers are goroutines of this process.
 	WorkerProgram string
-	// WorkerArguments are the arguments of WorkerProgram; the role comes after them.
+	// WorkerArguments are the arguments of WorkerProgram that precede the role.
 	WorkerArguments []string
-	// ControllerProgram is the path of harehook-xds, which then is the controller with a process of its own. Empty: that
-	// controller is a client alone.
+	// ControllerProgram is the path of harehook-xds, which runs as the controller that has its own process. If it is
+	// empty, that controller is only a client.
 	ControllerProgram string
-	// Progress gets a line for each stage; nil: none is written.
+	// Progress receives a line for each stage, unless it is nil.
 	Progress io.Writer
 
-	planted hooks // faults that tests plant; workers are goroutines then
+	planted hooks // faults that tests plant; they require workers that are goroutines
 }
 
-// withDefaults has progress always written to somewhere.
+// withDefaults replaces a nil Progress by a writer that discards the lines.
 func (o Options) withDefaults() Options {
 	if o.Progress == nil {
 		o.Progress = io.Discard
@@ -48,7 +48,7 @@
 	return o
 }
 
-// launcher starts workers as the options say.
+// launcher returns the launcher of the workers: processes of WorkerProgram if it is set, goroutines otherwise.
 func (o Options) launcher() launcher {
 	if o.WorkerProgram == "" {
 		return launchGoroutines(o.planted)
@@ -56,14 +56,14 @@
 	return launchProcesses(o.WorkerProgram, o.WorkerArguments...)
 }
 
-// run is a load test under way.
+// run is the state of a load test.
 type run struct {
 	plan              Plan
 	progress          io.Writer
-	launch            func(role string) (*worker, error) // a worker that lives as long as the run, whichever stage starts it
-	separateProcesses bool                               // workers are processes
-	controllerProgram string                             // harehook-xds's path, empty if there is none
-	folder            string                             // of the members' logs
+	launch            func(role string) (*worker, error) // the worker may outlive the stage that starts it
+	separateProcesses bool                               // workers are processes, not goroutines
+	controllerProgram string                             // path of harehook-xds, empty if it is not used
+	folder            string                             // that contains the members' logs
 
 	configuration *Configuration
 	controllers   []Controller
@@ -75,13 +75,13 @@
 	memberProcesses     []*memberProcess
 	controllerProcesses []*controllerProcess
 
-	playStart        time.Time // since when changes are played
-	faultFreeUntil   time.Time // no fault was played until then
-	programViolation string    // that harehook-xds did not hold what was agreed at the end
+	playStart        time.Time // when the first change was due
+	faultFreeUntil   time.Time // end of the time before the first fault
+	programViolation string    // set if harehook-xds did not have the agreed configuration at the end
 }
 
-// Play carries out a plan and reports what was asked and measured. The error is of a run that could not be carried out;
-// bounds that broke are in the report.
+// Play executes a plan and returns a report with the plan and the measurements. It returns an error if the run could
+// not be completed; broken bounds are in the report.
 func Play(ctx context.Context, plan Plan, options Options) (*Report, error) {
 	if err := plan.Validate(); err != nil {
 		return nil, err
@@ -108,7 +108,7 @@
 	return r.report()
 }
 
-// runStages carries out the run, one stage after the other.
+// runStages executes the stages of the run in order.
 func (r *run) runStages(ctx context.Context) error {
 	stages := []func(context.Context) error{r.startMembers, r.load, r.startControllers, r.play, r.drain, r.finish}
 	for _, stage := range stages {
@@ -119,7 +119,7 @@
 	return nil
 }
 
-// newRun makes a run whose workers end with ctx at the latest.
+// newRun returns a run whose workers end no later than ctx.
 func newRun(ctx context.Context, plan Plan, options Options) *run {
 	launch := options.launcher()
 	return &run{
@@ -131,16 +131,16 @@
 	}
 }
 
-// logProgress writes a line for people.
+// logProgress writes a progress line.
 func (r *run) logProgress(format string, args ...any) {
 	fmt.Fprintf(r.progress, "fleet: "+format+"\n", args...)
 }
 
-// prepare draws the configuration and what follows from it.
+// prepare generates the configuration and the state that depends on it.
 func (r *run) prepare() error {
 	configuration, err := Generate(r.plan)
 	if err != nil {
-		return fmt.Errorf("draw the configuration: %w", err)
+		return fmt.Errorf("generate the configuration: %w", err)
 	}
 	r.configuration = configuration
 	r.controllers = r.configuration.Controllers()
@@ -150,14 +150,14 @@
 	return nil
 }
 
-// load has the group agree on the whole configuration.
+// load proposes the full configuration to the group.
 func (r *run) load(ctx context.Context) error {
 	began := time.Now()
 	transactions := r.configuration.LoadTransactions()
 	for _, transaction := range transactions {
 		revision, err := r.group.propose(ctx, transaction)
 		if err != nil {
-			return fmt.Errorf("load: %w", err)
+			return fmt.Errorf("load the configuration: %w", err)
 		}
 		r.configuration.RecordAgreed(transaction, revision)
 		if err := r.model.Load(transaction, revision); err != nil {
@@ -166,11 +166,11 @@
 		r.recorder.recordAgreed(revision, time.Now())
 	}
 	r.model.FinishLoad()
-	r.logProgress("%d records loaded by %d transactions in %.1f s", len(r.configuration.bodies), len(transactions), time.Since(began).Seconds())
+	r.logProgress("loaded %d records in %d transactions in %.1f s", len(r.configuration.bodies), len(transactions), time.Since(began).Seconds())
 	return nil
 }
 
-// sleep waits for some time; it returns the error of ctx if that ends before.
+// sleep waits for a duration. It returns the error of ctx if ctx ends first.
 func sleep(ctx context.Context, d time.Duration) error {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
@@ -182,7 +182,7 @@
 	}
 }
 
-// play makes changes at the plan's rate, plays the faults and samples what the processes use meanwhile.
+// play makes changes at the plan's rate, injects the faults and samples the resource usage of the processes.
 func (r *run) play(ctx context.Context) error {
 	r.playStart = time.Now()
 	ctx, stop := context.WithCancel(ctx)
@@ -201,8 +201,8 @@
 	return errors.Join(err, faultErr, r.recorder.firstFailure())
 }
 
-// playChanges makes one change after the other. A change that is answered late, as while a leader is missing, delays
-// those after it; they are then made without a pause.
+// playChanges makes one change after the other. A change that is answered late, for example while there is no leader,
+// delays the following ones, which are then made without a pause.
 func (r *run) playChanges(ctx context.Context) error {
 	count := max(1, int(float64(r.plan.Seconds)*r.plan.Changes))
 	for number := range count {
@@ -217,7 +217,7 @@
 	return nil
 }
 
-// playChange has the group agree on a change, and notes who is interested in it.
+// playChange proposes a change to the group and records the controllers that are interested in it.
 func (r *run) playChange(ctx context.Context) error {
 	transaction, err := r.configuration.NextChange()
 	if err != nil {
@@ -237,8 +237,8 @@
 	return nil
 }
 
-// drain waits until all controllers hold the last change. That they don't is no failure of the run: the check of what
-// they held at the end reports it.
+// drain waits until all controllers have accepted the last change. A timeout does not fail the run: the check of the
+// final state of controllers reports it as a violation.
 func (r *run) drain(ctx context.Context) error {
 	if err := r.waitConverged(ctx, drainTimeout); err != nil {
 		r.logProgress("%v", err)
--- a/loadtest/slope.go
+++ b/loadtest/slope.go
@@ -6,21 +6,21 @@
 	"gonum.org/v1/gonum/stat"
 )
 
-// minSizes is the number of sizes that a slope is fitted to at least.
+// minSizes is the minimum number of sizes for fitting a slope.
 const minSizes = 4
 
-// Slope is how a metric grows with the swept figure: linearly, and as a power of it.
+// Slope describes the growth of a metric with the swept figure, by a linear fit and by a power law.
 type Slope struct {
 	Metric    string  `json:"metric"`
 	Unit      string  `json:"unit"`
 	Intercept float64 `json:"intercept"`
 	PerUnit   float64 `json:"per_unit"`
 	R2        float64 `json:"r2"`       // of the linear fit
-	Exponent  float64 `json:"exponent"` // of the fit to logarithms; 1 is linear
+	Exponent  float64 `json:"exponent"` // of the power law; 1 is linear growth
 	Sizes     int     `json:"sizes"`
 }
 
-// fitSlopes fits each metric that was measured at enough sizes.
+// fitSlopes fits a slope to each metric that was measured at minSizes sizes or more.
 func fitSlopes(rows []Row) (slopes []Slope) {
 	for _, m := range metrics {
 		sizes, values := m.positiveValues(rows)
@@ -31,8 +31,8 @@
 	return slopes
 }
 
-// positiveValues returns the values of a metric with the sizes at which they were measured; those that are not positive
-// were not measured, or have no logarithm.
+// positiveValues returns the positive values of a metric and their sizes. Other values were not measured or have no
+// logarithm.
 func (m metric) positiveValues(rows []Row) (sizes, values []float64) {
 	for index := range rows {
 		size := rows[index].Value
@@ -45,7 +45,7 @@
 	return sizes, values
 }
 
-// fitSlope fits a line, and a line through the logarithms.
+// fitSlope fits a line to the values and a line to their logarithms.
 func fitSlope(m metric, sizes, values []float64) Slope {
 	slope := Slope{Metric: m.name, Unit: m.unit, Sizes: len(sizes)}
 	slope.Intercept, slope.PerUnit = stat.LinearRegression(sizes, values, nil, false)
--- a/loadtest/sweep.go
+++ b/loadtest/sweep.go
@@ -10,7 +10,7 @@
 	"github.com/parquet-go/parquet-go"
 )
 
-// Sweep is the results of an experiment whose figure took several values.
+// Sweep holds the results of an experiment whose figure takes several values.
 type Sweep struct {
 	Name    string    `json:"name"`
 	Figure  string    `json:"figure"`
@@ -18,8 +18,8 @@
 	Slopes  []Slope   `json:"slopes"`
 }
 
-// Sweep plays the plan once for each value of the figure, one after the other. The first run that cannot be carried out
-// ends it.
+// Sweep executes the plan once for each value of the figure, one run after the other. It stops at the first run that
+// cannot be completed.
 func (e *Experiment) Sweep(ctx context.Context, options Options) (*Sweep, error) {
 	options = options.withDefaults()
 	s := &Sweep{Name: e.Name, Figure: e.Figure}
@@ -35,13 +35,13 @@
 	return s, nil
 }
 
-// value is the one that the swept figure had in a run.
+// value returns the value of the swept figure in a run.
 func (s *Sweep) value(report *Report) float64 {
 	setting, _ := findSetting(s.Figure)
 	return setting.Get(&report.Plan)
 }
 
-// BrokenBounds names the bounds that broke, each with the value at which it did.
+// BrokenBounds returns a line for each broken bound, with the value of the swept figure.
 func (s *Sweep) BrokenBounds() (lines []string) {
 	for _, report := range s.Reports {
 		for _, line := range report.Broken {
@@ -51,8 +51,8 @@
 	return lines
 }
 
-// Save writes the rows as Parquet (NAME.parquet) and a chart for each metric (NAME-METRIC.png) into a folder, which it
-// creates.
+// Save writes the rows as Parquet (NAME.parquet) and a chart for each metric (NAME-METRIC.png) to a folder, which it
+// creates if necessary.
 func (s *Sweep) Save(folder string) error {
 	if err := os.MkdirAll(folder, 0o755); err != nil {
 		return err
@@ -63,11 +63,11 @@
 	}
 	for _, m := range metrics {
 		if err := s.drawChart(folder, m, rows); err != nil {
-			return fmt.Errorf("chart of %q: %w", m.name, err)
+			return fmt.Errorf("draw the chart of %q: %w", m.name, err)
 		}
 	}
 	return nil
 }
 
-// WriteJSON writes the sweep as one object.
+// WriteJSON writes the sweep as one JSON object.
 func (s *Sweep) WriteJSON(out io.Writer) error { return writeJSON(out, s) }
--- a/loadtest/sweep_test.go
+++ b/loadtest/sweep_test.go
@@ -8,7 +8,7 @@
 	"github.com/parquet-go/parquet-go"
 )
 
-// sweepOf makes a sweep whose controller's bytes grow linearly and whose memory grows by the square.
+// sweepOf returns a sweep over sizes in which the controller's traffic grows linearly and its memory quadratically.
 func sweepOf(sizes ...int) *Sweep {
 	s := &Sweep{Name: "synthetic", Figure: "conductors"}
 	for _, size := range sizes {
@@ -30,13 +30,13 @@
 	}
 	wire, memory := found["conductor-wire"], found["conductor-memory"]
 	if wire.PerUnit < 1.999 || wire.PerUnit > 2.001 || wire.Intercept < 4.99 || wire.Intercept > 5.01 || wire.R2 < 0.999 {
-		t.Errorf("linear growth: %+v", wire)
+		t.Errorf("got slope %+v for linear growth, want intercept 5, 2 per unit and R2 of 1", wire)
 	}
 	if memory.Exponent < 1.999 || memory.Exponent > 2.001 {
-		t.Errorf("growth by the square: %+v", memory)
+		t.Errorf("got slope %+v for quadratic growth, want exponent 2", memory)
 	}
 	if few := sweepOf(10, 100, 1000).Slopes; len(few) != 0 {
-		t.Errorf("slopes fitted to three sizes: %+v", few)
+		t.Errorf("got slopes %+v for three sizes, want none", few)
 	}
 }
 
@@ -50,13 +50,13 @@
 	}
 	rows, err := parquet.ReadFile[Row](filepath.Join(folder, "synthetic.parquet"))
 	if err != nil || !reflect.DeepEqual(rows, sweep.Rows()) {
-		t.Errorf("read back: %v, %+v", err, rows)
+		t.Errorf("got rows %+v from the Parquet file, want %+v: %v", rows, sweep.Rows(), err)
 	}
 	charts, err := filepath.Glob(filepath.Join(folder, "synthetic-*.png"))
 	if err != nil || len(charts) != len(metrics) {
-		t.Errorf("%d charts, want %d: %v", len(charts), len(metrics), err)
+		t.Errorf("got %d charts, want %d: %v", len(charts), len(metrics), err)
 	}
 	if broken := sweep.BrokenBounds(); len(broken) != 1 || broken[0] != "conductors 20: a bound" {
-		t.Errorf("broken: %q", broken)
+		t.Errorf("got broken bounds %q, want only \"conductors 20: a bound\"", broken)
 	}
 }
--- a/loadtest/sweepoutput.go
+++ b/loadtest/sweepoutput.go
@@ -16,7 +16,7 @@
 	chartHeight = 9 * vg.Centimeter
 )
 
-// drawChart draws a metric over the swept figure into a folder.
+// drawChart writes a chart of a metric as a function of the swept figure to a folder.
 func (s *Sweep) drawChart(folder string, m metric, rows []Row) error {
 	var points plotter.XYs
 	for index := range rows {
@@ -27,7 +27,7 @@
 		return err
 	}
 	chart := plot.New()
-	chart.Title.Text = s.Name + " (one machine, hollow conductors)"
+	chart.Title.Text = s.Name + " (one machine, simulated controllers)"
 	chart.X.Label.Text = s.Figure
 	chart.Y.Label.Text = m.name + ", " + m.unit
 	chart.Y.Min = 0
@@ -35,7 +35,7 @@
 	return chart.Save(chartWidth, chartHeight, filepath.Join(folder, s.Name+"-"+m.name+".png"))
 }
 
-// WriteTable writes a line for each value and the slopes.
+// WriteTable writes a table of the metrics, with a row for each value of the swept figure, and a table of the slopes.
 func (s *Sweep) WriteTable(out io.Writer) error {
 	w := tabwriter.NewWriter(out, 0, 4, 2, ' ', tabwriter.AlignRight)
 	s.writeRows(w)
@@ -48,7 +48,7 @@
 	return w.Flush()
 }
 
-// writeRows writes a line for each value of the swept figure.
+// writeRows writes a row for each value of the swept figure.
 func (s *Sweep) writeRows(w io.Writer) {
 	fmt.Fprintf(w, "%s\t", s.Figure)
 	for _, m := range metrics {
--- a/loadtest/sweeprow.go
+++ b/loadtest/sweeprow.go
@@ -1,6 +1,6 @@
 package loadtest
 
-// Row is one run of a sweep as the results hold it. The columns of the Parquet file keep the names of the first release.
+// Row is the result of one run of a sweep. The columns of the Parquet file have the names of the first release.
 type Row struct {
 	Experiment         string  `parquet:"experiment,dict"`
 	Figure             string  `parquet:"figure,dict"`
@@ -20,7 +20,7 @@
 	ControllerCPU      float64 `parquet:"conductor_cpu"`
 	ControllerMB       float64 `parquet:"conductor_mb"`
 	ControllerKBS      float64 `parquet:"conductor_kbs"`
-	Broken             string  `parquet:"broken"` // a line each
+	Broken             string  `parquet:"broken"` // one line per broken bound
 }
 
 // Rows returns a row for each run.
@@ -31,7 +31,7 @@
 	return rows
 }
 
-// newRow takes from a report what is a column.
+// newRow returns the row of a report.
 func (s *Sweep) newRow(report *Report) Row {
 	measured := report.Measured
 	row := Row{
@@ -64,7 +64,7 @@
 	return row
 }
 
-// metric is a column that tables, charts and slopes show over the swept figure.
+// metric is a measured value that tables, charts and slopes show as a function of the swept figure.
 type metric struct {
 	name  string // in tables and in the names of charts
 	unit  string
--- a/loadtest/timings.go
+++ b/loadtest/timings.go
@@ -2,24 +2,25 @@
 
 import "time"
 
-// change is one that was agreed on while changes were played.
+// change is a change of the configuration that was agreed on after the initial load.
 type change struct {
 	revision   uint64
 	answered   time.Time
-	interested map[int]bool // controllers whose scope it touches, by index
-	phase      Fault        // that was played meanwhile, empty if none
+	interested map[int]bool // indices of the controllers whose scope it affects
+	phase      Fault        // that was being injected, empty if there was none
 }
 
-// timings are the times of a run, by what was going on.
+// timings holds the durations measured in a run, grouped by fault.
 type timings struct {
-	convergence        *durationHistogram           // of each change: until all that it was due from have accepted it
-	convergenceByFault map[Fault]*durationHistogram // likewise, by the fault that was played; empty: none
-	followers          map[Fault]*durationHistogram // of each change and controller, by the fault that concerned it
-	interested         *durationHistogram           // likewise, of controllers whose scope the change touched and no fault concerned
-	affected           map[Fault]int                // how often a fault concerned a controller
+	convergence        *durationHistogram           // of each change, until all controllers that it depends on have accepted it
+	convergenceByFault map[Fault]*durationHistogram // likewise, by the fault that was being injected; empty for none
+	followers          map[Fault]*durationHistogram // of each change and controller, by the fault that affected the controller
+	interested         *durationHistogram           // likewise, of controllers whose scope the change affected, without a fault
+	affected           map[Fault]int                // number of times that a fault affected a controller
 }
 
-// newTimings computes the times of all changes. The lease is how long a member waits for a follower that it does not hear.
+// newTimings computes the durations of all changes. The lease is the time for which members wait for a follower that
+// has stopped responding.
 func newTimings(changes []change, histories []*history, lease time.Duration) *timings {
 	t := &timings{
 		convergence:        newDurationHistogram(),
@@ -28,7 +29,7 @@
 		interested:         newDurationHistogram(),
 		affected:           map[Fault]int{},
 	}
-	delays := make([]time.Duration, len(changes)) // until each change has converged
+	delays := make([]time.Duration, len(changes)) // convergence time of each change
 	for controller, h := range histories {
 		windows := h.faultWindows()
 		for _, w := range windows {
@@ -36,7 +37,7 @@
 		}
 		for index, acceptedAt := range h.acceptTimes(changes) {
 			if acceptedAt.IsZero() {
-				continue // the check of what was held at the end reports it
+				continue // checkHistories reports it
 			}
 			c := changes[index]
 			window := strongestFault(windows, c.answered, acceptedAt)
@@ -52,7 +53,7 @@
 	return t
 }
 
-// recordFollower adds how long a change took to a controller.
+// recordFollower adds the delay of a change at a controller.
 func (t *timings) recordFollower(fault Fault, interested bool, delay time.Duration) {
 	histogramOf(t.followers, fault).record(delay)
 	if fault == "" && interested {
@@ -60,8 +61,8 @@
 	}
 }
 
-// convergenceDelay is for how long a controller kept a change from converging. One that is cut off does so until its
-// lease has run out. One that was restarted or rejects is reported apart.
+// convergenceDelay returns for how long a controller delayed the convergence of a change. A disconnected controller
+// delays it until its lease expires. Controllers that were restarted or reject changes are reported separately.
 func convergenceDelay(c change, window faultWindow, delay, lease time.Duration) time.Duration {
 	switch window.fault {
 	case FaultAllRestarted, FaultRejecting:
@@ -74,7 +75,7 @@
 	}
 }
 
-// histogramOf returns the histogram of a fault, which it makes where there is none.
+// histogramOf returns the histogram of a fault and creates it if necessary.
 func histogramOf(histograms map[Fault]*durationHistogram, fault Fault) *durationHistogram {
 	if histograms[fault] == nil {
 		histograms[fault] = newDurationHistogram()
@@ -82,8 +83,9 @@
 	return histograms[fault]
 }
 
-// durationsUntilInStep returns, for each controller and its incarnations from the first to the last one, the time from
-// the incarnation's start until it held what was agreed at that start. Incarnations count from 1.
+// durationsUntilInStep returns, for the incarnations of each controller from first to last, the time from the start of
+// the incarnation until it had accepted the revision that was the newest at its start. Incarnations are numbered from
+// 1.
 func durationsUntilInStep(histories []*history, first, last int, newestAt func(time.Time) uint64) *durationHistogram {
 	durations := newDurationHistogram()
 	for _, h := range histories {
--- a/loadtest/timings_test.go
+++ b/loadtest/timings_test.go
@@ -5,41 +5,43 @@
 	"time"
 )
 
-// testEpoch is when the histories of these tests begin.
+// testEpoch is the start time of the histories in these tests.
 var testEpoch = time.Unix(1_000_000, 0)
 
-// testTime is a time of these tests, in seconds from their beginning.
+// testTime returns the time that is the given number of seconds after testEpoch.
 func testTime(seconds float64) time.Time {
 	return testEpoch.Add(time.Duration(seconds * float64(time.Second)))
 }
 
-// worstOf is the longest duration of a histogram.
+// worstOf returns the longest duration of a histogram.
 func worstOf(t *durationHistogram) time.Duration {
 	return time.Duration(t.summary().WorstMS * float64(time.Millisecond))
 }
 
-// near tells whether a time is the one that is wanted, as histograms keep it.
+// near reports whether got equals want within the precision of histograms.
 func near(got, want time.Duration) bool {
 	return got >= want-want/100-time.Microsecond && got <= want+want/100+time.Microsecond
 }
 
-// A change has converged when the last controller that it was due from has accepted it, alone or with later ones.
+// A change converges when the last controller that it depends on has accepted its revision or a later one, which
+// includes the change.
 func TestConvergesOnceTheLastHasAccepted(t *testing.T) {
 	t.Parallel()
 	changes := []change{{revision: 5, answered: testTime(1)}, {revision: 8, answered: testTime(2)}}
 	quick := &history{accepted: []acceptance{{at: testTime(0.9), revision: 5}, {at: testTime(2.1), revision: 8}}}
-	slow := &history{accepted: []acceptance{{at: testTime(4), revision: 9}}} // both changes as one
+	slow := &history{accepted: []acceptance{{at: testTime(4), revision: 9}}} // both changes in one message
 	line := newTimings(changes, []*history{quick, slow}, 3*time.Second)
 	if worst := worstOf(line.convergence); !near(worst, 3*time.Second) {
-		t.Errorf("converged after %s, want 3s", worst)
+		t.Errorf("got a convergence time of %s, want 3s", worst)
 	}
 	if count := line.followers[""].summary().Count; count != 4 {
-		t.Errorf("%d times, want one of each controller and change", count)
+		t.Errorf("got %d durations, want 4: one for each controller and change", count)
 	}
 }
 
-// A region is cut off without notice. The members wait for its controllers until their leases have run out, 3 s after the
-// cut: a change within that time converges at their end, a later one does not wait for them.
+// The connections of a region's controllers are interrupted without being closed. The members wait for these
+// controllers until their leases expire 3 s after the cut: a change within that time converges when the leases expire,
+// and a later change does not wait for them.
 func TestCutControllerDelaysConvergenceUntilItsLeaseEnds(t *testing.T) {
 	t.Parallel()
 	changes := []change{{revision: 5, answered: testTime(11)}, {revision: 6, answered: testTime(14)}}
@@ -50,15 +52,15 @@
 	}
 	line := newTimings(changes, []*history{cut}, 3*time.Second)
 	if worst := worstOf(line.convergence); !near(worst, 2*time.Second) {
-		t.Errorf("converged after %s, want 2s: its lease ran until 13", worst)
+		t.Errorf("got a convergence time of %s, want 2s, since the lease expires at 13s", worst)
 	}
 	if worst := worstOf(line.followers[FaultRegionCut]); !near(worst, 20*time.Second) {
-		t.Errorf("it accepted after %s, want 20s", worst)
+		t.Errorf("got a delay of %s at the disconnected controller, want 20s", worst)
 	}
 }
 
-// A controller is restarted and holds nothing for a while. Changes do not wait for it; how long it takes to be in step is
-// reported as a time of its own.
+// A controller is restarted and has no records at first. Changes do not wait for it; the time until it is in step is
+// reported separately.
 func TestRestartedControllerIsReportedApart(t *testing.T) {
 	t.Parallel()
 	changes := []change{{revision: 5, answered: testTime(10)}, {revision: 6, answered: testTime(30)}}
@@ -71,7 +73,7 @@
 	}
 	line := newTimings(changes, []*history{restarted}, 3*time.Second)
 	if worst := worstOf(line.convergence); !near(worst, 500*time.Millisecond) {
-		t.Errorf("converged after %s, want 500ms", worst)
+		t.Errorf("got a convergence time of %s, want 500ms", worst)
 	}
 	newestAt := func(when time.Time) uint64 {
 		if when.Before(testTime(8)) {
@@ -80,14 +82,15 @@
 		return 5
 	}
 	if worst := worstOf(durationsUntilInStep([]*history{restarted}, 2, maxIncarnations, newestAt)); !near(worst, 11*time.Second) {
-		t.Errorf("in step %s after its restart, want 11s", worst)
+		t.Errorf("got %s from the restart until in step, want 11s", worst)
 	}
 	if worst := worstOf(durationsUntilInStep([]*history{restarted}, 1, 1, newestAt)); !near(worst, time.Second) {
-		t.Errorf("in step %s after its start, want 1s", worst)
+		t.Errorf("got %s from the start until in step, want 1s", worst)
 	}
 }
 
-// A controller loses its connection. Until it is back its delay is reported under that fault; changes wait for it.
+// A controller loses its connection. Its delays are reported under that fault until it has reconnected; changes still
+// wait for it.
 func TestReconnectedControllerIsReportedApartUntilItIsBack(t *testing.T) {
 	t.Parallel()
 	changes := []change{{revision: 5, answered: testTime(10)}, {revision: 6, answered: testTime(20)}}
@@ -98,9 +101,9 @@
 	}
 	line := newTimings(changes, []*history{one}, 3*time.Second)
 	if line.followers[FaultReconnect].summary().Count != 1 || line.followers[""].summary().Count != 1 {
-		t.Errorf("reported apart: %v", summarizeByFault(line.followers))
+		t.Errorf("got durations by fault %v, want one for reconnect and one for none", summarizeByFault(line.followers))
 	}
 	if worst := worstOf(line.convergence); !near(worst, 2*time.Second) {
-		t.Errorf("converged after %s, want 2s: who reconnects counts", worst)
+		t.Errorf("got a convergence time of %s, want 2s, since changes wait for a reconnecting controller", worst)
 	}
 }
--- a/loadtest/usage.go
+++ b/loadtest/usage.go
@@ -8,33 +8,33 @@
 	"time"
 )
 
-// clockTicksPerSecond is the unit of processor time in /proc; Linux has it fixed for programs.
+// clockTicksPerSecond is the unit of CPU time in /proc, a fixed part of the interface of Linux to programs.
 const clockTicksPerSecond = 100
 
-// processReading is what a process has used until a time.
+// processReading is the resource usage of a process at a time.
 type processReading struct {
 	at       time.Time
 	cpu      time.Duration
 	resident int64 // bytes
 }
 
-// The fields of /proc/PID/stat that are read, counted from the one after the process's name, which is the third one.
+// Indices of fields of /proc/PID/stat, counted from the field after the process name, which is the third field.
 const (
 	userTicksField     = 14 - 3
 	systemTicksField   = 15 - 3
 	residentPagesField = 24 - 3
 )
 
-// readProcess reads what the kernel says of a process.
+// readProcess reads the resource usage of a process from /proc.
 func readProcess(pid int) (processReading, error) {
 	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", pid))
 	if err != nil {
 		return processReading{}, err
 	}
-	// The name is in parentheses and may hold anything, also parentheses.
+	// The process name is in parentheses and may itself contain parentheses.
 	fields := bytes.Fields(text[bytes.LastIndexByte(text, ')')+1:])
 	if len(fields) <= residentPagesField {
-		return processReading{}, fmt.Errorf("/proc/%d/stat has %d fields", pid, len(fields))
+		return processReading{}, fmt.Errorf("/proc/%d/stat must have more than %d fields after the process name, got %d", pid, residentPagesField, len(fields))
 	}
 	var values [3]int64
 	for index, field := range []int{userTicksField, systemTicksField, residentPagesField} {
@@ -52,24 +52,24 @@
 	}, nil
 }
 
-// maxRateSpan is the time over which the highest rate is taken.
+// maxRateSpan is the time span over which the highest rate is computed.
 const maxRateSpan = 10 * time.Second
 
-// sample is an amount that grew until a time. Samples are in the order of their times.
+// sample is the value of a cumulative amount at a time. Samples are ordered by time.
 type sample struct {
 	at     time.Time
 	amount float64
 }
 
-// maxRate is the highest rate a second at which an amount grew over the span, or over all samples if they are over a
-// shorter time.
+// maxRate returns the highest rate per second over maxRateSpan, or the rate over all samples if they cover a shorter
+// time.
 func maxRate(samples []sample) (highest float64) {
 	if len(samples) < 2 {
 		return 0
 	}
 	duration := samples[len(samples)-1].at.Sub(samples[0].at)
 	span := min(maxRateSpan, duration)
-	from := 0 // the last sample that is a span or more before
+	from := 0 // the last sample that is at least a span before the sample at to
 	for to := range samples {
 		for from+1 < to && samples[to].at.Sub(samples[from+1].at) >= span {
 			from++
@@ -81,7 +81,7 @@
 	return highest
 }
 
-// meanRate is how much an amount grew a second.
+// meanRate returns the mean rate per second over all samples.
 func meanRate(samples []sample) float64 {
 	if len(samples) < 2 {
 		return 0
@@ -89,7 +89,7 @@
 	return rateBetween(samples[0], samples[len(samples)-1])
 }
 
-// rateBetween is how much an amount grew a second between two samples; 0 if no time passed.
+// rateBetween returns the rate per second between two samples, or 0 if no time passed between them.
 func rateBetween(first, last sample) float64 {
 	seconds := last.at.Sub(first.at).Seconds()
 	if seconds <= 0 {
--- a/loadtest/usage_test.go
+++ b/loadtest/usage_test.go
@@ -19,16 +19,16 @@
 		}
 	}
 	if rate := maxRate(samples); rate < 4.99 || rate > 5.01 {
-		t.Errorf("busiest %g a second, want 5", rate)
+		t.Errorf("got a maximum rate of %g per second, want 5", rate)
 	}
 	if rate := meanRate(samples); rate < 1.66 || rate > 1.67 {
-		t.Errorf("mean %g a second, want 100 in 60", rate)
+		t.Errorf("got a mean rate of %g per second, want 100 in 60 s", rate)
 	}
 	if rate := maxRate(samples[:6]); rate != 1 {
-		t.Errorf("over a shorter time than the span: %g, want 1", rate)
+		t.Errorf("got a maximum rate of %g per second over less than the span, want 1", rate)
 	}
 	if maxRate(nil) != 0 || maxRate(samples[:1]) != 0 || meanRate(nil) != 0 {
-		t.Error("a rate of no time")
+		t.Errorf("got rates %g, %g and %g for at most one sample, want 0", maxRate(nil), maxRate(samples[:1]), meanRate(nil))
 	}
 }
 
@@ -39,9 +39,9 @@
 		t.Fatal(err)
 	}
 	if before.resident < 1<<20 {
-		t.Errorf("%d bytes resident", before.resident)
+		t.Errorf("got %d bytes resident, want at least 1 MiB", before.resident)
 	}
-	// Processor time passes while this process is at work, however slowly.
+	// The loop consumes CPU time, even on a busy machine.
 	deadline := time.Now().Add(time.Minute)
 	for {
 		after, err := readProcess(os.Getpid())
@@ -52,7 +52,7 @@
 			return
 		}
 		if time.Now().After(deadline) {
-			t.Fatal("no processor time passed in a minute")
+			t.Fatal("the CPU time has not increased for one minute")
 		}
 	}
 }
--- a/loadtest/usagereport.go
+++ b/loadtest/usagereport.go
@@ -10,7 +10,7 @@
 	megabyte = 1 << 20
 )
 
-// reportUsage reports what the processes used while changes were played.
+// reportUsage fills in the resource usage of the processes while changes were made.
 func (r *run) reportUsage(measured *Measured) {
 	for _, p := range r.controllerProcesses {
 		if p.isMeasured() {
@@ -24,10 +24,10 @@
 	}
 }
 
-// isMeasured tells whether it is the process of the one controller that is measured.
+// isMeasured reports whether p is the process of the measured controller.
 func (p *controllerProcess) isMeasured() bool { return p.indexes[0] == measuredController }
 
-// controllerUsage is what the measured controller used.
+// controllerUsage returns the resource usage of the measured controller.
 func (r *run) controllerUsage(p *controllerProcess) *ControllerUsage {
 	wire := p.wireSamples(r.playStart)
 	return &ControllerUsage{
@@ -41,8 +41,8 @@
 	}
 }
 
-// simulatedKBS is what a simulated controller received and sent, in kilobytes a second, on average while no fault was
-// played.
+// simulatedKBS returns the mean traffic of a simulated controller before the first fault, in kilobytes per second
+// received and sent.
 func (r *run) simulatedKBS() float64 {
 	bytesPerSecond := 0.0
 	controllers := 0
@@ -60,19 +60,19 @@
 	return bytesPerSecond / float64(controllers) / kilobyte
 }
 
-// usageSince is what a worker of controllers used since a time.
+// usageSince returns the resource usage of the process since a time.
 func (p *controllerProcess) usageSince(since time.Time) ProcessUsage {
 	return summarizeUsage(p.samples, p.resident, since)
 }
 
-// usage is what the member used while changes were played.
+// usage returns the resource usage of the member while changes were made.
 func (m *memberProcess) usage() MemberUsage {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	return MemberUsage{ID: m.id, ProcessUsage: summarizeUsage(m.samples, m.resident, time.Time{}), Sent: m.sent}
 }
 
-// summarizeUsage is what a process used since a time.
+// summarizeUsage returns the resource usage of a process since a time.
 func summarizeUsage(samples []sample, resident int64, since time.Time) ProcessUsage {
 	samples = samplesSince(samples, since)
 	return ProcessUsage{
@@ -86,7 +86,7 @@
 	return slices.DeleteFunc(slices.Clone(samples), func(s sample) bool { return s.at.Before(since) })
 }
 
-// wireSamples are the bytes of a worker in and out since a time.
+// wireSamples returns the bytes that the process received and sent, sampled since a time.
 func (p *controllerProcess) wireSamples(since time.Time) (samples []sample) {
 	for _, reading := range p.wire {
 		samples = append(samples, sample{at: time.Unix(0, reading.At), amount: float64(reading.In + reading.Out)})
--- a/loadtest/usagesampling.go
+++ b/loadtest/usagesampling.go
@@ -2,7 +2,7 @@
 
 import "context"
 
-// sampleUsage reads what all processes use, every second until ctx ends.
+// sampleUsage samples the resource usage of all processes every second until ctx ends.
 func (r *run) sampleUsage(ctx context.Context) {
 	if !r.separateProcesses {
 		return
@@ -20,7 +20,7 @@
 	}
 }
 
-// sampleUsage reads what the worker's process uses.
+// sampleUsage samples the resource usage of the worker process.
 func (p *controllerProcess) sampleUsage() {
 	used, err := readProcess(p.pid)
 	if err != nil {
@@ -32,7 +32,7 @@
 	p.resident = max(p.resident, used.resident)
 }
 
-// recordStartUsage notes what the start took of each worker, once each has reported its bytes.
+// recordStartUsage records the resource usage of each worker for the start, after each has reported its bytes.
 func (r *run) recordStartUsage(ctx context.Context) error {
 	if !r.separateProcesses {
 		return nil
@@ -47,7 +47,7 @@
 	return nil
 }
 
-// recordStartUsage notes what the worker has used until now.
+// recordStartUsage records the resource usage of the worker until now.
 func (p *controllerProcess) recordStartUsage() {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
@@ -60,8 +60,8 @@
 	}
 }
 
-// sampleUsage reads what the member's process uses. A process that was started again counts from 0; its processor time is
-// added to that of those before.
+// sampleUsage samples the resource usage of the member's process. The CPU time of a restarted process counts from 0, so
+// the CPU time of the previous processes is added.
 func (m *memberProcess) sampleUsage() {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
--- a/loadtest/violations.go
+++ b/loadtest/violations.go
@@ -2,19 +2,19 @@
 
 import "fmt"
 
-// Violation is a property that a controller broke and that holds in each run, whatever its bounds.
+// Violation is an invariant that a controller violated. Invariants must hold in each run, whatever its bounds.
 type Violation struct {
 	Controller string `json:"conductor"` // name
 	What       string `json:"what"`
 }
 
-// String names the controller and what it did.
+// String returns the line of the violation in reports.
 func (v Violation) String() string { return "never: " + v.Controller + ": " + v.What }
 
-// maxViolations is how many are reported: one fault of the program shows at many controllers.
+// maxViolations limits the reported violations, since one defect of the program can affect many controllers.
 const maxViolations = 20
 
-// checkHistories compares all that controllers accepted with what was agreed.
+// checkHistories compares the revisions that controllers accepted with the agreed configuration.
 func checkHistories(model *Model, histories []*history, newestRevision uint64) (violations []Violation) {
 	for controller, h := range histories {
 		if h.external {
@@ -30,7 +30,7 @@
 	return violations
 }
 
-// check returns what is wrong with a history, one line each.
+// check returns a description of each violation in a history.
 func (h *history) check(model *Model, controller int, newestRevision uint64) (mistakes []string) {
 	before := acceptance{}
 	for _, accepted := range h.accepted {
@@ -48,7 +48,7 @@
 	return mistakes
 }
 
-// checkFinal returns what is wrong with what the controller held at the end.
+// checkFinal returns a description of the first violation in the controller's final state, or an empty string.
 func (h *history) checkFinal(model *Model, controller int, newestRevision uint64) string {
 	if h.final == nil {
 		return "it did not tell what it held at the end"
@@ -62,7 +62,7 @@
 	return ""
 }
 
-// check returns what is wrong with the contents of a revision.
+// check returns a description of the first violation in the contents of a revision, or an empty string.
 func (a acceptance) check(model *Model, controller int) string {
 	if a.outside > 0 {
 		return fmt.Sprintf("revision %d has %d records outside its scope", a.revision, a.outside)
--- a/loadtest/violations_test.go
+++ b/loadtest/violations_test.go
@@ -5,8 +5,8 @@
 	"testing"
 )
 
-// A controller that loses a change, holds other contents or goes back to an older revision decides by a configuration that
-// nobody agreed on. Each of these has to be a violation, and nothing else may be one.
+// A controller that loses a change, has wrong contents or goes back to an older revision uses a configuration that the
+// group has not agreed on. Each of these must be reported as a violation, and correct histories must not be.
 func TestViolationsOfHistories(t *testing.T) {
 	t.Parallel()
 	model := NewModel([]Controller{{Name: "one"}})
@@ -17,7 +17,7 @@
 	final := accept(9, 70)
 	for name, test := range map[string]struct {
 		history history
-		want    string // empty: nothing is wrong
+		want    string // empty if there is no violation
 	}{
 		"in order": {history{accepted: []acceptance{accept(5, 40), accept(7, 70), accept(9, 70)}, final: &final}, ""},
 		"a restart": {history{accepted: []acceptance{accept(9, 70), {at: testTime(10), incarnation: 2, revision: 4, digest: 40}, accept(9, 70)},
@@ -34,15 +34,15 @@
 			violations := checkHistories(model, []*history{&test.history}, 9)
 			switch {
 			case test.want == "" && len(violations) > 0:
-				t.Errorf("%v", violations)
+				t.Errorf("got violations %v, want none", violations)
 			case test.want != "" && (len(violations) == 0 || !strings.Contains(violations[0].What, test.want)):
-				t.Errorf("%v, want %q", violations, test.want)
+				t.Errorf("got violations %v, want the first one with %q", violations, test.want)
 			}
 		})
 	}
 }
 
-// One fault of the program shows at all controllers of a fleet: a report with thousands of lines helps nobody.
+// One defect of the program can affect all controllers of a fleet. The report must not have a line for each of them.
 func TestViolationsAreBounded(t *testing.T) {
 	t.Parallel()
 	var controllers []Controller
@@ -52,6 +52,6 @@
 		histories = append(histories, &history{})
 	}
 	if got := len(checkHistories(NewModel(controllers), histories, 1)); got != maxViolations {
-		t.Errorf("%d violations, want %d", got, maxViolations)
+		t.Errorf("got %d violations, want %d", got, maxViolations)
 	}
 }
