--- a/loadtest/changes.go
+++ b/loadtest/changes.go
@@ -8,9 +8,9 @@
 
 // Percentage of changes by kind of record.
 const (
-	routeChanges   = 50
-	tenantChanges  = 30
-	serviceChanges = 5 // the remaining changes are overrides
+	routeChangePercent   = 50
+	tenantChangePercent  = 30
+	serviceChangePercent = 5 // the remaining changes are overrides
 )
 
 // NextChange generates a change of one record, whose contents differ from the present ones. It returns an error if
@@ -46,13 +46,13 @@
 func (c *Configuration) drawChange() (records.Key, any) {
 	percent := c.rng.IntN(100)
 	switch {
-	case percent < routeChanges:
+	case percent < routeChangePercent:
 		key := records.Key{Kind: records.KindRoute, Name: c.routes[c.rng.IntN(len(c.routes))]}
 		return key, c.drawRoute(key)
-	case percent < routeChanges+tenantChanges && len(c.tenants) > 0:
+	case percent < routeChangePercent+tenantChangePercent && len(c.tenants) > 0:
 		key := records.Key{Kind: records.KindTenant, Name: c.tenants[c.rng.IntN(len(c.tenants))]}
 		return key, c.drawTenant(key)
-	case percent < routeChanges+tenantChanges+serviceChanges:
+	case percent < routeChangePercent+tenantChangePercent+serviceChangePercent:
 		key := records.Key{Kind: records.KindService, Name: c.services[c.rng.IntN(len(c.services))]}
 		return key, records.ServiceSpec{Zones: c.drawZones()}
 	}
--- a/loadtest/checkers_test.go
+++ b/loadtest/checkers_test.go
@@ -20,17 +20,17 @@
 	}
 }
 
-// forgetfulSource never returns a delta, so that a member sends full scopes.
-type forgetfulSource struct{ records.Source }
+// noDeltaSource never returns a delta, so that a member sends full scopes.
+type noDeltaSource struct{ records.Source }
 
-func (forgetfulSource) Since(uint64, records.Scope) records.Delta { return records.Delta{} }
+func (noDeltaSource) Since(uint64, records.Scope) records.Delta { return records.Delta{} }
 
 // A member sends full scopes instead of changes. All controllers stay correct, but the cost of a change grows with the
 // size of the configuration.
 func TestFullScopeAtEachChangeBreaksTheOverheadBound(t *testing.T) {
 	t.Parallel()
-	plant := memberHooks{source: func(s records.Source) records.Source { return forgetfulSource{s} }}
-	report := playInProcess(t, smallPlan(), hooks{member: plant})
+	plant := memberHooks{source: func(s records.Source) records.Source { return noDeltaSource{s} }}
+	report := runInProcess(t, smallPlan(), hooks{member: plant})
 	checkBroken(t, report, "bytes to an interested conductor beside the record")
 	if report.Measured.Messages.FullScopeInStep == 0 || report.Measured.Messages.FullScopeAgain == 0 {
 		t.Errorf("got %d full scopes to controllers in step and %d repeated ones, want more than 0 of both",
@@ -38,15 +38,15 @@
 	}
 }
 
-// losingSource drops the updates of one delta in loseOneIn.
-type losingSource struct {
+// lossySource drops the updates of one delta in loseOneIn.
+type lossySource struct {
 	records.Source
 	answers *atomic.Int64
 }
 
 const loseOneIn = 20
 
-func (l losingSource) Since(revision uint64, scope records.Scope) records.Delta {
+func (l lossySource) Since(revision uint64, scope records.Scope) records.Delta {
 	delta := l.Source.Since(revision, scope)
 	if len(delta.Updates) > 0 && l.answers.Add(1)%loseOneIn == 0 {
 		delta.Updates = nil
@@ -58,8 +58,8 @@
 func TestLostChangeIsAViolation(t *testing.T) {
 	t.Parallel()
 	answers := &atomic.Int64{}
-	plant := memberHooks{source: func(s records.Source) records.Source { return losingSource{s, answers} }}
-	checkBroken(t, playInProcess(t, smallPlan(), hooks{member: plant}), "has other contents than agreed")
+	plant := memberHooks{source: func(s records.Source) records.Source { return lossySource{s, answers} }}
+	checkBroken(t, runInProcess(t, smallPlan(), hooks{member: plant}), "has other contents than agreed")
 }
 
 // plantedController is the index of the controller whose events are altered to simulate a defect.
@@ -80,7 +80,7 @@
 func TestOlderRevisionIsAViolation(t *testing.T) {
 	t.Parallel()
 	var first event
-	report := playInProcess(t, smallPlan(), plantEvents(func(accepted int, e *event) {
+	report := runInProcess(t, smallPlan(), plantEvents(func(accepted int, e *event) {
 		switch accepted {
 		case 1:
 			first = *e
@@ -96,7 +96,7 @@
 // that reports them.
 func TestRecordsOutsideTheScopeAreAViolation(t *testing.T) {
 	t.Parallel()
-	report := playInProcess(t, smallPlan(), plantEvents(func(accepted int, e *event) {
+	report := runInProcess(t, smallPlan(), plantEvents(func(accepted int, e *event) {
 		if accepted == 4 {
 			e.Outside = 2
 		}
@@ -124,7 +124,7 @@
 // A controller has contents that differ from those agreed for its revision.
 func TestOtherContentsAreAViolation(t *testing.T) {
 	t.Parallel()
-	report := playInProcess(t, smallPlan(), plantEvents(func(accepted int, e *event) {
+	report := runInProcess(t, smallPlan(), plantEvents(func(accepted int, e *event) {
 		if accepted == 4 {
 			e.Digest++
 		}
@@ -137,7 +137,7 @@
 	t.Parallel()
 	plan := smallPlan()
 	plan.Bounds.ConvergenceS = DefaultBounds().ConvergenceS
-	report := playInProcess(t, plan, plantEvents(func(accepted int, e *event) {
+	report := runInProcess(t, plan, plantEvents(func(accepted int, e *event) {
 		if accepted > 1 {
 			e.At += (8 * time.Second).Nanoseconds()
 		}
@@ -145,7 +145,7 @@
 	checkBroken(t, report, "in force at the worst")
 }
 
-func TestEachBoundNamesWhatBreaksIt(t *testing.T) {
+func TestEachBrokenBoundIsReported(t *testing.T) {
 	t.Parallel()
 	bounds := DefaultBounds()
 	within := func() Measured {
@@ -180,7 +180,7 @@
 	}
 }
 
-func TestABoundOfZeroIsNotChecked(t *testing.T) {
+func TestBoundOfZeroIsNotChecked(t *testing.T) {
 	t.Parallel()
 	m := Measured{Convergence: DurationSummary{WorstMS: 7001}}
 	if lines := m.BrokenBounds(Bounds{}); len(lines) != 0 {
--- a/loadtest/configuration.go
+++ b/loadtest/configuration.go
@@ -87,12 +87,12 @@
 // compareForLoad orders services first, since other records refer to them, then by key.
 func compareForLoad(a, b records.Key) int {
 	if a.Kind != b.Kind && (a.Kind == records.KindService || b.Kind == records.KindService) {
-		return rankToLoad(a.Kind) - rankToLoad(b.Kind)
+		return loadRank(a.Kind) - loadRank(b.Kind)
 	}
 	return a.Compare(b)
 }
 
-func rankToLoad(kind records.Kind) int {
+func loadRank(kind records.Kind) int {
 	if kind == records.KindService {
 		return 0
 	}
--- a/loadtest/draw.go
+++ b/loadtest/draw.go
@@ -9,14 +9,14 @@
 )
 
 const (
-	tenantTail       = 0.8  // exponent of the power law by which the number of tenants falls with the rank of a service
-	serviceMaxZones  = 6    // maximum number of zones per service
-	allottedQuota    = 0.9  // fraction of a service's capacity that all its tenants share
-	quotaStep        = 1e-6 // shares are integral multiples of this step
-	overriddenNodes  = 0.01 // fraction of the nodes that have an override initially
-	minTimeLimitMS   = 50   // of a route
-	timeLimitRangeMS = 5000 // of a route, above minTimeLimitMS
-	mutatingOneIn    = 3    // one route in three is mutating
+	tenantTailExponent     = 0.8  // exponent of the power law by which the number of tenants falls with the rank of a service
+	serviceMaxZones        = 6    // maximum number of zones per service
+	allocatedQuotaFraction = 0.9  // fraction of a service's capacity allocated to all its tenants together
+	quotaStep              = 1e-6 // shares are integral multiples of this step
+	overriddenNodeFraction = 0.01 // fraction of the nodes that have an override initially
+	minTimeLimitMS         = 50   // of a route
+	timeLimitRangeMS       = 5000 // of a route, above minTimeLimitMS
+	mutatingOneIn          = 3    // one route in three is mutating
 )
 
 func (c *Configuration) drawServices() error {
@@ -71,19 +71,19 @@
 
 // drawTenants distributes the tenants over the services: a few services have many tenants, most have few.
 func (c *Configuration) drawTenants() error {
-	tenantsOf := map[string]int{}
-	cumulated := cumulatedWeights(len(c.services))
-	sum := cumulated[len(cumulated)-1]
+	tenantCounts := map[string]int{}
+	cumulative := cumulativeWeights(len(c.services))
+	sum := cumulative[len(cumulative)-1]
 	for index := range c.plan.Tenants {
-		rank := sort.SearchFloat64s(cumulated, c.rng.Float64()*sum)
+		rank := sort.SearchFloat64s(cumulative, c.rng.Float64()*sum)
 		service := c.services[rank]
 		name := fmt.Sprintf("tenant-%06d", index)
 		c.tenants = append(c.tenants, name)
 		c.serviceOf[records.Key{Kind: records.KindTenant, Name: name}] = service
-		tenantsOf[service]++
+		tenantCounts[service]++
 	}
-	for service, tenants := range tenantsOf {
-		c.tenantShare[service] = allottedQuota / float64(tenants)
+	for service, tenants := range tenantCounts {
+		c.tenantShare[service] = allocatedQuotaFraction / float64(tenants)
 	}
 	for _, name := range c.tenants {
 		key := records.Key{Kind: records.KindTenant, Name: name}
@@ -94,15 +94,15 @@
 	return nil
 }
 
-// cumulatedWeights returns the cumulative weights by which tenants are distributed over services.
-func cumulatedWeights(services int) []float64 {
-	cumulated := make([]float64, services)
+// cumulativeWeights returns the cumulative weights by which tenants are distributed over services.
+func cumulativeWeights(services int) []float64 {
+	cumulative := make([]float64, services)
 	sum := 0.0
 	for rank := range services {
-		sum += math.Pow(float64(rank+1), -tenantTail)
-		cumulated[rank] = sum
+		sum += math.Pow(float64(rank+1), -tenantTailExponent)
+		cumulative[rank] = sum
 	}
-	return cumulated
+	return cumulative
 }
 
 // drawTenant generates a spec for a tenant. The shares of a service always sum to less than its capacity.
@@ -114,7 +114,7 @@
 }
 
 func (c *Configuration) drawOverrides() error {
-	for range int(overriddenNodes * float64(c.plan.Nodes)) {
+	for range int(overriddenNodeFraction * float64(c.plan.Nodes)) {
 		if err := c.setBody(c.drawOverrideKey(), c.drawOverride()); err != nil {
 			return err
 		}
--- a/loadtest/experiment_test.go
+++ b/loadtest/experiment_test.go
@@ -36,7 +36,7 @@
 	}
 }
 
-func TestAFigureWithSeveralValuesIsSwept(t *testing.T) {
+func TestFigureWithSeveralValuesIsSwept(t *testing.T) {
 	t.Parallel()
 	text := `experiment "x" {
 		conductors 10 20 30 40
@@ -57,7 +57,7 @@
 	}
 }
 
-func TestMistakesInExperimentsAreNamedWithTheirLine(t *testing.T) {
+func TestExperimentErrorsNameTheirLine(t *testing.T) {
 	t.Parallel()
 	for text, want := range map[string]string{
 		"fleet":                                                          "one \"experiment\"",
--- a/loadtest/faults.go
+++ b/loadtest/faults.go
@@ -31,24 +31,24 @@
 	maxDowntime        = 5 * time.Second // of a member
 )
 
-// playFaults injects one fault after the other until the duration of the plan has passed.
-func (r *run) playFaults(ctx context.Context) error {
+// injectFaults injects one fault after the other until the duration of the plan has passed.
+func (r *run) injectFaults(ctx context.Context) error {
 	duration := time.Duration(r.plan.Seconds) * time.Second
 	faults := slices.DeleteFunc(slices.Clone(AllFaults), func(f Fault) bool { return !slices.Contains(r.plan.Faults, f) })
 	if len(faults) == 0 {
-		r.faultFreeUntil = r.playStart.Add(duration)
+		r.faultFreeUntil = r.workloadStart.Add(duration)
 		return nil
 	}
 	faultFree := scaleDuration(duration, faultFreeFraction)
-	r.faultFreeUntil = r.playStart.Add(faultFree)
+	r.faultFreeUntil = r.workloadStart.Add(faultFree)
 	if err := sleep(ctx, faultFree); err != nil {
 		return err
 	}
 	rng := rand.New(rand.NewPCG(r.plan.Seed, faultStream))
 	slots := faultSlots(faults, duration-faultFree)
-	defer r.recorder.setPhase("")
+	defer r.recorder.setActiveFault("")
 	for _, fault := range faults {
-		if err := r.playSlot(ctx, fault, slots[fault], rng); err != nil {
+		if err := r.runFaultSlot(ctx, fault, slots[fault], rng); err != nil {
 			return err
 		}
 	}
@@ -69,19 +69,19 @@
 	return slots
 }
 
-// playSlot injects a fault and waits for the end of its slot.
-func (r *run) playSlot(ctx context.Context, fault Fault, slot time.Duration, rng *rand.Rand) error {
+// runFaultSlot injects a fault and waits for the end of its slot.
+func (r *run) runFaultSlot(ctx context.Context, fault Fault, slot time.Duration, rng *rand.Rand) error {
 	r.logProgress("%s, %.0f s", fault, slot.Seconds())
-	r.recorder.setPhase(fault)
+	r.recorder.setActiveFault(fault)
 	end := time.Now().Add(slot)
-	if err := r.playFault(ctx, fault, slot, rng); err != nil {
+	if err := r.injectFault(ctx, fault, slot, rng); err != nil {
 		return fmt.Errorf("fault %q: %w", fault, err)
 	}
 	return sleep(ctx, time.Until(end))
 }
 
-// playFault injects a fault and ends it within its slot.
-func (r *run) playFault(ctx context.Context, fault Fault, slot time.Duration, rng *rand.Rand) error {
+// injectFault injects a fault and ends it within its slot.
+func (r *run) injectFault(ctx context.Context, fault Fault, slot time.Duration, rng *rand.Rand) error {
 	switch fault {
 	case FaultReconnect:
 		return r.reconnect(rng)
@@ -136,8 +136,8 @@
 	if err != nil {
 		return err
 	}
-	nextToLeader := leader%uint64(r.plan.Members) + 1
-	if err := r.killMember(ctx, nextToLeader, downtime); err != nil {
+	otherMember := leader%uint64(r.plan.Members) + 1
+	if err := r.killMember(ctx, otherMember, downtime); err != nil {
 		return err
 	}
 	if err := sleep(ctx, time.Until(secondHalf)); err != nil {
--- a/loadtest/faultwindow.go
+++ b/loadtest/faultwindow.go
@@ -15,31 +15,31 @@
 // faultWindows returns the fault windows of the controller, each extended until the controller recovered.
 func (h *history) faultWindows() (windows []faultWindow) {
 	for _, w := range h.windows {
-		windows = append(windows, h.extendUntilBack(w))
+		windows = append(windows, h.extendUntilRecovered(w))
 	}
-	for index, began := range h.incarnationStarts {
+	for index, startTime := range h.incarnationStarts {
 		isRestart := index > 0
 		if isRestart {
-			restart := faultWindow{fault: FaultAllRestarted, from: began, to: began}
-			windows = append(windows, h.extendUntilBack(restart))
+			restart := faultWindow{fault: FaultAllRestarted, from: startTime, to: startTime}
+			windows = append(windows, h.extendUntilRecovered(restart))
 		}
 	}
 	return windows
 }
 
-// extendUntilBack extends a window until the controller has accepted a revision on a stream opened after the fault
+// extendUntilRecovered extends a window until the controller has accepted a revision on a stream opened after the fault
 // began. A controller that rejects changes keeps its stream.
-func (h *history) extendUntilBack(w faultWindow) faultWindow {
-	back := w.to
+func (h *history) extendUntilRecovered(w faultWindow) faultWindow {
+	earliestEnd := w.to
 	if w.fault != FaultRejecting {
 		rejoined := slices.IndexFunc(h.joined, func(at time.Time) bool { return at.After(w.from) })
-		if rejoined >= 0 && h.joined[rejoined].After(back) {
-			back = h.joined[rejoined]
+		if rejoined >= 0 && h.joined[rejoined].After(earliestEnd) {
+			earliestEnd = h.joined[rejoined]
 		}
 	}
-	w.to = back
+	w.to = earliestEnd
 	for _, accepted := range h.accepted {
-		if !accepted.at.Before(back) {
+		if !accepted.at.Before(earliestEnd) {
 			w.to = accepted.at
 			break
 		}
@@ -47,8 +47,8 @@
 	return w
 }
 
-// excuseRank is the severity of faults: a delay is attributed to the most severe fault during it.
-var excuseRank = map[Fault]int{
+// faultSeverity is the severity of faults: a delay is attributed to the most severe fault during it.
+var faultSeverity = map[Fault]int{
 	FaultReconnect:    1,
 	FaultMemberKilled: 2,
 	FaultRejecting:    3,
@@ -56,13 +56,13 @@
 	FaultAllRestarted: 5,
 }
 
-// strongestFault returns the window of the most severe fault between two times; its fault is empty if there is none.
-func strongestFault(windows []faultWindow, from, to time.Time) (strongest faultWindow) {
+// mostSevereFault returns the window of the most severe fault between two times; its fault is empty if there is none.
+func mostSevereFault(windows []faultWindow, from, to time.Time) (mostSevere faultWindow) {
 	for _, w := range windows {
 		overlaps := !w.from.After(to) && !w.to.Before(from)
-		if overlaps && excuseRank[w.fault] > excuseRank[strongest.fault] {
-			strongest = w
+		if overlaps && faultSeverity[w.fault] > faultSeverity[mostSevere.fault] {
+			mostSevere = w
 		}
 	}
-	return strongest
+	return mostSevere
 }
--- a/loadtest/fleet_test.go
+++ b/loadtest/fleet_test.go
@@ -23,8 +23,8 @@
 	return plan
 }
 
-// playInProcess executes a plan with workers that are goroutines of this process.
-func playInProcess(t *testing.T, plan Plan, planted hooks) *Report {
+// runInProcess executes a plan with workers that are goroutines of this process.
+func runInProcess(t *testing.T, plan Plan, planted hooks) *Report {
 	t.Helper()
 	ctx, cancel := context.WithTimeout(t.Context(), 3*time.Minute)
 	defer cancel()
@@ -63,12 +63,12 @@
 	plan.Seconds = 8
 	plan.Changes = 4
 	plan.Faults = []Fault{FaultRejecting}
-	report := playInProcess(t, plan, hooks{})
-	checkInOrder(t, report, int64(plan.Controllers))
+	report := runInProcess(t, plan, hooks{})
+	checkRun(t, report, int64(plan.Controllers))
 }
 
-// checkInOrder checks that a report has no broken bounds and that its counts are consistent with the plan.
-func checkInOrder(t *testing.T, report *Report, minFullScopes int64) {
+// checkRun checks that a report has no broken bounds and that its counts are consistent with the plan.
+func checkRun(t *testing.T, report *Report, minFullScopes int64) {
 	t.Helper()
 	for _, line := range report.Broken {
 		t.Error(line)
@@ -92,9 +92,9 @@
 	// A message contains one change or more, so there is at most one for each interested controller and change. A
 	// change may be sent once more to a controller that a fault affected in that time: after a backoff if the
 	// controller rejected the change, and on the next stream if the stream broke.
-	most := int64(m.Messages.InterestedPerChange*float64(m.Changes)+0.5) + changesDuringFaults(m)
-	if m.Messages.Change.Count == 0 || m.Messages.Change.Count > most {
-		t.Errorf("got %d messages with changes, want 1 to %d", m.Messages.Change.Count, most)
+	maxMessages := int64(m.Messages.InterestedPerChange*float64(m.Changes)+0.5) + changesDuringFaults(m)
+	if m.Messages.Change.Count == 0 || m.Messages.Change.Count > maxMessages {
+		t.Errorf("got %d messages with changes, want 1 to %d", m.Messages.Change.Count, maxMessages)
 	}
 	if m.Messages.Progress.Worst > maxProgressBytes {
 		t.Errorf("got a progress message of %d bytes, want at most %d", m.Messages.Progress.Worst, maxProgressBytes)
@@ -108,7 +108,7 @@
 func TestSmallFleetKeepsAllBounds(t *testing.T) {
 	t.Parallel()
 	plan := smallPlan()
-	checkInOrder(t, playInProcess(t, plan, hooks{}), int64(plan.Controllers))
+	checkRun(t, runInProcess(t, plan, hooks{}), int64(plan.Controllers))
 }
 
 // Connections are closed, members are killed, changes are rejected, a region is disconnected and all controllers are
@@ -120,9 +120,9 @@
 	plan.Members = 3
 	plan.Seconds = 8
 	plan.Faults = AllFaults
-	report := playInProcess(t, plan, hooks{})
+	report := runInProcess(t, plan, hooks{})
 	restarted := int64(plan.Controllers - 1) // all but the measured controller
-	checkInOrder(t, report, int64(plan.Controllers)+restarted)
+	checkRun(t, report, int64(plan.Controllers)+restarted)
 	if report.Measured.Restarted.Count != restarted {
 		t.Errorf("got %d controllers in step after their restart, want %d", report.Measured.Restarted.Count, restarted)
 	}
@@ -144,15 +144,15 @@
 	large.Controllers *= 4
 	large.Tenants *= 10
 	large.Routes *= 4
-	few := playInProcess(t, small, hooks{})
-	many := playInProcess(t, large, hooks{})
-	checkInOrder(t, few, int64(small.Controllers))
-	checkInOrder(t, many, int64(large.Controllers))
-	if before, after := few.Measured.Messages.RecordOverhead, many.Measured.Messages.RecordOverhead; after.Worst > before.Worst+revisionDigitBytes {
+	smallReport := runInProcess(t, small, hooks{})
+	largeReport := runInProcess(t, large, hooks{})
+	checkRun(t, smallReport, int64(small.Controllers))
+	checkRun(t, largeReport, int64(large.Controllers))
+	if before, after := smallReport.Measured.Messages.RecordOverhead, largeReport.Measured.Messages.RecordOverhead; after.Worst > before.Worst+revisionDigitBytes {
 		t.Errorf("got a maximum overhead per record of %d bytes in the large fleet, want at most %d more than the %d in the small one",
 			after.Worst, revisionDigitBytes, before.Worst)
 	}
-	if before, after := few.Measured.Messages.Progress, many.Measured.Messages.Progress; after.Worst > before.Worst+revisionDigitBytes {
+	if before, after := smallReport.Measured.Messages.Progress, largeReport.Measured.Messages.Progress; after.Worst > before.Worst+revisionDigitBytes {
 		t.Errorf("got a progress message of %d bytes in the large fleet, want at most %d more than the %d in the small one",
 			after.Worst, revisionDigitBytes, before.Worst)
 	}
--- a/loadtest/history.go
+++ b/loadtest/history.go
@@ -39,8 +39,8 @@
 	}
 }
 
-// heldRevision returns the revision that the current incarnation last accepted, or 0 if there is none.
-func (h *history) heldRevision() uint64 {
+// acceptedRevision returns the revision that the current incarnation last accepted, or 0 if there is none.
+func (h *history) acceptedRevision() uint64 {
 	if len(h.accepted) == 0 {
 		return 0
 	}
--- a/loadtest/measure.go
+++ b/loadtest/measure.go
@@ -39,7 +39,7 @@
 	violations := checkHistories(r.model, r.recorder.histories, r.recorder.newestRevision())
 	if r.programViolation != "" {
 		name := r.controllers[measuredController].Name
-		violations = append(violations, Violation{Controller: name, What: r.programViolation})
+		violations = append(violations, Violation{Controller: name, Description: r.programViolation})
 	}
 	return violations
 }
--- a/loadtest/model.go
+++ b/loadtest/model.go
@@ -102,8 +102,8 @@
 		return nil, err
 	}
 	for index, controller := range m.controllers {
-		difference, touched := scopeDifference(controller.Scope, updates)
-		if !touched {
+		difference, affected := digestDifference(controller.Scope, updates)
+		if !affected {
 			continue
 		}
 		versions := m.versions[index]
@@ -114,19 +114,19 @@
 	return interested, nil
 }
 
-// scopeDifference returns the change of a scope's digest by updates, and whether the updates affect the scope.
-func scopeDifference(scope records.Scope, updates []records.Update) (difference Digest, touched bool) {
+// digestDifference returns the change of a scope's digest by updates, and whether the updates affect the scope.
+func digestDifference(scope records.Scope, updates []records.Update) (difference Digest, affected bool) {
 	for _, update := range updates {
 		if scope.Contains(update.Before) {
 			difference -= digestOf(update.Before)
-			touched = true
+			affected = true
 		}
 		if scope.Contains(update.After) {
 			difference += digestOf(update.After)
-			touched = true
+			affected = true
 		}
 	}
-	return difference, touched
+	return difference, affected
 }
 
 // apply applies a transaction to the records and returns the updates.
--- a/loadtest/model_test.go
+++ b/loadtest/model_test.go
@@ -89,7 +89,7 @@
 	}
 }
 
-func TestOneSeedDrawsOneConfiguration(t *testing.T) {
+func TestSeedDeterminesTheConfiguration(t *testing.T) {
 	t.Parallel()
 	draw := func(seed uint64) []records.Transaction {
 		plan := smallPlan()
--- a/loadtest/plan_test.go
+++ b/loadtest/plan_test.go
@@ -2,7 +2,7 @@
 
 import "testing"
 
-func TestPlansThatCantBePlayedAreRejected(t *testing.T) {
+func TestInvalidPlansAreRejected(t *testing.T) {
 	t.Parallel()
 	for name, change := range map[string]func(p *Plan){
 		"no controller":            func(p *Plan) { p.Controllers = 0 },
--- a/loadtest/recorder.go
+++ b/loadtest/recorder.go
@@ -7,12 +7,12 @@
 
 // recorder collects the reports of workers and the agreed revisions during a run.
 type recorder struct {
-	mutex     sync.Mutex  // guards all fields below
-	histories []*history  // by controller index
-	changes   []change    // in ascending order of revisions
-	agreed    []agreement // in ascending order of revisions
-	phase     Fault       // that is being injected; empty if there is none
-	failure   error       // first unexpected failure of a worker
+	mutex       sync.Mutex  // guards all fields below
+	histories   []*history  // by controller index
+	changes     []change    // in ascending order of revisions
+	agreed      []agreement // in ascending order of revisions
+	activeFault Fault       // that is being injected; empty if there is none
+	failure     error       // first unexpected failure of a worker
 }
 
 // agreement is a revision that the group agreed on, and the time of the answer to its proposal.
@@ -71,16 +71,16 @@
 	}
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	c.phase = r.phase
+	c.activeFault = r.activeFault
 	r.changes = append(r.changes, c)
 	r.agreed = append(r.agreed, agreement{revision: revision, at: at})
 }
 
-// setPhase sets the fault that is being injected; empty if there is none.
-func (r *recorder) setPhase(fault Fault) {
+// setActiveFault sets the fault that is being injected; empty if there is none.
+func (r *recorder) setActiveFault(fault Fault) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	r.phase = fault
+	r.activeFault = fault
 }
 
 // recordFault records that a fault affects controllers at least between two times.
@@ -133,7 +133,7 @@
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	for _, h := range r.histories {
-		if !h.external && h.heldRevision() < revision {
+		if !h.external && h.acceptedRevision() < revision {
 			count++
 		}
 	}
--- a/loadtest/reporttable.go
+++ b/loadtest/reporttable.go
@@ -44,7 +44,7 @@
 func (m *Measured) writeTimes(w io.Writer) {
 	fmt.Fprint(w, "TIME\tCOUNT\tMEDIAN\t9 IN 10\t99 IN 100\tWORST\t\n")
 	row := func(name string, d DurationSummary) {
-		fmt.Fprintf(w, "%s\t%d\t%s\t%s\t%s\t%s\t\n", name, d.Count, inMS(d.MedianMS), inMS(d.P90MS), inMS(d.P99MS), inMS(d.WorstMS))
+		fmt.Fprintf(w, "%s\t%d\t%s\t%s\t%s\t%s\t\n", name, d.Count, formatMS(d.MedianMS), formatMS(d.P90MS), formatMS(d.P99MS), formatMS(d.WorstMS))
 	}
 	row("from answer to convergence", m.Convergence)
 	for _, fault := range slices.Sorted(maps.Keys(m.ConvergenceByFault)) {
@@ -65,8 +65,8 @@
 	fmt.Fprintln(w, "\t\t\t\t\t\t")
 }
 
-// inMS formats milliseconds with four significant digits.
-func inMS(value float64) string { return fmt.Sprintf("%.4g ms", value) }
+// formatMS formats milliseconds with four significant digits.
+func formatMS(value float64) string { return fmt.Sprintf("%.4g ms", value) }
 
 // writeMessages writes the sizes of messages.
 func (m *Measured) writeMessages(w io.Writer) {
--- a/loadtest/run.go
+++ b/loadtest/run.go
@@ -75,7 +75,7 @@
 	memberProcesses     []*memberProcess
 	controllerProcesses []*controllerProcess
 
-	playStart        time.Time // when the first change was due
+	workloadStart    time.Time // when the first change was due
 	faultFreeUntil   time.Time // end of the time before the first fault
 	programViolation string    // set if harehook-xds did not have the agreed configuration at the end
 }
@@ -110,7 +110,7 @@
 
 // runStages executes the stages of the run in order.
 func (r *run) runStages(ctx context.Context) error {
-	stages := []func(context.Context) error{r.startMembers, r.load, r.startControllers, r.play, r.drain, r.finish}
+	stages := []func(context.Context) error{r.startMembers, r.load, r.startControllers, r.runWorkload, r.drain, r.finish}
 	for _, stage := range stages {
 		if err := stage(ctx); err != nil {
 			return err
@@ -152,7 +152,7 @@
 
 // load proposes the full configuration to the group.
 func (r *run) load(ctx context.Context) error {
-	began := time.Now()
+	startTime := time.Now()
 	transactions := r.configuration.LoadTransactions()
 	for _, transaction := range transactions {
 		revision, err := r.group.propose(ctx, transaction)
@@ -166,7 +166,7 @@
 		r.recorder.recordAgreed(revision, time.Now())
 	}
 	r.model.FinishLoad()
-	r.logProgress("loaded %d records in %d transactions in %.1f s", len(r.configuration.bodies), len(transactions), time.Since(began).Seconds())
+	r.logProgress("loaded %d records in %d transactions in %.1f s", len(r.configuration.bodies), len(transactions), time.Since(startTime).Seconds())
 	return nil
 }
 
@@ -182,16 +182,16 @@
 	}
 }
 
-// play makes changes at the plan's rate, injects the faults and samples the resource usage of the processes.
-func (r *run) play(ctx context.Context) error {
-	r.playStart = time.Now()
+// runWorkload makes changes at the plan's rate, injects the faults and samples the resource usage of the processes.
+func (r *run) runWorkload(ctx context.Context) error {
+	r.workloadStart = time.Now()
 	ctx, stop := context.WithCancel(ctx)
 	defer stop()
 	var sampling sync.WaitGroup
 	sampling.Go(func() { r.sampleUsage(ctx) })
 	faults := make(chan error, 1)
-	go func() { faults <- r.playFaults(ctx) }()
-	err := r.playChanges(ctx)
+	go func() { faults <- r.injectFaults(ctx) }()
+	err := r.makeChanges(ctx)
 	if err != nil {
 		stop()
 	}
@@ -201,24 +201,24 @@
 	return errors.Join(err, faultErr, r.recorder.firstFailure())
 }
 
-// playChanges makes one change after the other. A change that is answered late, for example while there is no leader,
+// makeChanges makes one change after the other. A change that is answered late, for example while there is no leader,
 // delays the following ones, which are then made without a pause.
-func (r *run) playChanges(ctx context.Context) error {
+func (r *run) makeChanges(ctx context.Context) error {
 	count := max(1, int(float64(r.plan.Seconds)*r.plan.Changes))
 	for number := range count {
-		due := r.playStart.Add(time.Duration(number) * r.plan.interval())
+		due := r.workloadStart.Add(time.Duration(number) * r.plan.interval())
 		if err := sleep(ctx, time.Until(due)); err != nil {
 			return err
 		}
-		if err := r.playChange(ctx); err != nil {
+		if err := r.makeChange(ctx); err != nil {
 			return fmt.Errorf("change %d: %w", number, err)
 		}
 	}
 	return nil
 }
 
-// playChange proposes a change to the group and records the controllers that are interested in it.
-func (r *run) playChange(ctx context.Context) error {
+// makeChange proposes a change to the group and records the controllers that are interested in it.
+func (r *run) makeChange(ctx context.Context) error {
 	transaction, err := r.configuration.NextChange()
 	if err != nil {
 		return err
--- a/loadtest/sweep_test.go
+++ b/loadtest/sweep_test.go
@@ -8,8 +8,8 @@
 	"github.com/parquet-go/parquet-go"
 )
 
-// sweepOf returns a sweep over sizes in which the controller's traffic grows linearly and its memory quadratically.
-func sweepOf(sizes ...int) *Sweep {
+// syntheticSweep returns a sweep in which the traffic of the controller grows linearly and its memory quadratically.
+func syntheticSweep(sizes ...int) *Sweep {
 	s := &Sweep{Name: "synthetic", Figure: "conductors"}
 	for _, size := range sizes {
 		n := float64(size)
@@ -25,7 +25,7 @@
 func TestSlopesOfKnownGrowth(t *testing.T) {
 	t.Parallel()
 	found := map[string]Slope{}
-	for _, slope := range sweepOf(10, 100, 1000, 3000).Slopes {
+	for _, slope := range syntheticSweep(10, 100, 1000, 3000).Slopes {
 		found[slope.Metric] = slope
 	}
 	wire, memory := found["conductor-wire"], found["conductor-memory"]
@@ -35,14 +35,14 @@
 	if memory.Exponent < 1.999 || memory.Exponent > 2.001 {
 		t.Errorf("got slope %+v for quadratic growth, want exponent 2", memory)
 	}
-	if few := sweepOf(10, 100, 1000).Slopes; len(few) != 0 {
+	if few := syntheticSweep(10, 100, 1000).Slopes; len(few) != 0 {
 		t.Errorf("got slopes %+v for three sizes, want none", few)
 	}
 }
 
 func TestSweepIsSavedAndReadBack(t *testing.T) {
 	t.Parallel()
-	sweep := sweepOf(10, 20, 40, 80)
+	sweep := syntheticSweep(10, 20, 40, 80)
 	sweep.Reports[1].Broken = []string{"a bound"}
 	folder := t.TempDir()
 	if err := sweep.Save(folder); err != nil {
--- a/loadtest/timings.go
+++ b/loadtest/timings.go
@@ -4,15 +4,15 @@
 
 // change is a change of the configuration that was agreed on after the initial load.
 type change struct {
-	revision   uint64
-	answered   time.Time
-	interested map[int]bool // indices of the controllers whose scope it affects
-	phase      Fault        // that was being injected, empty if there was none
+	revision    uint64
+	answered    time.Time
+	interested  map[int]bool // indices of the controllers whose scope it affects
+	activeFault Fault        // that was being injected, empty if there was none
 }
 
 // timings holds the durations measured in a run, grouped by fault.
 type timings struct {
-	convergence        *durationHistogram           // of each change, until all controllers that it depends on have accepted it
+	convergence        *durationHistogram           // of each change, until all controllers that must accept it have done so
 	convergenceByFault map[Fault]*durationHistogram // likewise, by the fault that was being injected; empty for none
 	followers          map[Fault]*durationHistogram // of each change and controller, by the fault that affected the controller
 	interested         *durationHistogram           // likewise, of controllers whose scope the change affected, without a fault
@@ -40,7 +40,7 @@
 				continue // checkHistories reports it
 			}
 			c := changes[index]
-			window := strongestFault(windows, c.answered, acceptedAt)
+			window := mostSevereFault(windows, c.answered, acceptedAt)
 			delay := max(0, acceptedAt.Sub(c.answered))
 			t.recordFollower(window.fault, c.interested[controller], delay)
 			delays[index] = max(delays[index], convergenceDelay(c, window, delay, lease))
@@ -48,7 +48,7 @@
 	}
 	for index, c := range changes {
 		t.convergence.record(delays[index])
-		histogramOf(t.convergenceByFault, c.phase).record(delays[index])
+		histogramOf(t.convergenceByFault, c.activeFault).record(delays[index])
 	}
 	return t
 }
--- a/loadtest/timings_test.go
+++ b/loadtest/timings_test.go
@@ -23,18 +23,18 @@
 	return got >= want-want/100-time.Microsecond && got <= want+want/100+time.Microsecond
 }
 
-// A change converges when the last controller that it depends on has accepted its revision or a later one, which
+// A change converges when the last controller that must accept it has accepted its revision or a later one, which
 // includes the change.
-func TestConvergesOnceTheLastHasAccepted(t *testing.T) {
+func TestChangeConvergesWhenTheLastFollowerAccepts(t *testing.T) {
 	t.Parallel()
 	changes := []change{{revision: 5, answered: testTime(1)}, {revision: 8, answered: testTime(2)}}
 	quick := &history{accepted: []acceptance{{at: testTime(0.9), revision: 5}, {at: testTime(2.1), revision: 8}}}
 	slow := &history{accepted: []acceptance{{at: testTime(4), revision: 9}}} // both changes in one message
-	line := newTimings(changes, []*history{quick, slow}, 3*time.Second)
-	if worst := worstOf(line.convergence); !near(worst, 3*time.Second) {
+	times := newTimings(changes, []*history{quick, slow}, 3*time.Second)
+	if worst := worstOf(times.convergence); !near(worst, 3*time.Second) {
 		t.Errorf("got a convergence time of %s, want 3s", worst)
 	}
-	if count := line.followers[""].summary().Count; count != 4 {
+	if count := times.followers[""].summary().Count; count != 4 {
 		t.Errorf("got %d durations, want 4: one for each controller and change", count)
 	}
 }
@@ -50,18 +50,18 @@
 		accepted: []acceptance{{at: testTime(1), revision: 4}, {at: testTime(31), revision: 6}},
 		windows:  []faultWindow{{FaultRegionCut, testTime(10), testTime(29)}},
 	}
-	line := newTimings(changes, []*history{cut}, 3*time.Second)
-	if worst := worstOf(line.convergence); !near(worst, 2*time.Second) {
+	times := newTimings(changes, []*history{cut}, 3*time.Second)
+	if worst := worstOf(times.convergence); !near(worst, 2*time.Second) {
 		t.Errorf("got a convergence time of %s, want 2s, since the lease expires at 13s", worst)
 	}
-	if worst := worstOf(line.followers[FaultRegionCut]); !near(worst, 20*time.Second) {
+	if worst := worstOf(times.followers[FaultRegionCut]); !near(worst, 20*time.Second) {
 		t.Errorf("got a delay of %s at the disconnected controller, want 20s", worst)
 	}
 }
 
 // A controller is restarted and has no records at first. Changes do not wait for it; the time until it is in step is
 // reported separately.
-func TestRestartedControllerIsReportedApart(t *testing.T) {
+func TestRestartedControllerIsReportedSeparately(t *testing.T) {
 	t.Parallel()
 	changes := []change{{revision: 5, answered: testTime(10)}, {revision: 6, answered: testTime(30)}}
 	restarted := &history{
@@ -71,8 +71,8 @@
 			{at: testTime(1), revision: 4, incarnation: 1}, {at: testTime(20), revision: 5, incarnation: 2}, {at: testTime(30.5), revision: 6, incarnation: 2},
 		},
 	}
-	line := newTimings(changes, []*history{restarted}, 3*time.Second)
-	if worst := worstOf(line.convergence); !near(worst, 500*time.Millisecond) {
+	times := newTimings(changes, []*history{restarted}, 3*time.Second)
+	if worst := worstOf(times.convergence); !near(worst, 500*time.Millisecond) {
 		t.Errorf("got a convergence time of %s, want 500ms", worst)
 	}
 	newestAt := func(when time.Time) uint64 {
@@ -91,19 +91,19 @@
 
 // A controller loses its connection. Its delays are reported under that fault until it has reconnected; changes still
 // wait for it.
-func TestReconnectedControllerIsReportedApartUntilItIsBack(t *testing.T) {
+func TestReconnectingControllerIsReportedSeparately(t *testing.T) {
 	t.Parallel()
 	changes := []change{{revision: 5, answered: testTime(10)}, {revision: 6, answered: testTime(20)}}
-	one := &history{
+	reconnected := &history{
 		joined:   []time.Time{testTime(0), testTime(11)},
 		accepted: []acceptance{{at: testTime(1), revision: 4}, {at: testTime(12), revision: 5}, {at: testTime(20.1), revision: 6}},
 		windows:  []faultWindow{{FaultReconnect, testTime(9), testTime(9)}},
 	}
-	line := newTimings(changes, []*history{one}, 3*time.Second)
-	if line.followers[FaultReconnect].summary().Count != 1 || line.followers[""].summary().Count != 1 {
-		t.Errorf("got durations by fault %v, want one for reconnect and one for none", summarizeByFault(line.followers))
+	times := newTimings(changes, []*history{reconnected}, 3*time.Second)
+	if times.followers[FaultReconnect].summary().Count != 1 || times.followers[""].summary().Count != 1 {
+		t.Errorf("got durations by fault %v, want one for reconnect and one for none", summarizeByFault(times.followers))
 	}
-	if worst := worstOf(line.convergence); !near(worst, 2*time.Second) {
+	if worst := worstOf(times.convergence); !near(worst, 2*time.Second) {
 		t.Errorf("got a convergence time of %s, want 2s, since changes wait for a reconnecting controller", worst)
 	}
 }
--- a/loadtest/usage_test.go
+++ b/loadtest/usage_test.go
@@ -32,7 +32,7 @@
 	}
 }
 
-func TestProcessorTimeAndMemoryOfThisProcessAreRead(t *testing.T) {
+func TestReadProcessReturnsCPUTimeAndMemory(t *testing.T) {
 	t.Parallel()
 	before, err := readProcess(os.Getpid())
 	if err != nil {
--- a/loadtest/usagereport.go
+++ b/loadtest/usagereport.go
@@ -17,7 +17,7 @@
 			measured.Controller = r.controllerUsage(p)
 			continue
 		}
-		measured.SimulatedProcesses = append(measured.SimulatedProcesses, p.usageSince(r.playStart))
+		measured.SimulatedProcesses = append(measured.SimulatedProcesses, p.usageSince(r.workloadStart))
 	}
 	for _, member := range r.memberProcesses {
 		measured.Members = append(measured.Members, member.usage())
@@ -29,10 +29,10 @@
 
 // controllerUsage returns the resource usage of the measured controller.
 func (r *run) controllerUsage(p *controllerProcess) *ControllerUsage {
-	wire := p.wireSamples(r.playStart)
+	wire := p.wireSamples(r.workloadStart)
 	return &ControllerUsage{
 		IsProgram:    p.external,
-		ProcessUsage: p.usageSince(r.playStart),
+		ProcessUsage: p.usageSince(r.workloadStart),
 		KBS:          meanRate(wire) / kilobyte,
 		BusiestKBS:   maxRate(wire) / kilobyte,
 		StartCPU:     p.startCPU,
@@ -50,7 +50,7 @@
 		if p.isMeasured() {
 			continue
 		}
-		faultFree := slices.DeleteFunc(p.wireSamples(r.playStart), func(s sample) bool { return s.at.After(r.faultFreeUntil) })
+		faultFree := slices.DeleteFunc(p.wireSamples(r.workloadStart), func(s sample) bool { return s.at.After(r.faultFreeUntil) })
 		bytesPerSecond += meanRate(faultFree)
 		controllers += len(p.indexes)
 	}
--- a/loadtest/usagesampling.go
+++ b/loadtest/usagesampling.go
@@ -22,14 +22,14 @@
 
 // sampleUsage samples the resource usage of the worker process.
 func (p *controllerProcess) sampleUsage() {
-	used, err := readProcess(p.pid)
+	reading, err := readProcess(p.pid)
 	if err != nil {
 		return
 	}
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
-	p.samples = append(p.samples, sample{at: used.at, amount: used.cpu.Seconds()})
-	p.resident = max(p.resident, used.resident)
+	p.samples = append(p.samples, sample{at: reading.at, amount: reading.cpu.Seconds()})
+	p.resident = max(p.resident, reading.resident)
 }
 
 // recordStartUsage records the resource usage of each worker for the start, after each has reported its bytes.
@@ -68,11 +68,11 @@
 	if m.worker == nil {
 		return
 	}
-	used, err := readProcess(m.worker.pid)
+	reading, err := readProcess(m.worker.pid)
 	if err != nil {
 		return
 	}
-	m.samples = append(m.samples, sample{at: used.at, amount: (m.cpuBefore + used.cpu).Seconds()})
-	m.cpu = used.cpu
-	m.resident = max(m.resident, used.resident)
+	m.samples = append(m.samples, sample{at: reading.at, amount: (m.cpuBefore + reading.cpu).Seconds()})
+	m.cpu = reading.cpu
+	m.resident = max(m.resident, reading.resident)
 }
--- a/loadtest/violations.go
+++ b/loadtest/violations.go
@@ -4,12 +4,12 @@
 
 // Violation is an invariant that a controller violated. Invariants must hold in each run, whatever its bounds.
 type Violation struct {
-	Controller string `json:"conductor"` // name
-	What       string `json:"what"`
+	Controller  string `json:"conductor"` // name
+	Description string `json:"what"`
 }
 
 // String returns the line of the violation in reports.
-func (v Violation) String() string { return "never: " + v.Controller + ": " + v.What }
+func (v Violation) String() string { return "never: " + v.Controller + ": " + v.Description }
 
 // maxViolations limits the reported violations, since one defect of the program can affect many controllers.
 const maxViolations = 20
@@ -20,8 +20,8 @@
 		if h.external {
 			continue
 		}
-		for _, what := range h.check(model, controller, newestRevision) {
-			violations = append(violations, Violation{Controller: model.controllers[controller].Name, What: what})
+		for _, problem := range h.check(model, controller, newestRevision) {
+			violations = append(violations, Violation{Controller: model.controllers[controller].Name, Description: problem})
 			if len(violations) >= maxViolations {
 				return violations
 			}
@@ -31,21 +31,21 @@
 }
 
 // check returns a description of each violation in a history.
-func (h *history) check(model *Model, controller int, newestRevision uint64) (mistakes []string) {
+func (h *history) check(model *Model, controller int, newestRevision uint64) (problems []string) {
 	before := acceptance{}
 	for _, accepted := range h.accepted {
 		if accepted.incarnation == before.incarnation && accepted.revision < before.revision {
-			mistakes = append(mistakes, fmt.Sprintf("it went back to revision %d after %d", accepted.revision, before.revision))
+			problems = append(problems, fmt.Sprintf("it went back to revision %d after %d", accepted.revision, before.revision))
 		}
-		if mistake := accepted.check(model, controller); mistake != "" {
-			mistakes = append(mistakes, mistake)
+		if problem := accepted.check(model, controller); problem != "" {
+			problems = append(problems, problem)
 		}
 		before = accepted
 	}
-	if mistake := h.checkFinal(model, controller, newestRevision); mistake != "" {
-		mistakes = append(mistakes, mistake)
+	if problem := h.checkFinal(model, controller, newestRevision); problem != "" {
+		problems = append(problems, problem)
 	}
-	return mistakes
+	return problems
 }
 
 // checkFinal returns a description of the first violation in the controller's final state, or an empty string.
@@ -56,8 +56,8 @@
 	if h.final.revision < newestRevision {
 		return fmt.Sprintf("it held revision %d at the end, %d was agreed", h.final.revision, newestRevision)
 	}
-	if mistake := h.final.check(model, controller); mistake != "" {
-		return "at the end: " + mistake
+	if problem := h.final.check(model, controller); problem != "" {
+		return "at the end: " + problem
 	}
 	return ""
 }
--- a/loadtest/violations_test.go
+++ b/loadtest/violations_test.go
@@ -20,22 +20,22 @@
 		want    string // empty if there is no violation
 	}{
 		"in order": {history{accepted: []acceptance{accept(5, 40), accept(7, 70), accept(9, 70)}, final: &final}, ""},
-		"a restart": {history{accepted: []acceptance{accept(9, 70), {at: testTime(10), incarnation: 2, revision: 4, digest: 40}, accept(9, 70)},
+		"restart": {history{accepted: []acceptance{accept(9, 70), {at: testTime(10), incarnation: 2, revision: 4, digest: 40}, accept(9, 70)},
 			final: &final}, ""},
-		"back":           {history{accepted: []acceptance{accept(7, 70), accept(5, 40)}, final: &final}, "went back to revision 5 after 7"},
-		"lost":           {history{accepted: []acceptance{accept(7, 40)}, final: &final}, "revision 7 has other contents"},
-		"twice":          {history{accepted: []acceptance{accept(7, 70), accept(7, 71)}, final: &final}, "revision 7 has other contents"},
-		"behind":         {history{accepted: []acceptance{accept(7, 70)}, final: &acceptance{revision: 7, digest: 70}}, "held revision 7 at the end, 9 was agreed"},
-		"wrong at end":   {history{accepted: []acceptance{accept(9, 70)}, final: &acceptance{revision: 9, digest: 71}}, "at the end"},
-		"nothing at end": {history{accepted: []acceptance{accept(9, 70)}}, "did not tell"},
-		"outside":        {history{accepted: []acceptance{{incarnation: 1, revision: 7, digest: 70, outside: 2}}, final: &final}, "2 records outside its scope"},
+		"older revision":                 {history{accepted: []acceptance{accept(7, 70), accept(5, 40)}, final: &final}, "went back to revision 5 after 7"},
+		"lost change":                    {history{accepted: []acceptance{accept(7, 40)}, final: &final}, "revision 7 has other contents"},
+		"one revision with two contents": {history{accepted: []acceptance{accept(7, 70), accept(7, 71)}, final: &final}, "revision 7 has other contents"},
+		"old final revision":             {history{accepted: []acceptance{accept(7, 70)}, final: &acceptance{revision: 7, digest: 70}}, "held revision 7 at the end, 9 was agreed"},
+		"wrong final contents":           {history{accepted: []acceptance{accept(9, 70)}, final: &acceptance{revision: 9, digest: 71}}, "at the end"},
+		"no final report":                {history{accepted: []acceptance{accept(9, 70)}}, "did not tell"},
+		"records outside the scope":      {history{accepted: []acceptance{{incarnation: 1, revision: 7, digest: 70, outside: 2}}, final: &final}, "2 records outside its scope"},
 	} {
 		t.Run(name, func(t *testing.T) {
 			violations := checkHistories(model, []*history{&test.history}, 9)
 			switch {
 			case test.want == "" && len(violations) > 0:
 				t.Errorf("got violations %v, want none", violations)
-			case test.want != "" && (len(violations) == 0 || !strings.Contains(violations[0].What, test.want)):
+			case test.want != "" && (len(violations) == 0 || !strings.Contains(violations[0].Description, test.want)):
 				t.Errorf("got violations %v, want the first one with %q", violations, test.want)
 			}
 		})
