--- a/loadtest/connectionmeter.go
+++ b/loadtest/connectionmeter.go
@@ -10,34 +10,35 @@
 	"google.golang.org/grpc"
 )
 
-// dialTimeout is how long a connection may take to be made.
+// dialTimeout limits the time to establish a connection.
 const dialTimeout = 2 * time.Second
 
-// connectionMeter stands between a controller's client and the network: it counts what comes, and cuts connections.
+// connectionMeter wraps the connections of a controller's client. It counts bytes and messages, and simulates a network
+// cut.
 type connectionMeter struct {
 	wire     *wireCounter
 	messages *messageMeter
-	joined   func(member string) // called at the first answer on each stream
+	joined   func(member string) // called on the first response of each stream
 
-	connsMutex sync.Mutex // guards the three below
-	member     string     // address dialled last
+	connsMutex sync.Mutex // guards the three fields below
+	member     string     // address dialed last
 	conns      map[*meteredConn]struct{}
-	healed     chan struct{} // closed at the end of a cut; nil: not cut
+	healed     chan struct{} // closed at the end of a cut; nil if there is none
 
-	recordsReceived atomic.Bool // records have come since the digest was computed last
-	hasAccepted     atomic.Bool // the present incarnation has accepted something
+	recordsReceived atomic.Bool // records were received since the digest was last computed
+	hasAccepted     atomic.Bool // the current incarnation has accepted a revision
 }
 
 func newConnectionMeter(wire *wireCounter, messages *messageMeter, joined func(member string)) *connectionMeter {
 	return &connectionMeter{wire: wire, messages: messages, joined: joined, conns: map[*meteredConn]struct{}{}}
 }
 
-// options are those that have a client's connections metered.
+// options returns the dial options that route a client's connections through the meter.
 func (m *connectionMeter) options() []grpc.DialOption {
 	return []grpc.DialOption{grpc.WithContextDialer(m.dial), grpc.WithStatsHandler(streamStats{m})}
 }
 
-// dial connects to a member, after the end of a cut.
+// dial connects to a member. During a cut it blocks until the cut ends.
 func (m *connectionMeter) dial(ctx context.Context, address string) (net.Conn, error) {
 	if healed := m.cutEnd(); healed != nil {
 		select {
@@ -59,21 +60,21 @@
 	return metered, nil
 }
 
-// lastMember is the address that was dialled last.
+// lastMember returns the address of the member that was dialed last.
 func (m *connectionMeter) lastMember() string {
 	m.connsMutex.Lock()
 	defer m.connsMutex.Unlock()
 	return m.member
 }
 
-// cutEnd returns the channel that is closed at the end of a cut; nil if there is none.
+// cutEnd returns a channel that is closed at the end of the current cut, or nil if there is no cut.
 func (m *connectionMeter) cutEnd() <-chan struct{} {
 	m.connsMutex.Lock()
 	defer m.connsMutex.Unlock()
 	return m.healed
 }
 
-// cut has nothing come through any more, without notice to either end.
+// cut drops all traffic in both directions without closing the connections.
 func (m *connectionMeter) cut() {
 	m.connsMutex.Lock()
 	defer m.connsMutex.Unlock()
@@ -82,7 +83,7 @@
 	}
 }
 
-// heal ends a cut. Connections that were cut have lost bytes and are closed.
+// heal ends a cut. It closes the connections, because bytes were lost on them.
 func (m *connectionMeter) heal() {
 	m.connsMutex.Lock()
 	healed := m.healed
@@ -108,7 +109,7 @@
 	}
 }
 
-// meteredConn is a connection whose bytes are counted and that may be cut.
+// meteredConn is a connection that counts its bytes and may be cut.
 type meteredConn struct {
 	net.Conn
 	meter  *connectionMeter
@@ -116,18 +117,18 @@
 	closed chan struct{}
 }
 
-// Read counts what it reads; during a cut it blocks.
+// Read counts the bytes that it reads. During a cut it blocks until the connection is closed.
 func (c *meteredConn) Read(into []byte) (int, error) {
 	n, err := c.Conn.Read(into)
 	if healed := c.meter.cutEnd(); healed != nil {
-		<-c.closed // the end of the cut closes it, if the client does not before
+		<-c.closed // closed by the client or at the end of the cut
 		return 0, net.ErrClosed
 	}
 	c.meter.wire.in.Add(uint64(n))
 	return n, err
 }
 
-// Write counts what it writes; during a cut that is lost.
+// Write counts the bytes that it writes. During a cut it discards them without counting.
 func (c *meteredConn) Write(from []byte) (int, error) {
 	if c.meter.cutEnd() != nil {
 		return len(from), nil
--- a/loadtest/controller.go
+++ b/loadtest/controller.go
@@ -7,17 +7,18 @@
 	"harehook.dev/harehook/records"
 )
 
-// scopeServices is the number of services of a controller's scope.
+// scopeServices is the number of services in a controller's scope.
 const scopeServices = 6
 
-// Controller is a controller of the fleet.
+// Controller describes a controller of the fleet.
 type Controller struct {
 	Name   string        `json:"name"`
 	Region int           `json:"region"`
 	Scope  records.Scope `json:"scope"`
 }
 
-// Controllers spreads the controllers over the zones and draws the services that each needs.
+// Controllers returns the controllers of the fleet. They are spread evenly over the zones; the services in each scope
+// are random.
 func (c *Configuration) Controllers() (controllers []Controller) {
 	rng := rand.New(rand.NewPCG(c.plan.Seed, scopeStream))
 	for index := range c.plan.Controllers {
@@ -31,7 +32,7 @@
 	return controllers
 }
 
-// drawScope draws the services of a controller in a zone.
+// drawScope returns the scope of a controller in a zone, with random services.
 func (c *Configuration) drawScope(rng *rand.Rand, zone string) records.Scope {
 	scope := records.Scope{Zones: []string{zone}}
 	for _, service := range rng.Perm(len(c.services))[:min(scopeServices, len(c.services))] {
--- a/loadtest/controllerprocess.go
+++ b/loadtest/controllerprocess.go
@@ -11,25 +11,25 @@
 	"harehook.dev/harehook/configsync"
 )
 
-// controllerProcess is a worker that plays controllers, as the run sees it.
+// controllerProcess is the run's handle to a worker that simulates controllers or runs harehook-xds.
 type controllerProcess struct {
 	*worker
-	indexes  []int         // of its controllers in the fleet
-	external bool          // it runs harehook-xds, which reports no events and takes no actions
-	ready    chan struct{} // closed once it is set up
-	finished chan struct{} // closed once it has reported what it measured
+	indexes  []int         // indices of its controllers in the fleet
+	external bool          // it runs harehook-xds, which reports no events and accepts no actions
+	ready    chan struct{} // closed when it is set up
+	finished chan struct{} // closed when it has reported its measurements
 
-	mutex     sync.Mutex     // guards all below
-	messages  *messageReport // the newest one
+	mutex     sync.Mutex     // guards the fields below
+	messages  *messageReport // latest report
 	wire      []*wireReading
-	resident  int64         // bytes, the most that was seen
-	samples   []sample      // processor time in seconds
-	startCPU  float64       // seconds of processor time until all were in step
-	startWire float64       // bytes in and out until then
-	startTime time.Duration // until a member knew it to be in step; harehook-xds only
+	resident  int64         // maximum observed, in bytes
+	samples   []sample      // CPU time in seconds
+	startCPU  float64       // CPU time in seconds until all controllers were in step
+	startWire float64       // bytes received and sent until then
+	startTime time.Duration // until a member reported harehook-xds in step; only for harehook-xds
 }
 
-// handleReport notes what the worker reports.
+// handleReport records a report of a worker.
 func (r *run) handleReport(p *controllerProcess, report *workerReport) {
 	if report.PID != 0 {
 		p.pid = report.PID
@@ -38,7 +38,7 @@
 		close(p.ready)
 	}
 	if report.Failed != "" {
-		r.recorder.recordFailure(fmt.Errorf("a worker of conductors ended: %s", report.Failed))
+		r.recorder.recordFailure(fmt.Errorf("worker of controllers failed: %s", report.Failed))
 	}
 	r.recorder.recordEvents(report.Events)
 	p.mutex.Lock()
@@ -54,8 +54,8 @@
 	}
 }
 
-// startControllers starts the processes of the controllers, then all controllers at once, and waits until all are in
-// step.
+// startControllers starts the controllers' workers, then all controllers simultaneously, and waits until all of them
+// are in step.
 func (r *run) startControllers(ctx context.Context) error {
 	if err := r.startWorkers(ctx); err != nil {
 		return err
@@ -71,12 +71,12 @@
 	if err := r.waitConverged(ctx, stepTimeout); err != nil {
 		return err
 	}
-	r.logProgress("%d conductors in step after %.1f s", len(r.controllers), time.Since(began).Seconds())
+	r.logProgress("%d controllers in step after %.1f s", len(r.controllers), time.Since(began).Seconds())
 	return r.recordStartUsage(ctx)
 }
 
-// startWorkers starts the process of the measured controller, unless that is harehook-xds, and those of the simulated
-// controllers.
+// startWorkers starts the worker of the measured controller, unless that is harehook-xds, and the workers of the
+// simulated controllers.
 func (r *run) startWorkers(ctx context.Context) error {
 	if r.controllerProgram == "" {
 		if err := r.startWorker(ctx, []int{measuredController}); err != nil {
@@ -97,7 +97,7 @@
 	return nil
 }
 
-// startWorker starts a worker of some controllers and waits until it is set up.
+// startWorker starts a worker for the controllers with the given indices and waits until it is set up.
 func (r *run) startWorker(ctx context.Context, indexes []int) error {
 	started, err := r.launch(RoleControllers)
 	if err != nil {
@@ -116,12 +116,12 @@
 		setup.Controllers = append(setup.Controllers, indexedController{Index: index, Controller: r.controllers[index]})
 	}
 	if err := started.commands.write(workerCommand{Controllers: setup}); err != nil {
-		return fmt.Errorf("set up a worker of %d conductors: %w", len(indexes), err)
+		return fmt.Errorf("set up a worker of %d controllers: %w", len(indexes), err)
 	}
-	return r.waitFor(ctx, p.ready, startTimeout, "a worker of conductors is not ready")
+	return r.waitFor(ctx, p.ready, startTimeout, "worker of controllers did not become ready")
 }
 
-// waitFor waits for something that a worker reports. The error after the timeout begins with otherwise.
+// waitFor waits until done is closed. After the timeout it returns an error that starts with otherwise.
 func (r *run) waitFor(ctx context.Context, done <-chan struct{}, timeout time.Duration, otherwise string) error {
 	select {
 	case <-done:
@@ -129,11 +129,12 @@
 	case <-ctx.Done():
 		return ctx.Err()
 	case <-time.After(timeout):
-		return errors.Join(fmt.Errorf("%s after %s", otherwise, timeout), r.recorder.firstFailure())
+		return errors.Join(fmt.Errorf("%s within %s", otherwise, timeout), r.recorder.firstFailure())
 	}
 }
 
-// commandControllers has something done to the controllers that are chosen, in all workers evenly over a time.
+// commandControllers sends an action on the chosen controllers to all workers. Each worker spreads it evenly over the
+// given duration.
 func (r *run) commandControllers(kind actionKind, over time.Duration, chosen func(controller int) bool) error {
 	for _, p := range r.controllerProcesses {
 		a := &action{Kind: kind, Over: over}
@@ -146,13 +147,13 @@
 			continue
 		}
 		if err := p.commands.write(workerCommand{Action: a}); err != nil {
-			return fmt.Errorf("command %q to a worker of conductors: %w", kind, err)
+			return fmt.Errorf("send the action %q to a worker of controllers: %w", kind, err)
 		}
 	}
 	return nil
 }
 
-// waitConverged waits until all controllers hold what was agreed when it was called.
+// waitConverged waits until all controllers have accepted the newest revision at the time of the call.
 func (r *run) waitConverged(ctx context.Context, timeout time.Duration) error {
 	want := r.recorder.newestRevision()
 	deadline := time.Now().Add(timeout)
@@ -165,7 +166,7 @@
 			return err
 		}
 		if time.Now().After(deadline) {
-			return fmt.Errorf("%d of %d conductors are not in step after %s; %s", behind, len(r.controllers), timeout, r.group.describeStatus(ctx))
+			return fmt.Errorf("%d of %d controllers are not in step after %s; %s", behind, len(r.controllers), timeout, r.group.describeStatus(ctx))
 		}
 		if err := sleep(ctx, pollInterval); err != nil {
 			return err
@@ -173,16 +174,16 @@
 	}
 }
 
-// finish ends all controllers and has the workers report what they measured.
+// finish stops all controllers and waits until their workers have reported their measurements.
 func (r *run) finish(ctx context.Context) error {
 	ownWorkers := slices.DeleteFunc(slices.Clone(r.controllerProcesses), func(p *controllerProcess) bool { return p.external })
 	for _, p := range ownWorkers {
 		if err := p.commands.write(workerCommand{Action: &action{Kind: actionFinish}}); err != nil {
-			return fmt.Errorf("command %q to a worker of conductors: %w", actionFinish, err)
+			return fmt.Errorf("send the action %q to a worker of controllers: %w", actionFinish, err)
 		}
 	}
 	for _, p := range ownWorkers {
-		if err := r.waitFor(ctx, p.finished, finishTimeout, "a worker has not told what it measured"); err != nil {
+		if err := r.waitFor(ctx, p.finished, finishTimeout, "worker of controllers did not report its measurements"); err != nil {
 			return err
 		}
 	}
--- a/loadtest/controllersworker.go
+++ b/loadtest/controllersworker.go
@@ -7,17 +7,17 @@
 )
 
 const (
-	reportInterval     = 50 * time.Millisecond // events are reported together
+	reportInterval     = 50 * time.Millisecond // events are reported in batches
 	wireReportInterval = time.Second
-	maxQueuedEvents    = 8192 // that wait to be reported; a controller that has another one waits
+	maxQueuedEvents    = 8192 // when the queue is full, controllers block until events are reported
 )
 
-// controllerHooks are where tests plant faults.
+// controllerHooks holds the faults that a test plants in controllers.
 type controllerHooks struct {
-	event func(*event) // may change what a controller reports
+	event func(*event) // may modify an event before it is reported
 }
 
-// controllersWorker is the worker that plays controllers without a data plane.
+// controllersWorker is a worker that simulates controllers without a data plane.
 type controllersWorker struct {
 	setup     *controllersSetup
 	hooks     controllerHooks
@@ -25,10 +25,10 @@
 	wire      wireCounter
 	messages  *messageMeter
 	simulated map[int]*simulatedController // by index in the fleet
-	done      <-chan struct{}              // closed as the worker ends
-	tasks     sync.WaitGroup               // clients, and actions that take their time
+	done      <-chan struct{}              // closed when the worker stops
+	tasks     sync.WaitGroup               // clients and actions in the background
 
-	reportMutex sync.Mutex // held while events are taken from the queue and written, so that they stay in order
+	reportMutex sync.Mutex // held from dequeuing events until they are written, which keeps their order
 	events      chan event
 }
 
@@ -49,7 +49,7 @@
 	return w
 }
 
-// run plays the controllers until ctx ends; actions come meanwhile.
+// run simulates the controllers and performs actions until ctx is canceled.
 func (w *controllersWorker) run(ctx context.Context, actions <-chan *action) error {
 	ctx, stop := context.WithCancel(ctx)
 	defer w.tasks.Wait()
@@ -74,7 +74,7 @@
 	}
 }
 
-// reportEvents writes events and the wire's counters until ctx ends.
+// reportEvents reports events and the wire counters, periodically until ctx is canceled.
 func (w *controllersWorker) reportEvents(ctx context.Context) error {
 	eventTicker := time.NewTicker(reportInterval)
 	defer eventTicker.Stop()
@@ -96,7 +96,7 @@
 	}
 }
 
-// reportQueued writes the events that wait, and further ones after them.
+// reportQueued reports the queued events, followed by further ones.
 func (w *controllersWorker) reportQueued(further []event) error {
 	w.reportMutex.Lock()
 	defer w.reportMutex.Unlock()
@@ -111,7 +111,7 @@
 	return w.out.write(workerReport{Events: events})
 }
 
-// perform carries out an action. What is done to controllers goes on in the background.
+// perform executes an action. Actions on controllers run in the background.
 func (w *controllersWorker) perform(ctx context.Context, a *action) error {
 	switch a.Kind {
 	case actionReport:
@@ -124,7 +124,7 @@
 	}
 }
 
-// performAll does something to one controller after the other, evenly over the action's time.
+// performAll performs an action on its controllers, one after the other, evenly spread over its duration.
 func (w *controllersWorker) performAll(ctx context.Context, a *action) {
 	for position, index := range a.Controllers {
 		if position > 0 && a.Over > 0 {
@@ -139,7 +139,7 @@
 	}
 }
 
-// reportMessages reports what was measured until now.
+// reportMessages reports the measurements so far.
 func (w *controllersWorker) reportMessages(finished bool) error {
 	messages, err := w.messages.report()
 	if err != nil {
@@ -148,7 +148,7 @@
 	return w.out.write(workerReport{Messages: messages, Wire: w.wire.reading(), Finished: finished})
 }
 
-// finish ends all clients and reports what each held.
+// finish stops all clients and reports the records of each.
 func (w *controllersWorker) finish() error {
 	for _, simulated := range w.simulated {
 		simulated.stopAndWait()
--- a/loadtest/countingproxy.go
+++ b/loadtest/countingproxy.go
@@ -7,13 +7,14 @@
 	"sync"
 )
 
-// countingProxy forwards connections to an address and counts the bytes, in and out as whoever connects sees them.
+// countingProxy forwards connections to an address and counts the bytes received and sent, from the point of view of
+// the client.
 type countingProxy struct {
 	address string
 	wire    *wireCounter
 }
 
-// serve accepts connections until ctx ends, and closes the listener.
+// serve accepts connections until ctx is canceled, and closes the listener.
 func (p *countingProxy) serve(ctx context.Context, listener net.Listener) {
 	defer context.AfterFunc(ctx, func() { listener.Close() })()
 	var connections sync.WaitGroup
@@ -27,7 +28,7 @@
 	}
 }
 
-// forward forwards one connection until either side or ctx ends it.
+// forward forwards one connection until either side closes it or ctx is canceled.
 func (p *countingProxy) forward(ctx context.Context, client net.Conn) {
 	defer client.Close()
 	dialer := net.Dialer{Timeout: dialTimeout}
@@ -47,6 +48,6 @@
 		defer closeBoth()
 		io.Copy(countingWriter{writer: server, count: &p.wire.out}, client)
 	})
-	defer closeBoth() // before the wait: the other direction ends with this one
+	defer closeBoth() // runs before Wait and ends the copy in the other direction
 	io.Copy(countingWriter{writer: client, count: &p.wire.in}, server)
 }
--- a/loadtest/groupclient.go
+++ b/loadtest/groupclient.go
@@ -18,22 +18,23 @@
 )
 
 const (
-	proposeTimeout = 2 * time.Second  // of one attempt at one member
-	answerTimeout  = 60 * time.Second // of all attempts: a leader that was killed has to be replaced
+	proposeTimeout = 2 * time.Second  // for one request to one member
+	answerTimeout  = 60 * time.Second // for all attempts of a proposal, including the election after a killed leader
 	retryInterval  = 50 * time.Millisecond
 )
 
-// proposerName names this operator's proposals together with their number. The group has it in its log.
+// proposerName identifies this operator's proposals, together with the proposal's number. The group stores it in its
+// log.
 const proposerName = "harehook-lab fleet"
 
-// errRejected is what propose returns where the group has rejected a transaction.
-var errRejected = errors.New("refused")
+// errRejected is returned when the group rejects a transaction.
+var errRejected = errors.New("transaction rejected")
 
-// groupClient proposes transactions as an operator does: to any member, and to the next one where that does not answer.
+// groupClient proposes transactions as an operator does: to any member, and to the next one if that does not respond.
 type groupClient struct {
 	conns     []*grpc.ClientConn // by member
-	next      int                // index of the member that is asked next
-	proposals uint64             // that were made
+	next      int                // index of the member for the next attempt
+	proposals uint64             // number of proposals made
 }
 
 // newGroupClient connects to the members in the background.
@@ -49,7 +50,7 @@
 	return g, nil
 }
 
-// close closes all connections; it may be called on nil.
+// close closes all connections. It is a no-op on a nil receiver.
 func (g *groupClient) close() {
 	if g == nil {
 		return
@@ -59,8 +60,9 @@
 	}
 }
 
-// propose has the group agree on a transaction and returns its revision. A proposal that got no answer is made again
-// under its own name, so that it is applied once. The error is errRejected where the group has rejected it.
+// propose proposes a transaction to the group and returns its revision. A proposal without a response is retried with
+// the same client name and sequence number, so that it is applied only once. The error is errRejected if the group
+// rejects the transaction.
 func (g *groupClient) propose(ctx context.Context, transaction records.Transaction) (revision uint64, err error) {
 	ctx, cancel := context.WithTimeout(ctx, answerTimeout)
 	defer cancel()
@@ -82,7 +84,7 @@
 	}
 }
 
-// proposeOnce makes the present proposal at one member.
+// proposeOnce sends the current proposal to one member.
 func (g *groupClient) proposeOnce(ctx context.Context, transaction records.Transaction) (cluster.Result, error) {
 	ctx, cancel := context.WithTimeout(ctx, proposeTimeout)
 	defer cancel()
@@ -97,7 +99,7 @@
 	return cluster.Call[cluster.Result](ctx, g.conns[g.next], "Propose", command)
 }
 
-// leader waits until a member names a leader.
+// leader waits until a member reports a leader and returns the leader's ID.
 func (g *groupClient) leader(ctx context.Context) (id uint64, err error) {
 	for {
 		var lastErr error
@@ -109,19 +111,19 @@
 			lastErr = err
 		}
 		if waitErr := sleep(ctx, retryInterval); waitErr != nil {
-			return 0, fmt.Errorf("no leader: %w: %w", waitErr, lastErr)
+			return 0, fmt.Errorf("wait for a leader: %w: %w", waitErr, lastErr)
 		}
 	}
 }
 
-// fetchStatus asks one member for its status.
+// fetchStatus returns the status of one member.
 func fetchStatus(ctx context.Context, conn *grpc.ClientConn) (cluster.StatusReport, error) {
 	ctx, cancel := context.WithTimeout(ctx, proposeTimeout)
 	defer cancel()
 	return cluster.Call[cluster.StatusReport](ctx, conn, "Status", struct{}{})
 }
 
-// memberStatuses is what the members that answer know of their followers.
+// memberStatuses returns the follower status of each member that responds.
 func (g *groupClient) memberStatuses(ctx context.Context) (statuses []configsync.MemberStatus) {
 	for _, conn := range g.conns {
 		memberStatus, err := fetchMemberStatus(ctx, conn)
@@ -132,14 +134,14 @@
 	return statuses
 }
 
-// fetchMemberStatus asks one member for what it knows of its followers.
+// fetchMemberStatus returns the status of one member's followers.
 func fetchMemberStatus(ctx context.Context, conn *grpc.ClientConn) (configsync.MemberStatus, error) {
 	ctx, cancel := context.WithTimeout(ctx, proposeTimeout)
 	defer cancel()
 	return transport.FetchMemberStatus(ctx, conn)
 }
 
-// describeStatus says what each member knows of the group and of its followers, for an error.
+// describeStatus returns the group status and follower status of each member, for an error message.
 func (g *groupClient) describeStatus(ctx context.Context) string {
 	var lines []string
 	for index, conn := range g.conns {
--- a/loadtest/launcher.go
+++ b/loadtest/launcher.go
@@ -9,21 +9,22 @@
 	"os/exec"
 )
 
-// launcher starts a worker of a role.
+// launcher starts a worker with the given role.
 type launcher func(ctx context.Context, role string) (*worker, error)
 
-// launchProcesses starts each worker as a process of a program, which has to call Work with its input and output.
+// launchProcesses returns a launcher that runs each worker as a process. The program must call Work with its standard
+// input and output; the role is its last argument.
 func launchProcesses(program string, arguments ...string) launcher {
 	return func(_ context.Context, role string) (*worker, error) {
 		command := exec.Command(program, append(arguments, role)...)
 		command.Stderr = os.Stderr
 		input, err := command.StdinPipe()
 		if err != nil {
-			return nil, fmt.Errorf("input of a worker (%s): %w", role, err)
+			return nil, fmt.Errorf("open the input of a worker with the role %q: %w", role, err)
 		}
 		output, err := startWithOutput(command)
 		if err != nil {
-			return nil, fmt.Errorf("start a worker (%s): %w", role, err)
+			return nil, fmt.Errorf("start a worker with the role %q: %w", role, err)
 		}
 		ended := make(chan struct{})
 		go func() {
@@ -42,8 +43,8 @@
 	}
 }
 
-// startWithOutput starts a command and returns its output. The pipe is our own: Wait would close the reading end of
-// StdoutPipe before all of it is read.
+// startWithOutput starts a command and returns its output. It creates its own pipe, because Wait closes the read end of
+// StdoutPipe, possibly before all output is read.
 func startWithOutput(command *exec.Cmd) (output io.Reader, err error) {
 	reader, writer, err := os.Pipe()
 	if err != nil {
@@ -51,7 +52,7 @@
 	}
 	command.Stdout = writer
 	err = command.Start()
-	writer.Close() // the process has its own
+	writer.Close() // the process has its own copy
 	if err != nil {
 		reader.Close()
 		return nil, err
@@ -59,7 +60,7 @@
 	return reader, nil
 }
 
-// launchGoroutines starts each worker as a goroutine.
+// launchGoroutines returns a launcher that runs each worker as a goroutine.
 func launchGoroutines(planted hooks) launcher {
 	return func(ctx context.Context, role string) (*worker, error) {
 		ctx, kill := context.WithCancel(ctx)
@@ -74,7 +75,7 @@
 		}()
 		go func() {
 			<-ctx.Done()
-			// Reads and writes of the worker end with it.
+			// Unblocks the worker's reads and writes.
 			commandReader.Close()
 			reportReader.Close()
 		}()
--- a/loadtest/memberprocess.go
+++ b/loadtest/memberprocess.go
@@ -11,20 +11,20 @@
 	"harehook.dev/harehook/configsync"
 )
 
-// memberProcess is a member of the group as the run sees it. It may be killed and started again.
+// memberProcess is the run's handle to a member of the group, which may be killed and restarted.
 type memberProcess struct {
 	id      uint64
 	address string
 	workers *workerSet
 
-	mutex     sync.Mutex    // guards all below
-	worker    *worker       // nil while it is down
-	ready     chan struct{} // closed once the worker serves
+	mutex     sync.Mutex    // guards the fields below
+	worker    *worker       // nil while the member is stopped
+	ready     chan struct{} // closed when the worker serves
 	sent      configsync.Counts
-	samples   []sample      // processor time in seconds, of all its processes
-	cpu       time.Duration // of the present process
-	cpuBefore time.Duration // of the processes before
-	resident  int64         // bytes, the most that was seen
+	samples   []sample      // CPU time in seconds, of all its processes
+	cpu       time.Duration // CPU time of the current process
+	cpuBefore time.Duration // CPU time of the earlier processes
+	resident  int64         // maximum observed, in bytes
 }
 
 // startMembers starts the group and waits until it has a leader.
@@ -52,7 +52,7 @@
 	return err
 }
 
-// freeAddress returns one on loopback that nothing listens on.
+// freeAddress returns a loopback address that nothing listens on.
 func freeAddress() (string, error) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -62,7 +62,7 @@
 	return listener.Addr().String(), nil
 }
 
-// addresses are those of all members.
+// addresses returns the addresses of all members.
 func (r *run) addresses() (addresses []string) {
 	for _, member := range r.memberProcesses {
 		addresses = append(addresses, member.address)
@@ -70,7 +70,7 @@
 	return addresses
 }
 
-// startMember starts a member with what its folder has, and waits until it serves.
+// startMember starts a member from the log in its folder and waits until it serves.
 func (r *run) startMember(ctx context.Context, member *memberProcess) error {
 	started, err := r.launch(RoleMember)
 	if err != nil {
@@ -85,10 +85,10 @@
 	if err := started.commands.write(workerCommand{Member: r.memberSetup(member)}); err != nil {
 		return fmt.Errorf("set up member %d: %w", member.id, err)
 	}
-	return r.waitFor(ctx, ready, startTimeout, fmt.Sprintf("member %d does not serve", member.id))
+	return r.waitFor(ctx, ready, startTimeout, fmt.Sprintf("member %d did not start to serve", member.id))
 }
 
-// memberSetup says how to start a member.
+// memberSetup returns the settings of a member.
 func (r *run) memberSetup(member *memberProcess) *memberSetup {
 	setup := &memberSetup{
 		ID:        member.id,
@@ -101,7 +101,7 @@
 	return setup
 }
 
-// handleReport notes what a worker of the member reports, unless it was killed.
+// handleReport records a report of the member's worker. Reports of a worker that was killed are ignored.
 func (m *memberProcess) handleReport(from *worker, report *workerReport, recorder *recorder) {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
@@ -115,11 +115,11 @@
 		m.sent = *report.Counts
 	}
 	if report.Failed != "" {
-		recorder.recordFailure(fmt.Errorf("member %d ended: %s", m.id, report.Failed))
+		recorder.recordFailure(fmt.Errorf("member %d failed: %s", m.id, report.Failed))
 	}
 }
 
-// kill ends the member's process at once.
+// kill kills the member's process and waits until it has exited.
 func (m *memberProcess) kill() error {
 	m.mutex.Lock()
 	killed := m.worker
--- a/loadtest/memberworker.go
+++ b/loadtest/memberworker.go
@@ -16,32 +16,33 @@
 	"harehook.dev/harehook/records"
 )
 
-// memberHooks are where tests plant faults.
+// memberHooks holds the faults that a test plants in a member.
 type memberHooks struct {
-	source func(records.Source) records.Source // wraps what the member's followers receive
+	source func(records.Source) records.Source // wraps the records that the member's followers receive
 }
 
-// countsInterval is how often a member reports what it has sent.
+// countsInterval is the interval at which a member reports the number of messages sent.
 const countsInterval = 500 * time.Millisecond
 
-// memberWorker is the worker that is a member of the group, as harehook-xds has it but without a data plane.
+// memberWorker is a worker that runs a member of the group. It has the same parts as in harehook-xds, without a data
+// plane.
 type memberWorker struct {
 	node    *cluster.Node
 	service *transport.Service
 	out     *lineWriter
 }
 
-// runMember serves as a member until ctx ends.
+// runMember runs a member until ctx is canceled.
 func runMember(ctx context.Context, setup *memberSetup, planted memberHooks, out *lineWriter) error {
 	disk, saved, err := raftlog.Open(setup.Folder)
 	if err != nil {
-		return fmt.Errorf("log of member %d: %w", setup.ID, err)
+		return fmt.Errorf("open the log of member %d: %w", setup.ID, err)
 	}
 	defer disk.Close()
 	state := cluster.NewState(nil)
 	node, err := cluster.NewNode(setup.ID, disk, saved, setup.voters(), setup.Addresses, state, zap.NewNop())
 	if err != nil {
-		return fmt.Errorf("node of member %d: %w", setup.ID, err)
+		return fmt.Errorf("create the node of member %d: %w", setup.ID, err)
 	}
 	source := node.Records()
 	if planted.source != nil {
@@ -58,7 +59,7 @@
 	return m.run(ctx, listener)
 }
 
-// voters are all members, who begin the group together.
+// voters returns the IDs of all members. All of them are voters from the start.
 func (s *memberSetup) voters() (ids []uint64) {
 	for id := range uint64(len(s.Addresses)) {
 		ids = append(ids, id+1)
@@ -66,7 +67,7 @@
 	return ids
 }
 
-// run serves until ctx ends or the node does.
+// run serves until ctx is canceled or the node stops.
 func (m *memberWorker) run(ctx context.Context, listener net.Listener) error {
 	ctx, stop := context.WithCancel(ctx)
 	server := cluster.NewServer(nil)
@@ -93,7 +94,7 @@
 	return <-nodeEnded
 }
 
-// reportCounts reports what was sent until ctx ends.
+// reportCounts reports the number of messages sent, periodically until ctx is canceled.
 func (m *memberWorker) reportCounts(ctx context.Context) {
 	for sleep(ctx, countsInterval) == nil {
 		counts := m.service.Counts()
@@ -103,7 +104,7 @@
 	}
 }
 
-// hasLeader tells whether the member knows a leader.
+// hasLeader reports whether the member knows a leader.
 func (m *memberWorker) hasLeader(ctx context.Context) bool {
 	report, err := m.node.Status(ctx)
 	return err == nil && report.Status.Leader != 0
--- a/loadtest/messagemeter.go
+++ b/loadtest/messagemeter.go
@@ -11,18 +11,18 @@
 	"harehook.dev/harehook/configsync"
 )
 
-// messageMeter counts the messages that the controllers of a worker receive, by what they are for.
+// messageMeter counts the messages that the controllers of a worker receive, by their content.
 type messageMeter struct {
-	mutex    sync.Mutex              // guards all below
+	mutex    sync.Mutex              // guards the fields below
 	full     *hdrhistogram.Histogram // bytes of messages with a full scope
 	change   *hdrhistogram.Histogram // bytes of messages with changed records
 	progress *hdrhistogram.Histogram // bytes of messages with a revision alone
-	overhead *hdrhistogram.Histogram // bytes for each changed record, without its body
+	overhead *hdrhistogram.Histogram // bytes per changed record, without its body
 
 	heartbeats        int64
 	changeRecords     int64
 	fullScopeRepeated int64 // full scopes after the first update of a stream
-	fullScopeAgain    int64 // full scopes to a controller that held something
+	fullScopeAgain    int64 // full scopes sent to a controller that had already accepted a revision
 }
 
 func newMessageMeter() *messageMeter {
@@ -41,10 +41,10 @@
 	m.heartbeats++
 }
 
-// updateContext is what the receiver of an update was about.
+// updateContext holds the state of the receiver of an update.
 type updateContext struct {
 	firstOfStream bool
-	hasAccepted   bool // something, since the controller was started
+	hasAccepted   bool // the current incarnation has accepted a revision
 }
 
 // recordUpdate counts a message with a revision.
@@ -63,8 +63,8 @@
 	}
 }
 
-// recordFullScope counts a full scope. It is due as the first update of a stream; later it is sent in place of what
-// changed, so that all of it is overhead.
+// recordFullScope counts a full scope. It is expected only as the first update of a stream. Later it replaces a message
+// with changed records, so its whole size counts as overhead.
 func (m *messageMeter) recordFullScope(size int64, context updateContext) {
 	m.full.RecordValue(size)
 	if context.hasAccepted {
@@ -76,7 +76,7 @@
 	}
 }
 
-// recordChange counts changed records, and what the message has beside their bodies.
+// recordChange counts a message with changed records and its overhead, which is its size without the records' bodies.
 func (m *messageMeter) recordChange(response *discoveryv3.DeltaDiscoveryResponse, size, records int64) {
 	m.change.RecordValue(size)
 	m.changeRecords += records
@@ -87,7 +87,7 @@
 	m.overhead.RecordValue(max(1, overhead/records))
 }
 
-// bodyBytes is the length of the record that a resource carries.
+// bodyBytes returns the length of the record's body in a resource.
 func bodyBytes(resource *discoveryv3.Resource) int {
 	var body wrapperspb.BytesValue
 	if resource.GetResource().UnmarshalTo(&body) != nil {
@@ -96,13 +96,13 @@
 	return len(body.GetValue())
 }
 
-// encodedHistogram is a histogram with its place in a messageReport.
+// encodedHistogram pairs a histogram with its field in a messageReport.
 type encodedHistogram struct {
 	histogram *hdrhistogram.Histogram
 	encoded   *[]byte
 }
 
-// encodedHistograms pairs the meter's histograms with their places in a report.
+// encodedHistograms pairs the meter's histograms with their fields in a report.
 func (m *messageMeter) encodedHistograms(report *messageReport) []encodedHistogram {
 	return []encodedHistogram{
 		{m.full, &report.FullScope},
@@ -112,7 +112,7 @@
 	}
 }
 
-// report is what the meter has counted, for another process.
+// report returns the meter's counts in the form that is sent to the run.
 func (m *messageMeter) report() (*messageReport, error) {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
@@ -125,14 +125,14 @@
 	for _, pair := range m.encodedHistograms(report) {
 		encoded, err := pair.histogram.Encode(hdrhistogram.V2CompressedEncodingCookieBase)
 		if err != nil {
-			return nil, fmt.Errorf("encode a histogram of messages: %w", err)
+			return nil, fmt.Errorf("encode a message histogram: %w", err)
 		}
 		*pair.encoded = encoded
 	}
 	return report, nil
 }
 
-// add sums what another worker has counted.
+// add adds the counts of a worker.
 func (m *messageMeter) add(report *messageReport) error {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
@@ -143,7 +143,7 @@
 	for _, pair := range m.encodedHistograms(report) {
 		decoded, err := hdrhistogram.Decode(*pair.encoded)
 		if err != nil {
-			return fmt.Errorf("decode a histogram of messages: %w", err)
+			return fmt.Errorf("decode a message histogram: %w", err)
 		}
 		pair.histogram.Merge(decoded)
 	}
--- a/loadtest/programprocess.go
+++ b/loadtest/programprocess.go
@@ -11,10 +11,11 @@
 	"harehook.dev/harehook/records"
 )
 
-// programPollInterval is how often members are asked whether harehook-xds is in step, which it does not report by itself.
+// programPollInterval is the interval at which the members are polled for the revision of harehook-xds, which does not
+// report it itself.
 const programPollInterval = 100 * time.Millisecond
 
-// startProgram starts harehook-xds, if there is one, as the controller with a process of its own.
+// startProgram starts harehook-xds as the measured controller, if the run has its path, and waits until it is in step.
 func (r *run) startProgram(ctx context.Context) error {
 	if r.controllerProgram == "" {
 		return nil
@@ -43,7 +44,7 @@
 	if err := started.commands.write(workerCommand{Program: setup}); err != nil {
 		return fmt.Errorf("set up the worker of harehook-xds: %w", err)
 	}
-	if err := r.waitFor(ctx, p.ready, startTimeout, "harehook-xds does not start"); err != nil {
+	if err := r.waitFor(ctx, p.ready, startTimeout, "harehook-xds did not start"); err != nil {
 		return err
 	}
 	if err := r.waitProgramConverged(ctx, stepTimeout); err != nil {
@@ -53,8 +54,8 @@
 	return nil
 }
 
-// routeLines are the routes of a scope as harehook-xds's file has them. The agreed routes have the same prefixes, and may
-// be mutating, which these are not.
+// routeLines returns the routes of a scope as lines of the configuration of harehook-xds. They have the same prefixes
+// as the agreed routes. The agreed routes may be mutating; these never are.
 func (c *Configuration) routeLines(scope records.Scope) (lines []string) {
 	for _, name := range c.routes {
 		key := records.Key{Kind: records.KindRoute, Name: name}
@@ -66,7 +67,8 @@
 	return lines
 }
 
-// waitProgramConverged waits until a member knows that harehook-xds holds what was agreed when this was called.
+// waitProgramConverged waits until a member reports that harehook-xds has accepted the newest revision at the time of
+// the call.
 func (r *run) waitProgramConverged(ctx context.Context, timeout time.Duration) error {
 	want := r.recorder.newestRevision()
 	name := r.controllers[measuredController].Name
@@ -80,7 +82,7 @@
 			return err
 		}
 		if time.Now().After(deadline) {
-			return fmt.Errorf("harehookd held revision %d after %s, %d was agreed; it refused %d: %s",
+			return fmt.Errorf("harehook-xds has accepted revision %d after %s, want %d; it rejected revision %d: %s",
 				lease.Accepted, timeout, want, lease.RejectedRevision, lease.Reason)
 		}
 		if err := sleep(ctx, programPollInterval); err != nil {
@@ -89,7 +91,7 @@
 	}
 }
 
-// latestLease is what the members know of a follower: the lease with the latest revision.
+// latestLease returns a follower's lease with the latest accepted revision among all members.
 func (r *run) latestLease(ctx context.Context, name string) (latest configsync.LeaseStatus, found bool) {
 	for _, status := range r.group.memberStatuses(ctx) {
 		for _, lease := range status.Leases {
--- a/loadtest/programworker.go
+++ b/loadtest/programworker.go
@@ -15,14 +15,14 @@
 	"time"
 )
 
-// programWorker is the worker that runs harehook-xds behind proxies, which count what it receives and sends.
+// programWorker is a worker that runs harehook-xds behind proxies, which count the bytes that it receives and sends.
 type programWorker struct {
 	setup *programSetup
 	out   *lineWriter
 	wire  wireCounter
 }
 
-// run starts the program and ends it when ctx ends. That the program ends by itself is an error.
+// run runs the program until ctx is canceled. It returns an error if the program exits earlier.
 func (p *programWorker) run(ctx context.Context) error {
 	ctx, stop := context.WithCancel(ctx)
 	var proxies sync.WaitGroup
@@ -36,7 +36,7 @@
 	if err != nil {
 		return fmt.Errorf("configure %s: %w", p.setup.Program, err)
 	}
-	started := make(chan int, 1) // process id
+	started := make(chan int, 1) // process ID
 	ended := make(chan error, 1)
 	go func() { ended <- p.execute(ctx, config, started) }()
 	err = p.report(ctx, started, ended)
@@ -47,11 +47,11 @@
 	return err
 }
 
-// errReport is what a worker returns whose reports cannot be written: whoever reads them is gone.
+// errReport is returned when a report cannot be written because its reader has exited.
 var errReport = errors.New("write a report")
 
-// report reports the process and the wire's counters until the program has ended. The error is errReport where a report
-// could not be written; the program then goes on.
+// report reports the process ID and, periodically, the wire counters until the program has exited. It returns errReport
+// if a report cannot be written; the program is then still running.
 func (p *programWorker) report(ctx context.Context, started <-chan int, ended <-chan error) error {
 	ticker := time.NewTicker(wireReportInterval)
 	defer ticker.Stop()
@@ -64,7 +64,7 @@
 			if ctx.Err() != nil {
 				return nil
 			}
-			return fmt.Errorf("%s ended: %w", p.setup.Program, err)
+			return fmt.Errorf("%s exited: %w", p.setup.Program, err)
 		case <-ticker.C:
 			report = workerReport{Wire: p.wire.reading()}
 		}
@@ -79,7 +79,7 @@
 	for _, member := range p.setup.Members {
 		listener, err := net.Listen("tcp", "127.0.0.1:0")
 		if err != nil {
-			return nil, fmt.Errorf("proxy of member %s: %w", member, err)
+			return nil, fmt.Errorf("listen for the proxy of member %s: %w", member, err)
 		}
 		addresses = append(addresses, listener.Addr().String())
 		proxy := &countingProxy{address: member, wire: &p.wire}
@@ -88,8 +88,8 @@
 	return addresses, nil
 }
 
-// execute runs the program until it or ctx ends. The kernel kills the program when the thread that started it ends: the
-// goroutine keeps its thread, so that this happens with the end of this process and not before.
+// execute runs the program until it exits or ctx is canceled. The kernel kills the program when the thread that started
+// it exits. The goroutine is locked to its thread, so that this happens only when the worker's process exits.
 func (p *programWorker) execute(ctx context.Context, config string, started chan<- int) error {
 	runtime.LockOSThread()
 	defer runtime.UnlockOSThread()
@@ -109,7 +109,7 @@
 	return command.Wait()
 }
 
-// writeConfig writes the program's files and returns the path of its configuration.
+// writeConfig writes the program's configuration and node list and returns the path of the configuration.
 func (p *programWorker) writeConfig(members []string) (path string, err error) {
 	if err := os.MkdirAll(p.setup.Folder, 0o700); err != nil {
 		return "", err
@@ -126,7 +126,7 @@
 	return path, os.WriteFile(path, []byte(p.configText(listen, members)), 0o600)
 }
 
-// nodesText is the program's list of nodes: one a zone of its scope, where nothing listens.
+// nodesText returns the program's node list. It has one node per zone of the scope; nothing listens on the address.
 func (p *programWorker) nodesText() string {
 	var text strings.Builder
 	for _, zone := range p.setup.Scope.Zones {
@@ -135,7 +135,8 @@
 	return text.String()
 }
 
-// configText is the program's configuration: the routes of its scope, its list of nodes, and whom it follows.
+// configText returns the program's configuration: the routes of its scope, its node list, and the members, services and
+// zones that it follows.
 func (p *programWorker) configText(listen string, members []string) string {
 	var text strings.Builder
 	fmt.Fprintf(&text, "conductor %q {\n  listen %q\n  seed 1\n  nodes \"nodes.kdl\"\n", p.setup.Name, listen)
--- a/loadtest/protocol.go
+++ b/loadtest/protocol.go
@@ -9,18 +9,18 @@
 	"harehook.dev/harehook/configsync"
 )
 
-// This file has the protocol between a run and its workers, which are processes of the same program or, in tests,
-// goroutines: one JSON object a line, commands on a worker's standard input, reports on its standard output. A worker ends
-// when its input does. The names in JSON are those of the first release.
+// This file defines the protocol between a run and its workers, which are processes of the same program or, in tests,
+// goroutines. Each line is a JSON object: commands on a worker's standard input, reports on its standard output. A
+// worker exits when its input ends. The JSON names are those of the first release.
 
-// The roles of a worker. The first command has the setup of its role.
+// The roles of a worker. The first command that a worker receives contains the setup for its role.
 const (
 	RoleMember      = "member"     // a member of the group
 	RoleControllers = "conductors" // simulated controllers
-	RoleProgram     = "program"    // one controller, which is harehook-xds
+	RoleProgram     = "program"    // a harehook-xds process as one controller
 )
 
-// workerCommand is a line to a worker; one of its fields is set.
+// workerCommand is a line on a worker's input. Exactly one field is set.
 type workerCommand struct {
 	Member      *memberSetup      `json:"member,omitempty"`
 	Controllers *controllersSetup `json:"conductors,omitempty"`
@@ -28,14 +28,14 @@
 	Action      *action           `json:"action,omitempty"`
 }
 
-// memberSetup says how to start a member of the group.
+// memberSetup holds the settings of a member of the group.
 type memberSetup struct {
 	ID        uint64            `json:"id"`
-	Folder    string            `json:"folder"` // of its log
-	Addresses map[uint64]string `json:"addresses"`
+	Folder    string            `json:"folder"`    // of its Raft log
+	Addresses map[uint64]string `json:"addresses"` // of all members, by ID
 }
 
-// controllersSetup says which controllers a worker plays.
+// controllersSetup holds the settings of a worker that simulates controllers.
 type controllersSetup struct {
 	Members     []string            `json:"members"` // addresses
 	Lease       time.Duration       `json:"lease_ns"`
@@ -43,13 +43,13 @@
 	Controllers []indexedController `json:"conductors"`
 }
 
-// programSetup says how to start harehook-xds as a controller that follows the group.
+// programSetup holds the settings of a worker that runs harehook-xds as a controller that follows the group.
 type programSetup struct {
-	Program    string   `json:"program"` // path
-	Folder     string   `json:"folder"`  // of its files
+	Program    string   `json:"program"` // path of the executable
+	Folder     string   `json:"folder"`  // of its configuration and log files
 	Members    []string `json:"members"` // addresses
-	Controller          // whose name and scope it has
-	Routes     []string `json:"routes"` // lines of its file
+	Controller          // its name and scope
+	Routes     []string `json:"routes"` // lines of its configuration file
 }
 
 // indexedController is a controller with its index in the fleet.
@@ -58,50 +58,51 @@
 	Controller
 }
 
-// actionKind is something that is done to controllers.
+// actionKind is the kind of an action.
 type actionKind string
 
 const (
-	actionRestart   actionKind = "restart"   // also the first start: a new incarnation, which holds nothing
-	actionReconnect actionKind = "reconnect" // the connections are closed
-	actionCut       actionKind = "cut"       // nothing comes through any more, without notice
-	actionHeal      actionKind = "heal"      // ends a cut; what was cut is closed
-	actionReject    actionKind = "refuse"    // some changes are rejected from now on
-	actionAccept    actionKind = "accept"    // ends that
-	actionReport    actionKind = "report"    // the worker reports what it has measured until now
-	actionFinish    actionKind = "finish"    // ends all clients; the worker reports what they hold
+	actionRestart   actionKind = "restart"   // starts a new incarnation without records, also for the first start
+	actionReconnect actionKind = "reconnect" // closes the connections
+	actionCut       actionKind = "cut"       // drops all traffic without closing the connections
+	actionHeal      actionKind = "heal"      // ends a cut and closes the connections that were cut
+	actionReject    actionKind = "refuse"    // starts to reject some of the changes
+	actionAccept    actionKind = "accept"    // accepts all changes again
+	actionReport    actionKind = "report"    // requests a report of the measurements so far
+	actionFinish    actionKind = "finish"    // stops all clients and requests a report of their records
 )
 
-// action is done to controllers of a worker, evenly over a time.
+// action is an operation on controllers of a worker.
 type action struct {
 	Kind        actionKind    `json:"kind"`
 	Controllers []int         `json:"conductors,omitempty"` // indices in the fleet
-	Over        time.Duration `json:"over_ns,omitempty"`
+	Over        time.Duration `json:"over_ns,omitempty"`    // spreads the action evenly over the controllers
 }
 
-// workerReport is a line of a worker.
+// workerReport is a line on a worker's output.
 type workerReport struct {
-	Ready    bool               `json:"ready,omitempty"`    // the member serves, or the controllers are set up
-	PID      int                `json:"pid,omitempty"`      // of the program that the worker runs
-	Failed   string             `json:"failed,omitempty"`   // the worker ends
-	Events   []event            `json:"events,omitempty"`   // of controllers, in order for each
-	Wire     *wireReading       `json:"wire,omitempty"`     // every second
+	Ready    bool               `json:"ready,omitempty"`    // the worker is set up, or serves as a member
+	PID      int                `json:"pid,omitempty"`      // process ID of the program that the worker runs
+	Failed   string             `json:"failed,omitempty"`   // the error with which the worker exits
+	Events   []event            `json:"events,omitempty"`   // in order for each controller
+	Wire     *wireReading       `json:"wire,omitempty"`     // every wireReportInterval
 	Messages *messageReport     `json:"messages,omitempty"` // answers actionReport and actionFinish
-	Counts   *configsync.Counts `json:"counts,omitempty"`   // of a member, every second
-	Finished bool               `json:"finished,omitempty"`
+	Counts   *configsync.Counts `json:"counts,omitempty"`   // messages sent by a member, every countsInterval
+	Finished bool               `json:"finished,omitempty"` // last report of a worker that simulates controllers
 }
 
-// eventKind is something that happened to a controller.
+// eventKind is the kind of an event.
 type eventKind string
 
 const (
-	eventStarted  eventKind = "life"     // an incarnation was started, and holds nothing
-	eventJoined   eventKind = "joined"   // a member has answered on a new stream
-	eventAccepted eventKind = "accepted" // it holds another revision
-	eventFinal    eventKind = "final"    // what it held at the end
+	eventStarted  eventKind = "life"     // an incarnation started, without records
+	eventJoined   eventKind = "joined"   // a member sent the first response on a new stream
+	eventAccepted eventKind = "accepted" // the controller accepted a revision
+	eventFinal    eventKind = "final"    // the records of the controller when its client was stopped
 )
 
-// event is what a controller reports. Its time is that of the machine, which all workers run on.
+// event is a change of a controller's state. All workers run on one machine, so the times of their events are
+// comparable.
 type event struct {
 	Kind        eventKind `json:"k"`
 	Controller  int       `json:"c"` // index in the fleet
@@ -109,11 +110,11 @@
 	Incarnation int       `json:"l,omitempty"`
 	Revision    uint64    `json:"r,omitempty"`
 	Digest      Digest    `json:"d,omitempty"`
-	Outside     int       `json:"o,omitempty"` // records held that are not of its scope
+	Outside     int       `json:"o,omitempty"` // number of records outside its scope
 	Member      string    `json:"m,omitempty"` // address
 }
 
-// messageReport is what a messageMeter has counted. Its histograms are encoded.
+// messageReport holds the counts of a messageMeter. Its histograms are encoded.
 type messageReport struct {
 	FullScope         []byte `json:"FullScope"`
 	Change            []byte `json:"Change"`
@@ -125,14 +126,14 @@
 	FullScopeAgain    int64  `json:"FullScopeAgain"`
 }
 
-// wireReading is what went over a worker's connections since it began, with all framing above TCP.
+// wireReading holds the bytes that a worker has received and sent since it started, including all framing above TCP.
 type wireReading struct {
 	At  int64  `json:"t"` // Unix time in ns
 	In  uint64 `json:"in"`
 	Out uint64 `json:"out"`
 }
 
-// lineWriter writes JSON objects, one a line, from any goroutine.
+// lineWriter writes JSON objects, one per line. It is safe for concurrent use.
 type lineWriter struct {
 	encoderMutex sync.Mutex
 	encoder      *json.Encoder
@@ -140,7 +141,7 @@
 
 func newLineWriter(out io.Writer) *lineWriter { return &lineWriter{encoder: json.NewEncoder(out)} }
 
-// write writes one line.
+// write encodes an object as one line.
 func (w *lineWriter) write(line any) error {
 	w.encoderMutex.Lock()
 	defer w.encoderMutex.Unlock()
--- a/loadtest/simulatedcontroller.go
+++ b/loadtest/simulatedcontroller.go
@@ -11,25 +11,25 @@
 	"harehook.dev/harehook/records"
 )
 
-// rejectOneIn is the part of the changes that a controller rejects while it is to reject.
+// rejectOneIn means that a controller in the rejecting state rejects about one change in this many.
 const rejectOneIn = 2
 
-// simulatedController is one controller: the real client, and nothing behind it.
+// simulatedController is a controller that consists of the real client alone, without a data plane.
 type simulatedController struct {
 	worker *controllersWorker
 	indexedController
 	meter *connectionMeter
 
-	mutex        sync.Mutex         // guards all below
-	cancel       context.CancelFunc // of the present incarnation; nil: none runs
-	stopped      chan struct{}      // closed when that has ended
-	incarnation  int                // counts from 1
+	mutex        sync.Mutex         // guards the fields below
+	cancel       context.CancelFunc // stops the current incarnation; nil if none runs
+	stopped      chan struct{}      // closed when the current incarnation has stopped
+	incarnation  int                // starts at 1
 	rejecting    bool
 	lastAccepted event
 	records      map[records.Key]*records.Record
 }
 
-// perform does something to the controller.
+// perform performs an action on the controller.
 func (c *simulatedController) perform(ctx context.Context, kind actionKind) {
 	switch kind {
 	case actionRestart:
@@ -48,7 +48,7 @@
 	}
 }
 
-// stopAndWait ends the present incarnation, if there is one.
+// stopAndWait stops the current incarnation, if there is one, and waits until it has stopped.
 func (c *simulatedController) stopAndWait() {
 	c.mutex.Lock()
 	cancel := c.cancel
@@ -64,7 +64,7 @@
 	<-stopped
 }
 
-// start begins an incarnation, which holds nothing yet.
+// start starts a new incarnation without records.
 func (c *simulatedController) start(ctx context.Context) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
@@ -95,12 +95,12 @@
 	})
 }
 
-// seed is another one for each controller and incarnation.
+// seed returns a seed that differs for each controller and incarnation.
 func (c *simulatedController) seed() uint64 {
 	return c.worker.setup.Seed<<20 + uint64(c.Index)<<4 + uint64(c.incarnation)
 }
 
-// reportEvent queues an event. It waits while the queue is full, so that nothing is lost.
+// reportEvent queues an event. It blocks while the queue is full, so that no event is lost.
 func (c *simulatedController) reportEvent(e event) {
 	e.Controller = c.Index
 	if e.At == 0 {
@@ -115,13 +115,13 @@
 	}
 }
 
-// handleJoined is called at the first answer of a member on a stream.
+// handleJoined reports that a member sent the first response on a stream.
 func (c *simulatedController) handleJoined(member string) {
 	c.reportEvent(event{Kind: eventJoined, Member: member})
 }
 
-// checkRevision rejects some of the changes while the controller is to reject: by name and revision, so that a change
-// that is sent again is rejected again.
+// checkRevision rejects some of the changes while the controller is in the rejecting state. The choice depends only on
+// the controller's name and the revision, so that a change that is sent again is rejected again.
 func (c *simulatedController) checkRevision(revision uint64, _ map[records.Key]*records.Record) error {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
@@ -136,8 +136,8 @@
 	return fmt.Errorf("revision %d is refused by the experiment", revision)
 }
 
-// handleAccepted reports the revision held and the digest of its records. The digest is computed only where records have
-// come.
+// handleAccepted reports an accepted revision and the digest of its records. The digest is recomputed only if records
+// were received since the last computation.
 func (c *simulatedController) handleAccepted(revision uint64, received map[records.Key]*records.Record) {
 	at := time.Now().UnixNano()
 	c.mutex.Lock()
@@ -160,7 +160,7 @@
 	c.reportEvent(accepted)
 }
 
-// finalEvent is what the controller held at its end, its digest computed anew.
+// finalEvent returns the event with the controller's last accepted revision and a newly computed digest of its records.
 func (c *simulatedController) finalEvent() event {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
@@ -175,7 +175,7 @@
 	}
 }
 
-// countOutside counts records that are held but not of a scope.
+// countOutside returns the number of received records outside a scope.
 func countOutside(scope records.Scope, received map[records.Key]*records.Record) (count int) {
 	for _, record := range received {
 		if !scope.Contains(record) {
--- a/loadtest/streamstats.go
+++ b/loadtest/streamstats.go
@@ -9,16 +9,16 @@
 	"harehook.dev/harehook/configsync"
 )
 
-// streamStats implements stats.Handler: gRPC calls it for each message of a client's streams.
+// streamStats implements stats.Handler. gRPC calls it for each message on a client's streams.
 type streamStats struct{ meter *connectionMeter }
 
-// streamKey is the key of a stream's state in its context.
+// streamKey is the context key of a stream's state.
 type streamKey struct{}
 
-// streamState is what is known of a stream.
+// streamState holds the state of a stream.
 type streamState struct {
-	hasMessage bool // a message has come
-	hasUpdate  bool // a message with a revision has come
+	hasMessage bool // a message was received
+	hasUpdate  bool // a message with a revision was received
 }
 
 // TagRPC implements stats.Handler.
--- a/loadtest/wirecounter.go
+++ b/loadtest/wirecounter.go
@@ -6,15 +6,15 @@
 	"time"
 )
 
-// wireCounter counts bytes of all connections of a worker.
+// wireCounter counts the bytes received and sent on all connections of a worker.
 type wireCounter struct{ in, out atomic.Uint64 }
 
-// reading is what was counted until now.
+// reading returns the current counts.
 func (w *wireCounter) reading() *wireReading {
 	return &wireReading{At: time.Now().UnixNano(), In: w.in.Load(), Out: w.out.Load()}
 }
 
-// countingWriter counts the bytes that it writes.
+// countingWriter counts the bytes written to writer.
 type countingWriter struct {
 	writer io.Writer
 	count  *atomic.Uint64
--- a/loadtest/worker.go
+++ b/loadtest/worker.go
@@ -8,14 +8,14 @@
 	"io"
 )
 
-// hooks are where tests plant faults; they reach only workers in the test's own process.
+// hooks holds the faults that a test plants. They apply only to workers that run as goroutines of the test's process.
 type hooks struct {
 	member     memberHooks
 	controller controllerHooks
 }
 
-// Work is the body of a worker: it reads commands until its input ends, and writes reports. The role is one of those that
-// begin with Role. The error is also written as a report, unless ctx has ended.
+// Work runs a worker: it reads commands from in until in ends, and writes reports to out. The role is one of the Role
+// constants. An error is also written as a report, unless ctx has been canceled.
 func Work(ctx context.Context, role string, in io.Reader, out io.Writer) error {
 	return work(ctx, role, in, out, hooks{})
 }
@@ -30,7 +30,7 @@
 		return fmt.Errorf("read the setup of a worker with the role %q: %w", role, err)
 	}
 	actions := make(chan *action)
-	// Nobody waits for the reader: it may be blocked in a read that ends with the process.
+	// Work does not wait for this goroutine: it may block in a read until the process exits.
 	go readActions(ctx, stop, decoder, actions)
 	err := runRole(ctx, role, &setup, actions, planted, writer)
 	if err != nil && ctx.Err() == nil {
@@ -39,8 +39,8 @@
 	return err
 }
 
-// readActions passes actions on until the input ends, which is when whoever gives the commands is gone. It then stops the
-// worker.
+// readActions sends the actions that it reads to a channel. It stops the worker when the input ends, because the run
+// that sent the commands has then exited.
 func readActions(ctx context.Context, stop context.CancelFunc, decoder *json.Decoder, actions chan<- *action) {
 	defer stop()
 	for {
@@ -56,7 +56,7 @@
 	}
 }
 
-// runRole does a worker's work until ctx ends.
+// runRole runs a worker of the given role until ctx is canceled.
 func runRole(ctx context.Context, role string, setup *workerCommand, actions <-chan *action, planted hooks, out *lineWriter) error {
 	switch {
 	case role == RoleMember && setup.Member != nil:
@@ -67,6 +67,6 @@
 		worker := &programWorker{setup: setup.Program, out: out}
 		return worker.run(ctx)
 	default:
-		return fmt.Errorf("no worker has the role %q, or its setup does not fit", role)
+		return fmt.Errorf("worker role %q is unknown or does not match its setup", role)
 	}
 }
--- a/loadtest/workers_test.go
+++ b/loadtest/workers_test.go
@@ -6,8 +6,9 @@
 	"time"
 )
 
-// A member is killed and started again while changes are played. A worker that is bound to the context of that stage ends
-// with it, and the run waits for a member that is gone. A worker has to live as long as the run.
+// A member may be killed and restarted while changes are applied. If its worker were bound to the context of that
+// stage, it would exit with the stage and the run would wait for a stopped member. A worker must live as long as the
+// run.
 func TestWorkersOutliveTheStageThatStartsThem(t *testing.T) {
 	t.Parallel()
 	ctx, cancel := context.WithTimeout(t.Context(), 30*time.Second)
@@ -25,6 +26,6 @@
 	}
 	endOfStage()
 	if err := r.load(ctx); err != nil {
-		t.Errorf("after the stage that started the member: %v", err)
+		t.Errorf("load after the stage that started the member: got error %v, want nil", err)
 	}
 }
--- a/loadtest/workerset.go
+++ b/loadtest/workerset.go
@@ -11,22 +11,22 @@
 )
 
 const (
-	stopTimeout = 5 * time.Second  // that a worker may take to end by itself
-	killTimeout = 30 * time.Second // that one may take to be gone once it is killed
+	stopTimeout = 5 * time.Second  // for a worker to exit after its input was closed
+	killTimeout = 30 * time.Second // for a worker to exit after it was killed
 )
 
-// worker is a worker as the run sees it.
+// worker is the run's handle to a worker.
 type worker struct {
 	role     string
-	pid      int // 0: a goroutine of this process
+	pid      int // 0 if the worker is a goroutine of this process
 	commands *lineWriter
-	input    io.Closer // whose end ends the worker
+	input    io.Closer // closing it stops the worker
 	output   io.Reader
-	kill     func()        // at once, without cleaning up
-	ended    chan struct{} // closed once it has ended
+	kill     func()        // stops the worker immediately, without cleanup
+	ended    chan struct{} // closed when the worker has exited
 }
 
-// killAndWait ends a worker at once.
+// killAndWait kills the worker and waits until it has exited.
 func (w *worker) killAndWait() error {
 	w.kill()
 	defer w.input.Close()
@@ -34,11 +34,11 @@
 	case <-w.ended:
 		return nil
 	case <-time.After(killTimeout):
-		return fmt.Errorf("a worker (%s) has not ended %s after it was killed", w.role, killTimeout)
+		return fmt.Errorf("worker with the role %q did not exit within %s after it was killed", w.role, killTimeout)
 	}
 }
 
-// stop has a worker end by itself, and kills it if it does not.
+// stop closes the worker's input, and kills the worker if it does not exit within stopTimeout.
 func (w *worker) stop() error {
 	w.input.Close()
 	select {
@@ -49,7 +49,7 @@
 	}
 }
 
-// readReports calls handle for each report until the worker ends.
+// readReports calls handle for each report until the worker's output ends.
 func (w *worker) readReports(handle func(*workerReport)) {
 	decoder := json.NewDecoder(bufio.NewReader(w.output))
 	for {
@@ -61,14 +61,14 @@
 	}
 }
 
-// workerSet is all workers of a run.
+// workerSet holds all workers of a run.
 type workerSet struct {
 	workersMutex sync.Mutex
 	workers      map[*worker]struct{}
-	readers      sync.WaitGroup // of reports
+	readers      sync.WaitGroup // goroutines that read reports
 }
 
-// add has the reports of a worker handled until it ends.
+// add adds a worker and calls handle for each of its reports.
 func (s *workerSet) add(w *worker, handle func(*workerReport)) {
 	s.workersMutex.Lock()
 	defer s.workersMutex.Unlock()
@@ -79,7 +79,7 @@
 	s.readers.Go(func() { w.readReports(handle) })
 }
 
-// kill ends one worker at once.
+// kill removes one worker from the set, kills it and waits until it has exited.
 func (s *workerSet) kill(w *worker) error {
 	s.workersMutex.Lock()
 	delete(s.workers, w)
@@ -87,8 +87,8 @@
 	return w.killAndWait()
 }
 
-// endAll ends all workers and waits until all their reports are handled. A worker that does not end is an error; its
-// reports are not waited for.
+// endAll stops all workers and waits until all their reports are handled. If a worker does not exit, endAll returns an
+// error without waiting for reports.
 func (s *workerSet) endAll() error {
 	s.workersMutex.Lock()
 	workers := s.workers
