--- a/loadtest/connectionmeter.go
+++ b/loadtest/connectionmeter.go
@@ -33,8 +33,8 @@
 	return &connectionMeter{wire: wire, messages: messages, joined: joined, conns: map[*meteredConn]struct{}{}}
 }
 
-// options returns the dial options that route a client's connections through the meter.
-func (m *connectionMeter) options() []grpc.DialOption {
+// dialOptions returns the dial options that route a client's connections through the meter.
+func (m *connectionMeter) dialOptions() []grpc.DialOption {
 	return []grpc.DialOption{grpc.WithContextDialer(m.dial), grpc.WithStatsHandler(streamStats{m})}
 }
 
@@ -118,8 +118,8 @@
 }
 
 // Read counts the bytes that it reads. During a cut it blocks until the connection is closed.
-func (c *meteredConn) Read(into []byte) (int, error) {
-	n, err := c.Conn.Read(into)
+func (c *meteredConn) Read(buffer []byte) (int, error) {
+	n, err := c.Conn.Read(buffer)
 	if healed := c.meter.cutEnd(); healed != nil {
 		<-c.closed // closed by the client or at the end of the cut
 		return 0, net.ErrClosed
@@ -129,11 +129,11 @@
 }
 
 // Write counts the bytes that it writes. During a cut it discards them without counting.
-func (c *meteredConn) Write(from []byte) (int, error) {
+func (c *meteredConn) Write(data []byte) (int, error) {
 	if c.meter.cutEnd() != nil {
-		return len(from), nil
+		return len(data), nil
 	}
-	n, err := c.Conn.Write(from)
+	n, err := c.Conn.Write(data)
 	c.meter.wire.out.Add(uint64(n))
 	return n, err
 }
--- a/loadtest/controller.go
+++ b/loadtest/controller.go
@@ -7,8 +7,8 @@
 	"harehook.dev/harehook/records"
 )
 
-// scopeServices is the number of services in a controller's scope.
-const scopeServices = 6
+// servicesPerScope is the number of services in a controller's scope.
+const servicesPerScope = 6
 
 // Controller describes a controller of the fleet.
 type Controller struct {
@@ -35,7 +35,7 @@
 // drawScope returns the scope of a controller in a zone, with random services.
 func (c *Configuration) drawScope(rng *rand.Rand, zone string) records.Scope {
 	scope := records.Scope{Zones: []string{zone}}
-	for _, service := range rng.Perm(len(c.services))[:min(scopeServices, len(c.services))] {
+	for _, service := range rng.Perm(len(c.services))[:min(servicesPerScope, len(c.services))] {
 		scope.Services = append(scope.Services, c.services[service])
 	}
 	return scope.Normalized()
--- a/loadtest/controllerprocess.go
+++ b/loadtest/controllerprocess.go
@@ -19,14 +19,14 @@
 	ready    chan struct{} // closed when it is set up
 	finished chan struct{} // closed when it has reported its measurements
 
-	mutex     sync.Mutex     // guards the fields below
-	messages  *messageReport // latest report
-	wire      []*wireReading
-	resident  int64         // maximum observed, in bytes
-	samples   []sample      // CPU time in seconds
-	startCPU  float64       // CPU time in seconds until all controllers were in step
-	startWire float64       // bytes received and sent until then
-	startTime time.Duration // until a member reported harehook-xds in step; only for harehook-xds
+	mutex         sync.Mutex     // guards the fields below
+	messages      *messageReport // latest report
+	wire          []*wireReading
+	resident      int64         // maximum observed, in bytes
+	samples       []sample      // CPU time in seconds
+	startCPU      float64       // CPU time in seconds until all controllers were in step
+	startWire     float64       // bytes received and sent until then
+	startDuration time.Duration // until a member reported harehook-xds in step; only for harehook-xds
 }
 
 // handleReport records a report of a worker.
@@ -60,7 +60,7 @@
 	if err := r.startWorkers(ctx); err != nil {
 		return err
 	}
-	began := time.Now()
+	start := time.Now()
 	all := func(int) bool { return true }
 	if err := r.commandControllers(actionRestart, 0, all); err != nil {
 		return err
@@ -71,7 +71,7 @@
 	if err := r.waitConverged(ctx, stepTimeout); err != nil {
 		return err
 	}
-	r.logProgress("%d controllers in step after %.1f s", len(r.controllers), time.Since(began).Seconds())
+	r.logProgress("%d controllers in step after %.1f s", len(r.controllers), time.Since(start).Seconds())
 	return r.recordStartUsage(ctx)
 }
 
@@ -99,45 +99,45 @@
 
 // startWorker starts a worker for the controllers with the given indices and waits until it is set up.
 func (r *run) startWorker(ctx context.Context, indexes []int) error {
-	started, err := r.launch(RoleControllers)
+	w, err := r.launch(RoleControllers)
 	if err != nil {
 		return err
 	}
 	p := &controllerProcess{
-		worker:   started,
+		worker:   w,
 		indexes:  indexes,
 		ready:    make(chan struct{}),
 		finished: make(chan struct{}),
 	}
 	r.controllerProcesses = append(r.controllerProcesses, p)
-	r.workers.add(started, func(report *workerReport) { r.handleReport(p, report) })
-	setup := &controllersSetup{Members: r.addresses(), Lease: configsync.DefaultLimits.Lease, Seed: r.plan.Seed}
+	r.workers.add(w, func(report *workerReport) { r.handleReport(p, report) })
+	setup := &controllersSetup{Members: r.memberAddresses(), Lease: configsync.DefaultLimits.Lease, Seed: r.plan.Seed}
 	for _, index := range indexes {
 		setup.Controllers = append(setup.Controllers, indexedController{Index: index, Controller: r.controllers[index]})
 	}
-	if err := started.commands.write(workerCommand{Controllers: setup}); err != nil {
+	if err := w.commands.write(workerCommand{Controllers: setup}); err != nil {
 		return fmt.Errorf("set up a worker of %d controllers: %w", len(indexes), err)
 	}
 	return r.waitFor(ctx, p.ready, startTimeout, "worker of controllers did not become ready")
 }
 
-// waitFor waits until done is closed. After the timeout it returns an error that starts with otherwise.
-func (r *run) waitFor(ctx context.Context, done <-chan struct{}, timeout time.Duration, otherwise string) error {
+// waitFor waits until done is closed. After the timeout it returns an error that starts with timeoutMessage.
+func (r *run) waitFor(ctx context.Context, done <-chan struct{}, timeout time.Duration, timeoutMessage string) error {
 	select {
 	case <-done:
 		return nil
 	case <-ctx.Done():
 		return ctx.Err()
 	case <-time.After(timeout):
-		return errors.Join(fmt.Errorf("%s within %s", otherwise, timeout), r.recorder.firstFailure())
+		return errors.Join(fmt.Errorf("%s within %s", timeoutMessage, timeout), r.recorder.firstFailure())
 	}
 }
 
 // commandControllers sends an action on the chosen controllers to all workers. Each worker spreads it evenly over the
-// given duration.
-func (r *run) commandControllers(kind actionKind, over time.Duration, chosen func(controller int) bool) error {
+// given time.
+func (r *run) commandControllers(kind actionKind, spread time.Duration, chosen func(controller int) bool) error {
 	for _, p := range r.controllerProcesses {
-		a := &action{Kind: kind, Over: over}
+		a := &action{Kind: kind, Spread: spread}
 		for _, index := range p.indexes {
 			if chosen(index) {
 				a.Controllers = append(a.Controllers, index)
@@ -176,13 +176,13 @@
 
 // finish stops all controllers and waits until their workers have reported their measurements.
 func (r *run) finish(ctx context.Context) error {
-	ownWorkers := slices.DeleteFunc(slices.Clone(r.controllerProcesses), func(p *controllerProcess) bool { return p.external })
-	for _, p := range ownWorkers {
+	internalWorkers := slices.DeleteFunc(slices.Clone(r.controllerProcesses), func(p *controllerProcess) bool { return p.external })
+	for _, p := range internalWorkers {
 		if err := p.commands.write(workerCommand{Action: &action{Kind: actionFinish}}); err != nil {
 			return fmt.Errorf("send the action %q to a worker of controllers: %w", actionFinish, err)
 		}
 	}
-	for _, p := range ownWorkers {
+	for _, p := range internalWorkers {
 		if err := r.waitFor(ctx, p.finished, finishTimeout, "worker of controllers did not report its measurements"); err != nil {
 			return err
 		}
--- a/loadtest/controllersworker.go
+++ b/loadtest/controllersworker.go
@@ -96,15 +96,15 @@
 	}
 }
 
-// reportQueued reports the queued events, followed by further ones.
-func (w *controllersWorker) reportQueued(further []event) error {
+// reportQueued reports the queued events, followed by additional ones.
+func (w *controllersWorker) reportQueued(additional []event) error {
 	w.reportMutex.Lock()
 	defer w.reportMutex.Unlock()
 	var events []event
 	for range len(w.events) {
 		events = append(events, <-w.events)
 	}
-	events = append(events, further...)
+	events = append(events, additional...)
 	if len(events) == 0 {
 		return nil
 	}
@@ -124,11 +124,11 @@
 	}
 }
 
-// performAll performs an action on its controllers, one after the other, evenly spread over its duration.
+// performAll performs an action on its controllers, one after the other, evenly spread over a.Spread.
 func (w *controllersWorker) performAll(ctx context.Context, a *action) {
 	for position, index := range a.Controllers {
-		if position > 0 && a.Over > 0 {
-			if sleep(ctx, a.Over/time.Duration(len(a.Controllers))) != nil {
+		if position > 0 && a.Spread > 0 {
+			if sleep(ctx, a.Spread/time.Duration(len(a.Controllers))) != nil {
 				return
 			}
 		}
--- a/loadtest/groupclient.go
+++ b/loadtest/groupclient.go
@@ -18,9 +18,9 @@
 )
 
 const (
-	proposeTimeout = 2 * time.Second  // for one request to one member
-	answerTimeout  = 60 * time.Second // for all attempts of a proposal, including the election after a killed leader
-	retryInterval  = 50 * time.Millisecond
+	requestTimeout  = 2 * time.Second  // for one request to one member
+	proposalTimeout = 60 * time.Second // for all attempts of a proposal, including the election after a killed leader
+	retryInterval   = 50 * time.Millisecond
 )
 
 // proposerName identifies this operator's proposals, together with the proposal's number. The group stores it in its
@@ -32,9 +32,9 @@
 
 // groupClient proposes transactions as an operator does: to any member, and to the next one if that does not respond.
 type groupClient struct {
-	conns     []*grpc.ClientConn // by member
-	next      int                // index of the member for the next attempt
-	proposals uint64             // number of proposals made
+	conns      []*grpc.ClientConn // by member
+	nextMember int                // index of the member for the next attempt
+	proposals  uint64             // number of proposals made
 }
 
 // newGroupClient connects to the members in the background.
@@ -64,7 +64,7 @@
 // the same client name and sequence number, so that it is applied only once. The error is errRejected if the group
 // rejects the transaction.
 func (g *groupClient) propose(ctx context.Context, transaction records.Transaction) (revision uint64, err error) {
-	ctx, cancel := context.WithTimeout(ctx, answerTimeout)
+	ctx, cancel := context.WithTimeout(ctx, proposalTimeout)
 	defer cancel()
 	g.proposals++
 	for {
@@ -77,7 +77,7 @@
 		case status.Code(err) == codes.InvalidArgument:
 			return 0, err
 		}
-		g.next = (g.next + 1) % len(g.conns)
+		g.nextMember = (g.nextMember + 1) % len(g.conns)
 		if waitErr := sleep(ctx, retryInterval); waitErr != nil {
 			return 0, fmt.Errorf("%w: %w", waitErr, err)
 		}
@@ -86,7 +86,7 @@
 
 // proposeOnce sends the current proposal to one member.
 func (g *groupClient) proposeOnce(ctx context.Context, transaction records.Transaction) (cluster.Result, error) {
-	ctx, cancel := context.WithTimeout(ctx, proposeTimeout)
+	ctx, cancel := context.WithTimeout(ctx, requestTimeout)
 	defer cancel()
 	command := cluster.Command{
 		Kind:   cluster.CommandRecords,
@@ -96,7 +96,7 @@
 		By:     proposerName,
 		Why:    "a change of the experiment",
 	}
-	return cluster.Call[cluster.Result](ctx, g.conns[g.next], "Propose", command)
+	return cluster.Call[cluster.Result](ctx, g.conns[g.nextMember], "Propose", command)
 }
 
 // leader waits until a member reports a leader and returns the leader's ID.
@@ -118,7 +118,7 @@
 
 // fetchStatus returns the status of one member.
 func fetchStatus(ctx context.Context, conn *grpc.ClientConn) (cluster.StatusReport, error) {
-	ctx, cancel := context.WithTimeout(ctx, proposeTimeout)
+	ctx, cancel := context.WithTimeout(ctx, requestTimeout)
 	defer cancel()
 	return cluster.Call[cluster.StatusReport](ctx, conn, "Status", struct{}{})
 }
@@ -136,7 +136,7 @@
 
 // fetchMemberStatus returns the status of one member's followers.
 func fetchMemberStatus(ctx context.Context, conn *grpc.ClientConn) (configsync.MemberStatus, error) {
-	ctx, cancel := context.WithTimeout(ctx, proposeTimeout)
+	ctx, cancel := context.WithTimeout(ctx, requestTimeout)
 	defer cancel()
 	return transport.FetchMemberStatus(ctx, conn)
 }
--- a/loadtest/launcher.go
+++ b/loadtest/launcher.go
@@ -26,10 +26,10 @@
 		if err != nil {
 			return nil, fmt.Errorf("start a worker with the role %q: %w", role, err)
 		}
-		ended := make(chan struct{})
+		exited := make(chan struct{})
 		go func() {
 			command.Wait()
-			close(ended)
+			close(exited)
 		}()
 		return &worker{
 			role:     role,
@@ -38,7 +38,7 @@
 			input:    input,
 			output:   output,
 			kill:     func() { command.Process.Kill() },
-			ended:    ended,
+			exited:   exited,
 		}, nil
 	}
 }
@@ -66,9 +66,9 @@
 		ctx, kill := context.WithCancel(ctx)
 		commandReader, commandWriter := io.Pipe()
 		reportReader, reportWriter := io.Pipe()
-		ended := make(chan struct{})
+		exited := make(chan struct{})
 		go func() {
-			defer close(ended)
+			defer close(exited)
 			err := work(ctx, role, commandReader, reportWriter, planted)
 			commandReader.Close()
 			reportWriter.CloseWithError(errors.Join(io.EOF, err))
@@ -85,7 +85,7 @@
 			input:    commandWriter,
 			output:   reportReader,
 			kill:     kill,
-			ended:    ended,
+			exited:   exited,
 		}, nil
 	}
 }
--- a/loadtest/memberprocess.go
+++ b/loadtest/memberprocess.go
@@ -17,14 +17,14 @@
 	address string
 	workers *workerSet
 
-	mutex     sync.Mutex    // guards the fields below
-	worker    *worker       // nil while the member is stopped
-	ready     chan struct{} // closed when the worker serves
-	sent      configsync.Counts
-	samples   []sample      // CPU time in seconds, of all its processes
-	cpu       time.Duration // CPU time of the current process
-	cpuBefore time.Duration // CPU time of the earlier processes
-	resident  int64         // maximum observed, in bytes
+	mutex       sync.Mutex    // guards the fields below
+	worker      *worker       // nil while the member is stopped
+	ready       chan struct{} // closed when the worker serves
+	sent        configsync.Counts
+	samples     []sample      // CPU time in seconds, of all its processes
+	cpu         time.Duration // CPU time of the current process
+	previousCPU time.Duration // CPU time of the earlier processes
+	resident    int64         // maximum observed, in bytes
 }
 
 // startMembers starts the group and waits until it has a leader.
@@ -41,7 +41,7 @@
 			return err
 		}
 	}
-	group, err := newGroupClient(r.addresses())
+	group, err := newGroupClient(r.memberAddresses())
 	if err != nil {
 		return err
 	}
@@ -62,8 +62,8 @@
 	return listener.Addr().String(), nil
 }
 
-// addresses returns the addresses of all members.
-func (r *run) addresses() (addresses []string) {
+// memberAddresses returns the addresses of all members.
+func (r *run) memberAddresses() (addresses []string) {
 	for _, member := range r.memberProcesses {
 		addresses = append(addresses, member.address)
 	}
@@ -72,17 +72,17 @@
 
 // startMember starts a member from the log in its folder and waits until it serves.
 func (r *run) startMember(ctx context.Context, member *memberProcess) error {
-	started, err := r.launch(RoleMember)
+	w, err := r.launch(RoleMember)
 	if err != nil {
 		return err
 	}
 	ready := make(chan struct{})
 	member.mutex.Lock()
-	member.worker = started
+	member.worker = w
 	member.ready = ready
 	member.mutex.Unlock()
-	r.workers.add(started, func(report *workerReport) { member.handleReport(started, report, r.recorder) })
-	if err := started.commands.write(workerCommand{Member: r.memberSetup(member)}); err != nil {
+	r.workers.add(w, func(report *workerReport) { member.handleReport(w, report, r.recorder) })
+	if err := w.commands.write(workerCommand{Member: r.memberSetup(member)}); err != nil {
 		return fmt.Errorf("set up member %d: %w", member.id, err)
 	}
 	return r.waitFor(ctx, ready, startTimeout, fmt.Sprintf("member %d did not start to serve", member.id))
@@ -124,7 +124,7 @@
 	m.mutex.Lock()
 	killed := m.worker
 	m.worker = nil
-	m.cpuBefore += m.cpu
+	m.previousCPU += m.cpu
 	m.cpu = 0
 	m.mutex.Unlock()
 	if killed == nil {
--- a/loadtest/memberworker.go
+++ b/loadtest/memberworker.go
@@ -21,7 +21,7 @@
 	source func(records.Source) records.Source // wraps the records that the member's followers receive
 }
 
-// countsInterval is the interval at which a member reports the number of messages sent.
+// countsInterval is the interval at which a member reports its message counts.
 const countsInterval = 500 * time.Millisecond
 
 // memberWorker is a worker that runs a member of the group. It has the same parts as in harehook-xds, without a data
@@ -94,7 +94,7 @@
 	return <-nodeEnded
 }
 
-// reportCounts reports the number of messages sent, periodically until ctx is canceled.
+// reportCounts reports the message counts, periodically until ctx is canceled.
 func (m *memberWorker) reportCounts(ctx context.Context) {
 	for sleep(ctx, countsInterval) == nil {
 		counts := m.service.Counts()
--- a/loadtest/programprocess.go
+++ b/loadtest/programprocess.go
@@ -20,28 +20,28 @@
 	if r.controllerProgram == "" {
 		return nil
 	}
-	began := time.Now()
-	started, err := r.launch(RoleProgram)
+	start := time.Now()
+	w, err := r.launch(RoleProgram)
 	if err != nil {
 		return err
 	}
 	p := &controllerProcess{
-		worker:   started,
+		worker:   w,
 		indexes:  []int{measuredController},
 		external: true,
 		ready:    make(chan struct{}),
 	}
 	r.controllerProcesses = append(r.controllerProcesses, p)
-	r.workers.add(started, func(report *workerReport) { r.handleReport(p, report) })
+	r.workers.add(w, func(report *workerReport) { r.handleReport(p, report) })
 	controller := r.controllers[measuredController]
 	setup := &programSetup{
 		Program:    r.controllerProgram,
 		Folder:     filepath.Join(r.folder, "harehookd"),
-		Members:    r.addresses(),
+		Members:    r.memberAddresses(),
 		Controller: controller,
 		Routes:     r.configuration.routeLines(controller.Scope),
 	}
-	if err := started.commands.write(workerCommand{Program: setup}); err != nil {
+	if err := w.commands.write(workerCommand{Program: setup}); err != nil {
 		return fmt.Errorf("set up the worker of harehook-xds: %w", err)
 	}
 	if err := r.waitFor(ctx, p.ready, startTimeout, "harehook-xds did not start"); err != nil {
@@ -50,7 +50,7 @@
 	if err := r.waitProgramConverged(ctx, stepTimeout); err != nil {
 		return err
 	}
-	p.startTime = time.Since(began)
+	p.startDuration = time.Since(start)
 	return nil
 }
 
--- a/loadtest/programworker.go
+++ b/loadtest/programworker.go
@@ -37,12 +37,12 @@
 		return fmt.Errorf("configure %s: %w", p.setup.Program, err)
 	}
 	started := make(chan int, 1) // process ID
-	ended := make(chan error, 1)
-	go func() { ended <- p.execute(ctx, config, started) }()
-	err = p.report(ctx, started, ended)
+	exited := make(chan error, 1)
+	go func() { exited <- p.execute(ctx, config, started) }()
+	err = p.report(ctx, started, exited)
 	if errors.Is(err, errReport) {
 		stop()
-		return errors.Join(err, <-ended)
+		return errors.Join(err, <-exited)
 	}
 	return err
 }
@@ -52,7 +52,7 @@
 
 // report reports the process ID and, periodically, the wire counters until the program has exited. It returns errReport
 // if a report cannot be written; the program is then still running.
-func (p *programWorker) report(ctx context.Context, started <-chan int, ended <-chan error) error {
+func (p *programWorker) report(ctx context.Context, started <-chan int, exited <-chan error) error {
 	ticker := time.NewTicker(wireReportInterval)
 	defer ticker.Stop()
 	for {
@@ -60,7 +60,7 @@
 		select {
 		case pid := <-started:
 			report = workerReport{Ready: true, PID: pid}
-		case err := <-ended:
+		case err := <-exited:
 			if ctx.Err() != nil {
 				return nil
 			}
--- a/loadtest/protocol.go
+++ b/loadtest/protocol.go
@@ -76,7 +76,7 @@
 type action struct {
 	Kind        actionKind    `json:"kind"`
 	Controllers []int         `json:"conductors,omitempty"` // indices in the fleet
-	Over        time.Duration `json:"over_ns,omitempty"`    // spreads the action evenly over the controllers
+	Spread      time.Duration `json:"over_ns,omitempty"`    // total time; the controllers are spaced evenly
 }
 
 // workerReport is a line on a worker's output.
@@ -87,7 +87,7 @@
 	Events   []event            `json:"events,omitempty"`   // in order for each controller
 	Wire     *wireReading       `json:"wire,omitempty"`     // every wireReportInterval
 	Messages *messageReport     `json:"messages,omitempty"` // answers actionReport and actionFinish
-	Counts   *configsync.Counts `json:"counts,omitempty"`   // messages sent by a member, every countsInterval
+	Counts   *configsync.Counts `json:"counts,omitempty"`   // message counts of a member, every countsInterval
 	Finished bool               `json:"finished,omitempty"` // last report of a worker that simulates controllers
 }
 
--- a/loadtest/run.go
+++ b/loadtest/run.go
@@ -94,7 +94,7 @@
 	defer os.RemoveAll(folder)
 	r := newRun(ctx, plan, options)
 	r.folder = folder
-	defer r.workers.endAll()
+	defer r.workers.stopAll()
 	defer func() { r.group.close() }()
 	if err := r.prepare(); err != nil {
 		return nil, err
@@ -102,7 +102,7 @@
 	if err := r.runStages(ctx); err != nil {
 		return nil, errors.Join(err, r.recorder.firstFailure())
 	}
-	if err := r.workers.endAll(); err != nil {
+	if err := r.workers.stopAll(); err != nil {
 		return nil, err
 	}
 	return r.report()
--- a/loadtest/simulatedcontroller.go
+++ b/loadtest/simulatedcontroller.go
@@ -84,7 +84,7 @@
 		Seed:        c.seed(),
 		Validate:    c.checkRevision,
 		Accepted:    c.handleAccepted,
-		DialOptions: c.meter.options(),
+		DialOptions: c.meter.dialOptions(),
 	})
 	if err != nil {
 		panic(fmt.Sprintf("client of %s: %v", c.Name, err)) // the setup always has a name, members and a lease
--- a/loadtest/usagereport.go
+++ b/loadtest/usagereport.go
@@ -37,7 +37,7 @@
 		BusiestKBS:   maxRate(wire) / kilobyte,
 		StartCPU:     p.startCPU,
 		StartKB:      p.startWire / kilobyte,
-		StartS:       p.startTime.Seconds(),
+		StartS:       p.startDuration.Seconds(),
 	}
 }
 
--- a/loadtest/usagesampling.go
+++ b/loadtest/usagesampling.go
@@ -72,7 +72,7 @@
 	if err != nil {
 		return
 	}
-	m.samples = append(m.samples, sample{at: reading.at, amount: (m.cpuBefore + reading.cpu).Seconds()})
+	m.samples = append(m.samples, sample{at: reading.at, amount: (m.previousCPU + reading.cpu).Seconds()})
 	m.cpu = reading.cpu
 	m.resident = max(m.resident, reading.resident)
 }
--- a/loadtest/workers_test.go
+++ b/loadtest/workers_test.go
@@ -15,16 +15,16 @@
 	defer cancel()
 	r := newRun(ctx, smallPlan(), Options{Progress: testLog{t}})
 	r.folder = t.TempDir()
-	defer r.workers.endAll()
+	defer r.workers.stopAll()
 	defer func() { r.group.close() }()
 	if err := r.prepare(); err != nil {
 		t.Fatal(err)
 	}
-	stage, endOfStage := context.WithCancel(ctx)
-	if err := r.startMembers(stage); err != nil {
+	stageContext, cancelStage := context.WithCancel(ctx)
+	if err := r.startMembers(stageContext); err != nil {
 		t.Fatal(err)
 	}
-	endOfStage()
+	cancelStage()
 	if err := r.load(ctx); err != nil {
 		t.Errorf("load after the stage that started the member: got error %v, want nil", err)
 	}
--- a/loadtest/workerset.go
+++ b/loadtest/workerset.go
@@ -23,7 +23,7 @@
 	input    io.Closer // closing it stops the worker
 	output   io.Reader
 	kill     func()        // stops the worker immediately, without cleanup
-	ended    chan struct{} // closed when the worker has exited
+	exited   chan struct{} // closed when the worker has exited
 }
 
 // killAndWait kills the worker and waits until it has exited.
@@ -31,7 +31,7 @@
 	w.kill()
 	defer w.input.Close()
 	select {
-	case <-w.ended:
+	case <-w.exited:
 		return nil
 	case <-time.After(killTimeout):
 		return fmt.Errorf("worker with the role %q did not exit within %s after it was killed", w.role, killTimeout)
@@ -42,7 +42,7 @@
 func (w *worker) stop() error {
 	w.input.Close()
 	select {
-	case <-w.ended:
+	case <-w.exited:
 		return nil
 	case <-time.After(stopTimeout):
 		return w.killAndWait()
@@ -87,9 +87,9 @@
 	return w.killAndWait()
 }
 
-// endAll stops all workers and waits until all their reports are handled. If a worker does not exit, endAll returns an
-// error without waiting for reports.
-func (s *workerSet) endAll() error {
+// stopAll stops all workers and waits until all their reports are handled. If a worker does not exit, stopAll returns
+// an error without waiting for reports.
+func (s *workerSet) stopAll() error {
 	s.workersMutex.Lock()
 	workers := s.workers
 	s.workers = nil
