--- a/cmd/harehook/collectors_test.go
+++ b/cmd/harehook/collectors_test.go
@@ -27,7 +27,7 @@
 )
 
 // Hundreds of clients send nothing, part of a message or invalid data. The controller must close each connection within
-// the time stated on the platform's page, and must keep the connection of a valid collector.
+// the time that the platform's protocol allows, and must keep the connection of a valid collector.
 func TestInvalidClientsAreDisconnectedInTime(t *testing.T) {
 	const clientsPerCase = 20
 	r := startProgram(t, func(config map[string]any) { config["limits"].(map[string]any)["sockets"] = 256 })
@@ -72,7 +72,7 @@
 }
 
 // expectClosedWhenIdle sends text and nothing more. It fails the test unless the connection is closed within the time
-// that the platform's page states for a client that stops sending.
+// that the platform's protocol allows for a client that stops sending.
 func (r *testProgram) expectClosedWhenIdle(name, text string) {
 	conn, err := net.Dial("tcp", r.address)
 	if err != nil {
@@ -88,7 +88,7 @@
 }
 
 // expectClosedWhileSending sends prefix and then text repeatedly. It fails the test unless the connection is closed
-// within the time that the platform's page states for a client that keeps sending.
+// within the time that the platform's protocol allows for a client that keeps sending.
 func (r *testProgram) expectClosedWhileSending(name, prefix, text string) {
 	conn, err := net.Dial("tcp", r.address)
 	if err != nil {
--- a/cmd/harehook/configuration.go
+++ b/cmd/harehook/configuration.go
@@ -29,12 +29,12 @@
 
 // Errors for an incomplete configuration.
 var (
-	errNoConfiguration    = errors.New(configurationVariable + " is not set")
-	errNoListenAddress    = errors.New("listen address is missing")
-	errNoDiscoveryAddress = errors.New("discovery address is missing")
-	errNoRelayAddress     = errors.New("relay address is missing")
-	errNoSettings         = errors.New("settings are missing")
-	errNoSeed             = errors.New("seed is missing")
+	errNoConfiguration    = errors.New(configurationVariable + " is not set: it must be the path of the configuration file")
+	errNoListenAddress    = errors.New("listen address is missing: set listen or GW_LISTEN")
+	errNoDiscoveryAddress = errors.New("discovery address is missing: set discovery or GW_DISCOVERY")
+	errNoRelayAddress     = errors.New("relay address is missing: set store.address")
+	errNoSettings         = errors.New("settings are missing: set settings")
+	errNoSeed             = errors.New("seed is missing: set seed")
 )
 
 // configuration is the content of the configuration file that the platform writes for a controller.
--- a/cmd/harehook/configuration_test.go
+++ b/cmd/harehook/configuration_test.go
@@ -27,15 +27,15 @@
 	)
 	complete := `{"listen":"` + occupied.Addr().String() + `","discovery":"127.0.0.1:1","seed":"1","store":{"address":"127.0.0.1:2"},"settings":%s}`
 	for _, c := range []struct{ name, text, want string }{
-		{"no path", noPath, "GW_CONFIG is not set"},
+		{"no path", noPath, "GW_CONFIG is not set: it must be the path of the configuration file"},
 		{"no file", noFile, "no such file"},
 		{"partial file", "{", "unexpected end"},
-		{"no settings", `{"listen":"a","discovery":"b:1","store":{"address":"c:1"}}`, "settings are missing"},
-		{"empty", `{}`, "listen address is missing"},
-		{"no discovery", `{"listen":"a"}`, "discovery address is missing"},
-		{"no relay", `{"listen":"a","discovery":"b"}`, "relay address is missing"},
+		{"no settings", `{"listen":"a","discovery":"b:1","store":{"address":"c:1"}}`, "settings are missing: set settings"},
+		{"empty", `{}`, "listen address is missing: set listen or GW_LISTEN"},
+		{"no discovery", `{"listen":"a"}`, "discovery address is missing: set discovery or GW_DISCOVERY"},
+		{"no relay", `{"listen":"a","discovery":"b"}`, "relay address is missing: set store.address"},
 		{"address without a port", `{"listen":"a","discovery":"b","store":{"address":"c:1"},"settings":{}}`, "missing port"},
-		{"no seed", `{"listen":"a","discovery":"b:1","store":{"address":"c:1"},"settings":` + settingsJSON + `}`, "seed is missing"},
+		{"no seed", `{"listen":"a","discovery":"b:1","store":{"address":"c:1"},"settings":` + settingsJSON + `}`, "seed is missing: set seed"},
 		{"address in use", fmt.Sprintf(complete, settingsJSON), "address already in use"},
 		{"settings of the wrong type", fmt.Sprintf(complete, `[1]`), "cannot unmarshal"},
 		{"settings without zones", fmt.Sprintf(complete, `{}`), "zones: must not be empty"},
--- a/cmd/harehook/reload.go
+++ b/cmd/harehook/reload.go
@@ -30,7 +30,7 @@
 			return
 		}
 		if err != nil {
-			server.Log.Error("configuration reload failed", zap.Error(err))
+			server.Log.Error("configuration reload failed, previous configuration stays in use", zap.Error(err))
 			continue
 		}
 		config.applyLimits()
--- a/cmd/harehook/reload_test.go
+++ b/cmd/harehook/reload_test.go
@@ -24,7 +24,7 @@
 	initialBindings := countBindings()
 	os.WriteFile(r.configFile, []byte("{"), 0o600)
 	r.process.Process.Signal(syscall.SIGHUP)
-	r.awaitLog("configuration reload failed")
+	r.awaitLog("configuration reload failed, previous configuration stays in use")
 	for round := range 3 {
 		if err := errors.Join(r.relay.Move("127.0.0.1:0"), r.discovery.Move("127.0.0.1:0")); err != nil {
 			t.Fatal(err)
--- a/internal/logging/logging.go
+++ b/internal/logging/logging.go
@@ -16,7 +16,7 @@
 // Sampling of the lines with the same message and level, in each second.
 const (
 	sampledFirst      = 3    // lines that are all written
-	sampledThereafter = 1000 // after these, one of so many lines is written
+	sampledThereafter = 1000 // after these, one line in this many is written
 )
 
 // Unsampled is the last part of the name of a logger whose lines are all written, as in log.Named(Unsampled). The lines
--- a/internal/logging/logging_test.go
+++ b/internal/logging/logging_test.go
@@ -52,7 +52,7 @@
 		t.Errorf("second write: got %d bytes, want %d", len(queued), capacity*lineBytes)
 	}
 	mustWrite(t, q, []byte("next\n"))
-	if got, want := string(<-out.written), "7 log lines were dropped\nnext\n"; got != want {
+	if got, want := string(<-out.written), "7 log lines were dropped because the log was not read fast enough\nnext\n"; got != want {
 		t.Errorf("third write: got %q, want %q", got, want)
 	}
 	<-q.idle
--- a/internal/logging/queue.go
+++ b/internal/logging/queue.go
@@ -45,7 +45,7 @@
 	}
 	q.setBusy()
 	if q.dropped > 0 {
-		q.queued = fmt.Appendf(q.queued, "%d log lines were dropped\n", q.dropped)
+		q.queued = fmt.Appendf(q.queued, "%d log lines were dropped because the log was not read fast enough\n", q.dropped)
 		q.dropped = 0
 	}
 	q.queued = append(q.queued, line...)
