--- a/internal/fakeplatform/channel.go
+++ b/internal/fakeplatform/channel.go
@@ -2,9 +2,10 @@
 
 import "slices"
 
-// Channel simulates the delivery of a controller's commands to its proxies according to the platform's page of the
-// protocol. A call results in one message for each affected proxy. Messages are sent one after the other at a limited
-// rate, and the channel counts the waiting entries. Its inputs are calls and times in seconds; it uses no socket.
+// Channel simulates the delivery of a controller's commands to its proxies according to the platform's protocol. A call
+// results in one message for each affected proxy. A message contains entries, which are the values that the call sets
+// for the proxy. Messages are sent one after the other at a limited rate in entries per second, and the channel counts
+// the waiting entries. Its inputs are calls and times in seconds; it uses no socket.
 type Channel struct {
 	MessageOverhead  float64 // cost of a message in entries, in addition to the entries it carries
 	EntriesPerSecond float64
--- a/internal/fakeplatform/discovery.go
+++ b/internal/fakeplatform/discovery.go
@@ -138,22 +138,22 @@
 	}
 }
 
-// poll is a request for the endpoint list.
-type poll struct {
+// pollRequest is a request for the endpoint list.
+type pollRequest struct {
 	update bool          // requests the changes after a version, not the full list
 	since  uint64        // the version; only for updates
 	hold   time.Duration // maximum wait for a newer version
 }
 
-func parsePoll(request *http.Request) poll {
+func parsePoll(request *http.Request) pollRequest {
 	query := request.URL.Query()
 	since, err := strconv.ParseUint(query.Get("from"), 10, 64)
 	holdMS, _ := strconv.Atoi(query.Get("hold_ms"))
-	return poll{update: err == nil, since: since, hold: time.Duration(holdMS) * time.Millisecond}
+	return pollRequest{update: err == nil, since: since, hold: time.Duration(holdMS) * time.Millisecond}
 }
 
 // poll waits as the request and the response mode require, and returns the list and the mode in which to write it.
-func (d *Discovery) poll(p poll) (EndpointList, ResponseMode) {
+func (d *Discovery) poll(p pollRequest) (EndpointList, ResponseMode) {
 	d.Lock()
 	defer d.Unlock()
 	d.Polls++
@@ -173,7 +173,7 @@
 // awaitChange waits until the list is newer than the version of the poll, but at most for the poll's hold time. In mode
 // NoResponse it waits until the mode changes or the service is closed. The caller holds the mutex, which awaitChange
 // releases while it waits.
-func (d *Discovery) awaitChange(p poll) {
+func (d *Discovery) awaitChange(p pollRequest) {
 	holdTimer := time.NewTimer(p.hold)
 	defer holdTimer.Stop()
 	longPolling := p.update && p.hold > 0 && d.mode != DecreasingVersions && d.mode != ImmediateResponse
--- a/internal/fakeplatform/doc.go
+++ b/internal/fakeplatform/doc.go
@@ -1,5 +1,5 @@
 // Package fakeplatform provides fakes of the parties that a controller communicates with. They implement the platform's
-// page of the protocol over loopback: the Relay with its proxies, Discovery, and the Collector of a zone. For
+// protocol over loopback: the Relay with its proxies, Discovery, and the Collector of a zone. For
 // installations without the platform there are a NodeServer, a Forwarder that can cut connections, and an Authority
 // that issues certificates. Channel simulates how the relay delivers commands, without sockets.
 //
--- a/internal/fakeplatform/fault.go
+++ b/internal/fakeplatform/fault.go
@@ -16,7 +16,7 @@
 	ExecutedGarbledResponse       // the response cannot be parsed
 	ExecutedLateResponse          // the response arrives after the caller has stopped waiting
 	ExecutedHalfResponse          // the connection is closed in the middle of the response
-	RejectedNotStarted            // the execution has not started
+	RejectedNotStarted            // the relay's run has not started
 	RejectedInvalid               // the relay cannot parse the call
 	RejectedInternal              // internal error of the relay
 	ExecutedEndlessResponse       // the response arrives slowly, byte by byte, and never ends
--- a/internal/fakeplatform/relay.go
+++ b/internal/fakeplatform/relay.go
@@ -22,7 +22,7 @@
 
 	Tables     map[int]map[string]float64 // weights by table and node, without entries for weight 0
 	Bound      map[int]int                // table by proxy
-	Admissions map[string]string          // "LEVEL RETRIES" by "TABLE ROUTE"
+	Admissions map[string]string          // "LEVEL RETRY" by "TABLE ROUTE"
 	Calls      []string                   // received lines, in order
 	Watches    int                        // number of proxy watches requested
 
