--- a/cluster/election.go
+++ b/cluster/election.go
@@ -50,20 +50,20 @@
 	return x ^ x>>27
 }
 
-// Step processes a message from another member. The identity is that of the sender's disk. The knownIdentity is the one
-// that is registered for this member in the sender's state; it is empty if none is registered.
+// Step processes a message from another member. The senderIdentity is that of the sender's disk. The receiverIdentity
+// is the one that is registered for this member in the sender's state; it is empty if none is registered.
 //
 // Step guards against a disk that was lost and created anew: the member on it has forgotten its votes and
 // acknowledgements, and could vote twice in a term. Messages from a member whose number is registered for another disk
 // are dropped and counted. The member on the new disk finds out from the others' messages that another disk is
 // registered for it, and stops. A disk that was restored from a copy of itself has the same identity and is not
 // detected.
-func (m *Member) Step(identity, knownIdentity string, message *raftpb.Message) {
-	if knownIdentity != "" && knownIdentity != m.Identity {
+func (m *Member) Step(senderIdentity, receiverIdentity string, message *raftpb.Message) {
+	if receiverIdentity != "" && receiverIdentity != m.Identity {
 		m.DiskReplaced = true
 		return
 	}
-	if registered := m.State.Identities[message.GetFrom()]; registered != "" && identity != registered {
+	if registered := m.State.Identities[message.GetFrom()]; registered != "" && senderIdentity != registered {
 		m.RejectedMessages++
 		return
 	}
--- a/cluster/golden_test.go
+++ b/cluster/golden_test.go
@@ -156,7 +156,7 @@
 // of an earlier release.
 func TestGoldenTransport(t *testing.T) {
 	var out strings.Builder
-	fmt.Fprintln(&out, methodPrefix, identityKey, knownIdentityKey)
+	fmt.Fprintln(&out, methodPrefix, senderIdentityKey, receiverIdentityKey)
 	for _, method := range service.Methods {
 		fmt.Fprintln(&out, service.ServiceName, method.MethodName)
 	}
--- a/cluster/peer.go
+++ b/cluster/peer.go
@@ -55,10 +55,10 @@
 // send sends a message. If that fails, the message is lost, and a failed delivery is reported to the member. It returns
 // an error only if the node has stopped.
 func (p *peer) send(ctx context.Context, message *raftpb.Message) error {
-	var address, knownIdentity string
+	var address, receiverIdentity string
 	err := p.node.runOnLoop(ctx, func() {
 		address = p.node.address(p.id)
-		knownIdentity = p.node.member.State.Identities[p.id]
+		receiverIdentity = p.node.member.State.Identities[p.id]
 	})
 	if err != nil {
 		return err
@@ -66,7 +66,7 @@
 	if !p.dial(address) {
 		return nil
 	}
-	err = deliver(ctx, p.conn, p.node.member.Identity, knownIdentity, message)
+	err = deliver(ctx, p.conn, p.node.member.Identity, receiverIdentity, message)
 	if err != nil && ctx.Err() == nil {
 		p.reportUnreachable(ctx)
 	}
--- a/cluster/transport.go
+++ b/cluster/transport.go
@@ -24,8 +24,8 @@
 	keepaliveTime    = 5 * time.Second // time without traffic until a server pings; twice that for a client
 	keepaliveTimeout = 2 * time.Second // for the response to a ping
 
-	identityKey      = "harehook-identity" // metadata: identity of the sender's disk
-	knownIdentityKey = "harehook-known"    // metadata: identity of the receiver's disk as registered in the sender's state
+	senderIdentityKey   = "harehook-identity" // metadata: identity of the sender's disk
+	receiverIdentityKey = "harehook-known"    // metadata: identity of the receiver's disk in the sender's state
 )
 
 // dialBackoff configures the delays between connection attempts. They are short because a member that is down may be
@@ -61,14 +61,14 @@
 
 // deliver sends a Raft message, with the sender's disk identity and the one that is registered for the receiver in the
 // sender's state.
-func deliver(ctx context.Context, conn *grpc.ClientConn, identity, knownIdentity string, message *raftpb.Message) error {
+func deliver(ctx context.Context, conn *grpc.ClientConn, senderIdentity, receiverIdentity string, message *raftpb.Message) error {
 	body, err := proto.Marshal(message)
 	if err != nil {
 		return nil // the message is dropped without reporting the receiver as unreachable
 	}
 	ctx, cancel := context.WithTimeout(ctx, deliverTimeout)
 	defer cancel()
-	ctx = metadata.AppendToOutgoingContext(ctx, identityKey, identity, knownIdentityKey, knownIdentity)
+	ctx = metadata.AppendToOutgoingContext(ctx, senderIdentityKey, senderIdentity, receiverIdentityKey, receiverIdentity)
 	return conn.Invoke(ctx, methodPrefix+"Deliver", wrapperspb.Bytes(body), &wrapperspb.BytesValue{})
 }
 
@@ -79,9 +79,9 @@
 		return nil, status.Error(codes.InvalidArgument, "not a Raft message for this member")
 	}
 	received, _ := metadata.FromIncomingContext(ctx)
-	identity := firstValue(received, identityKey)
-	knownIdentity := firstValue(received, knownIdentityKey)
-	return nil, n.runOnLoop(ctx, func() { n.member.Step(identity, knownIdentity, message) })
+	senderIdentity := firstValue(received, senderIdentityKey)
+	receiverIdentity := firstValue(received, receiverIdentityKey)
+	return nil, n.runOnLoop(ctx, func() { n.member.Step(senderIdentity, receiverIdentity, message) })
 }
 
 // firstValue returns the first value of a key, or the empty string if there is none.
--- a/records/apply.go
+++ b/records/apply.go
@@ -86,11 +86,11 @@
 
 // applyUpdates applies updates to the indexes, and reverts them if they break a rule.
 func (s *Store) applyUpdates(updates []Update) error {
-	routesBefore := len(s.index.byKind[KindRoute])
+	routeCountBefore := len(s.index.byKind[KindRoute])
 	for _, update := range updates {
 		s.replaceRecord(update.Before, update.After)
 	}
-	err := s.checkRules(updates, routesBefore)
+	err := s.checkRules(updates, routeCountBefore)
 	if err != nil {
 		for _, update := range updates {
 			s.replaceRecord(update.After, update.Before)
--- a/records/rules.go
+++ b/records/rules.go
@@ -4,16 +4,16 @@
 
 // checkRules returns an error if the state, to which the updates have been applied, breaks a rule that spans several
 // records. It examines only the updated records and the records that refer to them: the others satisfied the rules
-// before and still do. The last route must not be removed: routesBefore is the number of routes before the updates. The
-// error is a *CheckError or a *FullError.
-func (s *Store) checkRules(updates []Update, routesBefore int) error {
+// before and still do. The last route must not be removed: routeCountBefore is the number of routes before the updates.
+// The error is a *CheckError or a *FullError.
+func (s *Store) checkRules(updates []Update, routeCountBefore int) error {
 	var violations []Violation
 	for _, update := range updates {
 		if reason := s.index.brokenRule(update); reason != "" {
 			violations = append(violations, Violation{Key: update.Key(), Reason: reason})
 		}
 	}
-	if routesBefore > 0 && len(s.index.byKind[KindRoute]) == 0 {
+	if routeCountBefore > 0 && len(s.index.byKind[KindRoute]) == 0 {
 		violations = append(violations, Violation{Key: lastRemovedRoute(updates), Reason: "no route would be left: no call would be carried"})
 	}
 	if len(violations) > 0 {
@@ -57,7 +57,8 @@
 	return ""
 }
 
-// ruleBrokenByTenant returns a reason if the shares of the service's tenants exceed 1 in sum, otherwise an empty string.
+// ruleBrokenByTenant returns a reason if the sum of the shares of the service's tenants exceeds 1, otherwise an empty
+// string.
 func (x *index) ruleBrokenByTenant(tenant *Record) string {
 	sum := x.usageByService[tenant.Service].shareSum
 	if sum > shareUnit {
