--- a/planner/admission.go
+++ b/planner/admission.go
@@ -26,8 +26,8 @@
 	// capacityTargetFraction is the fraction of the capacity of busy endpoints that is admitted. The remaining capacity
 	// absorbs random variation of arrivals.
 	capacityTargetFraction = 0.65
-	// unboundBudgetRatio is the ratio of the budget to the original work above which the budget does not bind.
-	unboundBudgetRatio = 1.3
+	// unlimitedBudgetRatio is the ratio of the budget to the original work above which the budget becomes unlimited.
+	unlimitedBudgetRatio = 1.3
 )
 
 // Constants of the admission levels.
@@ -44,7 +44,8 @@
 // admissionControl decides which part of each route's requests the proxies admit. It guards against full queues, in
 // which requests wait until they miss their latency objective. It admits the amount of work that the fleet is known to
 // answer, and serves the routes with the highest priority per cost first. A route's latency objective is the estimate
-// of the work of a request, as no better one is available; work is counted in latency objectives a second.
+// of the work of a request, as no better one is available. Work is therefore the sum of the latency objectives of the
+// requests of a second, in seconds for each second.
 type admissionControl struct {
 	kind            AdmissionKind
 	utilization     bool // whether endpoints report their utilization
@@ -52,7 +53,7 @@
 	byPriority      []int     // route indices in descending order of priority per cost
 	priorityPerCost []float64 // by route
 
-	workBudget     float64 // work that is admitted, +Inf while the budget does not bind
+	workBudget     float64 // work that is admitted, +Inf while it is unlimited
 	peakThroughput float64 // highest throughput measured, scaled like the budget
 	budgetScale    float64 // weight of the endpoints times servedBaselineRate at the last scaling
 	earliestCutAt  float64 // s, earliest time of the next cut
@@ -60,7 +61,7 @@
 	// servedBaselineRate is the baseline rate of this controller's proxies, including those that left recently.
 	servedBaselineRate float64
 
-	throttling      bool    // whether the budget binds
+	throttling      bool    // whether the budget is limited
 	throttlingSince float64 // s
 
 	levels        []float64 // by route, the fraction of its requests to admit
@@ -135,7 +136,7 @@
 	}
 	a.adjustBudget(in)
 	a.limitByUtilization(in, originalWork)
-	if a.budgetUnbound(in.saturation, originalWork) {
+	if a.budgetUnlimited(in.saturation, originalWork) {
 		a.workBudget = math.Inf(1)
 	}
 	throttling := !math.IsInf(a.workBudget, 1)
@@ -148,13 +149,13 @@
 	return throttlingChanged
 }
 
-// budgetUnbound reports whether the budget does not need to bind: admission is off, or the fleet is relieved and the
+// budgetUnlimited reports whether the budget becomes unlimited: admission is off, or the fleet is relieved and the
 // budget is well above the original work.
-func (a *admissionControl) budgetUnbound(saturation, originalWork float64) bool {
+func (a *admissionControl) budgetUnlimited(saturation, originalWork float64) bool {
 	if a.kind == AdmissionOff {
 		return true
 	}
-	return saturation < relievedLatencyRatio && a.workBudget > unboundBudgetRatio*originalWork
+	return saturation < relievedLatencyRatio && a.workBudget > unlimitedBudgetRatio*originalWork
 }
 
 // updateBaselineRate updates servedBaselineRate. Proxies that join count immediately. The rate of proxies that leave
--- a/planner/bench_test.go
+++ b/planner/bench_test.go
@@ -33,7 +33,7 @@
 	p = New(discardHost{}, config, 100)
 	p.ReplaceEndpoints(100, endpointList(nodes))
 	joinAll(p, 100, proxies)
-	for now = 100; len(p.proxies.unbound) > 0 || now < 102; now += 0.1 {
+	for now = 100; len(p.proxies.bindQueue) > 0 || now < 102; now += 0.1 {
 		acknowledgeAll(p, now, proxies)
 		p.Step(now)
 	}
@@ -80,7 +80,7 @@
 				p.ProxyLeft(now, proxy)
 			}
 			joinAll(p, now, proxies)
-			for len(p.proxies.unbound) > 0 {
+			for len(p.proxies.bindQueue) > 0 {
 				now += stepIntervalSeconds
 				acknowledgeAll(p, now, proxies)
 				p.Step(now)
--- a/planner/capacity.go
+++ b/planner/capacity.go
@@ -6,8 +6,8 @@
 	// capacityWindowSeconds is the time constant in s with which answered requests and busy time decay. It averages over
 	// requests whose work varies.
 	capacityWindowSeconds = 8.0
-	// capacityPriorSeconds is the busy time in s that the machine type's capacity counts for as a prior. It is worth as
-	// much as a few dozen requests.
+	// capacityPriorSeconds is the busy time in s that the machine type's capacity counts for as a prior. The prior
+	// weighs as much as a few dozen requests.
 	capacityPriorSeconds = 1.5
 	// baselineLatencyGrowthPerSecond is the fraction by which the lowest observed mean latency grows each second, because
 	// the work for each request may change.
--- a/planner/doc.go
+++ b/planner/doc.go
@@ -1,5 +1,5 @@
-// Package planner decides where plain proxies send requests and how many requests they admit. It performs no I/O,
-// starts no goroutines, reads no clock and never handles a request itself.
+// Package planner decides to which endpoints proxies send requests, and how many requests the proxies admit. It
+// performs no I/O, starts no goroutines, reads no clock and never handles a request itself.
 //
 // A [Planner] is a deterministic state machine: it receives events and issues commands. Equal sequences of events
 // produce equal commands, bit for bit. This makes it possible to run the same planner in a controller, in a simulation
@@ -7,6 +7,19 @@
 //
 // Times are in seconds of the controller's clock, and rates are in requests a second.
 //
+// # Terms
+//
+//   - An endpoint is a process that answers requests, identified by the number of its node. All endpoints together are
+//     the fleet. An endpoint is cold from the start of its process until its slow start has ended, and then warm.
+//   - A request reaches the endpoints as one or more attempts, because a proxy may retry it. A client may also send a
+//     rejected request again. Such requests are client retries, and all others are original requests.
+//   - The baseline rate of a proxy is the number of requests a second that it usually receives.
+//   - The channel carries messages to the proxies. A message contains entries: weights, admission levels, binds and
+//     nonces for one proxy. An entry is in flight until an acknowledgement shows that it has left the channel.
+//   - An admission level defines how many requests of a route the proxies admit. The fleet is throttled while a work
+//     budget limits the levels.
+//   - Saturation is the mean latency of attempts as a fraction of the latency objective.
+//
 // # Usage
 //
 // A controller implements [Host], which carries out the planner's commands, and creates a planner with [New]:
@@ -72,6 +85,6 @@
 //
 // # Sharded tables
 //
-// If the settings have the tables sharded (Config.Sharded), a store distributes them and the planner is inactive: see
-// Planner.inactive.
+// If the tables are sharded (Config.Sharded), a store outside the controller distributes them and the planner is
+// inactive: see Planner.inactive.
 package planner
--- a/planner/flowcontrol.go
+++ b/planner/flowcontrol.go
@@ -41,10 +41,10 @@
 	}
 }
 
-// available returns how many entries may be sent until a fraction of the queue is full. Only acknowledgements determine
-// what is still in flight, as the channel can be far slower than stated for a long time. If the queue holds far more
-// than the channel delivers in maxQueueSeconds, the fraction for commands that are not urgent applies to the entries
-// that are delivered in that time.
+// available returns how many entries may be sent until a fraction of the queue is full. Entries stay in flight until
+// they are acknowledged, however long that takes, as the channel can be far slower than stated for a long time. For
+// commands that are not urgent, the queue counts as no larger than the entries that the channel delivers in
+// maxQueueSeconds at its stated rate.
 func (f *flowControl) available(fraction float64) float64 {
 	queueSize := f.maxEntries
 	if fraction < urgentQueueFraction && f.entriesPerSecond > 0 {
@@ -84,8 +84,8 @@
 	return !needsMessage || messageAllowed
 }
 
-// probeDue reports whether batches are unsettled, but nothing was sent or acknowledged for so long that a channel probe
-// is due.
+// probeDue reports whether a channel probe is due: the last unsettled batch was sent at least channelProbeSeconds ago.
+// Each probe since the last acknowledgement extends this time, up to maxChannelProbeBackoff intervals.
 func (f *flowControl) probeDue(now float64) bool {
 	batches := f.account.batches
 	if len(batches) == 0 {
@@ -135,7 +135,7 @@
 // InFlight returns an upper bound of the number of entries in flight to the proxies.
 func (p *Planner) InFlight() float64 { return p.flow.account.entries }
 
-// CommandsAccepted records that the call with a nonce was accepted, that is its commands were carried out.
+// CommandsAccepted records that the call with a nonce was accepted, which means that its commands were carried out.
 func (p *Planner) CommandsAccepted(now float64, nonce int) {
 	p.now = now
 	p.flow.account.accept(nonce)
--- a/planner/flowcontrol_test.go
+++ b/planner/flowcontrol_test.go
@@ -46,28 +46,28 @@
 func TestRetriedCallCountsTwice(t *testing.T) {
 	config := testConfig()
 	tr := newTrace(t, config, 4)
-	sayInFlight := func(when string) { tr.logf("%s: %.0f lines wait", when, tr.planner.flow.account.entries) }
+	traceInFlight := func(when string) { tr.logf("%s: %.0f lines wait", when, tr.planner.flow.account.entries) }
 	tr.run(1)
-	sayInFlight("calm")
+	traceInFlight("calm")
 	tr.withholdAcks = true
 	tr.planner.UpdateEndpoints(tr.now, []Endpoint{{Node: 2, Zone: 1, State: Draining}})
-	sayInFlight("node 2 drains")
+	traceInFlight("node 2 drains")
 	retriedNonce := tr.nonce
 	tr.planner.CommandsRetried(tr.now, retriedNonce, true)
-	sayInFlight("repeated")
+	traceInFlight("repeated")
 	tr.planner.CommandsAccepted(tr.now, retriedNonce)
 	for p := range 2 {
 		tr.planner.Acknowledged(tr.now, p, retriedNonce)
 	}
-	sayInFlight("confirmed, for all one knows the first time")
+	traceInFlight("confirmed, for all one knows the first time")
 	tr.now += 0.1
 	tr.planner.UpdateEndpoints(tr.now, []Endpoint{{Node: 1, State: Draining}})
-	sayInFlight("node 1 drains")
+	traceInFlight("node 1 drains")
 	for p := range 2 {
 		tr.planner.Acknowledged(tr.now, p, tr.nonce)
 	}
 	tr.planner.CommandsAccepted(tr.now, tr.nonce)
-	sayInFlight("confirmed")
+	traceInFlight("confirmed")
 	tr.check()
 }
 
--- a/planner/host.go
+++ b/planner/host.go
@@ -27,7 +27,8 @@
 	Subscribe()
 	// EndpointHealthChanged notifies the operators that an endpoint was ejected, is on probation, or is healthy again.
 	EndpointHealthChanged(node uint32, health Health)
-	// ThrottlingChanged notifies the operators that some admission level is now below 1, or that none is any longer.
+	// ThrottlingChanged notifies the operators that a work budget now limits the admission levels, or that none does any
+	// longer.
 	ThrottlingChanged(active bool)
 }
 
--- a/planner/inflight.go
+++ b/planner/inflight.go
@@ -36,7 +36,7 @@
 }
 
 // batch describes the commands of one event loop iteration, which share one nonce. Batches that were sent in the same
-// call are merged into the last one of them.
+// call are merged into the last one of them. A batch is settled once it was accepted and has no entries in flight.
 type batch struct {
 	nonce int
 	at    float64 // s, time of the iteration
@@ -61,7 +61,7 @@
 	// split reports whether the call may have been sent in two parts, which repeated accounts for.
 	split bool
 
-	// accepted reports whether the call with the batch was accepted, that is its commands were carried out.
+	// accepted reports whether the call with the batch was accepted, which means that its commands were carried out.
 	accepted bool
 }
 
@@ -275,7 +275,7 @@
 	return slices.IndexFunc(a.batches, func(b batch) bool { return b.nonce%nonceModulo == nonce })
 }
 
-// dropSettled drops batches that were accepted and have no entries in flight.
+// dropSettled drops the settled batches.
 func (a *inFlightAccount) dropSettled() {
 	a.batches = slices.DeleteFunc(a.batches, func(b batch) bool {
 		return b.accepted && len(b.unacknowledgedEntries) == 0 && b.repeated == 0
--- a/planner/load.go
+++ b/planner/load.go
@@ -121,7 +121,7 @@
 // be throttled.
 func (s *loadStatistics) measureFleet(in fleetInput) fleetLoad {
 	var fleet fleetLoad
-	latency := 0.0 // in latency objectives
+	latency := 0.0 // sum over the succeeded attempts, in latency objectives
 	for i := range in.endpoints {
 		e := &in.endpoints[i]
 		if e.state != Ready || e.health == Ejected {
--- a/planner/proxies.go
+++ b/planner/proxies.go
@@ -15,8 +15,8 @@
 
 // proxyRegistry holds the proxies, indexed by number.
 type proxyRegistry struct {
-	all     []proxy
-	unbound []int // proxies that joined and wait to be bound, in the order of joining
+	all       []proxy
+	bindQueue []int // proxies that joined and wait to be bound, also for a second time, in the order of joining
 }
 
 // grow extends the registry to include the given proxy number.
@@ -37,13 +37,14 @@
 	return numbers
 }
 
-// dequeue removes a proxy from the queue of proxies that wait to be bound.
+// dequeue removes a proxy from the bind queue.
 func (r *proxyRegistry) dequeue(number int) {
-	r.unbound = slices.DeleteFunc(r.unbound, func(queued int) bool { return queued == number })
+	r.bindQueue = slices.DeleteFunc(r.bindQueue, func(queued int) bool { return queued == number })
 }
 
 // ProxyJoined handles the connection of a proxy's stream. rate is the number of requests a second that the proxy
-// usually receives. The proxy is always bound to a table, as it may hold the table of another controller.
+// usually receives. The planner, unless it is inactive, binds the proxy to a table even if the proxy was bound before,
+// as it may hold the table of another controller.
 func (p *Planner) ProxyJoined(now float64, proxy, zone int, rate float64) {
 	p.now = now
 	p.proxies.grow(proxy)
@@ -52,8 +53,8 @@
 		// A connected proxy is announced again after a gap in the proxy watch. Its stream may never have broken. In
 		// that case its entries are still in flight, and releasing them would overrun the channel; it also continues
 		// to receive its table's entries.
-		if !slices.Contains(p.proxies.unbound, proxy) {
-			p.proxies.unbound = append(p.proxies.unbound, proxy)
+		if !slices.Contains(p.proxies.bindQueue, proxy) {
+			p.proxies.bindQueue = append(p.proxies.bindQueue, proxy)
 		}
 		p.bindWaiting()
 		return
@@ -61,7 +62,7 @@
 	p.ProxyLeft(now, proxy)
 	p.connect(proxy, zone, rate)
 	if !p.inactive() {
-		p.proxies.unbound = append(p.proxies.unbound, proxy)
+		p.proxies.bindQueue = append(p.proxies.bindQueue, proxy)
 		p.bindWaiting()
 	}
 }
@@ -110,12 +111,12 @@
 // table, so the new members receive these as well. If the entries do not fit, the members keep the table as it was,
 // which is empty at the first list, and the entries are due again at each step.
 func (p *Planner) bindWaiting() {
-	for len(p.proxies.unbound) > 0 && len(p.endpoints.all) > 0 {
-		proxy := p.proxies.unbound[0]
+	for len(p.proxies.bindQueue) > 0 && len(p.endpoints.all) > 0 {
+		proxy := p.proxies.bindQueue[0]
 		if !p.flow.fits(p.bindCost(proxy)+p.config.MessageOverhead+1, bindQueueFraction) {
 			return
 		}
-		p.proxies.unbound = p.proxies.unbound[1:]
+		p.proxies.bindQueue = p.proxies.bindQueue[1:]
 		p.bind(proxy)
 	}
 }
--- a/planner/publication.go
+++ b/planner/publication.go
@@ -13,8 +13,8 @@
 	// minWeightChangeFraction is the fraction by which a weight must change before its entry is published
 	// (docs/design.md).
 	minWeightChangeFraction = 0.10
-	// maxMisplacedFraction is the fraction of a table's requests that may be misplaced, that is sent to other endpoints
-	// than desired, before the table is published immediately.
+	// maxMisplacedFraction is the fraction of a table's requests that may be misplaced, that is, sent to other
+	// endpoints than desired, before the table is published immediately.
 	maxMisplacedFraction = 0.25
 )
 
@@ -75,23 +75,23 @@
 	return allPublished
 }
 
-// urgentEntries returns the changed entries of a table that deviates far from the desired one: none of its entries
-// stays, more than maxMisplacedFraction of its requests are misplaced, or it overloads an endpoint. For any other table
-// it returns nil.
+// urgentEntries returns the changed entries of a table that deviates far from the desired one: none of its published
+// entries is retained, more than maxMisplacedFraction of its requests are misplaced, or it overloads an endpoint. For
+// any other table it returns nil.
 func (p *Planner) urgentEntries(table *routingTable) []int {
-	misplacedFraction, stayingWeight := table.misplaced()
+	misplacedFraction, retainedWeight := table.misplaced()
 	warmingUp := func(i int) bool { return p.slowStart.warmingUp(p.now, p.endpoints.all[i].startTime) }
-	if stayingWeight == 0 || misplacedFraction > maxMisplacedFraction || table.overloads(stayingWeight, warmingUp) {
+	if retainedWeight == 0 || misplacedFraction > maxMisplacedFraction || table.overloads(retainedWeight, warmingUp) {
 		return table.changedEntries(minWeightChangeFraction)
 	}
 	return nil
 }
 
 // misplacedRequests returns the rate, in requests a second, at which a subset's members send requests to other
-// endpoints than desired. It is +Inf if there are members and no entry of their table stays.
+// endpoints than desired. It is +Inf if there are members and no published entry of their table is retained.
 func (p *Planner) misplacedRequests(s *subset) float64 {
-	misplacedFraction, stayingWeight := s.table.misplaced()
-	if stayingWeight == 0 && len(s.members) > 0 {
+	misplacedFraction, retainedWeight := s.table.misplaced()
+	if retainedWeight == 0 && len(s.members) > 0 {
 		return math.Inf(1)
 	}
 	return misplacedFraction * s.demand
@@ -128,7 +128,7 @@
 		p.publishNextStage()
 		return
 	}
-	if p.now < p.publication.nextAt || len(p.proxies.unbound) > 0 || !p.flow.idle() {
+	if p.now < p.publication.nextAt || len(p.proxies.bindQueue) > 0 || !p.flow.idle() {
 		return
 	}
 	p.planTables()
--- a/planner/retrypolicy.go
+++ b/planner/retrypolicy.go
@@ -6,8 +6,7 @@
 // It guards against retries that keep a saturated fleet saturated: attempts outnumber requests, and latencies stay high
 // after the cause is resolved. Proxies do not retry while the fleet is saturated, so each request is a single attempt.
 type retryControl struct {
-	// saturated is initially true until reports show otherwise, as the controller may have restarted during an
-	// overload.
+	// saturated is true until reports show otherwise, as the controller may have restarted during an overload.
 	saturated bool
 }
 
--- a/planner/slowstart.go
+++ b/planner/slowstart.go
@@ -3,7 +3,7 @@
 const (
 	// minSlowStartFraction is the fraction of its weight that a new process starts with (docs/design.md).
 	minSlowStartFraction = 0.25
-	// maxSlowStartDamping is the upper bound of the slow-start damping for each unit of Config.OverloadMultiple.
+	// maxSlowStartDamping, multiplied by Config.OverloadMultiple, is the upper bound of the slow-start damping.
 	maxSlowStartDamping = 0.25
 	// minCapacityFraction is the minimum fraction of an endpoint's capacity that damping or failed attempts leave. The
 	// endpoint must get some requests that show how it performs.
@@ -30,9 +30,10 @@
 // warmingUp reports whether slow start still reduces an endpoint's weight.
 func (s slowStart) warmingUp(now, startTime float64) bool { return s.fraction(now, startTime) < 1 }
 
-// damping returns the fraction of its slow-start fraction that a cold endpoint gets. Retries of attempts that other
-// endpoints rejected could overload a cold endpoint, so the damping falls with the square of the success ratio and with
-// the fleet's saturation. While the success ratio is unknown, it is minSlowStartFraction.
+// damping returns a factor, at most 1, that applies to the capacity of a cold endpoint in addition to its slow-start
+// fraction. Retries of attempts that other endpoints rejected could overload a cold endpoint, so the factor falls with
+// the square of the success ratio and as the fleet's saturation rises. While the success ratio is unknown, it is
+// minSlowStartFraction.
 func (s slowStart) damping(successRatio, saturation float64) float64 {
 	factor := minSlowStartFraction
 	if successRatio > 0 {
--- a/planner/tables.go
+++ b/planner/tables.go
@@ -63,7 +63,7 @@
 }
 
 // misplaced returns the fraction of the table's requests that are sent to other endpoints than desired, and the sum of
-// the published weights of the entries that remain in the desired table.
+// the published weights of the retained entries, which are those that the desired table contains as well.
 func (t *routingTable) misplaced() (fraction, retainedWeight float64) {
 	for i, weight := range t.published {
 		if t.desired[i] > 0 {
--- a/planner/types.go
+++ b/planner/types.go
@@ -71,11 +71,11 @@
 	Seed             uint64 // seed of random decisions
 	Zones            int
 	MachineTypes     int
-	Controllers      int
+	Controllers      int  // number of controllers, which share the endpoints
 	Proxies          int  // number of proxies of all controllers
 	LocalZoneProxies bool // whether a proxy joins a controller of its own zone if there is one
 	Routes           []Route
-	Sharded          bool // whether a store distributes the tables in slices, so that the planner is inactive
+	Sharded          bool // whether a store distributes the tables in shards, so that the planner is inactive
 	MustSubscribe    bool // whether changes of the endpoint list arrive only after Host.Subscribe
 
 	SubscribeTimeout float64 // s, time limit of a subscription
@@ -93,15 +93,15 @@
 
 	ReportInterval   float64 // s, between two load reports on an endpoint
 	SlowStartWindow  float64 // s, from the start of an endpoint's process until it is warm
-	OverloadMultiple float64 // load that overloads a cold endpoint, as a multiple of its present capacity
+	OverloadMultiple float64 // load that overloads a cold endpoint, as a multiple of its current capacity
 }
 
 // Endpoint is an entry of the endpoint list.
 type Endpoint struct {
-	Node        uint32 // number that identifies it in commands
-	MachineType int    // from 0, less than Config.MachineTypes
-	Zone        int    // from 0, less than Config.Zones
-	Weight      float64
+	Node        uint32  // number that identifies it in commands
+	MachineType int     // from 0, less than Config.MachineTypes
+	Zone        int     // from 0, less than Config.Zones
+	Weight      float64 // capacity relative to other endpoints; 0 or less counts as 1
 	State       EndpointState
 	StartTime   float64 // s, when its process started; 0 if that is long past
 }
--- a/planner/unseendemand.go
+++ b/planner/unseendemand.go
@@ -27,7 +27,8 @@
 		unseenProxies[k] = max(0, proxies*loads[k].capacity/totalCapacity-members)
 		totalUnseenProxies += unseenProxies[k]
 	}
-	// The more saturated the endpoints that serve our proxies are, the more likely others have capacity left.
+	// The more saturated the endpoints that serve this controller's proxies are, the more likely others have capacity
+	// left, so the less unseen demand is assumed.
 	weight := max(0, min(1, (saturatedLatencyRatio-p.load.saturation)/(saturatedLatencyRatio-relievedLatencyRatio)))
 	unseenDemand := weight * p.baselineRate() / (seenProxies + unseenDemandPriorProxies) * max(0, proxies-seenProxies)
 	for k := range loads {
