--- a/controller/endpoints.go
+++ b/controller/endpoints.go
@@ -12,7 +12,7 @@
 type Endpoint struct {
 	Node, Zone, MachineType string
 	State                   planner.EndpointState
-	Weight                  float64
+	Weight                  float64 // capacity relative to other nodes; 0 or less counts as 1
 	StartTime               float64 // s; Unix time of the machines' clocks; 0 if the node started long ago
 }
 
@@ -54,7 +54,7 @@
 func (l *eventLoop) numberEndpoints(endpoints []Endpoint) []planner.Endpoint {
 	wallOffset := l.clock.wallOffset()
 	numbered := make([]planner.Endpoint, 0, len(endpoints))
-	var assigned []string // logged because the planner's log messages refer to nodes by number
+	var assigned []string // logged because the planner identifies nodes only by number
 	for _, endpoint := range endpoints {
 		zone, zoneKnown := l.names.zones[endpoint.Zone]
 		machineType, machineTypeKnown := l.names.machineTypes[endpoint.MachineType]
--- a/controller/loop.go
+++ b/controller/loop.go
@@ -15,12 +15,13 @@
 )
 
 const (
-	maxQueuedEvents       = 1024 // the reports of one second while all proxies join; post blocks when the queue is full
-	maxEventsPerIteration = 4096 // bounds an iteration, so that commands are also sent under a flood of events
-	maxStepDelay          = time.Hour
+	maxQueuedEvents       = 1024      // the reports of one second while all proxies join; post blocks while it is full
+	maxEventsPerIteration = 4096      // bounds an iteration, so that commands are also sent under a flood of events
+	maxStepDelay          = time.Hour // timer delay while no step is due
 
-	// While discovery is unavailable, proxies keep using their current tables. They are bound when an endpoint list
-	// arrives. A restart may take 10 s in total.
+	// readinessTimeout is the time after which the controller is ready even without an endpoint list, because discovery
+	// may be unavailable. Proxies that join then keep their current tables and are bound when a list arrives. The timeout
+	// is part of the 10 s that a restart may take in total.
 	readinessTimeout = 5 * time.Second
 )
 
@@ -169,7 +170,7 @@
 	if l.readyClosed {
 		return
 	}
-	l.log.Warn("readiness timeout expired without an endpoint list")
+	l.log.Warn("readiness timeout expired without an endpoint list; controller marked as ready")
 	l.setReady()
 }
 
--- a/controller/proxies.go
+++ b/controller/proxies.go
@@ -22,7 +22,7 @@
 	joined         map[int]bool // by number
 	unconfirmed    map[int]bool // joined proxies that the current watch has not reported yet
 	gapless        bool         // whether the current watch is gapless
-	ignoreNextSync bool         // because the watch before a gapless one may still report proxies
+	ignoreNextSync bool         // set when a gapless watch begins: see ProxyWatchSynced
 }
 
 func newProxyTracker(limit int) proxyTracker {
@@ -104,7 +104,7 @@
 	zoneNumber, zoneKnown := l.names.zones[zone]
 	if !zoneKnown || !l.proxies.inRange(proxy) {
 		l.unknown.Proxies.Add(1)
-		l.log.Warn("proxy rejected: unknown number or zone", zap.Int("proxy", proxy), zap.String("zone", zone))
+		l.log.Warn("proxy rejected: number out of range or unknown zone", zap.Int("proxy", proxy), zap.String("zone", zone))
 		return
 	}
 	if l.proxies.onSameStream(proxy) {
--- a/settings/doc.go
+++ b/settings/doc.go
@@ -6,8 +6,9 @@
 // numbers. It rejects values that no controller can work with and returns a *ValueError for them. Package config
 // creates its own Deployment for installations without the platform.
 //
-// If shards is greater than 0, the planner is inactive (see planner.Config), because a store distributes the tables.
+// If shards is greater than 0, the planner is inactive (see planner.Config), because a store outside the controller
+// distributes the tables.
 //
-// The keys and words of the document are defined by the platform. raw.go maps them to the project's terms; validate.go
+// The keys and values of the document are defined by the platform. raw.go maps them to the project's terms; validate.go
 // also uses the keys, in error messages.
 package settings
--- a/settings/validate.go
+++ b/settings/validate.go
@@ -65,7 +65,8 @@
 		}
 		reserved := l.usedInCommands && (name == "" || name == "*")
 		if reserved || strings.ContainsAny(name, l.forbidden) {
-			return &ValueError{Key: key, Value: name, Reason: fmt.Sprintf("commands and watch events cannot carry the name %q", name)}
+			return &ValueError{Key: key, Value: name, Reason: fmt.Sprintf(
+				`commands and watch events cannot carry the name %q: it is empty, "*" or contains one of %q`, name, l.forbidden)}
 		}
 		seen[name] = true
 	}
@@ -144,12 +145,13 @@
 		{
 			extra.MaxMessages > 0 && extra.MaxMessages < 2,
 			"extra.reloads-max", extra.MaxMessages,
-			"must be 0 or at least 2: the message that binds a proxy leaves none for a drain",
+			fmt.Sprintf("must be 0 or at least 2, got %g: a bind takes one message and leaves none to remove a draining endpoint",
+				extra.MaxMessages),
 		},
 		{
 			extra.MaxMessages > 0 && extra.MessageWindow == 0,
 			"extra.counted-over-ns", extra.MessageWindow,
-			"must be greater than 0 if extra.reloads-max is set",
+			"must be greater than 0 if extra.reloads-max is set, got 0",
 		},
 	} {
 		if rule.violated {
