--- a/config/agreed.go
+++ b/config/agreed.go
@@ -65,7 +65,7 @@
 // error names the record that cannot be decoded.
 func AgreedFromRecords(list []*records.Record) (*Agreed, error) {
 	a := &Agreed{Records: list, Overrides: map[string]planner.EndpointState{}}
-	for _, record := range sortForText(list) {
+	for _, record := range sortByPrecedence(list) {
 		var err error
 		switch record.Kind {
 		case records.KindRoute:
@@ -104,9 +104,9 @@
 	return nil
 }
 
-// AgreedFromFollower returns the configuration that consists of the records accepted by a follower. Most of them may be
-// tenants, which are skipped before sorting. It returns an error if a record cannot be decoded or if two routes have
-// the same prefix.
+// AgreedFromFollower returns the configuration that consists of the records accepted by a follower. It
+// decodes and sorts only routes and overrides, because most of the records may be tenants. It returns an error if a
+// record cannot be decoded or if two routes have the same prefix.
 func AgreedFromFollower(accepted map[records.Key]*records.Record) (*Agreed, error) {
 	var list []*records.Record
 	for key, record := range accepted {
--- a/config/agreed_format.go
+++ b/config/agreed_format.go
@@ -27,7 +27,7 @@
 		return ""
 	}
 	byKind := map[records.Kind][]string{}
-	for _, record := range sortForText(list) {
+	for _, record := range sortByPrecedence(list) {
 		byKind[record.Kind] = append(byKind[record.Kind], FormatRecord(record))
 	}
 	var text strings.Builder
@@ -41,8 +41,9 @@
 	return text.String()
 }
 
-// sortForText orders routes by prefix, longer prefixes first, and all other records by key.
-func sortForText(list []*records.Record) []*records.Record {
+// sortByPrecedence returns the records with routes in the order in which they are matched (longer prefixes first), and
+// all other records in the order of their keys.
+func sortByPrecedence(list []*records.Record) []*records.Record {
 	prefixes := map[*records.Record]string{}
 	for _, record := range list {
 		if spec, err := record.Route(); err == nil && record.Kind == records.KindRoute {
--- a/config/agreed_reader.go
+++ b/config/agreed_reader.go
@@ -12,7 +12,7 @@
 // recordReader reads nodes that define records.
 type recordReader struct {
 	*reader
-	lineOf  map[records.Key]int // the line on which each record is defined
+	lineOf  map[records.Key]int // the line on which each record is defined or removed
 	records []*records.Record
 }
 
@@ -38,7 +38,7 @@
 	r.records = append(r.records, record)
 }
 
-// readRouteRecord reads a route. No preceding route may have a prefix that includes the prefix of this one.
+// readRouteRecord reads a route. A route whose prefix begins with the prefix of a preceding route is a fault.
 func (r *recordReader) readRouteRecord(n *kdl.Node, preceding []xds.Route) xds.Route {
 	service := r.extractName(n, "service")
 	faultsBefore := len(r.faults)
--- a/config/controller.go
+++ b/config/controller.go
@@ -65,7 +65,7 @@
 	})
 	r.checkRequired(top,
 		requirement{"listen", c.Listen == ""},
-		requirement{"nodes or nodes-from", (c.NodesFile == "") == (c.NodeService == "")},
+		requirement{"exactly one of nodes and nodes-from", (c.NodesFile == "") == (c.NodeService == "")},
 		requirement{"zone", len(d.Zones) == 0},
 		requirement{"route", len(d.Routes) == 0},
 	)
--- a/config/controller_defaults.go
+++ b/config/controller_defaults.go
@@ -22,9 +22,9 @@
 	defaultMaxInFlightEntries     = 400000.0
 	defaultMessageOverheadEntries = 1.0
 	defaultMessageWindowSeconds   = 10.0
-	// inFlightLevelSets is the number of complete sets of admission levels, one for each route and sidecar, that fit in
-	// flight if no flow control is stated. It exceeds 1 because the planner fills at most four fifths of the entries in
-	// flight, and sends a subset either all of its levels or none.
+	// inFlightLevelSets states how many times the admission levels of all routes at all sidecars fit in flight if the
+	// configuration states no flow control. It exceeds 1 because the planner fills at most four fifths of the entries
+	// in flight, and sends a subset either all of its levels or none.
 	inFlightLevelSets = 1.5
 )
 
--- a/config/faults_test.go
+++ b/config/faults_test.go
@@ -33,7 +33,7 @@
 		with("group {\n id 1\n}"):                                                       `line 6: "group" requires "data"`,
 		with(`group { id 4; listen "127.0.0.1:3"; data "d"; member 1 "127.0.0.1:3"; }`): `line 6: member 4 must be in the list of members`,
 		with(`group { id 1; listen "127.0.0.1:3"; data "d"; member 1 "127.0.0.1:3"; member 1 "127.0.0.1:4"; }`): `line 6: duplicate member 1`,
-		with(`nodes-from "127.0.0.1:9" cluster="x"`):                                                            `requires "nodes or nodes-from"`,
+		with(`nodes-from "127.0.0.1:9" cluster="x"`):                                                            `requires "exactly one of nodes and nodes-from"`,
 		with(`nodes-from "127.0.0.1:9"`):                                                                        `line 6: "nodes-from" requires "cluster"`,
 		with(`zone "`):                                                                                          "line 6",
 	} {
--- a/config/follower.go
+++ b/config/follower.go
@@ -68,7 +68,7 @@
 	}
 	if c.Group != nil {
 		index := slices.IndexFunc(top.Children, func(n *kdl.Node) bool { return n.Name == "follow" })
-		r.faults.Add(top.Children[index].Line, "a conductor must be either a member of a group (%q) or a follower (%q), not both", "group", "follow")
+		r.faults.Add(top.Children[index].Line, "a controller must be either a member of a group (%q) or a follower (%q), not both", "group", "follow")
 	}
 	if !c.Follower.Scope.All && len(c.Follower.Scope.Zones) == 0 {
 		c.Follower.Scope.Zones = slices.Clone(c.Deployment.Zones)
--- a/config/follower_test.go
+++ b/config/follower_test.go
@@ -56,7 +56,7 @@
 		"follow {\nmember \"127.0.0.1:2\"\nlease-ms 3001\n}":             `line 8: value in "lease-ms" must be a number from 300 to 3000, got 3001`,
 		`follow { member "127.0.0.1:2"; everything; zone "north"; }`:     `line 6: "follow" must have either "everything" or services and zones`,
 		"follow { member \"127.0.0.1:2\"; }\nfollow { member \"x:2\"; }": `line 7: duplicate key "follow"`,
-		"group { id 1; listen \"127.0.0.1:3\"; data \"d\"; member 1 \"127.0.0.1:3\"; }\nfollow { member \"127.0.0.1:2\"; }": `line 7: a conductor must be either a member of a group`,
+		"group { id 1; listen \"127.0.0.1:3\"; data \"d\"; member 1 \"127.0.0.1:3\"; }\nfollow { member \"127.0.0.1:2\"; }": `line 7: a controller must be either a member of a group`,
 	} {
 		if _, err := readControllerWithLines(t, lines); err == nil || !strings.Contains(err.Error(), want) {
 			t.Errorf("%s: got error %v, want %q", lines, err, want)
--- a/config/nodes.go
+++ b/config/nodes.go
@@ -16,8 +16,8 @@
 	Address xds.Address
 }
 
-// endpointListReader reads a list of nodes.
-type endpointListReader struct {
+// nodeListReader reads a list of nodes.
+type nodeListReader struct {
 	*reader
 	controller  *Controller
 	nodes       []Node
@@ -33,7 +33,7 @@
 	}
 	var nodes []Node
 	err := read(c.NodesFile, func(r *reader, topNodes []*kdl.Node) {
-		list := endpointListReader{reader: r, controller: c, nameLine: map[string]int{}, addressLine: map[xds.Address]int{}}
+		list := nodeListReader{reader: r, controller: c, nameLine: map[string]int{}, addressLine: map[xds.Address]int{}}
 		for _, n := range topNodes {
 			list.readNode(n)
 		}
@@ -43,7 +43,7 @@
 }
 
 // readNode reads one node of the list.
-func (l *endpointListReader) readNode(n *kdl.Node) {
+func (l *nodeListReader) readNode(n *kdl.Node) {
 	if n.Name != listedNode {
 		l.faults.Add(n.Line, "unexpected node %q, want \"node\"", n.Name)
 		return
@@ -73,7 +73,7 @@
 }
 
 // readZone reads the zone of a node, which must be one of the controller's zones.
-func (l *endpointListReader) readZone(n *kdl.Node, node *Node) {
+func (l *nodeListReader) readZone(n *kdl.Node, node *Node) {
 	v, present := n.Properties["zone"]
 	if !present {
 		l.faults.Add(n.Line, "node %q has no zone", node.Node)
@@ -85,7 +85,7 @@
 }
 
 // readMachineType reads the machine type of a node, if there is one. It must be one of the controller's machine types.
-func (l *endpointListReader) readMachineType(n *kdl.Node, node *Node) {
+func (l *nodeListReader) readMachineType(n *kdl.Node, node *Node) {
 	v, present := n.Properties["kind"]
 	if !present {
 		return
@@ -96,7 +96,7 @@
 }
 
 // readAddress reads the address of a node, which must be unique.
-func (l *endpointListReader) readAddress(n *kdl.Node, node *Node) {
+func (l *nodeListReader) readAddress(n *kdl.Node, node *Node) {
 	v, present := n.Properties["address"]
 	if !present {
 		l.faults.Add(n.Line, "node %q has no address", node.Node)
@@ -116,7 +116,7 @@
 }
 
 // readState reads the state of a node, ready or draining.
-func (l *endpointListReader) readState(n *kdl.Node, node *Node) {
+func (l *nodeListReader) readState(n *kdl.Node, node *Node) {
 	v, present := n.Properties["state"]
 	if !present {
 		return
--- a/config/record_writes.go
+++ b/config/record_writes.go
@@ -17,9 +17,10 @@
 	HasRevision bool // the file states the revision that the write expects
 }
 
-// ParseRecordWrites parses a file of records that are written in one transaction. It has the nodes route, service,
-// tenant and override of an agreed configuration, and remove "kind/name". Each can state, with revision=, the revision
-// that the record must have; 0 means that the record must not exist. The error is of type kdl.Faults.
+// ParseRecordWrites parses the text of a file of records that are written in one transaction. A node sets a record
+// (route, service, tenant or override, as in an agreed configuration) or removes one (remove "kind/name"). The property
+// revision states the revision that the record must have; 0 means that the record must not exist. The error is of type
+// kdl.Faults.
 func ParseRecordWrites(text string) (writes []RecordWrite, err error) {
 	nodes, err := kdl.Parse(text)
 	if err != nil {
--- a/config/route.go
+++ b/config/route.go
@@ -40,7 +40,8 @@
 }
 
 // readRoute reads a route. preceding holds the routes before it in the document, extra the readers of the settings
-// that only one kind of configuration has. A route that exceeds the limit is not read; the first of them is a fault.
+// that only one kind of configuration has. Routes beyond xds.MaxRoutes are not read; only the first of them adds a
+// fault.
 func (r *reader) readRoute(n *kdl.Node, preceding []xds.Route, extra routeReaders) xds.Route {
 	route := xds.Route{Name: r.onlyString(n)}
 	if len(preceding) >= xds.MaxRoutes {
--- a/config/validate.go
+++ b/config/validate.go
@@ -55,7 +55,7 @@
 	if len(agreed.Routes) > 0 || previous != nil && len(previous.Routes) > 0 {
 		reasons = c.routeFaults(agreed.Routes)
 	}
-	if len(nodes) > 0 && !agreed.leavesReadyNode(nodes) { // an empty list has not been received yet
+	if len(nodes) > 0 && !agreed.leavesReadyNode(nodes) { // an empty list means that none has been received yet
 		reasons = append(reasons, noReadyNode)
 	}
 	return newUnusableError(reasons)
--- a/internal/daemon/agreed.go
+++ b/internal/daemon/agreed.go
@@ -37,12 +37,13 @@
 		return
 	}
 	if err := w.validateAgreed(agreed); err != nil {
-		w.log.Error("agreed configuration is invalid at this controller", zap.Uint64("number", view.Revision), zap.Error(err))
+		w.log.Error("agreed configuration is invalid at this controller, applying it anyway", zap.Uint64("number", view.Revision), zap.Error(err))
 	}
 	w.publish(view.RoutingRevision, agreed)
 }
 
-// validateAgreed returns an error if agreed configuration is invalid with the settings and the current list of nodes.
+// validateAgreed returns an error if the agreed configuration is invalid with the settings and the current list of
+// nodes.
 func (w *watcher) validateAgreed(agreed *config.Agreed) error {
 	w.stateLock.Lock()
 	defer w.stateLock.Unlock()
@@ -50,7 +51,8 @@
 }
 
 // publish puts routes and overrides into effect if they differ from those in effect, and reports whether any of them
-// changed. Most revisions change neither. If no route has been agreed on, the controller's own routes stay in effect.
+// changed. Routes also count as changed if only their revision differs. Most revisions change neither routes nor
+// overrides. If no route has been agreed on, the controller's own routes stay in effect.
 //
 // revision is the routing revision, which is the same at all controllers of a scope even if they have received
 // different revisions. Sidecars reject routes whose revision is lower than one they have accepted, even from another
--- a/internal/daemon/followerrole.go
+++ b/internal/daemon/followerrole.go
@@ -78,8 +78,8 @@
 	return nil
 }
 
-// apply puts an accepted revision into effect. Sidecars are updated only if routes or overrides differ, which most
-// revisions do not change.
+// apply puts an accepted revision into effect. Sidecars are updated only if routes or overrides differ; most revisions
+// change neither.
 func (f *followerRole) apply(revision uint64, _ map[records.Key]*records.Record) {
 	f.revision.Store(revision)
 	if f.candidate == nil || !f.watcher.publish(f.client.RoutingRevision(), f.candidate) {
--- a/internal/daemon/followerservice.go
+++ b/internal/daemon/followerservice.go
@@ -35,5 +35,6 @@
 	return &followerService{service: service, guard: guard}
 }
 
-// run pauses the service while the member knows no leader. It returns when ctx is canceled.
+// run pauses the service when the member has known no leader for the duration of a lease, and resumes it when a leader
+// is known. It returns when ctx is canceled.
 func (f *followerService) run(ctx context.Context) { f.guard.Run(ctx) }
--- a/internal/daemon/memberrole.go
+++ b/internal/daemon/memberrole.go
@@ -29,8 +29,8 @@
 	watcher         *watcher
 }
 
-// newMemberRole opens the Raft log and creates the member. If the log cannot be used, it returns an error of package
-// raftlog.
+// newMemberRole opens the Raft log, creates the member and listens at its address. If the log cannot be used, the error
+// is that of raftlog.Open.
 func newMemberRole(group *config.Group, w *watcher, certificates *certs.Reloader, log *zap.Logger) (*memberRole, error) {
 	raftLog, saved, err := raftlog.Open(group.DataFolder)
 	if err != nil {
--- a/internal/daemon/role.go
+++ b/internal/daemon/role.go
@@ -11,7 +11,7 @@
 
 // role is the role of the controller in a group that agrees on configuration.
 type role interface {
-	// run fulfills the role until ctx is canceled. If it returns an error, the controller must stop.
+	// run runs the role until ctx is canceled. If it returns an error, the controller must stop.
 	run(ctx context.Context) error
 }
 
--- a/internal/daemon/watcher.go
+++ b/internal/daemon/watcher.go
@@ -19,7 +19,7 @@
 // reloadInterval is the interval at which the file of nodes and the certificates are checked for changes.
 const reloadInterval = time.Second
 
-// errNoNodes is the error of a file of nodes that lists none; the previous list stays in effect.
+// errNoNodes is logged when the file of nodes lists none; the previous list stays in effect.
 var errNoNodes = errors.New("the list contains no nodes")
 
 // watcher applies changed lists of nodes, changed certificates and agreed configuration while the program runs. If a
@@ -112,7 +112,7 @@
 }
 
 // applyReceivedList applies a list received from the service that provides the list of nodes.
-func (w *watcher) applyReceivedList(revision string, endpoints []transport.Endpoint) {
+func (w *watcher) applyReceivedList(version string, endpoints []transport.Endpoint) {
 	var nodes []config.Node
 	for _, endpoint := range endpoints {
 		nodes = append(nodes, config.Node{
@@ -127,7 +127,7 @@
 		})
 	}
 	w.setListedNodes(nodes)
-	w.log.Info("list of nodes received", zap.String("version", revision), zap.Int("nodes", len(nodes)))
+	w.log.Info("list of nodes received", zap.String("version", version), zap.Int("nodes", len(nodes)))
 	w.applyNodes()
 }
 
