--- a/cmd/harehookctl/check.go
+++ b/cmd/harehookctl/check.go
@@ -52,7 +52,7 @@
 		}}
 }
 
-// checkFile validates a file as the kind that its top-level node states.
+// checkFile validates a file as the kind that its top nodes determine.
 func checkFile(file string) (kind string, err error) {
 	if kind, err = config.FileKind(file); err != nil {
 		return "", err
@@ -65,14 +65,14 @@
 		return "list of nodes, checked with its conductor", nil
 	case "conductor":
 	default:
-		return "", fmt.Errorf("%s: file must be the configuration of a conductor, that of a sidecar, or a list of nodes", file)
+		return "", fmt.Errorf("%s: file must be the configuration of a controller (top node \"conductor\"), that of a sidecar, or a list of nodes", file)
 	}
 	settings, err := config.ReadController(file)
 	if err != nil {
 		return "", err
 	}
 	if settings.NodeService != "" {
-		return kind, nil // discovery provides the nodes at run time
+		return kind, nil // an xDS service lists the nodes at run time
 	}
 	nodes, err := settings.ReadNodes()
 	if err != nil {
--- a/cmd/harehookctl/difference.go
+++ b/cmd/harehookctl/difference.go
@@ -22,7 +22,7 @@
 // differenceBySet compares the texts as sets of lines: it returns the lines that only from has, then those that only to
 // has. It needs memory in proportion to the number of lines, but ignores their order.
 func differenceBySet(from, to []string) (lines []string) {
-	missing := func(sign string, list, other []string) {
+	addMissing := func(sign string, list, other []string) {
 		has := make(map[string]bool, len(other))
 		for _, line := range other {
 			has[line] = true
@@ -33,8 +33,8 @@
 			}
 		}
 	}
-	missing("-", from, to)
-	missing("+", to, from)
+	addMissing("-", from, to)
+	addMissing("+", to, from)
 	return lines
 }
 
--- a/cmd/harehookctl/following.go
+++ b/cmd/harehookctl/following.go
@@ -52,7 +52,7 @@
 	if member == "" {
 		member = "none"
 	}
-	fmt.Fprintf(out, "%s: revision %d, follows %s, accepted %d, refused %d, moved %d times\n", report.Name, report.Revision, member,
+	fmt.Fprintf(out, "%s: revision %d, follows %s, accepted %d updates, rejected %d, %d failovers\n", report.Name, report.Revision, member,
 		report.Accepted, report.Rejected, report.Failovers)
 	if report.LastError != "" {
 		fmt.Fprintf(out, "last error of a stream to a member: %s\n", report.LastError)
--- a/cmd/harehookctl/group.go
+++ b/cmd/harehookctl/group.go
@@ -13,20 +13,20 @@
 	"harehook.dev/harehook/cluster"
 )
 
-// proposeTimeout bounds a call to a member, including the commit of a proposal.
-const proposeTimeout = 15 * time.Second
+// groupCallTimeout bounds a call to a member, including the commit of a proposal.
+const groupCallTimeout = 15 * time.Second
 
 // callGroup calls a method of a member of the group. Its errors carry an exit code: exitUnavailable if the member does
 // not answer in time, and exitFault otherwise.
-func callGroup[Out any](ctx context.Context, o *options, name string, in any) (out Out, err error) {
+func callGroup[Out any](ctx context.Context, o *options, method string, in any) (out Out, err error) {
 	conn, err := o.dial()
 	if err != nil {
 		return out, err
 	}
 	defer conn.Close()
-	ctx, stop := context.WithTimeout(ctx, proposeTimeout)
+	ctx, stop := context.WithTimeout(ctx, groupCallTimeout)
 	defer stop()
-	out, err = cluster.Call[Out](ctx, conn, name, in)
+	out, err = cluster.Call[Out](ctx, conn, method, in)
 	switch status.Code(err) {
 	case codes.OK:
 		return out, nil
--- a/cmd/harehookctl/history.go
+++ b/cmd/harehookctl/history.go
@@ -75,7 +75,7 @@
 		for _, arg := range args {
 			number, err := strconv.ParseUint(arg, 10, 64)
 			if err != nil {
-				return err
+				return fmt.Errorf("number of a version must be a non-negative integer, got %q", arg)
 			}
 			in.Texts = append(in.Texts, number)
 		}
@@ -104,7 +104,7 @@
 	at := slices.IndexFunc(versions, func(v cluster.Version) bool { return v.Number == number })
 	switch {
 	case at < 0:
-		return "", fault(fmt.Errorf("version %d is not retained", number))
+		return "", fault(fmt.Errorf("version %d is not retained; \"history\" lists the retained versions", number))
 	case versions[at].Text == "":
 		return "", fault(fmt.Errorf("text of version %d is not retained: too many changes since", number))
 	}
--- a/cmd/harehookctl/main.go
+++ b/cmd/harehookctl/main.go
@@ -1,6 +1,8 @@
 // Command harehookctl is the operators' command line. It validates configuration files, shows the versions that a
-// controller's sidecars have accepted and rejected, and reads and changes the agreed configuration of a group. Each
-// command is in the file of its name.
+// controller's sidecars have accepted and rejected, and reads and changes the agreed configuration of a group.
+//
+// Most commands are in the file of their name. The others are in changes.go (follow), history.go (config, diff),
+// propose.go (rollback) and members.go (lead).
 package main
 
 import (
@@ -24,7 +26,7 @@
 const (
 	exitFault       = 1 // the command found a fault, or its request was rejected
 	exitUsage       = 2 // invalid command, arguments or flags
-	exitUnavailable = 3 // the controller does not answer
+	exitUnavailable = 3 // the controller or member does not answer, or its group has no majority
 )
 
 const (
--- a/cmd/harehookctl/members.go
+++ b/cmd/harehookctl/members.go
@@ -49,7 +49,7 @@
 	return &cobra.Command{Use: "lead NUMBER", Short: "Transfer leadership to a member (--controller is the group address of the leader)", Args: cobra.ExactArgs(1), RunE: func(c *cobra.Command, args []string) error {
 		id, err := strconv.ParseUint(args[0], 10, 64)
 		if err != nil {
-			return err
+			return fmt.Errorf("number of a member must be a non-negative integer, got %q", args[0])
 		}
 		r, err := callGroup[cluster.StatusReport](c.Context(), o, "Members", cluster.MembershipRequest{Lead: id})
 		if err == nil && r.Status.Leader != id {
--- a/cmd/harehookctl/propose.go
+++ b/cmd/harehookctl/propose.go
@@ -76,7 +76,7 @@
 	c := &cobra.Command{Use: "rollback VERSION", Short: "Put an earlier version into effect under a new number", Args: cobra.ExactArgs(1), RunE: func(c *cobra.Command, args []string) error {
 		to, err := strconv.ParseUint(args[0], 10, 64)
 		if err != nil {
-			return err
+			return fmt.Errorf("number of a version must be a non-negative integer, got %q", args[0])
 		}
 		r, err := o.read(c.Context(), cluster.ReadRequest{Linearizable: true})
 		if err != nil {
--- a/cmd/harehookctl/sidecars.go
+++ b/cmd/harehookctl/sidecars.go
@@ -15,8 +15,8 @@
 	xdstransport "harehook.dev/harehook/xds/transport"
 )
 
-// fetch fetches the status of the sidecars from a controller. If withoutContents is set, the
-// response omits the contents of resources.
+// fetch fetches the status of the sidecars from a controller. If withoutContents is set, the response omits the
+// contents of resources.
 func (o *options) fetch(ctx context.Context, withoutContents bool) ([]*statusv3.ClientConfig, error) {
 	conn, err := o.dial()
 	if err != nil {
--- a/cmd/harehookctl/snapshot.go
+++ b/cmd/harehookctl/snapshot.go
@@ -18,9 +18,9 @@
 
 const savedHistoryFormat = 1
 
-// snapshot saves the history to a file and restores from one.
+// snapshot saves the retained versions to a file, and puts the last version of such a file into effect.
 func (o *options) snapshot() *cobra.Command {
-	c := &cobra.Command{Use: "snapshot", Short: "Save the agreed history to a file, or restore a saved one"}
+	c := &cobra.Command{Use: "snapshot", Short: "Save the retained versions to a file, or put the last version of such a file into effect"}
 	c.AddCommand(&cobra.Command{Use: "save FILE", Short: "Save the retained versions", Args: cobra.ExactArgs(1), RunE: func(c *cobra.Command, args []string) error {
 		r, err := o.read(c.Context(), cluster.ReadRequest{Linearizable: true, History: true})
 		if err != nil {
--- a/cmd/harehookctl/status.go
+++ b/cmd/harehookctl/status.go
@@ -37,7 +37,7 @@
 	s := r.Status
 	fmt.Fprintf(out, "member %d, leader %d, term %d, version in force %d, applied %d of %d, log of %d entries\n", s.ID, s.Leader, s.Term, s.Version, s.Applied, s.Commit, s.Entries)
 	if r.RejectedMessages > 0 {
-		fmt.Fprintf(out, "%d messages of another disk under a known number were refused\n", r.RejectedMessages)
+		fmt.Fprintf(out, "%d messages were rejected: their sender uses another disk than the one registered for its number\n", r.RejectedMessages)
 	}
 	w := tabwriter.NewWriter(out, 0, 4, 2, ' ', 0)
 	fmt.Fprintln(w, "MEMBER\tROLE\tADDRESS\tDISK\tBEHIND")
--- a/internal/testbed/fleet.go
+++ b/internal/testbed/fleet.go
@@ -29,7 +29,7 @@
 	options := &fleetOptions{}
 	command := &cobra.Command{
 		Use:   "fleet [EXPERIMENT.kdl]",
-		Short: "Run a load test of controllers that follow a group on this machine, and check the bounds",
+		Short: "Run a load test of controllers that follow a group on this machine, and check its bounds",
 		Args:  cobra.MaximumNArgs(1),
 		RunE:  options.run,
 	}
@@ -39,8 +39,8 @@
 		flags.Float64(setting.Name, setting.Get(&plan), setting.Usage)
 	}
 	flags.StringVar(&options.faults, faultsFlag, "", fmt.Sprintf("faults to inject, separated by commas: %v", loadtest.AllFaults))
-	flags.StringVar(&options.controllerPath, controllerFlag, "", "path of harehook-xds for the controller in its own process; "+
-		"default is harehook-xds in the folder of this program, or only a client if there is none")
+	flags.StringVar(&options.controllerPath, controllerFlag, "", "path of harehook-xds, which runs as the controller in its own process; "+
+		"default is harehook-xds in the folder of this program; if there is none, that controller is only a client")
 	flags.StringVar(&options.controllerPath, formerControllerFlag, "", "")
 	if err := flags.MarkHidden(formerControllerFlag); err != nil {
 		panic(err) // unreachable: the flag is defined above
--- a/internal/testbed/follow.go
+++ b/internal/testbed/follow.go
@@ -36,7 +36,7 @@
 	flags.DurationVar(&setup.FaultFree, "calm", setup.FaultFree, "duration without commits and faults, within which all followers must be in step")
 	flags.DurationVar(&setup.CommitEvery, "commit-every", setup.CommitEvery, "mean time between commits")
 	flags.DurationVar(&setup.FaultEvery, "fault-every", setup.FaultEvery, "mean time between faults")
-	flags.StringVar((*string)(&setup.Planted), "planted", "", "fault to plant in the program, to check that the simulation detects it")
+	flags.StringVar((*string)(&setup.Planted), "planted", "", "fault to plant in the program, to check that the simulation detects it: one of the texts of followers.Planted")
 	command.RunE = func(command *cobra.Command, _ []string) error {
 		return options.run(command.OutOrStdout())
 	}
@@ -74,7 +74,7 @@
 	elapsed := time.Since(start).Round(time.Millisecond)
 	fmt.Fprintf(out, "simulated: %d seeds, %d with a violation, in %v\n", o.seeds, violating, elapsed)
 	if o.seeds == 1 {
-		fmt.Fprintf(out, "print %x\n", outcomes[0].Fingerprint)
+		fmt.Fprintf(out, "fingerprint %x\n", outcomes[0].Fingerprint)
 	}
 	printOutcome(out, sum)
 	if violating > 0 {
@@ -85,9 +85,9 @@
 
 // printOutcome prints the counts of a sum of outcomes.
 func printOutcome(out io.Writer, sum followers.Outcome) {
-	fmt.Fprintf(out, "commits %d, faults %d, accepted %d, refused %d\n", sum.Commits, sum.Faults, sum.Accepted, sum.Rejected)
-	fmt.Fprintf(out, "messages: %d whole scopes, %d changes, %d of progress only\n", sum.FullScopes, sum.Changes, sum.Progress)
-	fmt.Fprintf(out, "in force: %d claims compared with %d live followers; %d times a follower was stale\n", sum.Claims, sum.LiveAtClaims, sum.Stale)
-	fmt.Fprintf(out, "in step: %d changes checked for delay, %d of them beside a crowd\n", sum.InStepChecked, sum.InStepBesideCrowd)
-	fmt.Fprintf(out, "all in step within %v of calm at the latest\n", sum.Settled)
+	fmt.Fprintf(out, "commits %d, faults %d, accepted revisions %d, rejected %d\n", sum.Commits, sum.Faults, sum.Accepted, sum.Rejected)
+	fmt.Fprintf(out, "messages: %d full scopes, %d changes, %d of progress only\n", sum.FullScopes, sum.Changes, sum.Progress)
+	fmt.Fprintf(out, "converged revisions: %d claims compared with %d live followers; %d times a follower was stale\n", sum.Claims, sum.LiveAtClaims, sum.Stale)
+	fmt.Fprintf(out, "in step: %d changes checked for delay, %d of them while a crowd waited for full scopes\n", sum.InStepChecked, sum.InStepBesideCrowd)
+	fmt.Fprintf(out, "all in step at most %v after the start of the fault-free time\n", sum.Settled)
 }
--- a/internal/testbed/hunt.go
+++ b/internal/testbed/hunt.go
@@ -34,7 +34,7 @@
 	for setup.Seed = first; setup.Seed < first+seeds; setup.Seed++ {
 		outcome := simulation.Play(setup)
 		if len(outcome.Violations) > 0 {
-			fmt.Fprintf(out, "seed %d: %s\nleast faults:\n", setup.Seed, outcome.Violations[0])
+			fmt.Fprintf(out, "seed %d: %s\nrequired faults:\n", setup.Seed, outcome.Violations[0])
 			for _, fault := range simulation.Shrink(setup) {
 				fmt.Fprintf(out, "  %+v\n", fault)
 			}
@@ -42,6 +42,6 @@
 		}
 		maxSettled = max(maxSettled, outcome.Settled)
 	}
-	fmt.Fprintf(out, "%d seeds without a violation; settled within %d ticks of calm\n", seeds, maxSettled)
+	fmt.Fprintf(out, "%d seeds without a violation; settled at most %d ticks after the start of the fault-free time\n", seeds, maxSettled)
 	return nil
 }
--- a/internal/testbed/replay.go
+++ b/internal/testbed/replay.go
@@ -30,7 +30,7 @@
 		fmt.Fprintf(out, "%+v\n", fault)
 	}
 	outcome := simulation.Play(setup)
-	fmt.Fprintf(out, "print %x, agreed %d, refused %d, unknown %d, settled %d\n",
+	fmt.Fprintf(out, "fingerprint %x, agreed %d, rejected %d, unknown %d, settled %d (in ticks of fault-free time; -1: never)\n",
 		outcome.Fingerprint, outcome.Agreed, outcome.Rejected, outcome.Unknown, outcome.Settled)
 	for _, violation := range outcome.Violations {
 		fmt.Fprintln(out, violation)
--- a/internal/testbed/setup.go
+++ b/internal/testbed/setup.go
@@ -23,6 +23,6 @@
 	flags.IntVar(&setup.FaultEvery, "fault-every", 60, "mean number of ticks between faults")
 	flags.IntVar(&setup.ProposeEvery, "propose-every", 30, "ticks between proposals")
 	flags.IntVar(&setup.Sidecars, "sidecars", 6, "number of sidecars that poll the members")
-	flags.StringVar((*string)(&setup.Planted), "planted", "", "fault to plant in the program: vote not synced, published before commit, stale read told as fresh")
+	flags.StringVar((*string)(&setup.Planted), "planted", "", "fault to plant in the program: \"vote not synced\", \"published before commit\" or \"stale read told as fresh\"")
 	return setup
 }
--- a/internal/testbed/slopes.go
+++ b/internal/testbed/slopes.go
@@ -36,11 +36,11 @@
 	for _, slope := range scaling.All() {
 		fmt.Fprintf(w, "%s\t%s\tby %s\t%v\n", slope.Name, slope.Operation, slope.Size, slope.Sizes)
 	}
-	fmt.Fprintf(w, "agreed text\tholds %d routes of 95 bytes at most\n", scaling.MaxAgreedRoutes())
+	fmt.Fprintf(w, "agreed text\tholds at most %d routes of 95 bytes\n", scaling.MaxAgreedRoutes())
 	return w.Flush()
 }
 
-// measureSlopes measures and prints all slopes with a name.
+// measureSlopes measures and prints all slopes with the given name.
 func measureSlopes(out io.Writer, name string, sizes []int) error {
 	slopes, err := scaling.Find(name)
 	if err != nil {
