--- a/cmd/harehook-sidecar/main.go
+++ b/cmd/harehook-sidecar/main.go
@@ -77,7 +77,7 @@
 		Delta:          settings.Delta,
 		MutatingRoutes: settings.MutatingRoutes,
 		OnReject: func(r sidecar.RejectedResource) {
-			log.Warn("version refused", zap.Stringer("kind", r.Type), zap.String("name", r.Name), zap.String("why", r.Reason))
+			log.Warn("resource rejected", zap.Stringer("kind", r.Type), zap.String("name", r.Name), zap.String("why", r.Reason))
 		},
 	}
 	client := &sidecar.Client{Cache: cache, Controllers: settings.Controllers, Load: load, Log: log}
--- a/configsync/convergence.go
+++ b/configsync/convergence.go
@@ -39,7 +39,7 @@
 type Convergence struct {
 	Revision          uint64           `json:"revision"` // the newest revision of any member
 	ConvergedRevision uint64           `json:"in_force"` // accepted by every known follower with a lease
-	Known             bool             `json:"known"`    // false if unknown members may make ConvergedRevision too new
+	Known             bool             `json:"known"`    // false if UnknownMembers may make ConvergedRevision too new
 	UnknownMembers    []UnknownMember  `json:"doubts,omitempty"`
 	Live              int              `json:"live"`             // followers with a lease
 	Members           []MemberProgress `json:"members"`          // the members that answered, sorted by name
@@ -130,8 +130,8 @@
 	return slices.Compact(unknown)
 }
 
-// latestLeases returns for each follower the lease that was renewed last. If two were renewed at the same time, it
-// returns the one with the lower accepted revision.
+// latestLeases returns for each follower the lease that was renewed last, which is the one with the longest remaining
+// time. If two were renewed at the same time, it returns the one with the lower accepted revision.
 func latestLeases(byMember map[string]MemberStatus) map[string]FollowerStatus {
 	latest := map[string]FollowerStatus{}
 	longestRemaining := map[string]time.Duration{} // of the lease in latest
--- a/configsync/doc.go
+++ b/configsync/doc.go
@@ -1,5 +1,9 @@
 // Package configsync distributes the agreed configuration from a group's members to controllers that are not members.
 //
+// The configuration consists of records. Each commit of the group has a revision, and each record the revision of its
+// last change. A follower, which is such a controller, receives the records of its scope: those of some services or
+// zones, or all. The routing revision of a scope is the revision at which one of its routes last changed.
+//
 // A [Server] is the member's side: it tracks the scope, the lease and the accepted revision of each follower and
 // returns the next message of each [Stream]. A [Follower] is the other side: it checks each [Update], applies or
 // rejects it, and answers with an ACK or NACK. Both are state machines without I/O, and the caller passes in the
--- a/configsync/follower.go
+++ b/configsync/follower.go
@@ -231,7 +231,7 @@
 
 // handleHeartbeat extends the lease, measured from the time at which the request was sent. The lease thus ends no later
 // than the member's lease, which is measured from the time at which the member received the request. An update does not
-// extend the lease, since the member may not have received a request since the last renewal.
+// extend the lease, since the member may have sent it without having received a request since the last renewal.
 func (f *Follower) handleHeartbeat() {
 	if f.renewalSentAt.IsZero() {
 		return
--- a/configsync/fullscope_limiter.go
+++ b/configsync/fullscope_limiter.go
@@ -16,15 +16,15 @@
 	// removed from the queue: it may be blocked in a write, and must not delay the streams behind it.
 	lateAfter = time.Second
 	// earlyRetryFactor is the fraction of the estimated delay after which a stream behind the head of the queue
-	// retries. The estimate is based on the average size: with 4 scopes of 1 MB ahead at 1 MB/s, the fifth stream
-	// retries after 2 s instead of 4 s. If those scopes are in fact 0.5 MB each, it retries just in time; otherwise it
-	// gets a new delay.
+	// retries, because the scopes ahead of it may be smaller than the average on which the estimate is based. With an
+	// average of 1 MB, 4 scopes ahead and 1 MB/s, the fifth stream retries after 2 s instead of 4 s. If those scopes
+	// are in fact 0.5 MB each, it retries just in time; otherwise it gets a new delay.
 	earlyRetryFactor = 0.5
 )
 
 // fullScopeLimiter is a token bucket that limits the bytes per second sent as full scopes, so that many followers that
 // reconnect at the same time do not delay the deltas of the others. Streams are served in the order in which they
-// arrived.
+// arrived, except that a stream that misses its retry time loses its place (see lateAfter).
 type fullScopeLimiter struct {
 	bytesPerSecond float64
 	burstBytes     float64 // the maximum of availableBytes
--- a/configsync/lease.go
+++ b/configsync/lease.go
@@ -16,7 +16,7 @@
 
 // lease is a member's state of a follower. It expires the lease duration after the follower's last request.
 type lease struct {
-	accepted         uint64
+	accepted         uint64 // revision
 	expires          time.Time
 	behindSince      time.Time // zero if the follower is not behind
 	rejectedRevision uint64    // of the latest NACK since the last ACK, 0 if there is none
@@ -136,7 +136,8 @@
 
 // commitTimeAfter returns the time at which this member committed the first revision after the given one. A later
 // revision must exist. If that commit was before the member's start, the result is the start time; if it is no longer
-// retained, the result is the time of the earliest retained commit. Both are later than the true time.
+// retained, the result is the time of the earliest retained commit. Both are later than the true time, so the lag is
+// underestimated.
 func (t *leaseTable) commitTimeAfter(revision uint64) time.Time {
 	index, _ := slices.BinarySearchFunc(t.commits, revision, func(c commit, revision uint64) int {
 		if c.revision <= revision {
--- a/configsync/messages.go
+++ b/configsync/messages.go
@@ -58,7 +58,7 @@
 
 // Error implements error. The URL comes from the wire, so it is quoted and truncated.
 func (e *UnsupportedTypeError) Error() string {
-	return fmt.Sprintf("type %.100q is not served here", e.TypeURL)
+	return fmt.Sprintf("resource type %.100q is not served, want %q", e.TypeURL, TypeURL)
 }
 
 // UnknownNonceError is returned when a request answers an update that was not sent or has already been answered.
@@ -66,5 +66,5 @@
 
 // Error implements error. The nonce comes from the wire, so it is quoted and truncated.
 func (e *UnknownNonceError) Error() string {
-	return fmt.Sprintf("nonce %.100q answers nothing that was sent", e.Nonce)
+	return fmt.Sprintf("nonce %.100q is not that of an unanswered update", e.Nonce)
 }
--- a/configsync/server.go
+++ b/configsync/server.go
@@ -19,7 +19,7 @@
 	// maxLeasesPerStream bounds the number of leases of a member, including expired ones, in proportion to its maximum
 	// number of streams. A bound is needed because follower names come from the wire.
 	maxLeasesPerStream = 2
-	// maxReasonBytes is the maximum length to which the reason of a NACK is truncated.
+	// maxReasonBytes is the maximum length of the reason of a NACK; a longer one is truncated.
 	maxReasonBytes = 500
 )
 
--- a/configsync/stream.go
+++ b/configsync/stream.go
@@ -102,8 +102,8 @@
 	source := st.server.source
 	revision := source.Revision()
 	if st.awaitingAnswer || revision <= st.acceptedRevision {
-		// If the follower has accepted a later revision than this member has applied, it waits until the member catches
-		// up.
+		// The follower may have accepted a later revision at another member. In that case no update is due until this
+		// member has applied a newer one.
 		return nil, 0
 	}
 	if revision == st.rejectedRevision && now.Before(st.retryAt) {
--- a/configsync/transport/client_lease.go
+++ b/configsync/transport/client_lease.go
@@ -2,9 +2,9 @@
 
 import "time"
 
-// leaseCheckFraction is the divisor of the lease duration that yields the delay of the next check if the timer finds
-// that the lease was renewed.
-const leaseCheckFraction = 10
+// leaseCheckDivisor divides the lease duration. The result is the delay until the next check if a check finds that the
+// lease has not expired.
+const leaseCheckDivisor = 10
 
 func (c *Client) startLeaseTimer() {
 	c.stateMutex.Lock()
@@ -20,14 +20,15 @@
 	c.leaseTimer.Stop()
 }
 
-// checkLease reports only once that the lease has expired. It is called by the lease timer.
+// checkLease is called by the lease timer. If the lease has expired, it calls StaleChanged(true), but only once for
+// each expiry.
 func (c *Client) checkLease() {
 	c.stateMutex.Lock()
 	expired := c.follower.Stale(time.Now())
 	report := expired && !c.stale && c.running
 	c.stale = c.stale || expired
 	if !expired && c.running {
-		c.leaseTimer.Reset(c.config.Lease / leaseCheckFraction) // it was renewed in the meantime
+		c.leaseTimer.Reset(c.config.Lease / leaseCheckDivisor) // it was renewed in the meantime
 	}
 	c.stateMutex.Unlock()
 	if report && c.config.StaleChanged != nil {
--- a/configsync/transport/proxy_test.go
+++ b/configsync/transport/proxy_test.go
@@ -44,11 +44,11 @@
 }
 
 // cut closes all connections and rejects new ones, or accepts new ones again.
-func (p *cuttableProxy) cut(yes bool) {
+func (p *cuttableProxy) cut(active bool) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
-	p.rejecting = yes
-	if yes {
+	p.rejecting = active
+	if active {
 		p.closeConns()
 	}
 }
@@ -60,13 +60,13 @@
 }
 
 // stall stops forwarding bytes without closing the connections, or resumes it.
-func (p *cuttableProxy) stall(yes bool) {
+func (p *cuttableProxy) stall(active bool) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	switch {
-	case yes && p.stalled == nil:
+	case active && p.stalled == nil:
 		p.stalled = make(chan struct{})
-	case !yes && p.stalled != nil:
+	case !active && p.stalled != nil:
 		close(p.stalled)
 		p.stalled = nil
 	}
--- a/configsync/transport/service_test.go
+++ b/configsync/transport/service_test.go
@@ -215,9 +215,9 @@
 	follower := configsync.NewFollower("raw", shop, testLease, nil)
 	handshake := follower.Begin(time.Now())
 	expectEnd("no request", codes.DeadlineExceeded, errNoHandshake.Error())
-	expectEnd("unknown type", codes.InvalidArgument, "is not served here", &discoveryv3.DeltaDiscoveryRequest{TypeUrl: "type.googleapis.com/other"})
-	expectEnd("no name", codes.InvalidArgument, "a name has to be", configsync.NewFollower("", shop, testLease, nil).Begin(time.Now()))
-	expectEnd("unknown nonce", codes.InvalidArgument, "answers nothing that was sent", handshake, &discoveryv3.DeltaDiscoveryRequest{TypeUrl: configsync.TypeURL, ResponseNonce: "77"})
+	expectEnd("unknown type", codes.InvalidArgument, "resource type \"type.googleapis.com/other\" is not served, want \""+configsync.TypeURL+"\"", &discoveryv3.DeltaDiscoveryRequest{TypeUrl: "type.googleapis.com/other"})
+	expectEnd("no name", codes.InvalidArgument, "name must have 1 to 200 bytes and no control characters", configsync.NewFollower("", shop, testLease, nil).Begin(time.Now()))
+	expectEnd("unknown nonce", codes.InvalidArgument, "nonce \"77\" is not that of an unanswered update", handshake, &discoveryv3.DeltaDiscoveryRequest{TypeUrl: configsync.TypeURL, ResponseNonce: "77"})
 	expectEnd("no renewal", codes.DeadlineExceeded, configsync.ErrFollowerTimeout.Error(), handshake)
 
 	first := rawStream(t, m)
--- a/configsync/wire.go
+++ b/configsync/wire.go
@@ -50,11 +50,11 @@
 	errFullScopeRemoves   = errors.New("full scope must not remove records")
 	// A missing routing revision cannot be derived from the newest accepted route: it would decrease when that route is
 	// removed.
-	errNoRoutingRevision = errors.New("update must have exactly one routing revision")
+	errRoutingRevisionCount = errors.New("update must have exactly one routing revision")
 )
 
 // errInvalidName is returned for names that cannot be shown to operators.
-var errInvalidName = fmt.Errorf("a name has to be 1 to %d bytes without control characters", maxNameBytes)
+var errInvalidName = fmt.Errorf("name must have 1 to %d bytes and no control characters", maxNameBytes)
 
 // request returns the first request of a stream.
 func (h Handshake) request() *discoveryv3.DeltaDiscoveryRequest {
@@ -236,7 +236,7 @@
 		case routingRevisionName:
 			routingRevisions++
 			if routingRevisions > 1 {
-				return nil, errNoRoutingRevision
+				return nil, errRoutingRevisionCount
 			}
 			u.RoutingRevision, err = parseRevision(resource.GetVersion())
 			if err != nil {
@@ -248,7 +248,7 @@
 	}
 	switch {
 	case routingRevisions == 0:
-		return nil, errNoRoutingRevision
+		return nil, errRoutingRevisionCount
 	case u.RoutingRevision > u.Revision:
 		return nil, fmt.Errorf("routing revision %d must not be greater than the update's revision %d", u.RoutingRevision, u.Revision)
 	}
--- a/internal/certs/reloader.go
+++ b/internal/certs/reloader.go
@@ -60,7 +60,8 @@
 	expires     time.Time
 }
 
-// Load reads the files and returns an error if they cannot be used. Without files the Reloader is nil.
+// Load reads the files and returns an error if they cannot be used. If no path is set, the Reloader is nil: the program
+// then uses no TLS.
 func Load(files Files) (*Reloader, error) {
 	if files == (Files{}) {
 		return nil, nil
@@ -72,8 +73,9 @@
 	return r, nil
 }
 
-// Reload reads the files again if one of them has changed, and reports whether new credentials are in use. On an error
-// the previous credentials stay in use: a file cannot be read, certificate and key do not match, or a [ValidityError].
+// Reload reads the files again if the modification time of one of them has changed, and reports whether new credentials
+// are in use. It returns an error if a file cannot be read, if the certificate and key do not match, or, as a
+// [ValidityError], if the certificate has expired or is not valid yet. The previous credentials then stay in use.
 func (r *Reloader) Reload() (changed bool, err error) {
 	current, err := r.readModTimes()
 	if err != nil {
--- a/internal/daemon/routing_test.go
+++ b/internal/daemon/routing_test.go
@@ -41,8 +41,8 @@
 		_, status := call(address, "/v2", "")
 		return status == http.StatusOK && in.acceptedRoutingRevision("sidecar") == changed && in.isSynced(1)
 	})
-	if log := in.logs["conductor.kdl"].String(); strings.Contains(log, "version refused") {
-		t.Errorf("got a version refused by a sidecar, want none:\n%s", log)
+	if log := in.logs["conductor.kdl"].String(); strings.Contains(log, "sidecar rejected resources") {
+		t.Errorf("got resources rejected by a sidecar, want none:\n%s", log)
 	}
 }
 
--- a/sidecar/client.go
+++ b/sidecar/client.go
@@ -90,7 +90,7 @@
 func (c *Client) loadStored() {
 	if c.Store != nil {
 		if err := c.Store.Load(c.Cache); err != nil {
-			c.Log.Error("failed to load stored resources", zap.Error(err))
+			c.Log.Error("failed to load stored resources, starting without them", zap.Error(err))
 		}
 	}
 	c.table.Store(c.Cache.Table())
@@ -158,7 +158,7 @@
 	if err := c.Store.Save(c.Cache); err != nil {
 		// A full disk must not stop request forwarding: resources that are not persisted are missing only after a
 		// restart.
-		c.Log.Error("failed to store accepted resources", zap.Error(err))
+		c.Log.Error("failed to store accepted resources, a restart may load earlier ones", zap.Error(err))
 	}
 }
 
--- a/sidecar/load_recorder.go
+++ b/sidecar/load_recorder.go
@@ -8,7 +8,8 @@
 	"harehook.dev/harehook/xds"
 )
 
-// LoadRecorder counts attempts and requests since the last load report. It is safe for concurrent use.
+// LoadRecorder counts the outcomes of requests since the start, and collects the attempts and requests for the next
+// load report. It is safe for concurrent use.
 type LoadRecorder struct {
 	// Requests since the start. Completed counts the responses of nodes with a status other than 5xx, Rejected the
 	// requests rejected by admission, and Failed all others except unsupported ones (CONNECT and Upgrade).
--- a/sidecar/parse_routes.go
+++ b/sidecar/parse_routes.go
@@ -29,7 +29,8 @@
 	routes := map[string]bool{}
 	for _, host := range config.GetVirtualHosts() {
 		for _, route := range host.GetRoutes() {
-			routes[route.GetName()+"\x00"+route.GetMatch().GetPrefix()] = true // a throttled route has two entries
+			// The two entries of a throttled route have the same key, so they count as one route.
+			routes[route.GetName()+"\x00"+route.GetMatch().GetPrefix()] = true
 			if len(routes) > xds.MaxRoutes {
 				return nil, fmt.Errorf("more than %d routes", xds.MaxRoutes)
 			}
--- a/sidecar/proxy.go
+++ b/sidecar/proxy.go
@@ -18,7 +18,7 @@
 const (
 	requestHeadTimeout = 10 * time.Second // from the first byte of the request
 	clientIdleTimeout  = 60 * time.Second // until the next request on a connection
-	bodyTimeout        = 30 * time.Second // for each read or write of a body
+	bodyTimeout        = 30 * time.Second // for reading a request body; minimum for writing a response
 	defaultTimeLimit   = 15 * time.Second // of a route without one
 	acceptRetryDelay   = 10 * time.Millisecond
 )
--- a/sidecar/routing_table.go
+++ b/sidecar/routing_table.go
@@ -18,7 +18,8 @@
 	Weight     float64 // relative to the cluster's other nodes
 }
 
-// RouteEntry is a route: either the entry that forwards its requests, or the one that rejects a fraction of them.
+// RouteEntry is an entry of a routing table. A route has up to two entries: one that forwards the admitted fraction of
+// its requests, followed by one that rejects the remaining ones.
 type RouteEntry struct {
 	Name, Prefix    string
 	Fraction        float64 // fraction of the matching requests to which this entry applies
--- a/sidecar/store.go
+++ b/sidecar/store.go
@@ -27,7 +27,7 @@
 // [Store.Load] returns these errors, wrapped with the path, for a store file that is damaged or of another format.
 var (
 	ErrStoreFormat    = errors.New("not a store file, or a store file of another format version")
-	ErrStoreTruncated = errors.New("store file is truncated")
+	ErrStoreTruncated = errors.New("store file is truncated or has trailing bytes")
 	ErrStoreChecksum  = errors.New("store file has a wrong checksum")
 )
 
--- a/xds/doc.go
+++ b/xds/doc.go
@@ -12,6 +12,10 @@
 //   - A [Server] manages the sidecars and their streams. It sets the target snapshot of each stream from the commands
 //     and notifies its [Sink] when a sidecar has accepted all resources up to a nonce of the planner.
 //
+// The planner binds each sidecar to one routing table. It calls a sidecar a proxy and identifies it by a number. There
+// are two kinds of nonce: that of an xDS response, which the sidecar's answer repeats, and that of the planner, which
+// identifies a request for the acknowledgement of all commands so far.
+//
 // To diagnose a sidecar that routes incorrectly, [Server.Sidecars] returns its routing table and, for each resource,
 // the accepted and the target version, how long a response has been pending, and the rejected version with its reason.
 // The client status discovery service exposes the same data to operators.
--- a/xds/errors.go
+++ b/xds/errors.go
@@ -7,8 +7,9 @@
 )
 
 const (
-	// maxReasonBytes is the length at which texts received from clients are truncated before they are stored or shown.
-	maxReasonBytes = 500
+	// maxTextBytes is the maximum length of a text received from a client; a longer one is truncated before it is stored
+	// or shown.
+	maxTextBytes = 500
 	// maxNodeIDBytes is the maximum length of a sidecar's node id.
 	maxNodeIDBytes = 500
 )
@@ -29,7 +30,7 @@
 
 // Error implements error.
 func (e *TooManySidecarsError) Error() string {
-	return fmt.Sprintf("%d sidecars are connected, and no more may join", e.Max)
+	return fmt.Sprintf("maximum of %d sidecars is connected; connect to another controller", e.Max)
 }
 
 // UnsupportedTypeError is returned when the type URL of a request is not that of a [ResourceType].
@@ -37,7 +38,7 @@
 
 // Error implements error.
 func (e *UnsupportedTypeError) Error() string {
-	return fmt.Sprintf("type %q is not served", truncateReason(e.TypeURL))
+	return fmt.Sprintf("resource type %q is not served", truncateText(e.TypeURL))
 }
 
 // TooManyNamesError is returned when a subscription would have more resource names than a sidecar can need.
@@ -45,10 +46,10 @@
 
 // Error implements error.
 func (e *TooManyNamesError) Error() string {
-	return fmt.Sprintf("subscription to %d resource names, %d at most", e.Names, maxSubscribedNames)
+	return fmt.Sprintf("subscription must have at most %d resource names, got %d", maxSubscribedNames, e.Names)
 }
 
-// truncateReason truncates a text received from a client to maxReasonBytes and replaces invalid UTF-8.
-func truncateReason(text string) string {
-	return strings.ToValidUTF8(text[:min(len(text), maxReasonBytes)], "?")
+// truncateText truncates a text received from a client to maxTextBytes and replaces invalid UTF-8.
+func truncateText(text string) string {
+	return strings.ToValidUTF8(text[:min(len(text), maxTextBytes)], "?")
 }
--- a/xds/server.go
+++ b/xds/server.go
@@ -50,10 +50,10 @@
 	bound    bool // whether the sidecar is bound to table
 
 	pendingAcks        []pendingAck
-	reportedRejections uint64 // the NACKs of the stream that the sink was notified of
+	reportedRejections uint64 // number of NACKs on the stream that were reported to the sink
 
 	disconnectedAt float64          // when the last stream ended, in seconds
-	lastResources  []ResourceStatus // when the last stream ended
+	lastResources  []ResourceStatus // their status when the last stream ended
 }
 
 // pendingAck is a nonce of the planner that a sidecar has not acknowledged yet. It is acknowledged when the sidecar has
@@ -197,7 +197,7 @@
 	if sender.stream.Rejected > sender.reportedRejections {
 		sender.reportedRejections = sender.stream.Rejected
 		t, _ := ParseTypeURL(typeURL) // known, since the stream has handled the request
-		s.sink.Rejected(sender.id, t, truncateReason(reason))
+		s.sink.Rejected(sender.id, t, truncateText(reason))
 	}
 	s.sendDue(now, sender)
 }
--- a/xds/server_commands.go
+++ b/xds/server_commands.go
@@ -78,8 +78,8 @@
 func (c *sidecar) setTarget(target *Snapshot, nonce int, rebound bool) {
 	c.stream.SetTarget(target, rebound)
 	if rebound {
-		// The sequences of the old table are obsolete: a sidecar that has accepted all of the new table needs nothing
-		// of it.
+		// The sequences of the old table are obsolete: a sidecar that has accepted all of the new table no longer uses
+		// the old one.
 		for index := range c.pendingAcks {
 			c.pendingAcks[index].sequence = target.sequence
 		}
--- a/xds/stream_next.go
+++ b/xds/stream_next.go
@@ -57,8 +57,8 @@
 	return nil, nil
 }
 
-// fillStatedBodies completes the accepted resources of which only the version is known, because the sidecar stated it,
-// with the body from the target if the target has the same version.
+// fillStatedBodies adds the missing bodies of accepted resources for which the sidecar stated only the version. It
+// takes them from the target, if the target has the same version.
 func (s *Stream) fillStatedBodies(t ResourceType) {
 	sub := &s.subscriptions[t]
 	for name, resource := range sub.filterSubscribed(s.target.Sets[t]) {
@@ -208,8 +208,8 @@
 	return !s.Delta && !t.isFullyListed() && len(plan.changed) == 0 && !s.subscriptions[t].firstResponseDue
 }
 
-// markAccepted records that the sidecar has accepted all of a type in the target, if a plan without a response shows
-// it.
+// markAccepted handles a plan for which no response is due. If the accepted resources of the type are already those of
+// the target, it sets the accepted sequence to that of the target.
 func (s *Stream) markAccepted(t ResourceType, plan responsePlan) {
 	sub := &s.subscriptions[t]
 	if plan.complete && sub.accepted.Equal(plan.acceptedAfter) {
--- a/xds/stream_sotw.go
+++ b/xds/stream_sotw.go
@@ -36,7 +36,7 @@
 }
 
 // setNames replaces the subscribed names. For fully listed types, a first request without names subscribes to all
-// resources, and later requests without names keep that implicit wildcard until one has names.
+// resources (implicit wildcard). Later requests without names keep that subscription; the first one with names ends it.
 func (sub *subscription) setNames(t ResourceType, requested []string, first bool) {
 	names := map[string]bool{}
 	for _, name := range requested {
--- a/xds/subscription.go
+++ b/xds/subscription.go
@@ -82,7 +82,7 @@
 
 // reject handles the NACK of a response.
 func (sub *subscription) reject(now float64, response *pendingResponse, errorDetail *status.Status) {
-	reason := truncateReason(errorDetail.GetMessage())
+	reason := truncateText(errorDetail.GetMessage())
 	switch {
 	case len(response.changed) > 1:
 		// A NACK does not identify the invalid resource: each one is sent in a response of its own, so that the valid
--- a/xds/transport/hub.go
+++ b/xds/transport/hub.go
@@ -42,7 +42,7 @@
 // applyBatch applies commands and notifies the controller that they were accepted.
 func (s *Server) applyBatch(batch []controller.Command) {
 	if err := s.Streams.ApplyCommands(s.now(), batch); err != nil {
-		s.Log.Error("cannot compile commands into resources", zap.Error(err))
+		s.Log.Error("cannot compile commands into resources, sidecars may keep earlier ones", zap.Error(err))
 	}
 	for _, command := range batch {
 		if command.Kind == controller.RequestAck {
@@ -93,7 +93,7 @@
 func (s *Server) SetAgreedRoutes(routingRevision uint64, routes []xds.Route) {
 	s.call(func() {
 		if err := s.Streams.SetAgreedRoutes(s.now(), routingRevision, routes); err != nil {
-			s.Log.Error("cannot compile agreed routes into resources", zap.Error(err))
+			s.Log.Error("cannot compile agreed routes into resources, sidecars may keep earlier ones", zap.Error(err))
 		}
 	})
 }
@@ -141,5 +141,5 @@
 
 // Rejected logs a NACK.
 func (h hubSink) Rejected(sidecar string, t xds.ResourceType, reason string) {
-	h.server.Log.Warn("version refused", zap.String("sidecar", sidecar), zap.Stringer("kind", t), zap.String("why", reason))
+	h.server.Log.Warn("sidecar rejected resources", zap.String("sidecar", sidecar), zap.Stringer("kind", t), zap.String("why", reason))
 }
--- a/xds/transport/server_test.go
+++ b/xds/transport/server_test.go
@@ -164,9 +164,9 @@
 	}{
 		"no node id":   {[]*discoveryv3.DiscoveryRequest{{Node: node("", "north"), TypeUrl: xds.Clusters.TypeURL()}}, codes.InvalidArgument, "no node id"},
 		"unknown zone": {[]*discoveryv3.DiscoveryRequest{{Node: node("x", "moon"), TypeUrl: xds.Clusters.TypeURL()}}, codes.InvalidArgument, `zone "moon"`},
-		"unknown type": {[]*discoveryv3.DiscoveryRequest{{Node: node("x", "north"), TypeUrl: "type.googleapis.com/what"}}, codes.InvalidArgument, "is not served"},
+		"unknown type": {[]*discoveryv3.DiscoveryRequest{{Node: node("x", "north"), TypeUrl: "type.googleapis.com/what"}}, codes.InvalidArgument, "resource type \"type.googleapis.com/what\" is not served"},
 		"too many names": {[]*discoveryv3.DiscoveryRequest{{Node: node("x", "north"), TypeUrl: xds.Endpoints.TypeURL(),
-			ResourceNames: make([]string, 5000)}}, codes.InvalidArgument, "4096 at most"},
+			ResourceNames: make([]string, 5000)}}, codes.InvalidArgument, "subscription must have at most 4096 resource names, got 5000"},
 		"too large": {[]*discoveryv3.DiscoveryRequest{{Node: node("x", "north"), TypeUrl: strings.Repeat("x", maxRequestBytes+1)}}, codes.ResourceExhausted, "larger than max"},
 		"silent":    {nil, codes.DeadlineExceeded, "no first request within 2s"},
 	} {
@@ -190,8 +190,8 @@
 	waitFor(t, "three sidecars are known", func() bool { return knownSidecars(server) == 3 })
 	s, _ := client.StreamAggregatedResources(ctx)
 	s.Send(&discoveryv3.DiscoveryRequest{Node: node("one too many", "north"), TypeUrl: xds.Clusters.TypeURL()})
-	if _, err := s.Recv(); status.Code(err) != codes.InvalidArgument || !strings.Contains(err.Error(), "no more may join") {
-		t.Errorf("one sidecar too many: got error %v, want code %s with message %q", err, codes.InvalidArgument, "no more may join")
+	if _, err := s.Recv(); status.Code(err) != codes.InvalidArgument || !strings.Contains(err.Error(), "maximum of 3 sidecars is connected; connect to another controller") {
+		t.Errorf("one sidecar too many: got error %v, want code %s with message %q", err, codes.InvalidArgument, "maximum of 3 sidecars is connected; connect to another controller")
 	}
 	if server.MalformedRequests.Load() < 5 {
 		t.Errorf("got %d malformed requests, want at least 5", server.MalformedRequests.Load())
