--- a/internal/testbed/fleet_test.go
+++ b/internal/testbed/fleet_test.go
@@ -115,7 +115,7 @@
 	if !errors.As(err, &exit) || exit.ExitCode() != 1 {
 		t.Errorf("got %v, want exit code 1", err)
 	}
-	if !strings.Contains(string(output), "BROKEN bytes to an interested conductor beside the record") {
+	if !strings.Contains(string(output), "BROKEN maximum overhead per record in a message to an interested controller") {
 		t.Errorf("got output %s, want the violated bound in it", output)
 	}
 }
--- a/loadtest/bounds.go
+++ b/loadtest/bounds.go
@@ -35,19 +35,19 @@
 			lines = append(lines, fmt.Sprintf("%s: %.4g %s, bound %.4g", name, measured, unit, limit))
 		}
 	}
-	check("in force at the worst", b.ConvergenceS, m.Convergence.WorstMS/1000, "s")
-	check("bytes to an interested conductor beside the record, at the worst", b.OverheadBytes, float64(m.Messages.RecordOverhead.Worst), "bytes")
+	check("maximum convergence time", b.ConvergenceS, m.Convergence.WorstMS/1000, "s")
+	check("maximum overhead per record in a message to an interested controller", b.OverheadBytes, float64(m.Messages.RecordOverhead.Worst), "bytes")
 	if m.Restarted != nil {
-		check("all restarted, nine in ten in step", b.RestartP90S, m.Restarted.P90MS/1000, "s")
-		check("all restarted, all in step", b.RestartAllS, m.Restarted.WorstMS/1000, "s")
+		check("time until 90% of the restarted controllers are in step", b.RestartP90S, m.Restarted.P90MS/1000, "s")
+		check("time until all restarted controllers are in step", b.RestartAllS, m.Restarted.WorstMS/1000, "s")
 	}
 	if m.Controller != nil {
-		check("processor time of the conductor in its own process", b.ControllerCPU, m.Controller.BusiestCPU, "of a core")
-		check("memory of the conductor in its own process", b.ControllerMB, m.Controller.WorstMB, "MB")
-		check("bytes of the conductor in its own process", b.ControllerKBS, m.Controller.BusiestKBS, "KB/s")
+		check("CPU time of the controller in its own process", b.ControllerCPU, m.Controller.BusiestCPU, "of a core")
+		check("memory of the controller in its own process", b.ControllerMB, m.Controller.WorstMB, "MB")
+		check("traffic of the controller in its own process", b.ControllerKBS, m.Controller.BusiestKBS, "KB/s")
 	}
 	if m.Messages.UninterestedRecords > 0 {
-		lines = append(lines, fmt.Sprintf("records to uninterested conductors: %d, bound 0", m.Messages.UninterestedRecords))
+		lines = append(lines, fmt.Sprintf("records outside the scope of a controller: %d, bound 0", m.Messages.UninterestedRecords))
 	}
 	for _, violation := range m.Violations {
 		lines = append(lines, violation.String())
--- a/loadtest/checkers_test.go
+++ b/loadtest/checkers_test.go
@@ -31,7 +31,7 @@
 	t.Parallel()
 	plant := memberHooks{source: func(s records.Source) records.Source { return noDeltaSource{s} }}
 	report := runInProcess(t, smallPlan(), hooks{member: plant})
-	checkBroken(t, report, "bytes to an interested conductor beside the record")
+	checkBroken(t, report, "maximum overhead per record in a message to an interested controller")
 	if report.Measured.Messages.FullScopeInStep == 0 || report.Measured.Messages.FullScopeAgain == 0 {
 		t.Errorf("got %d full scopes to controllers in step and %d repeated ones, want more than 0 of both",
 			report.Measured.Messages.FullScopeInStep, report.Measured.Messages.FullScopeAgain)
@@ -59,7 +59,7 @@
 	t.Parallel()
 	answers := &atomic.Int64{}
 	plant := memberHooks{source: func(s records.Source) records.Source { return lossySource{s, answers} }}
-	checkBroken(t, runInProcess(t, smallPlan(), hooks{member: plant}), "has other contents than agreed")
+	checkBroken(t, runInProcess(t, smallPlan(), hooks{member: plant}), "has contents that differ from the agreed ones")
 }
 
 // plantedController is the index of the controller whose events are altered to simulate a defect.
@@ -101,7 +101,7 @@
 			e.Outside = 2
 		}
 	}))
-	checkBroken(t, report, "records to uninterested conductors: 2")
+	checkBroken(t, report, "records outside the scope of a controller: 2")
 	checkBroken(t, report, "2 records outside its scope")
 }
 
@@ -129,7 +129,7 @@
 			e.Digest++
 		}
 	}))
-	checkBroken(t, report, "has other contents than agreed")
+	checkBroken(t, report, "has contents that differ from the agreed ones")
 }
 
 // One controller accepts all changes 8 s late.
@@ -142,7 +142,7 @@
 			e.At += (8 * time.Second).Nanoseconds()
 		}
 	}))
-	checkBroken(t, report, "in force at the worst")
+	checkBroken(t, report, "maximum convergence time")
 }
 
 func TestEachBrokenBoundIsReported(t *testing.T) {
@@ -160,15 +160,15 @@
 		t.Errorf("got broken bounds %q for measurements equal to the bounds, want none", m.BrokenBounds(bounds))
 	}
 	for name, over := range map[string]func(m *Measured){
-		"in force at the worst":         func(m *Measured) { m.Convergence.WorstMS++ },
-		"beside the record":             func(m *Measured) { m.Messages.RecordOverhead.Worst++ },
-		"nine in ten in step":           func(m *Measured) { m.Restarted.P90MS++ },
-		"all restarted, all in step":    func(m *Measured) { m.Restarted.WorstMS++ },
-		"processor time":                func(m *Measured) { m.Controller.BusiestCPU += 0.0001 },
-		"memory":                        func(m *Measured) { m.Controller.WorstMB++ },
-		"bytes of the conductor":        func(m *Measured) { m.Controller.BusiestKBS++ },
-		"records to uninterested":       func(m *Measured) { m.Messages.UninterestedRecords++ },
-		"never: conductor-0001: a word": func(m *Measured) { m.Violations = []Violation{{"conductor-0001", "a word"}} },
+		"maximum convergence time":                     func(m *Measured) { m.Convergence.WorstMS++ },
+		"maximum overhead per record":                  func(m *Measured) { m.Messages.RecordOverhead.Worst++ },
+		"90% of the restarted controllers are in step": func(m *Measured) { m.Restarted.P90MS++ },
+		"until all restarted controllers are in step":  func(m *Measured) { m.Restarted.WorstMS++ },
+		"CPU time":                          func(m *Measured) { m.Controller.BusiestCPU += 0.0001 },
+		"memory":                            func(m *Measured) { m.Controller.WorstMB++ },
+		"traffic of the controller":         func(m *Measured) { m.Controller.BusiestKBS++ },
+		"records outside the scope":         func(m *Measured) { m.Messages.UninterestedRecords++ },
+		"violation: conductor-0001: a word": func(m *Measured) { m.Violations = []Violation{{"conductor-0001", "a word"}} },
 	} {
 		t.Run(name, func(t *testing.T) {
 			m := within()
--- a/loadtest/controllerprocess.go
+++ b/loadtest/controllerprocess.go
@@ -14,10 +14,10 @@
 // controllerProcess is the run's handle to a worker that simulates controllers or runs harehook-xds.
 type controllerProcess struct {
 	*worker
-	indexes  []int         // indices of its controllers in the fleet
-	external bool          // it runs harehook-xds, which reports no events and accepts no actions
-	ready    chan struct{} // closed when it is set up
-	finished chan struct{} // closed when it has reported its measurements
+	indexes   []int         // indices of its controllers in the fleet
+	isProgram bool          // it runs harehook-xds, which reports no events and accepts no actions
+	ready     chan struct{} // closed when it is set up
+	finished  chan struct{} // closed when it has reported its measurements
 
 	mutex         sync.Mutex     // guards the fields below
 	messages      *messageReport // latest report
@@ -68,7 +68,7 @@
 	if err := r.startProgram(ctx); err != nil {
 		return err
 	}
-	if err := r.waitConverged(ctx, stepTimeout); err != nil {
+	if err := r.waitConverged(ctx, inStepTimeout); err != nil {
 		return err
 	}
 	r.logProgress("%d controllers in step after %.1f s", len(r.controllers), time.Since(start).Seconds())
@@ -143,7 +143,7 @@
 				a.Controllers = append(a.Controllers, index)
 			}
 		}
-		if len(a.Controllers) == 0 || p.external {
+		if len(a.Controllers) == 0 || p.isProgram {
 			continue
 		}
 		if err := p.commands.write(workerCommand{Action: a}); err != nil {
@@ -176,13 +176,13 @@
 
 // finish stops all controllers and waits until their workers have reported their measurements.
 func (r *run) finish(ctx context.Context) error {
-	internalWorkers := slices.DeleteFunc(slices.Clone(r.controllerProcesses), func(p *controllerProcess) bool { return p.external })
-	for _, p := range internalWorkers {
+	clientWorkers := slices.DeleteFunc(slices.Clone(r.controllerProcesses), func(p *controllerProcess) bool { return p.isProgram })
+	for _, p := range clientWorkers {
 		if err := p.commands.write(workerCommand{Action: &action{Kind: actionFinish}}); err != nil {
 			return fmt.Errorf("send the action %q to a worker of controllers: %w", actionFinish, err)
 		}
 	}
-	for _, p := range internalWorkers {
+	for _, p := range clientWorkers {
 		if err := r.waitFor(ctx, p.finished, finishTimeout, "worker of controllers did not report its measurements"); err != nil {
 			return err
 		}
--- a/loadtest/experiment.go
+++ b/loadtest/experiment.go
@@ -26,37 +26,37 @@
 	if err != nil {
 		return nil, err
 	}
-	var faults kdl.Faults
+	var mistakes kdl.Faults
 	if len(nodes) != 1 || nodes[0].Name != "experiment" || len(nodes[0].Arguments) != 1 {
-		faults.Add(1, "the document must be one \"experiment\" node with a name")
-		return nil, faults.Err()
+		mistakes.Add(1, "the document must be one \"experiment\" node with a name")
+		return nil, mistakes.Err()
 	}
 	e := &Experiment{Name: fmt.Sprint(nodes[0].Arguments[0].Data), Plan: OperatorsPlan()}
 	for _, node := range nodes[0].Children {
 		if node.Name == "faults" {
-			e.readFaults(node, &faults)
+			e.readFaults(node, &mistakes)
 			continue
 		}
-		e.readFigure(node, &faults)
+		e.readFigure(node, &mistakes)
 	}
-	if err := faults.Err(); err != nil {
+	if err := mistakes.Err(); err != nil {
 		return nil, err
 	}
 	for _, plan := range e.plans() {
 		if err := plan.Validate(); err != nil {
-			faults.Add(nodes[0].Line, "%v", err)
+			mistakes.Add(nodes[0].Line, "%v", err)
 			break
 		}
 	}
-	return e, faults.Err()
+	return e, mistakes.Err()
 }
 
 // readFaults reads the node that lists the faults.
-func (e *Experiment) readFaults(node *kdl.Node, faults *kdl.Faults) {
+func (e *Experiment) readFaults(node *kdl.Node, mistakes *kdl.Faults) {
 	for _, argument := range node.Arguments {
 		name := Fault(fmt.Sprint(argument.Data))
 		if !slices.Contains(AllFaults, name) {
-			faults.Add(argument.Line, "unknown fault %q, known faults are %v", name, AllFaults)
+			mistakes.Add(argument.Line, "unknown fault %q, known faults are %v", name, AllFaults)
 			continue
 		}
 		e.Plan.Faults = append(e.Plan.Faults, name)
@@ -64,20 +64,20 @@
 }
 
 // readFigure reads the node of a figure; a figure with several values is swept.
-func (e *Experiment) readFigure(node *kdl.Node, faults *kdl.Faults) {
+func (e *Experiment) readFigure(node *kdl.Node, mistakes *kdl.Faults) {
 	setting, known := findSetting(node.Name)
 	if !known {
-		faults.Add(node.Line, "unknown setting %q", node.Name)
+		mistakes.Add(node.Line, "unknown setting %q", node.Name)
 		return
 	}
-	values := readValues(node, faults)
+	values := readValues(node, mistakes)
 	switch {
 	case len(values) == 0:
-		faults.Add(node.Line, "%q has no value", node.Name)
+		mistakes.Add(node.Line, "%q has no value", node.Name)
 	case len(values) == 1:
 		setting.Set(&e.Plan, values[0])
 	case e.Figure != "":
-		faults.Add(node.Line, "at most one figure may have several values, %q already has", e.Figure)
+		mistakes.Add(node.Line, "at most one figure may have several values, and %q already has several", e.Figure)
 	default:
 		e.Figure = node.Name
 		e.Values = values
@@ -85,12 +85,12 @@
 }
 
 // readValues reads the numeric arguments of a node.
-func readValues(node *kdl.Node, faults *kdl.Faults) (values []float64) {
+func readValues(node *kdl.Node, mistakes *kdl.Faults) (values []float64) {
 	for _, argument := range node.Arguments {
 		value, isNumber := argument.Data.(float64)
 		inRange := value >= 0 && value <= maxValue // false for NaN
 		if !isNumber || !inRange {
-			faults.Add(argument.Line, "%q must be a number from 0 to %.0f, got %v", node.Name, maxValue, argument.Data)
+			mistakes.Add(argument.Line, "%q must be a number from 0 to %.0f, got %v", node.Name, maxValue, argument.Data)
 			continue
 		}
 		values = append(values, value)
--- a/loadtest/fault.go
+++ b/loadtest/fault.go
@@ -13,7 +13,7 @@
 const (
 	FaultMemberKilled Fault = "member-killed" // a member other than the leader is killed and restarted, then the leader
 	FaultReconnect    Fault = "reconnect"     // one controller in ten loses its connections
-	FaultRegionCut    Fault = "region-cut"    // the controllers of one region are disconnected for part of the slot
+	FaultRegionCut    Fault = "region-cut"    // the controllers of one region are disconnected for some time
 	FaultRejecting    Fault = "refusing"      // some controllers reject some changes
 	FaultAllRestarted Fault = "all-restarted" // all controllers are restarted within a minute, without any records
 )
--- a/loadtest/faults.go
+++ b/loadtest/faults.go
@@ -10,7 +10,8 @@
 	"harehook.dev/harehook/configsync"
 )
 
-// slotWeights are the relative lengths of the slots of faults.
+// slotWeights are the relative lengths of the slots of faults. The time after the fault-free part of a run is divided
+// into slots, one for each fault.
 var slotWeights = map[Fault]float64{
 	FaultReconnect:    1,
 	FaultMemberKilled: 3,
@@ -20,15 +21,15 @@
 }
 
 const (
-	faultFreeFraction  = 0.25    // of the duration of the run, before the first fault
-	reconnectOneIn     = 10      // one controller in ten reconnects
-	rejectingOneIn     = 5       // one controller in five rejects changes
-	restartFraction    = 0.6     // of the fault's slot, in which all controllers are restarted
-	cutFraction        = 0.6     // of the fault's slot, for which a region is disconnected
-	rejectFraction     = 0.6     // of the fault's slot, in which changes are rejected
-	memberDownFraction = 1.0 / 6 // of the fault's slot, for which a killed member stays down
-	maxRestartSpread   = time.Minute
-	maxDowntime        = 5 * time.Second // of a member
+	faultFreeFraction        = 0.25    // of the duration of the run, before the first fault
+	reconnectOneIn           = 10      // one controller in ten reconnects
+	rejectingControllerOneIn = 5       // one controller in five rejects changes
+	restartFraction          = 0.6     // of the fault's slot, in which all controllers are restarted
+	cutFraction              = 0.6     // of the fault's slot, for which a region is disconnected
+	rejectFraction           = 0.6     // of the fault's slot, in which changes are rejected
+	memberDownFraction       = 1.0 / 6 // of the fault's slot, for which a killed member stays down
+	maxRestartSpread         = time.Minute
+	maxDowntime              = 5 * time.Second // of a member
 )
 
 // injectFaults injects one fault after the other until the duration of the plan has passed.
@@ -166,7 +167,7 @@
 
 // rejectChanges makes some controllers reject some changes for a duration.
 func (r *run) rejectChanges(ctx context.Context, duration time.Duration, rng *rand.Rand) error {
-	indexes, isChosen := r.chooseControllers(oneIn(rng, rejectingOneIn))
+	indexes, isChosen := r.chooseControllers(oneIn(rng, rejectingControllerOneIn))
 	now := time.Now()
 	r.recorder.recordFault(FaultRejecting, indexes, now, now.Add(duration+configsync.DefaultLimits.RejectedBackoff))
 	if err := r.commandControllers(actionReject, 0, isChosen); err != nil {
--- a/loadtest/groupclient.go
+++ b/loadtest/groupclient.go
@@ -79,7 +79,7 @@
 		}
 		g.nextMember = (g.nextMember + 1) % len(g.conns)
 		if waitErr := sleep(ctx, retryInterval); waitErr != nil {
-			return 0, fmt.Errorf("%w: %w", waitErr, err)
+			return 0, fmt.Errorf("proposal %d got no result: %w; last error: %w", g.proposals, waitErr, err)
 		}
 	}
 }
--- a/loadtest/history.go
+++ b/loadtest/history.go
@@ -4,7 +4,7 @@
 
 // history holds the events that one controller reported.
 type history struct {
-	external          bool        // the controller is harehook-xds, which reports no events
+	isProgram         bool        // the controller is harehook-xds, which reports no events
 	incarnationStarts []time.Time // by incarnation; incarnations are numbered from 1
 	joined            []time.Time // times of the first answer on a new stream
 	member            string      // address of the member that most recently answered on a new stream
--- a/loadtest/measure.go
+++ b/loadtest/measure.go
@@ -72,7 +72,7 @@
 func (r *run) reportMessages(measured *Measured) error {
 	all := newMessageMeter()
 	for _, p := range r.controllerProcesses {
-		if p.external {
+		if p.isProgram {
 			continue
 		}
 		if err := all.add(p.messages); err != nil {
@@ -85,7 +85,7 @@
 		FullScope:           summarizeSizes(all.full),
 		Heartbeats:          all.heartbeats,
 		RecordOverhead:      summarizeSizes(all.overhead),
-		FullScopeInStep:     all.fullScopeRepeated,
+		FullScopeInStep:     all.fullScopeInStep,
 		FullScopeAgain:      all.fullScopeAgain,
 		UninterestedRecords: r.recorder.uninterestedRecords(),
 		InterestedPerChange: r.recorder.interestedPerChange(),
--- a/loadtest/messagemeter.go
+++ b/loadtest/messagemeter.go
@@ -19,10 +19,10 @@
 	progress *hdrhistogram.Histogram // bytes of messages with a revision alone
 	overhead *hdrhistogram.Histogram // bytes per changed record, without its body
 
-	heartbeats        int64
-	changeRecords     int64
-	fullScopeRepeated int64 // full scopes after the first update of a stream
-	fullScopeAgain    int64 // full scopes sent to a controller that had already accepted a revision
+	heartbeats      int64
+	changeRecords   int64
+	fullScopeInStep int64 // full scopes after the first update of a stream, sent to a controller in step
+	fullScopeAgain  int64 // full scopes sent to a controller that had already accepted a revision
 }
 
 func newMessageMeter() *messageMeter {
@@ -71,7 +71,7 @@
 		m.fullScopeAgain++
 	}
 	if !context.firstOfStream {
-		m.fullScopeRepeated++
+		m.fullScopeInStep++
 		m.overhead.RecordValue(size)
 	}
 }
@@ -117,10 +117,10 @@
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	report := &messageReport{
-		Heartbeats:        m.heartbeats,
-		ChangeRecords:     m.changeRecords,
-		FullScopeRepeated: m.fullScopeRepeated,
-		FullScopeAgain:    m.fullScopeAgain,
+		Heartbeats:      m.heartbeats,
+		ChangeRecords:   m.changeRecords,
+		FullScopeInStep: m.fullScopeInStep,
+		FullScopeAgain:  m.fullScopeAgain,
 	}
 	for _, pair := range m.encodedHistograms(report) {
 		encoded, err := pair.histogram.Encode(hdrhistogram.V2CompressedEncodingCookieBase)
@@ -138,7 +138,7 @@
 	defer m.mutex.Unlock()
 	m.heartbeats += report.Heartbeats
 	m.changeRecords += report.ChangeRecords
-	m.fullScopeRepeated += report.FullScopeRepeated
+	m.fullScopeInStep += report.FullScopeInStep
 	m.fullScopeAgain += report.FullScopeAgain
 	for _, pair := range m.encodedHistograms(report) {
 		decoded, err := hdrhistogram.Decode(*pair.encoded)
--- a/loadtest/programprocess.go
+++ b/loadtest/programprocess.go
@@ -26,10 +26,10 @@
 		return err
 	}
 	p := &controllerProcess{
-		worker:   w,
-		indexes:  []int{measuredController},
-		external: true,
-		ready:    make(chan struct{}),
+		worker:    w,
+		indexes:   []int{measuredController},
+		isProgram: true,
+		ready:     make(chan struct{}),
 	}
 	r.controllerProcesses = append(r.controllerProcesses, p)
 	r.workers.add(w, func(report *workerReport) { r.handleReport(p, report) })
@@ -47,7 +47,7 @@
 	if err := r.waitFor(ctx, p.ready, startTimeout, "harehook-xds did not start"); err != nil {
 		return err
 	}
-	if err := r.waitProgramConverged(ctx, stepTimeout); err != nil {
+	if err := r.waitProgramConverged(ctx, inStepTimeout); err != nil {
 		return err
 	}
 	p.startDuration = time.Since(start)
@@ -82,7 +82,7 @@
 			return err
 		}
 		if time.Now().After(deadline) {
-			return fmt.Errorf("harehook-xds has accepted revision %d after %s, want %d; it rejected revision %d: %s",
+			return fmt.Errorf("harehook-xds has accepted revision %d after %s, want %d; last rejected revision: %d (0 if none), reason: %q",
 				lease.Accepted, timeout, want, lease.RejectedRevision, lease.Reason)
 		}
 		if err := sleep(ctx, programPollInterval); err != nil {
--- a/loadtest/protocol.go
+++ b/loadtest/protocol.go
@@ -116,14 +116,14 @@
 
 // messageReport holds the counts of a messageMeter. Its histograms are encoded.
 type messageReport struct {
-	FullScope         []byte `json:"FullScope"`
-	Change            []byte `json:"Change"`
-	Progress          []byte `json:"Progress"`
-	Overhead          []byte `json:"Overhead"`
-	Heartbeats        int64  `json:"Heartbeats"`
-	ChangeRecords     int64  `json:"ChangeRecords"`
-	FullScopeRepeated int64  `json:"FullScopeRepeated"`
-	FullScopeAgain    int64  `json:"FullScopeAgain"`
+	FullScope       []byte `json:"FullScope"`
+	Change          []byte `json:"Change"`
+	Progress        []byte `json:"Progress"`
+	Overhead        []byte `json:"Overhead"`
+	Heartbeats      int64  `json:"Heartbeats"`
+	ChangeRecords   int64  `json:"ChangeRecords"`
+	FullScopeInStep int64  `json:"FullScopeRepeated"`
+	FullScopeAgain  int64  `json:"FullScopeAgain"`
 }
 
 // wireReading holds the bytes that a worker has received and sent since it started, including all framing above TCP.
--- a/loadtest/recorder.go
+++ b/loadtest/recorder.go
@@ -11,7 +11,7 @@
 	histories   []*history  // by controller index
 	changes     []change    // in ascending order of revisions
 	agreed      []agreement // in ascending order of revisions
-	activeFault Fault       // that is being injected; empty if there is none
+	activeFault Fault       // fault that is being injected; empty if there is none
 	failure     error       // first unexpected failure of a worker
 }
 
@@ -133,7 +133,7 @@
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	for _, h := range r.histories {
-		if !h.external && h.acceptedRevision() < revision {
+		if !h.isProgram && h.acceptedRevision() < revision {
 			count++
 		}
 	}
--- a/loadtest/run.go
+++ b/loadtest/run.go
@@ -14,7 +14,7 @@
 	controllersPerWorker = 450              // simulated controllers per process
 	startTimeout         = 30 * time.Second // until a worker is ready
 	leaderTimeout        = 30 * time.Second // until the group has a leader
-	stepTimeout          = 2 * time.Minute  // until all controllers are in step at the start
+	inStepTimeout        = 2 * time.Minute  // until all controllers are in step at the start
 	drainTimeout         = 30 * time.Second // until all controllers are in step at the end
 	finishTimeout        = time.Minute      // until all workers have reported what they measured
 	pollInterval         = 20 * time.Millisecond
@@ -63,7 +63,7 @@
 	launch            func(role string) (*worker, error) // the worker may outlive the stage that starts it
 	separateProcesses bool                               // workers are processes, not goroutines
 	controllerProgram string                             // path of harehook-xds, empty if it is not used
-	folder            string                             // that contains the members' logs
+	folder            string                             // directory of the members' logs
 
 	configuration *Configuration
 	controllers   []Controller
@@ -146,7 +146,7 @@
 	r.controllers = r.configuration.Controllers()
 	r.model = NewModel(r.controllers)
 	r.recorder = newRecorder(len(r.controllers))
-	r.recorder.histories[measuredController].external = r.controllerProgram != ""
+	r.recorder.histories[measuredController].isProgram = r.controllerProgram != ""
 	return nil
 }
 
--- a/loadtest/simulatedcontroller.go
+++ b/loadtest/simulatedcontroller.go
@@ -11,8 +11,8 @@
 	"harehook.dev/harehook/records"
 )
 
-// rejectOneIn means that a controller in the rejecting state rejects about one change in this many.
-const rejectOneIn = 2
+// rejectedChangeOneIn means that a controller in the rejecting state rejects about one change in this many.
+const rejectedChangeOneIn = 2
 
 // simulatedController is a controller that consists of the real client alone, without a data plane.
 type simulatedController struct {
@@ -130,7 +130,7 @@
 	}
 	hash := fnv.New32a()
 	fmt.Fprint(hash, c.Name, revision)
-	if hash.Sum32()%rejectOneIn != 0 {
+	if hash.Sum32()%rejectedChangeOneIn != 0 {
 		return nil
 	}
 	return fmt.Errorf("revision %d is refused by the experiment", revision)
--- a/loadtest/timings.go
+++ b/loadtest/timings.go
@@ -7,7 +7,7 @@
 	revision    uint64
 	answered    time.Time
 	interested  map[int]bool // indices of the controllers whose scope it affects
-	activeFault Fault        // that was being injected, empty if there was none
+	activeFault Fault        // fault that was being injected, empty if there was none
 }
 
 // timings holds the durations measured in a run, grouped by fault.
--- a/loadtest/usage.go
+++ b/loadtest/usage.go
@@ -69,7 +69,7 @@
 	}
 	duration := samples[len(samples)-1].at.Sub(samples[0].at)
 	span := min(maxRateSpan, duration)
-	from := 0 // the last sample that is at least a span before the sample at to
+	from := 0 // index of the last sample that is at least a span before samples[to]
 	for to := range samples {
 		for from+1 < to && samples[to].at.Sub(samples[from+1].at) >= span {
 			from++
--- a/loadtest/usagereport.go
+++ b/loadtest/usagereport.go
@@ -31,7 +31,7 @@
 func (r *run) controllerUsage(p *controllerProcess) *ControllerUsage {
 	wire := p.wireSamples(r.workloadStart)
 	return &ControllerUsage{
-		IsProgram:    p.external,
+		IsProgram:    p.isProgram,
 		ProcessUsage: p.usageSince(r.workloadStart),
 		KBS:          meanRate(wire) / kilobyte,
 		BusiestKBS:   maxRate(wire) / kilobyte,
--- a/loadtest/usagesampling.go
+++ b/loadtest/usagesampling.go
@@ -32,7 +32,8 @@
 	p.resident = max(p.resident, reading.resident)
 }
 
-// recordStartUsage records the resource usage of each worker for the start, after each has reported its bytes.
+// recordStartUsage records each worker's resource usage from its start until all controllers are in step. It first
+// waits until each worker has reported its bytes.
 func (r *run) recordStartUsage(ctx context.Context) error {
 	if !r.separateProcesses {
 		return nil
@@ -47,7 +48,7 @@
 	return nil
 }
 
-// recordStartUsage records the resource usage of the worker until now.
+// recordStartUsage records the resource usage of the worker so far.
 func (p *controllerProcess) recordStartUsage() {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
--- a/loadtest/violations.go
+++ b/loadtest/violations.go
@@ -9,7 +9,7 @@
 }
 
 // String returns the line of the violation in reports.
-func (v Violation) String() string { return "never: " + v.Controller + ": " + v.Description }
+func (v Violation) String() string { return "violation: " + v.Controller + ": " + v.Description }
 
 // maxViolations limits the reported violations, since one defect of the program can affect many controllers.
 const maxViolations = 20
@@ -17,7 +17,7 @@
 // checkHistories compares the revisions that controllers accepted with the agreed configuration.
 func checkHistories(model *Model, histories []*history, newestRevision uint64) (violations []Violation) {
 	for controller, h := range histories {
-		if h.external {
+		if h.isProgram {
 			continue
 		}
 		for _, problem := range h.check(model, controller, newestRevision) {
@@ -51,10 +51,10 @@
 // checkFinal returns a description of the first violation in the controller's final state, or an empty string.
 func (h *history) checkFinal(model *Model, controller int, newestRevision uint64) string {
 	if h.final == nil {
-		return "it did not tell what it held at the end"
+		return "it did not report its records at the end"
 	}
 	if h.final.revision < newestRevision {
-		return fmt.Sprintf("it held revision %d at the end, %d was agreed", h.final.revision, newestRevision)
+		return fmt.Sprintf("it had revision %d at the end, want the newest agreed revision %d", h.final.revision, newestRevision)
 	}
 	if problem := h.final.check(model, controller); problem != "" {
 		return "at the end: " + problem
@@ -69,7 +69,7 @@
 	}
 	digest, known := model.DigestAt(controller, a.revision)
 	if known && digest != a.digest {
-		return fmt.Sprintf("revision %d has other contents than agreed: something is lost or wrong", a.revision)
+		return fmt.Sprintf("revision %d has contents that differ from the agreed ones: a change was lost or is wrong", a.revision)
 	}
 	return ""
 }
--- a/loadtest/violations_test.go
+++ b/loadtest/violations_test.go
@@ -23,11 +23,11 @@
 		"restart": {history{accepted: []acceptance{accept(9, 70), {at: testTime(10), incarnation: 2, revision: 4, digest: 40}, accept(9, 70)},
 			final: &final}, ""},
 		"older revision":                 {history{accepted: []acceptance{accept(7, 70), accept(5, 40)}, final: &final}, "went back to revision 5 after 7"},
-		"lost change":                    {history{accepted: []acceptance{accept(7, 40)}, final: &final}, "revision 7 has other contents"},
-		"one revision with two contents": {history{accepted: []acceptance{accept(7, 70), accept(7, 71)}, final: &final}, "revision 7 has other contents"},
-		"old final revision":             {history{accepted: []acceptance{accept(7, 70)}, final: &acceptance{revision: 7, digest: 70}}, "held revision 7 at the end, 9 was agreed"},
+		"lost change":                    {history{accepted: []acceptance{accept(7, 40)}, final: &final}, "revision 7 has contents that differ"},
+		"one revision with two contents": {history{accepted: []acceptance{accept(7, 70), accept(7, 71)}, final: &final}, "revision 7 has contents that differ"},
+		"old final revision":             {history{accepted: []acceptance{accept(7, 70)}, final: &acceptance{revision: 7, digest: 70}}, "had revision 7 at the end, want the newest agreed revision 9"},
 		"wrong final contents":           {history{accepted: []acceptance{accept(9, 70)}, final: &acceptance{revision: 9, digest: 71}}, "at the end"},
-		"no final report":                {history{accepted: []acceptance{accept(9, 70)}}, "did not tell"},
+		"no final report":                {history{accepted: []acceptance{accept(9, 70)}}, "did not report its records"},
 		"records outside the scope":      {history{accepted: []acceptance{{incarnation: 1, revision: 7, digest: 70, outside: 2}}, final: &final}, "2 records outside its scope"},
 	} {
 		t.Run(name, func(t *testing.T) {
