--- a/scaling/agreed.go
+++ b/scaling/agreed.go
@@ -50,8 +50,9 @@
 	return [2]string{agreedText(routes, 0), agreedText(routes, 1)}
 }
 
-// applyAgreedChange proposes and applies the text that is not in force, and returns the size of its log entry in bytes.
-func applyAgreedChange(state *cluster.State, texts [2]string, index uint64) (entry int, err error) {
+// applyAgreedChange proposes and applies the one of two texts that is not current, and returns the size of its log
+// entry in bytes.
+func applyAgreedChange(state *cluster.State, texts [2]string, index uint64) (entryBytes int, err error) {
 	data, err := encodeAgreedCommand(state, index, texts[index%2])
 	if err != nil {
 		return 0, err
@@ -111,8 +112,8 @@
 	index := uint64(historyVersions)
 	return sample, repeat(&sample, effort, func() error {
 		index++
-		entry, err := applyAgreedChange(state, texts, index)
-		sample.Values[Wire] = float64(entry)
+		entryBytes, err := applyAgreedChange(state, texts, index)
+		sample.Values[Wire] = float64(entryBytes)
 		return err
 	})
 }
--- a/scaling/budget.go
+++ b/scaling/budget.go
@@ -1,8 +1,8 @@
 package scaling
 
-// The resources that one controller may use for control at the operators' size.
+// The resources that one controller may use at the operators' size.
 const (
-	BudgetCore      = 0.011     // of one core
+	BudgetCore      = 0.011     // fraction of one core
 	BudgetMemory    = 128 << 20 // bytes
 	BudgetBandwidth = 16 << 10  // bytes per second
 )
--- a/scaling/follow.go
+++ b/scaling/follow.go
@@ -35,7 +35,7 @@
 // change sets another share for a tenant of the changed service.
 func (f *changingStore) change() (records.Change, error) {
 	f.changes++
-	proportions := recordState{services: minServices}
+	proportions := recordState{services: minServices} // writeTenant uses only the number of services
 	share := changeShare + float64(f.changes%shareSteps)*shareStep
 	return f.store.Apply(f.store.Revision()+1, records.Transaction{Writes: []records.Write{proportions.writeTenant(changedService, share)}})
 }
--- a/scaling/group.go
+++ b/scaling/group.go
@@ -53,8 +53,8 @@
 // diskIdentity returns the identity by which members know the disk of a member.
 func diskIdentity(id uint64) string { return fmt.Sprint("disk-", id) }
 
-// errNoLeader is returned when a group elects no leader within the time limit.
-var errNoLeader = errors.New("no leader was elected")
+// errNoLeader is returned when a group elects no leader within maxElectionTicks.
+var errNoLeader = fmt.Errorf("no leader was elected within %d ticks", maxElectionTicks)
 
 // elect advances the clock until the group has a leader.
 func (g *memberGroup) elect() error {
--- a/scaling/list.go
+++ b/scaling/list.go
@@ -269,7 +269,8 @@
 	return sample, nil
 }
 
-// startSample measures the start of a planner with a full list. The first full list costs the same.
+// startSample measures the start of a planner with a full list. A planner that receives its first full list later
+// does the same work.
 func startSample(nodes int, effort Effort) (Sample, error) {
 	sample := newSample(nodes)
 	return sample, repeat(&sample, effort, func() error {
@@ -291,7 +292,7 @@
 		},
 		{
 			Name:      "list-file",
-			Operation: "one read of harehookd's node file",
+			Operation: "one read of harehook-xds's node file",
 			Size:      "nodes",
 			Method:    Measured,
 			Sizes:     sizes,
--- a/scaling/log.go
+++ b/scaling/log.go
@@ -55,7 +55,7 @@
 	return sample, repeat(&sample, effort, save)
 }
 
-// entryHeapSample measures the memory of a member per entry of its log that is not compacted yet, without its state.
+// entryHeapSample measures the memory per uncompacted entry of the log of a member, without the state of the member.
 func entryHeapSample(size int, _ Effort) (Sample, error) {
 	sample := newSample(size)
 	grow := func() (*cluster.Member, error) {
--- a/scaling/loopback.go
+++ b/scaling/loopback.go
@@ -20,7 +20,7 @@
 
 const (
 	idleDuration         = 3 * time.Second  // for which an idle group is measured
-	registrationDuration = time.Second      // after the election, until all disks are registered
+	registrationDuration = time.Second      // after the group is ready, so that the last registrations are not measured
 	electionTimeout      = 30 * time.Second // reached only in case of a fault
 	shutdownTimeout      = 30 * time.Second // likewise
 	leaderPollInterval   = 50 * time.Millisecond
@@ -69,7 +69,7 @@
 	folder  string
 }
 
-// newLoopbackGroup starts a group and waits until all members know a leader.
+// newLoopbackGroup starts a group and waits until all members know a leader and the disks of all members.
 func newLoopbackGroup(size int) (*loopbackGroup, error) {
 	folder, err := os.MkdirTemp("", "harehook-group-")
 	if err != nil {
@@ -83,7 +83,7 @@
 	return group, nil
 }
 
-// startAll starts all nodes and waits until they know a leader.
+// startAll starts all nodes and waits until they know a leader and the disks of all members.
 func (g *loopbackGroup) startAll(ctx context.Context, size int) error {
 	var listeners []net.Listener
 	var voters []uint64
@@ -125,34 +125,34 @@
 	return nil
 }
 
-// waitForLeader waits until all members know a leader.
+// waitForLeader waits until all members know a leader and the disks of all members.
 func (g *loopbackGroup) waitForLeader(ctx context.Context) error {
 	deadline := time.Now().Add(electionTimeout)
 	for time.Now().Before(deadline) {
-		known, err := g.countReady(ctx)
+		ready, err := g.countReady(ctx)
 		if err != nil {
 			return err
 		}
-		if known == len(g.nodes) {
+		if ready == len(g.nodes) {
 			return nil
 		}
 		time.Sleep(leaderPollInterval)
 	}
-	return errNoLeader
+	return fmt.Errorf("not all %d members knew a leader and the disks of all members within %s", len(g.nodes), electionTimeout)
 }
 
 // countReady counts the members that know a leader and the disks of all members.
-func (g *loopbackGroup) countReady(ctx context.Context) (known int, err error) {
+func (g *loopbackGroup) countReady(ctx context.Context) (ready int, err error) {
 	for _, node := range g.nodes {
 		report, err := node.Status(ctx)
 		if err != nil {
 			return 0, err
 		}
 		if report.Status.Leader != 0 && len(report.Identities) == len(g.nodes) {
-			known++
+			ready++
 		}
 	}
-	return known, nil
+	return ready, nil
 }
 
 // stopAndWait stops all nodes. It returns an error if a node does not stop in time; the logs then stay open.
--- a/scaling/meter.go
+++ b/scaling/meter.go
@@ -69,7 +69,7 @@
 	maxBatch          = 5                     // maximum operations between two readings of the meter
 )
 
-// isEnough reports whether a figure needs no more operations.
+// isEnough reports whether the measurement of a sample needs no more operations.
 func (e Effort) isEnough(m *meter, operations, minOperations int) bool {
 	if operations < minOperations {
 		return false
--- a/scaling/record.go
+++ b/scaling/record.go
@@ -83,7 +83,7 @@
 }
 
 // write proposes and applies a transaction, and returns the size of its log entry in bytes.
-func (r *recordState) write(writes []records.Write) (entry int, err error) {
+func (r *recordState) write(writes []records.Write) (entryBytes int, err error) {
 	r.index++
 	data, err := json.Marshal(cluster.Command{
 		Kind:   cluster.CommandRecords,
@@ -100,7 +100,7 @@
 }
 
 // change sets another share for one tenant, and returns the size of the log entry in bytes.
-func (r *recordState) change() (entry int, err error) {
+func (r *recordState) change() (entryBytes int, err error) {
 	r.changes++
 	return r.write([]records.Write{r.writeTenant(r.changes*changeStride%r.tenants, changeShare+float64(r.changes%shareSteps)*shareStep)})
 }
@@ -121,7 +121,7 @@
 }
 
 // measureRecordChanges measures a change of a state.
-func measureRecordChanges(tenants int, effort Effort, change func(*recordState) (entry int, err error)) (Sample, error) {
+func measureRecordChanges(tenants int, effort Effort, change func(*recordState) (entryBytes int, err error)) (Sample, error) {
 	sample := newSample(tenants)
 	state, err := newRecordState(tenants)
 	if err != nil {
@@ -131,8 +131,8 @@
 		return sample, err
 	}
 	return sample, repeat(&sample, effort, func() error {
-		entry, err := change(state)
-		sample.Values[Wire] = float64(entry)
+		entryBytes, err := change(state)
+		sample.Values[Wire] = float64(entryBytes)
 		return err
 	})
 }
--- a/scaling/step.go
+++ b/scaling/step.go
@@ -11,7 +11,7 @@
 	stepsPerReport = 5     // each node is reported every half second
 	typicalProxies = 110   // proxies of one controller
 	stepNodes      = 800   // nodes of the slopes over proxies and routes
-	minSteps       = 30    // of a figure: 3 s, so that it includes the work that is not done at every step
+	minSteps       = 30    // measured for one sample: 3 s, so that it includes the work that is not done at every step
 	settleSteps    = 30    // until the first tables and admission levels are sent
 	maxNonce       = 60000 // of a push, well below the maximum of a command
 )
@@ -50,7 +50,7 @@
 // ThrottlingChanged implements planner.Host.
 func (h *plannerHost) ThrottlingChanged(bool) {}
 
-// plannerConfig returns a deployment whose flow control does not limit the planner.
+// plannerConfig returns a configuration whose flow control does not limit the planner.
 func plannerConfig(proxies, routes, zones int) planner.Config {
 	config := planner.Config{
 		Seed:               1,
--- a/simulation/disk.go
+++ b/simulation/disk.go
@@ -18,9 +18,9 @@
 // errCrashedAtSave is returned by a save during which the member crashes.
 var errCrashedAtSave = errors.New("member crashed while saving to disk")
 
-// disk holds the persistent state of a member. All but the unsynced batches survives a crash.
+// disk holds the persistent state of a member. A crash loses only the unsynced batches.
 type disk struct {
-	identity string
+	identity string // by which the other members know the disk
 	synced   raftlog.SavedState
 	unsynced []raftlog.Batch // in order of saving; lost in a crash
 }
@@ -97,7 +97,7 @@
 	return nil
 }
 
-// delaySave blocks a member for the time that a save takes.
+// delaySave blocks a member for the time that a save takes. If MaxSyncDelay is 0, saves take no time.
 func (w *world) delaySave(m *member) {
 	if w.setup.MaxSyncDelay <= 0 {
 		return
--- a/simulation/experiment_file.go
+++ b/simulation/experiment_file.go
@@ -65,21 +65,21 @@
 	}
 	reader := experimentReader{experiment: &Experiment{Seeds: defaultSeeds, Base: defaultSetup()}}
 	if len(nodes) != 1 || nodes[0].Name != "experiment" || len(nodes[0].Arguments) != 1 {
-		reader.faults.Add(1, "the document must be a single node \"experiment\" with a name")
-		return nil, reader.faults.Err()
+		reader.mistakes.Add(1, "the document must be a single node \"experiment\" with a name")
+		return nil, reader.mistakes.Err()
 	}
 	reader.experiment.Name = fmt.Sprint(nodes[0].Arguments[0].Data)
 	for _, child := range nodes[0].Children {
 		reader.readFigure(child)
 	}
 	reader.validate(nodes[0].Line)
-	return reader.experiment, reader.faults.Err()
+	return reader.experiment, reader.mistakes.Err()
 }
 
 // experimentReader fills an experiment and collects the mistakes of its file.
 type experimentReader struct {
 	experiment *Experiment
-	faults     kdl.Faults
+	mistakes   kdl.Faults
 }
 
 // readFigure reads the node of one figure, or of the number of seeds.
@@ -88,11 +88,11 @@
 	set, known := figures[node.Name]
 	switch {
 	case len(values) == 0:
-		r.faults.Add(node.Line, "%q has no value", node.Name)
+		r.mistakes.Add(node.Line, "%q has no value", node.Name)
 	case node.Name == "seeds":
 		r.experiment.Seeds = int(values[0])
 	case !known:
-		r.faults.Add(node.Line, "unknown figure %q", node.Name)
+		r.mistakes.Add(node.Line, "unknown figure %q", node.Name)
 	case len(values) == 1:
 		set(&r.experiment.Base, values[0])
 	default:
@@ -105,7 +105,7 @@
 	for _, argument := range node.Arguments {
 		value, isNumber := argument.Data.(float64)
 		if !isNumber || value < 0 || value > maxFigureValue {
-			r.faults.Add(argument.Line, "%q must be a number from 0 to %d, got %v",
+			r.mistakes.Add(argument.Line, "%q must be a number from 0 to %d, got %v",
 				node.Name, int(maxFigureValue), argument.Data)
 		}
 		values = append(values, value)
@@ -118,10 +118,10 @@
 func (r *experimentReader) validate(line int) {
 	base := r.experiment.Base
 	if len(r.experiment.Sweeps) > maxSweeps {
-		r.faults.Add(line, "at most %d figures can be swept, got %d", maxSweeps, len(r.experiment.Sweeps))
+		r.mistakes.Add(line, "at most %d figures can be swept, got %d", maxSweeps, len(r.experiment.Sweeps))
 	}
 	if base.Members < 1 || base.Members > maxMembers || base.FaultFreeTicks >= base.Ticks || r.experiment.Seeds < 1 {
-		r.faults.Add(line,
+		r.mistakes.Add(line,
 			"members must be 1 to %d, calm less than ticks, seeds at least 1; got members %d, calm %d, ticks %d, seeds %d",
 			maxMembers, base.Members, base.FaultFreeTicks, base.Ticks, r.experiment.Seeds)
 	}
--- a/simulation/faults.go
+++ b/simulation/faults.go
@@ -16,7 +16,7 @@
 	Cut            FaultKind = "cut"       // no messages between Side and the other members
 	CutOne         FaultKind = "cut one"   // no messages from Side to the other members; the opposite direction works
 	Stall          FaultKind = "stall"     // a member's clock and process stop
-	SlowIO         FaultKind = "slow disk" // each save takes half an election timeout longer
+	SlowIO         FaultKind = "slow disk" // each save takes half an election timeout longer, if MaxSyncDelay > 0
 	Replace        FaultKind = "replace"   // a member is removed, and added again with its old log after For
 	TransferLeader FaultKind = "transfer"  // the member transfers leadership if it is the leader
 )
--- a/simulation/followers/checker.go
+++ b/simulation/followers/checker.go
@@ -20,7 +20,7 @@
 	// maxInStepDelay bounds the time from a commit until a follower in step has the change. It covers replication, the
 	// reply to an earlier response that is still pending, and the response with the change.
 	maxInStepDelay = 500 * time.Millisecond
-	// maxProgressBytes bounds the size of a message that has a revision but no records.
+	// maxProgressBytes bounds the size of a message without records.
 	maxProgressBytes = 128
 	// maxRecordOverheadBytes bounds the bytes of a changed record in addition to its name and body.
 	maxRecordOverheadBytes = 1 << 10
@@ -30,7 +30,7 @@
 // machines.
 type checker struct {
 	world       *world
-	firstHashes map[scopedRevision]uint64 // fingerprints of the contents that were accepted first
+	firstHashes map[scopedRevision]uint64 // hashes of the contents that a follower accepted first
 	digest      hash.Hash64               // of all accepted revisions
 }
 
@@ -55,7 +55,7 @@
 	c.world.outcome.Accepted++
 	revision := f.machine.Revision()
 	c.checkOrder(f, revision)
-	contentsHash := fingerprint(f.machine.RoutingRevision(), f.machine.Records())
+	contentsHash := hashContents(f.machine.RoutingRevision(), f.machine.Records())
 	c.checkSameContents(f, revision, contentsHash)
 	c.checkContents(f, revision)
 	fmt.Fprintln(c.digest, c.world.clock.elapsed, f.name, revision, contentsHash)
@@ -100,8 +100,8 @@
 	})
 }
 
-// fingerprint returns a hash of the records and their routing revision.
-func fingerprint(routingRevision uint64, contents map[records.Key]*records.Record) uint64 {
+// hashContents returns a hash of the records and their routing revision.
+func hashContents(routingRevision uint64, contents map[records.Key]*records.Record) uint64 {
 	sum := fnv.New64a()
 	writeRevision := func(revision uint64) {
 		var encoded [8]byte
--- a/simulation/followers/cost.go
+++ b/simulation/followers/cost.go
@@ -10,7 +10,7 @@
 )
 
 // checkSent checks the size of a message to a follower against the changes that the log has in the follower's scope
-// between the two revisions.
+// between the revision that the follower has accepted and the revision of the message.
 func (c *checker) checkSent(s *session, response *discoveryv3.DeltaDiscoveryResponse) {
 	content := configsync.ContentOf(response)
 	if content.Records == 0 && !content.FullScope {
@@ -32,11 +32,11 @@
 	c.checkChangesSent(s.follower, accepted, revision, response)
 }
 
-// checkProgressSent checks the size of a message that has a revision but no records.
+// checkProgressSent checks the size of a message without records: the progress to a revision, or a heartbeat.
 func (c *checker) checkProgressSent(size int) {
 	c.world.outcome.Progress++
 	if size > maxProgressBytes {
-		c.report(BrokenCost, "a progress message has %d bytes, want at most %d", size, maxProgressBytes)
+		c.report(BrokenCost, "a message without records has %d bytes, want at most %d", size, maxProgressBytes)
 	}
 }
 
--- a/simulation/followers/delay.go
+++ b/simulation/followers/delay.go
@@ -12,13 +12,13 @@
 	session      *session
 	revision     uint64
 	committedAt  time.Duration
-	besidesCrowd bool
+	crowdWaiting bool // at the commit, at least minCrowdSize followers waited for their full scope
 }
 
 // scheduleDelayChecks checks, maxInStepDelay after a commit, that the followers that were in step before the commit
 // have received it.
 func (c *checker) scheduleDelayChecks(before, revision uint64) {
-	besidesCrowd := c.waitingFollowers() >= minCrowdSize
+	crowdWaiting := c.waitingFollowers() >= minCrowdSize
 	for _, f := range c.world.followers {
 		if !f.inStep(before) || !f.session.healthy() || f.rejecting {
 			continue
@@ -29,7 +29,7 @@
 			session:      f.session,
 			revision:     revision,
 			committedAt:  c.world.clock.elapsed,
-			besidesCrowd: besidesCrowd,
+			crowdWaiting: crowdWaiting,
 		}
 		c.world.clock.after(maxInStepDelay, func() { c.checkDelay(check) })
 	}
@@ -51,7 +51,7 @@
 		return
 	}
 	c.world.outcome.InStepChecked++
-	if check.besidesCrowd {
+	if check.crowdWaiting {
 		c.world.outcome.InStepBesideCrowd++
 	}
 	f := check.follower
--- a/simulation/followers/follower.go
+++ b/simulation/followers/follower.go
@@ -72,6 +72,7 @@
 	f.world.clock.after(delay, f.start)
 }
 
+// markDisturbed excludes the follower from the delay checks of earlier commits.
 func (f *follower) markDisturbed() { f.disturbedAt = f.world.clock.elapsed }
 
 // connectAfter connects after a delay, unless the process has ended or is connected by then.
@@ -183,8 +184,8 @@
 	})
 }
 
-// renewLease renews the lease at the member, or changes the member if no message from it has arrived for the duration
-// of a lease.
+// renewLease renews the lease at the member. If no message from the member has arrived for the duration of a lease, it
+// connects to another member instead.
 func (f *follower) renewLease() {
 	if f.session == nil {
 		return
--- a/simulation/followers/member.go
+++ b/simulation/followers/member.go
@@ -34,6 +34,7 @@
 	return &plantedSource{Store: m.store, planted: m.world.setup.Planted, member: m.name}
 }
 
+// markDisturbed excludes the member's followers from the delay checks of earlier commits.
 func (m *member) markDisturbed() { m.disturbedAt = m.world.clock.elapsed }
 
 // crash ends the process. The followers' connections are reset. If silent is true, the machine fails with the process,
--- a/simulation/followers/outcome.go
+++ b/simulation/followers/outcome.go
@@ -10,14 +10,14 @@
 
 // The kinds of violation, one for each checked property.
 const (
-	BrokenContents    ViolationKind = "held records differ from the log's at that revision"
-	BrokenConsistency ViolationKind = "one revision of one scope was accepted with two contents"
-	BrokenOrder       ViolationKind = "an older revision after a newer one"
-	BrokenAcceptOnce  ViolationKind = "one revision was accepted anew"
-	BrokenConvergence ViolationKind = "a revision is told to be in force that a live follower lacks"
-	BrokenRecovery    ViolationKind = "not in step after the calm"
-	BrokenCost        ViolationKind = "a message is larger than what changed in the scope allows"
-	BrokenDelay       ViolationKind = "a follower in step got a change late"
+	BrokenContents    ViolationKind = "records of a follower differ from those of the log at its revision"
+	BrokenConsistency ViolationKind = "followers accepted one revision of one scope with different contents"
+	BrokenOrder       ViolationKind = "a follower accepted an older revision after a newer one"
+	BrokenAcceptOnce  ViolationKind = "a follower accepted one revision twice"
+	BrokenConvergence ViolationKind = "a follower with a live lease is behind the claimed converged revision"
+	BrokenRecovery    ViolationKind = "not all followers were in step after the fault-free time"
+	BrokenCost        ViolationKind = "a message is larger than the changes in the scope require"
+	BrokenDelay       ViolationKind = "a follower in step received a change late"
 )
 
 // Violation describes the violation of a property in a run.
@@ -38,7 +38,7 @@
 	Commits, Faults     int
 	Accepted, Rejected  int           // revisions, at followers
 	FullScopes, Changes int           // messages with records
-	Progress            int           // messages with a revision but no records
+	Progress            int           // messages without records: progress to a revision, and heartbeats
 	Claims              int           // checks at which the converged revision was known
 	Stale               int           // followers without a live lease at claims
 	InStepChecked       int           // changes to followers in step whose delay was checked
--- a/simulation/followers/planted.go
+++ b/simulation/followers/planted.go
@@ -31,7 +31,7 @@
 const (
 	// plantedSlowChangeDelay is the time that a member waits before it sends a change, with PlantedSlowChanges.
 	plantedSlowChangeDelay = 600 * time.Millisecond
-	// plantedMissingEvery is the number of calls of Since of which one omits a change, with PlantedMissingChange.
+	// plantedMissingEvery: one in plantedMissingEvery calls of Since omits a change, with PlantedMissingChange.
 	plantedMissingEvery = 20
 	// plantedContentsMember is the member whose contents differ, with PlantedContents.
 	plantedContentsMember = "m1"
@@ -88,7 +88,8 @@
 	return status
 }
 
-// plantedLease returns the lease of a follower, which is too long with PlantedLongLease.
+// plantedLease returns the lease of a follower, which is three times as long as that of the members with
+// PlantedLongLease.
 func plantedLease(planted Planted) time.Duration {
 	lease := limits(planted).Lease
 	if planted == PlantedLongLease {
--- a/simulation/followers/setup.go
+++ b/simulation/followers/setup.go
@@ -12,7 +12,7 @@
 	Members     int
 	Followers   int
 	Active      time.Duration // time with commits and faults
-	FaultFree   time.Duration // time without both at the end; all followers must be in step before it ends
+	FaultFree   time.Duration // time at the end without commits and new faults, in which all followers must come in step
 	CommitEvery time.Duration // mean time between two commits
 	FaultEvery  time.Duration // mean time between two faults
 	Planted     Planted
--- a/simulation/followers/world.go
+++ b/simulation/followers/world.go
@@ -109,8 +109,8 @@
 	})
 }
 
-// runFaultFree runs the fault-free time, in which all followers must come in step. There are no commits; faults that
-// are still active end in it.
+// runFaultFree runs the fault-free time, in which all followers must come in step. There are no commits and no new
+// faults; faults that are still active end during it.
 func (w *world) runFaultFree() {
 	end := w.setup.Active + w.setup.FaultFree
 	for w.clock.elapsed < end && !w.reachedMaxViolations() {
--- a/simulation/measurements.go
+++ b/simulation/measurements.go
@@ -2,14 +2,14 @@
 
 // measurements holds the state between ticks that the measurements of a run need.
 type measurements struct {
-	commitTick   map[uint64]int // by number of the agreed version; convergenceMeasured after all sidecars have held it
+	commitTick   map[uint64]int // by agreed version; replaced by convergenceMeasured once all sidecars hold the version
 	leaderLostAt int            // tick, or noTick while there is a leader
 	lastLeader   uint64         // member id; 0 before the first election
 }
 
 const (
-	noTick              = -1
-	convergenceMeasured = -1
+	noTick              = -1 // stands for a tick that is not known or has not come
+	convergenceMeasured = -1 // stands for a commit tick whose convergence time is already recorded
 )
 
 func newMeasurements() measurements {
@@ -61,7 +61,8 @@
 	}
 }
 
-// measureConvergence records how long it took until all sidecars held the newest version.
+// measureConvergence records the time from the commit of the newest version until all sidecars held it, once for each
+// version.
 func (w *world) measureConvergence() {
 	newest := w.measurements.newestAgreed()
 	if newest == 0 || !w.allSidecarsHaveVersion(newest) {
--- a/simulation/operator.go
+++ b/simulation/operator.go
@@ -7,21 +7,21 @@
 )
 
 const (
-	maxProposeAttempts = 6 // repetitions of a proposal after which the operator gives up
-	staleBaseEvery     = 5 // on average, one in this many proposals is based on the previous version
+	maxProposalRepetitions = 6 // of one proposal, after which the operator gives up
+	staleBaseEvery         = 5 // on average, one in this many proposals is based on the previous version
 )
 
-// operator proposes changes, one at a time.
+// operator proposes changes, one at a time. It also reads the version, which needs no state here.
 type operator struct {
 	pending *proposal // nil if there is none
 }
 
 // proposal is a configuration change whose result the operator waits for.
 type proposal struct {
-	command    cluster.Command
-	proposedAt int // tick
-	operation  int // index in the history
-	attempts   int // not counting the first
+	command     cluster.Command
+	proposedAt  int // tick
+	operation   int // index in the history
+	repetitions int // attempts after the first
 }
 
 // runOperator lets the operator propose changes and read, each through a random member.
@@ -71,11 +71,11 @@
 }
 
 // repeatProposal submits the pending proposal again, through a random member, because its response may be lost. After
-// maxProposeAttempts repetitions the operator gives up and counts the proposal as one with an unknown outcome.
+// maxProposalRepetitions repetitions the operator gives up and counts the proposal as one with an unknown outcome.
 func (w *world) repeatProposal() (repeated bool) {
 	pending := w.operator.pending
-	pending.attempts++
-	if pending.attempts > maxProposeAttempts {
+	pending.repetitions++
+	if pending.repetitions > maxProposalRepetitions {
 		w.outcome.Unknown++
 		w.operator.pending = nil
 		return false
--- a/simulation/outcome.go
+++ b/simulation/outcome.go
@@ -14,7 +14,7 @@
 	Gap       []int // from each loss of a leader to the next agreed version
 	Converged []int // from a version's commit until all sidecars hold it
 	Settled   int   // from the start of the fault-free ticks until all sidecars hold a version committed since; -1: never
-	Entries   int   // of the longest log at the end
+	Entries   int   // number of log entries at the end, of the member that has the most
 }
 
 // ViolationKind names a property that must hold in each run.
--- a/simulation/setup.go
+++ b/simulation/setup.go
@@ -12,7 +12,7 @@
 	MinDelay          int     // of a message, in addition to the one tick that each message takes
 	MaxDelay          int     // of a message, in addition to the one tick that each message takes
 	Loss, Duplication float64 // fractions of messages that are lost, and that are delivered twice
-	MaxSyncDelay      int     // maximum duration of a save, during which the member is blocked
+	MaxSyncDelay      int     // maximum duration of a save, which blocks the member; 0: none, also with SlowIO
 	Faults            []Fault // in order of time; nil: drawn from the seed, see Draw
 	FaultEvery        int     // mean ticks between two drawn faults; 0: no faults
 	ProposeEvery      int     // ticks between two proposals of the operator; 0: no operator
--- a/simulation/world.go
+++ b/simulation/world.go
@@ -6,8 +6,8 @@
 	"harehook.dev/harehook/simulation/eventqueue"
 )
 
-// runStream selects the stream of random numbers of a run. Faults are drawn from another stream (faultStream), so a run
-// with fewer faults (see Shrink) still has the same network randomness.
+// runStream selects the stream of random numbers of a run. Faults are drawn from another stream (faultStream), so that
+// the removal of faults (see Shrink) does not change the numbers that the rest of the run draws from.
 const runStream = 11
 
 // world is the state of a run in progress.
