--- a/internal/daemon/group_test.go
+++ b/internal/daemon/group_test.go
@@ -80,7 +80,7 @@
 	g.configureController(lostMember, g.groupSection(lostMember, "data-lost", false))
 	stop := g.start("harehook-xds", configFile(lostMember))
 	g.waitUntil("the member exits and logs how to replace it", func() bool {
-		return strings.Contains(g.logs[configFile(lostMember)].String(), "remove it and add this one under a new number")
+		return strings.Contains(g.logs[configFile(lostMember)].String(), "remove the member and add this controller under a new number")
 	})
 	g.agree(lead)
 	stop()
