--- a/docs/docs_test.go
+++ b/docs/docs_test.go
@@ -1,4 +1,5 @@
-// Package docs_test checks that the pages speak of what is in the repository: files, tests and identifiers.
+// Package docs_test checks that the Markdown pages name only files, tests and identifiers that exist in the repository,
+// and that they explain the log messages.
 package docs_test
 
 import (
@@ -18,11 +19,12 @@
 
 const root = ".."
 
-// recordPages tell what was at their time, with the names of that time.
-var recordPages = []string{"CHANGELOG.md", "docs/results.md", "docs/incidents"}
+// historicalPages lists the path prefixes of pages that describe earlier states of the repository. They keep the names
+// that were valid then and are not checked.
+var historicalPages = []string{"CHANGELOG.md", "docs/results.md", "docs/incidents"}
 
-// otherPackages are packages of other modules that pages name.
-var otherPackages = []string{"bbolt", "errors", "http", "net", "porcupine", "raft", "zap"}
+// externalPackages lists the packages outside this module that pages refer to.
+var externalPackages = []string{"bbolt", "errors", "http", "net", "porcupine", "raft", "zap"}
 
 var (
 	linkPattern       = regexp.MustCompile(`\]\(([^)\s]+)\)`)
@@ -33,17 +35,18 @@
 	identifierPattern = regexp.MustCompile(`^([a-z]+)\.([A-Z]\w*)(?:\.(\w+))?(\(\))?$`)
 )
 
-// pages lists the Markdown pages that have to be true of the tree as it is.
+// pages returns the Markdown pages that must match the current tree: those in the root, docs and its direct subfolders,
+// except historicalPages.
 func pages(t *testing.T) (names []string) {
 	t.Helper()
 	for _, pattern := range []string{"*.md", "docs/*.md", "docs/*/*.md"} {
-		found, err := filepath.Glob(filepath.Join(root, pattern))
+		matches, err := filepath.Glob(filepath.Join(root, pattern))
 		if err != nil {
 			t.Fatal(err)
 		}
-		for _, name := range found {
+		for _, name := range matches {
 			name = strings.TrimPrefix(filepath.ToSlash(name), root+"/")
-			if !slices.ContainsFunc(recordPages, func(page string) bool { return strings.HasPrefix(name, page) }) {
+			if !slices.ContainsFunc(historicalPages, func(page string) bool { return strings.HasPrefix(name, page) }) {
 				names = append(names, name)
 			}
 		}
@@ -60,7 +63,7 @@
 	return string(text)
 }
 
-// codeSpans gives what stands between backquotes on a page, outside of blocks of code.
+// codeSpans returns the inline code spans of a page, without their backquotes. Fenced code blocks are skipped.
 func codeSpans(text string) (spans []string) {
 	for _, match := range codePattern.FindAllStringSubmatch(fencePattern.ReplaceAllString(text, ""), -1) {
 		spans = append(spans, match[1])
@@ -68,7 +71,8 @@
 	return spans
 }
 
-// TestLinksResolve guards against pages that point nowhere after a file has moved.
+// TestLinksResolve checks that the target of each relative link exists. It guards against links that break when a file
+// is moved.
 func TestLinksResolve(t *testing.T) {
 	for _, name := range pages(t) {
 		for _, match := range linkPattern.FindAllStringSubmatch(readPage(t, name), -1) {
@@ -77,13 +81,14 @@
 				continue
 			}
 			if _, err := os.Stat(filepath.Join(root, path.Dir(name), target)); err != nil {
-				t.Errorf("%s: the link %s: %v", name, match[1], err)
+				t.Errorf("%s: broken link %s: %v", name, match[1], err)
 			}
 		}
 	}
 }
 
-// TestPathsExist checks each path between backquotes that begins at a folder of the repository's root.
+// TestPathsExist checks that each path in a code span exists if it starts with a top-level folder of the repository. It
+// guards against pages that keep the old path of a moved or deleted file.
 func TestPathsExist(t *testing.T) {
 	entries, err := os.ReadDir(root)
 	if err != nil {
@@ -95,25 +100,28 @@
 	}
 	for _, name := range pages(t) {
 		for _, span := range codeSpans(readPage(t, name)) {
-			first, _, hasSlash := strings.Cut(span, "/")
-			built := first == "bin" || first == "found" || first == "logs" // not in the repository
-			if !hasSlash || !folders[first] || built || !pathPattern.MatchString(span) {
+			topFolder, _, hasSlash := strings.Cut(span, "/")
+			generated := topFolder == "bin" || topFolder == "found" || topFolder == "logs" // not in the repository
+			if !hasSlash || !folders[topFolder] || generated || !pathPattern.MatchString(span) {
 				continue
 			}
-			found, err := filepath.Glob(filepath.Join(root, span))
-			if err != nil || len(found) == 0 {
-				t.Errorf("%s: the path %s is not there", name, span)
+			matches, err := filepath.Glob(filepath.Join(root, span))
+			if err != nil || len(matches) == 0 {
+				t.Errorf("%s: path %s matches no file or folder", name, span)
 			}
 		}
 	}
 }
 
-// declarations are the names that Go files declare, by the name of their package: "Name" and "Type.Member".
+// declarations holds the names that the Go files of the repository declare.
 type declarations struct {
-	tests     map[string]bool
+	// tests holds the names of all top-level functions in test files.
+	tests map[string]bool
+	// byPackage maps a package name to its declared names, in the form "Name" or "Type.Member".
 	byPackage map[string]map[string]bool
 }
 
+// add records a name. The names of an external test package are added to the package that it tests.
 func (d *declarations) add(packageName, name string) {
 	packageName = strings.TrimSuffix(packageName, "_test")
 	if d.byPackage[packageName] == nil {
@@ -207,29 +215,29 @@
 	return ""
 }
 
-// logPages names the page that explains the log lines of some packages.
+// logPages maps a page in docs to the folders of the packages whose log messages it explains.
 var logPages = map[string][]string{
 	"oncall.md":    {"cmd/harehook", "platform/transport", "controller"},
 	"operators.md": {"internal/daemon", "configsync/transport", "xds/transport", "sidecar", "cmd/harehook-sidecar", "internal/certs"},
 	"raft.md":      {"cluster"},
 }
 
-// TestLogLinesAreExplained checks that each message that a program logs is on the page that explains its log: whoever is
-// on call searches for it there.
+// TestLogLinesAreExplained checks that each log message of a package appears in a code span of the page in logPages,
+// because the person on call searches for the message there.
 func TestLogLinesAreExplained(t *testing.T) {
 	for page, folders := range logPages {
 		text := readPage(t, "docs/"+page)
 		for _, folder := range folders {
 			for _, message := range logMessages(t, folder) {
 				if !strings.Contains(text, "`"+message+"`") {
-					t.Errorf("%s: %q of %s is not explained", page, message, folder)
+					t.Errorf("%s: log message %q of %s is not explained in a code span", page, message, folder)
 				}
 			}
 		}
 	}
 }
 
-// logMessages lists the messages of a folder's calls of a logger.
+// logMessages returns the literal messages that the non-test files of a folder log. The test fails if there are none.
 func logMessages(t *testing.T, folder string) (messages []string) {
 	t.Helper()
 	files, err := filepath.Glob(filepath.Join(root, folder, "*.go"))
@@ -252,12 +260,13 @@
 		})
 	}
 	if len(messages) == 0 {
-		t.Errorf("%s logs nothing", folder)
+		t.Errorf("%s: got no log messages, want at least 1", folder)
 	}
 	return messages
 }
 
-// loggedMessage returns the message of a call such as log.Info("message", ...).
+// loggedMessage returns the message if node is a call such as log.Info("message", ...). The method must be Info, Warn
+// or Error, and the message must be a string literal.
 func loggedMessage(node ast.Node) (message string, ok bool) {
 	call, isCall := node.(*ast.CallExpr)
 	if !isCall || len(call.Args) == 0 {
@@ -275,24 +284,25 @@
 	return message, err == nil
 }
 
-// TestNamesAreDeclared checks each test and each identifier of a package that a page names between backquotes.
+// TestNamesAreDeclared checks that each test and each qualified identifier in a code span of a page is declared. It
+// guards against pages that keep an old name after a rename.
 func TestNamesAreDeclared(t *testing.T) {
 	declared := readDeclarations(t)
 	if !declared.tests["TestNamesAreDeclared"] {
-		t.Fatal("this test itself is not found")
+		t.Fatal("TestNamesAreDeclared is missing from the declarations that were read; want every test to be found")
 	}
 	for _, name := range pages(t) {
 		for _, span := range codeSpans(readPage(t, name)) {
-			test, _, _ := strings.Cut(span, "/")
+			test, _, _ := strings.Cut(span, "/") // without the name of a subtest
 			if testPattern.MatchString(test) && !declared.tests[test] {
-				t.Errorf("%s: there is no %s", name, test)
+				t.Errorf("%s: test function %s is not declared", name, test)
 			}
 			match := identifierPattern.FindStringSubmatch(span)
-			if match == nil || slices.Contains(otherPackages, match[1]) {
+			if match == nil || slices.Contains(externalPackages, match[1]) {
 				continue
 			}
 			if declared.byPackage[match[1]] == nil {
-				t.Errorf("%s: there is no package %s for %s", name, match[1], span)
+				t.Errorf("%s: package %s does not exist, named in %s", name, match[1], span)
 				continue
 			}
 			want := match[2]
@@ -300,7 +310,7 @@
 				want += "." + match[3]
 			}
 			if !declared.byPackage[match[1]][want] {
-				t.Errorf("%s: package %s declares no %s", name, match[1], want)
+				t.Errorf("%s: package %s does not declare %s", name, match[1], want)
 			}
 		}
 	}
